--- a/packages/fleet-rig/src/fleet_rig/__main__.py
+++ b/packages/fleet-rig/src/fleet_rig/__main__.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 from typing import Any
 
-from twisted.internet import reactor as _reactor
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ReactorNotRunning
 
 from fleet_rig.demo import Demo
 from fleet_rig.play import Troupe
+from thornjunction.net.reactor import install
 
-reactor: Any = _reactor
+reactor = install()
 
 
 def main() -> int:
--- a/packages/fleet-scale/src/fleet_scale/worker.py
+++ b/packages/fleet-scale/src/fleet_scale/worker.py
@@ -17,6 +17,7 @@
 
 from fleet_scale.tether import tether
 from thornjunction import logs
+from thornjunction.net.reactor import install
 from thornjunction.runtime.start import GC_THRESHOLDS
 
 MOST_LINE = 8 << 20
@@ -76,9 +77,7 @@
 def main(role: str, parent: int) -> None:
     tether(parent)
     logs.to_stream(sys.stderr)
-    from twisted.internet import reactor
-
-    running: Any = reactor
+    running = install()
     opened: Any = stdio.StandardIO
     opened(Commands(running, role))
     running.run(installSignalHandlers=False)
--- a/thornjunction/runtime/start.py
+++ b/thornjunction/runtime/start.py
@@ -29,8 +29,9 @@
         return code
     if "PROXY_CONFIG" in environ:
         return serve(environ, extras_path)
-    from twisted.internet import reactor
+    from thornjunction.net.reactor import install
 
+    reactor = install()
     from thornjunction.demo.start import serve_demo
 
     logs.to_stream(sys.stderr)
@@ -44,8 +45,9 @@
     try:
         config = load_config(environ)
         extras = _extras(extras_path) if extras_path.exists() else None
-        from twisted.internet import reactor
+        from thornjunction.net.reactor import install
 
+        reactor = install()
         from thornjunction.runtime.service import Service
 
         service = Service(config, extras, reactor, Counters(), lambda: load_config(environ))
@@ -67,8 +69,9 @@
         if settings is None:
             return None
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))  # until the relay takes it
-        from twisted.internet import reactor
+        from thornjunction.net.reactor import install
 
+        reactor = install()
         from thornjunction.runtime.relay import RelayProcess
 
         relay = RelayProcess(settings, reactor)
