--- a/thornjunction/net/alarm.py
+++ b/thornjunction/net/alarm.py
@@ -1,4 +1,4 @@
-"""Wakes the deadlines: one reactor call for the nearest of them, and the clocks."""
+"""Wakes the deadlines, by one reactor call for the nearest of them; and the core's clock."""
 
 from __future__ import annotations
 
@@ -18,11 +18,6 @@
     return time.monotonic() * 1000.0 + EARLY_MS
 
 
-def unix_to_core(unix_ms: float) -> float:
-    """A Unix time on the core's clock, by what the two read now: the system's clock may be set."""
-    return unix_ms - time.time() * 1000.0 + core_ms()
-
-
 class Alarm:
     """Runs ``deadlines`` from the reactor."""
 
--- a/thornjunction/net/sourced_channel.py
+++ b/thornjunction/net/sourced_channel.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import math
-import time
 from collections.abc import Callable
 from typing import Any
 
@@ -34,6 +33,7 @@
 from thornjunction.net.backoff import worth_logging
 from thornjunction.net.channel import Channel
 from thornjunction.net.probe import Done, probe
+from thornjunction.net.unix_clock import UnixClock
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Command, Commands, ListChange, read_piece
 
@@ -93,7 +93,7 @@
         self._farewells: dict[Address, int] = {}  # sources that count on us, by the turn of telling them
         self._said = 0
         self.probes = 0  # that are out
-        self._unix_ms = 0.0
+        self._unix, self._unix_ms = UnixClock(), 0.0
 
     def replay(self, known: Commands) -> None:
         """The list and the purges of the start.  The list counts as of now, in discovery's numbers."""
@@ -164,7 +164,7 @@
         follower, before = self.follower, self.follower.epoch
         told = head.cursor if head.cursor >= 0 else None
         follower.begin(self.clock(), head.epoch or "", head.age_ms or 0.0, told)
-        self._unix_ms = time.time() * 1000.0
+        self._unix_ms = self._unix.now_ms()
         if follower.epoch != before:
             self.on_epoch()
 
--- a/thornjunction/runtime/births.py
+++ b/thornjunction/runtime/births.py
@@ -5,24 +5,25 @@
 from collections.abc import Iterable
 
 from thornjunction import interface as api
-from thornjunction.net.alarm import unix_to_core
+from thornjunction.net.unix_clock import UnixClock
 from thornjunction.net.wire.commands import Host
 
 
 class Births:
-    """The same process has the same start, whenever it is listed: converted anew it would differ by what both
-    clocks read, or by a step of the system's clock, and the decisions would take it for a new, cold one."""
+    """The same process has the same start, whenever it is listed: converted anew it would differ where the
+    offset of ``unix`` was taken anew, and the decisions would take it for a new, cold one."""
 
-    def __init__(self) -> None:
+    def __init__(self, unix: UnixClock) -> None:
+        self._unix = unix
         self._known: dict[str, tuple[float, float]] = {}  # by shelf: as listed, and on the core's clock
 
-    def started_ms(self, host: Host) -> float:
-        """0: long ago."""
+    def started_ms(self, host: Host, recent_ms: float) -> float:
+        """0: long ago.  ``recent_ms``: no start that is told now lies further back."""
         if host.born_ms <= 0:
             return 0.0
         known = self._known.get(host.name)
         if known is None or known[0] != host.born_ms:
-            known = self._known[host.name] = host.born_ms, unix_to_core(host.born_ms)
+            known = self._known[host.name] = host.born_ms, self._unix.to_core(host.born_ms, recent_ms)
         return known[1]
 
     def keep(self, hosts: Iterable[Host], whole: bool) -> None:
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -39,6 +39,7 @@
 from thornjunction.net.relay import Pollers
 from thornjunction.net.sourced_channel import SourcedChannel
 from thornjunction.net.transport import Building, server_endpoint
+from thornjunction.net.unix_clock import UnixClock
 from thornjunction.net.wire.commands import Command, ListChange, line_of
 from thornjunction.net.wire.polls import Poll
 from thornjunction.runtime.config import ConfigError
@@ -60,7 +61,7 @@
 
     def __init__(self, settings: RelaySettings, reactor: Any) -> None:
         self.settings, self.reactor = settings, reactor
-        self.alarm = Alarm(reactor)
+        self.alarm, self.unix = Alarm(reactor), UnixClock()
         deadlines = self.alarm.deadlines
         told = MachineSettings(expected=settings.routers, join_ms=settings.join_ms, hold_ms=settings.hold_ms)
         # Unix seconds, so that a plain router that comes from elsewhere takes what it is told.
@@ -145,8 +146,9 @@
             return self.feed(ListTold(command.cursor, command.seq, command.whole, hosts))
         # Guards routers against an hour of purges that no cache holds any more, and the bound on those kept;
         # their numbers count with the answer's end.
-        age_ms = max(time.time() * 1000.0 - command.when_ms - SKEW_MS, 0.0)
-        if age_ms > self.settings.hold_ms:
+        hold_ms = self.settings.hold_ms
+        age_ms = max(core_ms() - self.unix.to_core(command.when_ms, hold_ms + SKEW_MS) - SKEW_MS, 0.0)
+        if age_ms > hold_ms:
             return
         key = f"{command.key:016x}" if command.key is not None else None
         family = command.group if key is None else -1
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 import os
 import random
 import signal
@@ -21,12 +22,13 @@
 from thornjunction.core.ports import Answer, Refused
 from thornjunction.logs import get_logger
 from thornjunction.memory.budget import Budget
-from thornjunction.net.alarm import Alarm, core_ms, unix_to_core
+from thornjunction.net.alarm import Alarm, core_ms
 from thornjunction.net.client_link import ClientTable
 from thornjunction.net.front_fastcgi import FastCgiLink
 from thornjunction.net.operators import OperatorsDoor, OperatorsLink
 from thornjunction.net.shelves import ShelfPool
 from thornjunction.net.transport import Building, server_endpoint
+from thornjunction.net.unix_clock import UnixClock
 from thornjunction.net.wire import platform
 from thornjunction.net.wire.commands import Command, Host, ListChange
 from thornjunction.net.wire.operators import encode_figures, encode_word
@@ -70,7 +72,8 @@
         self.engine = Engine(self.router, attempts, core_ms, deadlines, self.pool, counters)
         self.counters, self.files = counters, Counter[str]()
         self.pool.ends = self.engine
-        self.births = Births()
+        self.unix = UnixClock()
+        self.births = Births(self.unix)
         self.channel = parts.channel(extras, config, reactor, deadlines, self.take, self._serve)
         self.clients = ClientTable(max(config.sockets // 3, 1), budget)
         self.drain = Drain(self.clients, deadlines, core_ms, self.engine.hurry)
@@ -199,17 +202,23 @@
     def take(self, command: Command) -> None:
         """An event of the command channel, on the core's clock."""
         if isinstance(command, ListChange):
-            entries = tuple(self._entry(host) for host in command.hosts)
+            recent_ms = math.inf if command.whole else self._longest_cold_ms()
+            entries = tuple(self._entry(host, recent_ms) for host in command.hosts)
             self.births.keep(command.hosts, command.whole)
             self.engine.feed(api.Servers(entries, command.whole))
             self.pool.update(command.hosts, command.whole)  # what waited there is decided again by this list
         else:
-            age = max(core_ms() - unix_to_core(command.when_ms), 0.0)
+            hold_ms = self.config.settings.purge_takes_ms
+            age = core_ms() - self.unix.to_core(command.when_ms, hold_ms)
             # Past its hold all caches have dropped what it names, and no decision hangs on it.
-            if age <= self.config.settings.purge_takes_ms:
+            if age <= hold_ms:
                 self.engine.feed(api.Purged(command.group, age, command.key))
 
-    def _entry(self, host: Host) -> api.ServerEntry:
+    def _longest_cold_ms(self) -> float:
+        """Of a change, no start is further back that matters."""
+        return max(self.config.settings.cold_ms, self.config.settings.parent_cold_ms)
+
+    def _entry(self, host: Host, recent_ms: float) -> api.ServerEntry:
         return api.ServerEntry(
             server=host.name,
             role=self.config.roles.get(host.kind, api.Role.EDGE),
@@ -217,7 +226,7 @@
             state=host.state,
             weight=host.weight,
             cell=host.cell,
-            started_ms=self.births.started_ms(host),
+            started_ms=self.births.started_ms(host, recent_ms),
         )
 
     def reload(self) -> None:
