--- a/packages/control-rig/src/control_rig/rig.py
+++ b/packages/control-rig/src/control_rig/rig.py
@@ -24,7 +24,8 @@
 WITHIN_S = 30.0  # for a thing that has to happen; on an idle machine most take well under one
 AGAIN_S = 0.02
 CALL_S = 5.0
-PARAMS = {"SCRIPT_NAME": "/do/clips", "HTTP_X_TTL_MS": "1500", "HTTP_X_WORKING_SET_KB": "412.5"}
+TTL_MS = 1500  # of a request that names none
+PARAMS = {"SCRIPT_NAME": "/do/clips", "HTTP_X_WORKING_SET_KB": "412.5"}
 
 
 def free_addresses(count: int) -> list[str]:
@@ -112,13 +113,13 @@
         told = _pairs(await self.call("vars"))
         return {key.removeprefix("router."): int(value) for key, value in told.items()}
 
-    async def get(self, name: int = 1, timeout_s: float = CALL_S) -> str:
+    async def get(self, name: int = 1, timeout_s: float = CALL_S, ttl_ms: int = TTL_MS) -> str:
         """One request for an object through the front: the shelf that served it; else the answer's status."""
         host, _, port = self.front.rpartition(":")
         body, told, records = b"", b"", fastcgi.RecordReader()
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(_request(name))
+            writer.write(_request(name, ttl_ms))
             ended = False
             while not ended and (data := await reader.read(65_536)):
                 for record in records.feed(data):
@@ -201,9 +202,9 @@
             member.signal(number)
 
 
-def _request(name: int) -> bytes:
+def _request(name: int, ttl_ms: int) -> bytes:
     more = {"HTTP_X_TXN": f"{time.monotonic_ns():016x}", "HTTP_X_ROW": f"{name:016x}"}
-    return fastcgi_request(1, PARAMS | more)
+    return fastcgi_request(1, PARAMS | more | {"HTTP_X_TTL_MS": str(ttl_ms)})
 
 
 def _pairs(lines: Sequence[str]) -> dict[str, str]:
--- a/thornjunction/net/unix_clock.py
+++ b/thornjunction/net/unix_clock.py
@@ -15,8 +15,8 @@
     """The offset between Unix time and the core's clock, taken once: a step of this machine's clock does not
     move it.
 
-    It is taken anew only where a told time speaks against it and for the machine's clock as that reads now:
-    that one was wrong when the offset was taken, and has been set right since."""
+    It is taken anew only where a told time speaks against it, and for the machine's clock as that reads now:
+    then that clock was wrong when the offset was taken, or discovery's was stepped with it."""
 
     def __init__(
         self, clock: Callable[[], float] = core_ms, unix_s: Callable[[], float] | None = None
@@ -31,17 +31,19 @@
     def to_core(self, unix_ms: float, recent_ms: float = math.inf) -> float:
         """The time of something that has happened, on the core's clock: this moment at the latest.
 
-        ``recent_ms``: what is older can't be, or matters no more.  The offset is doubted where it makes the
-        time one to come, or an older one."""
-        if not self._is_credible(unix_ms, self._offset_ms, recent_ms):
-            offset_ms = self._read_offset_ms()
-            if self._is_credible(unix_ms, offset_ms, recent_ms):
-                self._offset_ms = offset_ms
-        return min(unix_ms - self._offset_ms, self._clock())
-
-    def _is_credible(self, unix_ms: float, offset_ms: float, recent_ms: float) -> bool:
-        age_ms = self._clock() + offset_ms - unix_ms
-        return -SKEW_MS <= age_ms <= recent_ms
+        ``recent_ms``: of what was told just now; what is older than that matters no more.  Where both offsets
+        make it a recent one, it counts as the younger: to take a purge or a start for older than it is breaks
+        a rule, to take it for younger costs a little work."""
+        read_ms = self._read_offset_ms()
+        credible = [
+            offset_ms
+            for offset_ms in (self._offset_ms, read_ms)
+            if -SKEW_MS <= self._clock() + offset_ms - unix_ms <= recent_ms
+        ]
+        if credible and self._offset_ms not in credible:
+            self._offset_ms = read_ms
+        offset_ms = min(credible) if credible and math.isfinite(recent_ms) else self._offset_ms
+        return min(unix_ms - offset_ms, self._clock())
 
     def _read_offset_ms(self) -> float:
         return self._unix_s() * 1000.0 - self._clock()
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -209,7 +209,7 @@
             self.pool.update(command.hosts, command.whole)  # what waited there is decided again by this list
         else:
             hold_ms = self.config.settings.purge_takes_ms
-            age = core_ms() - self.unix.to_core(command.when_ms, hold_ms)
+            age = max(core_ms() - self.unix.to_core(command.when_ms, hold_ms), 0.0)
             # Past its hold all caches have dropped what it names, and no decision hangs on it.
             if age <= hold_ms:
                 self.engine.feed(api.Purged(command.group, age, command.key))
