--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -180,9 +180,10 @@
 
 
 def test_a_shelf_that_is_listed_again_is_no_new_process() -> None:
-    """Also where the system's clock was set meanwhile; a later start is one."""
+    """Also where the system's clock was set meanwhile, and its start, as one to come, counts as the moment of
+    its first listing; a later start is one."""
     service, seen = service_of(), []
-    for unix_s, born_ms in ((1e9, 9.999e11), (1e9 + 7.1, 9.999e11), (1e9 - 60.0, 9.999e11), (1e9, 9.9991e11)):
+    for unix_s, born_ms in ((1e9, 4e12), (1e9 + 7.1, 4e12), (1e9 - 60.0, 4e12), (1e9, 4.1e12)):
         with patch("thornjunction.net.alarm.time.time", lambda unix_s=unix_s: unix_s):
             told = commands({"cursor": 1, "nodes": {"hosts": [line("c1", born_ms=born_ms)]}})
             service.take(decode_commands(told).events[0])
