--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -45,17 +45,19 @@
                 await self.clients.gone()
 
     async def test_an_answer_on_its_way_survives_what_breaks_the_protocol(self) -> None:
-        """And what was open on that connection is given up at once; nothing behind it is read."""
+        """And what came whole before it is answered, too; nothing behind it is read."""
         sent, http = 0, self.clients.http(CLIP)
         for front, first, more in ((3, asked(1), asked(2)), (2, http, http)):
             self.rig.script, sent = [BIG, None], sent + 2
-            client, link = await self.clients.rested(first + more, front)
+            client, link = await self.clients.rested(first, front)
+            client.send(more + b"no record, and no request either\r\n\r\n" + first + first)
+            await self.until(lambda link=link: link.deaf)
             await self.until(lambda sent=sent: len(self.rig.wants()) == sent)
-            client.send(b"no record, and no request either\r\n\r\n" + first + first)
-            await self.until(lambda link=link: link.code)
-            self.assertEqual(len(self.engine.requests), 0)
+            shelf, ident = self.rig.asked[-1]
+            shelf.say(ident, b"DONE", b"x" * 5_000)
             await self.until(client.ended)
-            self.assertEqual((client.end, client.got.count(b"w")), ("fin", 240_000))
+            self.assertEqual(client.end, "fin")
+            self.assertEqual([client.got.count(letter) for letter in (b"w", b"xx")], [240_000, 2_500])
             self.assertEqual(len(self.rig.wants()), sent)
 
     async def test_accepted_sockets_hold_no_small_write_back_and_who_finds_no_room_is_not_reset(self) -> None:
@@ -68,21 +70,22 @@
         (refused,) = self.rig.clients.lingering
         self.assertTrue(link.transport.getTcpNoDelay() and refused.transport.getTcpNoDelay())
         await self.until(second.ended)
-        self.assertEqual((refused.code, second.end, len(self.rig.wants())), ("table-full", "fin", 1))
+        self.assertEqual((refused.code, second.end, second.answers()), ("table-full", "fin", 1))
+        self.assertEqual(len(self.rig.wants()), 1)
 
     async def test_idle_clients_in_all_places_make_room_for_one_who_asks(self) -> None:
-        """One that crosses its eviction is not reset; those that never close hold one place in eight more."""
+        """Whose request lies unread is not idle; those that never close hold one place in eight more."""
         idle = [await self.clients.rested(asked(number + 1)) for number in range(10)]
-        self.rig.script, sent = [None] * 3, len(self.rig.wants())
+        self.rig.script, sent = [None] * 4, len(self.rig.wants())
         idle[2][0].send(asked(20))
         for number in range(3):
             self.clients.connect().send(asked(30 + number))
             self.rig.ports[3].doRead()
             self.assertLessEqual(self.rig.clients.connected, 11)
-        await self.until(lambda: len(self.rig.wants()) == sent + 3)
-        self.assertEqual([link.code for _, link in idle[:4]], ["evicted"] * 3 + [""])
-        await self.until(lambda: all(client.ended() for client, _ in idle[:3]))
-        self.assertEqual([client.end for client, _ in idle[1:3]], ["reset", "fin"])
+        await self.until(lambda: len(self.rig.wants()) == sent + 4)
+        self.assertEqual([link.code for _, link in idle[:5]], ["evicted", "evicted", "", "evicted", ""])
+        await self.until(lambda: all(idle[place][0].ended() for place in (0, 1, 3)))
+        self.assertEqual([idle[place][0].end for place in (1, 3)], ["reset", "fin"])
 
     async def test_who_leaves_is_owed_nothing_wherever_the_request_is(self) -> None:
         """Out at a shelf; refused there, so that its retry waits; out while its client reads nothing."""
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,8 @@
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import LINGER_MS, MAX_CROSSED, ClientLink, ClientTable
 from thornjunction.net.front_fastcgi import MISUSES, FastCgiLink
-from thornjunction.net.front_signed import Door, SignedLink
+from thornjunction.net.front_signed import MAX_WAITING, Door, SignedLink
+from thornjunction.net.wire import fastcgi
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
@@ -79,6 +80,9 @@
 
 
 REQUESTS: dict[str, Callable[[], bytes]] = {"fastcgi": asked, "signed": http_request}
+REFUSED = {"fastcgi": fastcgi.encode_end(7, fastcgi.OVERLOADED), "signed": b"HTTP/1.1 503"}
+FAILED = {"fastcgi": b"Status: 502", "signed": b"HTTP/1.1 502"}
+PART = {"fastcgi": fastcgi.HEADER.pack(1, fastcgi.STDIN, 1, 65_535, 0), "signed": http_request()[:30]}
 both = pytest.mark.parametrize("kind", list(REQUESTS))
 
 
@@ -103,7 +107,11 @@
     links = [hall.connect(kind) for _ in range(3)]
     for link in links:
         link.dataReceived(REQUESTS[kind]())
-    assert hall.connect(kind).code == "table-full"  # each of them has an open request
+    late: Any = hall.connect(kind)  # each of them has an open request
+    late.dataReceived(REQUESTS[kind]()[:20])
+    assert late.code == "" and not late.transport.ended
+    late.dataReceived(REQUESTS[kind]()[20:])
+    assert late.code == "table-full" and late.transport.ended and REFUSED[kind] in late.transport.value()
     for place in (2, 0, 1):
         hall.replies[place](Refused(0.0))
     links[2].dataReceived(REQUESTS[kind]())
@@ -133,6 +141,32 @@
     assert hall.table.budget.total == 0 and len(hall.table) == 0
 
 
+@both
+@pytest.mark.parametrize("more", ["part", "garbage"])
+def test_who_sends_without_end_gets_the_answer_to_what_came_whole(kind: str, more: str) -> None:
+    """A part that takes up the memory; garbage beyond what may cross a close."""
+    hall = Hall(limit=5000)
+    link: Any = hall.connect(kind)
+    link.dataReceived(REQUESTS[kind]())
+    link.dataReceived(PART[kind] + bytes(6000) if more == "part" else b"no request\r\n\r\n")
+    link.dataReceived(bytes(MAX_CROSSED))
+    assert link.transport.value() == b"" or more == "part"
+    link.dataReceived(b"x")
+    assert link.transport.ended and link.transport.value().count(FAILED[kind]) == 1
+    assert not link.is_open() and hall.table.budget.total == 0
+
+
+def test_requests_behind_one_another_are_answered_up_to_a_bound_and_then_refused() -> None:
+    hall = Hall()
+    link: Any = hall.connect("signed")
+    link.dataReceived(http_request() * (MAX_WAITING + 3))
+    while link.serving is not None:
+        hall.replies[-1](Served(Content(b"x")))
+    said = link.transport.value()
+    assert (said.count(b"HTTP/1.1 200"), said.count(b"HTTP/1.1 503")) == (MAX_WAITING, 1)
+    assert link.code == "pipeline" and b"Connection: close" in said[said.index(b"HTTP/1.1 503") :]
+
+
 @both
 def test_a_client_that_never_reads_is_cut_off_though_it_keeps_asking(kind: str) -> None:
     hall = Hall()
--- a/thornjunction/net/client_link.py
+++ b/thornjunction/net/client_link.py
@@ -4,6 +4,7 @@
 
 import socket
 from collections.abc import Callable, Iterator
+from itertools import islice
 
 from twisted.internet import protocol
 from twisted.internet.interfaces import IPushProducer
@@ -26,6 +27,7 @@
 MAX_CROSSED = 131_072  # bytes that may cross our close: two of the largest requests
 READ_BYTES = 65_536  # at once, as Twisted does
 IDLE_MS, STALL_MS = 30_000.0, 10_000.0  # without a request; with a client that does not read
+EVICTION_LOOKS = 8  # idle connections whose socket is read, for one that may go
 
 
 class ClientTable:
@@ -52,18 +54,23 @@
     def add(self, link: ClientLink) -> int | None:
         """Its number; None where every connection has an open request."""
         if self._slots.full:
-            # Guards against clients that ask once and hold their connection: the next ones found no room.
-            longest = next(iter(self._idle), None)
-            if longest is not None:
-                longest.finish("evicted", CROSSING_MS)
+            self._evict()
         number = self._slots.add(link)
         if number is not None:
             self._idle[link] = None
             self._bound()
         return number
 
+    def _evict(self) -> None:
+        """Guards against clients that ask once and hold their connection: the next ones found no room.  A
+        request that lies unread, as after a long turn, makes its connection busy."""
+        for link in list(islice(self._idle, EVICTION_LOOKS)):
+            link.read_now()
+            if not link.is_open():
+                return link.finish("evicted", CROSSING_MS)
+
     def linger(self, link: ClientLink) -> None:
-        """It reads on until its client has closed too, in nobody's place."""
+        """It reads on in nobody's place, until its client has closed too."""
         self.remove(link)
         self.lingering[link] = None
         self._bound()
@@ -100,6 +107,9 @@
         self.table, self.deadlines, self.clock = table, deadlines, clock
         self.slot: int | None = None
         self.code, self.answered = "", 0
+        self.ending = ""  # ends with this code once no request is open
+        self.deaf = False  # what comes is no request any more
+        self.refuses = False  # has no place in the table: its requests are refused, then it ends
         self._owed = False  # whether a request was open as we ended it
         self.asked = False  # whether a whole request ever came
         self._since = self._part_since = 0.0  # of the last turn; of a request that has come in part, or 0
@@ -116,7 +126,8 @@
         self.transport.registerProducer(self, True)
         self.slot = self.table.add(self)
         if self.slot is None:
-            return self.finish("table-full", CROSSING_MS)
+            self.refuses, self.ending = True, "table-full"
+            self.table.linger(self)
         self._look()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
@@ -142,11 +153,21 @@
         """Nobody waits for its requests any more: give them up in the core, at once."""
         raise NotImplementedError
 
+    def answer_open(self) -> None:
+        """Answer what is open now: refused where the core has not had it, else failed."""
+        raise NotImplementedError
+
+    def drop_part(self) -> None:
+        """Forget the request that has come in part."""
+        raise NotImplementedError
+
     def turned(self, whole: bool = False) -> None:
         """After bytes came or an answer went out; ``whole``: a request has come whole."""
         if self.code:
             return
         now, held, self.asked = self.clock(), self.held(), self.asked or whole
+        if self.ending and (self.asked or self.deaf) and not self.is_open():
+            return self.finish(self.ending)
         if self.asked:
             self._since = now
         if not held:
@@ -159,13 +180,23 @@
     def _hold(self, size: int) -> None:
         if size or self._held:
             self._held = size
-            self.table.budget.hold(self.close, size)
+            self.table.budget.hold(self._let_go, size)
+
+    def _let_go(self, code: str) -> None:
+        """Free what is held here, the most of all.  Answers that are not read can only be cut off; where the
+        client reads, its whole requests are answered."""
+        if self._paused:
+            return self.close(code)
+        self.ending = self.ending or code
+        self.drop_part()
+        self.answer_open()
+        self.finish(self.ending)
 
     def _look(self) -> None:
         now = self.clock()
         code = "" if self.is_open() else self._overdue(now)
         if code:
-            return self.finish(code, CROSSING_MS)
+            return self.finish(self.ending or code, CROSSING_MS)
         self._watch = self.deadlines.add(now + LOOK_MS, self._look)
 
     def _overdue(self, now: float) -> str:
@@ -205,11 +236,30 @@
         self.transport.loseWriteConnection()
         self.table.linger(self)
 
+    def stop_reading(self, code: str) -> None:
+        """What comes now is no request any more.  Those that came whole before keep their answers; behind the
+        last of them the connection ends."""
+        self.ending, self.deaf = code, True
+        self.drop_part()
+        self.turned()
+
     def pass_over(self, data: bytes) -> None:
-        """What comes behind our close.  Guards the core against a client that goes on sending."""
+        """What comes behind our close, or is no request.  Guards the core against a client that goes on
+        sending."""
         self._crossed += len(data)
-        if self._crossed > MAX_CROSSED:
-            self.close(self.code)
+        if self._crossed <= MAX_CROSSED:
+            return
+        if self.code:
+            return self.close(self.code)
+        self._crossed = 0
+        self.answer_open()
+        self.finish(self.ending)
+
+    def read_now(self) -> None:
+        """Take in what has come, before it is decided whether this connection is idle."""
+        data = self.read_on()
+        if data:
+            self.dataReceived(data)
 
     def read_on(self) -> bytes:
         """What has come since Twisted read, taken in before a request goes to the core.  Guards against
--- a/thornjunction/net/front_fastcgi.py
+++ b/thornjunction/net/front_fastcgi.py
@@ -54,8 +54,8 @@
         self.reader = fastcgi.RequestReader()
         self.pending: dict[int, Pending] = {}
         self.waiting: deque[tuple[fastcgi.Asked, float]] = deque()  # for the core, and since when
-        self.leaving = False  # the client wants its connection closed once all is answered
         self.misuses = 0
+        self._batch = False  # requests that came together: the connection ends behind all of them
 
     def is_open(self) -> bool:
         return bool(self.pending or self.waiting)
@@ -64,7 +64,7 @@
         return self.reader.held
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.code:
+        if self.code or self.deaf:
             return self.pass_over(data)
         self._read(data)
         if self.waiting:
@@ -72,7 +72,7 @@
 
     def look_again(self) -> None:
         data = self.read_on()
-        if data and not self.code:
+        if data and not self.code and not self.deaf:
             self._read(data)
 
     def step(self) -> bool:
@@ -81,33 +81,50 @@
             self._ask(asked, self.clock() - since)
         return bool(self.waiting)
 
+    def drop_part(self) -> None:
+        self.reader = fastcgi.RequestReader()
+
+    def answer_open(self) -> None:
+        failed = platform.encode_cgi(Failed(timed_out=False))
+        while self.waiting:
+            asked, _ = self.waiting.popleft()
+            self._overloaded(asked)
+        while self.pending:
+            ident, pending = self.pending.popitem()
+            if pending.number is not None:
+                self.core.abandon(pending.number)
+            self._write(ident, fastcgi.encode_answer(ident, failed), pending.keep)
+
     def forget(self) -> None:
         self.table.turns.leave(self)
         self.waiting.clear()
-        self.reader = fastcgi.RequestReader()
+        self.drop_part()
         pending, self.pending = self.pending, {}
         for request in pending.values():
             if request.number is not None:
                 self.core.abandon(request.number)
 
     def _read(self, data: bytes) -> None:
+        whole, fault, self._batch = False, "", True
         try:
-            messages = self.reader.feed(data)
+            while messages := self.reader.feed(data):
+                data = b""
+                for message in messages:
+                    self._take(message)
+                    whole = whole or isinstance(message, fastcgi.Asked | fastcgi.Declined)
         except ProtocolError as error:
-            return self.finish(str(error))
-        whole = False
-        for message in messages:
-            if not self.code:
-                self._take(message)
-                whole = whole or isinstance(message, fastcgi.Asked | fastcgi.Declined)
+            fault = str(error)
+        self._batch = False
+        if fault:
+            return self.stop_reading(fault)
         self.turned(whole)
 
     def _take(self, message: fastcgi.Message) -> None:
         match message:
-            case fastcgi.Asked() if len(self.pending) + len(self.waiting) < MAX_OPEN:
-                self.waiting.append((message, self.clock()))
-            case fastcgi.Asked():
+            case fastcgi.Asked() if self.refuses or len(self.pending) + len(self.waiting) >= MAX_OPEN:
                 self._overloaded(message)
+            case fastcgi.Asked():
+                self.waiting.append((message, self.clock()))
             case fastcgi.Aborted(request_id):
                 kept = [entry for entry in self.waiting if entry[0].request_id != request_id]
                 self.waiting = deque(kept)
@@ -127,7 +144,7 @@
     def _ask(self, asked: fastcgi.Asked, waited_ms: float) -> None:
         ident = asked.request_id
         if ident in self.pending:
-            return self.finish("fastcgi-id-twice")
+            return self.stop_reading("fastcgi-id-twice")  # and not answerable beside the first
         if asked.params.get("SCRIPT_NAME") == platform.CHECK:
             said = platform.READY if self.ready() else platform.NOT_READY
             return self._write(ident, fastcgi.encode_answer(ident, said), asked.keep)
@@ -169,8 +186,7 @@
 
     def _write(self, ident: int, data: bytes, keep: bool) -> None:
         self.write(data)
-        self.leaving = self.leaving or not keep
-        if self.leaving and not self.is_open():
-            self.finish("no-keep-conn")
-        else:
+        if not keep:
+            self.ending = self.ending or "no-keep-conn"
+        if not self._batch:
             self.turned()
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/front_signed.py
@@ -6,10 +6,10 @@
 import secrets
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer
+from thornjunction.core.ports import Answer, Failed
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import ClientLink, ClientTable
@@ -51,7 +51,8 @@
         self.door = door
         self.reader = http1.RequestReader(MAX_BODY)
         self.waiting: deque[http1.HttpRequest] = deque()
-        self.serving = False  # a request is being answered
+        self.serving: http1.HttpRequest | None = None  # is being answered
+        self.last_words: http1.HttpResponse | None = None  # behind all answers
         self.number: int | None = None  # in the core
 
     @property
@@ -61,52 +62,78 @@
         return str(getattr(get(), "host", "")) if get is not None else ""
 
     def is_open(self) -> bool:
-        return self.serving
+        return self.serving is not None or bool(self.waiting) or self.last_words is not None
 
     def held(self) -> int:
         return self.reader.held
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.code:
+        if self.code or self.deaf:
             return self.pass_over(data)
         before = len(self.waiting)
         self._read(data)
-        if self.waiting and not self.serving:
+        if self.waiting and self.serving is None:
             self._read(self.read_on())
         whole = len(self.waiting) > before
         self._next()
         self.turned(whole)
 
     def _read(self, data: bytes) -> None:
-        if self.code:
+        if self.code or self.deaf:
             return
         try:
-            self.waiting.extend(self.reader.feed(data))
+            while requests := self.reader.feed(data):
+                self.waiting.extend(requests)
+                data = b""
         except ProtocolError as error:
-            return self._malformed(str(error))
+            status = http1.STATUS_OF.get(str(error), 400)
+            return self._end_behind(http1.HttpResponse(status, {}, b"", False), str(error))
         if len(self.waiting) > MAX_WAITING:
-            self.finish("pipeline")
+            while len(self.waiting) > MAX_WAITING:
+                self.waiting.pop()
+            self._end_behind(signed.refused(0.0, keep=False), "pipeline")
+
+    def _end_behind(self, last_words: http1.HttpResponse, code: str) -> None:
+        """The first thing that is wrong ends the connection, with an answer of its own behind those that are
+        owed to earlier requests."""
+        self.last_words, self.ending, self.deaf = last_words, code, True
+        self.drop_part()
+
+    def drop_part(self) -> None:
+        self.reader = http1.RequestReader(MAX_BODY)
+
+    def answer_open(self) -> None:
+        request, self.serving = self.serving, None
+        if request is not None:
+            self._abandon()
+            failed = signed.encode_answer(Failed(timed_out=False), request, {})
+            self._write(replace(failed, keep=bool(self.waiting)))
+        while self.waiting:
+            self.waiting.popleft()
+            self._write(signed.refused(0.0, keep=bool(self.waiting)))
 
     def forget(self) -> None:
         self.waiting.clear()
-        self.reader = http1.RequestReader(MAX_BODY)
-        number, self.number, self.serving = self.number, None, False
+        self.drop_part()
+        self.serving = self.last_words = None
+        self._abandon()
+
+    def _abandon(self) -> None:
+        number, self.number = self.number, None
         if number is not None:
             self.door.core.abandon(number)
 
-    def _malformed(self, code: str) -> None:
-        """The first thing that is wrong ends the connection; an answer that is owed to an earlier request
-        is not given a second one in its place."""
-        if self.serving:
-            return self.finish(code)
-        self._write(http1.HttpResponse(http1.STATUS_OF.get(code, 400), {}, b"", False))
-        self.code = code
-
     def _next(self) -> None:
-        while self.waiting and not self.serving and not self.code:
+        while self.waiting and self.serving is None and not self.code:
             self._ask(self.waiting.popleft())
+        last_words = self.last_words
+        if last_words is not None and self.serving is None and not self.code:
+            self.last_words = None
+            self._write(last_words)
 
     def _ask(self, request: http1.HttpRequest) -> None:
+        if self.refuses:
+            return self._write(signed.refused(0.0, keep=False))
         try:
             target, token = signed.split_token(request)
             door, now = self.door, self.door.unix_s()
@@ -121,10 +148,10 @@
             return self._write(signed.encode_misused(error.status, request.keep, error.retry_after_s))
         if grant.taken is not None and self.door.gossip is not None:
             self.door.gossip.tell(*grant.taken)
-        self.serving, answered = True, self.answered
+        self.serving, answered = request, self.answered
         number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
         if number is None:
-            self.serving = False
+            self.serving = None
             self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep))
         elif self.code:  # its connection ended while the core decided
             self.door.core.abandon(number)
@@ -134,7 +161,7 @@
     def _reply(self, request: http1.HttpRequest, target: str, grant: tokens.Grant, answer: Answer) -> None:
         if self.code:  # the client left while the core decided
             return
-        self.serving, self.number = False, None
+        self.serving = self.number = None
         self._write(signed.encode_answer(answer, request, self._renewal(target, grant)))
         self._next()
 
@@ -149,4 +176,4 @@
         if response.keep:
             self.turned()
         else:
-            self.finish("no-keep-alive")
+            self.finish(self.ending or "no-keep-alive")
--- a/thornjunction/net/wire/fastcgi.py
+++ b/thornjunction/net/wire/fastcgi.py
@@ -70,12 +70,15 @@
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Record]:
+        """All records that are whole now.  ProtocolError only where none is: the next call finds it again."""
         self._buffer += data
         records: list[Record] = []
         at = 0
         while len(self._buffer) - at >= HEADER.size:
             version, kind, request_id, length, padding = HEADER.unpack_from(self._buffer, at)
             if version != 1:
+                if records:
+                    break
                 raise ProtocolError("fastcgi-version")
             end = at + HEADER.size + length + padding
             if len(self._buffer) < end:
@@ -101,6 +104,7 @@
     def __init__(self) -> None:
         self._records = RecordReader()
         self._open: dict[int, _Partial] = {}
+        self._fault: ProtocolError | None = None  # behind the messages that were returned last
 
     @property
     def held(self) -> int:
@@ -109,8 +113,23 @@
         return self._records.held + parts
 
     def feed(self, data: bytes) -> list[Message]:
-        messages = (self._take(record) for record in self._records.feed(data))
-        return [message for message in messages if message is not None]
+        """All messages that are whole now.  What breaks the protocol behind them is raised by the next call:
+        none of them is lost with it."""
+        if self._fault is not None:
+            raise self._fault
+        messages: list[Message] = []
+        try:
+            while records := self._records.feed(data):
+                data = b""
+                for record in records:
+                    message = self._take(record)
+                    if message is not None:
+                        messages.append(message)
+        except ProtocolError as fault:
+            if not messages:
+                raise
+            self._fault = fault
+        return messages
 
     def _take(self, record: Record) -> Message | None:
         if record.request_id == 0:
--- a/thornjunction/net/wire/http1.py
+++ b/thornjunction/net/wire/http1.py
@@ -55,6 +55,7 @@
         self._told = 0  # of the body's length, so far
         self._chunked = self._trailing = False
         self._body = bytearray()
+        self._fault: ProtocolError | None = None  # behind the messages that were returned last
 
     @property
     def held(self) -> int:
@@ -62,11 +63,19 @@
         return len(self._buffer) + len(self._body) + 64 * (self._head is not None)
 
     def feed(self, data: bytes) -> list[M]:
-        """All messages that are whole now."""
+        """All messages that are whole now.  What breaks the protocol behind them is raised by the next call:
+        none of them is lost with it."""
+        if self._fault is not None:
+            raise self._fault
         messages: list[M] = []
-        while (message := self.next(data)) is not None:
-            messages.append(message)
-            data = b""
+        try:
+            while (message := self.next(data)) is not None:
+                messages.append(message)
+                data = b""
+        except ProtocolError as fault:
+            if not messages:
+                raise
+            self._fault = fault
         return messages
 
     def next(self, data: bytes = b"") -> M | None:
