--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import json
 import os
 import re
@@ -13,6 +14,7 @@
 import urllib.request
 from pathlib import Path
 from typing import Any
+from unittest.mock import patch
 
 from click.testing import CliRunner
 from joserfc.jwk import OctKey
@@ -37,7 +39,11 @@
     assert (spoilt.exit_code, spoilt.output) == (1, "refused 401 token-forged\n")
     inspected = json.loads(runner.invoke(main, ["token", "inspect", url]).output)
     assert (inspected["header"]["kid"], inspected["claims"]["jti"]) == ("a", "j1")
-    rotated = runner.invoke(main, ["keys", "rotate", *at, "--kid", "b", "--algorithm", "HS256"])
+    rotation = ["keys", "rotate", *at, "--kid", "b", "--algorithm", "HS256"]
+    with patch("os.fsync", side_effect=OSError(errno.ENOSPC, "full")):
+        assert runner.invoke(main, rotation).output == "Error: keys.json stays as it was: full\n"
+    assert json.loads((tmp_path / "keys.json").read_text()) == {"keys": [secret]}
+    rotated = runner.invoke(main, rotation)
     assert rotated.output == "added b HS256 to keys.json; 2 keys\n"
     listed = runner.invoke(main, ["keys", "list", *at]).output.splitlines()
     assert listed == ["a HS256 until=- signs", "b HS256 until=1798675200.0"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import json
 import os
 import signal
@@ -9,6 +10,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from unittest.mock import patch
 
 from standins.bare import address, call, connect
 
@@ -29,6 +31,20 @@
     assert [path.name for path in tmp_path.iterdir()] == ["thornjunction-n1.serving"]
 
 
+def test_who_could_not_write_its_mark_takes_the_one_before_it_for_no_successor(tmp_path: Path) -> None:
+    """A disk that is full, or a kill in the middle: on SIGTERM nobody else takes its connections."""
+    first, second, third = (Handover(str(tmp_path), "n1") for _ in range(3))
+    first.announce()
+    with patch("os.replace", side_effect=OSError(errno.ENOSPC, "full")):
+        second.announce()
+    assert not first.succeeded() and not second.succeeded()
+    assert [path.name for path in tmp_path.iterdir()] == ["thornjunction-n1.serving"]
+    (tmp_path / "thornjunction-n1.serving").write_text(third.mark[:3])
+    assert not first.succeeded() and not second.succeeded()
+    third.announce()
+    assert first.succeeded() and second.succeeded() and not third.succeeded()
+
+
 def test_without_a_folder_that_both_see_nobody_is_succeeded(tmp_path: Path) -> None:
     for folder in ("", str(tmp_path / "none")):
         alone = Handover(folder, "n1")
--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -17,6 +17,7 @@
 
 from thornjunction.runtime.config import ConfigError, load_config
 from thornjunction.runtime.control_settings import load_relay
+from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.extras import SignedFront, load_extras
 from thornjunction.runtime.start import EXTRAS, serve_or_demo
 from thornjunction.signing import keyset, tokens
@@ -154,10 +155,10 @@
     told["keys"].append({"kid": kid, "alg": algorithm, "use": "sig", **made.as_dict(private=True)})
     data = json.dumps(told, indent=2).encode()
     _or_exit(lambda: keyset.read(data, front.trust.algorithms, {}))
-    fresh = path.with_name(path.name + ".new")
-    fresh.write_bytes(data)
-    fresh.chmod(0o600)
-    os.replace(fresh, path)
+    try:
+        replace_file(path, data, mode=0o600)
+    except OSError as error:
+        raise click.ClickException(f"{path.name} stays as it was: {error.strerror}") from error
     click.echo(f"added {kid} {algorithm} to {path.name}; {len(told['keys'])} keys")
 
 
--- a/thornjunction/runtime/incarnation.py
+++ b/thornjunction/runtime/incarnation.py
@@ -1,18 +1,18 @@
 """The incarnation of a member of the fleet, kept across restarts: each life under a name has a higher one.
 
-A small file of one JSON line and its CRC-32, written beside and moved into place after an fsync.  What can't
-be read is named in the log and never guessed at: the wall clock in ms then gives a number above those before
-it, for a first life takes its own from the same clock."""
+A small file of one JSON line and its CRC-32, replaced whole (``durable.py``).  What can't be read is named in
+the log and never guessed at: the wall clock in ms then gives a number above those before it, for a first life
+takes its own from the same clock."""
 
 from __future__ import annotations
 
 import json
-import os
 import zlib
 from collections.abc import Callable
 from pathlib import Path
 
 from thornjunction.logs import get_logger
+from thornjunction.runtime.durable import replace_file
 
 FORMAT = 1
 STRIDE = 1_000  # past the last one: a member raises its own while it lives to answer a suspicion
@@ -65,14 +65,4 @@
 def _write(path: Path, told: dict[str, object]) -> None:
     path.parent.mkdir(parents=True, exist_ok=True)
     line = json.dumps(told).encode()
-    part = path.with_suffix(".part")
-    with part.open("wb") as file:
-        file.write(b"%b\n%08x\n" % (line, zlib.crc32(line)))
-        file.flush()
-        os.fsync(file.fileno())
-    os.replace(part, path)
-    folder = os.open(path.parent, os.O_RDONLY)
-    try:
-        os.fsync(folder)  # else the move itself may be lost
-    finally:
-        os.close(folder)
+    replace_file(path, b"%b\n%08x\n" % (line, zlib.crc32(line)))
