--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -8,6 +8,7 @@
 import tempfile
 from pathlib import Path
 from typing import Any
+from unittest.mock import patch
 
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
@@ -138,6 +139,14 @@
         client.ask(rig.signed(CLIP))
         (response,) = yield client.has(1)
         self.assertEqual((response.status, response.body), (200, b"wave"))
+        below = client.transport.transport  # a request and its client's end lie there before the router looks
+        with patch.object(rig.engine, "open") as opened:
+            client.ask(rig.signed(CLIP))
+            client.transport._aggregator.flush()  # Twisted puts small writes together
+            below.doWrite()
+            below.socket.shutdown(socket.SHUT_WR)
+            yield rig.until(lambda: not rig.clients.connected)
+        opened.assert_not_called()
         client.transport.loseConnection()
         yield client.ended
 
--- a/thornjunction/net/client_link.py
+++ b/thornjunction/net/client_link.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import select
 import socket
 from collections.abc import Callable, Iterator
 from itertools import islice
@@ -30,6 +31,16 @@
 EVICTION_LOOKS = 8  # idle connections whose socket is read, for one that may go
 
 
+def _peer_has_closed(transport: object) -> bool:
+    """Whether the far side of a TLS connection has shut its socket, though bytes of it lie unread."""
+    below = getattr(transport, "transport", None)
+    if below is None:
+        return False
+    look = select.poll()
+    look.register(below.fileno(), select.POLLRDHUP)
+    return bool(look.poll(0))
+
+
 class ClientTable:
     """The connections of all fronts in numbered slots; where all are taken, the longest idle one goes."""
 
@@ -266,6 +277,8 @@
         sending on for a client that has gone by then: its end shows only behind all that it sent."""
         handle, data = self.transport.getHandle(), bytearray()
         if not isinstance(handle, socket.socket):  # TLS, with bytes of its own between
+            if _peer_has_closed(self.transport):
+                self._end("closed-by-peer")
             return b""
         try:
             while len(data) < MAX_CROSSED:
