--- a/thornjunction/net/reactor.py
+++ b/thornjunction/net/reactor.py
@@ -1,4 +1,4 @@
-"""The program's reactor: the platform's own, on the system's monotonic clock.
+"""The program's reactor: the platform's own, on the system's monotonic clock; on Linux with clients first.
 
 Twisted's reactors count by the wall clock.  A step of that clock back by an hour would put off every delayed
 call by an hour, and with them deadlines, graces and the exit; a step forward would run them all at once."""
@@ -11,8 +11,8 @@
 
 from twisted.internet import main
 
-try:  # Twisted's own choice on Linux
-    from twisted.internet.epollreactor import EPollReactor as PlatformReactor
+try:  # on Linux
+    from thornjunction.net.client_priority import ClientPriorityReactor as PlatformReactor
 except ImportError:  # no epoll
     from twisted.internet.selectreactor import SelectReactor as PlatformReactor
 
