--- /dev/null
+++ b/tests/test_placement.py
@@ -0,0 +1,160 @@
+"""Placement over groups of any size: who ranks first for an object, and what a change or a decision costs."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from itertools import islice
+
+import pytest
+
+from tests.helpers import ORIGIN, Bench, edge, fetch_of, parent
+from thornjunction import interface as api
+from thornjunction.estimates import mix, rendezvous
+from thornjunction.policy import candidates
+from thornjunction.policy.candidates import (
+    CANDIDATES_KEPT,
+    EXACT_MOST,
+    TABLE_BLEND,
+    CandidateGroup,
+    RankingCache,
+)
+
+SMALL, BLENDED, LARGE = EXACT_MOST, EXACT_MOST + TABLE_BLEND // 2, EXACT_MOST + 2 * TABLE_BLEND
+OBJECTS = [mix(number) for number in range(2_000)]
+
+
+def group_of(count: int, weight: float = 8.0) -> CandidateGroup[str]:
+    group = CandidateGroup[str](RankingCache())
+    for number in range(count):
+        group.put(f"server{number}", f"server{number}", weight)
+    return group
+
+
+def first_choices(group: CandidateGroup[str], weighted: bool = True) -> list[str]:
+    return [next(group.candidates(value, weighted)) for value in OBJECTS]
+
+
+def test_a_group_up_to_the_exact_size_is_ranked_by_rendezvous_alone() -> None:
+    group = group_of(SMALL)
+
+    def score(server: str) -> float:
+        return rendezvous(OBJECTS[0], mix(candidates.zlib.crc32(server.encode())), 8.0)
+
+    assert list(group.candidates(OBJECTS[0], True)) == sorted(group, key=score, reverse=True)
+
+
+@pytest.mark.parametrize(
+    ("count", "also_moved"), [(SMALL, 0.0), (SMALL + 1, 0.03), (BLENDED, 0.03), (LARGE, 0.0)]
+)
+def test_a_server_that_leaves_moves_its_own_objects_only(count: int, also_moved: float) -> None:
+    group = group_of(count)
+    before = first_choices(group)
+    left = Counter(before).most_common(1)[0][0]
+    group.remove(left)
+    after = first_choices(group)
+    moved = [old for old, new in zip(before, after, strict=True) if old != new and old != left]
+    assert left not in after
+    assert len(moved) <= also_moved * len(OBJECTS)
+    group.put(left, left, 8.0)
+    assert first_choices(group) == before  # whatever the order in which servers came
+
+
+@pytest.mark.parametrize(("count", "weighted"), [(SMALL, True), (LARGE, True), (LARGE, False)])
+def test_weights_are_honoured(count: int, weighted: bool) -> None:
+    group = group_of(count, weight=4.0)
+    heavy = {f"server{number}" for number in range(0, count, 4)}
+    for server in heavy:
+        group.put(server, server, 12.0)
+    share = sum(server in heavy for server in first_choices(group, weighted)) / len(OBJECTS)
+    assert share == pytest.approx(0.5 if weighted else 0.25, abs=0.03)
+
+
+@pytest.mark.parametrize("weight", [8.0, 0.0])
+@pytest.mark.parametrize("count", [0, CANDIDATES_KEPT - 1, SMALL, LARGE])
+def test_candidates_go_on_to_every_server_once(count: int, weight: float) -> None:
+    group = group_of(count, weight)
+    assert sorted(group.candidates(OBJECTS[0], True)) == sorted(group)
+    assert list(group.candidates(OBJECTS[0], True)) == list(group.candidates(OBJECTS[0], True))
+
+
+def test_a_servers_first_objects_are_spread_over_all_others_when_it_is_out() -> None:
+    group = group_of(LARGE)
+    second = Counter(
+        list(islice(group.candidates(value, True), 2))[1]
+        for value, first in zip(OBJECTS, first_choices(group), strict=True)
+        if first in {f"server{number}" for number in range(40)}
+    )
+    assert len(second) > LARGE // 3
+
+
+def test_neither_a_change_nor_a_ranking_computes_in_the_size_of_a_large_group(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    calls: Counter[str] = Counter()
+    drawn: list[int] = []
+
+    def counted_mix(value: int) -> int:
+        calls["mix"] += 1
+        return mix(value)
+
+    def counted_draws(object_hash: int, count: int) -> list[int]:
+        drawn.append(count)
+        return list(draw(object_hash, count))
+
+    draw = candidates._draw_slots
+    monkeypatch.setattr(candidates, "mix", counted_mix)
+    monkeypatch.setattr(candidates, "_draw_slots", counted_draws)
+    monkeypatch.setattr(candidates, "rendezvous", None)  # not called at all
+    for count in (LARGE, 8 * LARGE):
+        group = group_of(count)
+        calls.clear(), drawn.clear()
+        group.put("server7", "server7", 9.0)
+        group.remove("server7")
+        assert calls["mix"] <= 10
+        list(islice(group.candidates(OBJECTS[0], True), CANDIDATES_KEPT))
+        assert calls["mix"] <= 50
+        assert sum(drawn) * count < 8 * CANDIDATES_KEPT * candidates.TABLE_SLOTS
+
+
+def test_the_ranking_cache_is_bounded_in_objects_and_candidates() -> None:
+    cache = RankingCache(capacity=100)
+    groups = [CandidateGroup[str](cache) for _ in range(2)]
+    for group in groups:
+        for number in range(LARGE):
+            group.put(f"server{number}", "", 1.0)
+    for value in OBJECTS[:200]:
+        for group in groups:
+            list(group.candidates(value, True))
+    assert len(cache) == 100
+    assert max(len(best) for best in cache._best.values()) == CANDIDATES_KEPT
+
+
+@pytest.mark.parametrize("trouble", ["ejected", "cold"])
+def test_a_request_reaches_the_one_able_cache_of_a_large_site(trouble: str) -> None:
+    entries = [edge(f"edge{number}") for number in range(LARGE)]
+    bench = Bench(entries=(*entries, parent("parent0"), ORIGIN))
+    able = random.Random(1).choice(entries).server
+    for server in bench.router.places.servers.values():
+        if server.entry.role is api.Role.EDGE and server.id != able:
+            if trouble == "ejected":
+                server.eject(bench.now)
+            else:
+                server.bucket.cold_since = bench.now
+                server.bucket.turn(bench.now, 1_000.0, bench.router.random.random)
+                server.bucket.spent = 1e9
+    assert {fetch_of(bench.ask(key)).server for key in range(20)} == {able}
+
+
+def test_a_list_moves_servers_between_zones_and_forgets_who_is_not_on_it() -> None:
+    bench = Bench(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
+    places = bench.router.places
+    bench.give(api.Servers((edge("b", zone="there"), edge("c")), whole=False))
+    assert {zone: [server.id for server in group] for zone, group in places.caches.items()} == {
+        "here": ["a", "c"],
+        "there": ["b"],
+    }
+    bench.give(api.Servers((edge("c"), ORIGIN)))
+    assert list(places.caches) == ["here"]
+    assert [server.id for server in places.by_role[api.Role.EDGE]] == ["c"]
+    assert {fetch_of(bench.ask(key)).server for key in range(5)} == {"c"}
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -1,128 +1,230 @@
-"""Which server: an edge cache by a hash of the object, one of two hashed parents as source (DESIGN)."""
+"""Which server takes a request: an edge cache by a hash of the object, one of two hashed parents as source.
+
+The ordinary path follows Song et al., section 3.  ``candidates.py`` ranks the servers for an object; here it
+is decided which of them may take this request now.  The ranking is iterated over lazily: a decision looks at
+the first few servers, and at all of them only where none of these is usable.
+"""
 
 from __future__ import annotations
 
 import math
 import zlib
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
+from enum import IntEnum
+from itertools import islice
 
 from thornjunction import interface as api
-from thornjunction.estimates import Mean, mix, rendezvous
+from thornjunction.estimates import Mean, mix
 from thornjunction.limits.cold import ColdBudgets
 from thornjunction.limits.effects import discarded, window_left
 from thornjunction.policy.attempts import MARGIN, Job, Server
+from thornjunction.policy.candidates import CandidateGroup, RankingCache
+
+CACHE_CHOICES = 2  # caches a new request may go to: hot objects get a second copy (paper, section 3)
+PARENT_CHOICES = 2  # parents of which the faster one is the source (paper, section 3)
+FAR_FACTOR = 2.0  # a far parent's first byte over a near one's, where answers do not tell it
+FIRST_BYTE_MS = 1.0  # of a source, until one was measured
+
+
+class Fitness(IntEnum):
+    """How fit a cache is for the next attempt of a request; lower is better."""
 
-ORDERS = 8192  # preferences kept at most
-CHOICES = 2  # caches by hash that a new request may go to: hot objects get a second copy (paper, section 3)
-FAR = 2.0  # a far parent's first byte, times, where it is not told
+    UNTRIED = 0  # in service, and it has not failed this request
+    TRIED = 1  # in service
+    EJECTED_UNTRIED = 2  # out of service after failures, though its process was not found to be away
+    EJECTED_TRIED = 3
 
 
 class Placement:
     """The list of servers, and who of them may take what."""
 
     def __init__(self, settings: api.Settings, fetch: Mean, draw: Callable[[], float]) -> None:
-        self.settings, self.fetch, self.draw, self.cold = settings, fetch, draw, ColdBudgets(draw)
+        self.settings = settings
+        self.fetch = fetch  # ms to the first byte of a fill, of all sources
+        self.draw = draw
+        self.cold = ColdBudgets(draw)
         self.servers: dict[str, Server] = {}
-        self.by_role: dict[api.Role, list[Server]] = {role: [] for role in api.Role}  # edges: of this zone
-        self.caches: dict[str, list[Server]] = {}  # edges by zone
-        self.orders: dict[tuple[int, str], list[Server]] = {}  # preferences, until the list changes
+        self.rankings = RankingCache()
+        self.caches: dict[str, CandidateGroup[Server]] = {}  # edges by zone
+        self.by_role: dict[api.Role, CandidateGroup[Server]] = {  # edges: of this zone
+            role: CandidateGroup(self.rankings) for role in api.Role
+        }
 
     def take(self, event: api.Servers, now: float) -> None:
-        """A list, or its changes."""
-        named, zone = {entry.server for entry in event.entries}, self.settings.zone
+        """Take in a list of servers, or its changes."""
         if event.whole:
-            self.servers = {name: server for name, server in self.servers.items() if name in named}
+            listed = {entry.server for entry in event.entries}
+            for server_id in [known for known in self.servers if known not in listed]:
+                self._remove(server_id)
         for entry in event.entries:
-            server = self.servers.get(entry.server)
-            if entry.state is not api.State.SERVING:  # rule 3: at once, well within any grace
-                self.servers.pop(entry.server, None)
-            elif server is None or entry.started_ms != server.entry.started_ms:  # also a new process
-                self.servers[entry.server] = Server(entry, now)
-            else:
-                server.entry = entry
-        self.by_role = {role: [s for s in self.servers.values() if s.entry.role is role] for role in api.Role}
-        self.caches = {}
-        for cache in self.by_role[api.Role.EDGE]:
-            self.caches.setdefault(cache.entry.zone, []).append(cache)
-        self.by_role[api.Role.EDGE] = self.caches.get(zone, [])
-        self.orders.clear()
-        self.cold.most = {role: max(most, len(self.by_role[role])) for role, most in self.cold.most.items()}
+            if entry.state is api.State.SERVING:
+                self._put(entry, now)
+            else:  # rule 3: at once, well within any grace
+                self._remove(entry.server)
+        self.by_role[api.Role.EDGE] = self._edges(self.settings.zone)
+        for role, most in self.cold.most.items():
+            self.cold.most[role] = max(most, len(self.by_role[role]))
+
+    def _put(self, entry: api.ServerEntry, now: float) -> None:
+        """Take in the entry of a server that serves."""
+        server = self.servers.get(entry.server)
+        if server is not None and server.entry == entry:
+            return
+        if server is not None and (server.entry.role, server.entry.zone) != (entry.role, entry.zone):
+            self._remove_from_group(server)
+        if server is None or entry.started_ms != server.entry.started_ms:
+            server = self.servers[entry.server] = Server(entry, now)  # a new process has no history
+        server.entry = entry
+        self._group(entry).put(entry.server, server, entry.weight)
+
+    def _remove(self, server_id: str) -> None:
+        """Forget a server, if it is known."""
+        server = self.servers.pop(server_id, None)
+        if server is not None:
+            self._remove_from_group(server)
+
+    def _remove_from_group(self, server: Server) -> None:
+        """Take a server out of its group, and an edge's group away with its last server."""
+        group = self._group(server.entry)
+        group.remove(server.id)
+        if server.entry.role is api.Role.EDGE and not group:
+            del self.caches[server.entry.zone]
+
+    def _group(self, entry: api.ServerEntry) -> CandidateGroup[Server]:
+        """The group that a server belongs to."""
+        return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.by_role[entry.role]
+
+    def _edges(self, zone: str) -> CandidateGroup[Server]:
+        """The edge caches of a zone."""
+        group = self.caches.get(zone)
+        if group is None:
+            group = self.caches[zone] = CandidateGroup(self.rankings)
+        return group
 
     def avoided(self, listed: Iterable[str], now: float) -> int:
-        """How many of these get nothing now: they leave, or are out after failures."""
-        return sum(s is None or not s.open_to(now) for s in map(self.servers.get, listed))
+        """How many of these get nothing now: they leave, or are out of service after failures."""
+        servers = map(self.servers.get, listed)
+        return sum(1 for server in servers if server is None or not server.open_to(now))
 
-    def preference(self, copy: int, servers: list[Server]) -> list[Server]:
-        """Rendezvous order, by weight where it is told: a server that leaves moves its own objects only."""
-        known = self.orders.get((copy, servers[0].id)) if servers else []
-        if known is not None:
-            return known
-
-        def score(server: Server) -> float:
-            return rendezvous(copy, server.salt, server.entry.weight if self.settings.weighted else 1.0)
-
-        if len(self.orders) >= ORDERS:
-            del self.orders[next(iter(self.orders))]
-        order = self.orders[copy, servers[0].id] = sorted(servers, key=score, reverse=True)
-        return order
+    def preference(self, copy: int, group: CandidateGroup[Server]) -> Iterator[Server]:
+        """The servers of a group in rendezvous order for a copy, by weight where weights are told."""
+        return group.candidates(copy, self.settings.weighted)
 
     def first_byte(self, parent: Server) -> float:
-        """Smoothed; where answers do not tell it, hits blur it, and distance counts too."""
-        far = self.settings.zone_hub.get(self.settings.zone) != parent.entry.zone
-        far = far and self.settings.notes is api.Notes.NONE
-        return parent.first_byte.get(self.fetch.get(1.0)) * (FAR if far else 1.0)
+        """Smoothed ms to a parent's first byte.  Where answers do not tell it, hits blur it: distance counts
+        too."""
+        measured = parent.first_byte.get(self.fetch.get(FIRST_BYTE_MS))
+        is_far = self.settings.zone_hub.get(self.settings.zone) != parent.entry.zone
+        if is_far and self.settings.notes is api.Notes.NONE:
+            return measured * FAR_FACTOR
+        return measured
 
     def source(self, job: Job, now: float) -> Server | None:
-        """Of two parents the one with the lower first-byte time; where neither can, others or the origin."""
-        origins = self.by_role[api.Role.ORIGIN]
-        parents = self.preference(job.copy, [] if job.kind.passes else self.by_role[api.Role.PARENT])
-        ordered = sorted(parents[:2], key=self.first_byte) + parents[2:]
-        able = [s for s in ordered + origins if s.id not in job.tried and s.open_to(now)]
-        return next((s for s in able if self.within_budget(s, job.fill, now)), next(iter(origins), None))
+        """Where a miss is filled from: of two parents the one with the lower first-byte time; where neither
+        can, another parent, or an origin."""
+        for server in self._sources(job):
+            usable = server.id not in job.tried and server.open_to(now)
+            if usable and self.within_budget(server, job.fill, now):
+                return server
+        return next(iter(self.by_role[api.Role.ORIGIN]), None)
+
+    def _sources(self, job: Job) -> Iterator[Server]:
+        """All sources for a request, the best first."""
+        if not job.kind.passes:
+            parents = self.preference(job.copy, self.by_role[api.Role.PARENT])
+            yield from sorted(islice(parents, PARENT_CHOICES), key=self.first_byte)
+            yield from parents
+        yield from self.by_role[api.Role.ORIGIN]
 
     def no_parents(self, source: Server) -> bool:
         """Whether misses are filled from the origin itself; it has all, so ``held_only`` spares nothing."""
         return source.entry.role is api.Role.ORIGIN and not self.by_role[api.Role.PARENT]
 
     def sibling(self, job: Job, target: Server, now: float) -> Server | None:
-        """The cache that is likely to hold it, of each location the first by
-        hash, of the own one the first two.  Near ones first; then by hash, or one would be asked by all."""
-        here, hubs, may = self.settings.zone, self.settings.zone_hub, self.settings.siblings
-        if may is api.Siblings.NONE:
-            return None
-
-        def far(zone: str) -> tuple[bool, bool, int]:
-            return zone != here, hubs.get(zone) != hubs.get(here), mix(job.copy ^ zlib.crc32(zone.encode()))
-
-        zones = sorted(self.caches, key=far) if may is api.Siblings.ANY else [here]
-        for zone in zones:
-            likely = self.preference(job.copy, self.caches.get(zone, []))
-            for cache in likely[: CHOICES if zone == here else 1]:
-                new = cache is not target and cache.id not in job.tried and cache.open_to(now)
-                if (
-                    new and self.cold.rate(cache.entry, cache.bucket, now) == math.inf
-                ):  # cold ones hold little
+        """The cache that is likely to hold an object beside the target: of each zone the first by hash, of
+        the own one the first two."""
+        for zone in self._sibling_zones(job):
+            choices = CACHE_CHOICES if zone == self.settings.zone else 1
+            for cache in islice(self.preference(job.copy, self.caches[zone]), choices):
+                usable = cache is not target and cache.id not in job.tried and cache.open_to(now)
+                is_warm = self.cold.rate(cache.entry, cache.bucket, now) == math.inf  # cold ones hold little
+                if usable and is_warm:
                     return cache
         return None
 
+    def _sibling_zones(self, job: Job) -> Iterator[str]:
+        """Zones whose caches may be asked, the own one first, then those of the same hub; among these by
+        hash, or one zone would be asked by all."""
+        own_zone = self.settings.zone
+        hubs = self.settings.zone_hub
+        if self.settings.siblings is api.Siblings.NONE:
+            return
+        if own_zone in self.caches:
+            yield own_zone
+        if self.settings.siblings is not api.Siblings.ANY:
+            return
+
+        def distance(zone: str) -> tuple[bool, int]:
+            return hubs.get(zone) != hubs.get(own_zone), mix(job.copy ^ zlib.crc32(zone.encode()))
+
+        yield from sorted(self.caches.keys() - {own_zone}, key=distance)
+
     def cache(self, job: Job, now: float) -> Server | None:
-        """The first by hash, bar cold ones past their budget, ejected or tried ones (unless all are) and
-        those whose gate is shut.  Where both choices are shut, new ones are refused."""
-        order = self.preference(job.copy, self.by_role[api.Role.EDGE])
-        order = [s for s in order if self.may_resend(job, s, now) and self.within_budget(s, job.mean, now)]
-        able = [s for s in order if s.open_to(now)] or [s for s in order if not s.down]
-        able = [s for s in able if s.id not in job.tried] or able
-        free = [s for s in able[:CHOICES] if s.gate.lets(now, self.draw, *job.weights)]
-        return next(iter(free or (able if job.attempts > 0 or job.kind.passes else [])), None)
+        """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
+
+        Where both gates are shut, a new request is refused; one that was tried already, or that is passed
+        through, goes to the first."""
+        able = self._able_caches(job, now)
+        for server in able:
+            if server.gate.lets(now, self.draw, *job.weights):
+                return server
+        is_refused = job.attempts == 0 and not job.kind.passes
+        return None if is_refused or not able else able[0]
+
+    def _able_caches(self, job: Job, now: float) -> list[Server]:
+        """The best caches for the next attempt, two at most, all of the best fitness that any has."""
+        untried: list[Server] = []
+        others: list[tuple[Fitness, Server]] = []
+        for server in self.preference(job.copy, self.by_role[api.Role.EDGE]):
+            fitness = self._fitness(job, server, now)
+            if fitness is Fitness.UNTRIED:
+                untried.append(server)
+                if len(untried) == CACHE_CHOICES:
+                    return untried
+            elif fitness is not None:
+                others.append((fitness, server))
+        if untried or not others:
+            return untried
+        best = min(fitness for fitness, _ in others)
+        return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
+
+    def _fitness(self, job: Job, server: Server, now: float) -> Fitness | None:
+        """How fit a cache is for the next attempt of this request; None: it must not get it."""
+        if not self.may_resend(job, server, now) or not self.within_budget(server, job.mean, now):
+            return None
+        is_tried = server.id in job.tried
+        if server.open_to(now):
+            return Fitness.TRIED if is_tried else Fitness.UNTRIED
+        if server.down:
+            return None
+        return Fitness.EJECTED_TRIED if is_tried else Fitness.EJECTED_UNTRIED
 
     def may_resend(self, job: Job, server: Server, now: float) -> bool:
         """Rule 2: what may have run is resent only where and while its repeat is discarded."""
         return discarded(job.kind, job.maybe, server.entry, window_left(job.kind, job.maybe, now) - MARGIN)
 
     def within_budget(self, server: Server, work: float, now: float, take: bool = False) -> bool:
+        """Rule 4: whether a server that started lately bears so much more work (ms); ``take``: it is sent."""
         return self.cold.within(server.entry, server.bucket, work, now, take)
 
     def worth_waiting(self, job: Job, now: float) -> bool:
-        """All that may take it are down, or cold and past a budget that will grow."""
-        caches = [cache for cache in self.by_role[api.Role.EDGE] if self.may_resend(job, cache, now)]
-        return bool(caches) and not any(self.within_budget(s, job.mean, now) and not s.down for s in caches)
+        """Whether some cache may take the request later: all that may take it are down, or cold and past a
+        budget that will grow."""
+        may_take_later = False
+        for server in self.by_role[api.Role.EDGE]:
+            if not self.may_resend(job, server, now):
+                continue
+            if not server.down and self.within_budget(server, job.mean, now):
+                return False
+            may_take_later = True
+        return may_take_later
