--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/shelf_link.py
@@ -19,6 +19,7 @@
 from thornjunction.core.ports import Order
 from thornjunction.memory.budget import Budget
 from thornjunction.memory.deadlines import Deadline, Deadlines
+from thornjunction.net.connection_table import ConnectionTable
 from thornjunction.net.endings import code_of, log_end
 from thornjunction.net.transport import Transport
 from thornjunction.net.wire import ProtocolError, shelf
@@ -62,6 +63,7 @@
     deadlines: Deadlines
     clock: Callable[[], float]
     budget: Budget
+    links: ConnectionTable[ShelfLink]
 
     def roomy(self, link: ShelfLink) -> None:
         """It may take more."""
@@ -153,6 +155,7 @@
     def put(self, ident: str, sent: Sent, data: bytes) -> None:
         self.pool.deadlines.cancel(self.idle)
         self.idle = None
+        self.pool.links.used(self)
         self.out[ident] = sent
         self._write(data)
         if self.unsent and sent.start_by < math.inf:
@@ -215,6 +218,7 @@
         when = self.pool.clock() + IDLE_SHARE * self.pool.limits.idle_ms
         self.pool.deadlines.cancel(self.idle)
         self.idle = self.pool.deadlines.add(when, lambda: self.finish("idle"))
+        self.pool.links.rested(self)
 
     def finish(self, code: str) -> None:
         """Close a connection on which nothing is out, our side first.  What crosses the close is read and
@@ -222,6 +226,8 @@
         if self.unsent:
             return self.close(code)
         self.code = self.code or code
+        self.pool.links.closing(self)
+        self.pool.deadlines.cancel(self.idle)
         self.linger = self.pool.deadlines.add(self.pool.clock() + LINGER_MS, lambda: self.close(code))
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
@@ -234,6 +240,7 @@
 
     def close(self, code: str) -> None:
         self.code = self.code or code
+        self.pool.links.used(self)  # what is reset already can't be evicted
         self.transport.abortConnection()
 
     def _answer(self, answer: shelf.ShelfAnswer) -> None:
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -20,7 +20,7 @@
 from thornjunction.core.ports import Content, Order
 from thornjunction.memory.budget import Budget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.memory.slots import SlotTable
+from thornjunction.net.connection_table import ConnectionTable
 from thornjunction.net.endings import log_end
 from thornjunction.net.shelf_link import Limits, Sent, ShelfLink
 from thornjunction.net.transport import dial
@@ -105,7 +105,7 @@
     ) -> None:
         self.reactor, self.limits, self.deadlines, self.clock = reactor, limits, deadlines, clock
         self.budget = budget
-        self.links: SlotTable[ShelfLink] = SlotTable(limits.connections)
+        self.links: ConnectionTable[ShelfLink] = ConnectionTable(limits.connections)
         self.shelves: dict[str, Shelf] = {}
         self._where: dict[int, tuple[Shelf, str]] = {}  # by attempt: the shelf and the ident there
         self._probes = 0
@@ -191,20 +191,20 @@
         link = found.way(ident)
         if link is not None:
             self._put(link, ident, sent, data)
-            if link.load() > CROWDED and found.dial is None and self._may_dial(found, PREFERRED):
+            if link.load() > CROWDED and not self.links.full and self._may_dial(found, PREFERRED):
                 self._dial(found)
             return
         if sent.at - found.untold <= self.limits.dial_ms:
             found.untold = -math.inf
             return self._end(server, sent, api.Status.REFUSED)
-        if ident in found.waiting or len(found.waiting) >= WAITING or not self._may_dial(found, NEEDED):
+        may_dial = found.dial is not None or self._may_dial(found, NEEDED)
+        if ident in found.waiting or len(found.waiting) >= WAITING or not may_dial:
             # Guards against blame: BUSY would count against the shelf's source, which this pool never asked.
             return self._end(server, sent, api.Status.SKIPPED)
         found.waiting[ident] = (sent, data)
         if sent.start_by < math.inf:
             sent.bound = self.deadlines.add(sent.start_by, lambda: self._overdue(found, ident, sent))
-        if found.dial is None:
-            self._dial(found)
+        self._dial(found)
 
     def _put(self, link: ShelfLink, ident: str, sent: Sent, data: bytes) -> None:
         self.relayed += sent.order is not None
@@ -216,12 +216,13 @@
         self._end(found.host.name, sent, api.Status.SKIPPED)
 
     def _may_dial(self, found: Shelf, most: int) -> bool:
-        if found.dial is not None:
-            return True
-        return len(found.trusted()) < most and len(found.links) < AT_MOST and not self.links.full
+        return len(found.trusted()) < most and len(found.links) < AT_MOST and self.links.can_reserve()
 
     def _dial(self, found: Shelf) -> None:
+        if found.dial is not None:
+            return
         assert found.host.address is not None
+        self.links.reserve()
         name, now = found.host.name, self.clock()
 
         def up(link: ShelfLink) -> None:
@@ -229,6 +230,7 @@
             self._dialled(found, link)
 
         def down(failure: Failure) -> None:
+            self.links.release()
             log_end("shelf", None, "dial-failed", shelf=name)
             if found.dial is dialling:  # else it was called off, and nothing waits for it
                 found.dial = None
@@ -244,10 +246,7 @@
         dialling.addCallbacks(up, down)
 
     def _dialled(self, found: Shelf, link: ShelfLink) -> None:
-        link.slot = self.links.add(link)
-        if link.slot is None:
-            link.close("table-full")
-            return self._fail_waiting(found, api.Status.SKIPPED)
+        self.links.add(link)
         found.links.append(link)
         found.untold = -math.inf
         self.roomy(link)
@@ -292,8 +291,7 @@
 
     def lost(self, link: ShelfLink) -> None:
         """A connection ended: what was out on it may have run."""
-        if link.slot is not None:
-            self.links.remove(link.slot)
+        self.links.remove(link)
         found = self.shelves.get(link.name)
         if found is not None and link in found.links:
             found.links.remove(link)
