--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -158,13 +158,16 @@
         key = (self._version, weighted, object_hash)
         best = self._cache.get(key)
         if best is None:
-            best = tuple([member.server_id for member in self._best(object_hash, weighted)])
+            ranked = self._rank(object_hash, weighted)
+            best = tuple([member.server_id for member in ranked[:CANDIDATES_KEPT]])
             self._cache.put(key, best)
-        members = self._members
+            for member in ranked:
+                yield member.server
+            yield from self._others(object_hash, weighted, {member.server_id for member in ranked})
+            return
         for server_id in best:
-            yield members[server_id].server
-        if len(best) < len(self._members):
-            yield from self._others(object_hash, best, weighted)
+            yield self._members[server_id].server
+        yield from self._others(object_hash, weighted, set(best))
 
     def _uses_table(self, object_hash: int) -> bool:
         """Whether the table ranks this object.
@@ -174,11 +177,11 @@
         of a server at that size would move all objects twice."""
         return object_hash % TABLE_BLEND < len(self._members) - EXACT_MOST
 
-    def _best(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
-        """The first few candidates."""
+    def _rank(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
+        """The best members first: all of a small group, and the first few of a large one."""
         if self._uses_table(object_hash):
             return self._draw_best(object_hash, weighted)
-        return self._score_all(object_hash, weighted)[:CANDIDATES_KEPT]
+        return self._score_all(object_hash, weighted)
 
     def _score_all(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
         """All members in the order of exact rendezvous hashing: the highest score first."""
@@ -188,18 +191,20 @@
 
         return sorted(self._members.values(), key=score, reverse=True)
 
-    def _others(self, object_hash: int, best: tuple[str, ...], weighted: bool) -> Iterator[ServerT]:
-        """The candidates after the first few: needed only where these are all unusable.
+    def _others(self, object_hash: int, weighted: bool, seen: set[str]) -> Iterator[ServerT]:
+        """The candidates after those seen: needed only where all of these are unusable.
 
         In a large group they follow in the order of their salts, from a place that the object's hash gives:
         each object has others first, and none is computed before it is asked for."""
+        if len(seen) == len(self._members):
+            return
         if not self._uses_table(object_hash):
-            for member in self._score_all(object_hash, weighted)[len(best) :]:
+            for member in self._score_all(object_hash, weighted)[len(seen) :]:
                 yield member.server
             return
         start = bisect_left(self._by_salt, (object_hash, ""), key=_order_by_salt)
         for member in itertools.chain(self._by_salt[start:], self._by_salt[:start]):
-            if member.server_id not in best:
+            if member.server_id not in seen:
                 yield member.server
 
     def _draw_best(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -1,8 +1,8 @@
 """Which server takes a request: an edge cache by a hash of the object, one of two hashed parents as source.
 
 The ordinary path follows Song et al., section 3.  ``candidates.py`` ranks the servers for an object; here it
-is decided which of them may take this request now.  The ranking is iterated over lazily: a decision looks at
-the first few servers, and at all of them only where none of these is usable.
+is decided which of them may take this request now.  The ranking is iterated over lazily: a decision examines
+the first few servers, and ``SERVERS_EXAMINED`` of them only where none of these is usable.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 from thornjunction.limits.cold import ColdBudgets
 from thornjunction.limits.effects import discarded, window_left
 from thornjunction.policy.attempts import MARGIN, Job, Server
-from thornjunction.policy.candidates import CandidateGroup, RankingCache
+from thornjunction.policy.candidates import CANDIDATES_KEPT, CandidateGroup, RankingCache
 
 CACHE_CHOICES = 2  # caches a new request may go to: hot objects get a second copy (paper, section 3)
 PARENT_CHOICES = 2  # parents of which the faster one is the source (paper, section 3)
+SERVERS_EXAMINED = 256  # for a decision at most: where a tenth is usable, all but 1 in 10**11 find one
 FAR_FACTOR = 2.0  # a far parent's first byte over a near one's, where answers do not tell it
 FIRST_BYTE_MS = 1.0  # of a source, until one was measured
 
@@ -131,7 +132,8 @@
     def _sources(self, job: Job) -> Iterator[Server]:
         """All sources for a request, the best first."""
         if not job.kind.passes:
-            parents = self.preference(job.copy, self.by_role[api.Role.PARENT])
+            ranked = self.preference(job.copy, self.by_role[api.Role.PARENT])
+            parents = islice(ranked, SERVERS_EXAMINED)
             yield from sorted(islice(parents, PARENT_CHOICES), key=self.first_byte)
             yield from parents
         yield from self.by_role[api.Role.ORIGIN]
@@ -175,32 +177,36 @@
         Where both gates are shut, a new request is refused; one that was tried already, or that is passed
         through, goes to the first."""
         able = self._able_caches(job, now)
-        for server in able:
-            if server.gate.lets(now, self.draw, *job.weights):
-                return server
-        is_refused = job.attempts == 0 and not job.kind.passes
-        return None if is_refused or not able else able[0]
+        let_through = [server for server in able if server.gate.lets(now, self.draw, *job.weights)]
+        if let_through:
+            return let_through[0]
+        must_go = job.attempts > 0 or job.kind.passes
+        return able[0] if able and must_go else None
 
     def _able_caches(self, job: Job, now: float) -> list[Server]:
-        """The best caches for the next attempt, two at most, all of the best fitness that any has."""
+        """The best caches for the next attempt, two at most, all of the best fitness that any has.
+
+        The first few are examined in any case: so the windows in which cold ones have their budgets go on
+        however seldom these are needed."""
         untried: list[Server] = []
         others: list[tuple[Fitness, Server]] = []
-        for server in self.preference(job.copy, self.by_role[api.Role.EDGE]):
+        ranked = self.preference(job.copy, self.by_role[api.Role.EDGE])
+        for place, server in enumerate(self._resendable(job, ranked, now), start=1):
             fitness = self._fitness(job, server, now)
             if fitness is Fitness.UNTRIED:
                 untried.append(server)
-                if len(untried) == CACHE_CHOICES:
-                    return untried
             elif fitness is not None:
                 others.append((fitness, server))
+            if place >= CANDIDATES_KEPT and len(untried) >= CACHE_CHOICES:
+                break
         if untried or not others:
-            return untried
+            return untried[:CACHE_CHOICES]
         best = min(fitness for fitness, _ in others)
         return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
 
     def _fitness(self, job: Job, server: Server, now: float) -> Fitness | None:
         """How fit a cache is for the next attempt of this request; None: it must not get it."""
-        if not self.may_resend(job, server, now) or not self.within_budget(server, job.mean, now):
+        if not self.within_budget(server, job.mean, now):
             return None
         is_tried = server.id in job.tried
         if server.open_to(now):
@@ -209,6 +215,12 @@
             return None
         return Fitness.EJECTED_TRIED if is_tried else Fitness.EJECTED_UNTRIED
 
+    def _resendable(self, job: Job, servers: Iterable[Server], now: float) -> Iterator[Server]:
+        """Those of the servers that the request may be sent to by rule 2, ``SERVERS_EXAMINED`` at most."""
+        if job.maybe is None:
+            return islice(servers, SERVERS_EXAMINED)
+        return islice((server for server in servers if self.may_resend(job, server, now)), SERVERS_EXAMINED)
+
     def may_resend(self, job: Job, server: Server, now: float) -> bool:
         """Rule 2: what may have run is resent only where and while its repeat is discarded."""
         return discarded(job.kind, job.maybe, server.entry, window_left(job.kind, job.maybe, now) - MARGIN)
@@ -220,11 +232,13 @@
     def worth_waiting(self, job: Job, now: float) -> bool:
         """Whether some cache may take the request later: all that may take it are down, or cold and past a
         budget that will grow."""
+        caches = self.by_role[api.Role.EDGE]
+        # A small group is examined whole, in any order; ranking it would take longer.
+        is_small = len(caches) <= SERVERS_EXAMINED
+        servers = iter(caches) if is_small else self.preference(job.copy, caches)
         may_take_later = False
-        for server in self.by_role[api.Role.EDGE]:
-            if not self.may_resend(job, server, now):
-                continue
-            if not server.down and self.within_budget(server, job.mean, now):
+        for server in self._resendable(job, servers, now):
+            if self.within_budget(server, job.mean, now) and not server.down:
                 return False
             may_take_later = True
         return may_take_later
