--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -12,6 +12,7 @@
 from tests.standins import CLIP, Rig
 from thornjunction.net.alarm import core_ms
 from thornjunction.net.client_link import IDLE_MS, SILENT_MS, ClientTable
+from thornjunction.net.wire import fastcgi
 from thornjunction.runtime.drain import Drain
 from thornjunction.runtime.shutdown import Shutdown
 
@@ -167,6 +168,46 @@
             client.leave()
             await self.clients.gone()
 
+    async def test_other_clients_trouble_frees_no_request_of_its_answer(self) -> None:
+        """Garbage, a reset, a part that takes up the memory, idle clients, then busy ones in all places."""
+        self.rig.script, self.rig.clients.budget.limit = [None], 5_000
+        bystander, link = await self.clients.rested()
+        bystander.send(asked(1, ttl_ms=9_000))
+        await self.until(self.rig.wants)
+        trouble = [(asked(2) + b"garbage" * 9, "half-close"), (asked(3)[:30], "reset"), (b"", "close")]
+        for data, how in trouble:
+            client, _ = await self.clients.rested()
+            client.send(data)
+            client.leave(how)
+        hog, held = await self.clients.rested()
+        hog.send(fastcgi.HEADER.pack(1, fastcgi.STDIN, 1, 65_535, 0) + bytes(6_000))
+        await self.until(lambda: held.code == "memory")
+        for number in range(10, 22):
+            (idle := self.clients.connect()).send(asked(number))
+            await self.until(idle.answers)
+        self.rig.script, sent = [None] * 9, len(self.rig.wants())
+        for number in range(30, 39):
+            self.clients.connect().send(asked(number, ttl_ms=9_000))
+        await self.until(lambda: len(self.rig.wants()) == sent + 9)
+        (late := self.clients.connect()).send(asked(40))
+        await self.until(late.answers)
+        shelf, ident = self.rig.asked[0]
+        shelf.say(ident, b"DONE", b"late")
+        await self.until(bystander.answers)
+        self.assertEqual((link.code, bystander.answers(), bystander.got.count(b"late")), ("", 1, 1))
+
+    async def test_a_request_with_next_to_no_time_is_answered_and_not_begun(self) -> None:
+        """Servers may drop such without a word; with a little more it is sent, and answered in time."""
+        for ttl_ms, begun in ((1, 0), (5, 0), (60, 1), (200, 1)):
+            self.rig.script, sent = [None], len(self.rig.wants())
+            client = self.clients.connect()
+            client.send(asked(ttl_ms, ttl_ms=ttl_ms))
+            await self.until(client.answers)
+            self.assertEqual((client.answers(), len(self.rig.wants()) - sent), (1, begun), ttl_ms)
+            self.assertEqual(len(self.engine.requests), 0)
+            client.leave()
+            await self.clients.gone()
+
     async def test_connections_that_the_system_holds_when_the_port_closes_were_taken(self) -> None:
         deadlines, stopped = self.rig.alarm.deadlines, list[bool]()
         drain = Drain(self.rig.clients, deadlines, core_ms, self.engine.hurry)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from typing import Any
+from unittest.mock import patch
 
 import pytest
 from twisted.internet.testing import StringTransport
@@ -17,6 +18,7 @@
 from thornjunction.net.client_link import LINGER_MS, MAX_CROSSED, ClientLink, ClientTable
 from thornjunction.net.front_fastcgi import MISUSES, FastCgiLink
 from thornjunction.net.front_signed import MAX_WAITING, Door, SignedLink
+from thornjunction.net.turns import SLICE_MS
 from thornjunction.net.wire import fastcgi
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
@@ -167,6 +169,17 @@
     assert link.code == "pipeline" and b"Connection: close" in said[said.index(b"HTTP/1.1 503") :]
 
 
+def test_a_queued_turn_that_fails_ends_its_connection_and_no_other() -> None:
+    hall = Hall()
+    failing, other = (hall.connect("fastcgi") for _ in range(2))
+    hall.table.turns._spent = SLICE_MS  # of this turn: both wait for the next one
+    for link in (failing, other):
+        link.dataReceived(REQUESTS["fastcgi"]())
+    with patch.object(failing, "step", side_effect=RuntimeError("a fault in the core")):
+        hall.wait(1.0)
+    assert (failing.code, other.code, len(hall.replies)) == ("failed", "", 1)
+
+
 @both
 def test_a_client_that_never_reads_is_cut_off_though_it_keeps_asking(kind: str) -> None:
     hall = Hall()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -107,6 +107,23 @@
         self.assertEqual((other.polls, len(self.rig.taken)), ([(1, 1200), (2, 1200)], 2))
         self.assertEqual(self.discovery.links[0].ended, "ConnectionDone")  # in order, not reset
 
+    @inlineCallbacks
+    def test_new_addresses_in_a_row_leave_the_last_and_each_event_once(self) -> Any:
+        """In one turn, in the next ones, and back to where it was."""
+        others = [ScriptedDiscovery() for _ in range(3)]
+        for other in others:
+            self.addCleanup(other.stop)
+            other.events = [{"cursor": 1}, SECOND]
+        self.discovery.script = [say(GOOD), hold]
+        self.channel.start()
+        yield self.rig.polled(2)
+        for other in (*others, *others[:2], others[2]):
+            self.channel.move(other.address)
+        yield self.rig.ended(50.0)
+        yield until(lambda: len(others[2].polls) == 2)
+        self.assertEqual([other.polls for other in others], [[], [], [(1, 1200), (2, 1200)]])
+        self.assertEqual(len(self.rig.taken), 2)
+
     @inlineCallbacks
     def test_a_new_address_while_a_long_answer_comes(self) -> Any:
         other = ScriptedDiscovery()
