--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -196,6 +196,22 @@
         await self.until(bystander.answers)
         self.assertEqual((link.code, bystander.answers(), bystander.got.count(b"late")), ("", 1, 1))
 
+    async def test_a_resting_connection_that_its_server_ends_or_forgets_costs_no_answer(self) -> None:
+        """Just before a request: closed, reset, and no more heard of; who is forgotten costs one request."""
+        for how, served in (("loseConnection", 3), ("abortConnection", 3), ("", 2)):
+            client, _ = await self.clients.rested(asked(1))
+            shelf, _ = self.rig.asked[-1]
+            if how:
+                getattr(shelf.transport, how)()
+            else:
+                shelf.dataReceived = lambda data: None  # type: ignore[method-assign]
+            for number in (2, 3):
+                client.send(asked(number, ttl_ms=600))
+                await self.until(lambda client=client, number=number: client.answers() == number)
+            self.assertEqual(client.got.count(b"Status: 200"), served, how)
+            client.leave()
+            await self.clients.gone()
+
     async def test_a_request_with_next_to_no_time_is_answered_and_not_begun(self) -> None:
         """Servers may drop such without a word; with a little more it is sent, and answered in time."""
         for ttl_ms, begun in ((1, 0), (5, 0), (60, 1), (200, 1)):
