--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -21,11 +21,11 @@
 import fleet_figures as figures
 from capacity_fit import fit, row, sized_main, table
 from fleet_membership import MemberView, Mode, View
-from fleet_modes import ShareKeeper, ShareSettings
 from fleet_sim import Quality, World, node_names
 from fleet_sim.membership_checks import view_of
-from fleet_wire import MemberState
+from gossip_codec import MemberState
 from msgspec import msgpack
+from quota_leases import ShareKeeper, ShareSettings
 
 from thornjunction.runtime.fleet import Fleet
 
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -12,12 +12,12 @@
 from functools import partial
 from pathlib import Path
 
-from fleet_seam import Told
 from fleet_sim import Node, Quality, World, node_names
 from fleet_sim.command import percentile
 from fleet_sim.membership import subject
 from fleet_sim.membership_checks import view_of
 from fleet_sim.run import make_world
+from sansio_core import Notice
 
 JOIN_MS = 10_000.0
 LIMIT_MS = 120_000.0
@@ -39,7 +39,7 @@
         self.failed: list[tuple[str, str]] = []
         world.listeners.append(self._listen)
 
-    def _listen(self, node: Node, told: Told) -> None:
+    def _listen(self, node: Node, told: Notice) -> None:
         if told.name == "member" and told.fields["name"] != node.name:
             if told.fields["state"] == "failed":
                 self.failed.append((node.name, str(told.fields["name"])))
--- a/benchmarks/relay_core.py
+++ b/benchmarks/relay_core.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from control_relay import Answer, Confirmed, ListTold, Polled, PurgeTold, Relay, RelaySettings
-from fleet_seam import SetTimer, Started, TimerFired
+from sansio_core import SetTimer, Started, TimerFired
 
 BASE = 1_764_600_000 << 20
 AGAIN_MS = 2.0
--- a/packages/control-sources/src/control_sources/__init__.py
+++ b/packages/control-client/src/control_client/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from control_sources.follower import HOLD_MS, Follower
-from control_sources.seam import (
+from control_client.follower import HOLD_MS, Follower
+from control_client.seam import (
     Answer,
     Answered,
     Ask,
@@ -20,8 +20,8 @@
     Standing,
     Taken,
 )
-from control_sources.sources import Sources
-from control_sources.times import SourceTimes
+from control_client.sources import Sources
+from control_client.times import SourceTimes
 
 __all__ = [
     "HOLD_MS",
--- a/packages/control-sources/src/control_sources/seam.py
+++ b/packages/control-client/src/control_client/seam.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any
 
-from fleet_seam import Address, SetTimer, Started, TimerFired, Told
+from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 
 SourcesEvent = Started | TimerFired | Polled | Answered | Failed
-SourcesAction = Ask | Leave | Probe | SetTimer | Told
+SourcesAction = Ask | Leave | Probe | SetTimer | Notice
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/control-sources/src/control_sources/sources.py
+++ b/packages/control-client/src/control_client/sources.py
@@ -11,9 +11,9 @@
 import math
 from collections.abc import Sequence
 
-from fleet_seam import Address, Draw, SetTimer, Started, TimerFired, Told
+from sansio_core import Address, Notice, RandomSource, SetTimer, Started, TimerFired
 
-from control_sources.seam import (
+from control_client.seam import (
     Answered,
     Ask,
     Failed,
@@ -23,8 +23,8 @@
     SourcesAction,
     SourcesEvent,
 )
-from control_sources.standing import PROBE_MS, Source, doubled
-from control_sources.times import SourceTimes
+from control_client.standing import PROBE_MS, Source, doubled
+from control_client.times import SourceTimes
 
 MOST_SOURCES = 16
 LATE_MS = 100.0  # of a timer: this process was late itself, and what has come is not read yet
@@ -39,7 +39,7 @@
     def __init__(
         self,
         upstreams: Sequence[Address],
-        draw: Draw,
+        draw: RandomSource,
         siblings: Sequence[Address] = (),
         times: SourceTimes = TIMES,
     ) -> None:
@@ -284,4 +284,4 @@
             self._actions.append(SetTimer(max(due - now, 1.0), self._token))
 
     def _tell(self, name: str, source: Source, why: str) -> None:
-        self._actions.append(Told(name, {"source": source.name, "why": why}))
+        self._actions.append(Notice(name, {"source": source.name, "why": why}))
--- a/packages/control-sources/src/control_sources/standing.py
+++ b/packages/control-client/src/control_client/standing.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from fleet_seam import Address
+from sansio_core import Address
 
 PROBE_MS = 3000.0  # after which a probe of which nothing was reported counts as failed
 
--- a/packages/control-sources/tests/follower_world.py
+++ b/packages/control-client/tests/follower_world.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from control_sources import Answer, Event, Follower, ListEvent, PurgeEvent, Standing, Taken
+from control_client import Answer, Event, Follower, ListEvent, PurgeEvent, Standing, Taken
 
 SHELFS = ("a", "b", "c")
 PAGE = 3  # events
--- a/packages/control-sources/tests/sources_world.py
+++ b/packages/control-client/tests/sources_world.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from control_sources import Answered, Ask, Failed, Leave, Polled, Probe, Sources, SourceTimes
-from fleet_seam import Address, SetTimer, Started, TimerFired, Told
+from control_client import Answered, Ask, Failed, Leave, Polled, Probe, Sources, SourceTimes
+from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
 BLOCK_MS, WAY_MS, PROBE_SILENT_MS = 800.0, 1.0, 900.0
 TIMES = SourceTimes()
@@ -71,7 +71,7 @@
         elif isinstance(action, Probe):
             self.probes.append((self.now, self.addresses.index(action.source)))
             self.later(WAY_MS, lambda: self.probed(action.source))
-        elif isinstance(action, Told) and action.name == "source-asked":
+        elif isinstance(action, Notice) and action.name == "source-asked":
             at = [f"{host}:{port}" for host, port in self.addresses].index(str(action.fields["source"]))
             self.asked.append((self.now, at, str(action.fields["why"])))
 
--- a/packages/control-sources/tests/test_sources_choice.py
+++ b/packages/control-client/tests/test_sources_choice.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 import pytest
-from control_sources import Answered, Ask, Failed, Leave, Polled, Probe, Sources, SourceTimes
-from fleet_seam import SetTimer, Started, TimerFired
+from control_client import Answered, Ask, Failed, Leave, Polled, Probe, Sources, SourceTimes
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from sansio_core import SetTimer, Started, TimerFired
 from sources_world import TIMES, World
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150, database=None)
--- a/packages/control-relay/src/control_relay/machine.py
+++ b/packages/control-relay/src/control_relay/machine.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from fleet_seam import SetTimer, Started, TimerFired, Told
+from sansio_core import Notice, SetTimer, Started, TimerFired
 
 from control_relay import views
 from control_relay.encoding import age_of, duration, whole_number
@@ -136,7 +136,7 @@
         if self.ready or not self.state.shelves.number or self.as_of == -math.inf:
             return []
         self.ready = True
-        return [Told("relay-ready", {"epoch": self.epoch}), *self._flush(now)]
+        return [Notice("relay-ready", {"epoch": self.epoch}), *self._flush(now)]
 
     # -- from below
 
--- a/packages/control-relay/src/control_relay/seam.py
+++ b/packages/control-relay/src/control_relay/seam.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fleet_seam import SetTimer, Started, TimerFired, Told
+from sansio_core import Notice, SetTimer, Started, TimerFired
 
 Host = Mapping[
     str, Any
@@ -108,7 +108,7 @@
 RelayEvent = (
     Started | TimerFired | Attached | ListTold | PurgeTold | Confirmed | Polled | PollerGone | Dismissed
 )
-RelayAction = Answer | Refuse | SetTimer | Told
+RelayAction = Answer | Refuse | SetTimer | Notice
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/control-relay/src/control_relay/state.py
+++ b/packages/control-relay/src/control_relay/state.py
@@ -5,7 +5,7 @@
 import math
 from collections import Counter
 
-from fleet_seam import Told
+from sansio_core import Notice
 
 from control_relay.encoding import age_of, list_event, purge_event, whole_number
 from control_relay.log import Log
@@ -85,10 +85,10 @@
             held = self.purges.get(group)
             if held is None or not when_ms <= held.when_ms < math.inf:
                 self._add_purge(group, group, when_ms, now + self.settings.hold_ms)
-        return [Told("purges-joined", {"objects": len(oldest), "groups": len(latest)})]
+        return [Notice("purges-joined", {"objects": len(oldest), "groups": len(latest)})]
 
     def _fault(self, code: str) -> list[RelayAction]:
         """Told at the first, second, fourth and so on, so that bad input costs bounded log."""
         self.faults[code] += 1
         count = self.faults[code]
-        return [Told("relay-fault", {"code": code, "count": count})] if count & (count - 1) == 0 else []
+        return [Notice("relay-fault", {"code": code, "count": count})] if count & (count - 1) == 0 else []
--- a/packages/control-relay/tests/relay_driver.py
+++ b/packages/control-relay/tests/relay_driver.py
@@ -19,7 +19,7 @@
     RelayEvent,
     RelaySettings,
 )
-from fleet_seam import SetTimer, Started, TimerFired, Told
+from sansio_core import Notice, SetTimer, Started, TimerFired
 
 BASE = 1_764_600_000 << 20
 
@@ -33,7 +33,7 @@
         self.relay, self.now, self.epoch = Relay(RelaySettings(**settings), epoch, base), 0.0, epoch
         self.answers: dict[int, bytes] = {}
         self.refused: dict[int, str] = {}
-        self.told: list[Told] = []
+        self.told: list[Notice] = []
         self._timers: list[tuple[float, int]] = []
         self._upstream = 0
         self.do(Started())
@@ -48,7 +48,7 @@
                     self.refused[poller] = why
                 case SetTimer(in_ms, token):
                     heapq.heappush(self._timers, (self.now + in_ms, token))
-                case Told():
+                case Notice():
                     self.told.append(action)
         return actions
 
--- a/packages/control-relay/tests/test_relay_answers.py
+++ b/packages/control-relay/tests/test_relay_answers.py
@@ -6,8 +6,8 @@
 
 import pytest
 from control_relay import Answer, Relay, RelaySettings
-from fleet_seam import TimerFired
 from relay_driver import BASE, Driver, host, last, numbers
+from sansio_core import TimerFired
 
 
 @pytest.mark.parametrize("epoch", ["", "a" * 33, "a b", 'a"b', "ü"])
--- a/packages/control-relay/tests/test_relay_bounds.py
+++ b/packages/control-relay/tests/test_relay_bounds.py
@@ -18,10 +18,10 @@
     Relay,
     RelaySettings,
 )
-from fleet_seam import SetTimer, Started, TimerFired
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from relay_driver import BASE, Driver, host
+from sansio_core import SetTimer, Started, TimerFired
 
 SMALL = RelaySettings(
     expected=("e",),
--- a/packages/control-sim/src/control_sim/client.py
+++ b/packages/control-sim/src/control_sim/client.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any
 
-from control_sources import (
+from control_client import (
     Answer,
     Answered,
     Ask,
@@ -24,7 +24,7 @@
     SourceTimes,
     Standing,
 )
-from fleet_seam import Address, Draw, SetTimer, Started, TimerFired
+from sansio_core import Address, RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.lines import Broken, Hangup, Poll, Replied, Request
 
@@ -63,7 +63,7 @@
         self,
         upstreams: tuple[str, ...],
         siblings: tuple[str, ...],
-        draw: Draw,
+        draw: RandomSource,
         first_connection: int,
         hold_ms: float,
         poll: Callable[[float, bool], Poll],
--- a/packages/control-sim/src/control_sim/discovery.py
+++ b/packages/control-sim/src/control_sim/discovery.py
@@ -5,8 +5,8 @@
 import json
 from typing import Any
 
-from fleet_seam import Draw, SetTimer, Started, TimerFired
 from fleet_sim import Disk
+from sansio_core import RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.lines import Asked, HungUp, Reply
 
@@ -24,7 +24,7 @@
     told from those that do in the same one, by the protocol.  With its disk it goes on with its list;
     without, it is set back."""
 
-    def __init__(self, incarnation: int, draw: Draw, disk: Disk) -> None:
+    def __init__(self, incarnation: int, draw: RandomSource, disk: Disk) -> None:
         self.draw, self.disk, self.life = draw, disk, incarnation
         disk.setdefault("seq", 3)
         disk.setdefault("version", incarnation << 20)
--- a/packages/control-sim/src/control_sim/nodes.py
+++ b/packages/control-sim/src/control_sim/nodes.py
@@ -6,6 +6,7 @@
 from collections.abc import Sequence
 from typing import Any
 
+from control_client import Event, ListEvent
 from control_relay import (
     Answer,
     Attached,
@@ -17,8 +18,7 @@
     Relay,
 )
 from control_relay import Polled as RelayPolled
-from control_sources import Event, ListEvent
-from fleet_seam import Draw, SetTimer, Started, TimerFired, Told
+from sansio_core import Notice, RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.client import BLOCK_MS, Client, read
 from control_sim.lines import Asked, Broken, HungUp, Poll, Replied, Reply, Request
@@ -58,7 +58,7 @@
 
 class Router:
     def __init__(
-        self, name: str, upstreams: tuple[str, ...], draw: Draw, first_connection: int, hold_ms: float
+        self, name: str, upstreams: tuple[str, ...], draw: RandomSource, first_connection: int, hold_ms: float
     ) -> None:
         self.name, self.held = name, Held()
         self.client = Client(
@@ -127,7 +127,7 @@
         relay: Relay,
         upstreams: tuple[str, ...],
         siblings: tuple[str, ...],
-        draw: Draw,
+        draw: RandomSource,
         first_connection: int,
     ) -> None:
         self.name, self.relay = name, relay
@@ -192,7 +192,7 @@
                     done.append(Reply(self._sources[poller], poller, None))
                 case SetTimer(in_ms=in_ms, token=token):
                     done.append(SetTimer(in_ms, token * 2))
-                case Told():
+                case Notice():
                     done.append(action)
         return done
 
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from control_relay import Relay, RelaySettings
-from fleet_seam import Address, Draw, Told
 from fleet_sim import Disk, Node, Quality, Subject, World
+from sansio_core import Address, Notice, RandomSource
 
 from control_sim.checks import Checks, settled
 from control_sim.discovery import Discovery
@@ -42,7 +42,7 @@
     )
 
 
-def build(name: str, address: Address, incarnation: int, draw: Draw, disk: Disk) -> Any:
+def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Any:
     connection = first_connection(NAMES.index(name) + 1, incarnation)
     if name == "d":
         return Discovery(incarnation, draw, disk)
@@ -57,7 +57,7 @@
 def tally(world: World, counts: Counter[str]) -> None:
     """Counts what relays and sources tell, so that a run shows what it met."""
 
-    def listen(node: Node, told: Told) -> None:
+    def listen(node: Node, told: Notice) -> None:
         counts[told.name] += 1
 
     world.listeners.append(listen)
--- a/packages/control-sim/tests/flaws.py
+++ b/packages/control-sim/tests/flaws.py
@@ -13,7 +13,7 @@
 from typing import Any
 from unittest.mock import patch
 
-import control_sources.follower
+import control_client.follower
 from control_relay import Polled, Relay, RelaySettings
 from control_relay.log import Log
 from control_relay.marks import Marks
@@ -95,8 +95,8 @@
 @contextmanager
 def _lists_of_any_age() -> Iterator[None]:
     with (
-        patch.object(control_sources.follower, "LATER_MS", float("-inf")),
-        patch.object(control_sources.follower, "HISTORY_MS", float("inf")),
+        patch.object(control_client.follower, "LATER_MS", float("-inf")),
+        patch.object(control_client.follower, "HISTORY_MS", float("inf")),
     ):
         yield
 
--- a/packages/fleet-membership/src/fleet_membership/__init__.py
+++ b/packages/fleet-membership/src/fleet_membership/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fleet_wire import MemberState
+from gossip_codec import MemberState
 
 from fleet_membership.machine import Membership
 from fleet_membership.settings import MembershipSettings
--- a/packages/fleet-membership/src/fleet_membership/agenda.py
+++ b/packages/fleet-membership/src/fleet_membership/agenda.py
@@ -5,7 +5,7 @@
 import heapq
 from collections.abc import Iterator
 
-from fleet_seam import SetTimer
+from sansio_core import SetTimer
 
 LEAST = 0.01  # ms of a timer: one that fires a little early is asked for again, and must not spin
 Task = tuple[str, int | str]  # what, and on which number or name
--- a/packages/fleet-membership/src/fleet_membership/core.py
+++ b/packages/fleet-membership/src/fleet_membership/core.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-from fleet_seam import Action, Address, Draw, Send, Told
-from fleet_wire import Codec, MemberState, Message, Update, to_address, to_place
+from gossip_codec import Codec, MemberState, Message, Update, to_address, to_place
+from sansio_core import Action, Address, Notice, RandomSource, SendDatagram
 
 from fleet_membership.agenda import Agenda
 from fleet_membership.dissemination import Rumours
@@ -20,7 +20,7 @@
 class Core:
     """Actions gather in ``out`` until the event is done."""
 
-    def __init__(self, settings: MembershipSettings, draw: Draw) -> None:
+    def __init__(self, settings: MembershipSettings, draw: RandomSource) -> None:
         self.settings = settings
         self.draw = draw
         self.codec = Codec(settings.fleet, settings.secret)
@@ -46,7 +46,7 @@
         return [left.pop(int(self.draw() * len(left))) for _ in range(min(most, len(left)))]
 
     def tell(self, event: str, /, **fields: str | int | float) -> None:
-        self.out.append(Told(event, fields))
+        self.out.append(Notice(event, fields))
 
     def send(self, to: Address, message: Message, first: Sequence[Update] = ()) -> int:
         """Send with rumours behind ``first``; gives how many of ``first`` found room."""
@@ -54,7 +54,7 @@
         updates = [*first, *(update for update in self.rumours.pick() if update not in first)]
         data, packed = self.codec.encode(own.name, own.incarnation, message, updates)
         self.rumours.sent(updates[:packed], self.table.live())
-        self.out.append(Send(to, data))
+        self.out.append(SendDatagram(to, data))
         return min(packed, len(first))
 
     def send_member(self, member: Member, message: Message, first: tuple[Update, ...] = ()) -> None:
--- a/packages/fleet-membership/src/fleet_membership/dissemination.py
+++ b/packages/fleet-membership/src/fleet_membership/dissemination.py
@@ -7,7 +7,7 @@
 from itertools import islice
 from math import ceil, log10
 
-from fleet_wire import UPDATES_MOST, MemberState, Update
+from gossip_codec import UPDATES_MOST, MemberState, Update
 
 
 class Rumours:
--- a/packages/fleet-membership/src/fleet_membership/intake.py
+++ b/packages/fleet-membership/src/fleet_membership/intake.py
@@ -4,8 +4,7 @@
 
 from collections.abc import Callable
 
-from fleet_seam import Address
-from fleet_wire import (
+from gossip_codec import (
     Ack,
     Carried,
     Envelope,
@@ -18,6 +17,7 @@
     Sync,
     to_address,
 )
+from sansio_core import Address
 
 from fleet_membership.core import Core
 from fleet_membership.judging import Judge
--- a/packages/fleet-membership/src/fleet_membership/judging.py
+++ b/packages/fleet-membership/src/fleet_membership/judging.py
@@ -4,7 +4,7 @@
 
 from math import log10
 
-from fleet_wire import MemberState, Probe, Update
+from gossip_codec import MemberState, Probe, Update
 from msgspec.structs import replace
 
 from fleet_membership.core import Core
--- a/packages/fleet-membership/src/fleet_membership/machine.py
+++ b/packages/fleet-membership/src/fleet_membership/machine.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from fleet_seam import Action, Draw, Event, Heard, Leaving, Started, TimerFired
-from fleet_wire import Carried, MemberState, Part
+from gossip_codec import Carried, MemberState, Part
 from msgspec.structs import replace
+from sansio_core import Action, DatagramReceived, Event, RandomSource, ShutdownRequested, Started, TimerFired
 
 from fleet_membership.agenda import Task
 from fleet_membership.core import Core
@@ -27,13 +27,13 @@
 
 
 class Membership:
-    """``Started`` comes first, ``Leaving`` last; what comes after it is passed over.
+    """``Started`` comes first, ``ShutdownRequested`` last; what comes after it is passed over.
 
     Tells: ``member`` (name, state, incarnation, why), ``link`` (name, link), ``majority`` (held), ``mode``
     (mode), ``paused`` (late_ms, health) and ``refused`` (why, source).
     """
 
-    def __init__(self, settings: MembershipSettings, draw: Draw, inbox: Inbox | None = None) -> None:
+    def __init__(self, settings: MembershipSettings, draw: RandomSource, inbox: Inbox | None = None) -> None:
         self._core = core = Core(settings, draw)
         self._judge = Judge(core)
         self._prober = Prober(core, self._judge)
@@ -52,11 +52,11 @@
         match event:
             case Started():
                 self._start(now)
-            case Heard(source, data):
+            case DatagramReceived(source, data):
                 self._intake.heard(now, source, data)
             case TimerFired(token):
                 core.agenda.fired(token)
-            case Leaving():
+            case ShutdownRequested():
                 self._leave(now)
                 return core.out
         for task in core.agenda.due(now):
--- a/packages/fleet-membership/src/fleet_membership/probing.py
+++ b/packages/fleet-membership/src/fleet_membership/probing.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from fleet_wire import Ack, MemberState, Nack, Probe, ProbeFor, to_address
+from gossip_codec import Ack, MemberState, Nack, Probe, ProbeFor, to_address
 
 from fleet_membership.core import Core
 from fleet_membership.judging import Judge
--- a/packages/fleet-membership/src/fleet_membership/settings.py
+++ b/packages/fleet-membership/src/fleet_membership/settings.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from fleet_seam import Address
-from fleet_wire import to_place
+from gossip_codec import to_place
+from sansio_core import Address
 
 
 @dataclass(frozen=True)
--- a/packages/fleet-membership/src/fleet_membership/standing.py
+++ b/packages/fleet-membership/src/fleet_membership/standing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fleet_wire import MemberState, Probe
+from gossip_codec import MemberState, Probe
 
 from fleet_membership.core import Core
 from fleet_membership.view import Mode
--- a/packages/fleet-membership/src/fleet_membership/sync.py
+++ b/packages/fleet-membership/src/fleet_membership/sync.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from fleet_seam import Address
-from fleet_wire import MemberState, Part, Sync, to_address
+from gossip_codec import MemberState, Part, Sync, to_address
+from sansio_core import Address
 
 from fleet_membership.core import Core
 from fleet_membership.table import LIVE
--- a/packages/fleet-membership/src/fleet_membership/table.py
+++ b/packages/fleet-membership/src/fleet_membership/table.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from fleet_wire import DIGEST, DIGESTS, MemberState, Update, to_address
+from gossip_codec import DIGEST, DIGESTS, MemberState, Update, to_address
 
 from fleet_membership.view import Link, MemberView
 
--- a/packages/fleet-membership/src/fleet_membership/view.py
+++ b/packages/fleet-membership/src/fleet_membership/view.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from fleet_seam import Address
-from fleet_wire import MemberState
+from gossip_codec import MemberState
+from sansio_core import Address
 
 
 class Mode(Enum):
--- a/packages/fleet-membership/tests/membership_bench.py
+++ b/packages/fleet-membership/tests/membership_bench.py
@@ -7,9 +7,9 @@
 
 from fleet_membership import Membership, MembershipSettings, MemberState, Mode, View
 from fleet_membership.intake import Inbox
-from fleet_seam import Action, Address, Draw, Told
 from fleet_sim import Node, Quality, World
-from fleet_wire import Codec, Envelope
+from gossip_codec import Codec, Envelope
+from sansio_core import Action, Address, Notice, RandomSource
 
 SECRET = bytes(range(16))
 
@@ -21,7 +21,7 @@
     def __init__(self, count: int, voters: int = 3, seed: int = 1, loss: float = 0.0) -> None:
         names = [f"r{at}" for at in range(count)]
         self.voters = tuple(names[:voters])
-        self.told: list[tuple[float, str, Told]] = []
+        self.told: list[tuple[float, str, Notice]] = []
         self.sent: list[bytes] = []
         self.given: dict[str, dict[str, Any]] = {}
         self.inboxes: dict[str, Inbox] = {}
@@ -35,7 +35,7 @@
             self.start(name)
         return self
 
-    def member(self, name: str, address: Address, life: int, draw: Draw, disk: object) -> Membership:
+    def member(self, name: str, address: Address, life: int, draw: RandomSource, disk: object) -> Membership:
         seeds = tuple(self.nodes[voter].address for voter in self.voters)
         settings = MembershipSettings(name, address, "fleet", SECRET, seeds, self.voters, life)
         return Membership(replace(settings, **self.given.get(name, {})), draw, self.inboxes.get(name))
@@ -65,7 +65,7 @@
     def modes(self) -> dict[str, Mode]:
         return {node.name: self.view(node.name).mode for node in self.running()}
 
-    def events(self, event: str, **fields: object) -> list[tuple[float, str, Told]]:
+    def events(self, event: str, **fields: object) -> list[tuple[float, str, Notice]]:
         return [one for one in self.told if one[2].name == event and fields.items() <= one[2].fields.items()]
 
     def act(self, name: str, actions: list[Action]) -> None:
--- a/packages/fleet-rig/src/fleet_rig/record.py
+++ b/packages/fleet-rig/src/fleet_rig/record.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fleet_seam import Told
 from fleet_sim import Entry, Kind, render, told_text
+from sansio_core import Notice
 
 OF_THE_LOG = "level", "logger", "ts", "pid"  # what each line has beside the event's own fields
 NOTED = {"member", "link", "majority", "mode", "paused", "refused", "exit", "fleet-waits", "cannot-listen"}
@@ -62,7 +62,7 @@
         if event == "majority":
             known.majority = bool(fields["held"])
         if event in NOTED:
-            told = Told(event, {key: value for key, value in fields.items() if key not in OF_THE_LOG})
+            told = Notice(event, {key: value for key, value in fields.items() if key not in OF_THE_LOG})
             self.entries.append(Entry(self.clock(), Kind.TOLD, name, told_text(told)))
 
     def told(self, name: str, since: int) -> Iterator[str]:
--- a/packages/fleet-sim/src/fleet_sim/entries.py
+++ b/packages/fleet-sim/src/fleet_sim/entries.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from fleet_seam import Told
+from sansio_core import Notice
 
 
 class Kind(Enum):
@@ -31,7 +31,7 @@
     other: str = ""
 
 
-def told_text(told: Told) -> str:
+def told_text(told: Notice) -> str:
     """The event's name and the values of its fields in their order: `member c failed 1 timeout`."""
     return " ".join([told.name, *(_word(value) for value in told.fields.values())])
 
--- a/packages/fleet-sim/src/fleet_sim/member.py
+++ b/packages/fleet-sim/src/fleet_sim/member.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from fleet_membership import Membership, MembershipSettings
-from fleet_modes import CHANNEL, ShareKeeper, ShareSettings
-from fleet_seam import Action, Draw, Event, Leaving, SetTimer, Started, TimerFired
-from fleet_wire import MemberState
+from gossip_codec import MemberState
+from quota_leases import CHANNEL, ShareKeeper, ShareSettings
+from sansio_core import Action, Event, RandomSource, SetTimer, ShutdownRequested, Started, TimerFired
 
 GONE = (MemberState.FAILED, MemberState.LEFT)
 SHARES_TOKEN = -1  # the members' own tokens are not negative
@@ -14,7 +14,7 @@
 class Router:
     """What a router runs of the fleet: a member, and its shares of the budgets on the same datagrams."""
 
-    def __init__(self, settings: MembershipSettings, shares: ShareSettings, draw: Draw) -> None:
+    def __init__(self, settings: MembershipSettings, shares: ShareSettings, draw: RandomSource) -> None:
         self.name = settings.name
         self.member = Membership(settings, draw, self._heard)
         self.keeper: ShareKeeper | None = None
@@ -27,7 +27,7 @@
         if isinstance(event, Started):
             self.keeper = ShareKeeper(self._shares, self.name, self._life, now)
             return [*self.member.handle(now, event), SetTimer(self.keeper.every_ms, SHARES_TOKEN)]
-        if isinstance(event, Leaving):
+        if isinstance(event, ShutdownRequested):
             self.keeper = None
         return self.member.handle(now, event)
 
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from fleet_membership import MembershipSettings
-from fleet_modes import ShareSettings
-from fleet_seam import Address, Draw
-from fleet_wire import Envelope, MemberState, Part, ProbeFor, Superseded
+from gossip_codec import Envelope, MemberState, Part, ProbeFor, Superseded
 from msgspec import DecodeError, msgpack
+from quota_leases import ShareSettings
+from sansio_core import Address, RandomSource
 
 from .member import Router
 from .membership_checks import FalseVerdicts, Ordered, SharesFit, Sides, settled
@@ -40,7 +40,7 @@
     shares = ShareSettings(tuple(name for name in names if name not in foreign), voters)
     seeds = tuple(address_of(names.index(name)) for name in voters)
 
-    def build(name: str, address: Address, incarnation: int, draw: Draw, disk: Disk) -> Router:
+    def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Router:
         secret = b"another secret of theirs" if name in foreign else b"the secret of the fleet"
         settings = MembershipSettings(
             name, address, "fleet", secret, seeds, voters, incarnation, **_typed(timings or {})
--- a/packages/fleet-sim/src/fleet_sim/membership_checks.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_checks.py
@@ -6,8 +6,8 @@
 from typing import cast
 
 from fleet_membership import View
-from fleet_seam import Told
-from fleet_wire import MemberState
+from gossip_codec import MemberState
+from sansio_core import Notice
 
 from .member import GONE, Router
 from .node import Node
@@ -116,7 +116,7 @@
 
     @staticmethod
     def count(world: World, counts: Counter[str]) -> None:
-        def listen(node: Node, told: Told) -> None:
+        def listen(node: Node, told: Notice) -> None:
             if told.name == "member" and told.fields["state"] == "failed":
                 counts["failed"] += 1
                 other = world.nodes.get(str(told.fields["name"]))
--- a/packages/fleet-sim/src/fleet_sim/network.py
+++ b/packages/fleet-sim/src/fleet_sim/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fleet_seam import Address, Draw
+from sansio_core import Address, RandomSource
 
 Link = tuple[str, str]  # from, to
 
@@ -50,7 +50,7 @@
         self._noises: dict[str, tuple[Quality, str]] = {}
         self._tape: dict[str, deque[Taped]] = {}
 
-    def fates(self, link: Link, draw: Draw) -> tuple[float, ...]:
+    def fates(self, link: Link, draw: RandomSource) -> tuple[float, ...]:
         """The delay in ms of each copy that will arrive; none when it is lost."""
         if link in self._cuts:
             return ()
@@ -120,7 +120,7 @@
         return self.base
 
 
-def _delay(quality: Quality, draw: Draw) -> float:
+def _delay(quality: Quality, draw: RandomSource) -> float:
     delay: float = quality.least_ms + (quality.most_ms - quality.least_ms) * draw()
     if quality.reordered and draw() < quality.reordered:
         delay += quality.held_ms * draw()
--- a/packages/fleet-sim/src/fleet_sim/node.py
+++ b/packages/fleet-sim/src/fleet_sim/node.py
@@ -7,10 +7,12 @@
 from enum import Enum
 from typing import Any
 
-from fleet_seam import Address, Draw, Heard, Machine
+from sansio_core import Address, DatagramReceived, RandomSource, StateMachine
 
 Disk = dict[str, Any]  # what survives a kill; a life without its disk starts with an empty one
-Factory = Callable[[str, Address, int, Draw, Disk], Machine[Any, Any]]  # name, address, incarnation, ...
+Factory = Callable[
+    [str, Address, int, RandomSource, Disk], StateMachine[Any, Any]
+]  # name, address, incarnation, ...
 
 BACKLOG = 128  # datagrams that wait at a paused process; later ones are lost, as in a full socket buffer
 DRIFT = 5e-4  # the fastest and slowest clock, as a share of true time
@@ -32,7 +34,7 @@
         self.address = address
         self.state = State.DOWN
         self.incarnation = 0
-        self.machine: Machine[Any, Any] | None = None
+        self.machine: StateMachine[Any, Any] | None = None
         self.disk: Disk = {}
         self.down_by = ""  # the fault that ended this life, if one did
         self.since = 0.0  # world time of the last change of `state`
@@ -45,7 +47,7 @@
         self._seed = seed
         self._zero = 0.0
         self._rate = 1.0
-        self.fate: Draw = random.Random(f"{seed}/{name}/fate").random  # of its datagrams and timers
+        self.fate: RandomSource = random.Random(f"{seed}/{name}/fate").random  # of its datagrams and timers
 
     @property
     def running(self) -> bool:
@@ -88,7 +90,7 @@
 
     def hold(self, event: Any) -> bool:
         """Keep an event for the end of a pause; False when the backlog is full and it is lost."""
-        if isinstance(event, Heard):
+        if isinstance(event, DatagramReceived):
             if self._held_datagrams >= BACKLOG:
                 return False
             self._held_datagrams += 1
@@ -99,4 +101,4 @@
         """What waited: datagrams before timers or the other way round, as the reactor may find them."""
         held, self._held, self._held_datagrams = self._held, [], 0
         timers_first = self.fate() < 0.5
-        return sorted(held, key=lambda event: isinstance(event, Heard) is timers_first)
+        return sorted(held, key=lambda event: isinstance(event, DatagramReceived) is timers_first)
--- a/packages/fleet-sim/src/fleet_sim/world.py
+++ b/packages/fleet-sim/src/fleet_sim/world.py
@@ -12,7 +12,16 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from fleet_seam import Address, Heard, Leaving, Send, SetTimer, Started, TimerFired, Told
+from sansio_core import (
+    Address,
+    DatagramReceived,
+    Notice,
+    SendDatagram,
+    SetTimer,
+    ShutdownRequested,
+    Started,
+    TimerFired,
+)
 
 from .entries import Entry, Kind, told_text
 from .network import Link, Network, Quality, Taped
@@ -66,7 +75,7 @@
         self.network = Network(base)
         self.nodes = {name: Node(name, address_of(index), seed) for index, name in enumerate(names)}
         self.log: list[Entry] = []
-        self.listeners: list[Callable[[Node, Told], None]] = []
+        self.listeners: list[Callable[[Node, Notice], None]] = []
         self.topology = 0  # grows with every change of a link or of a process
         self.link_since: dict[Link, float] = {}  # when a link last broke or healed
         self.stormy: set[str] = set()  # faults that last now
@@ -126,7 +135,7 @@
         node = self.nodes[name]
         if node.running:
             self.note(Kind.FAULT, "asked to leave", name)
-            self._handle(node, Leaving())
+            self._handle(node, ShutdownRequested())
             node.end(self.now, cause, keep_disk=True)
             self._life(node, "ended")
 
@@ -158,7 +167,7 @@
 
     def forge(self, to: str, source: Address, data: bytes) -> None:
         """A datagram that no process of this world sends now: replayed, or made up."""
-        self._push(self.now, self.nodes[to], ANY_LIFE, Heard(source, data))
+        self._push(self.now, self.nodes[to], ANY_LIFE, DatagramReceived(source, data))
 
     # -- record
 
@@ -216,14 +225,14 @@
 
     def _act(self, node: Node, action: Any) -> None:
         kind = type(action)
-        if kind is Send:
+        if kind is SendDatagram:
             self._send(node, action)
         elif kind is SetTimer:
             if not (math.isfinite(action.in_ms) and action.in_ms >= 0):
                 raise Violation("timer", self.now, node.name, f"a timer in {action.in_ms} ms")
             when = node.due(self.now, action.in_ms)
             self._push(when, node, node.incarnation, TimerFired(action.token))
-        elif kind is Told:
+        elif kind is Notice:
             self.note(Kind.TOLD, told_text(action), node.name)
             for listener in self.listeners:
                 listener(node, action)
@@ -232,7 +241,7 @@
         else:
             raise Violation("action", self.now, node.name, f"no one carries out {kind.__name__}")
 
-    def _send(self, node: Node, send: Send) -> None:
+    def _send(self, node: Node, send: SendDatagram) -> None:
         if len(send.data) > LARGEST:
             raise Violation("size", self.now, node.name, f"a datagram of {len(send.data)} bytes")
         node.sent += 1
@@ -247,7 +256,7 @@
             if text:
                 self.note(Kind.SENT if delays else Kind.LOST, text, node.name, target.name)
         for delay in delays:
-            self._push(self.now + delay, target, ANY_LIFE, Heard(node.address, send.data))
+            self._push(self.now + delay, target, ANY_LIFE, DatagramReceived(node.address, send.data))
 
 
 def address_of(index: int) -> Address:
--- a/packages/fleet-sim/tests/gossip_machine.py
+++ b/packages/fleet-sim/tests/gossip_machine.py
@@ -6,8 +6,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fleet_seam import Action, Address, Draw, Heard, Leaving, Send, SetTimer, Started, TimerFired, Told
 from fleet_sim import Disk, Node, Subject, World
+from sansio_core import (
+    Action,
+    Address,
+    DatagramReceived,
+    Notice,
+    RandomSource,
+    SendDatagram,
+    SetTimer,
+    ShutdownRequested,
+    Started,
+    TimerFired,
+)
 
 EVERY_MS = 200.0
 
@@ -18,7 +29,7 @@
 
     name: str
     peers: list[Address]
-    draw: Draw
+    draw: RandomSource
     disk: Disk
     flaws: frozenset[str]
     known: dict[str, int] = field(default_factory=dict)
@@ -30,12 +41,12 @@
             return [SetTimer(EVERY_MS, 1)]
         if isinstance(event, TimerFired):
             if "talks" in self.flaws:
-                return [Send(self.peers[0], b"x" * 257)]
+                return [SendDatagram(self.peers[0], b"x" * 257)]
             peer = self.peers[int(self.draw() * len(self.peers))]
-            return [Send(peer, json.dumps(self.known).encode()), SetTimer(EVERY_MS, 1)]
-        if isinstance(event, Heard):
+            return [SendDatagram(peer, json.dumps(self.known).encode()), SetTimer(EVERY_MS, 1)]
+        if isinstance(event, DatagramReceived):
             return self._merge(event.data)
-        return [Told("bye")] if isinstance(event, Leaving) else []
+        return [Notice("bye")] if isinstance(event, ShutdownRequested) else []
 
     def _merge(self, data: bytes) -> list[Action]:
         if "trusts" not in self.flaws and not data.startswith(b'{"'):
@@ -44,7 +55,7 @@
         for name, lives in json.loads(data).items():
             if lives > self.known.get(name, 0) or ("forgets" in self.flaws and lives != self.known.get(name)):
                 self.known[name] = lives
-                told.append(Told("learned", {"of": name, "lives": lives}))
+                told.append(Notice("learned", {"of": name, "lives": lives}))
         return told
 
 
@@ -72,7 +83,7 @@
 
 
 def gossip(*flaws: str, names: int = 4, **settings: Any) -> Subject:
-    def build(name: str, address: Address, incarnation: int, draw: Draw, disk: Disk) -> Gossip:
+    def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Gossip:
         peers = [peer for i in range(names) if (peer := (f"10.0.0.{i}", 7000)) != address]
         return Gossip(name, peers, draw, disk, frozenset(flaws))
 
--- a/packages/fleet-sim/tests/test_fleet_sim_members.py
+++ b/packages/fleet-sim/tests/test_fleet_sim_members.py
@@ -4,10 +4,10 @@
 from fleet_membership.judging import Judge
 from fleet_membership.standing import Standing
 from fleet_membership.table import Table
-from fleet_modes import ShareSettings
 from fleet_sim import Outcome, Weather, drawn_plan, node_names, run
 from fleet_sim.command import main
 from fleet_sim.membership import subject
+from quota_leases import ShareSettings
 
 LONG = Weather(longest_ms=60_000.0, most_faults=3, kinds=("split", "kill", "pause"))
 
--- a/packages/fleet-wire/src/fleet_wire/__init__.py
+++ b/packages/gossip-codec/src/gossip_codec/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fleet_wire.codec import MOST, UPDATES_MOST, Codec, RefusedError
-from fleet_wire.messages import (
+from gossip_codec.codec import MOST, UPDATES_MOST, Codec, RefusedError
+from gossip_codec.messages import (
     DIGEST,
     DIGESTS,
     Ack,
@@ -21,7 +21,7 @@
     to_address,
     to_place,
 )
-from fleet_wire.replay import ReplayWindow
+from gossip_codec.replay import ReplayWindow
 
 __all__ = [
     "DIGEST",
--- a/packages/fleet-wire/src/fleet_wire/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -12,8 +12,8 @@
 
 from msgspec import DecodeError, msgpack
 
-from fleet_wire.messages import Envelope, Message, Update
-from fleet_wire.replay import ReplayWindow
+from gossip_codec.messages import Envelope, Message, Update
+from gossip_codec.replay import ReplayWindow
 
 MOST, VERSION, FLEET, TAG = (
     256,
--- a/packages/fleet-wire/src/fleet_wire/messages.py
+++ b/packages/gossip-codec/src/gossip_codec/messages.py
@@ -10,8 +10,8 @@
 from ipaddress import IPv4Address
 from typing import Annotated
 
-from fleet_seam import Address
 from msgspec import Meta, Struct
+from sansio_core import Address
 
 DIGESTS, DIGEST = 16, 8  # buckets of the table in a ``Sync``; bytes of each bucket's digest
 
--- a/packages/fleet-wire/tests/test_fleet_wire.py
+++ b/packages/gossip-codec/tests/test_fleet_wire.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fleet_wire import (
+from gossip_codec import (
     MOST,
     Ack,
     Carried,
--- a/packages/fleet-net/src/fleet_net/port.py
+++ b/packages/gossip-transport/src/gossip_transport/port.py
@@ -11,7 +11,18 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from fleet_seam import Action, Event, Heard, Leaving, Machine, Send, SetTimer, Started, TimerFired, Told
+from sansio_core import (
+    Action,
+    DatagramReceived,
+    Event,
+    Notice,
+    SendDatagram,
+    SetTimer,
+    ShutdownRequested,
+    Started,
+    StateMachine,
+    TimerFired,
+)
 from twisted.internet import protocol
 
 MAX_DATAGRAM = 256  # bytes, in and out
@@ -23,17 +34,17 @@
 
 class FleetPort(protocol.DatagramProtocol):
     """One machine and its socket.  ``clock`` gives monotonic ms; ``schedule(in_ms, call)`` calls once, later,
-    never from within; ``tell`` gets each ``Told``.
+    never from within; ``tell`` gets each ``Notice``.
 
     ``counts``: ``in`` and ``out`` (datagrams), ``oversize-in``, ``oversize-out``, ``flood`` (read and
     dropped), ``unsent`` (the socket refused it), ``fault`` (an exception of the machine or of a callable)."""
 
     def __init__(
         self,
-        machine: Machine[Event, Action],
+        machine: StateMachine[Event, Action],
         clock: Callable[[], float],
         schedule: Callable[[float, Callable[[], None]], object],
-        tell: Callable[[Told], None],
+        tell: Callable[[Notice], None],
     ) -> None:
         self.machine, self.clock, self.schedule, self.tell = machine, clock, schedule, tell
         self.counts = Counter[str]()
@@ -57,7 +68,7 @@
         """Tell the machine that this process ends in order, once; nothing reaches it after that.  One that
         never listened knows nobody to tell."""
         if self.transport is not None:
-            self.feed(Leaving())
+            self.feed(ShutdownRequested())
         self.ended = True
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
@@ -68,7 +79,7 @@
             self.counts["flood"] += 1
         else:
             self.counts["in"] += 1
-            self.feed(Heard((addr[0], addr[1]), datagram))
+            self.feed(DatagramReceived((addr[0], addr[1]), datagram))
 
     def _count_turn(self) -> None:
         self._looked += 1
@@ -105,11 +116,11 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Send(to, data):
+            case SendDatagram(to, data):
                 self._send(to, data)
             case SetTimer(in_ms, token):
                 self.schedule(in_ms, lambda: self.feed(TimerFired(token)))
-            case Told():
+            case Notice():
                 self.tell(action)
 
     def _send(self, to: tuple[str, int], data: bytes) -> None:
--- a/packages/fleet-net/tests/test_port.py
+++ b/packages/gossip-transport/tests/test_port.py
@@ -7,8 +7,18 @@
 from typing import Any
 
 import pytest
-from fleet_net import AGAIN_MS, LOOKED, MAX_DATAGRAM, TURN, FleetPort
-from fleet_seam import Action, Event, Heard, Leaving, Send, SetTimer, Started, TimerFired, Told
+from gossip_transport import AGAIN_MS, LOOKED, MAX_DATAGRAM, TURN, FleetPort
+from sansio_core import (
+    Action,
+    DatagramReceived,
+    Event,
+    Notice,
+    SendDatagram,
+    SetTimer,
+    ShutdownRequested,
+    Started,
+    TimerFired,
+)
 from twisted.internet import reactor
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.trial.unittest import TestCase
@@ -49,7 +59,7 @@
     """One endpoint on a fake clock."""
 
     def __init__(self, script: dict[type, Any]) -> None:
-        self.now, self.told = 5.0, list[Told]()
+        self.now, self.told = 5.0, list[Notice]()
         self.later: list[tuple[float, Callable[[], None]]] = []
         self.machine, self.transport = Scripted(script), Transport()
         self.port = FleetPort(self.machine, lambda: self.now, self.schedule, self.told.append)
@@ -71,7 +81,7 @@
 
 def test_actions_are_carried_out_in_order_and_timers_come_back() -> None:
     order: list[str] = []
-    hall = Hall({Started: [Told("a"), Send(PEER, b"x"), SetTimer(7.0, 3), Told("b")]})
+    hall = Hall({Started: [Notice("a"), SendDatagram(PEER, b"x"), SetTimer(7.0, 3), Notice("b")]})
     hall.port.tell = lambda told: order.append(told.name)
     hall.transport.write = lambda data, to: order.append(data.decode())  # type: ignore[method-assign]
     hall.port.feed(Started())
@@ -86,13 +96,13 @@
 def test_datagrams_over_the_bound_pass_neither_way(
     size: int, taken: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    hall = Hall({Heard: [Send(PEER, b"y" * size), Told("after")]})
+    hall = Hall({DatagramReceived: [SendDatagram(PEER, b"y" * size), Notice("after")]})
     hall.port.datagramReceived(b"z" * size, PEER)
-    assert ((5.0, Heard(PEER, b"z" * size)) in hall.machine.events) is taken
+    assert ((5.0, DatagramReceived(PEER, b"z" * size)) in hall.machine.events) is taken
     assert hall.port.counts["oversize-in"] == (not taken)
     hall.port.datagramReceived(b"small", PEER)
     assert (len(hall.transport.sent) > 0) is taken
-    assert hall.port.counts["oversize-out"] == (not taken) and hall.told[-1] == Told("after")
+    assert hall.port.counts["oversize-out"] == (not taken) and hall.told[-1] == Notice("after")
     assert bool(caplog.records) is not taken
 
 
@@ -110,7 +120,7 @@
 
 
 def test_faults_are_logged_sparsely_and_end_nothing(caplog: pytest.LogCaptureFixture) -> None:
-    hall = Hall({Heard: RuntimeError("machine"), Started: [Told("a"), SetTimer(1.0, 1)]})
+    hall = Hall({DatagramReceived: RuntimeError("machine"), Started: [Notice("a"), SetTimer(1.0, 1)]})
     with caplog.at_level(logging.ERROR):
         for _ in range(9):
             hall.port.datagramReceived(b"x", PEER)
@@ -120,7 +130,7 @@
     hall.port.feed(Started())
     assert hall.port.counts["fault"] == 10 and hall.later  # the timer behind it is set all the same
     hall.transport.fails = True
-    hall.machine.script[Heard] = [Send(PEER, b"x")]
+    hall.machine.script[DatagramReceived] = [SendDatagram(PEER, b"x")]
     hall.port.datagramReceived(b"x", PEER)
     assert hall.port.counts["unsent"] == 1 and hall.port.counts["fault"] == 10
     hall.machine.script[TimerFired] = RuntimeError("once")
@@ -132,12 +142,12 @@
 
 
 def test_leaving_is_the_last_event() -> None:
-    hall = Hall({Leaving: [Send(PEER, b"bye")], Started: [SetTimer(1.0, 1)]})
+    hall = Hall({ShutdownRequested: [SendDatagram(PEER, b"bye")], Started: [SetTimer(1.0, 1)]})
     hall.port.leave()
     hall.port.leave()
     hall.port.datagramReceived(b"x", PEER)
     hall.turn(10.0)
-    assert [event for _, event in hall.machine.events] == [Started(), Leaving()]
+    assert [event for _, event in hall.machine.events] == [Started(), ShutdownRequested()]
     assert hall.transport.sent == [(b"bye", PEER)]
     silent = FleetPort(hall.machine, lambda: 0.0, hall.schedule, print)
     silent.leave()
@@ -160,12 +170,12 @@
 
     @inlineCallbacks
     def test_a_datagram_goes_there_and_back(self) -> Any:
-        back: Deferred[Heard] = Deferred()
-        _, at = self.port({Heard: lambda heard: [Send(heard.source, heard.data + b"!")]})
-        one, _ = self.port({Heard: [Told("back")]})
+        back: Deferred[DatagramReceived] = Deferred()
+        _, at = self.port({DatagramReceived: lambda heard: [SendDatagram(heard.source, heard.data + b"!")]})
+        one, _ = self.port({DatagramReceived: [Notice("back")]})
         one.tell = lambda told: back.callback(one.machine.events[-1][1])  # type: ignore[attr-defined]
         one.feed(Started())
-        one._carry_out(Send((at.host, at.port), b"hail"))
+        one._carry_out(SendDatagram((at.host, at.port), b"hail"))
         heard = yield back
-        assert heard == Heard((at.host, at.port), b"hail!")
+        assert heard == DatagramReceived((at.host, at.port), b"hail!")
         assert one.counts == {"out": 1, "in": 1}
--- a/packages/fleet-modes/src/fleet_modes/__init__.py
+++ b/packages/quota-leases/src/quota_leases/__init__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from fleet_modes.keeper import CHANNEL, ShareKeeper
-from fleet_modes.settings import WHOLE, ShareSettings
-from fleet_modes.shares import Granter, Holder
-from fleet_modes.table import MODE_TABLE, Rule, Verdict, Work
+from quota_leases.keeper import CHANNEL, ShareKeeper
+from quota_leases.settings import WHOLE, ShareSettings
+from quota_leases.shares import Granter, Holder
+from quota_leases.table import MODE_TABLE, Rule, Verdict, Work
 
 __all__ = [
     "CHANNEL",
--- a/packages/fleet-modes/src/fleet_modes/keeper.py
+++ b/packages/quota-leases/src/quota_leases/keeper.py
@@ -7,10 +7,10 @@
 
 from msgspec import DecodeError, Meta, Struct, msgpack
 
-from fleet_modes.settings import WHOLE, ShareSettings
-from fleet_modes.shares import Granter, Holder
+from quota_leases.settings import WHOLE, ShareSettings
+from quota_leases.shares import Granter, Holder
 
-CHANNEL = 1  # of ``fleet_wire.Carried``
+CHANNEL = 1  # of ``gossip_codec.Carried``
 RENEWALS = 4  # within a lease
 Count = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
--- a/packages/fleet-modes/src/fleet_modes/shares.py
+++ b/packages/quota-leases/src/quota_leases/shares.py
@@ -29,7 +29,7 @@
 from collections import deque
 from collections.abc import Collection
 
-from fleet_modes.settings import ShareSettings
+from quota_leases.settings import ShareSettings
 
 PENDING = 16  # asks of one voter that may still be answered
 
--- a/packages/fleet-modes/tests/test_fleet_modes.py
+++ b/packages/quota-leases/tests/test_fleet_modes.py
@@ -7,9 +7,9 @@
 
 import pytest
 from fleet_membership import Mode
-from fleet_modes import MODE_TABLE, WHOLE, Holder, ShareKeeper, ShareSettings, Verdict, Work
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from quota_leases import MODE_TABLE, WHOLE, Holder, ShareKeeper, ShareSettings, Verdict, Work
 
 ROUTERS = tuple(f"r{at}" for at in range(5))
 SHARES = ShareSettings(ROUTERS, ROUTERS[:3])
--- /dev/null
+++ b/packages/sansio-core/src/sansio_core/__init__.py
@@ -0,0 +1,83 @@
+"""Events and actions shared by every sans-I/O state machine of the fleet and control packages.
+
+Times are milliseconds on the caller's monotonic clock, whose zero is arbitrary.  The caller passes each event
+to the state machine together with the time at which it occurred, and carries out the returned actions at that
+time and in their order.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from typing import Protocol, TypeVar
+
+Address = tuple[str, int]
+"""IPv4 address in dotted form, and port."""
+
+RandomSource = Callable[[], float]
+"""Returns the next random number, uniform in [0, 1)."""
+
+
+@dataclass(frozen=True, slots=True)
+class Started:
+    """The first event that a state machine receives."""
+
+
+@dataclass(frozen=True, slots=True)
+class DatagramReceived:
+    """A datagram arrived.  Its sender is unknown until its authentication tag has been verified."""
+
+    source: Address
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """A timer requested by ``SetTimer`` is due; it may fire late."""
+
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class ShutdownRequested:
+    """The process is shutting down gracefully (SIGTERM); the state machine announces it to its peers."""
+
+
+@dataclass(frozen=True, slots=True)
+class SendDatagram:
+    """Send a datagram.  It may be lost, delayed, duplicated or reordered."""
+
+    to: Address
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Deliver ``TimerFired(token)`` after ``in_ms``.  Timers cannot be cancelled: a state machine ignores
+    those that it no longer needs."""
+
+    in_ms: float
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class Notice:
+    """A named occurrence for logs, counters and traces.  Its fields never contain secrets."""
+
+    name: str
+    fields: Mapping[str, str | int | float] = field(default_factory=dict)
+
+
+Event = Started | DatagramReceived | TimerFired | ShutdownRequested
+Action = SendDatagram | SetTimer | Notice
+
+EventT = TypeVar("EventT", contravariant=True)
+ActionT = TypeVar("ActionT")
+
+
+class StateMachine(Protocol[EventT, ActionT]):
+    """A component driven by events and actions; packages may add types of their own to those above."""
+
+    def handle(self, now: float, event: EventT) -> list[ActionT]:
+        """Process one event that occurred at ``now`` (ms); return the actions to carry out, in order."""
+        ...
--- a/tests/sources_rig.py
+++ b/tests/sources_rig.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from control_sources import Sources
+from control_client import Sources
 from standins.rig import reactor, until
 from standins.watch import HandClock, WatchStandIn, answer
 from twisted.internet import protocol
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 from unittest.mock import Mock
 
 import pytest
-from fleet_seam import Told
+from sansio_core import Notice
 from twisted.internet.address import IPv4Address
 from twisted.internet.error import CannotListenError
 
@@ -190,7 +190,7 @@
     member = Member(tmp_path, monkeypatch)
     for _ in range(9):
         member.fleet.port.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
-    member.fleet.port.tell(Told("unknown", {}))
+    member.fleet.port.tell(Notice("unknown", {}))
     assert [noted["times"] for noted in member.noted("refused")] == [1, 2, 4, 8]
     assert not member.noted("unknown")
 
--- a/thornjunction/net/sourced_channel.py
+++ b/thornjunction/net/sourced_channel.py
@@ -1,6 +1,6 @@
 """The command channel at several sources: relays, or discovery itself (``docs/design/control.md``).
 
-Which of them is polled, and what is taken of what it tells, the machines of ``control_sources`` decide; this
+Which of them is polled, and what is taken of what it tells, the machines of ``control_client`` decide; this
 carries it out.  Imported only where the operators' file has ``[control]`` or ``[relay]``."""
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from control_sources import (
+from control_client import (
     Answered,
     Ask,
     Event,
@@ -26,7 +26,7 @@
     SourcesEvent,
     Standing,
 )
-from fleet_seam import Address, SetTimer, Started, TimerFired, Told
+from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
 from thornjunction import interface as api
 from thornjunction.logs import get_logger
@@ -222,7 +222,7 @@
                 self._probe(source, self._probed(source))
             case SetTimer(in_ms, token):
                 self.deadlines.add(self.clock() + in_ms, lambda: self._feed_machine(TimerFired(token)))
-            case Told(name, fields):
+            case Notice(name, fields):
                 self._fails += name == "source-left"
                 if worth_logging(max(self._fails, 1)):
                     log.info(name, failures=self._fails, **fields)
--- a/thornjunction/runtime/extras.py
+++ b/thornjunction/runtime/extras.py
@@ -127,7 +127,7 @@
 def _control(top: Params) -> ControlSettings:
     from thornjunction.runtime.control_settings import read_control
 
-    if find_spec("control_sources") is None:
+    if find_spec("control_client") is None:
         raise ConfigError("control: its packages are not installed (packages/)")
     return read_control(top.below("control"))
 
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from fleet_membership import Membership, MembershipSettings
-from fleet_net import FleetPort
-from fleet_seam import Told
+from gossip_transport import FleetPort
+from sansio_core import Notice
 from twisted.internet.error import CannotListenError
 
 from thornjunction.logs import get_logger
@@ -87,7 +87,7 @@
     def _schedule(self, in_ms: float, call: Any) -> object:
         return self.deadlines.add(core_ms() + in_ms, call)
 
-    def _note(self, told: Told) -> None:
+    def _note(self, told: Notice) -> None:
         if told.name in NOTED:
             log.info(told.name, **told.fields)
         elif told.name == "refused":
--- a/thornjunction/runtime/parts.py
+++ b/thornjunction/runtime/parts.py
@@ -78,7 +78,7 @@
     name can't stand in a poll."""
     if extras is None or extras.control is None:
         return Channel(reactor, config.channel, deadlines, core_ms, take, on_current)
-    from control_sources import HOLD_MS, Sources
+    from control_client import HOLD_MS, Sources
 
     from thornjunction.net.sourced_channel import SourcedChannel
     from thornjunction.runtime.addresses import check_name
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -14,6 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from control_client import Sources, SourceTimes
 from control_relay import (
     Answer,
     Attached,
@@ -29,8 +30,7 @@
     RelayEvent,
 )
 from control_relay import RelaySettings as MachineSettings
-from control_sources import Sources, SourceTimes
-from fleet_seam import SetTimer, Started, TimerFired, Told
+from sansio_core import Notice, SetTimer, Started, TimerFired
 from twisted.internet import protocol
 
 from thornjunction.logs import get_logger
@@ -120,7 +120,7 @@
                 self.pollers.refuse(poller, why)
             case SetTimer(in_ms, token):
                 self._later(in_ms, lambda: self.feed(TimerFired(token)))
-            case Told(name, fields):
+            case Notice(name, fields):
                 log.info(name, **fields)
 
     def _later(self, in_ms: float, call: Callable[[], None]) -> None:
