--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -22,7 +22,7 @@
 from capacity_fit import fit, row, sized_main, table
 from fleet_membership import MemberView, Mode, View
 from fleet_sim import Quality, World, node_names
-from fleet_sim.membership_checks import view_of
+from fleet_sim.membership_invariants import view_of
 from gossip_codec import MemberState
 from msgspec import msgpack
 from quota_leases import ShareKeeper, ShareSettings
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -15,7 +15,7 @@
 from fleet_sim import Node, Quality, World, node_names
 from fleet_sim.command import percentile
 from fleet_sim.membership import subject
-from fleet_sim.membership_checks import view_of
+from fleet_sim.membership_invariants import view_of
 from fleet_sim.run import make_world
 from sansio_core import Notice
 
--- a/packages/fleet-membership/src/fleet_membership/__init__.py
+++ b/packages/fleet-membership/src/fleet_membership/__init__.py
@@ -4,7 +4,7 @@
 
 from gossip_codec import MemberState
 
-from fleet_membership.machine import Membership
+from fleet_membership.membership import Membership
 from fleet_membership.settings import MembershipSettings
 from fleet_membership.view import Link, MemberView, Mode, View
 
--- a/packages/fleet-membership/src/fleet_membership/sync.py
+++ b/packages/fleet-membership/src/fleet_membership/anti_entropy.py
@@ -9,8 +9,8 @@
 from gossip_codec import MemberState, Part, Sync, to_address
 from sansio_core import Address
 
-from fleet_membership.core import Core
-from fleet_membership.table import LIVE
+from fleet_membership.context import Core
+from fleet_membership.member_table import LIVE
 
 LOST_EVERY = 3  # exchanges, of which one goes to the lost
 PARTS_MOST = 16  # datagrams of one exchange; a larger difference takes several
--- a/packages/fleet-membership/src/fleet_membership/core.py
+++ b/packages/fleet-membership/src/fleet_membership/context.py
@@ -8,11 +8,11 @@
 from gossip_codec import Codec, MemberState, Message, Update, to_address, to_place
 from sansio_core import Action, Address, Notice, RandomSource, SendDatagram
 
-from fleet_membership.agenda import Agenda
-from fleet_membership.dissemination import Rumours
-from fleet_membership.health import LocalHealth
+from fleet_membership.broadcast_queue import Rumours
+from fleet_membership.local_health import LocalHealth
+from fleet_membership.member_table import Member, Table
 from fleet_membership.settings import MembershipSettings
-from fleet_membership.table import Member, Table
+from fleet_membership.task_schedule import Agenda
 
 T = TypeVar("T")
 
--- a/packages/fleet-membership/src/fleet_membership/judging.py
+++ b/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
@@ -7,9 +7,9 @@
 from gossip_codec import MemberState, Probe, Update
 from msgspec.structs import replace
 
-from fleet_membership.core import Core
+from fleet_membership.context import Core
+from fleet_membership.member_table import LIVE, Member
 from fleet_membership.suspicion import Suspicion
-from fleet_membership.table import LIVE, Member
 
 HEARD = 5.0  # periods within which one that wrote itself was heard lately
 
--- a/packages/fleet-membership/src/fleet_membership/machine.py
+++ b/packages/fleet-membership/src/fleet_membership/membership.py
@@ -11,15 +11,15 @@
 from msgspec.structs import replace
 from sansio_core import Action, DatagramReceived, Event, RandomSource, ShutdownRequested, Started, TimerFired
 
-from fleet_membership.agenda import Task
-from fleet_membership.core import Core
-from fleet_membership.intake import Inbox, Intake
-from fleet_membership.judging import Judge
+from fleet_membership.anti_entropy import Syncer
+from fleet_membership.context import Core
+from fleet_membership.failure_verdicts import Judge
+from fleet_membership.member_table import LIVE
+from fleet_membership.message_handling import Inbox, Intake
 from fleet_membership.probing import Prober
+from fleet_membership.quorum import Standing
 from fleet_membership.settings import MembershipSettings
-from fleet_membership.standing import Standing
-from fleet_membership.sync import Syncer
-from fleet_membership.table import LIVE
+from fleet_membership.task_schedule import Task
 from fleet_membership.view import View
 
 FAREWELLS = 8  # members, besides the voters, that are told of a leave
--- a/packages/fleet-membership/src/fleet_membership/intake.py
+++ b/packages/fleet-membership/src/fleet_membership/message_handling.py
@@ -19,11 +19,11 @@
 )
 from sansio_core import Address
 
-from fleet_membership.core import Core
-from fleet_membership.judging import Judge
+from fleet_membership.anti_entropy import Syncer
+from fleet_membership.context import Core
+from fleet_membership.failure_verdicts import Judge
 from fleet_membership.probing import Prober
-from fleet_membership.standing import Standing
-from fleet_membership.sync import Syncer
+from fleet_membership.quorum import Standing
 
 Inbox = Callable[[float, str, int, bytes], bytes | None]
 """Another machine's bodies: ``(now, sender, channel, body)`` -> what to answer on the same channel."""
--- a/packages/fleet-membership/src/fleet_membership/probing.py
+++ b/packages/fleet-membership/src/fleet_membership/probing.py
@@ -10,9 +10,9 @@
 
 from gossip_codec import Ack, MemberState, Nack, Probe, ProbeFor, to_address
 
-from fleet_membership.core import Core
-from fleet_membership.judging import Judge
-from fleet_membership.table import LIVE, Member
+from fleet_membership.context import Core
+from fleet_membership.failure_verdicts import Judge
+from fleet_membership.member_table import LIVE, Member
 from fleet_membership.view import Link
 
 NACK_AT = 0.8  # of the probe's time, after which one that probes for another says ``Nack``
--- a/packages/fleet-membership/src/fleet_membership/standing.py
+++ b/packages/fleet-membership/src/fleet_membership/quorum.py
@@ -4,7 +4,7 @@
 
 from gossip_codec import MemberState, Probe
 
-from fleet_membership.core import Core
+from fleet_membership.context import Core
 from fleet_membership.view import Mode
 
 DOUBT = 5.0  # periods within which a voter has to answer while this router is not well
--- a/packages/fleet-membership/tests/membership_bench.py
+++ b/packages/fleet-membership/tests/membership_cluster.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from fleet_membership import Membership, MembershipSettings, MemberState, Mode, View
-from fleet_membership.intake import Inbox
+from fleet_membership.message_handling import Inbox
 from fleet_sim import Node, Quality, World
 from gossip_codec import Codec, Envelope
 from sansio_core import Action, Address, Notice, RandomSource
--- a/packages/fleet-membership/tests/test_membership_parts.py
+++ b/packages/fleet-membership/tests/test_membership_components.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fleet_membership.dissemination import Rumours
+from fleet_membership.broadcast_queue import Rumours
+from fleet_membership.member_table import LIVE, Table
 from fleet_membership.suspicion import Suspicion
-from fleet_membership.table import LIVE, Table
 from gossip_codec import MemberState, Update
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/packages/fleet-membership/tests/test_fleet_membership.py
+++ b/packages/fleet-membership/tests/test_membership_scenarios.py
@@ -8,7 +8,7 @@
 import pytest
 from fleet_membership import Link, Membership, MembershipSettings, MemberState, Mode
 from gossip_codec import MOST, Carried, Codec, Part, Probe, Sync, Update, to_place
-from membership_bench import SECRET, Bench
+from membership_cluster import SECRET, Bench
 
 ALIVE, SUSPECT, FAILED, LEFT = MemberState
 
--- a/packages/fleet-sim/src/fleet_sim/__init__.py
+++ b/packages/fleet-sim/src/fleet_sim/__init__.py
@@ -1,13 +1,13 @@
 """Seeded simulation of the fleet's sans-I/O machines: network, clocks, processes, faults, timelines."""
 
-from .entries import Entry, Kind, told_text
+from .cluster import Invariant, Violation, World
 from .faults import KINDS, Fault, Schedule, Weather, draw_schedule
 from .network import Network, Quality
 from .node import Disk, Factory, Node, State
 from .run import Outcome, Plan, Subject, drawn_plan, node_names, run
 from .shrink import shrink
-from .timeline import Renderer, render
-from .world import Invariant, Violation, World
+from .trace import Entry, Kind, told_text
+from .trace_rendering import Renderer, render
 
 __all__ = [
     "KINDS",
--- a/packages/fleet-sim/src/fleet_sim/world.py
+++ b/packages/fleet-sim/src/fleet_sim/cluster.py
@@ -23,9 +23,9 @@
     TimerFired,
 )
 
-from .entries import Entry, Kind, told_text
 from .network import Link, Network, Quality, Taped
 from .node import Factory, Node, State
+from .trace import Entry, Kind, told_text
 
 LARGEST = 256  # bytes of a datagram
 ANY_LIFE = -1
--- a/packages/fleet-sim/src/fleet_sim/faults.py
+++ b/packages/fleet-sim/src/fleet_sim/faults.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 from itertools import permutations
 
-from .entries import Kind
+from .cluster import World
 from .network import Link, Quality
-from .world import World
+from .trace import Kind
 
 
 def pair(source: str, target: str, both: bool) -> list[Link]:
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -11,13 +11,13 @@
 from quota_leases import ShareSettings
 from sansio_core import Address, RandomSource
 
-from .member import Router
-from .membership_checks import FalseVerdicts, Ordered, SharesFit, Sides, settled
+from .cluster import address_of
+from .membership_invariants import FalseVerdicts, Ordered, SharesFit, Sides, settled
 from .network import Quality
 from .node import Disk
 from .run import Subject
 from .scenario import Scenario
-from .world import address_of
+from .simulated_router import Router
 
 VOTERS = 5  # at most, in a drawn fleet
 SETTLE_MS = 60_000.0
--- a/packages/fleet-sim/src/fleet_sim/membership_checks.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_invariants.py
@@ -9,10 +9,10 @@
 from gossip_codec import MemberState
 from sansio_core import Notice
 
-from .member import GONE, Router
+from .cluster import World
 from .node import Node
-from .reach import Reach, steady_ms
-from .world import World
+from .reachability import Reach, steady_ms
+from .simulated_router import GONE, Router
 
 STEADY_MS = 5_000.0  # both run and reach each other for so long: a verdict of failure is false
 CALM_MS = 15_000.0  # and all that run reach the member for so long: it is a violation as well
--- a/packages/fleet-sim/src/fleet_sim/reach.py
+++ b/packages/fleet-sim/src/fleet_sim/reachability.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from .cluster import World
 from .node import Node
-from .world import World
 
 
 class Reach:
--- a/packages/fleet-sim/src/fleet_sim/run.py
+++ b/packages/fleet-sim/src/fleet_sim/run.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .entries import Entry
+from .cluster import Carry, Describe, Invariant, Violation, World
 from .faults import Schedule, Weather, draw_schedule, plant
 from .network import Quality
 from .node import Factory
-from .timeline import render
-from .world import Carry, Describe, Invariant, Violation, World
+from .trace import Entry
+from .trace_rendering import render
 
 POLL_MS = 250.0  # how often the end of a run is asked whether all has settled
 
--- a/packages/fleet-sim/src/fleet_sim/acts.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_actions.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import fields
 
+from .cluster import World
 from .faults import Cut, Fault, Flap, Garbage, Kill, Lag, Leave, Noise, Partition, Pause, Replay, WallStep
 from .network import Link, Quality
 from .scenario import FormError
-from .world import World
 
 Words = tuple[str, ...]
 
--- a/packages/fleet-sim/src/fleet_sim/play.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_player.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from .acts import Acts
-from .entries import Entry, Kind
+from .cluster import Violation, World
 from .run import Subject, make_world
 from .scenario import Expected, Scenario, Step
-from .timeline import Renderer
-from .world import Violation, World
+from .scenario_actions import Acts
+from .trace import Entry, Kind
+from .trace_rendering import Renderer
 
 Maker = Callable[[Scenario], Subject]
 LOOK_MS = 10.0  # how often the log is read; a `then` comes so much later at most
--- a/packages/fleet-sim/src/fleet_sim/timeline.py
+++ b/packages/fleet-sim/src/fleet_sim/trace_rendering.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from textwrap import wrap
 
-from .entries import Entry, Kind
+from .trace import Entry, Kind
 
 LIFELINES = {"started": "|", "continued": "|", "paused": ":", "killed": " ", "ended": " "}
 TIME = 10  # width of the times
--- a/packages/fleet-sim/tests/test_fleet_sim_members.py
+++ b/packages/fleet-sim/tests/test_membership_simulation.py
@@ -1,9 +1,9 @@
 from __future__ import annotations
 
 import pytest
-from fleet_membership.judging import Judge
-from fleet_membership.standing import Standing
-from fleet_membership.table import Table
+from fleet_membership.failure_verdicts import Judge
+from fleet_membership.member_table import Table
+from fleet_membership.quorum import Standing
 from fleet_sim import Outcome, Weather, drawn_plan, node_names, run
 from fleet_sim.command import main
 from fleet_sim.membership import subject
--- a/packages/fleet-sim/tests/test_fleet_timelines.py
+++ b/packages/fleet-sim/tests/test_membership_timelines.py
@@ -4,8 +4,8 @@
 
 import pytest
 from fleet_sim.membership import from_scenario
-from fleet_sim.play import play
 from fleet_sim.scenario import load
+from fleet_sim.scenario_player import play
 
 FILES = sorted((Path(__file__).parents[3] / "tests" / "timelines").glob("*.timeline"))
 
--- a/packages/fleet-sim/tests/test_fleet_sim_scenarios.py
+++ b/packages/fleet-sim/tests/test_scenarios.py
@@ -1,9 +1,9 @@
 from __future__ import annotations
 
 import pytest
-from fleet_sim.play import Report, play
+from counter_gossip import gossip
 from fleet_sim.scenario import FormError, parse
-from gossip_machine import gossip
+from fleet_sim.scenario_player import Report, play
 
 HEAD = "title: Lives are counted\nnodes: a b c d\n"
 SOUND = (
--- a/packages/fleet-sim/tests/test_fleet_sim_runs.py
+++ b/packages/fleet-sim/tests/test_simulation_runs.py
@@ -1,9 +1,9 @@
 from __future__ import annotations
 
 import pytest
+from counter_gossip import gossip
 from fleet_sim import Fault, Outcome, Plan, Weather, drawn_plan, render, run, shrink
 from fleet_sim.faults import Cut, Flap, Garbage, Kill, Lag, Leave, Partition, Pause, Replay, WallStep
-from gossip_machine import gossip
 
 NAMES = ("a", "b", "c", "d")
 
--- a/packages/gossip-codec/src/gossip_codec/__init__.py
+++ b/packages/gossip-codec/src/gossip_codec/__init__.py
@@ -21,7 +21,7 @@
     to_address,
     to_place,
 )
-from gossip_codec.replay import ReplayWindow
+from gossip_codec.replay_window import ReplayWindow
 
 __all__ = [
     "DIGEST",
--- a/packages/gossip-codec/src/gossip_codec/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -13,7 +13,7 @@
 from msgspec import DecodeError, msgpack
 
 from gossip_codec.messages import Envelope, Message, Update
-from gossip_codec.replay import ReplayWindow
+from gossip_codec.replay_window import ReplayWindow
 
 MOST, VERSION, FLEET, TAG = (
     256,
--- a/packages/quota-leases/src/quota_leases/__init__.py
+++ b/packages/quota-leases/src/quota_leases/__init__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from quota_leases.keeper import CHANNEL, ShareKeeper
+from quota_leases.lease_exchange import CHANNEL, ShareKeeper
+from quota_leases.leases import Granter, Holder
+from quota_leases.partition_modes import MODE_TABLE, Rule, Verdict, Work
 from quota_leases.settings import WHOLE, ShareSettings
-from quota_leases.shares import Granter, Holder
-from quota_leases.table import MODE_TABLE, Rule, Verdict, Work
 
 __all__ = [
     "CHANNEL",
--- a/packages/quota-leases/src/quota_leases/keeper.py
+++ b/packages/quota-leases/src/quota_leases/lease_exchange.py
@@ -7,8 +7,8 @@
 
 from msgspec import DecodeError, Meta, Struct, msgpack
 
+from quota_leases.leases import Granter, Holder
 from quota_leases.settings import WHOLE, ShareSettings
-from quota_leases.shares import Granter, Holder
 
 CHANNEL = 1  # of ``gossip_codec.Carried``
 RENEWALS = 4  # within a lease
