--- a/packages/fleet-membership/src/fleet_membership/anti_entropy.py
+++ b/packages/fleet-membership/src/fleet_membership/anti_entropy.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from gossip_codec import MemberState, Part, Sync, to_address
+from gossip_codec import MemberState, Sync, UpdateBatch, unpack_address
 from sansio_core import Address
 
 from fleet_membership.context import Core
@@ -30,7 +30,7 @@
             return  # it was brought forward, and done
         self._plan(now, eager=not majority)
         self._rounds += 1
-        live = [to_address(m.update.place) for m in core.table.others(*LIVE)]
+        live = [unpack_address(m.update.address) for m in core.table.others(*LIVE)]
         lost = self._lost(live)
         if not majority or not live:
             peers = core.sample(live, 1) + core.sample(lost, 2)
@@ -40,7 +40,7 @@
             self.ask(peer)
 
     def ask(self, peer: Address) -> None:
-        self._core.send(peer, Sync(self._core.table.digests(), answer=False), (self._core.table.own,))
+        self._core.send(peer, Sync(self._core.table.digests(), is_reply=False), (self._core.table.own,))
 
     def meet(self, now: float, peer: Address) -> None:
         """Exchange tables with one that is not known, at most one in a period."""
@@ -66,11 +66,11 @@
         start = int(core.draw() * len(told))  # what finds no room this time may the next
         told = told[start:] + told[:start]
         for _ in range(PARTS_MOST):
-            told = told[core.send(peer, Part(), told[:15]) :]
+            told = told[core.send(peer, UpdateBatch(), told[:15]) :]
             if not told:
                 break
-        if not message.answer:
-            core.send(peer, Sync(core.table.digests(), answer=True), (core.table.own,))
+        if not message.is_reply:
+            core.send(peer, Sync(core.table.digests(), is_reply=True), (core.table.own,))
 
     def _plan(self, now: float, eager: bool) -> None:
         settings = self._core.settings
@@ -82,6 +82,6 @@
 
     def _lost(self, live: list[Address]) -> list[Address]:
         core = self._core
-        failed = [to_address(m.update.place) for m in core.table.others(MemberState.FAILED)]
+        failed = [unpack_address(m.update.address) for m in core.table.others(MemberState.FAILED)]
         known = {*live, *failed, core.settings.address}
         return failed + [seed for seed in core.settings.seeds if seed not in known]
--- a/packages/fleet-membership/src/fleet_membership/broadcast_queue.py
+++ b/packages/fleet-membership/src/fleet_membership/broadcast_queue.py
@@ -7,7 +7,7 @@
 from itertools import islice
 from math import ceil, log10
 
-from gossip_codec import UPDATES_MOST, MemberState, Update
+from gossip_codec import MAX_UPDATES, MemberState, Update
 
 
 class Rumours:
@@ -30,7 +30,7 @@
 
     def pick(self) -> list[Update]:
         """As many as a datagram may carry."""
-        return list(islice(self._told, UPDATES_MOST))
+        return list(islice(self._told, MAX_UPDATES))
 
     def sent(self, updates: Sequence[Update], members: int) -> None:
         """These were told once more; each is forgotten after ``retransmit`` x log10 of the members."""
--- a/packages/fleet-membership/src/fleet_membership/context.py
+++ b/packages/fleet-membership/src/fleet_membership/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-from gossip_codec import Codec, MemberState, Message, Update, to_address, to_place
+from gossip_codec import Codec, MemberState, Message, Update, pack_address, unpack_address
 from sansio_core import Action, Address, Notice, RandomSource, SendDatagram
 
 from fleet_membership.broadcast_queue import Rumours
@@ -24,7 +24,7 @@
         self.settings = settings
         self.draw = draw
         self.codec = Codec(settings.fleet, settings.secret)
-        own = Update(settings.name, to_place(settings.address), settings.incarnation, MemberState.ALIVE)
+        own = Update(settings.name, pack_address(settings.address), settings.incarnation, MemberState.ALIVE)
         self.table = Table(own, settings.members_most)
         self.rumours = Rumours(settings.retransmit)
         self.health = LocalHealth()
@@ -52,16 +52,16 @@
         """Send with rumours behind ``first``; gives how many of ``first`` found room."""
         own = self.table.own
         updates = [*first, *(update for update in self.rumours.pick() if update not in first)]
-        data, packed = self.codec.encode(own.name, own.incarnation, message, updates)
-        self.rumours.sent(updates[:packed], self.table.live())
-        self.out.append(SendDatagram(to, data))
-        return min(packed, len(first))
+        datagram = self.codec.encode(own.name, own.incarnation, message, updates)
+        self.rumours.sent(updates[: datagram.updates_packed], self.table.live())
+        self.out.append(SendDatagram(to, datagram.data))
+        return min(datagram.updates_packed, len(first))
 
     def send_member(self, member: Member, message: Message, first: tuple[Update, ...] = ()) -> None:
         """Send to a member; one that is thought suspect, or worse, hears so (Lifeguard's buddy system)."""
         if member.state is not MemberState.ALIVE:
             first = (*first, member.update)
-        self.send(to_address(member.update.place), message, first)
+        self.send(unpack_address(member.update.address), message, first)
 
     def answer(self, name: str, source: Address, message: Message) -> None:
         """Send to a sender: at its known address, else to where it wrote from."""
--- a/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
+++ b/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
@@ -36,7 +36,7 @@
             if before.heard > now - HEARD * core.settings.probe_every_ms:
                 core.send_member(before, Probe(core.number(), update.name), (update,))
                 return
-            update = replace(update, state=MemberState.SUSPECT, by=table_of)
+            update = replace(update, state=MemberState.SUSPECT, accuser=table_of)
         was_alive = before is not None and before.state is MemberState.ALIVE
         member = core.table.take(now, update)
         if member is None:
@@ -54,7 +54,7 @@
 
     def suspect(self, now: float, member: Member) -> None:
         """This router has no answer from a member: suspect it, or confirm that others are right to."""
-        update = replace(member.update, state=MemberState.SUSPECT, by=self._core.name)
+        update = replace(member.update, state=MemberState.SUSPECT, accuser=self._core.name)
         self.learn(now, update, "no-answer")
 
     def due(self, now: float, name: str) -> None:
@@ -66,7 +66,7 @@
         if now < deadline:
             self._core.agenda.at(deadline, "suspicion", name)
         else:
-            self.learn(now, replace(member.update, state=MemberState.FAILED, by=""), "suspicion-ran-out")
+            self.learn(now, replace(member.update, state=MemberState.FAILED, accuser=""), "suspicion-ran-out")
 
     def paused(self, late: float) -> None:
         """The time this process slept counts against nobody."""
@@ -76,7 +76,7 @@
     def take_over(self, now: float, incarnation: int, why: str) -> None:
         """Be alive again above ``incarnation``."""
         core = self._core
-        own = replace(core.table.own, incarnation=incarnation + 1, state=MemberState.ALIVE, by="")
+        own = replace(core.table.own, incarnation=incarnation + 1, state=MemberState.ALIVE, accuser="")
         core.table.take(now, own)
         core.rumours.put(own)
         core.tell("member", name=core.name, state="alive", incarnation=own.incarnation, why=why)
@@ -96,7 +96,7 @@
         live = core.table.live()
         scale = max(1.0, log10(live))
         least, most = settings.suspicion_least_ms * scale, settings.suspicion_most_ms * scale
-        suspicion = Suspicion(now, least, most, max(0, live - 2), update.by)
+        suspicion = Suspicion(now, least, most, max(0, live - 2), update.accuser)
         self._suspicions[update.name] = suspicion
         core.agenda.at(suspicion.deadline(core.health.stretch), "suspicion", update.name)
         core.agenda.at(now + least / 2, "warn", update.name)
@@ -112,7 +112,7 @@
         member, suspicion = self._core.table.get(update.name), self._suspicions.get(update.name)
         if member is None or suspicion is None or update.state is not MemberState.SUSPECT:
             return
-        if update.incarnation == member.update.incarnation and suspicion.confirm(update.by):
+        if update.incarnation == member.update.incarnation and suspicion.confirm(update.accuser):
             self._core.rumours.put(update)
             self.due(now, update.name)
 
--- a/packages/fleet-membership/src/fleet_membership/member_table.py
+++ b/packages/fleet-membership/src/fleet_membership/member_table.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from gossip_codec import DIGEST, DIGESTS, MemberState, Update, to_address
+from gossip_codec import DIGEST_BUCKETS, DIGEST_BYTES, MemberState, Update, unpack_address
 
 from fleet_membership.view import Link, MemberView
 
@@ -44,11 +44,13 @@
 
     def view(self, now: float) -> MemberView:
         update, link = self.update, Link.FLAPPING if now < self.held else self.link
-        return MemberView(update.name, to_address(update.place), update.incarnation, self.shown(now), link)
+        return MemberView(
+            update.name, unpack_address(update.address), update.incarnation, self.shown(now), link
+        )
 
 
 def bucket_of(name: str) -> int:
-    return crc32(name.encode()) % DIGESTS
+    return crc32(name.encode()) % DIGEST_BUCKETS
 
 
 class Table:
@@ -59,7 +61,7 @@
         self.version = 0
         self._most = most
         self._members = {own.name: Member(own, 0.0)}
-        self._sums = [0] * DIGESTS
+        self._sums = [0] * DIGEST_BUCKETS
         self._live = 0
         self._count(own, 1)
 
@@ -115,12 +117,12 @@
     def digests(self) -> bytes:
         """Of the live members' names and incarnations, by bucket: suspicions come and go, tombstones expire
         at each router's own time, and neither shall set off an exchange."""
-        return b"".join(one.to_bytes(DIGEST, "big") for one in self._sums)
+        return b"".join(one.to_bytes(DIGEST_BYTES, "big") for one in self._sums)
 
     def differing(self, digests: bytes) -> list[Update]:
         """All that is known of the buckets that differ."""
         own = self.digests()
-        cuts = [slice(at * DIGEST, (at + 1) * DIGEST) for at in range(DIGESTS)]
+        cuts = [slice(at * DIGEST_BYTES, (at + 1) * DIGEST_BYTES) for at in range(DIGEST_BUCKETS)]
         apart = {at for at, cut in enumerate(cuts) if own[cut] != digests[cut]}
         return [m.update for m in self._members.values() if bucket_of(m.update.name) in apart]
 
@@ -129,5 +131,5 @@
         if update.state in LIVE:
             self._live += by
             text = f"{update.name} {update.incarnation}".encode()
-            digest = blake2b(text, digest_size=DIGEST).digest()
+            digest = blake2b(text, digest_size=DIGEST_BYTES).digest()
             self._sums[bucket_of(update.name)] ^= int.from_bytes(digest, "big")
--- a/packages/fleet-membership/src/fleet_membership/membership.py
+++ b/packages/fleet-membership/src/fleet_membership/membership.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from gossip_codec import Carried, MemberState, Part
+from gossip_codec import MemberState, UpdateBatch, UserMessage
 from msgspec.structs import replace
 from sansio_core import Action, DatagramReceived, Event, RandomSource, ShutdownRequested, Started, TimerFired
 
@@ -70,7 +70,7 @@
         core, member = self._core, self._core.table.get(name)
         core.out = []
         if member is not None and not self._left:
-            core.send_member(member, Carried(channel, body))
+            core.send_member(member, UserMessage(channel, body))
         return core.out
 
     def view(self, now: float) -> View:
@@ -116,7 +116,7 @@
         told = [member for member in live if member.update.name in core.settings.voters]
         told += core.sample([member for member in live if member not in told], FAREWELLS)
         for member in told:
-            core.send_member(member, Part(), (own,))
+            core.send_member(member, UpdateBatch(), (own,))
         core.tell("member", name=core.name, state="left", incarnation=own.incarnation, why="leaving")
         self._left = True
 
--- a/packages/fleet-membership/src/fleet_membership/message_handling.py
+++ b/packages/fleet-membership/src/fleet_membership/message_handling.py
@@ -6,16 +6,16 @@
 
 from gossip_codec import (
     Ack,
-    Carried,
+    DatagramRejectedError,
     Envelope,
+    IndirectProbe,
     Nack,
-    Part,
     Probe,
-    ProbeFor,
-    RefusedError,
     Superseded,
     Sync,
-    to_address,
+    UpdateBatch,
+    UserMessage,
+    unpack_address,
 )
 from sansio_core import Address
 
@@ -46,15 +46,15 @@
         core = self._core
         try:
             envelope = core.codec.decode(data)
-        except RefusedError as refused:
-            core.tell("refused", why=refused.code, source=f"{source[0]}:{source[1]}")
+        except DatagramRejectedError as refused:
+            core.tell("refused", why=refused.reason.value, source=f"{source[0]}:{source[1]}")
             if refused.envelope is not None:
                 self._supersede(refused.envelope, source)
             return
         if envelope.sender == core.name:  # an echo, or another process under this name
             core.tell("refused", why="own-name", source=f"{source[0]}:{source[1]}")
             return
-        table_of = envelope.sender if isinstance(envelope.message, Part) else ""
+        table_of = envelope.sender if isinstance(envelope.message, UpdateBatch) else ""
         for update in envelope.updates:
             self._judge.learn(now, update, f"told-by-{envelope.sender}", table_of)
         member = core.table.get(envelope.sender)
@@ -69,8 +69,8 @@
         """One that came back under an old incarnation is told so, and will come back above the newest."""
         core = self._core
         member = core.table.get(envelope.sender)
-        known = core.codec.window.incarnation(envelope.sender)
-        known = max(known, member.update.incarnation if member else -1)
+        seen = core.codec.window.newest_incarnation(envelope.sender)
+        known = max(-1 if seen is None else seen, member.update.incarnation if member else -1)
         if envelope.incarnation < known and envelope.sender != core.name:
             core.send(source, Superseded(known))
 
@@ -86,14 +86,14 @@
                     self._standing.seen(*seen)
             case Nack(number):
                 self._prober.nacked(sender, number)
-            case ProbeFor() as message:
+            case IndirectProbe() as message:
                 self._prober.run_errand(now, sender, message)
             case Sync() as message:
                 member = core.table.get(sender)
-                self._syncer.asked(now, to_address(member.update.place) if member else source, message)
+                self._syncer.asked(now, unpack_address(member.update.address) if member else source, message)
             case Superseded(incarnation) if incarnation > core.table.own.incarnation:
                 self._judge.take_over(now, incarnation, "superseded")
-            case Carried(channel, body) if self._inbox is not None:
+            case UserMessage(channel, body) if self._inbox is not None:
                 answer = self._inbox(now, sender, channel, body)
                 if answer is not None:
-                    core.answer(sender, source, Carried(channel, answer))
+                    core.answer(sender, source, UserMessage(channel, answer))
--- a/packages/fleet-membership/src/fleet_membership/probing.py
+++ b/packages/fleet-membership/src/fleet_membership/probing.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from gossip_codec import Ack, MemberState, Nack, Probe, ProbeFor, to_address
+from gossip_codec import Ack, IndirectProbe, MemberState, Nack, Probe, unpack_address
 
 from fleet_membership.context import Core
 from fleet_membership.failure_verdicts import Judge
@@ -74,19 +74,19 @@
         others = [m for m in core.table.others(MemberState.ALIVE) if m is not target]
         for member in core.sample(others, core.settings.indirect):
             pending.asked.add(member.update.name)
-            core.send_member(member, ProbeFor(number, pending.target, target.update.place))
+            core.send_member(member, IndirectProbe(number, pending.target, target.update.address))
         core.send_member(target, Probe(number, pending.target))
         core.agenda.at(now + core.settings.probe_timeout_ms * core.health.stretch, "direct", number)
 
-    def run_errand(self, now: float, origin: str, message: ProbeFor) -> None:
+    def run_errand(self, now: float, origin: str, message: IndirectProbe) -> None:
         core = self._core
         number = core.number()
-        self._errands[number] = Errand(origin, message.number)
+        self._errands[number] = Errand(origin, message.probe_id)
         target, probe = core.table.get(message.target), Probe(number, message.target)
-        if target is not None and target.update.place == message.place:
+        if target is not None and target.update.address == message.address:
             core.send_member(target, probe)
         else:
-            core.send(to_address(message.place), probe)
+            core.send(unpack_address(message.address), probe)
         core.agenda.at(now + core.settings.probe_timeout_ms * NACK_AT, "errand", number)
 
     def errand_due(self, now: float, number: int) -> None:
--- a/packages/fleet-membership/src/fleet_membership/settings.py
+++ b/packages/fleet-membership/src/fleet_membership/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from gossip_codec import to_place
+from gossip_codec import pack_address
 from sansio_core import Address
 
 
@@ -46,7 +46,7 @@
 
     def __post_init__(self) -> None:
         for address in (self.address, *self.seeds):
-            to_place(address)
+            pack_address(address)
         if not self.voters or len(set(self.voters)) < len(self.voters):
             raise ValueError("a fleet needs voters, each named once")
         if not 0 < self.probe_timeout_ms < self.probe_every_ms:
--- a/packages/fleet-membership/tests/test_membership_scenarios.py
+++ b/packages/fleet-membership/tests/test_membership_scenarios.py
@@ -7,7 +7,16 @@
 
 import pytest
 from fleet_membership import Link, Membership, MembershipSettings, MemberState, Mode
-from gossip_codec import MOST, Carried, Codec, Part, Probe, Sync, Update, to_place
+from gossip_codec import (
+    MAX_DATAGRAM_BYTES,
+    Codec,
+    Probe,
+    Sync,
+    Update,
+    UpdateBatch,
+    UserMessage,
+    pack_address,
+)
 from membership_cluster import SECRET, Bench
 
 ALIVE, SUSPECT, FAILED, LEFT = MemberState
@@ -28,7 +37,7 @@
     assert set(bench.modes().values()) == {Mode.WITH_MAJORITY}
     bench.run(60_000.0)
     assert not bench.events("member", state="suspect")
-    assert max(map(len, bench.sent)) <= MOST
+    assert max(map(len, bench.sent)) <= MAX_DATAGRAM_BYTES
 
 
 def test_a_crash_is_seen_by_all_and_a_restart_comes_back_whatever_its_incarnation() -> None:
@@ -164,7 +173,7 @@
     bench = started()
     view = bench.view("r0")
     for codec in (Codec("other", SECRET), Codec("fleet", SECRET[::-1])):
-        bench.forge("r0", ("127.0.0.1", 9), codec.encode("x", 1, Probe(1, "r0"))[0])
+        bench.forge("r0", ("127.0.0.1", 9), codec.encode("x", 1, Probe(1, "r0")).data)
     bench.forge("r0", ("127.0.0.1", 9), b"?")
     bench.forge("r0", ("127.0.0.1", 9), bench.network.taped("r1", "r0")[-1].data)
     bench.run(0.0)
@@ -182,8 +191,8 @@
     def say(sender: str, state: MemberState, *about: str) -> None:
         for at, name in enumerate(about, 1):
             by = sender if state is SUSPECT else ""
-            update = Update(name, to_place(bench.nodes[f"r{at}"].address), 1, state, by)
-            data = codecs[sender].encode(sender, 1, Part(), [update])[0]
+            update = Update(name, pack_address(bench.nodes[f"r{at}"].address), 1, state, by)
+            data = codecs[sender].encode(sender, 1, UpdateBatch(), [update]).data
             bench.forge("r0", ("127.0.0.1", 9), data)
         bench.run(0.0)
 
@@ -221,10 +230,13 @@
 def test_tables_are_exchanged_soon_while_they_differ_and_with_strangers_once_a_period() -> None:
     bench, _ = among_strangers("a")
     bench.run(10_000.0)
-    for first, message, within in (("x", Probe(1, "r0"), 1.0), ("y", Sync(bytes(128), answer=True), 2600.0)):
+    for first, message, within in (
+        ("x", Probe(1, "r0"), 1.0),
+        ("y", Sync(bytes(128), is_reply=True), 2600.0),
+    ):
         bench.sent.clear()
         for at in range(5):
-            data, _ = Codec("fleet", SECRET).encode(f"{first}{at}", 1, message)
+            data = Codec("fleet", SECRET).encode(f"{first}{at}", 1, message).data
             bench.forge("r0", bench.nodes["r1"].address, data)
         bench.run(within)
         asked = [one for one in bench.datagrams("r0") if isinstance(one.message, Sync)]
@@ -251,7 +263,7 @@
     bench.act("r0", sender.carry("r1", 5, b"question"))
     assert sender.carry("nobody", 5, b"") == []
     bench.run(4.0)
-    assert Carried(5, b"r0 5 question") in [one.message for one in bench.datagrams("r1")]
+    assert UserMessage(5, b"r0 5 question") in [one.message for one in bench.datagrams("r1")]
 
 
 WRONG: list[dict[str, object]] = [{"voters": ()}, {"voters": ("a", "a")}, {"probe_timeout_ms": 1000.0}]
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from fleet_membership import MembershipSettings
-from gossip_codec import Envelope, MemberState, Part, ProbeFor, Superseded
+from gossip_codec import Envelope, IndirectProbe, MemberState, Superseded, UpdateBatch
 from msgspec import DecodeError, msgpack
 from quota_leases import ShareSettings
 from sansio_core import Address, RandomSource
@@ -77,11 +77,11 @@
         f"{u.name}:{u.state.name.lower()}" for u in envelope.updates if u.state is not MemberState.ALIVE
     ]
     match envelope.message:
-        case ProbeFor(target=target):
+        case IndirectProbe(target=target):
             claims.insert(0, f"probe {target}")
         case Superseded():
             claims.insert(0, "superseded")
-        case Part():
+        case UpdateBatch():
             pass
         case _:
             return ""
--- a/packages/gossip-codec/src/gossip_codec/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -1,6 +1,6 @@
-"""The datagram: version (1 byte), fleet (8), body (msgpack), tag (16); 256 bytes at most.
+"""The datagram: version (1 byte), fleet id (8), body (msgpack), tag (16); 256 bytes at most.
 
-The tag is HMAC-SHA256 (RFC 2104) with the fleet's secret over all that stands before it, cut to 16 bytes and
+The tag is HMAC-SHA256 (RFC 2104) with the fleet's secret over everything before it, truncated to 16 bytes and
 compared in constant time.  The body is authenticated, not encrypted.
 """
 
@@ -8,44 +8,90 @@
 
 import hmac
 from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import Enum
 from hashlib import blake2b
 
 from msgspec import DecodeError, msgpack
 
-from gossip_codec.messages import Envelope, Message, Update
+from gossip_codec.messages import MAX_UPDATES, Envelope, Message, Update
 from gossip_codec.replay_window import ReplayWindow
 
-MOST, VERSION, FLEET, TAG = (
-    256,
-    1,
-    8,
-    16,
-)  # bytes of a datagram; format; bytes of the fleet's mark and the tag
-HEAD = 1 + FLEET
-SECRET_LEAST, UPDATES_MOST = 16, 15  # bytes; in one datagram
+MAX_DATAGRAM_BYTES = 256
+"""Bytes of a datagram: no network fragments it, and a forged one amplifies nothing."""
 
+FORMAT_VERSION = 1
+"""The first byte of each datagram."""
 
-class RefusedError(Exception):
-    """A datagram that is not taken.  ``code``: size, version, fleet, tag, malformed or replay.
+FLEET_ID_BYTES = 8
+"""Bytes of the hash that identifies the fleet."""
 
-    ``envelope`` is set with ``replay`` alone: its writer holds the secret, its sender may be anybody.
+TAG_BYTES = 16
+"""Bytes of the authentication tag."""
+
+HEADER_BYTES = 1 + FLEET_ID_BYTES
+"""Bytes before the body."""
+
+MIN_SECRET_BYTES = 16
+"""Bytes of a secret below which it could be guessed."""
+
+
+class RejectReason(Enum):
+    """Why a datagram was rejected; the values are documented words of the log."""
+
+    SIZE = "size"
+    VERSION = "version"
+    FLEET = "fleet"
+    TAG = "tag"
+    MALFORMED = "malformed"
+    REPLAY = "replay"
+
+
+class DatagramRejectedError(Exception):
+    """A datagram was not accepted.
+
+    ``envelope`` is set with ``RejectReason.REPLAY`` alone: its author knows the secret, its sender
+    may be anyone.
     """
 
-    def __init__(self, code: str, envelope: Envelope | None = None) -> None:
-        super().__init__(code)
-        self.code = code
+    def __init__(self, reason: RejectReason, envelope: Envelope | None = None) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
         self.envelope = envelope
 
 
+class ShortSecretError(ValueError):
+    """A secret of fewer than ``MIN_SECRET_BYTES``."""
+
+    def __init__(self) -> None:
+        super().__init__(f"the fleet's secret needs {MIN_SECRET_BYTES} bytes or more")
+
+
+class MessageTooLargeError(ValueError):
+    """A message that does not fit into a datagram."""
+
+    def __init__(self, body_bytes: int) -> None:
+        super().__init__(f"a message of {body_bytes} bytes is too large for a datagram")
+        self.body_bytes = body_bytes
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedDatagram:
+    """A datagram, and how many of the updates offered, from the first on, fitted into it."""
+
+    data: bytes
+    updates_packed: int
+
+
 class Codec:
-    """One router's: it numbers what it writes and remembers what it took."""
+    """Encodes and decodes one router's datagrams, numbering those sent and rejecting replays received."""
 
     def __init__(self, fleet: str, secret: bytes, window: ReplayWindow | None = None) -> None:
-        """Raises ValueError where the secret is too short to be one."""
-        if len(secret) < SECRET_LEAST:
-            raise ValueError(f"the fleet's secret needs {SECRET_LEAST} bytes or more")
+        """Raise ShortSecretError if the secret is too short."""
+        if len(secret) < MIN_SECRET_BYTES:
+            raise ShortSecretError
         self._secret = secret
-        self._head = bytes([VERSION]) + blake2b(fleet.encode(), digest_size=FLEET).digest()
+        self._header = bytes([FORMAT_VERSION]) + blake2b(fleet.encode(), digest_size=FLEET_ID_BYTES).digest()
         self._decoder = msgpack.Decoder(Envelope)
         self._encoder = msgpack.Encoder()
         self._sequence = 0
@@ -53,44 +99,45 @@
 
     def encode(
         self, sender: str, incarnation: int, message: Message, updates: Sequence[Update] = ()
-    ) -> tuple[bytes, int]:
-        """A datagram, and how many of ``updates``, from the first on, found room in it.
+    ) -> EncodedDatagram:
+        """Encode a message with as many of ``updates`` as fit.
 
-        Raises ValueError where the message alone is too large.
+        Raises MessageTooLargeError if the message alone does not.
         """
         self._sequence += 1
         body = self._encoder.encode(Envelope(sender, incarnation, self._sequence, message))
-        room = MOST - HEAD - TAG - len(body)
+        room = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES - len(body)
         if room < 0:
-            raise ValueError(f"a message of {len(body)} bytes is too large for a datagram")
-        parts: list[bytes] = []
-        for update in updates[:UPDATES_MOST]:
-            part = self._encoder.encode(update)
-            if len(part) > room:
+            raise MessageTooLargeError(len(body))
+        packed: list[bytes] = []
+        for update in updates[:MAX_UPDATES]:
+            encoded = self._encoder.encode(update)
+            if len(encoded) > room:
                 break
-            room -= len(part)
-            parts.append(part)
-        # The empty array at the end of the body is one byte, and so is that of up to 15 updates.
-        data = self._head + body[:-1] + bytes([body[-1] + len(parts)]) + b"".join(parts)
-        return data + self._tag(data), len(parts)
+            room -= len(encoded)
+            packed.append(encoded)
+        # The body ends with an empty array, a header of one byte to which the number of elements is added.
+        array_header = bytes([body[-1] + len(packed)])
+        data = self._header + body[:-1] + array_header + b"".join(packed)
+        return EncodedDatagram(data + self._tag(data), len(packed))
 
     def decode(self, data: bytes) -> Envelope:
-        """Raises ``RefusedError``."""
-        if not HEAD + TAG < len(data) <= MOST:
-            raise RefusedError("size")
-        if data[0] != VERSION:
-            raise RefusedError("version")
-        if data[1:HEAD] != self._head[1:]:
-            raise RefusedError("fleet")
-        if not hmac.compare_digest(data[-TAG:], self._tag(data[:-TAG])):
-            raise RefusedError("tag")
+        """Verify and decode a datagram; raises DatagramRejectedError."""
+        if not HEADER_BYTES + TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
+            raise DatagramRejectedError(RejectReason.SIZE)
+        if data[0] != FORMAT_VERSION:
+            raise DatagramRejectedError(RejectReason.VERSION)
+        if data[1:HEADER_BYTES] != self._header[1:]:
+            raise DatagramRejectedError(RejectReason.FLEET)
+        if not hmac.compare_digest(data[-TAG_BYTES:], self._tag(data[:-TAG_BYTES])):
+            raise DatagramRejectedError(RejectReason.TAG)
         try:
-            envelope = self._decoder.decode(data[HEAD:-TAG])
+            envelope = self._decoder.decode(data[HEADER_BYTES:-TAG_BYTES])
         except (DecodeError, ValueError):
-            raise RefusedError("malformed") from None
-        if not self.window.take(envelope.sender, envelope.incarnation, envelope.sequence):
-            raise RefusedError("replay", envelope)
+            raise DatagramRejectedError(RejectReason.MALFORMED) from None
+        if not self.window.accept(envelope.sender, envelope.incarnation, envelope.sequence):
+            raise DatagramRejectedError(RejectReason.REPLAY, envelope)
         return envelope
 
     def _tag(self, data: bytes) -> bytes:
-        return hmac.digest(self._secret, data, "sha256")[:TAG]
+        return hmac.digest(self._secret, data, "sha256")[:TAG_BYTES]
--- a/packages/gossip-codec/src/gossip_codec/messages.py
+++ b/packages/gossip-codec/src/gossip_codec/messages.py
@@ -1,7 +1,8 @@
-"""What routers tell each other: one message a datagram, and updates on members packed behind it.
+"""The messages that routers exchange: one in each datagram, with member updates piggybacked on it.
 
-Messages follow SWIM (Das et al., 2002): a probe, its acknowledgement, and a probe asked of others; the
-negative acknowledgement is Lifeguard's (Dadgar et al., 2017).  All are msgpack arrays.
+Messages follow SWIM (Das, Gupta and Motivala, 2002): a probe, its acknowledgement, and an indirect probe; the
+negative acknowledgement is Lifeguard's (Dadgar, Phillips and Currey, 2017).  All are encoded as msgpack
+arrays, so that the order of their fields, not the names, is the wire form.
 """
 
 from __future__ import annotations
@@ -13,103 +14,150 @@
 from msgspec import Meta, Struct
 from sansio_core import Address
 
-DIGESTS, DIGEST = 16, 8  # buckets of the table in a ``Sync``; bytes of each bucket's digest
+DIGEST_BUCKETS = 16
+"""Buckets into which ``Sync`` divides the member table."""
 
-Name = Annotated[str, Meta(min_length=1, max_length=32, pattern=r"\A[A-Za-z0-9._-]+\Z")]
-Accuser = Annotated[str, Meta(max_length=32, pattern=r"\A[A-Za-z0-9._-]*\Z")]
-Count = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-Place = Annotated[bytes, Meta(min_length=6, max_length=6)]  # an address: IPv4 and port, network order
+DIGEST_BYTES = 8
+"""Bytes of each bucket's digest."""
+
+MAX_UPDATES = 15
+"""Updates in a datagram: the msgpack array of up to 15 elements has a header of one byte."""
+
+MAX_INTEGER = (1 << 63) - 1
+"""The largest integer on the wire: signed 64 bits, which every msgpack implementation has."""
+
+PORT_BYTES = 2
+"""Bytes of a UDP port in a packed address."""
+
+IP_BYTES = 4
+"""Bytes of an IPv4 address in a packed address."""
+
+MemberName = Annotated[str, Meta(min_length=1, max_length=32, pattern=r"\A[A-Za-z0-9._-]+\Z")]
+"""The name of a member, unique in its fleet."""
+
+OptionalMemberName = Annotated[str, Meta(max_length=32, pattern=r"\A[A-Za-z0-9._-]*\Z")]
+"""The name of a member, or the empty string."""
+
+Natural = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
+"""An integer that is not negative."""
+
+PackedAddress = Annotated[bytes, Meta(min_length=IP_BYTES + PORT_BYTES, max_length=IP_BYTES + PORT_BYTES)]
+"""IPv4 address and port in network byte order."""
+
+
+class InvalidPortError(ValueError):
+    """A number that is no UDP port."""
+
+    def __init__(self, port: int) -> None:
+        super().__init__(f"invalid port: {port}")
+        self.port = port
 
 
 class MemberState(IntEnum):
+    """The state of a member; of two claims on the same incarnation the higher state prevails."""
+
     ALIVE = 0
     SUSPECT = 1
     FAILED = 2
     LEFT = 3
 
 
-def to_place(address: Address) -> bytes:
-    """Raises ValueError where the address is no IPv4 address in dotted form, or the port no port."""
+def pack_address(address: Address) -> bytes:
+    """Return an address as on the wire.
+
+    Raises ValueError if the host is no IPv4 address in dotted form or the port is out of range.
+    """
+    host, port = address
     try:
-        return IPv4Address(address[0]).packed + address[1].to_bytes(2, "big")
+        return IPv4Address(host).packed + port.to_bytes(PORT_BYTES, "big")
     except OverflowError:
-        raise ValueError(f"no port: {address[1]}") from None
+        raise InvalidPortError(port) from None
 
 
-def to_address(place: bytes) -> Address:
-    return str(IPv4Address(place[:4])), int.from_bytes(place[4:], "big")
+def unpack_address(packed: bytes) -> Address:
+    """Return the address of its form on the wire."""
+    host = IPv4Address(packed[:IP_BYTES])
+    port = int.from_bytes(packed[IP_BYTES:], "big")
+    return str(host), port
 
 
 class Update(Struct, frozen=True, array_like=True):
-    """A claim on one member.  ``by`` is the router that suspects it, empty with other states."""
+    """A claim on the state of one member; ``accuser`` suspects it, and is empty with other states."""
 
-    name: Name
-    place: Place
-    incarnation: Count
+    name: MemberName
+    address: PackedAddress
+    incarnation: Natural
     state: MemberState
-    by: Accuser = ""
+    accuser: OptionalMemberName = ""
 
 
 class Probe(Struct, frozen=True, array_like=True, tag=1):
-    """Are you there?  Only ``target`` answers, so a reused address is no sign of life of the one before."""
+    """Asks ``target`` for an ``Ack``.
+
+    No other member answers, so a reused address does not vouch for the member that had it before.
+    """
 
-    number: Count
-    target: Name
+    probe_id: Natural
+    target: MemberName
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=2):
-    """The target of probe ``number`` is there: said by itself, or by one that probed it for the reader."""
+    """The target of a probe is alive: sent by itself, or by a member that probed it for the reader."""
 
-    number: Count
+    probe_id: Natural
 
 
-class ProbeFor(Struct, frozen=True, array_like=True, tag=3):
-    """Probe ``target`` for the writer; answer ``Ack`` or, soon enough, ``Nack``."""
+class IndirectProbe(Struct, frozen=True, array_like=True, tag=3):
+    """Asks the reader to probe ``target`` for the sender, and to answer ``Ack`` or, in time, ``Nack``."""
 
-    number: Count
-    target: Name
-    place: Place
+    probe_id: Natural
+    target: MemberName
+    address: PackedAddress
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """The writer is well, but has no answer from the target of ``ProbeFor`` ``number`` yet."""
+    """The sender is well, but the target of an ``IndirectProbe`` has not answered it yet."""
 
-    number: Count
+    probe_id: Natural
 
 
 class Sync(Struct, frozen=True, array_like=True, tag=5):
-    """Anti-entropy: digests of the writer's table by bucket.  The reader sends the members of the buckets
-    that differ and, unless this is an ``answer``, a ``Sync`` of its own."""
+    """Anti-entropy: digests of the sender's member table by bucket.
+
+    The reader sends its members of the buckets that differ and, unless this is a reply, its own ``Sync``.
+    """
 
-    digests: Annotated[bytes, Meta(min_length=DIGESTS * DIGEST, max_length=DIGESTS * DIGEST)]
-    answer: bool
+    digests: Annotated[
+        bytes, Meta(min_length=DIGEST_BUCKETS * DIGEST_BYTES, max_length=DIGEST_BUCKETS * DIGEST_BYTES)
+    ]
+    is_reply: bool
 
 
-class Part(Struct, frozen=True, array_like=True, tag=6):
-    """Nothing but the updates behind it."""
+class UpdateBatch(Struct, frozen=True, array_like=True, tag=6):
+    """Carries updates and nothing else."""
 
 
 class Superseded(Struct, frozen=True, array_like=True, tag=7):
-    """The reader's incarnation is past: ``incarnation`` of the same name was seen."""
+    """The reader's incarnation is outdated: ``incarnation`` of the same name was seen."""
 
-    incarnation: Count
+    incarnation: Natural
 
 
-class Carried(Struct, frozen=True, array_like=True, tag=8):
-    """A body of another machine of the fleet, told apart by ``channel``."""
+class UserMessage(Struct, frozen=True, array_like=True, tag=8):
+    """The payload of another state machine of the fleet, which ``channel`` identifies."""
 
     channel: Annotated[int, Meta(ge=0, lt=128)]
     body: bytes
 
 
-Message = Probe | Ack | ProbeFor | Nack | Sync | Part | Superseded | Carried
+Message = Probe | Ack | IndirectProbe | Nack | Sync | UpdateBatch | Superseded | UserMessage
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """The body of a datagram.  ``updates`` stays the last field: the codec appends to it."""
+    """The body of a datagram; ``updates`` stays the last field, since the codec appends to it."""
 
-    sender: Name
-    incarnation: Count
-    sequence: Count
+    sender: MemberName
+    incarnation: Natural
+    sequence: Natural
     message: Message
-    updates: Annotated[list[Update], Meta(max_length=15)] = []
+    updates: Annotated[list[Update], Meta(max_length=MAX_UPDATES)] = []
--- a/packages/gossip-codec/src/gossip_codec/replay_window.py
+++ b/packages/gossip-codec/src/gossip_codec/replay_window.py
@@ -1,43 +1,70 @@
-"""Which datagrams of a sender were taken already (the sliding window of RFC 4303, section 3.4.3)."""
+"""Replay protection: which datagrams of a sender were accepted already (RFC 4303, section 3.4.3)."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from dataclasses import dataclass
 
-WIDTH = 256  # how far a datagram may come behind the newest of its sender
+WINDOW_SIZE = 256
+"""Sequence numbers by which a datagram may arrive behind the newest one of its sender."""
+
+WINDOW_MASK = (1 << WINDOW_SIZE) - 1
+"""Bits of a full window."""
+
+MAX_SENDERS = 4096
+"""Senders remembered unless the caller says otherwise: as many as a member table holds."""
+
+
+@dataclass(slots=True)
+class _SenderWindow:
+    """The accepted sequence numbers of one sender's newest incarnation.
+
+    Bit ``n`` of ``accepted`` stands for sequence number ``newest - n``.
+    """
+
+    incarnation: int
+    newest: int
+    accepted: int = 1
+
+    def accept(self, sequence: int) -> bool:
+        """Mark a sequence number as accepted; False if it was before, or if it is too old to know."""
+        if sequence > self.newest:
+            shift = min(sequence - self.newest, WINDOW_SIZE)
+            self.accepted = (self.accepted << shift | 1) & WINDOW_MASK
+            self.newest = sequence
+            return True
+        age = self.newest - sequence
+        bit = 1 << age
+        if age >= WINDOW_SIZE or self.accepted & bit:
+            return False
+        self.accepted |= bit
+        return True
 
 
 class ReplayWindow:
-    """The newest incarnation of each sender, with the sequence numbers taken in it.
+    """The newest incarnation of each sender and the sequence numbers accepted in it.
 
-    Of at most ``senders`` senders, about 300 bytes each; the one unheard for longest is forgotten first.
-    A window knows only what it saw: what was recorded before this life began can be replayed to it once.
+    Remembers at most ``max_senders`` senders, about 300 bytes each, and evicts the least recently heard one.
+    A window knows only what it saw: what was recorded before this process started can be replayed to it once.
     """
 
-    def __init__(self, senders: int = 4096) -> None:
-        self._senders = senders
-        self._seen: OrderedDict[str, tuple[int, int, int]] = OrderedDict()  # life, newest, taken
+    def __init__(self, max_senders: int = MAX_SENDERS) -> None:
+        self._max_senders = max_senders
+        self._senders: OrderedDict[str, _SenderWindow] = OrderedDict()
 
-    def incarnation(self, sender: str) -> int:
-        """The newest incarnation heard of a sender; -1 where nothing was."""
-        return self._seen[sender][0] if sender in self._seen else -1
+    def newest_incarnation(self, sender: str) -> int | None:
+        """The newest incarnation accepted from a sender; None if nothing was."""
+        window = self._senders.get(sender)
+        return window.incarnation if window else None
 
-    def take(self, sender: str, incarnation: int, sequence: int) -> bool:
-        """Whether a datagram is new; it counts as taken then."""
-        life, newest, taken = self._seen.get(sender, (-1, -1, 0))
-        if incarnation < life:
+    def accept(self, sender: str, incarnation: int, sequence: int) -> bool:
+        """Accept a datagram that is neither a replay nor of a past incarnation; False if it is one."""
+        window = self._senders.get(sender)
+        if window is None or incarnation > window.incarnation:
+            self._senders[sender] = _SenderWindow(incarnation, sequence)
+        elif incarnation < window.incarnation or not window.accept(sequence):
             return False
-        if incarnation > life:
-            newest, taken = sequence, 1
-        elif sequence > newest:
-            newest, taken = sequence, (taken << min(sequence - newest, WIDTH) | 1) & (1 << WIDTH) - 1
-        else:
-            bit = 1 << (newest - sequence)
-            if newest - sequence >= WIDTH or taken & bit:
-                return False
-            taken |= bit
-        self._seen[sender] = (incarnation, newest, taken)
-        self._seen.move_to_end(sender)
-        if len(self._seen) > self._senders:
-            self._seen.popitem(last=False)
+        self._senders.move_to_end(sender)
+        if len(self._senders) > self._max_senders:
+            self._senders.popitem(last=False)
         return True
--- a/packages/gossip-codec/tests/test_gossip_codec.py
+++ b/packages/gossip-codec/tests/test_gossip_codec.py
@@ -1,40 +1,42 @@
-"""The datagram: what goes in comes out, and nothing else is taken."""
+"""The codec: what is encoded is decoded again, and any other datagram is rejected for a named reason."""
 
 from __future__ import annotations
 
 import pytest
 from gossip_codec import (
-    MOST,
+    MAX_DATAGRAM_BYTES,
+    MAX_UPDATES,
     Ack,
-    Carried,
     Codec,
+    DatagramRejectedError,
+    IndirectProbe,
     MemberState,
     Message,
     Probe,
-    ProbeFor,
-    RefusedError,
     ReplayWindow,
     Superseded,
     Sync,
     Update,
-    to_address,
-    to_place,
+    UserMessage,
+    pack_address,
+    unpack_address,
 )
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 SECRET = b"a secret of the fleet"
-names = st.text("abcXYZ019._-", min_size=1, max_size=32)
+member_names = st.text("abcXYZ019._-", min_size=1, max_size=32)
 counts = st.integers(0, 2**63 - 1)
-places = st.binary(min_size=6, max_size=6)
-updates = st.builds(Update, names, places, counts, st.sampled_from(MemberState), st.just("") | names)
+addresses = st.binary(min_size=6, max_size=6)
+accusers = st.just("") | member_names
+updates = st.builds(Update, member_names, addresses, counts, st.sampled_from(MemberState), accusers)
 messages = st.one_of(
-    st.builds(Probe, counts, names),
+    st.builds(Probe, counts, member_names),
     st.builds(Ack, counts),
-    st.builds(ProbeFor, counts, names, places),
+    st.builds(IndirectProbe, counts, member_names, addresses),
     st.builds(Sync, st.binary(min_size=128, max_size=128), st.booleans()),
     st.builds(Superseded, counts),
-    st.builds(Carried, st.integers(0, 127), st.binary(max_size=100)),
+    st.builds(UserMessage, st.integers(0, 127), st.binary(max_size=100)),
 )
 
 
@@ -42,82 +44,85 @@
     return Codec(fleet, secret)
 
 
-def code_of(reader: Codec, data: bytes) -> str:
-    with pytest.raises(RefusedError) as caught:
+def rejection(reader: Codec, data: bytes) -> str:
+    with pytest.raises(DatagramRejectedError) as caught:
         reader.decode(data)
-    return caught.value.code
+    return caught.value.reason.value
 
 
 @settings(derandomize=True, max_examples=300)
-@given(names, counts, messages, st.lists(updates, max_size=20))
-def test_what_fits_comes_back_and_no_datagram_is_too_large(
-    sender: str, incarnation: int, message: Message, told: list[Update]
+@given(member_names, counts, messages, st.lists(updates, max_size=20))
+def test_updates_that_fit_are_decoded_again_and_no_datagram_is_too_large(
+    sender: str, incarnation: int, message: Message, offered: list[Update]
 ) -> None:
-    data, packed = codec().encode(sender, incarnation, message, told)
-    assert len(data) <= MOST
-    envelope = codec().decode(data)
+    encoded = codec().encode(sender, incarnation, message, offered)
+    assert len(encoded.data) <= MAX_DATAGRAM_BYTES
+    envelope = codec().decode(encoded.data)
     assert (envelope.sender, envelope.incarnation, envelope.message) == (sender, incarnation, message)
-    assert envelope.updates == told[:packed]
-    if packed < min(len(told), 15):  # the next one would not have fitted
-        assert len(data) + 80 + 12 > MOST
+    assert envelope.updates == offered[: encoded.updates_packed]
+    if encoded.updates_packed < min(len(offered), MAX_UPDATES):  # the next one would not have fitted
+        assert len(encoded.data) + 80 + 12 > MAX_DATAGRAM_BYTES
 
 
-def test_every_truncation_bit_flip_and_addition_is_refused_and_named() -> None:
-    data, _ = codec().encode("a", 7, Probe(1, "b"), [Update("c", bytes(6), 1, MemberState.ALIVE)])
+def test_every_truncation_bit_flip_and_addition_is_rejected_for_its_reason() -> None:
+    data = codec().encode("a", 7, Probe(1, "b"), [Update("c", bytes(6), 1, MemberState.ALIVE)]).data
     for size in range(len(data)):
-        assert code_of(codec(), data[:size]) in ("size", "tag")
+        assert rejection(codec(), data[:size]) in ("size", "tag")
     for bit in range(len(data) * 8):
         flipped = bytearray(data)
         flipped[bit // 8] ^= 1 << bit % 8
         expected = "version" if bit < 8 else "fleet" if bit < 72 else "tag"
-        assert code_of(codec(), bytes(flipped)) == expected
-    assert code_of(codec(), data + b"x") == "tag"
-    assert code_of(codec(), bytes(MOST + 1)) == "size"
+        assert rejection(codec(), bytes(flipped)) == expected
+    assert rejection(codec(), data + b"x") == "tag"
+    assert rejection(codec(), bytes(MAX_DATAGRAM_BYTES + 1)) == "size"
 
 
-def test_foreign_fleets_other_secrets_and_unreadable_bodies_are_refused() -> None:
-    data, _ = codec().encode("a", 7, Ack(1))
-    assert code_of(codec(fleet="other"), data) == "fleet"
-    assert code_of(codec(secret=b"another secret, as long"), data) == "tag"
+def test_other_fleets_other_secrets_and_malformed_bodies_are_rejected() -> None:
+    data = codec().encode("a", 7, Ack(1)).data
+    assert rejection(codec(fleet="other"), data) == "fleet"
+    assert rejection(codec(secret=b"another secret, as long"), data) == "tag"
     writer = codec()
-    for sender, number in (("a b", 1), ("a", -1), ("", 1)):
-        assert code_of(codec(), writer.encode(sender, 7, Ack(number))[0]) == "malformed"
+    for sender, probe_id in (("a b", 1), ("a", -1), ("", 1)):
+        assert rejection(codec(), writer.encode(sender, 7, Ack(probe_id)).data) == "malformed"
     with pytest.raises(ValueError, match="too large"):
-        writer.encode("a", 7, Carried(1, bytes(230)))
+        writer.encode("a", 7, UserMessage(1, bytes(230)))
     with pytest.raises(ValueError, match="16 bytes"):
         codec(secret=b"short")
 
 
-def test_a_datagram_is_taken_once_and_an_older_life_never() -> None:
-    writer, reader = codec(), codec()
-    old, _ = writer.encode("a", 7, Ack(1))
+def test_a_datagram_is_accepted_once_and_one_of_an_older_incarnation_never() -> None:
+    writer = codec()
+    reader = codec()
+    old = writer.encode("a", 7, Ack(1)).data
     reader.decode(old)
-    assert code_of(reader, old) == "replay"
-    reader.decode(writer.encode("a", 8, Ack(2))[0])
-    late, _ = writer.encode("a", 7, Ack(3))
-    assert code_of(reader, late) == "replay"
+    assert rejection(reader, old) == "replay"
+    reader.decode(writer.encode("a", 8, Ack(2)).data)
+    late = writer.encode("a", 7, Ack(3)).data
+    assert rejection(reader, late) == "replay"
 
 
 @settings(derandomize=True)
 @given(st.lists(st.integers(0, 600), max_size=300))
-def test_the_window_takes_each_number_once_and_refuses_what_is_too_old(numbers: list[int]) -> None:
-    window, taken, newest = ReplayWindow(), set[int](), -1
+def test_the_window_accepts_each_number_once_and_rejects_those_too_old(numbers: list[int]) -> None:
+    window = ReplayWindow()
+    accepted = set[int]()
+    newest = -1
     for number in numbers:
-        fresh = number not in taken and number > newest - 256
-        assert window.take("a", 1, number) == fresh
-        taken.add(number)
+        fresh = number not in accepted and number > newest - 256
+        assert window.accept("a", 1, number) == fresh
+        accepted.add(number)
         newest = max(newest, number)
 
 
-def test_the_window_forgets_the_sender_unheard_for_longest() -> None:
-    window = ReplayWindow(senders=2)
+def test_the_window_evicts_the_least_recently_heard_sender() -> None:
+    window = ReplayWindow(max_senders=2)
     for name in ("a", "b", "a", "c"):
-        window.take(name, 1, ord(name) if window.incarnation(name) < 0 else 500)
-    assert [window.incarnation(name) for name in "abc"] == [1, -1, 1]
+        window.accept(name, 1, ord(name) if window.newest_incarnation(name) is None else 500)
+    assert [window.newest_incarnation(name) for name in "abc"] == [1, None, 1]
 
 
-def test_addresses() -> None:
-    assert to_address(to_place(("127.0.0.1", 65535))) == ("127.0.0.1", 65535)
+def test_addresses_are_packed_and_unpacked_and_invalid_ones_raise() -> None:
+    assert unpack_address(pack_address(("127.0.0.1", 65535))) == ("127.0.0.1", 65535)
     for bad in (("localhost", 1), ("127.0.0.1", 65536)):
         with pytest.raises(ValueError, match=r"port|Expected"):
-            to_place(bad)
+            pack_address(bad)
--- a/packages/quota-leases/src/quota_leases/lease_exchange.py
+++ b/packages/quota-leases/src/quota_leases/lease_exchange.py
@@ -10,7 +10,7 @@
 from quota_leases.leases import Granter, Holder
 from quota_leases.settings import WHOLE, ShareSettings
 
-CHANNEL = 1  # of ``gossip_codec.Carried``
+CHANNEL = 1  # of ``gossip_codec.UserMessage``
 RENEWALS = 4  # within a lease
 Count = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
--- a/packages/sansio-core/src/sansio_core/__init__.py
+++ b/packages/sansio-core/src/sansio_core/__init__.py
@@ -2,7 +2,7 @@
 
 Times are milliseconds on the caller's monotonic clock, whose zero is arbitrary.  The caller passes each event
 to the state machine together with the time at which it occurred, and carries out the returned actions at that
-time and in their order.
+time, in order.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
-    """A datagram arrived.  Its sender is unknown until its authentication tag has been verified."""
+    """A datagram arrived; its sender is unknown until its authentication tag has been verified."""
 
     source: Address
     data: bytes
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send a datagram.  It may be lost, delayed, duplicated or reordered."""
+    """Send a datagram, which may be lost, delayed, duplicated or reordered."""
 
     to: Address
     data: bytes
@@ -53,8 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver ``TimerFired(token)`` after ``in_ms``.  Timers cannot be cancelled: a state machine ignores
-    those that it no longer needs."""
+    """Deliver ``TimerFired(token)`` after ``in_ms``.
+
+    Timers cannot be cancelled: a state machine ignores those that it no longer needs.
+    """
 
     in_ms: float
     token: int
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """A named occurrence for logs, counters and traces.  Its fields never contain secrets."""
+    """A named occurrence for logs, counters and traces; its fields never contain secrets."""
 
     name: str
     fields: Mapping[str, str | int | float] = field(default_factory=dict)
