--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -25,7 +25,7 @@
 from fleet_sim.membership_invariants import view_of
 from gossip_codec import MemberState
 from msgspec import msgpack
-from quota_leases import ShareKeeper, ShareSettings
+from quota_leases import LeaseExchange, QuotaSettings
 
 from thornjunction.runtime.fleet import Fleet
 
@@ -122,22 +122,22 @@
 def lease_us(count: int) -> float:
     """A voter is asked by each router in turn, all of them holding leases: us of processor an ask."""
     names = node_names(count)
-    settings = ShareSettings(names, names[:VOTERS])
-    voter = ShareKeeper(settings, names[0], 1, 0.0)
+    settings = QuotaSettings(names, names[:VOTERS])
+    voter = LeaseExchange(settings, names[0], 1, 0.0)
     # As a router's own asks are written: life, number, after the tag of their kind.
     asks = [msgpack.encode((1, 1, number)) for number in range(1, 3)]
-    now = settings.kept_ms + 1.0
+    now = settings.issuer_lease_ms + 1.0
     for name in names:
-        assert voter.heard(now, name, asks[0], names) is not None
+        assert voter.handle_message(now, name, asks[0], names) is not None
     begun = time.process_time()
     for number in range(ASKS):
-        voter.heard(now + number, names[number % count], asks[1], names)
+        voter.handle_message(now + number, names[number % count], asks[1], names)
     return (time.process_time() - begun) / ASKS * 1e6
 
 
 def voter(_: tuple[int, ...]) -> None:
     found = {count: min(lease_us(count) for _ in range(3)) for count in VOTER_MEMBERS}
-    every_s = ShareSettings(("a",), ("a",)).lease_ms / 4_000
+    every_s = QuotaSettings(("a",), ("a",)).lease_ms / 4_000
     rows = [
         row(count, f"{count / every_s:.0f}", f"{us:.0f}", f"{us * count / every_s / 1e6:.1%}")
         for count, us in found.items()
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -8,7 +8,7 @@
 from fleet_membership import MembershipSettings
 from gossip_codec import Envelope, IndirectProbe, MemberState, Superseded, UpdateBatch
 from msgspec import DecodeError, msgpack
-from quota_leases import ShareSettings
+from quota_leases import QuotaSettings
 from sansio_core import Address, RandomSource
 
 from .cluster import address_of
@@ -37,7 +37,7 @@
 ) -> Subject:
     """A fleet of these names; `foreign` ones hold another secret, `timings` are of MembershipSettings."""
     voters = voters or names[:VOTERS]
-    shares = ShareSettings(tuple(name for name in names if name not in foreign), voters)
+    shares = QuotaSettings(tuple(name for name in names if name not in foreign), voters)
     seeds = tuple(address_of(names.index(name)) for name in voters)
 
     def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Router:
--- a/packages/fleet-sim/src/fleet_sim/simulated_router.py
+++ b/packages/fleet-sim/src/fleet_sim/simulated_router.py
@@ -4,7 +4,7 @@
 
 from fleet_membership import Membership, MembershipSettings
 from gossip_codec import MemberState
-from quota_leases import CHANNEL, ShareKeeper, ShareSettings
+from quota_leases import LEASE_CHANNEL, LeaseExchange, QuotaSettings
 from sansio_core import Action, Event, RandomSource, SetTimer, ShutdownRequested, Started, TimerFired
 
 GONE = (MemberState.FAILED, MemberState.LEFT)
@@ -14,10 +14,10 @@
 class Router:
     """What a router runs of the fleet: a member, and its shares of the budgets on the same datagrams."""
 
-    def __init__(self, settings: MembershipSettings, shares: ShareSettings, draw: RandomSource) -> None:
+    def __init__(self, settings: MembershipSettings, shares: QuotaSettings, draw: RandomSource) -> None:
         self.name = settings.name
         self.member = Membership(settings, draw, self._heard)
-        self.keeper: ShareKeeper | None = None
+        self.keeper: LeaseExchange | None = None
         self._shares = shares
         self._life = settings.incarnation
 
@@ -25,27 +25,27 @@
         if event == TimerFired(SHARES_TOKEN):
             return self._ask(now)
         if isinstance(event, Started):
-            self.keeper = ShareKeeper(self._shares, self.name, self._life, now)
-            return [*self.member.handle(now, event), SetTimer(self.keeper.every_ms, SHARES_TOKEN)]
+            self.keeper = LeaseExchange(self._shares, self.name, self._life, now)
+            return [*self.member.handle(now, event), SetTimer(self.keeper.renewal_interval_ms, SHARES_TOKEN)]
         if isinstance(event, ShutdownRequested):
             self.keeper = None
         return self.member.handle(now, event)
 
     def share(self, now: float) -> float:
-        return self.keeper.share(now) if self.keeper else 0.0
+        return self.keeper.quota(now) if self.keeper else 0.0
 
     def _ask(self, now: float) -> list[Action]:
         if self.keeper is None:
             return []
         actions: list[Action] = []
-        for voter, body in self.keeper.asks(now, self._live(now)):
-            actions += self.member.send_user_message(voter, CHANNEL, body)
-        return [*actions, SetTimer(self.keeper.every_ms, SHARES_TOKEN)]
+        for request in self.keeper.renew(now, self._live(now)):
+            actions += self.member.send_user_message(request.voter, LEASE_CHANNEL, request.body)
+        return [*actions, SetTimer(self.keeper.renewal_interval_ms, SHARES_TOKEN)]
 
     def _heard(self, now: float, sender: str, channel: int, body: bytes) -> bytes | None:
-        if self.keeper is None or channel != CHANNEL:
+        if self.keeper is None or channel != LEASE_CHANNEL:
             return None
-        return self.keeper.heard(now, sender, body, self._live(now))
+        return self.keeper.handle_message(now, sender, body, self._live(now))
 
     def _live(self, now: float) -> list[str]:
         return [name for name, m in self.member.view(now).members.items() if m.state not in GONE]
--- a/packages/fleet-sim/tests/test_membership_simulation.py
+++ b/packages/fleet-sim/tests/test_membership_simulation.py
@@ -7,7 +7,7 @@
 from fleet_sim import Outcome, Weather, drawn_plan, node_names, run
 from fleet_sim.command import main
 from fleet_sim.membership import subject
-from quota_leases import ShareSettings
+from quota_leases import QuotaSettings
 
 LONG = Weather(longest_ms=60_000.0, most_faults=3, kinds=("split", "kill", "pause"))
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("owner", "name", "broken", "check"),
     [
-        (ShareSettings, "kept_ms", 0.0, "shares"),
+        (QuotaSettings, "issuer_lease_ms", 0.0, "shares"),
         (FailureVerdicts, "_handle_claim_about_self", lambda *_: None, "settled"),
         (VoterQuorum, "_is_reachable", lambda *_: True, "sides"),
         (MemberTable, "bump_version", lambda *_: None, "settled"),
--- a/packages/quota-leases/src/quota_leases/__init__.py
+++ b/packages/quota-leases/src/quota_leases/__init__.py
@@ -1,21 +1,23 @@
-"""What a router may do in each mode, and its share of the fleet's budgets."""
+"""What a router may do in each partition mode, and its quota of the fleet's budgets."""
 
 from __future__ import annotations
 
-from quota_leases.lease_exchange import CHANNEL, ShareKeeper
-from quota_leases.leases import Granter, Holder
-from quota_leases.partition_modes import MODE_TABLE, Rule, Verdict, Work
-from quota_leases.settings import WHOLE, ShareSettings
+from quota_leases.lease_exchange import LEASE_CHANNEL, LeaseExchange, OutgoingRequest
+from quota_leases.leases import LeaseHolder, LeaseIssuer
+from quota_leases.partition_modes import PARTITION_RULES, Decision, Operation, Rule
+from quota_leases.settings import BUDGET_UNITS, InvalidQuotaSettingError, QuotaSettings
 
 __all__ = [
-    "CHANNEL",
-    "MODE_TABLE",
-    "WHOLE",
-    "Granter",
-    "Holder",
+    "BUDGET_UNITS",
+    "LEASE_CHANNEL",
+    "PARTITION_RULES",
+    "Decision",
+    "InvalidQuotaSettingError",
+    "LeaseExchange",
+    "LeaseHolder",
+    "LeaseIssuer",
+    "Operation",
+    "OutgoingRequest",
+    "QuotaSettings",
     "Rule",
-    "ShareKeeper",
-    "ShareSettings",
-    "Verdict",
-    "Work",
 ]
--- a/packages/quota-leases/src/quota_leases/lease_exchange.py
+++ b/packages/quota-leases/src/quota_leases/lease_exchange.py
@@ -1,70 +1,104 @@
-"""A router's shares on the fleet's datagrams: asks and answers as bodies on one channel."""
+"""Lease requests and grants on the fleet's datagrams, as user messages on one channel."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
+from dataclasses import dataclass
 from typing import Annotated
 
 from msgspec import DecodeError, Meta, Struct, msgpack
 
-from quota_leases.leases import Granter, Holder
-from quota_leases.settings import WHOLE, ShareSettings
+from quota_leases.leases import LeaseHolder, LeaseIssuer
+from quota_leases.settings import BUDGET_UNITS, QuotaSettings
 
-CHANNEL = 1  # of ``gossip_codec.UserMessage``
-RENEWALS = 4  # within a lease
-Count = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
+LEASE_CHANNEL = 1
+"""The channel of ``gossip_codec.UserMessage``."""
 
+RENEWALS_PER_LEASE = 4
+"""Requests within the time of a lease: three may be lost before it expires."""
 
-class Ask(Struct, frozen=True, array_like=True, tag=1):
-    life: Count
-    number: Count
+Natural = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
+"""An integer that is not negative and has at most 64 bits with its sign."""
 
 
-class Grant(Struct, frozen=True, array_like=True, tag=2):
-    life: Count
-    number: Count
-    units: Annotated[int, Meta(ge=0, le=WHOLE)]
+class LeaseRequest(Struct, frozen=True, array_like=True, tag=1):
+    """Asks a voter for a lease."""
 
+    incarnation: Natural
+    request_id: Natural
 
-class ShareKeeper:
-    """Holder at every router, and granter where the router is a voter.  Call ``asks`` each ``every_ms``."""
 
-    def __init__(self, settings: ShareSettings, name: str, life: int, started: float) -> None:
-        self._settings, self._name = settings, name
-        self._holder = Holder(settings, name, life)
-        self._granter = Granter(settings, started) if name in settings.voters else None
-        self._decoder = msgpack.Decoder(Ask | Grant)
-        self.every_ms = settings.lease_ms / RENEWALS
+class LeaseGrant(Struct, frozen=True, array_like=True, tag=2):
+    """Answers the request of that incarnation and id with a lease of ``units``, which may be none."""
 
-    def asks(self, now: float, live: Collection[str]) -> list[tuple[str, bytes]]:
-        """Voters to ask, and the bodies to carry to them; this router's own slice is asked at once."""
-        out = []
+    incarnation: Natural
+    request_id: Natural
+    units: Annotated[int, Meta(ge=0, le=BUDGET_UNITS)]
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingRequest:
+    """An encoded request to send to a voter."""
+
+    voter: str
+    body: bytes
+
+
+class LeaseExchange:
+    """A lease holder at every router, and a lease issuer where the router is a voter.
+
+    Call ``renew`` every ``renewal_interval_ms``.
+    """
+
+    def __init__(self, settings: QuotaSettings, name: str, incarnation: int, started_ms: float) -> None:
+        self.renewal_interval_ms = settings.lease_ms / RENEWALS_PER_LEASE
+        self._settings = settings
+        self._name = name
+        self._holder = LeaseHolder(settings, name, incarnation)
+        self._issuer = LeaseIssuer(settings, started_ms) if name in settings.voters else None
+        self._decoder = msgpack.Decoder(LeaseRequest | LeaseGrant)
+
+    def renew(self, now: float, live_routers: Collection[str]) -> list[OutgoingRequest]:
+        """Request leases of all voters: of this router itself at once, of others by the returned requests."""
+        outgoing = []
         for voter in self._settings.voters:
-            ask = Ask(self._holder.life, self._holder.ask(now, voter))
-            if voter == self._name:
-                self._take(voter, self._grant(now, self._name, ask, live))
+            request = LeaseRequest(self._holder.incarnation, self._holder.request(now, voter))
+            if voter == self._name and self._issuer is not None:
+                self._accept(voter, _grant(self._issuer, now, self._name, request, live_routers))
             else:
-                out.append((voter, msgpack.encode(ask)))
-        return out
+                outgoing.append(OutgoingRequest(voter, msgpack.encode(request)))
+        return outgoing
+
+    def handle_message(
+        self, now: float, sender: str, body: bytes, live_routers: Collection[str]
+    ) -> bytes | None:
+        """Take a message of an authenticated sender; returns the reply, or None for no reply.
 
-    def heard(self, now: float, sender: str, body: bytes, live: Collection[str]) -> bytes | None:
-        """Take a body of an authenticated sender; gives the answer to carry back, if there is one."""
+        Malformed messages are ignored.
+        """
         try:
             message = self._decoder.decode(body)
         except (DecodeError, ValueError):
             return None
-        if isinstance(message, Ask):
-            return msgpack.encode(self._grant(now, sender, message, live)) if self._granter else None
-        self._take(sender, message)
-        return None
-
-    def share(self, now: float) -> float:
-        """The part of each budget that this router may spend now, in [0, 1]."""
-        return self._holder.share(now) / WHOLE
-
-    def _grant(self, now: float, router: str, ask: Ask, live: Collection[str]) -> Grant:
-        units = self._granter.asked(now, router, live) if self._granter else 0
-        return Grant(ask.life, ask.number, units)
-
-    def _take(self, voter: str, grant: Grant) -> None:
-        self._holder.granted(voter, grant.life, grant.number, grant.units)
+        match message:
+            case LeaseGrant():
+                self._accept(sender, message)
+                return None
+            case LeaseRequest():
+                if self._issuer is None:
+                    return None
+                return msgpack.encode(_grant(self._issuer, now, sender, message, live_routers))
+
+    def quota(self, now: float) -> float:
+        """Return the share of each budget that this router may use now, in [0, 1]."""
+        return self._holder.quota_units(now) / BUDGET_UNITS
+
+    def _accept(self, voter: str, grant: LeaseGrant) -> None:
+        self._holder.accept(voter, grant.incarnation, grant.request_id, grant.units)
+
+
+def _grant(
+    issuer: LeaseIssuer, now: float, router: str, request: LeaseRequest, live_routers: Collection[str]
+) -> LeaseGrant:
+    units = issuer.issue(now, router, live_routers)
+    return LeaseGrant(request.incarnation, request.request_id, units)
--- a/packages/quota-leases/src/quota_leases/partition_modes.py
+++ b/packages/quota-leases/src/quota_leases/partition_modes.py
@@ -1,7 +1,9 @@
-"""The mode table: what a router does with each kind of work, by how it stands with the fleet.
+"""What a router does with each kind of operation in each partition mode.
 
-Two rules made it.  What two sides could both do with harm is refused at once, with when to come back.  What
-only reads, or only forgets, goes on with what is known here."""
+Two rules made the table.  An operation that both sides of a partition could carry out with harm is rejected
+at once, with a time to retry.  One that only reads, or only evicts from caches, goes on with what is known
+locally.
+"""
 
 from __future__ import annotations
 
@@ -10,47 +12,65 @@
 
 from fleet_membership import PartitionMode
 
+REJOINING_RETRY_MS = 2_000.0
+"""The voters answer soon, or the mode changes."""
+
+MINORITY_RETRY_MS = 5_000.0
+"""Members that are unreachable are contacted every two probe intervals."""
+
+ISOLATED_RETRY_MS = 10_000.0
+"""Nobody is reachable: an operator may have to act."""
+
+
+class Operation(Enum):
+    """Kinds of operations that a partition concerns."""
 
-class Work(Enum):
     SAFE_READ = "safe read"
-    KEYED = "keyed request"
+    KEYED_REQUEST = "keyed request"
     PURGE = "purge"
-    MOVE = "move"  # of a tenant between shards: any step of its workflow
-    RESERVED = "reserved capacity"
+    TENANT_MOVE = "tenant move"
+    """Any step of moving a tenant between shards."""
+    RESERVED_CAPACITY = "reserved capacity"
     NEW_TENANT = "new tenant"
 
 
-class Verdict(Enum):
+class Decision(Enum):
+    """What to do with an operation."""
+
     ALLOW = "allow"
-    LAST_KNOWN = "last known"  # go on, on the placement known last
-    HERE = "here"  # do it here, and do not report it as done by the fleet
-    FLOOR = "floor"  # no more than what was agreed beforehand for a router that can't ask
-    REFUSE = "refuse"
+    USE_LAST_KNOWN = "use last known"
+    """Go on with the placement known last."""
+    LOCAL_ONLY = "local only"
+    """Carry it out on this router, and do not report it as carried out by the fleet."""
+    FLOOR_ONLY = "floor only"
+    """Use no more than the floor of the quota."""
+    REJECT = "reject"
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Rule:
-    """``retry_ms`` is when to come back, with ``REFUSE`` alone."""
+    """A decision; ``retry_after_ms`` is set with ``Decision.REJECT`` alone."""
 
-    verdict: Verdict
-    retry_ms: float | None = None
+    decision: Decision
+    retry_after_ms: float | None = None
 
 
-def _without_majority(retry_ms: float) -> dict[Work, Rule]:
-    refuse = Rule(Verdict.REFUSE, retry_ms)
+def _without_majority(retry_after_ms: float) -> dict[Operation, Rule]:
+    reject = Rule(Decision.REJECT, retry_after_ms)
     return {
-        Work.SAFE_READ: Rule(Verdict.LAST_KNOWN),
-        Work.KEYED: refuse,
-        Work.PURGE: Rule(Verdict.HERE),
-        Work.MOVE: refuse,
-        Work.RESERVED: Rule(Verdict.FLOOR),
-        Work.NEW_TENANT: refuse,
+        Operation.SAFE_READ: Rule(Decision.USE_LAST_KNOWN),
+        Operation.KEYED_REQUEST: reject,
+        Operation.PURGE: Rule(Decision.LOCAL_ONLY),
+        Operation.TENANT_MOVE: reject,
+        Operation.RESERVED_CAPACITY: Rule(Decision.FLOOR_ONLY),
+        Operation.NEW_TENANT: reject,
     }
 
 
-MODE_TABLE: dict[PartitionMode, dict[Work, Rule]] = {
-    PartitionMode.WITH_MAJORITY: {work: Rule(Verdict.ALLOW) for work in Work},
-    PartitionMode.REJOINING: _without_majority(2_000.0),  # the voters answer soon, or it is another mode
-    PartitionMode.MINORITY: _without_majority(5_000.0),  # others are looked for every two periods
-    PartitionMode.ISOLATED: _without_majority(10_000.0),
+PARTITION_RULES: dict[PartitionMode, dict[Operation, Rule]] = {
+    PartitionMode.WITH_MAJORITY: {operation: Rule(Decision.ALLOW) for operation in Operation},
+    PartitionMode.REJOINING: _without_majority(REJOINING_RETRY_MS),
+    PartitionMode.MINORITY: _without_majority(MINORITY_RETRY_MS),
+    PartitionMode.ISOLATED: _without_majority(ISOLATED_RETRY_MS),
 }
+"""The rule for every operation in every mode; docs/design/fleet.md explains it."""
--- a/packages/quota-leases/src/quota_leases/settings.py
+++ b/packages/quota-leases/src/quota_leases/settings.py
@@ -1,45 +1,66 @@
-"""What all routers of a fleet are told alike about its shares."""
+"""The settings of quota leases, which must be the same at every router of a fleet."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WHOLE = 1_000_000_000  # units of a whole budget; shares are whole numbers, so that sums are exact
+BUDGET_UNITS = 1_000_000_000
+"""Units of a full budget; quotas are integers of this unit, so that their sums are exact."""
+
+
+class InvalidQuotaSettingError(ValueError):
+    """A setting is out of range; the message starts with its name."""
+
+    def __init__(self, setting: str, problem: str) -> None:
+        super().__init__(f"{setting} {problem}")
+        self.setting = setting
 
 
 @dataclass(frozen=True)
-class ShareSettings:
-    """The same at every router.  ``unasked`` of a budget is given to the configured ``routers`` in equal
-    parts that nobody else ever takes; the rest is leased out by the ``voters`` in equal slices.
+class QuotaSettings:
+    """How a budget is divided.
+
+    ``floor_fraction`` of it is given to the configured ``routers`` in equal floors that no other router ever
+    gets; the ``voters`` lease out the rest in equal slices.
 
     A lease lasts ``lease_ms`` on its holder's clock.  No clock may run faster or slower than real time by
-    more than ``drift``.  Raises ValueError."""
+    more than the share ``max_clock_drift``.  Raises InvalidQuotaSettingError.
+    """
 
     routers: tuple[str, ...]
     voters: tuple[str, ...]
-    unasked: float = 0.5
+    floor_fraction: float = 0.5
     lease_ms: float = 10_000.0
-    drift: float = 0.01
+    max_clock_drift: float = 0.01
 
     def __post_init__(self) -> None:
         if not self.routers or len(set(self.routers)) < len(self.routers):
-            raise ValueError("shares need routers, each named once")
+            raise InvalidQuotaSettingError("routers", "must be named, each once")
         if not self.voters or len(set(self.voters)) < len(self.voters):
-            raise ValueError("shares need voters, each named once")
-        if not 0.0 <= self.unasked <= 1.0 or not 0.0 <= self.drift < 1.0 or self.lease_ms <= 0.0:
-            raise ValueError("unasked must be in [0, 1], drift in [0, 1), lease_ms above 0")
+            raise InvalidQuotaSettingError("voters", "must be named, each once")
+        if not 0.0 <= self.floor_fraction <= 1.0:
+            raise InvalidQuotaSettingError("floor_fraction", "must be in [0, 1]")
+        if not 0.0 <= self.max_clock_drift < 1.0:
+            raise InvalidQuotaSettingError("max_clock_drift", "must be in [0, 1)")
+        if self.lease_ms <= 0.0:
+            raise InvalidQuotaSettingError("lease_ms", "must be above 0")
+
+    def floor_units(self, router: str) -> int:
+        """Return the units that a router may use without a lease: none if it is not configured."""
+        if router not in self.routers:
+            return 0
+        return self._all_floors_units // len(self.routers)
 
-    def floor(self, router: str) -> int:
-        """Units that a router may take unasked: none for one that is not configured."""
-        return int(WHOLE * self.unasked) // len(self.routers) if router in self.routers else 0
+    @property
+    def slice_units(self) -> int:
+        """The units that each voter leases out."""
+        return (BUDGET_UNITS - self._all_floors_units) // len(self.voters)
 
     @property
-    def slice(self) -> int:
-        """Units that each voter leases out."""
-        return (WHOLE - int(WHOLE * self.unasked)) // len(self.voters)
+    def issuer_lease_ms(self) -> float:
+        """How long a voter counts a lease on its own clock: until it has expired on its holder's for sure."""
+        return self.lease_ms * (1.0 + self.max_clock_drift) / (1.0 - self.max_clock_drift)
 
     @property
-    def kept_ms(self) -> float:
-        """How long a voter counts a lease, on its own clock, so that it has surely run out on its
-        holder's."""
-        return self.lease_ms * (1.0 + self.drift) / (1.0 - self.drift)
+    def _all_floors_units(self) -> int:
+        return int(BUDGET_UNITS * self.floor_fraction)
--- a/packages/quota-leases/tests/test_quota_leases.py
+++ b/packages/quota-leases/tests/test_quota_leases.py
@@ -1,171 +1,207 @@
-"""The mode table is whole; shares never add up to more than one, and are of use when all is well."""
+"""Quotas never add up to more than a budget, and are of use while all is well."""
 
 from __future__ import annotations
 
 import heapq
 import random
+from typing import NamedTuple
 
 import pytest
-from fleet_membership import PartitionMode
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from quota_leases import MODE_TABLE, WHOLE, Holder, ShareKeeper, ShareSettings, Verdict, Work
+from quota_leases import BUDGET_UNITS, LeaseExchange, LeaseHolder, QuotaSettings
 
-ROUTERS = tuple(f"r{at}" for at in range(5))
-SHARES = ShareSettings(ROUTERS, ROUTERS[:3])
+ROUTERS = tuple(f"r{index}" for index in range(5))
+SETTINGS = QuotaSettings(ROUTERS, ROUTERS[:3])
+RENEWAL_MS = 2500.0
+FLOOR = 0.1
 
 
-def test_every_mode_has_a_rule_for_every_work_and_a_refusal_says_when() -> None:
-    harmful = {Work.KEYED, Work.MOVE, Work.NEW_TENANT}
-    for mode in PartitionMode:
-        assert set(MODE_TABLE[mode]) == set(Work)
-        refused = {work for work, rule in MODE_TABLE[mode].items() if rule.verdict is Verdict.REFUSE}
-        assert refused == (set() if mode is PartitionMode.WITH_MAJORITY else harmful)
-        assert refused == {work for work, rule in MODE_TABLE[mode].items() if rule.retry_ms is not None}
+class InFlight(NamedTuple):
+    """A message on its way; ``serial`` is unique."""
 
+    arrives_ms: float
+    serial: int
+    sender: str
+    target: str
+    body: bytes
 
-class Fleet:
-    """Keepers on clocks of their own, with messages that are lost, late, doubled and out of order, and views
-    that agree on nothing unless ``live`` says so.  ``spent`` is what may be spent at this moment."""
+
+class LeaseCluster:
+    """Routers on clocks of their own.
+
+    Messages are lost, delayed, duplicated and reordered, and the routers' views agree on nothing unless
+    ``live`` sets them.
+    """
 
     def __init__(self, seed: int, drift: float = 0.01) -> None:
         self.random = random.Random(seed)
-        self.time, self.lives, self.loss, self.delay = 0.0, 0, 0.0, 5.0
-        self.rate = {name: 1.0 + self.random.choice((-drift, 0.0, drift)) for name in ROUTERS}
-        self.cut: set[str] = set()
+        self.time_ms = 0.0
+        self.loss = 0.0
+        self.delay_ms = 5.0
+        self.serial = 0
+        self.clock_rate = {name: 1.0 + self.random.choice((-drift, 0.0, drift)) for name in ROUTERS}
+        self.partitioned: set[str] = set()
         self.paused: set[str] = set()
         self.live: tuple[str, ...] | None = None
-        self.keepers: dict[str, ShareKeeper] = {}
-        self.queue: list[tuple[float, int, str, str, bytes]] = []
+        self.routers: dict[str, LeaseExchange] = {}
+        self.queue: list[InFlight] = []
         for name in ROUTERS:
             self.start(name)
 
     def now(self, name: str) -> float:
-        return 1000.0 + self.time * self.rate[name]
+        return 1000.0 + self.time_ms * self.clock_rate[name]
 
     def start(self, name: str) -> None:
-        self.lives += 1
-        self.keepers[name] = ShareKeeper(SHARES, name, self.lives, self.now(name))
+        self.serial += 1
+        self.routers[name] = LeaseExchange(SETTINGS, name, self.serial, self.now(name))
 
-    def view(self) -> tuple[str, ...]:
+    def live_routers(self) -> tuple[str, ...]:
         return self.live or tuple(name for name in ROUTERS if self.random.random() < 0.6)
 
-    def ask(self, name: str) -> None:
-        if name in self.keepers and name not in self.paused:
-            for voter, body in self.keepers[name].asks(self.now(name), self.view()):
-                self.send(name, voter, body)
-
-    def send(self, sender: str, to: str, body: bytes) -> None:
-        for _ in range(1 + (self.loss > 0.0 and self.random.random() < 0.2)):
-            if self.random.random() >= self.loss and (sender in self.cut) == (to in self.cut):
-                self.lives += 1
-                at = self.time + self.random.random() * self.delay
-                heapq.heappush(self.queue, (at, self.lives, sender, to, body))
-
-    def run(self, ms: float) -> None:
-        end = self.time + ms
-        while self.queue and self.queue[0][0] <= end:
-            at, serial, sender, to, body = heapq.heappop(self.queue)
-            self.time = max(self.time, at)
-            if to in self.paused:  # it waits in the socket
-                heapq.heappush(self.queue, (end + 1.0, serial, sender, to, body))
-            elif to in self.keepers:
-                answer = self.keepers[to].heard(self.now(to), sender, body, self.view())
-                if answer is not None:
-                    self.send(to, sender, answer)
-            assert self.spent() <= WHOLE
-        self.time = end
-        assert self.spent() <= WHOLE
-
-    def spent(self) -> int:
-        return sum(round(keeper.share(self.now(name)) * WHOLE) for name, keeper in self.keepers.items())
-
-    def rounds(self, ms: float) -> None:
-        for _ in range(int(ms / 2500.0)):
+    def renew(self, name: str) -> None:
+        if name in self.routers and name not in self.paused:
+            for request in self.routers[name].renew(self.now(name), self.live_routers()):
+                self.send(name, request.voter, request.body)
+
+    def send(self, sender: str, target: str, body: bytes) -> None:
+        duplicated = self.loss > 0.0 and self.random.random() < 0.2
+        for _ in range(2 if duplicated else 1):
+            lost = self.random.random() < self.loss
+            if not lost and (sender in self.partitioned) == (target in self.partitioned):
+                self.serial += 1
+                arrives_ms = self.time_ms + self.random.random() * self.delay_ms
+                heapq.heappush(self.queue, InFlight(arrives_ms, self.serial, sender, target, body))
+
+    def run_for(self, ms: float) -> None:
+        end_ms = self.time_ms + ms
+        while self.queue and self.queue[0].arrives_ms <= end_ms:
+            message = heapq.heappop(self.queue)
+            self.time_ms = max(self.time_ms, message.arrives_ms)
+            if message.target in self.paused:  # it waits in the socket
+                heapq.heappush(self.queue, message._replace(arrives_ms=end_ms + 1.0))
+            elif message.target in self.routers:
+                self.deliver(message)
+            assert self.used_units() <= BUDGET_UNITS
+        self.time_ms = end_ms
+        assert self.used_units() <= BUDGET_UNITS
+
+    def deliver(self, message: InFlight) -> None:
+        target = message.target
+        reply = self.routers[target].handle_message(
+            self.now(target), message.sender, message.body, self.live_routers()
+        )
+        if reply is not None:
+            self.send(target, message.sender, reply)
+
+    def used_units(self) -> int:
+        """Return what all routers together may use at this moment."""
+        return sum(round(self.quota(name) * BUDGET_UNITS) for name in self.routers)
+
+    def run_renewals(self, ms: float) -> None:
+        for _ in range(int(ms / RENEWAL_MS)):
             for name in ROUTERS:
-                self.ask(name)
-            self.run(2500.0)
+                self.renew(name)
+            self.run_for(RENEWAL_MS)
+
+    def quota(self, name: str) -> float:
+        return self.routers[name].quota(self.now(name))
 
-    def share(self, name: str) -> float:
-        return self.keepers[name].share(self.now(name))
+    def quotas(self) -> list[float]:
+        return [round(self.quota(name), 6) for name in self.routers]
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(st.integers(0, 10_000))
-def test_shares_never_add_up_to_more_than_one(seed: int) -> None:
-    """Spell by spell, the voters favour one router alone, so that what one gives up the next takes at the
-    first moment it may; routers restart, the favoured fall silent, and messages grow slow or get lost."""
-    fleet = Fleet(seed, drift=0.01)
-    draw, favoured = fleet.random, set[str]()
+def test_quotas_never_add_up_to_more_than_the_budget(seed: int) -> None:
+    """The voters favour one router at a time, so that what one gives up the next takes as soon as it may.
+
+    Routers restart, the favoured fall silent, and messages are delayed or lost.
+    """
+    cluster = LeaseCluster(seed, drift=0.01)
+    draw = cluster.random
+    favoured = set[str]()
     for _ in range(12):
-        fleet.delay, fleet.loss = draw.choice((5.0, 5.0, 3000.0)), draw.choice((0.0, 0.0, 0.3))
-        fleet.paused = {name for name in favoured if draw.random() < 0.7}
-        fleet.cut = {name for name in ROUTERS if draw.random() < 0.1}
-        favoured = {draw.choice(ROUTERS)} - fleet.paused
-        fleet.live = tuple(favoured) or None
+        cluster.delay_ms = draw.choice((5.0, 5.0, 3000.0))
+        cluster.loss = draw.choice((0.0, 0.0, 0.3))
+        cluster.paused = {name for name in favoured if draw.random() < 0.7}
+        cluster.partitioned = {name for name in ROUTERS if draw.random() < 0.1}
+        favoured = {draw.choice(ROUTERS)} - cluster.paused
+        cluster.live = tuple(favoured) or None
         for _ in range(draw.choice((20, 60, 130))):
             if draw.random() < 0.02:
-                fleet.start(draw.choice(ROUTERS))
+                cluster.start(draw.choice(ROUTERS))
             for name in ROUTERS:
                 if draw.random() < 0.25:
-                    fleet.ask(name)
-            fleet.run(100.0)
+                    cluster.renew(name)
+            cluster.run_for(100.0)
 
 
-def test_a_lease_counts_from_its_ask_and_only_the_newest_answer_to_this_life_is_taken() -> None:
-    holder = Holder(ShareSettings(("a",), ("v",), unasked=0.0), "a", life=2)
-    first, second, third = (holder.ask(now, "v") for now in (0.0, 1000.0, 5000.0))
-    for life, number, units, held in (
-        (1, second, 9, 0),  # meant for the life before
+def test_a_lease_counts_from_its_request_and_only_the_newest_grant_to_this_incarnation_is_accepted() -> None:
+    holder = LeaseHolder(QuotaSettings(("a",), ("v",), floor_fraction=0.0), "a", incarnation=2)
+    first, second, third = (holder.request(now, "v") for now in (0.0, 1000.0, 5000.0))
+    for incarnation, request_id, units, expected in (
+        (1, second, 9, 0),  # meant for the incarnation before
         (2, second, 5, 5),
         (2, first, 9, 5),  # overtaken
-        (2, second, 9, 5),  # doubled
+        (2, second, 9, 5),  # duplicated
     ):
-        holder.granted("v", life, number, units)
-        assert holder.share(10_999.0) == held
-    assert holder.share(11_000.0) == 0
-    holder.granted("v", 2, third, 7)
-    assert (holder.share(14_999.0), holder.share(15_000.0)) == (7, 0)
-
-
-def test_survivors_grow_when_the_leases_of_the_dead_have_run_out_and_make_room_again() -> None:
-    fleet = Fleet(1)
-    fleet.live = ROUTERS
-    fleet.rounds(30_000.0)
-    assert [round(fleet.share(name), 6) for name in ROUTERS] == [0.2] * 5
+        holder.accept("v", incarnation, request_id, units)
+        assert holder.quota_units(10_999.0) == expected
+    assert holder.quota_units(11_000.0) == 0
+    holder.accept("v", 2, third, 7)
+    assert (holder.quota_units(14_999.0), holder.quota_units(15_000.0)) == (7, 0)
+
+
+def test_survivors_grow_when_the_leases_of_the_dead_have_expired_and_make_room_again() -> None:
+    cluster = LeaseCluster(1)
+    cluster.live = ROUTERS
+    cluster.run_renewals(30_000.0)
+    assert cluster.quotas() == [0.2] * 5
     for name in ("r3", "r4"):
-        del fleet.keepers[name]
-    fleet.live = ROUTERS[:3]
-    fleet.rounds(5000.0)
-    assert max(fleet.share(name) for name in fleet.keepers) <= 0.2  # not yet: they may still be spending
-    fleet.rounds(25_000.0)
-    assert [round(fleet.share(name), 6) for name in fleet.keepers] == [round(0.1 + 0.5 / 3, 6)] * 3
-    fleet.start("r3")
-    fleet.live = ROUTERS[:4]
-    fleet.rounds(30_000.0)
-    assert [round(fleet.share(name), 6) for name in fleet.keepers] == [0.1 + 0.5 / 4] * 4
-
-
-@pytest.mark.parametrize("cut", [{"r0"}, {"r0", "r3"}, {"r3"}])
-def test_who_is_without_the_majority_keeps_its_floor_alone(cut: set[str]) -> None:
-    fleet = Fleet(2)
-    fleet.live = ROUTERS
-    fleet.rounds(30_000.0)
-    fleet.cut = cut
-    fleet.rounds(12_500.0)
-    assert {round(fleet.share(name), 6) for name in cut} == {0.1}
-    assert min(fleet.share(name) for name in set(ROUTERS) - cut) > 0.1
-
-
-def test_what_is_no_ask_or_answer_is_passed_over_and_an_unknown_router_has_no_floor() -> None:
-    keeper = ShareKeeper(SHARES, "r0", 1, 0.0)
-    assert keeper.heard(1.0, "r1", b"\xff", ROUTERS) is None
-    assert keeper.heard(1.0, "r1", b"\x94\x02\x01\x01\x0a", ROUTERS) is None  # an answer to no ask
-    assert keeper.share(1.0) == 0.1
-    assert ShareKeeper(SHARES, "r9", 1, 0.0).share(1.0) == 0.0
-
-
-@pytest.mark.parametrize("wrong", [{"routers": ()}, {"voters": ("a", "a")}, {"unasked": 1.1}, {"drift": 1.0}])
-def test_settings_that_cannot_be_are_refused(wrong: dict[str, object]) -> None:
-    with pytest.raises(ValueError, match=r".+"):
-        ShareSettings(**{"routers": ("a",), "voters": ("a",), **wrong})  # type: ignore[arg-type]
+        del cluster.routers[name]
+    cluster.live = ROUTERS[:3]
+    cluster.run_renewals(5000.0)
+    assert max(cluster.quotas()) <= 0.2  # not yet: the dead may still be using theirs
+    cluster.run_renewals(25_000.0)
+    assert cluster.quotas() == [round(FLOOR + 0.5 / 3, 6)] * 3
+    cluster.start("r3")
+    cluster.live = ROUTERS[:4]
+    cluster.run_renewals(30_000.0)
+    assert cluster.quotas() == [FLOOR + 0.5 / 4] * 4
+
+
+@pytest.mark.parametrize("partitioned", [{"r0"}, {"r0", "r3"}, {"r3"}])
+def test_routers_without_the_majority_keep_their_floor_alone(partitioned: set[str]) -> None:
+    cluster = LeaseCluster(2)
+    cluster.live = ROUTERS
+    cluster.run_renewals(30_000.0)
+    cluster.partitioned = partitioned
+    cluster.run_renewals(12_500.0)
+    assert {round(cluster.quota(name), 6) for name in partitioned} == {FLOOR}
+    assert min(cluster.quota(name) for name in set(ROUTERS) - partitioned) > FLOOR
+
+
+def test_malformed_messages_are_ignored_and_an_unknown_router_has_no_floor() -> None:
+    router = LeaseExchange(SETTINGS, "r0", 1, 0.0)
+    assert router.handle_message(1.0, "r1", b"\xff", ROUTERS) is None
+    unrequested_grant = b"\x94\x02\x01\x01\x0a"
+    assert router.handle_message(1.0, "r1", unrequested_grant, ROUTERS) is None
+    assert router.quota(1.0) == FLOOR
+    assert LeaseExchange(SETTINGS, "r9", 1, 0.0).quota(1.0) == 0.0
+
+
+@pytest.mark.parametrize(
+    ("setting", "value"),
+    [
+        ("routers", ()),
+        ("voters", ("a", "a")),
+        ("floor_fraction", 1.1),
+        ("max_clock_drift", 1.0),
+        ("lease_ms", 0.0),
+    ],
+)
+def test_invalid_settings_raise_and_are_named(setting: str, value: object) -> None:
+    valid: dict[str, object] = {"routers": ("a",), "voters": ("a",)}
+    with pytest.raises(ValueError, match=f"{setting} must"):
+        QuotaSettings(**valid | {setting: value})  # type: ignore[arg-type]
