--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -21,7 +21,7 @@
 import fleet_figures as figures
 from capacity_fit import fit, row, sized_main, table
 from fleet_membership import MembershipView, MemberView, PartitionMode
-from fleet_sim import Quality, World, node_names
+from fleet_sim import LinkQuality, SimulatedCluster, node_names
 from fleet_sim.membership_invariants import view_of
 from gossip_codec import MemberState
 from msgspec import msgpack
@@ -49,18 +49,18 @@
         return actions
 
 
-def all_met(world: World, count: int) -> bool:
+def all_met(world: SimulatedCluster, count: int) -> bool:
     views = (view_of(world, node) for node in world.nodes.values())
     return all(view is not None and len(view.members) >= count for view in views)
 
 
-def spread_s(world: World, count: int) -> float:
+def spread_s(world: SimulatedCluster, count: int) -> float:
     """Seconds until all know that one has begun a new life: the median of CHANGES."""
     changed = node_names(count)[-CHANGES:]
     return statistics.median(spread_of(world, name, count) for name in changed)
 
 
-def spread_of(world: World, changed: str, count: int) -> float:
+def spread_of(world: SimulatedCluster, changed: str, count: int) -> float:
     watch = figures.Watch(world, changed)
     world.kill(changed)
     world.start(changed)
@@ -75,12 +75,12 @@
     long), and seconds until all know of a new life."""
     if count <= TRACED:
         tracemalloc.start()
-    world = figures.fleet(count, 1, Quality())
+    world = figures.fleet(count, 1, LinkQuality())
     figures.until(world, lambda: all_met(world, count))
     held_kb = tracemalloc.get_traced_memory()[0] / count / 1_024 if count <= TRACED else math.nan
     tracemalloc.stop()
     world.run_until(world.now + 3 * figures.JOIN_MS)
-    before = [(node.sent, node.sent_bytes) for node in world.nodes.values()]
+    before = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
     machines = [Timed(node.machine) for node in world.nodes.values()]
     for node, machine in zip(world.nodes.values(), machines, strict=True):
         node.machine = machine
@@ -88,7 +88,7 @@
     used = [machine.used / STEADY_MS * 1e9 for machine in machines]
     for node, machine in zip(world.nodes.values(), machines, strict=True):
         node.machine = machine.machine
-    after = [(node.sent, node.sent_bytes) for node in world.nodes.values()]
+    after = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
     sent, octets = (
         [(b[i] - a[i]) / STEADY_MS * 1_000 for a, b in zip(before, after, strict=True)] for i in (0, 1)
     )
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -12,11 +12,11 @@
 from functools import partial
 from pathlib import Path
 
-from fleet_sim import Node, Quality, World, node_names
+from fleet_sim import LinkQuality, Node, SimulatedCluster, node_names
 from fleet_sim.command import percentile
 from fleet_sim.membership import subject
 from fleet_sim.membership_invariants import view_of
-from fleet_sim.run import make_world
+from fleet_sim.run import make_cluster
 from sansio_core import Notice
 
 JOIN_MS = 10_000.0
@@ -33,7 +33,7 @@
 class Watch:
     """Who was told what of one member, and every verdict of failure."""
 
-    def __init__(self, world: World, about: str = "") -> None:
+    def __init__(self, world: SimulatedCluster, about: str = "") -> None:
         self.world, self._about = world, about
         self.first: dict[str, float] = {}  # by observer: when it held `about` as failed, or in a new life
         self.failed: list[tuple[str, str]] = []
@@ -48,18 +48,18 @@
                 self.first.setdefault(node.name, self.world.now)
 
 
-def fleet(count: int, seed: int, quality: Quality) -> World:
+def fleet(count: int, seed: int, quality: LinkQuality) -> SimulatedCluster:
     """A fleet of `count` that had JOIN_MS to meet. No invariants: they are tested elsewhere."""
     names = node_names(count)
-    world = make_world(subject(names, base=quality, checked=False), seed, names, trace=False)
-    world.listeners.append(lambda node, told: world.log.clear())  # no timeline is wanted
+    world = make_cluster(subject(names, base_quality=quality, checked=False), seed, names, trace=False)
+    world.listeners.append(lambda node, told: world.trace.clear())  # no timeline is wanted
     for index, name in enumerate(names):
-        world.at(index * JOIN_MS / 2 / count, partial(world.start, name))
+        world.schedule(index * JOIN_MS / 2 / count, partial(world.start, name))
     world.run_until(JOIN_MS)
     return world
 
 
-def until(world: World, done: Callable[[], bool], limit: float = LIMIT_MS) -> float:
+def until(world: SimulatedCluster, done: Callable[[], bool], limit: float = LIMIT_MS) -> float:
     """Run until something is so; returns how long that took, or inf."""
     begun = world.now
     while not done():
@@ -73,7 +73,7 @@
     """One of FLEET is killed: how long until the first, and until the last, holds it as failed."""
     firsts, lasts, false = [], [], 0
     for seed in range(TRIALS):
-        world = fleet(FLEET, seed, Quality(loss=loss))
+        world = fleet(FLEET, seed, LinkQuality(loss=loss))
         victim = node_names(FLEET)[-1]
         watch = Watch(world, victim)
         killed = world.now
@@ -93,13 +93,13 @@
     """Nothing fails; some are paused again and again, shorter than a suspicion: all verdicts are false."""
     false = about = 0
     for seed in range(WATCHED):
-        world = fleet(FLEET, seed, Quality(loss=loss))
+        world = fleet(FLEET, seed, LinkQuality(loss=loss))
         watch = Watch(world)
         names = node_names(FLEET)[-paused:] if paused else ()
         for start in range(10_000, int(ALARM_MS), 15_000):
             for name in names:
-                world.at(world.now + start, partial(world.pause, name))
-                world.at(world.now + start + 2_500, partial(world.resume, name))
+                world.schedule(world.now + start, partial(world.pause, name))
+                world.schedule(world.now + start + 2_500, partial(world.resume, name))
         world.run_until(world.now + ALARM_MS)
         false += sum(name not in names for _, name in watch.failed)
         about += sum(name in names for _, name in watch.failed)
@@ -109,12 +109,12 @@
 def cost(count: int) -> str:
     """A steady fleet: bytes and datagrams that a member sends; then rounds until all know of a new life."""
     begun = time.perf_counter()
-    world = fleet(count, 1, Quality())
+    world = fleet(count, 1, LinkQuality())
     met = until(world, lambda: all(_known(node, world) >= count for node in world.nodes.values()))
     world.run_until(world.now + 3 * JOIN_MS)  # rumours of the joining die down
-    before = [(node.sent, node.sent_bytes) for node in world.nodes.values()]
+    before = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
     world.run_until(world.now + STEADY_MS)
-    after = [(node.sent, node.sent_bytes) for node in world.nodes.values()]
+    after = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
     sent, octets = (
         (sum(new[i] - old[i] for new, old in zip(after, before, strict=True)) / count / STEADY_MS * 1_000)
         for i in (0, 1)
@@ -127,12 +127,12 @@
     )
 
 
-def _known(node: Node, world: World) -> int:
+def _known(node: Node, world: SimulatedCluster) -> int:
     view = view_of(world, node)
     return len(view.members) if view else 0
 
 
-def _spread(world: World, count: int) -> str:
+def _spread(world: SimulatedCluster, count: int) -> str:
     """Rounds (probe periods of 1 s) until half, and all, know that one has begun a new life: medians."""
     halves, wholes = zip(
         *(_spread_one(world, name, count) for name in node_names(count)[:CHANGES]), strict=True
@@ -140,7 +140,7 @@
     return f"{percentile(halves, 0.5) / 1_000:.1f} / {percentile(wholes, 0.5) / 1_000:.1f}"
 
 
-def _spread_one(world: World, changed: str, count: int) -> tuple[float, float]:
+def _spread_one(world: SimulatedCluster, changed: str, count: int) -> tuple[float, float]:
     watch = Watch(world, changed)
     world.kill(changed)
     world.start(changed)
--- a/packages/control-sim/src/control_sim/checks.py
+++ b/packages/control-sim/src/control_sim/checks.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from control_relay import Relay
-from fleet_sim import Node, World
+from fleet_sim import Node
+from fleet_sim import SimulatedCluster as World
 
 from control_sim.discovery import CLOCK, Discovery
 from control_sim.nodes import Lines, PlainRouter, RelayNode, Router
@@ -89,7 +90,7 @@
 
     def _router(self, world: World, node: Node, router: Router) -> str | None:
         self._note_taken(router.name, router.client.epochs)
-        held, now = router.held, node.local(world.now)
+        held, now = router.held, node.monotonic_ms(world.now)
         age = router.client.age_ms(now)
         return (
             self._named("mixed", self._known(held.lines))
@@ -100,7 +101,7 @@
 
     def _relay(self, world: World, node: Node, machine: RelayNode) -> str | None:
         self._note_taken(machine.name, machine.client.epochs)
-        relay, now = machine.relay, node.local(world.now)
+        relay, now = machine.relay, node.monotonic_ms(world.now)
         lines = self._lines_of(machine)
         if not relay.ready:
             return None
@@ -153,7 +154,7 @@
         for what, when, issued in reversed(self.truth.purges):
             if issued < max(world.now - self.hold_ms + SLACK_MS, self.truth.set_back_at):
                 return None  # what discovery itself has lost, nobody can know
-            if issued <= as_of and issued > node.since and purges.get(what, -math.inf) < when:
+            if issued <= as_of and issued > node.state_changed_ms and purges.get(what, -math.inf) < when:
                 return f"lacks the purge of {what} issued {world.now - issued:.0f} ms ago, age {age:.0f} ms"
         return None
 
@@ -221,9 +222,9 @@
         assert isinstance(above, RelayNode)
         machine, heard = node.machine, above.lives.get(name) == node.incarnation
         for number, (what, when, until) in self._seen[above.relay.epoch].items():
-            if not before < number <= done or until <= at.local(world.now):
+            if not before < number <= done or until <= at.monotonic_ms(world.now):
                 continue
-            if not heard and self._issued(what, when) < node.since:
+            if not heard and self._issued(what, when) < node.state_changed_ms:
                 continue
             if isinstance(machine, Router) and machine.held.purges.get(what, -math.inf) < when:
                 return f"purge {number} is done, but {name} lacks it"
@@ -261,7 +262,7 @@
 
 def _unconfirmed(node: Node, machine: RelayNode, now: float) -> str | None:
     """Where all who ever polled are there, all is done; else who is missing is named."""
-    relay, local = machine.relay, node.local(now)
+    relay, local = machine.relay, node.monotonic_ms(now)
     lagging = [row for row in relay.roster(local) if row.state != "cut-off"]
     behind = [row for row in lagging if row.role != "relay" or row.names == (row.name,)]
     if behind:
--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -8,7 +8,7 @@
 from multiprocessing import Pool
 
 from fleet_sim import Outcome, run, shrink
-from fleet_sim.command import Total
+from fleet_sim.command import OutcomeTotals as Total
 
 from control_sim.plans import plan
 from control_sim.topology import subject
@@ -17,7 +17,7 @@
 def outcome_of(seed: int) -> Outcome:
     """One seed's run, without its log."""
     outcome = run(subject(), plan(seed))
-    outcome.log.clear()
+    outcome.trace.clear()
     return outcome
 
 
--- a/packages/control-sim/src/control_sim/lines.py
+++ b/packages/control-sim/src/control_sim/lines.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fleet_sim import Kind, Node, State, World
+from fleet_sim import EntryKind, Node, ProcessState
+from fleet_sim import SimulatedCluster as World
 
 AGAIN_MS = 300.0  # until TCP sends again
 
@@ -85,7 +86,7 @@
     target = world.nodes[action.to]
 
     def arrive() -> None:
-        if target.state is State.DOWN:
+        if target.state is ProcessState.DOWN:
             _send(world, target, node, Broken(action.connection))
         else:
             world.deliver(target, Asked(node.name, action.connection, action.poll))
@@ -106,7 +107,7 @@
     cut: list[bool] = []
     if _later(world, node, target, arrive) and action.body is not None:
         cut.append(True)
-        world.note(Kind.LOST, "answer cut", node.name, target.name)
+        world.record(EntryKind.LOST, "answer cut", node.name, target.name)
 
 
 def _send(world: World, node: Node, target: Node, event: object) -> None:
@@ -118,8 +119,8 @@
     link = (node.name, target.name)
     if world.network.is_cut(link):
         return False
-    delays = world.network.fates(link, node.fate)
-    world.at(world.now + (delays[0] if delays else AGAIN_MS), act)
+    delays = world.network.delivery_delays_ms(link, node.random)
+    world.schedule(world.now + (delays[0] if delays else AGAIN_MS), act)
     return len(delays) > 1
 
 
--- a/packages/control-sim/src/control_sim/plans.py
+++ b/packages/control-sim/src/control_sim/plans.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fleet_sim import Fault, Kind, Plan, Quality, World
+from fleet_sim import EntryKind, Fault, LinkQuality, Plan
+from fleet_sim import SimulatedCluster as World
 from fleet_sim.faults import Cut, Flap, Kill, Lag, Noise, Partition, Pause
 
 from control_sim.topology import NAMES, SIBLINGS, UPSTREAMS
@@ -22,13 +23,13 @@
     """All relays at once, each restarted empty."""
 
     def begin(self, world: World, cause: str) -> None:
-        world.note(Kind.FAULT, "all relays killed")
+        world.record(EntryKind.FAULT, "all relays killed")
         for name in RELAYS:
             world.kill(name, cause)
 
     def end(self, world: World, cause: str) -> None:
         for name in RELAYS:
-            if world.nodes[name].down_by == cause:
+            if world.nodes[name].stopped_by == cause:
                 world.start(name)
 
 
@@ -46,7 +47,9 @@
 
 def _noise(draw: random.Random, at: float, lasts: float) -> Noise:
     least = draw.choice((0.5, 5.0, 60.0))
-    quality = Quality(draw.choice((0.0, 0.1, 0.4)), least, least * 4, doubled=draw.choice((0.0, 0.1, 0.4)))
+    quality = LinkQuality(
+        draw.choice((0.0, 0.1, 0.4)), least, least * 4, duplicated=draw.choice((0.0, 0.1, 0.4))
+    )
     return Noise(at, lasts, quality, draw.choice(("", *NAMES)))
 
 
@@ -63,7 +66,7 @@
 
 
 KINDS: dict[str, Callable[[random.Random, float, float], Fault]] = {
-    "cut": lambda d, at, lasts: Cut(at, lasts, *d.choice(LINKS), both=True),
+    "cut": lambda d, at, lasts: Cut(at, lasts, *d.choice(LINKS), both_ways=True),
     "cut one way": _one_way,
     "split": _split,
     "flap": lambda d, at, lasts: Flap(at, lasts, *d.choice(LINKS), d.choice((150.0, 700.0)), True),
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from control_relay import Relay, RelaySettings
-from fleet_sim import Disk, Node, Quality, Subject, World
+from fleet_sim import Disk, LinkQuality, Node, Subject
+from fleet_sim import SimulatedCluster as World
 from sansio_core import Address, Notice, RandomSource
 
 from control_sim.checks import Checks, settled
@@ -69,7 +70,7 @@
         lambda: [Checks(HOLD_MS)],
         settled,
         SETTLE_MS,
-        Quality(least_ms=0.5, most_ms=4.0),
-        carry=CARRY,
-        tally=tally,
+        LinkQuality(min_delay_ms=0.5, max_delay_ms=4.0),
+        action_handlers=CARRY,
+        attach_counters=tally,
     )
--- a/packages/fleet-membership/tests/membership_cluster.py
+++ b/packages/fleet-membership/tests/membership_cluster.py
@@ -13,7 +13,7 @@
     PartitionMode,
     UserMessageHandler,
 )
-from fleet_sim import Node, Quality, World
+from fleet_sim import LinkQuality, Node, SimulatedCluster
 from gossip_codec import Codec, Envelope
 from sansio_core import Action, Address, Notice, RandomSource
 
@@ -30,7 +30,7 @@
     notice: Notice
 
 
-class MembershipCluster(World):
+class MembershipCluster(SimulatedCluster):
     """Members ``r0``, ``r1``...; records all notices and datagrams.
 
     ``overrides`` has settings of single members that differ from the others'.
@@ -43,7 +43,9 @@
         self.sent: list[bytes] = []
         self.overrides: dict[str, dict[str, Any]] = {}
         self.user_message_handlers: dict[str, UserMessageHandler] = {}
-        super().__init__(seed, names, self.build_member, base=Quality(loss=loss), describe=self._record_sent)
+        super().__init__(
+            seed, names, self.build_member, base_quality=LinkQuality(loss=loss), describe=self._record_sent
+        )
         self.listeners.append(self._record_notice)
 
     def _record_sent(self, data: bytes) -> str:
@@ -75,16 +77,16 @@
         self.cut([(a, b) for a in side_of for b in side_of if side_of[a] != side_of[b]], "partition")
 
     def heal_partition(self) -> None:
-        self.mend("partition")
+        self.heal("partition")
 
     def running(self) -> list[Node]:
-        return [node for node in self.nodes.values() if node.running]
+        return [node for node in self.nodes.values() if node.is_running]
 
     def member(self, name: str) -> Membership:
         return cast(Membership, self.nodes[name].machine)
 
     def view(self, name: str) -> MembershipView:
-        return self.member(name).view(self.nodes[name].local(self.now))
+        return self.member(name).view(self.nodes[name].monotonic_ms(self.now))
 
     def state(self, of: str, seen_by: str) -> MemberState | None:
         member = self.view(seen_by).members.get(of)
@@ -104,9 +106,9 @@
             if observed.notice.name == event and fields.items() <= observed.notice.fields.items()
         ]
 
-    def carry_out(self, name: str, actions: list[Action]) -> None:
+    def carry_out_all(self, name: str, actions: list[Action]) -> None:
         for action in actions:
-            self._act(self.nodes[name], action)
+            self.carry_out(self.nodes[name], action)
 
     def datagrams_from(self, sender: str) -> list[Envelope]:
         """Return what a member sent, in order."""
--- a/packages/fleet-membership/tests/test_membership_scenarios.py
+++ b/packages/fleet-membership/tests/test_membership_scenarios.py
@@ -178,9 +178,9 @@
     cluster = started()
     view = cluster.view("r0")
     for codec in (Codec("other", SECRET), Codec("fleet", SECRET[::-1])):
-        cluster.forge("r0", STRANGER, codec.encode("x", 1, Probe(1, "r0")).data)
-    cluster.forge("r0", STRANGER, b"?")
-    cluster.forge("r0", STRANGER, cluster.network.taped("r1", "r0")[-1].data)
+        cluster.inject("r0", STRANGER, codec.encode("x", 1, Probe(1, "r0")).data)
+    cluster.inject("r0", STRANGER, b"?")
+    cluster.inject("r0", STRANGER, cluster.network.recorded("r1", "r0")[-1].data)
     cluster.run_for(0.0)
     reasons = [observed.notice.fields["why"] for observed in cluster.notices("refused")]
     assert reasons == ["fleet", "tag", "size", "replay"]
@@ -199,7 +199,7 @@
             address = pack_address(cluster.nodes[f"r{index}"].address)
             update = Update(name, address, 1, state, accuser)
             data = codecs[sender].encode(sender, 1, UpdateBatch(), [update]).data
-            cluster.forge("r0", STRANGER, data)
+            cluster.inject("r0", STRANGER, data)
         cluster.run_for(0.0)
 
     claim(names[0], ALIVE, *names)
@@ -246,7 +246,7 @@
         cluster.sent.clear()
         for index in range(5):
             data = Codec("fleet", SECRET).encode(f"{prefix}{index}", 1, message).data
-            cluster.forge("r0", cluster.nodes["r1"].address, data)
+            cluster.inject("r0", cluster.nodes["r1"].address, data)
         cluster.run_for(within_ms)
         syncs = [envelope for envelope in cluster.datagrams_from("r0") if isinstance(envelope.message, Sync)]
         assert len(syncs) == 1
@@ -275,7 +275,7 @@
     )
     assert cluster.start_all().converges_within(5000.0)
     sender = cluster.member("r0")
-    cluster.carry_out("r0", sender.send_user_message("r1", 5, b"question"))
+    cluster.carry_out_all("r0", sender.send_user_message("r1", 5, b"question"))
     assert sender.send_user_message("nobody", 5, b"") == []
     cluster.run_for(4.0)
     assert UserMessage(5, b"r0 5 question") in [envelope.message for envelope in cluster.datagrams_from("r1")]
--- a/packages/fleet-rig/src/fleet_rig/acts.py
+++ b/packages/fleet-rig/src/fleet_rig/acts.py
@@ -4,10 +4,10 @@
 
 import signal
 from collections.abc import Sequence
-from dataclasses import fields, replace
+from dataclasses import replace
 
-from fleet_sim import Quality
-from fleet_sim.faults import across
+from fleet_sim.faults import links_across
+from fleet_sim.scenario_actions import parse_arrow, parse_quality
 
 from fleet_rig.rig import Rig
 
@@ -18,7 +18,6 @@
     "continue": signal.SIGCONT,
     "leave": signal.SIGTERM,
 }
-QUALITIES = {quality.name for quality in fields(Quality)}
 
 
 class Acts:
@@ -60,35 +59,26 @@
         rig = self.rig
         match verb, *words:
             case "cut", *link:
-                rig.cut(_arrow(link), True)
+                rig.cut(parse_arrow(link), True)
             case "split", *_:
-                rig.cut(across(tuple(tuple(side.split()) for side in " ".join(words).split("/"))), True)
+                rig.cut(links_across(tuple(tuple(side.split()) for side in " ".join(words).split("/"))), True)
             case "flap", *link, "every", ms:
-                links = _arrow(link)
+                links = parse_arrow(link)
                 rig.every(float(ms), lambda: rig.cut(links, not rig.relay.links[links[0]].cut))
             case "heal", *link:
                 rig.quiet()
-                rig.cut(_arrow(link) if link else list(rig.relay.links), False)
+                rig.cut(parse_arrow(link) if link else list(rig.relay.links), False)
                 if not link:
                     rig.relay.clear()
             case "noise", *pairs:
                 self._noise(pairs)
             case "replay", *link, count:
-                ((source, target),) = _arrow(link)
+                ((source, target),) = parse_arrow(link)
                 rig.relay.replay(source, target, int(count))
             case _:
                 raise ValueError("no such act")
 
     def _noise(self, words: Words) -> None:
-        told = {key: float(value) for key, value in zip(words[::2], words[1::2], strict=True)}
-        if told.keys() - QUALITIES:
-            raise ValueError("no such quality")
+        told = parse_quality(words)
         for link in self.rig.relay.links.values():
             link.quality = replace(link.quality, **told)
-
-
-def _arrow(words: Words) -> list[tuple[str, str]]:
-    source, arrow, target = words
-    if arrow not in ("->", "<->"):
-        raise ValueError("no link")
-    return [(source, target), (target, source)] if arrow == "<->" else [(source, target)]
--- a/packages/fleet-rig/src/fleet_rig/cast.py
+++ b/packages/fleet-rig/src/fleet_rig/cast.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from fleet_sim.scenario import FormError, Scenario
+from fleet_sim.scenario import Scenario, ScenarioSyntaxError
 
 TIMINGS: Mapping[str, float] = {
     "probe_every_ms": 200,
@@ -32,13 +32,13 @@
 
     @classmethod
     def of(cls, scenario: Scenario) -> Cast:
-        """By the head's lines of the same names, and ``timings: NAME=MS ..``; FormError for others."""
+        """By the head's lines of these names and ``timings: NAME=MS ..``; ScenarioSyntaxError for others."""
         told = dict(scenario.options)
         pairs = [word.partition("=") for word in told.pop("timings", ())]
         if unknown := told.keys() - set(GROUPS):
-            raise FormError(f"a rig knows no {', '.join(sorted(unknown))}")
+            raise ScenarioSyntaxError(f"a rig knows no {', '.join(sorted(unknown))}")
         if unknown := {name for group in told.values() for name in group} - set(scenario.names):
-            raise FormError(f"no node {', '.join(sorted(unknown))}")
+            raise ScenarioSyntaxError(f"no node {', '.join(sorted(unknown))}")
         return cls(scenario.names, **told, timings={name: float(ms) for name, _, ms in pairs})
 
     @property
--- a/packages/fleet-rig/src/fleet_rig/demo.py
+++ b/packages/fleet-rig/src/fleet_rig/demo.py
@@ -34,7 +34,7 @@
         """Print what was not printed yet of what routers said and of their ends."""
         entries = self.rig.record.entries
         for entry in entries[self.shown :]:
-            print(f"{entry.at / 1000.0:9.3f} s  {entry.node}: {entry.text}", flush=True)
+            print(f"{entry.at_ms / 1000.0:9.3f} s  {entry.node}: {entry.text}", flush=True)
         self.shown = len(entries)
 
     def _all_known(self) -> bool:
--- a/packages/fleet-rig/src/fleet_rig/play.py
+++ b/packages/fleet-rig/src/fleet_rig/play.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from fleet_sim.scenario import FormError, load
+from fleet_sim.scenario import ScenarioSyntaxError, load
 from twisted.internet.defer import Deferred, DeferredSemaphore, gatherResults
 
 from fleet_rig.stage import Stage, Verdict
@@ -34,7 +34,7 @@
             return
         try:
             stage = Stage(self.reactor, load(path))
-        except (FormError, ValueError) as error:
+        except (ScenarioSyntaxError, ValueError) as error:
             self._tell(path, Verdict(str(error), 0.0, ""))
             return
         self.open.add(stage)
--- a/packages/fleet-rig/src/fleet_rig/record.py
+++ b/packages/fleet-rig/src/fleet_rig/record.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fleet_sim import Entry, Kind, render, told_text
+from fleet_sim import EntryKind, TraceEntry, notice_text, render_trace
 from sansio_core import Notice
 
 OF_THE_LOG = "level", "logger", "ts", "pid"  # what each line has beside the event's own fields
@@ -29,7 +29,7 @@
     """Entries for a timeline; ``known`` by router; ``clock`` in ms from the run's start."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        self.clock, self.entries = clock, list[Entry]()
+        self.clock, self.entries = clock, list[TraceEntry]()
         self.known: dict[str, Known] = {}
         self.begun: dict[str, int] = {}  # the entry at which each router's life began
         self.texts: dict[str, list[str]] = {}  # lines that were no events: a fault's traceback
@@ -41,14 +41,14 @@
         self.life(name, "started")
 
     def life(self, name: str, text: str) -> None:
-        self.entries.append(Entry(self.clock(), Kind.LIFE, name, text))
+        self.entries.append(TraceEntry(self.clock(), EntryKind.PROCESS, name, text))
 
     def fault(self, text: str) -> None:
-        self.entries.append(Entry(self.clock(), Kind.FAULT, "", text))
+        self.entries.append(TraceEntry(self.clock(), EntryKind.FAULT, "", text))
 
     def link(self, source: str, target: str, cut: bool) -> None:
-        kind = Kind.BROKEN if cut else Kind.HEALED
-        self.entries.append(Entry(self.clock(), kind, source, "", target))
+        kind = EntryKind.LINK_CUT if cut else EntryKind.LINK_HEALED
+        self.entries.append(TraceEntry(self.clock(), kind, source, "", target))
 
     def heard(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
         """One line of a router's log."""
@@ -63,14 +63,14 @@
             known.majority = bool(fields["held"])
         if event in NOTED:
             told = Notice(event, {key: value for key, value in fields.items() if key not in OF_THE_LOG})
-            self.entries.append(Entry(self.clock(), Kind.TOLD, name, told_text(told)))
+            self.entries.append(TraceEntry(self.clock(), EntryKind.NOTICE, name, notice_text(told)))
 
     def told(self, name: str, since: int) -> Iterator[str]:
         """What one router said, from an entry on."""
-        return (e.text for e in self.entries[since:] if e.kind is Kind.TOLD and e.node == name)
+        return (e.text for e in self.entries[since:] if e.kind is EntryKind.NOTICE and e.node == name)
 
     def timeline(self) -> str:
         """All of it as text, and below it what was no event."""
-        drawn = render(self.entries, sorted(self.known))
+        drawn = render_trace(self.entries, sorted(self.known))
         said = [f"-- {name} --\n" + "\n".join(lines[-LAST_TEXTS:]) for name, lines in self.texts.items()]
         return "\n".join([drawn, *said])
--- a/packages/fleet-rig/src/fleet_rig/relay.py
+++ b/packages/fleet-rig/src/fleet_rig/relay.py
@@ -10,12 +10,12 @@
 from random import Random
 from typing import Any, cast
 
-from fleet_sim import Quality
+from fleet_sim import LinkQuality
 from twisted.internet import protocol
 
 Address = tuple[str, int]
 MAX_HELD, MAX_KEPT = 64, 64  # datagrams of senders not yet known; of each link, for replays
-CLEAR = Quality(least_ms=0.0, most_ms=0.0)
+CLEAR = LinkQuality(min_delay_ms=0.0, max_delay_ms=0.0)
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     """One direction between two routers; one that is not cut carries by its quality."""
 
     cut: bool = False
-    quality: Quality = CLEAR
+    quality: LinkQuality = CLEAR
     kept: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_KEPT))
 
 
@@ -88,9 +88,9 @@
         if link.cut or draw() < quality.loss:
             self.counts["dropped"] += 1
             return
-        for _ in range(1 + (draw() < quality.doubled)):
-            wait_ms = quality.least_ms + draw() * (quality.most_ms - quality.least_ms)
-            wait_ms += draw() * quality.held_ms if draw() < quality.reordered else 0.0
+        for _ in range(1 + (draw() < quality.duplicated)):
+            wait_ms = quality.min_delay_ms + draw() * (quality.max_delay_ms - quality.min_delay_ms)
+            wait_ms += draw() * quality.reorder_delay_ms if draw() < quality.reordered else 0.0
             if wait_ms:
                 self.reactor.callLater(wait_ms / 1000.0, self._deliver, name, to, datagram)
             else:
--- a/packages/fleet-rig/src/fleet_rig/stage.py
+++ b/packages/fleet-rig/src/fleet_rig/stage.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any
 
-from fleet_sim.scenario import Expected, FormError, Scenario, Step
+from fleet_sim.scenario import Expectation, Scenario, ScenarioSyntaxError, Step
 from twisted.internet.error import ConnectError
 
 from fleet_rig.acts import Acts
@@ -27,35 +27,35 @@
 
 
 class Stage:
-    """One scenario on one rig.  FormError for what a rig can't do."""
+    """One scenario on one rig.  ScenarioSyntaxError for what a rig can't do."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int = 1) -> None:
         self.reactor, self.scenario = reactor, scenario
         if timed := [step for step in scenario.steps if step.at_ms or step.pause_ms]:
-            raise FormError(f"line {timed[0].line}: a rig knows no times")
-        lines = [line for step in scenario.steps for line in step.expected]
+            raise ScenarioSyntaxError(f"line {timed[0].line}: a rig knows no times")
+        lines = [line for step in scenario.steps for line in step.expectations]
         if ordered := [line for line in lines if line.ordered]:
-            raise FormError(f"{ordered[0]}: a rig holds no order")
+            raise ScenarioSyntaxError(f"{ordered[0]}: a rig holds no order")
         self.rig = Rig(reactor, Cast.of(scenario), seed)
-        self.acts = Acts(self.rig, scenario.for_ms)
+        self.acts = Acts(self.rig, scenario.timeout_ms)
         self.rig.on_event = self._forbid
         self.since, self.before = 0, dict[str, Mapping[str, int]]()
-        self.forbidden: list[tuple[Expected, int]] = [(line, 0) for line in scenario.never]
+        self.forbidden: list[tuple[Expectation, int]] = [(line, 0) for line in scenario.forbidden]
 
     async def play(self) -> Verdict:
         """All steps, in order, to the first line that is not seen; every process is ended in the end."""
         why, since = "", self.reactor.seconds()
         try:
             for name in self.scenario.names:
-                if name not in self.scenario.later:
+                if name not in self.scenario.started_later:
                     await self.rig.start(name)
-            await self.rig.until(self._settled, self.scenario.for_ms, "settled, before the first step")
+            await self.rig.until(self._settled, self.scenario.timeout_ms, "settled, before the first step")
             for step in self.scenario.steps:
                 await self._play(step)
         except (NeverSeenError, ConnectError) as never:
             why = str(never)
         except (ValueError, LookupError) as error:
-            why = f"line {step.line}: not an act: {' '.join(step.act)} ({error})"
+            why = f"line {step.line}: not an act: {' '.join(step.action)} ({error})"
         finally:
             seconds = self.reactor.seconds() - since
             await self.rig.stop()
@@ -65,24 +65,24 @@
         record = self.rig.record
         self.since = len(record.entries)
         self.before = {name: dict(known.incarnations) for name, known in record.known.items()}
-        never = [(line, self.since) for line in step.expected if line.never]
-        self.forbidden = [(line, 0) for line in self.scenario.never] + never
-        await self.acts.do(step.act)
-        for line in sorted(step.expected, key=lambda line: line.words[0] == "door"):
+        never = [(line, self.since) for line in step.expectations if line.forbidden]
+        self.forbidden = [(line, 0) for line in self.scenario.forbidden] + never
+        await self.acts.do(step.action)
+        for line in sorted(step.expectations, key=lambda line: line.words[0] == "door"):
             if line.words[0] == "door":
                 await self._see_door(line)
-            elif not line.never:
-                await self.rig.until(partial(self._seen, line), self.scenario.for_ms, str(line))
+            elif not line.forbidden:
+                await self.rig.until(partial(self._seen, line), self.scenario.timeout_ms, str(line))
         await self.rig.until(lambda: True, 0.0, "what must not be seen")
 
     def _forbid(self) -> None:
         record = self.rig.record
         for line, since in self.forbidden:
             for name in line.nodes:
-                if any(line.fits(name, text) for text in record.told(name, since)):
+                if any(line.matches(name, text) for text in record.told(name, since)):
                     self.rig.give_up(f"seen at {name}: {line}")
 
-    def _seen(self, line: Expected) -> bool:
+    def _seen(self, line: Expectation) -> bool:
         record = self.rig.record
         if not line.nodes:
             return self._settled()
@@ -91,7 +91,7 @@
         if line.words[0] == "now":
             return all(self._stands(name, line) for name in line.nodes)
         return all(
-            any(line.fits(name, text) for text in record.told(name, self.since)) for name in line.nodes
+            any(line.matches(name, text) for text in record.told(name, self.since)) for name in line.nodes
         )
 
     def _settled(self) -> bool:
@@ -101,19 +101,19 @@
         met = all(known[a].states.get(b) == "alive" for a in running for b in running - {a})
         return met and all(known[name].majority for name in running)
 
-    def _stands(self, name: str, line: Expected) -> bool:
+    def _stands(self, name: str, line: Expectation) -> bool:
         """The last that a router said on a matter since it started (``majority``, ``mode``, ``member N``)."""
         words = line.words[1:]
         matter = words[: 2 if words[0] == "member" else 1]
         said = [text.split() for text in self.rig.record.told(name, self.rig.record.begun[name])]
         last = [text for text in said if tuple(text[: len(matter)]) == matter][-1:]
-        return any(replace(line, words=words).fits(name, " ".join(text)) for text in last)
+        return any(replace(line, words=words).matches(name, " ".join(text)) for text in last)
 
     def _anew(self, name: str, other: str) -> bool:
         known, old = self.rig.record.known[name], self.before.get(name, {}).get(other, -1)
         return known.states.get(other) == "alive" and known.incarnations[other] > old
 
-    async def _see_door(self, line: Expected) -> None:
+    async def _see_door(self, line: Expectation) -> None:
         """Asked once: what the door says must agree with what was logged."""
         text = " ".join(line.words[1:])
         for name in line.nodes:
--- a/packages/fleet-rig/tests/test_relay.py
+++ b/packages/fleet-rig/tests/test_relay.py
@@ -8,7 +8,7 @@
 
 import pytest
 from fleet_rig.relay import CLEAR, MAX_HELD, Relay
-from fleet_sim import Quality
+from fleet_sim import LinkQuality
 
 A, B = ("127.0.0.1", 11), ("127.0.0.1", 12)  # where the routers really listen
 
@@ -44,7 +44,7 @@
             self.relay.add(name)
             self.relay.register(name, real)
         self.link = self.relay.links["a", "b"]
-        self.link.quality = Quality(**{"least_ms": 0.0, "most_ms": 0.0, **quality})
+        self.link.quality = LinkQuality(**{"min_delay_ms": 0.0, "max_delay_ms": 0.0, **quality})
 
     def send(self, count: int) -> list[int]:
         """So many from ``a`` to ``b``; those that came, by their numbers."""
@@ -60,15 +60,15 @@
     [
         ({}, lambda came: came == list(range(100))),
         ({"loss": 0.2}, lambda came: 70 <= len(came) <= 90 and came == sorted(came)),
-        ({"doubled": 0.2}, lambda came: 110 <= len(came) <= 130 and set(came) == set(range(100))),
+        ({"duplicated": 0.2}, lambda came: 110 <= len(came) <= 130 and set(came) == set(range(100))),
         ({"reordered": 0.2}, lambda came: came != sorted(came) and sorted(came) == list(range(100))),
-        ({"least_ms": 5.0, "most_ms": 9.0}, lambda came: sorted(came) == list(range(100)) != came),
+        ({"min_delay_ms": 5.0, "max_delay_ms": 9.0}, lambda came: sorted(came) == list(range(100)) != came),
     ],
 )
 def test_a_link_spoils_what_it_carries_by_its_quality(quality: dict[str, float], holds: Any) -> None:
     pair = Pair(**quality)
     assert holds(pair.send(100))
-    assert all(quality.get("least_ms", 0.0) <= at * 1000.0 <= 59.0 for at, _ in pair.reactor.later)
+    assert all(quality.get("min_delay_ms", 0.0) <= at * 1000.0 <= 59.0 for at, _ in pair.reactor.later)
 
 
 def test_a_cut_is_one_way_and_ends() -> None:
--- a/packages/fleet-rig/tests/test_scenes.py
+++ b/packages/fleet-rig/tests/test_scenes.py
@@ -14,7 +14,7 @@
 
 import pytest
 from fleet_rig.stage import Stage
-from fleet_sim.scenario import FormError, parse
+from fleet_sim.scenario import ScenarioSyntaxError, parse
 
 SCENES = sorted((Path(__file__).parent / "timelines").glob("*.timeline"))
 JOBS, WITHIN_S = 4, 180.0
@@ -56,7 +56,7 @@
     ],
 )
 def test_what_a_rig_can_not_do_is_refused(text: str, names: str) -> None:
-    with pytest.raises(FormError, match=names):
+    with pytest.raises(ScenarioSyntaxError, match=names):
         Stage(None, parse(text))
 
 
--- a/packages/fleet-sim/src/fleet_sim/__init__.py
+++ b/packages/fleet-sim/src/fleet_sim/__init__.py
@@ -1,39 +1,41 @@
-"""Seeded simulation of the fleet's sans-I/O machines: network, clocks, processes, faults, timelines."""
+"""Seeded simulation of sans-I/O state machines: network, clocks, processes, faults, timelines."""
 
-from .cluster import Invariant, Violation, World
-from .faults import KINDS, Fault, Schedule, Weather, draw_schedule
-from .network import Network, Quality
-from .node import Disk, Factory, Node, State
-from .run import Outcome, Plan, Subject, drawn_plan, node_names, run
+from .cluster import Invariant, SimulatedCluster
+from .fault_plans import FAULT_KINDS, FaultProfile, Schedule, draw_schedule
+from .faults import Fault
+from .network import LinkQuality, Network
+from .node import Disk, MachineFactory, Node, ProcessState
+from .run import Outcome, Plan, Subject, draw_plan, node_names, run
 from .shrink import shrink
-from .trace import Entry, Kind, told_text
-from .trace_rendering import Renderer, render
+from .trace import EntryKind, TraceEntry, notice_text
+from .trace_rendering import TraceRenderer, render_trace
+from .violations import InvariantViolationError
 
 __all__ = [
-    "KINDS",
+    "FAULT_KINDS",
     "Disk",
-    "Entry",
-    "Factory",
+    "EntryKind",
     "Fault",
+    "FaultProfile",
     "Invariant",
-    "Kind",
+    "InvariantViolationError",
+    "LinkQuality",
+    "MachineFactory",
     "Network",
     "Node",
     "Outcome",
     "Plan",
-    "Quality",
-    "Renderer",
+    "ProcessState",
     "Schedule",
-    "State",
+    "SimulatedCluster",
     "Subject",
-    "Violation",
-    "Weather",
-    "World",
+    "TraceEntry",
+    "TraceRenderer",
+    "draw_plan",
     "draw_schedule",
-    "drawn_plan",
     "node_names",
-    "render",
+    "notice_text",
+    "render_trace",
     "run",
     "shrink",
-    "told_text",
 ]
--- a/packages/fleet-sim/src/fleet_sim/__main__.py
+++ b/packages/fleet-sim/src/fleet_sim/__main__.py
@@ -1,3 +1,5 @@
+"""Entry point of ``python -m fleet_sim``."""
+
 from .command import main
 
 raise SystemExit(main())
--- a/packages/fleet-sim/src/fleet_sim/cluster.py
+++ b/packages/fleet-sim/src/fleet_sim/cluster.py
@@ -1,6 +1,6 @@
-"""Many machines on one simulated clock and network.
+"""Many state machines on one simulated clock and network.
 
-A run is determined by the seed, the names, the factory and the acts put on the queue: nothing is drawn from
+A run is determined by the seed, the names, the factory and the callbacks scheduled: nothing is drawn from
 anywhere else, and no order depends on hashing.
 """
 
@@ -10,7 +10,7 @@
 import math
 import traceback
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from sansio_core import (
     Address,
@@ -23,242 +23,266 @@
     TimerFired,
 )
 
-from .network import Link, Network, Quality, Taped
-from .node import Factory, Node, State
-from .trace import Entry, Kind, told_text
+from .network import Link, LinkQuality, Network, RecordedDatagram
+from .node import MachineFactory, Node, ProcessState
+from .trace import EntryKind, TraceEntry, notice_text
+from .violations import InvariantViolationError
 
-LARGEST = 256  # bytes of a datagram
-ANY_LIFE = -1
-SPIN = 100_000  # steps within one ms that no sound machine makes
+MAX_DATAGRAM_BYTES = 256
+"""The largest datagram of the fleet's format."""
 
-Carry = Callable[["World", Node, Any], None]  # carries out an action of a package's own
-Describe = Callable[[bytes], str]  # a message of note in few words; "" for all others
+MAX_STEPS_PER_MS = 100_000
+"""Steps within a simulated ms that no sound state machine makes."""
 
+PORT = 7000
+"""The port of every node: their hosts differ."""
 
-class Violation(Exception):  # noqa: N818 - the standard term of checked histories
-    """A check failed: which, where, when (simulated ms), and why."""
+ActionHandler = Callable[["SimulatedCluster", Node, Any], None]
+"""Carries out an action that is not one of ``sansio_core``."""
 
-    def __init__(self, check: str, at: float, node: str, why: str) -> None:
-        super().__init__(check, at, node, why)
-        self.check, self.at, self.node, self.why = check, at, node, why
-
-    def __str__(self) -> str:
-        return f"{self.check} at {self.at:.1f} ms at {self.node or 'the end'}: {self.why}"
+MessageDescriber = Callable[[bytes], str]
+"""Describes a notable datagram in a few words; returns the empty string for all others."""
 
 
 class Invariant(Protocol):
-    """Must hold after every event that any node handled; may keep state of its own for one run."""
+    """A condition that must hold after every event; it may keep state for one run."""
 
     name: str
 
-    def check(self, world: World, node: Node) -> str | None:
-        """What is wrong after `node` handled an event, or None."""
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Return what is wrong after ``node`` handled an event, or None."""
+
+
+class _QueuedEvent(NamedTuple):
+    """A callback, or an event for a node; ``serial`` is unique and keeps events of a time in order.
+
+    ``incarnation`` is set if the event is for that incarnation of the node alone.
+    """
 
+    at_ms: float
+    serial: int
+    node: Node | None
+    incarnation: int | None
+    event: Any
 
-class World:
-    """The event queue, and the acts that faults and scenarios are made of."""
+
+class SimulatedCluster:
+    """The event queue, and the operations that faults and scenarios are made of.
+
+    ``topology_version`` grows with every change of a link or of a process; ``link_changed_ms`` holds when a
+    link was last cut or healed; ``active_faults`` are the causes of the faults in effect.
+    """
 
     def __init__(
         self,
         seed: int,
         names: Iterable[str],
-        factory: Factory,
+        factory: MachineFactory,
         *,
-        base: Quality | None = None,
+        base_quality: LinkQuality | None = None,
         invariants: Iterable[Invariant] = (),
-        describe: Describe | None = None,
-        carry: Mapping[type, Carry] | None = None,
+        describe: MessageDescriber | None = None,
+        action_handlers: Mapping[type, ActionHandler] | None = None,
     ) -> None:
         self.seed = seed
         self.now = 0.0
         self.steps = 0
-        self.network = Network(base)
+        self.network = Network(base_quality)
         self.nodes = {name: Node(name, address_of(index), seed) for index, name in enumerate(names)}
-        self.log: list[Entry] = []
+        self.trace: list[TraceEntry] = []
         self.listeners: list[Callable[[Node, Notice], None]] = []
-        self.topology = 0  # grows with every change of a link or of a process
-        self.link_since: dict[Link, float] = {}  # when a link last broke or healed
-        self.stormy: set[str] = set()  # faults that last now
-        self.calm_since = 0.0  # when the last of them ended
+        self.topology_version = 0
+        self.link_changed_ms: dict[Link, float] = {}
+        self.active_faults: set[str] = set()
         self._factory = factory
         self._describe = describe
-        self._carry = dict(carry or {})
+        self._action_handlers = dict(action_handlers or {})
         self._invariants = tuple(invariants)
-        self._by_address = {node.address: node for node in self.nodes.values()}
-        self._queue: list[tuple[float, int, Node | None, int, Any]] = []
-        self._pushed = 0
-        self._spin = (0.0, 0)  # since when, and the steps by then
+        self._node_at = {node.address: node for node in self.nodes.values()}
+        self._queue: list[_QueuedEvent] = []
+        self._serial = 0
+        self._steps_counted_from_ms = 0.0
+        self._steps_before = 0
 
     # -- time
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        """Do something at a world time, before whatever is queued later for the same moment."""
-        self._push(when, None, ANY_LIFE, act)
+    def schedule(self, at_ms: float, callback: Callable[[], None]) -> None:
+        """Call back at a simulated time, before what is queued later for the same time."""
+        self._push(at_ms, None, None, callback)
+
+    def run_until(self, until_ms: float) -> None:
+        """Handle everything that is due up to a time.
 
-    def run_until(self, until: float) -> None:
-        """Handle all that is due up to a time. Raises Violation."""
+        Raises InvariantViolationError.
+        """
         queue = self._queue
-        while queue and queue[0][0] <= until:
-            self.now, _, node, life, event = heapq.heappop(queue)
+        while queue and queue[0].at_ms <= until_ms:
+            self.now, _, node, incarnation, event = heapq.heappop(queue)
             if node is None:
                 event()
-            elif life in (ANY_LIFE, node.incarnation):
+            elif incarnation is None or incarnation == node.incarnation:
                 self.deliver(node, event)
-        self.now = until
+        self.now = until_ms
 
     def deliver(self, node: Node, event: Any) -> None:
-        """Hand a node an event now; a paused one finds it later, one that is down never."""
-        if node.state is State.RUNNING:
+        """Deliver an event now: a paused process handles it later, one that is down never."""
+        if node.state is ProcessState.RUNNING:
             self._handle(node, event)
-        elif node.state is State.PAUSED:
-            node.hold(event)
+        elif node.state is ProcessState.PAUSED:
+            node.enqueue(event)
 
     # -- processes
 
     def start(self, name: str) -> None:
-        """Begin a life, if the process is down."""
+        """Start a process that is down."""
         node = self.nodes[name]
-        if node.state is State.DOWN:
-            node.begin(self.now, self._factory)
-            self._life(node, f"started ({node.incarnation})")
+        if node.state is ProcessState.DOWN:
+            node.start(self.now, self._factory)
+            self._process_changed(node, f"started ({node.incarnation})")
             self._handle(node, Started())
 
     def kill(self, name: str, cause: str = "", keep_disk: bool = True) -> None:
-        """End a life at once, as `kill -9` does."""
+        """End a process at once, as ``kill -9`` does."""
         node = self.nodes[name]
-        if node.state is not State.DOWN:
-            node.end(self.now, cause, keep_disk)
-            self._life(node, "killed" if keep_disk else "killed, disk lost")
+        if node.state is not ProcessState.DOWN:
+            node.stop(self.now, cause, keep_disk)
+            self._process_changed(node, "killed" if keep_disk else "killed, disk lost")
 
     def leave(self, name: str, cause: str = "") -> None:
-        """End a life in order; a paused process can't hear of it."""
+        """Shut down a running process gracefully."""
         node = self.nodes[name]
-        if node.running:
-            self.note(Kind.FAULT, "asked to leave", name)
+        if node.is_running:
+            self.record(EntryKind.FAULT, "asked to leave", name)
             self._handle(node, ShutdownRequested())
-            node.end(self.now, cause, keep_disk=True)
-            self._life(node, "ended")
+            node.stop(self.now, cause, keep_disk=True)
+            self._process_changed(node, "ended")
 
     def pause(self, name: str) -> None:
+        """Pause a running process."""
         node = self.nodes[name]
-        if node.running:
-            node.turn(State.PAUSED, self.now)
-            self._life(node, "paused")
+        if node.is_running:
+            node.set_state(ProcessState.PAUSED, self.now)
+            self._process_changed(node, "paused")
 
     def resume(self, name: str) -> None:
-        """Continue a paused process: what waited is handled now."""
+        """Continue a paused process, which handles now what waited for it."""
         node = self.nodes[name]
-        if node.state is State.PAUSED:
-            node.turn(State.RUNNING, self.now)
-            self._life(node, "continued")
-            for event in node.release():
+        if node.state is ProcessState.PAUSED:
+            node.set_state(ProcessState.RUNNING, self.now)
+            self._process_changed(node, "continued")
+            for event in node.dequeue_all():
                 self._handle(node, event)
 
     # -- links
 
     def cut(self, links: Iterable[Link], cause: str = "") -> None:
-        self._links(self.network.cut(links, cause), Kind.BROKEN)
+        """Cut links for a cause."""
+        self._links_changed(self.network.cut(links, cause), EntryKind.LINK_CUT)
 
-    def mend(self, cause: str) -> None:
-        self._links(self.network.mend(cause), Kind.HEALED)
+    def heal(self, cause: str) -> None:
+        """End a cause's cuts."""
+        self._links_changed(self.network.heal(cause), EntryKind.LINK_HEALED)
 
-    def mend_links(self, links: Iterable[Link]) -> None:
-        self._links(self.network.mend_links(links), Kind.HEALED)
+    def heal_links(self, links: Iterable[Link]) -> None:
+        """End every cause's cuts of these links."""
+        self._links_changed(self.network.heal_links(links), EntryKind.LINK_HEALED)
 
-    def forge(self, to: str, source: Address, data: bytes) -> None:
-        """A datagram that no process of this world sends now: replayed, or made up."""
-        self._push(self.now, self.nodes[to], ANY_LIFE, DatagramReceived(source, data))
+    def inject(self, target: str, source: Address, data: bytes) -> None:
+        """Deliver a datagram that no process of this cluster sends now: replayed, or forged."""
+        self._push(self.now, self.nodes[target], None, DatagramReceived(source, data))
 
-    # -- record
+    # -- trace
 
-    def note(self, kind: Kind, text: str, node: str = "", other: str = "") -> None:
-        self.log.append(Entry(self.now, kind, node, text, other))
+    def record(self, kind: EntryKind, text: str, node: str = "", peer: str = "") -> None:
+        """Add an entry to the trace."""
+        self.trace.append(TraceEntry(self.now, kind, node, text, peer))
 
-    def storm(self, cause: str, begins: bool) -> None:
-        """A fault begins or ends to work."""
-        (self.stormy.add if begins else self.stormy.discard)(cause)
-        self.calm_since = self.now
+    # -- internals
 
-    def calm_for(self) -> float:
-        """Since how many ms no fault works."""
-        return 0.0 if self.stormy else self.now - self.calm_since
+    def _push(self, at_ms: float, node: Node | None, incarnation: int | None, event: Any) -> None:
+        self._serial += 1
+        heapq.heappush(self._queue, _QueuedEvent(at_ms, self._serial, node, incarnation, event))
 
-    # -- inside
+    def _process_changed(self, node: Node, text: str) -> None:
+        self.topology_version += 1
+        self.record(EntryKind.PROCESS, text, node.name)
 
-    def _push(self, when: float, node: Node | None, life: int, event: Any) -> None:
-        self._pushed += 1
-        heapq.heappush(self._queue, (when, self._pushed, node, life, event))
-
-    def _life(self, node: Node, text: str) -> None:
-        self.topology += 1
-        self.note(Kind.LIFE, text, node.name)
-
-    def _links(self, links: list[Link], kind: Kind) -> None:
-        self.topology += 1
+    def _links_changed(self, links: list[Link], kind: EntryKind) -> None:
+        self.topology_version += 1
         for source, target in links:
-            self.link_since[source, target] = self.now
-            self.note(kind, "cut" if kind is Kind.BROKEN else "healed", source, target)
+            self.link_changed_ms[source, target] = self.now
+            self.record(kind, "cut" if kind is EntryKind.LINK_CUT else "healed", source, target)
 
     def _handle(self, node: Node, event: Any) -> None:
         self.steps += 1
-        self._look_for_spin(node)
+        self._check_progress(node)
         if node.machine is None:
             return
         try:
-            actions = node.machine.handle(node.local(self.now), event)
-        except Exception as error:  # any error of a machine is its fault, and ends the run with its story
-            where = traceback.extract_tb(error.__traceback__)[-1]
-            why = f"{type(error).__name__}: {error} ({where.name}, line {where.lineno})"
-            raise Violation("raised", self.now, node.name, why) from error
+            actions = node.machine.handle(node.monotonic_ms(self.now), event)
+        except Exception as error:  # a state machine must not raise: the run ends with its trace
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            reason = f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
+            raise self._violation("raised", node, reason) from error
         for action in actions:
-            self._act(node, action)
+            self.carry_out(node, action)
         for invariant in self._invariants:
-            why_not = invariant.check(self, node)
-            if why_not is not None:
-                raise Violation(invariant.name, self.now, node.name, why_not)
-
-    def _look_for_spin(self, node: Node) -> None:
-        if self.now > self._spin[0] + 1:
-            self._spin = (self.now, self.steps)
-        elif self.steps - self._spin[1] > SPIN:
-            raise Violation("spins", self.now, node.name, f"{SPIN} steps within a ms")
-
-    def _act(self, node: Node, action: Any) -> None:
+            wrong = invariant.check(self, node)
+            if wrong is not None:
+                raise self._violation(invariant.name, node, wrong)
+
+    def _check_progress(self, node: Node) -> None:
+        if self.now > self._steps_counted_from_ms + 1:
+            self._steps_counted_from_ms = self.now
+            self._steps_before = self.steps
+        elif self.steps - self._steps_before > MAX_STEPS_PER_MS:
+            raise self._violation("busy-loop", node, f"{MAX_STEPS_PER_MS} steps within a ms")
+
+    def carry_out(self, node: Node, action: Any) -> None:
+        """Carry out an action of a node's state machine.
+
+        Raises InvariantViolationError if it is invalid.
+        """
         kind = type(action)
         if kind is SendDatagram:
             self._send(node, action)
         elif kind is SetTimer:
-            if not (math.isfinite(action.in_ms) and action.in_ms >= 0):
-                raise Violation("timer", self.now, node.name, f"a timer in {action.in_ms} ms")
-            when = node.due(self.now, action.in_ms)
-            self._push(when, node, node.incarnation, TimerFired(action.token))
+            self._set_timer(node, action)
         elif kind is Notice:
-            self.note(Kind.TOLD, told_text(action), node.name)
+            self.record(EntryKind.NOTICE, notice_text(action), node.name)
             for listener in self.listeners:
                 listener(node, action)
-        elif kind in self._carry:
-            self._carry[kind](self, node, action)
+        elif kind in self._action_handlers:
+            self._action_handlers[kind](self, node, action)
         else:
-            raise Violation("action", self.now, node.name, f"no one carries out {kind.__name__}")
+            raise self._violation("action", node, f"no one carries out {kind.__name__}")
+
+    def _set_timer(self, node: Node, timer: SetTimer) -> None:
+        if not (math.isfinite(timer.in_ms) and timer.in_ms >= 0):
+            raise self._violation("timer", node, f"a timer in {timer.in_ms} ms")
+        due_ms = node.timer_due_ms(self.now, timer.in_ms)
+        self._push(due_ms, node, node.incarnation, TimerFired(timer.token))
 
     def _send(self, node: Node, send: SendDatagram) -> None:
-        if len(send.data) > LARGEST:
-            raise Violation("size", self.now, node.name, f"a datagram of {len(send.data)} bytes")
-        node.sent += 1
+        if len(send.data) > MAX_DATAGRAM_BYTES:
+            raise self._violation("size", node, f"a datagram of {len(send.data)} bytes")
+        node.sent_datagrams += 1
         node.sent_bytes += len(send.data)
-        target = self._by_address.get(send.to)
+        target = self._node_at.get(send.to)
         if target is None:
             return
-        delays = self.network.fates((node.name, target.name), node.fate)
-        self.network.tape(node.name, Taped(node.address, target.name, send.data))
-        if self._describe is not None:
-            text = self._describe(send.data)
-            if text:
-                self.note(Kind.SENT if delays else Kind.LOST, text, node.name, target.name)
-        for delay in delays:
-            self._push(self.now + delay, target, ANY_LIFE, DatagramReceived(node.address, send.data))
+        delays_ms = self.network.delivery_delays_ms((node.name, target.name), node.random)
+        self.network.record(node.name, RecordedDatagram(node.address, target.name, send.data))
+        text = self._describe(send.data) if self._describe is not None else ""
+        if text:
+            self.record(EntryKind.SENT if delays_ms else EntryKind.LOST, text, node.name, target.name)
+        for delay_ms in delays_ms:
+            self._push(self.now + delay_ms, target, None, DatagramReceived(node.address, send.data))
+
+    def _violation(self, check: str, node: Node, reason: str) -> InvariantViolationError:
+        return InvariantViolationError(check, self.now, node.name, reason)
 
 
 def address_of(index: int) -> Address:
-    """Where the node of that place among the names listens."""
-    return f"10.{index >> 16}.{(index >> 8) & 255}.{index & 255}", 7000
+    """Return the address of the node at that place among the names."""
+    return f"10.{index >> 16}.{(index >> 8) & 255}.{index & 255}", PORT
--- a/packages/fleet-sim/src/fleet_sim/command.py
+++ b/packages/fleet-sim/src/fleet_sim/command.py
@@ -1,4 +1,4 @@
-"""`python -m fleet_sim`: many seeds of one subject; a failing one is shrunk and its timeline printed."""
+"""``python -m fleet_sim``: runs many seeds of a subject; shrinks a failing one and prints its timeline."""
 
 from __future__ import annotations
 
@@ -6,132 +6,157 @@
 import math
 import time
 from collections import Counter
-from collections.abc import Callable, Iterable, Iterator, Sequence
+from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass
 from multiprocessing import Pool
 from pkgutil import resolve_name
 
-from .faults import KINDS, Weather
-from .run import Outcome, Subject, drawn_plan, node_names, run
+from .fault_plans import FAULT_KINDS, FaultProfile
+from .run import Outcome, Subject, draw_plan, node_names, run
 from .shrink import shrink
 
-SUBJECT = "fleet_sim.membership:subject"
-Make = Callable[[tuple[str, ...]], Subject]
+DEFAULT_SUBJECT = "fleet_sim.membership:subject"
+"""The subject that is run unless the command line names another."""
 
+SEEDS_PER_TASK = 20
+"""Seeds that a worker process takes at a time."""
 
-def percentile(values: Sequence[float], share: float) -> float:
-    """The nearest rank; nan for no values."""
-    ranked = sorted(values)
-    return ranked[max(0, math.ceil(share * len(ranked)) - 1)] if ranked else math.nan
-
-
-def run_seeds(make: Make, seeds: Iterable[int], nodes: int, weather: Weather) -> Iterator[Outcome]:
-    """One outcome a seed, in their order."""
-    subject = make(node_names(nodes))
-    for seed in seeds:
-        yield run(subject, drawn_plan(seed, nodes, weather))
+SubjectFactory = Callable[[tuple[str, ...]], Subject]
+"""Makes a subject for the nodes of these names."""
 
 
-def _parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="python -m fleet_sim", description=__doc__)
-    parser.add_argument("--seeds", type=int, default=2_000, help="how many seeds")
-    parser.add_argument("--first", type=int, default=0, help="the first of them")
-    parser.add_argument("--seed", type=int, help="this one alone, with its timeline")
-    parser.add_argument("--nodes", type=int, default=5)
-    parser.add_argument("--faults", type=int, default=Weather().most_faults, help="faults a seed, at most")
-    parser.add_argument("--longest-ms", type=float, default=Weather().longest_ms, help="of a fault")
-    parser.add_argument("--kinds", default=",".join(KINDS), help="which faults are drawn")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that share the seeds")
-    parser.add_argument(
-        "--keep-going", action="store_true", help="shrink the first failure, count the others"
-    )
-    parser.add_argument("--subject", default=SUBJECT, help="module:function that makes the subject")
-    return parser
+def percentile(values: Sequence[float], share: float) -> float:
+    """Return a percentile by the nearest rank; nan for no values."""
+    if not values:
+        return math.nan
+    rank = math.ceil(share * len(values))
+    return sorted(values)[max(0, rank - 1)]
+
+
+@dataclass(frozen=True, slots=True)
+class SeedRunner:
+    """Runs seeds of a subject, which it makes anew in each process that it is sent to."""
+
+    subject: str
+    nodes: int
+    profile: FaultProfile
+
+    def make_subject(self) -> Subject:
+        """Return a new subject."""
+        make: SubjectFactory = resolve_name(self.subject)
+        return make(node_names(self.nodes))
+
+    def run(self, seed: int) -> Outcome:
+        """Run one seed; the outcome has no trace, which is large to send to another process."""
+        outcome = run(self.make_subject(), draw_plan(seed, self.nodes, self.profile))
+        outcome.trace.clear()
+        return outcome
 
-
-def main(arguments: Sequence[str] | None = None) -> int:
-    """Exit status 1 if a seed fails."""
-    args = _parser().parse_args(arguments)
-    kinds = tuple(args.kinds.split(","))
-    weather = Weather(most_faults=args.faults, longest_ms=args.longest_ms, kinds=kinds)
-    subject = resolve_name(args.subject)(node_names(args.nodes))
-    if args.seed is not None:
-        outcome = run(subject, drawn_plan(args.seed, args.nodes, weather), trace=True)
-        print(outcome.story(0))
-        return _report_failure(subject, outcome) if outcome.violation else 0
-    begun = time.perf_counter()
-    failed, total = _all(args, weather)
-    took = time.perf_counter() - begun
-    print(total.text(took))
-    for outcome in failed[:1]:
-        _report_failure(subject, outcome)
-    return 1 if failed else 0
+    def run_traced(self, seed: int) -> Outcome:
+        """Run one seed with messages in its trace."""
+        return run(self.make_subject(), draw_plan(seed, self.nodes, self.profile), trace=True)
 
 
-class Total:
-    """Sums over outcomes."""
+class OutcomeTotals:
+    """Sums over the outcomes of many seeds."""
 
     def __init__(self) -> None:
-        self.checks: Counter[str] = Counter()
+        self.failures: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
-        self.seeds = self.steps = 0
+        self.seeds = 0
+        self.steps = 0
         self.simulated_ms = 0.0
-        self.settled: list[float] = []
+        self.settled_ms: list[float] = []
 
     def add(self, outcome: Outcome) -> None:
+        """Add one outcome."""
         self.seeds += 1
         self.steps += outcome.steps
         self.simulated_ms += outcome.simulated_ms
         self.counts += outcome.counts
         if outcome.violation:
-            self.checks[outcome.violation.check] += 1
+            self.failures[outcome.violation.check] += 1
         else:
-            self.settled.append(outcome.settled_ms)
+            self.settled_ms.append(outcome.settled_ms)
 
-    def text(self, took: float) -> str:
-        ranks = "/".join(f"{percentile(self.settled, share):.0f}" for share in (0.5, 0.99, 1.0))
+    def text(self, elapsed_s: float) -> str:
+        """Return the totals in one line."""
+        ranks = "/".join(f"{percentile(self.settled_ms, share):.0f}" for share in (0.5, 0.99, 1.0))
         return (
-            f"{self.seeds} seeds, {self.checks.total()} failed {dict(sorted(self.checks.items()))}, "
-            f"{self.steps} steps, {self.simulated_ms / 1_000:.0f} s simulated in {took:.1f} s, "
+            f"{self.seeds} seeds, {self.failures.total()} failed {dict(sorted(self.failures.items()))}, "
+            f"{self.steps} steps, {self.simulated_ms / 1_000:.0f} s simulated in {elapsed_s:.1f} s, "
             f"settled after healing p50/p99/max {ranks} ms, counts {dict(sorted(self.counts.items()))}"
         )
 
 
-def _all(args: argparse.Namespace, weather: Weather) -> tuple[list[Outcome], Total]:
-    failed: list[Outcome] = []
-    total = Total()
-    for outcome in _outcomes(args, weather):
-        total.add(outcome)
-        if outcome.violation:
-            print(f"seed {outcome.plan.seed}: {outcome.violation}", flush=True)
-            failed.append(outcome)
-            if not args.keep_going:
-                break
-    return failed, total
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the command; the exit status is 1 if a seed fails."""
+    args = _parser().parse_args(arguments)
+    kinds = tuple(args.kinds.split(","))
+    profile = FaultProfile(max_faults=args.faults, max_duration_ms=args.longest_ms, kinds=kinds)
+    runner = SeedRunner(args.subject, args.nodes, profile)
+    if args.seed is not None:
+        return _run_one(runner, args.seed)
+    return _run_many(runner, args)
 
 
-def _outcomes(args: argparse.Namespace, weather: Weather) -> Iterator[Outcome]:
-    seeds = range(args.first, args.first + args.seeds)
-    if args.jobs == 1:
-        yield from run_seeds(resolve_name(args.subject), seeds, args.nodes, weather)
-        return
-    with Pool(args.jobs) as pool:
-        yield from pool.imap(_Share(args.subject, args.nodes, weather), seeds, chunksize=20)
+def _parser() -> argparse.ArgumentParser:
+    defaults = FaultProfile()
+    parser = argparse.ArgumentParser(prog="python -m fleet_sim", description=__doc__)
+    parser.add_argument("--seeds", type=int, default=2_000, help="how many seeds")
+    parser.add_argument("--first", type=int, default=0, help="the first of them")
+    parser.add_argument("--seed", type=int, help="this seed alone, with its timeline")
+    parser.add_argument("--nodes", type=int, default=5)
+    parser.add_argument("--faults", type=int, default=defaults.max_faults, help="faults a seed, at most")
+    parser.add_argument(
+        "--longest-ms", type=float, default=defaults.max_duration_ms, help="duration of a fault, at most"
+    )
+    parser.add_argument("--kinds", default=",".join(FAULT_KINDS), help="which faults are drawn")
+    parser.add_argument("--jobs", type=int, default=1, help="processes that share the seeds")
+    parser.add_argument(
+        "--keep-going", action="store_true", help="shrink the first failure, count the others"
+    )
+    parser.add_argument("--subject", default=DEFAULT_SUBJECT, help="module:function that makes the subject")
+    return parser
 
 
-class _Share:
-    """A seed of a worker; the log stays there."""
+def _run_one(runner: SeedRunner, seed: int) -> int:
+    outcome = runner.run_traced(seed)
+    print(outcome.story(max_entries=0))
+    if outcome.violation is None:
+        return 0
+    _print_shrunk(runner, outcome)
+    return 1
 
-    def __init__(self, subject: str, nodes: int, weather: Weather) -> None:
-        self._of = (subject, nodes, weather)
 
-    def __call__(self, seed: int) -> Outcome:
-        subject, nodes, weather = self._of
-        (outcome,) = run_seeds(resolve_name(subject), [seed], nodes, weather)
-        outcome.log.clear()
-        return outcome
+def _run_many(runner: SeedRunner, args: argparse.Namespace) -> int:
+    started_s = time.perf_counter()
+    totals = OutcomeTotals()
+    first_failure = None
+    for outcome in _outcomes(runner, range(args.first, args.first + args.seeds), args.jobs):
+        totals.add(outcome)
+        if outcome.violation is None:
+            continue
+        print(f"seed {outcome.plan.seed}: {outcome.violation}", flush=True)
+        first_failure = first_failure or outcome
+        if not args.keep_going:
+            break
+    print(totals.text(time.perf_counter() - started_s))
+    if first_failure is None:
+        return 0
+    _print_shrunk(runner, first_failure)
+    return 1
 
 
-def _report_failure(subject: Subject, outcome: Outcome) -> int:
-    print(f"\nshrinking seed {outcome.plan.seed} from {len(outcome.plan.schedule)} faults")
-    print(shrink(subject, outcome).story())
-    return 1
+def _outcomes(runner: SeedRunner, seeds: range, jobs: int) -> Iterator[Outcome]:
+    """Yield one outcome for each seed, in their order."""
+    if jobs == 1:
+        yield from map(runner.run, seeds)
+        return
+    with Pool(jobs) as pool:
+        yield from pool.imap(runner.run, seeds, chunksize=SEEDS_PER_TASK)
+
+
+def _print_shrunk(runner: SeedRunner, failed: Outcome) -> None:
+    print(f"\nshrinking seed {failed.plan.seed} from {len(failed.plan.schedule)} faults")
+    print(shrink(runner.make_subject(), failed).story())
--- /dev/null
+++ b/packages/fleet-sim/src/fleet_sim/fault_plans.py
@@ -0,0 +1,215 @@
+"""Drawing schedules of faults from a seed, and putting them on a cluster's queue."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from .cluster import SimulatedCluster
+from .faults import (
+    Cut,
+    Fault,
+    Flap,
+    Garbage,
+    Kill,
+    Lag,
+    Leave,
+    Noise,
+    Partition,
+    Pause,
+    Replay,
+    WallStep,
+)
+from .network import LinkQuality
+
+Schedule = tuple[Fault, ...]
+"""Faults in the order of their times."""
+
+MIN_DURATION_MS = 100.0
+"""The shortest drawn fault that lasts."""
+
+MEAN_DURATION_SHARE = 0.25
+"""What is added to it on average, as a share of the longest."""
+
+KEEP_DISK_PROBABILITY = 0.7
+"""Share of kills after which the disk is still there."""
+
+FLAP_INTERVALS_MS = (150.0, 700.0, 2_500.0)
+"""Within a probe's timeout, within a probe interval, and longer."""
+
+MIN_DELAYS_MS = (0.2, 5.0, 40.0)
+"""Of a network within a rack, within a region and across regions."""
+
+DELAY_RANGE_FACTORS = (2, 5)
+"""The longest delay as a multiple of the shortest."""
+
+LOSSES = (0.0, 0.05, 0.2, 0.5)
+"""Shares of lost datagrams."""
+
+DUPLICATED_SHARES = (0.0, 0.1)
+"""Shares of duplicated datagrams."""
+
+REORDERED_SHARES = (0.0, 0.3)
+"""Shares of reordered datagrams."""
+
+TIMER_DELAYS_MS = (50.0, 400.0, 1_500.0)
+"""Below and above what counts as a pause, and above a probe interval."""
+
+WALL_STEPS_MS = (-3.6e6, 3.6e6)
+"""An hour, as by a wrong time zone."""
+
+MAX_REPLAYED = 20
+"""Datagrams of a replay."""
+
+MAX_GARBAGE = 5
+"""Datagrams of garbage at once."""
+
+
+def schedule_faults(cluster: SimulatedCluster, schedule: Schedule) -> float:
+    """Put a schedule on the queue; returns the simulated time at which its last fault has ended."""
+    for index, fault in enumerate(schedule):
+        _schedule_fault(cluster, fault, f"fault {index}")
+    return max((fault.at_ms + fault.duration_ms for fault in schedule), default=0.0)
+
+
+def _schedule_fault(cluster: SimulatedCluster, fault: Fault, cause: str) -> None:
+    def begin() -> None:
+        cluster.active_faults.add(cause)
+        fault.begin(cluster, cause)
+
+    def end() -> None:
+        cluster.active_faults.discard(cause)
+        fault.end(cluster, cause)
+
+    cluster.schedule(fault.at_ms, begin)
+    cluster.schedule(fault.at_ms + fault.duration_ms, end)
+
+
+@dataclass(frozen=True, slots=True)
+class FaultProfile:
+    """How hard a drawn schedule is: when its faults begin, how many, how long and of which kinds."""
+
+    window_start_ms: float = 4_000.0
+    window_end_ms: float = 14_000.0
+    max_faults: int = 6
+    max_duration_ms: float = 20_000.0
+    kinds: tuple[str, ...] = field(default_factory=lambda: tuple(FAULT_KINDS))
+
+
+def draw_schedule(seed: int, names: tuple[str, ...], profile: FaultProfile) -> Schedule:
+    """Draw a schedule, which the arguments determine."""
+    source = random.Random(f"{seed}/schedule")
+    count = source.randint(1, profile.max_faults)
+    faults = [_draw_fault(source, names, profile) for _ in range(count)]
+    return tuple(sorted(faults, key=lambda fault: fault.at_ms))
+
+
+def _draw_fault(source: random.Random, names: tuple[str, ...], profile: FaultProfile) -> Fault:
+    at_ms = round(source.uniform(profile.window_start_ms, profile.window_end_ms), 1)
+    mean_ms = profile.max_duration_ms * MEAN_DURATION_SHARE
+    duration_ms = round(min(profile.max_duration_ms, MIN_DURATION_MS + source.expovariate(1 / mean_ms)), 1)
+    kind = source.choice(profile.kinds)
+    return FAULT_KINDS[kind](_FaultDraw(source, names, at_ms, duration_ms))
+
+
+@dataclass(frozen=True, slots=True)
+class _FaultDraw:
+    """A fault whose time is drawn already, and what its other properties are drawn from."""
+
+    source: random.Random
+    names: tuple[str, ...]
+    at_ms: float
+    duration_ms: float
+
+    def node(self) -> str:
+        return self.source.choice(self.names)
+
+    def link(self) -> tuple[str, str]:
+        source, target = self.source.sample(self.names, 2)
+        return source, target
+
+    def groups(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
+        shuffled = self.source.sample(self.names, len(self.names))
+        size = self.source.randint(1, len(self.names) - 1)
+        return tuple(shuffled[:size]), tuple(shuffled[size:])
+
+    def chance(self, probability: float = 0.5) -> bool:
+        return self.source.random() < probability
+
+    def quality(self) -> LinkQuality:
+        choice = self.source.choice
+        min_delay_ms = choice(MIN_DELAYS_MS)
+        return LinkQuality(
+            loss=choice(LOSSES),
+            min_delay_ms=min_delay_ms,
+            max_delay_ms=min_delay_ms * choice(DELAY_RANGE_FACTORS),
+            duplicated=choice(DUPLICATED_SHARES),
+            reordered=choice(REORDERED_SHARES),
+        )
+
+
+def _draw_cut(draw: _FaultDraw) -> Fault:
+    source, target = draw.link()
+    return Cut(draw.at_ms, draw.duration_ms, source, target, draw.chance())
+
+
+def _draw_partition(draw: _FaultDraw) -> Fault:
+    return Partition(draw.at_ms, draw.duration_ms, draw.groups())
+
+
+def _draw_flap(draw: _FaultDraw) -> Fault:
+    source, target = draw.link()
+    interval_ms = draw.source.choice(FLAP_INTERVALS_MS)
+    return Flap(draw.at_ms, draw.duration_ms, source, target, interval_ms, draw.chance())
+
+
+def _draw_noise(draw: _FaultDraw) -> Fault:
+    quality = draw.quality()
+    node = draw.source.choice(("", *draw.names))
+    return Noise(draw.at_ms, draw.duration_ms, quality, node)
+
+
+def _draw_kill(draw: _FaultDraw) -> Fault:
+    return Kill(draw.at_ms, draw.duration_ms, draw.node(), draw.chance(KEEP_DISK_PROBABILITY))
+
+
+def _draw_leave(draw: _FaultDraw) -> Fault:
+    return Leave(draw.at_ms, draw.duration_ms, draw.node())
+
+
+def _draw_pause(draw: _FaultDraw) -> Fault:
+    return Pause(draw.at_ms, draw.duration_ms, draw.node())
+
+
+def _draw_lag(draw: _FaultDraw) -> Fault:
+    return Lag(draw.at_ms, draw.duration_ms, draw.node(), draw.source.choice(TIMER_DELAYS_MS))
+
+
+def _draw_wall_step(draw: _FaultDraw) -> Fault:
+    return WallStep(draw.at_ms, 0.0, draw.node(), draw.source.choice(WALL_STEPS_MS))
+
+
+def _draw_replay(draw: _FaultDraw) -> Fault:
+    source, target = draw.link()
+    return Replay(draw.at_ms, 0.0, source, target, draw.source.randint(1, MAX_REPLAYED))
+
+
+def _draw_garbage(draw: _FaultDraw) -> Fault:
+    return Garbage(draw.at_ms, 0.0, draw.node(), draw.source.randint(1, MAX_GARBAGE))
+
+
+FAULT_KINDS: dict[str, Callable[[_FaultDraw], Fault]] = {
+    "cut": _draw_cut,
+    "split": _draw_partition,
+    "flap": _draw_flap,
+    "noise": _draw_noise,
+    "kill": _draw_kill,
+    "leave": _draw_leave,
+    "pause": _draw_pause,
+    "lag": _draw_lag,
+    "step": _draw_wall_step,
+    "replay": _draw_replay,
+    "garbage": _draw_garbage,
+}
+"""How each kind is drawn, by the name that the command line has for it."""
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -1,4 +1,4 @@
-"""The fleet's members, with their shares, as a subject of the simulation."""
+"""The members of a fleet, with their quota leases, as a subject of the simulation."""
 
 from __future__ import annotations
 
@@ -6,24 +6,53 @@
 from typing import Any
 
 from fleet_membership import MembershipSettings
-from gossip_codec import Envelope, IndirectProbe, MemberState, Superseded, UpdateBatch
+from gossip_codec import (
+    HEADER_BYTES,
+    TAG_BYTES,
+    Envelope,
+    IndirectProbe,
+    MemberState,
+    Superseded,
+    UpdateBatch,
+)
 from msgspec import DecodeError, msgpack
 from quota_leases import QuotaSettings
 from sansio_core import Address, RandomSource
 
-from .cluster import address_of
-from .membership_invariants import FalseVerdicts, Ordered, SharesFit, Sides, settled
-from .network import Quality
+from .cluster import Invariant, address_of
+from .membership_invariants import (
+    MonotonicViews,
+    NoFalseFailures,
+    QuotasFitBudget,
+    SingleMajority,
+    count_failures_and_rejections,
+    find_unsettled,
+)
+from .network import LinkQuality
 from .node import Disk
 from .run import Subject
 from .scenario import Scenario
-from .simulated_router import Router
+from .simulated_router import SimulatedRouter
 
-VOTERS = 5  # at most, in a drawn fleet
-SETTLE_MS = 60_000.0
-HEAD, TAG = 9, 16  # bytes around a datagram's body
+MAX_VOTERS = 5
+"""Voters of a fleet whose voters are not named."""
 
-_decoder = msgpack.Decoder(Envelope)
+SETTLE_TIMEOUT_MS = 60_000.0
+"""Within this all routers must agree once faults have ended: several exchanges with unreachable peers."""
+
+FLEET = "fleet"
+"""The name of the fleet."""
+
+FLEET_SECRET = b"the secret of the fleet"
+"""The secret of all routers but the foreign ones."""
+
+FOREIGN_SECRET = b"another secret of theirs"
+"""The secret of foreign routers, whose datagrams the fleet must reject."""
+
+INTEGER_SETTINGS = ("indirect", "flaps_most")
+"""Settings that are counts; a scenario's header has numbers alone."""
+
+_envelope_decoder = msgpack.Decoder(Envelope)
 
 
 def subject(
@@ -31,35 +60,49 @@
     *,
     voters: tuple[str, ...] = (),
     foreign: frozenset[str] = frozenset(),
-    base: Quality | None = None,
+    base_quality: LinkQuality | None = None,
     checked: bool = True,
     timings: Mapping[str, float] | None = None,
 ) -> Subject:
-    """A fleet of these names; `foreign` ones hold another secret, `timings` are of MembershipSettings."""
-    voters = voters or names[:VOTERS]
-    shares = QuotaSettings(tuple(name for name in names if name not in foreign), voters)
+    """Return a fleet of these routers.
+
+    ``foreign`` ones have another secret; ``timings`` are settings of ``MembershipSettings``; without
+    ``checked`` there are no invariants.
+    """
+    voters = voters or names[:MAX_VOTERS]
+    quotas = QuotaSettings(tuple(name for name in names if name not in foreign), voters)
     seeds = tuple(address_of(names.index(name)) for name in voters)
 
-    def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Router:
-        secret = b"another secret of theirs" if name in foreign else b"the secret of the fleet"
+    def build(
+        name: str, address: Address, incarnation: int, random: RandomSource, _disk: Disk
+    ) -> SimulatedRouter:
+        secret = FOREIGN_SECRET if name in foreign else FLEET_SECRET
         settings = MembershipSettings(
-            name, address, "fleet", secret, seeds, voters, incarnation, **_typed(timings or {})
+            name, address, FLEET, secret, seeds, voters, incarnation, **_typed_settings(timings or {})
         )
-        return Router(settings, shares, draw)
+        return SimulatedRouter(settings, quotas, random)
 
     return Subject(
         build,
-        lambda: [Ordered(), Sides(voters), FalseVerdicts(), SharesFit()] if checked else [],
-        lambda world: settled(world, voters, foreign),
-        SETTLE_MS,
-        base or Quality(),
-        describe,
-        tally=FalseVerdicts.count,
+        invariants=lambda: _invariants(voters) if checked else [],
+        find_unsettled=lambda cluster: find_unsettled(cluster, voters, foreign),
+        settle_timeout_ms=SETTLE_TIMEOUT_MS,
+        base_quality=base_quality or LinkQuality(),
+        describe=describe,
+        attach_counters=count_failures_and_rejections,
     )
 
 
-def from_scenario(scenario: Scenario) -> Subject:
-    """Headers `voters:` and `foreign:` name nodes; `settings:` has pairs of a setting and its value."""
+def _invariants(voters: tuple[str, ...]) -> list[Invariant]:
+    return [MonotonicViews(), SingleMajority(voters), NoFalseFailures(), QuotasFitBudget()]
+
+
+def subject_of_scenario(scenario: Scenario) -> Subject:
+    """Return the subject of a scenario.
+
+    The header lines ``voters:`` and ``foreign:`` name nodes; ``settings:`` has pairs of a setting and its
+    value.
+    """
     pairs = scenario.options.get("settings", ())
     timings = {key: float(value) for key, value in zip(pairs[::2], pairs[1::2], strict=True)}
     foreign = frozenset(scenario.options.get("foreign", ()))
@@ -68,25 +111,26 @@
 
 
 def describe(data: bytes) -> str:
-    """Probes through others, claims of harm that go alone, old lives; all else is of no note."""
+    """Describe indirect probes, batches of claims that a member is not alive, and outdated incarnations."""
     try:
-        envelope = _decoder.decode(data[HEAD:-TAG])
+        envelope = _envelope_decoder.decode(data[HEADER_BYTES:-TAG_BYTES])
     except (DecodeError, ValueError):
         return ""
     claims = [
-        f"{u.name}:{u.state.name.lower()}" for u in envelope.updates if u.state is not MemberState.ALIVE
+        f"{update.name}:{update.state.name.lower()}"
+        for update in envelope.updates
+        if update.state is not MemberState.ALIVE
     ]
     match envelope.message:
         case IndirectProbe(target=target):
-            claims.insert(0, f"probe {target}")
+            return " ".join([f"probe {target}", *claims])
         case Superseded():
-            claims.insert(0, "superseded")
+            return " ".join(["superseded", *claims])
         case UpdateBatch():
-            pass
+            return " ".join(claims)
         case _:
             return ""
-    return " ".join(claims)
 
 
-def _typed(timings: Mapping[str, float]) -> dict[str, Any]:
-    return {key: int(value) if key in ("indirect", "flaps_most") else value for key, value in timings.items()}
+def _typed_settings(timings: Mapping[str, float]) -> dict[str, Any]:
+    return {key: int(value) if key in INTEGER_SETTINGS else value for key, value in timings.items()}
--- a/packages/fleet-sim/src/fleet_sim/membership_invariants.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_invariants.py
@@ -1,4 +1,4 @@
-"""What must be true of members and shares: at every step, and once faults have ended."""
+"""What must be true of members and their quotas: after every event, and once faults have ended."""
 
 from __future__ import annotations
 
@@ -9,48 +9,62 @@
 from gossip_codec import MemberState
 from sansio_core import Notice
 
-from .cluster import World
+from .cluster import SimulatedCluster
 from .node import Node
-from .reachability import Reach, steady_ms
-from .simulated_router import GONE, Router
+from .reachability import Reachability, connected_for_ms
+from .simulated_router import DEAD_STATES, SimulatedRouter
 
-STEADY_MS = 5_000.0  # both run and reach each other for so long: a verdict of failure is false
-CALM_MS = 15_000.0  # and all that run reach the member for so long: it is a violation as well
-SIDE_MS = 12_000.0  # by then a side without most voters must know it
-EPSILON = 1e-9
+CONNECTED_MS = 5_000.0
+"""A member that its judge has been connected to for so long has failed falsely: that is counted."""
 
+CONNECTED_TO_ALL_MS = 15_000.0
+"""If all running nodes have been connected to it for so long, a failure is a violation as well."""
 
-def view_of(world: World, node: Node) -> MembershipView | None:
-    """The node's view now, or None where it is down."""
-    return None if node.machine is None else router_of(node).member.view(node.local(world.now))
+MAJORITY_LOSS_MS = 12_000.0
+"""By then a router that lost the majority of the voters must know."""
 
+ROUNDING_ERROR = 1e-9
+"""How much a sum of quotas may exceed 1."""
 
-def router_of(node: Node) -> Router:
-    return cast(Router, node.machine)
+
+def view_of(cluster: SimulatedCluster, node: Node) -> MembershipView | None:
+    """Return the node's view of the fleet now, or None if it is down."""
+    if node.machine is None:
+        return None
+    return _router_of(node).membership.view(node.monotonic_ms(cluster.now))
+
+
+def _router_of(node: Node) -> SimulatedRouter:
+    return cast(SimulatedRouter, node.machine)
 
 
-class Ordered:
-    """Within a life: versions and each member's incarnation never go back, `since_ms` follows `majority`."""
+class MonotonicViews:
+    """Within a process's incarnation, versions and members' incarnations never decrease.
 
-    name = "ordered"
+    ``majority_since_ms`` changes whenever ``has_majority`` does.
+    """
+
+    name = "monotonic-views"
 
     def __init__(self) -> None:
         self._last: dict[tuple[str, int], MembershipView] = {}
 
-    def check(self, world: World, node: Node) -> str | None:
-        view = view_of(world, node)
-        life = (node.name, node.incarnation)
-        last = self._last.get(life)
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Compare the node's view with the one before."""
+        view = view_of(cluster, node)
+        process = (node.name, node.incarnation)
+        last = self._last.get(process)
         if view is None or view is last:
             return None
-        self._last[life] = view
-        return None if last is None else _went_back(last, view)
+        self._last[process] = view
+        return None if last is None else _regression(last, view)
 
 
-def _went_back(last: MembershipView, view: MembershipView) -> str | None:
+def _regression(last: MembershipView, view: MembershipView) -> str | None:
     if view.version < last.version:
         return f"version {last.version} went back to {view.version}"
-    if (view.majority_since_ms != last.majority_since_ms) < (view.has_majority is not last.has_majority):
+    majority_changed = view.has_majority != last.has_majority
+    if majority_changed and view.majority_since_ms == last.majority_since_ms:
         return f"majority turned to {view.has_majority} and since_ms stayed {view.majority_since_ms}"
     for name, member in view.members.items():
         before = last.members.get(name)
@@ -59,110 +73,133 @@
     return None
 
 
-class Sides:
-    """Who had no majority of the voters in reach for SIDE_MS does not hold it: so one side at most does."""
+class SingleMajority:
+    """A router without a majority of the voters in reach for ``MAJORITY_LOSS_MS`` does not claim one.
+
+    So at most one side of a partition does.
+    """
 
-    name = "sides"
+    name = "single-majority"
 
     def __init__(self, voters: tuple[str, ...]) -> None:
         self._voters = frozenset(voters)
-        self._reach = Reach()
-        self._topology = -1
-        self._minor_since: dict[str, float] = {}
-
-    def check(self, world: World, node: Node) -> str | None:
-        if world.topology != self._topology:
-            self._topology = world.topology
-            self._look(world)
-        since = self._minor_since.get(node.name)
-        if since is None or world.now - since < SIDE_MS:
+        self._reachability = Reachability()
+        self._topology_version = -1
+        self._minority_since_ms: dict[str, float] = {}
+
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Compare the node's view with what it can reach."""
+        if cluster.topology_version != self._topology_version:
+            self._topology_version = cluster.topology_version
+            self._update_minorities(cluster)
+        since_ms = self._minority_since_ms.get(node.name)
+        if since_ms is None or cluster.now - since_ms < MAJORITY_LOSS_MS:
             return None
-        view = view_of(world, node)
+        view = view_of(cluster, node)
         if view is None or not view.has_majority:
             return None
-        group = " ".join(sorted(self._reach.group(world, node.name)))
-        return f"majority held, but only {group} in reach for {world.now - since:.0f} ms"
-
-    def _look(self, world: World) -> None:
-        for name in world.nodes:
-            group = self._reach.group(world, name)
-            if not group or 2 * len(group & self._voters) > len(self._voters):
-                self._minor_since.pop(name, None)
+        reachable = " ".join(sorted(self._reachability.component(cluster, node.name)))
+        return f"majority held, but only {reachable} in reach for {cluster.now - since_ms:.0f} ms"
+
+    def _update_minorities(self, cluster: SimulatedCluster) -> None:
+        for name in cluster.nodes:
+            reachable = self._reachability.component(cluster, name)
+            if not reachable or 2 * len(reachable & self._voters) > len(self._voters):
+                self._minority_since_ms.pop(name, None)
             else:
-                self._minor_since.setdefault(name, world.now)
+                self._minority_since_ms.setdefault(name, cluster.now)
 
 
-class FalseVerdicts:
-    """No verdict of failure about a member that all who run have reached for CALM_MS, on quiet links.
+class NoFalseFailures:
+    """No member fails that all running nodes have been connected to for long, on links without noise."""
 
-    `count` counts all verdicts, and those about members that their judge has reached for STEADY_MS,
-    whatever noise or lag there is.
-    """
-
-    name = "false verdict"
+    name = "false-failure"
 
     def __init__(self) -> None:
-        self._read = 0
-
-    def check(self, world: World, node: Node) -> str | None:
-        fresh, self._read = world.log[self._read :], len(world.log)
-        for entry in fresh:
-            word = entry.text.split(" ")
-            if word[0] == "member" and word[2] == "failed" and word[1] in world.nodes:
-                other = world.nodes[word[1]]
-                if not world.network.noisy and not other.late and _reached_by_all(world, other):
-                    return f"{word[1]} failed, and all reach it"
+        self._entries_read = 0
+
+    def check(self, cluster: SimulatedCluster, _node: Node) -> str | None:
+        """Read the notices since the last check."""
+        new_entries = cluster.trace[self._entries_read :]
+        self._entries_read = len(cluster.trace)
+        for entry in new_entries:
+            words = entry.text.split(" ")
+            if words[0] != "member" or words[2] != "failed" or words[1] not in cluster.nodes:
+                continue
+            failed = cluster.nodes[words[1]]
+            disturbed = cluster.network.is_degraded or failed.timer_delays_ms
+            if not disturbed and _connected_to_all(cluster, failed):
+                return f"{failed.name} failed, and all reach it"
         return None
 
-    @staticmethod
-    def count(world: World, counts: Counter[str]) -> None:
-        def listen(node: Node, told: Notice) -> None:
-            if told.name == "member" and told.fields["state"] == "failed":
-                counts["failed"] += 1
-                other = world.nodes.get(str(told.fields["name"]))
-                if other and steady_ms(world, node, other) >= STEADY_MS:
-                    counts["failed in steady reach"] += 1
-            elif told.name == "refused":
-                counts[f"refused {told.fields['why']}"] += 1
 
-        world.listeners.append(listen)
+def _connected_to_all(cluster: SimulatedCluster, node: Node) -> bool:
+    others = [other for other in cluster.nodes.values() if other.is_running and other is not node]
+    return all(connected_for_ms(cluster, other, node) >= CONNECTED_TO_ALL_MS for other in others)
 
 
-def _reached_by_all(world: World, node: Node) -> bool:
-    others = [other for other in world.nodes.values() if other.running and other is not node]
-    return all(steady_ms(world, other, node) >= CALM_MS for other in others)
+class QuotasFitBudget:
+    """The quotas of all processes never add up to more than a budget; a paused one keeps its quota."""
 
+    name = "quotas"
 
-class SharesFit:
-    """The shares of all processes that exist never add up to more than one; a paused one's are held still."""
+    def check(self, cluster: SimulatedCluster, _node: Node) -> str | None:
+        """Add up the quotas."""
+        total = 0.0
+        for node in cluster.nodes.values():
+            if node.machine is not None:
+                total += _router_of(node).quota(node.monotonic_ms(cluster.now))
+        if total <= 1 + ROUNDING_ERROR:
+            return None
+        return f"quotas add up to {total:.9f}"
+
+
+def count_failures_and_rejections(cluster: SimulatedCluster, counts: Counter[str]) -> None:
+    """Count declared failures, those of members in steady reach of their judge, and rejected datagrams."""
+
+    def count(node: Node, notice: Notice) -> None:
+        if notice.name == "member" and notice.fields["state"] == "failed":
+            counts["failed"] += 1
+            failed = cluster.nodes.get(str(notice.fields["name"]))
+            if failed and connected_for_ms(cluster, node, failed) >= CONNECTED_MS:
+                counts["failed in steady reach"] += 1
+        elif notice.name == "refused":
+            counts[f"refused {notice.fields['why']}"] += 1
+
+    cluster.listeners.append(count)
+
+
+def find_unsettled(cluster: SimulatedCluster, voters: tuple[str, ...], foreign: frozenset[str]) -> str | None:
+    """Return what is wrong in the first view that does not show the processes as they are, or None."""
+    fleet = [node for node in cluster.nodes.values() if node.name not in foreign]
+    views = {node.name: view for node in fleet if node.is_running and (view := view_of(cluster, node))}
+    running_voters = [node for node in fleet if node.is_running and node.name in voters]
+    has_majority = 2 * len(running_voters) > len(voters)
+    incarnations = {name: view.members[name].incarnation for name, view in views.items()}
+    for observer, view in views.items():
+        if view.has_majority != has_majority:
+            return f"{observer}: majority is {view.has_majority}"
+        known_foreign = foreign & view.members.keys()
+        if known_foreign:
+            return f"{observer}: knows {' '.join(sorted(known_foreign))} of another fleet"
+        for node in fleet:
+            wrong = _wrong_member(view, node, incarnations)
+            if wrong is not None:
+                return f"{observer}: {wrong}"
+    return None
 
-    name = "shares"
 
-    def check(self, world: World, node: Node) -> str | None:
-        total = 0.0
-        for other in world.nodes.values():
-            if other.machine is not None:
-                total += router_of(other).share(other.local(world.now))
-        return f"shares add up to {total:.9f}" if total > 1 + EPSILON else None
-
-
-def settled(world: World, voters: tuple[str, ...], foreign: frozenset[str]) -> str | None:
-    """What is wrong in the first view that does not show what runs, with its incarnations and majority."""
-    fleet = [node for node in world.nodes.values() if node.name not in foreign]
-    most = 2 * sum(node.running for node in fleet if node.name in voters) > len(voters)
-    views = [(node, view) for node in fleet if node.running and (view := view_of(world, node))]
-    known = {node.name: view.members[node.name].incarnation for node, view in views}
-    for node, view in views:
-        if view.has_majority is not most:
-            return f"{node.name}: majority is {view.has_majority}"
-        if strange := foreign & view.members.keys():
-            return f"{node.name}: knows {' '.join(sorted(strange))} of another fleet"
-        for other in fleet:
-            seen = view.members.get(other.name)
-            if other.running and (seen is None or seen.state is not MemberState.ALIVE):
-                return f"{node.name}: {other.name} runs and is {seen.state.name if seen else 'unknown'}"
-            if other.running and seen and seen.incarnation != known[other.name]:
-                return f"{node.name}: {other.name} is held as incarnation {seen.incarnation}"
-            if not other.running and seen and seen.state not in GONE:
-                return f"{node.name}: {other.name} is gone and is {seen.state.name}"
+def _wrong_member(view: MembershipView, node: Node, incarnations: dict[str, int]) -> str | None:
+    """Return how a view differs from a node's process, or None."""
+    member = view.members.get(node.name)
+    if not node.is_running:
+        if member is not None and member.state not in DEAD_STATES:
+            return f"{node.name} is gone and is {member.state.name}"
+        return None
+    if member is None:
+        return f"{node.name} runs and is unknown"
+    if member.state is not MemberState.ALIVE:
+        return f"{node.name} runs and is {member.state.name}"
+    if member.incarnation != incarnations[node.name]:
+        return f"{node.name} is held as incarnation {member.incarnation}"
     return None
--- a/packages/fleet-sim/src/fleet_sim/network.py
+++ b/packages/fleet-sim/src/fleet_sim/network.py
@@ -8,71 +8,84 @@
 
 from sansio_core import Address, RandomSource
 
-Link = tuple[str, str]  # from, to
+Link = tuple[str, str]
+"""A directed link: the names of its source and its target."""
 
-KEPT = 64  # datagrams that each sender's tap keeps for replays
+MAX_RECORDED = 64
+"""Datagrams of each sender that are kept for replays."""
 
 
 @dataclass(frozen=True, slots=True)
-class Quality:
-    """How a link that is not cut carries: shares in [0, 1], times in ms.
+class LinkQuality:
+    """How a link that is not cut carries datagrams: probabilities in [0, 1], times in ms.
 
-    Delays are uniform in the range, so datagrams closer together than its width may pass each other;
-    a `reordered` one is held back by up to `held_ms` more.
+    Delays are uniform in their range, so datagrams sent within its width may overtake each other; a reordered
+    one is delayed by up to ``reorder_delay_ms`` more.
     """
 
     loss: float = 0.0
-    least_ms: float = 0.2
-    most_ms: float = 2.0
-    doubled: float = 0.0
+    min_delay_ms: float = 0.2
+    max_delay_ms: float = 2.0
+    duplicated: float = 0.0
     reordered: float = 0.0
-    held_ms: float = 50.0
+    reorder_delay_ms: float = 50.0
 
 
 @dataclass(frozen=True, slots=True)
-class Taped:
+class RecordedDatagram:
     """A datagram as an eavesdropper has it."""
 
     source: Address
-    to: str
+    target: str
     data: bytes
 
 
+@dataclass(frozen=True, slots=True)
+class _Degradation:
+    """A quality that replaces the base quality on all links, or on those of one node."""
+
+    quality: LinkQuality
+    node: str
+
+    def applies_to(self, link: Link) -> bool:
+        return not self.node or self.node in link
+
+
 class Network:
-    """Cuts and qualities by their causes, so that overlapping faults end one by one.
+    """Cuts and degradations by their causes, so that overlapping faults end one by one.
 
     A cut stops datagrams as they are sent: those already on their way arrive.
     """
 
-    def __init__(self, base: Quality | None = None) -> None:
-        self.base = base or Quality()
+    def __init__(self, base_quality: LinkQuality | None = None) -> None:
+        self.base_quality = base_quality or LinkQuality()
         self._cuts: dict[Link, set[str]] = {}
-        self._noises: dict[str, tuple[Quality, str]] = {}
-        self._tape: dict[str, deque[Taped]] = {}
+        self._degradations: dict[str, _Degradation] = {}
+        self._recorded: dict[str, deque[RecordedDatagram]] = {}
 
-    def fates(self, link: Link, draw: RandomSource) -> tuple[float, ...]:
-        """The delay in ms of each copy that will arrive; none when it is lost."""
+    def delivery_delays_ms(self, link: Link, random: RandomSource) -> tuple[float, ...]:
+        """Return the delay of each copy of a datagram that will arrive: none if it is lost."""
         if link in self._cuts:
             return ()
-        quality = self._quality(link) if self._noises else self.base
-        if quality.loss and draw() < quality.loss:
+        quality = self._quality(link) if self._degradations else self.base_quality
+        if quality.loss and random() < quality.loss:
             return ()
-        first = _delay(quality, draw)
-        if quality.doubled and draw() < quality.doubled:
-            return first, _delay(quality, draw)
-        return (first,)
+        delay_ms = _draw_delay_ms(quality, random)
+        if quality.duplicated and random() < quality.duplicated:
+            return delay_ms, _draw_delay_ms(quality, random)
+        return (delay_ms,)
 
     def cut(self, links: Iterable[Link], cause: str) -> list[Link]:
-        """Break the links for a cause; returns those that carried until now."""
-        broken = []
+        """Cut the links for a cause; returns those that carried datagrams until now."""
+        newly_cut = []
         for link in links:
             if link not in self._cuts:
-                broken.append(link)
+                newly_cut.append(link)
             self._cuts.setdefault(link, set()).add(cause)
-        return broken
+        return newly_cut
 
-    def mend(self, cause: str) -> list[Link]:
-        """End a cause's cuts; returns the links that carry again."""
+    def heal(self, cause: str) -> list[Link]:
+        """End a cause's cuts; returns the links that carry datagrams again."""
         healed = []
         for link, causes in list(self._cuts.items()):
             causes.discard(cause)
@@ -81,47 +94,44 @@
                 healed.append(link)
         return healed
 
-    def mend_links(self, links: Iterable[Link]) -> list[Link]:
-        """End every cause's cut of these links; returns those that carry again."""
+    def heal_links(self, links: Iterable[Link]) -> list[Link]:
+        """End every cause's cut of these links; returns those that carry datagrams again."""
         return [link for link in links if self._cuts.pop(link, None) is not None]
 
     def is_cut(self, link: Link) -> bool:
+        """Return whether a link is cut."""
         return link in self._cuts
 
-    @property
-    def cut_links(self) -> list[Link]:
-        return list(self._cuts)
-
-    def worsen(self, cause: str, quality: Quality, node: str = "") -> None:
-        """Give all links, or those from and to one node, another quality; the last cause wins."""
-        self._noises[cause] = (quality, node)
+    def degrade(self, cause: str, quality: LinkQuality, node: str = "") -> None:
+        """Give all links, or those from and to one node, another quality; the last cause prevails."""
+        self._degradations[cause] = _Degradation(quality, node)
 
-    def calm(self, cause: str) -> None:
-        self._noises.pop(cause, None)
-
-    def calm_all(self) -> None:
-        self._noises.clear()
+    def end_degradation(self, cause: str) -> None:
+        """End a cause's degradation."""
+        self._degradations.pop(cause, None)
 
     @property
-    def noisy(self) -> bool:
-        return bool(self._noises)
-
-    def tape(self, sender: str, datagram: Taped) -> None:
-        self._tape.setdefault(sender, deque(maxlen=KEPT)).append(datagram)
-
-    def taped(self, sender: str, to: str) -> list[Taped]:
-        """What was seen lately from one node to another, oldest first."""
-        return [datagram for datagram in self._tape.get(sender, ()) if datagram.to == to]
-
-    def _quality(self, link: Link) -> Quality:
-        for quality, node in reversed(self._noises.values()):
-            if not node or node in link:
-                return quality
-        return self.base
-
-
-def _delay(quality: Quality, draw: RandomSource) -> float:
-    delay: float = quality.least_ms + (quality.most_ms - quality.least_ms) * draw()
-    if quality.reordered and draw() < quality.reordered:
-        delay += quality.held_ms * draw()
-    return delay
+    def is_degraded(self) -> bool:
+        """Whether any link has another quality than the base quality."""
+        return bool(self._degradations)
+
+    def record(self, sender: str, datagram: RecordedDatagram) -> None:
+        """Keep a datagram for a replay."""
+        self._recorded.setdefault(sender, deque(maxlen=MAX_RECORDED)).append(datagram)
+
+    def recorded(self, sender: str, target: str) -> list[RecordedDatagram]:
+        """Return the recent datagrams from one node to another, oldest first."""
+        return [datagram for datagram in self._recorded.get(sender, ()) if datagram.target == target]
+
+    def _quality(self, link: Link) -> LinkQuality:
+        for degradation in reversed(self._degradations.values()):
+            if degradation.applies_to(link):
+                return degradation.quality
+        return self.base_quality
+
+
+def _draw_delay_ms(quality: LinkQuality, random: RandomSource) -> float:
+    delay_ms: float = quality.min_delay_ms + (quality.max_delay_ms - quality.min_delay_ms) * random()
+    if quality.reordered and random() < quality.reordered:
+        delay_ms += quality.reorder_delay_ms * random()
+    return delay_ms
--- a/packages/fleet-sim/src/fleet_sim/node.py
+++ b/packages/fleet-sim/src/fleet_sim/node.py
@@ -1,4 +1,4 @@
-"""A simulated process: its machine, its clocks, its disk, and what waits for it while it is paused."""
+"""A simulated process: its state machine, clocks and disk, and the events that wait while it is paused."""
 
 from __future__ import annotations
 
@@ -9,96 +9,114 @@
 
 from sansio_core import Address, DatagramReceived, RandomSource, StateMachine
 
-Disk = dict[str, Any]  # what survives a kill; a life without its disk starts with an empty one
-Factory = Callable[
-    [str, Address, int, RandomSource, Disk], StateMachine[Any, Any]
-]  # name, address, incarnation, ...
+Disk = dict[str, Any]
+"""What survives a kill; a process that lost its disk starts with an empty one."""
 
-BACKLOG = 128  # datagrams that wait at a paused process; later ones are lost, as in a full socket buffer
-DRIFT = 5e-4  # the fastest and slowest clock, as a share of true time
-TICK_MS = 0.05  # no timer fires sooner: time goes on while a process works
-ZERO_MS = 1e6  # clocks start anywhere below this
+MachineFactory = Callable[[str, Address, int, RandomSource, Disk], StateMachine[Any, Any]]
+"""Makes a process's state machine: name, address, incarnation, random source, disk."""
 
+MAX_WAITING_DATAGRAMS = 128
+"""Datagrams that wait at a paused process; later ones are lost, as in a full socket buffer."""
+
+MAX_CLOCK_DRIFT = 5e-4
+"""The largest difference between the rates of a clock and of true time, as a share of the latter."""
+
+MIN_TIMER_MS = 0.05
+"""No timer fires sooner: time passes while a process works."""
+
+MAX_CLOCK_ZERO_MS = 1e6
+"""Monotonic clocks start anywhere below this."""
+
+
+class ProcessState(Enum):
+    """Whether a process exists, and whether it makes progress."""
 
-class State(Enum):
     DOWN = "down"
     RUNNING = "running"
     PAUSED = "paused"
 
 
 class Node:
-    """One name and address, over all its lives."""
+    """One name and address, over all incarnations of its process.
+
+    ``stopped_by`` is the fault that ended the process, if one did.  ``timer_delays_ms`` has by cause how late
+    timers may fire.  ``random`` draws what happens to the node's datagrams and timers; the state machine of
+    each incarnation has a source of its own.
+    """
 
     def __init__(self, name: str, address: Address, seed: int) -> None:
         self.name = name
         self.address = address
-        self.state = State.DOWN
+        self.state = ProcessState.DOWN
+        self.state_changed_ms = 0.0
         self.incarnation = 0
         self.machine: StateMachine[Any, Any] | None = None
         self.disk: Disk = {}
-        self.down_by = ""  # the fault that ended this life, if one did
-        self.since = 0.0  # world time of the last change of `state`
-        self.late: dict[str, float] = {}  # by cause: timers fire up to so many ms late
-        self.wall_ms = 0.0  # the wall clock less the monotonic one; steps must not matter
-        self.sent = 0  # datagrams
+        self.stopped_by = ""
+        self.timer_delays_ms: dict[str, float] = {}
+        self.sent_datagrams = 0
         self.sent_bytes = 0
-        self._held: list[Any] = []
-        self._held_datagrams = 0
+        self.random: RandomSource = random.Random(f"{seed}/{name}/fate").random
+        self._waiting: list[Any] = []
+        self._waiting_datagrams = 0
         self._seed = seed
-        self._zero = 0.0
-        self._rate = 1.0
-        self.fate: RandomSource = random.Random(f"{seed}/{name}/fate").random  # of its datagrams and timers
+        self._clock_zero_ms = 0.0
+        self._clock_rate = 1.0
 
     @property
-    def running(self) -> bool:
-        return self.state is State.RUNNING
+    def is_running(self) -> bool:
+        """Whether the process is neither down nor paused."""
+        return self.state is ProcessState.RUNNING
 
-    def begin(self, now: float, factory: Factory) -> None:
-        """A new life: next incarnation, fresh clock and draw."""
+    def start(self, now: float, factory: MachineFactory) -> None:
+        """Start the next incarnation, with a new clock and random source."""
         self.incarnation += 1
-        draw = random.Random(f"{self._seed}/{self.name}/{self.incarnation}").random
-        self._zero = now - ZERO_MS * self.fate()
-        self._rate = 1 + DRIFT * (2 * self.fate() - 1)
-        self.machine = factory(self.name, self.address, self.incarnation, draw, self.disk)
-        self.down_by = ""
-        self.turn(State.RUNNING, now)
-
-    def end(self, now: float, cause: str, keep_disk: bool) -> None:
+        machine_random = random.Random(f"{self._seed}/{self.name}/{self.incarnation}").random
+        self._clock_zero_ms = now - MAX_CLOCK_ZERO_MS * self.random()
+        self._clock_rate = 1 + MAX_CLOCK_DRIFT * (2 * self.random() - 1)
+        self.machine = factory(self.name, self.address, self.incarnation, machine_random, self.disk)
+        self.stopped_by = ""
+        self.set_state(ProcessState.RUNNING, now)
+
+    def stop(self, now: float, cause: str, keep_disk: bool) -> None:
+        """End the process."""
         self.machine = None
-        self.down_by = cause
-        self._held, self._held_datagrams = [], 0
+        self.stopped_by = cause
+        self._waiting = []
+        self._waiting_datagrams = 0
         if not keep_disk:
             self.disk = {}
-        self.turn(State.DOWN, now)
+        self.set_state(ProcessState.DOWN, now)
 
-    def turn(self, state: State, now: float) -> None:
+    def set_state(self, state: ProcessState, now: float) -> None:
+        """Change the state at simulated time ``now``."""
         self.state = state
-        self.since = now
-
-    def local(self, now: float) -> float:
-        """The node's monotonic clock in ms; its zero and rate are its own."""
-        return (now - self._zero) * self._rate
-
-    def wall(self, now: float) -> float:
-        """The node's wall clock in ms: no machine may decide by it."""
-        return self.local(now) + self.wall_ms
-
-    def due(self, now: float, in_ms: float) -> float:
-        """World time at which a timer fires: by the node's own rate, and late if a fault says so."""
-        late = max(self.late.values(), default=0.0)
-        return now + max(in_ms, TICK_MS) / self._rate + (late * self.fate() if late else 0.0)
-
-    def hold(self, event: Any) -> bool:
-        """Keep an event for the end of a pause; False when the backlog is full and it is lost."""
+        self.state_changed_ms = now
+
+    def monotonic_ms(self, now: float) -> float:
+        """Return the node's monotonic clock, whose zero and rate differ from simulated time."""
+        return (now - self._clock_zero_ms) * self._clock_rate
+
+    def timer_due_ms(self, now: float, in_ms: float) -> float:
+        """Return the simulated time at which a timer fires: by the node's clock, later under a fault."""
+        due_ms = now + max(in_ms, MIN_TIMER_MS) / self._clock_rate
+        max_delay_ms = max(self.timer_delays_ms.values(), default=0.0)
+        if max_delay_ms:
+            due_ms += max_delay_ms * self.random()
+        return due_ms
+
+    def enqueue(self, event: Any) -> None:
+        """Keep an event until the process continues; a datagram is lost if too many wait."""
         if isinstance(event, DatagramReceived):
-            if self._held_datagrams >= BACKLOG:
-                return False
-            self._held_datagrams += 1
-        self._held.append(event)
-        return True
-
-    def release(self) -> list[Any]:
-        """What waited: datagrams before timers or the other way round, as the reactor may find them."""
-        held, self._held, self._held_datagrams = self._held, [], 0
-        timers_first = self.fate() < 0.5
-        return sorted(held, key=lambda event: isinstance(event, DatagramReceived) is timers_first)
+            if self._waiting_datagrams >= MAX_WAITING_DATAGRAMS:
+                return
+            self._waiting_datagrams += 1
+        self._waiting.append(event)
+
+    def dequeue_all(self) -> list[Any]:
+        """Return the events that waited: datagrams first or last, as a reactor may find them."""
+        waiting = self._waiting
+        self._waiting = []
+        self._waiting_datagrams = 0
+        timers_first = self.random() < 0.5
+        return sorted(waiting, key=lambda event: isinstance(event, DatagramReceived) is timers_first)
--- a/packages/fleet-sim/src/fleet_sim/reachability.py
+++ b/packages/fleet-sim/src/fleet_sim/reachability.py
@@ -1,52 +1,62 @@
-"""Who can reach whom: links that are not cut between processes that run."""
+"""Which nodes can reach each other: by links that are not cut, between running processes."""
 
 from __future__ import annotations
 
-from .cluster import World
+from .cluster import SimulatedCluster
 from .node import Node
 
 
-class Reach:
-    """Cached until the topology changes; one for each run."""
+class Reachability:
+    """The connected components of one cluster, computed again when its topology changes."""
 
     def __init__(self) -> None:
-        self._topology = -1
-        self._groups: dict[str, frozenset[str]] = {}
+        self._topology_version = -1
+        self._components: dict[str, frozenset[str]] = {}
 
-    def group(self, world: World, name: str) -> frozenset[str]:
-        """The running nodes with a way to `name` and back, itself among them; empty if it doesn't run.
+    def component(self, cluster: SimulatedCluster, name: str) -> frozenset[str]:
+        """Return the running nodes with a path to ``name`` and back, itself included.
 
-        Ways may lead over other running nodes: a strongly connected component.
+        Paths may lead over other running nodes: it is a strongly connected component, empty if the node is
+        not running.
         """
-        if world.topology != self._topology:
-            self._topology = world.topology
-            self._groups = _components(world)
-        return self._groups.get(name, frozenset())
+        if cluster.topology_version != self._topology_version:
+            self._topology_version = cluster.topology_version
+            self._components = _strong_components(cluster)
+        return self._components.get(name, frozenset())
 
 
-def steady_ms(world: World, one: Node, other: Node) -> float:
-    """Since how many ms both run and the two links between them carry; 0 if that is not so now."""
-    if not (one.running and other.running):
+def connected_for_ms(cluster: SimulatedCluster, node: Node, other: Node) -> float:
+    """Return for how long both nodes run and both links between them carry; 0 if they do not now."""
+    if not (node.is_running and other.is_running):
         return 0.0
-    there, back = (one.name, other.name), (other.name, one.name)
-    if world.network.is_cut(there) or world.network.is_cut(back):
+    there = (node.name, other.name)
+    back = (other.name, node.name)
+    if cluster.network.is_cut(there) or cluster.network.is_cut(back):
         return 0.0
-    changes = (world.link_since.get(there, 0.0), world.link_since.get(back, 0.0), one.since, other.since)
-    return world.now - max(changes)
-
-
-def _components(world: World) -> dict[str, frozenset[str]]:
-    running = [name for name, node in world.nodes.items() if node.running]
-    reached = {name: _reached(world, name, running) for name in running}
-    return {name: frozenset(other for other in reached[name] if name in reached[other]) for name in running}
-
-
-def _reached(world: World, start: str, running: list[str]) -> set[str]:
-    seen, todo = {start}, [start]
-    while todo:
-        at = todo.pop()
-        for name in running:
-            if name not in seen and not world.network.is_cut((at, name)):
-                seen.add(name)
-                todo.append(name)
-    return seen
+    last_change_ms = max(
+        cluster.link_changed_ms.get(there, 0.0),
+        cluster.link_changed_ms.get(back, 0.0),
+        node.state_changed_ms,
+        other.state_changed_ms,
+    )
+    return cluster.now - last_change_ms
+
+
+def _strong_components(cluster: SimulatedCluster) -> dict[str, frozenset[str]]:
+    running = [name for name, node in cluster.nodes.items() if node.is_running]
+    reachable = {name: _reachable_from(cluster, name, running) for name in running}
+    return {
+        name: frozenset(other for other in reachable[name] if name in reachable[other]) for name in running
+    }
+
+
+def _reachable_from(cluster: SimulatedCluster, start: str, running: list[str]) -> set[str]:
+    reached = {start}
+    to_visit = [start]
+    while to_visit:
+        source = to_visit.pop()
+        for target in running:
+            if target not in reached and not cluster.network.is_cut((source, target)):
+                reached.add(target)
+                to_visit.append(target)
+    return reached
--- a/packages/fleet-sim/src/fleet_sim/run.py
+++ b/packages/fleet-sim/src/fleet_sim/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of a subject under a schedule, and what came of it."""
+"""One seeded run of a subject under a schedule of faults, and its outcome."""
 
 from __future__ import annotations
 
@@ -7,37 +7,55 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .cluster import Carry, Describe, Invariant, Violation, World
-from .faults import Schedule, Weather, draw_schedule, plant
-from .network import Quality
-from .node import Factory
-from .trace import Entry
-from .trace_rendering import render
+from .cluster import ActionHandler, Invariant, MessageDescriber, SimulatedCluster
+from .fault_plans import FaultProfile, Schedule, draw_schedule, schedule_faults
+from .network import LinkQuality
+from .node import MachineFactory
+from .trace import TraceEntry
+from .trace_rendering import render_trace
+from .violations import InvariantViolationError
 
-POLL_MS = 250.0  # how often the end of a run is asked whether all has settled
+POLL_INTERVAL_MS = 250.0
+"""How often the subject is checked for having settled."""
+
+STORY_ENTRIES = 120
+"""Entries of the trace in a story: enough for a shrunk failure."""
+
+
+def _nothing_unsettled(_cluster: SimulatedCluster) -> str | None:
+    return None
+
+
+def _no_description(_data: bytes) -> str:
+    return ""
+
+
+def _no_counters(_cluster: SimulatedCluster, _counts: Counter[str]) -> None:
+    return None
 
 
 @dataclass(frozen=True)
 class Subject:
-    """What is simulated and what must be true of it.
+    """What is simulated, and what must be true of it.
 
-    `settled` says what is still wrong once faults have ended (None: nothing), for at most `settle_ms`.
-    `invariants` are made anew for each run; `tally` hooks listeners that only count and never fail a run.
+    ``find_unsettled`` returns what is still wrong once faults have ended, or None; that may last for
+    ``settle_timeout_ms``.  ``invariants`` are made anew for each run; ``attach_counters`` adds listeners that
+    only count and never fail a run.
     """
 
-    factory: Factory
+    factory: MachineFactory
     invariants: Callable[[], Iterable[Invariant]] = tuple
-    settled: Callable[[World], str | None] = lambda world: None
-    settle_ms: float = 20_000.0
-    base: Quality = field(default_factory=Quality)
-    describe: Describe = lambda data: ""
-    carry: Mapping[type, Carry] = field(default_factory=dict)
-    tally: Callable[[World, Counter[str]], None] = lambda world, counts: None
+    find_unsettled: Callable[[SimulatedCluster], str | None] = _nothing_unsettled
+    settle_timeout_ms: float = 20_000.0
+    base_quality: LinkQuality = field(default_factory=LinkQuality)
+    describe: MessageDescriber = _no_description
+    action_handlers: Mapping[type, ActionHandler] = field(default_factory=dict)
+    attach_counters: Callable[[SimulatedCluster, Counter[str]], None] = _no_counters
 
 
 @dataclass(frozen=True)
 class Plan:
-    """All that determines a run of a subject."""
+    """Everything that determines a run of a subject."""
 
     seed: int
     names: tuple[str, ...]
@@ -46,65 +64,75 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """`settled_ms` counts from the end of the last fault; `log` has messages of note only in a traced run."""
+    """What came of a run.
+
+    ``settled_ms`` counts from the end of the last fault.  ``trace`` has messages in a traced run only.
+    """
 
     plan: Plan
-    violation: Violation | None
+    violation: InvariantViolationError | None
     steps: int
     simulated_ms: float
     settled_ms: float
     counts: Counter[str]
-    log: list[Entry]
+    trace: list[TraceEntry]
 
-    def story(self, lines: int = 120) -> str:
-        """The failure, its schedule and its timeline."""
+    def story(self, max_entries: int = STORY_ENTRIES) -> str:
+        """Return the failure, the schedule and the end of the timeline (0 entries: all of it) as text."""
+        heading = f"seed {self.plan.seed}, {len(self.plan.names)} nodes: {self.violation or 'holds'}"
         faults = "\n".join(f"  {fault}" for fault in self.plan.schedule)
-        head = f"seed {self.plan.seed}, {len(self.plan.names)} nodes: {self.violation or 'holds'}"
-        return f"{head}\nschedule:\n{faults}\n{render(self.log, self.plan.names, lines)}"
+        timeline = render_trace(self.trace, self.plan.names, max_entries)
+        return f"{heading}\nschedule:\n{faults}\n{timeline}"
 
 
 def node_names(count: int) -> tuple[str, ...]:
-    """a, b, c, ... or n0, n1, ... past 26."""
-    return tuple(string.ascii_lowercase[:count] if count <= 26 else (f"n{i}" for i in range(count)))
+    """Return the names a, b, c, ..., or n0, n1, ... for more than 26 nodes."""
+    if count <= len(string.ascii_lowercase):
+        return tuple(string.ascii_lowercase[:count])
+    return tuple(f"n{index}" for index in range(count))
 
 
-def drawn_plan(seed: int, count: int, weather: Weather) -> Plan:
+def draw_plan(seed: int, count: int, profile: FaultProfile) -> Plan:
+    """Draw a plan for ``count`` nodes, which the arguments determine."""
     names = node_names(count)
-    return Plan(seed, names, draw_schedule(seed, names, weather))
+    return Plan(seed, names, draw_schedule(seed, names, profile))
 
 
 def run(subject: Subject, plan: Plan, *, trace: bool = False) -> Outcome:
-    """Run to the first violation, or until all has settled after the last fault."""
-    world = make_world(subject, plan.seed, plan.names, trace)
+    """Run to the first violation, or until the subject has settled after the last fault."""
+    cluster = make_cluster(subject, plan.seed, plan.names, trace=trace)
     counts: Counter[str] = Counter()
-    subject.tally(world, counts)
-    healed = plant(world, plan.schedule)
+    subject.attach_counters(cluster, counts)
+    healed_ms = schedule_faults(cluster, plan.schedule)
     violation = None
     try:
         for name in plan.names:
-            world.start(name)
-        world.run_until(healed)
-        _settle(world, subject, healed)
-    except Violation as error:
+            cluster.start(name)
+        cluster.run_until(healed_ms)
+        _settle(cluster, subject, healed_ms)
+    except InvariantViolationError as error:
         violation = error
-    return Outcome(plan, violation, world.steps, world.now, world.now - healed, counts, world.log)
+    settled_ms = cluster.now - healed_ms
+    return Outcome(plan, violation, cluster.steps, cluster.now, settled_ms, counts, cluster.trace)
 
 
-def make_world(subject: Subject, seed: int, names: tuple[str, ...], trace: bool) -> World:
-    return World(
+def make_cluster(subject: Subject, seed: int, names: tuple[str, ...], *, trace: bool) -> SimulatedCluster:
+    """Make a cluster of the subject's state machines; none is started yet."""
+    return SimulatedCluster(
         seed,
         names,
         subject.factory,
-        base=subject.base,
+        base_quality=subject.base_quality,
         invariants=subject.invariants(),
         describe=subject.describe if trace else None,
-        carry=subject.carry,
+        action_handlers=subject.action_handlers,
     )
 
 
-def _settle(world: World, subject: Subject, healed: float) -> None:
-    limit = healed + subject.settle_ms
-    while (wrong := subject.settled(world)) is not None:
-        if world.now >= limit:
-            raise Violation("settled", world.now, "", f"{subject.settle_ms:.0f} ms after healing: {wrong}")
-        world.run_until(min(limit, world.now + POLL_MS))
+def _settle(cluster: SimulatedCluster, subject: Subject, healed_ms: float) -> None:
+    deadline_ms = healed_ms + subject.settle_timeout_ms
+    while (unsettled := subject.find_unsettled(cluster)) is not None:
+        if cluster.now >= deadline_ms:
+            reason = f"{subject.settle_timeout_ms:.0f} ms after healing: {unsettled}"
+            raise InvariantViolationError("settled", cluster.now, "", reason)
+        cluster.run_until(min(deadline_ms, cluster.now + POLL_INTERVAL_MS))
--- a/packages/fleet-sim/src/fleet_sim/scenario.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario.py
@@ -1,137 +1,179 @@
-"""The form of a `.timeline` file: steps on the left, what must be seen after them on the right.
+"""The format of a ``.timeline`` file: steps on the left, what must be observed after them on the right.
 
-README.md of this package documents the form. Everything here is about text; `play` runs it.
+README.md of this package documents the format.  This module only parses it; ``scenario_runner`` runs it.
 """
 
 from __future__ import annotations
 
 import re
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from fnmatch import fnmatchcase
 from pathlib import Path
 
-FOR_MS = 20_000.0
-SEEDS = 3
+DEFAULT_TIMEOUT_MS = 20_000.0
+"""How long a scenario waits unless its header says otherwise: longer than any suspicion."""
 
-_STEP = re.compile(r"(?:at\s+(?P<at>[\d_.]+)|then(?:\s+(?P<pause>[\d_.]+))?)\s+(?P<act>\S.*)")
+DEFAULT_SEEDS = 3
+"""Seeds that a scenario is run with unless its header says otherwise."""
+
+SETTLED = "settled"
+"""The expectation that has no nodes: the subject itself is asked whether it has settled."""
+
+_STEP = re.compile(r"(?:at\s+(?P<at>[\d_.]+)|then(?:\s+(?P<pause>[\d_.]+))?)\s+(?P<action>\S.*)")
 _HEADER = re.compile(r"(?P<key>[a-z_]+):\s*(?P<value>.*)")
-_EXPECTED = re.compile(r"(?P<mark>then\s+|no\s+)?(?P<nodes>[\w ]+):\s*(?P<words>\S.*)")
+_EXPECTATION = re.compile(r"(?P<prefix>then\s+|no\s+)?(?P<nodes>[\w ]+):\s*(?P<words>\S.*)")
+
 
+class ScenarioSyntaxError(ValueError):
+    """A text that is not of the format; the message names its line if it is one."""
 
-class FormError(ValueError):
-    """The file isn't of the form; the message names its line."""
+    @classmethod
+    def at_line(cls, line: int, problem: str) -> ScenarioSyntaxError:
+        """Return the error for a line."""
+        return cls(f"line {line}: {problem}")
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
-    """One `nodes: words` of the right side; `settled` has no nodes."""
+class Expectation:
+    """One ``nodes: words`` of the right side; ``settled`` has no nodes.
+
+    ``forbidden``: it must not be observed until the next step.  ``ordered``: only after all lines above it of
+    the same step.
+    """
 
     line: int
     nodes: tuple[str, ...]
     words: tuple[str, ...]
-    never: bool = False  # must not be seen until the next step
-    ordered: bool = False  # only after all lines above it in its block
+    forbidden: bool = False
+    ordered: bool = False
 
-    def fits(self, node: str, text: str) -> bool:
-        """Whether a told text starts with these words; `*` and other globs stand within a word."""
-        told = text.split(" ")
-        pairs = zip(told, self.words, strict=False)
-        long_enough = len(told) >= len(self.words)
-        return node in self.nodes and long_enough and all(fnmatchcase(word, glob) for word, glob in pairs)
+    def matches(self, node: str, text: str) -> bool:
+        """Return whether a notice's text begins with these words, which may be globs."""
+        observed = text.split(" ")
+        if node not in self.nodes or len(observed) < len(self.words):
+            return False
+        return all(fnmatchcase(word, glob) for word, glob in zip(observed, self.words, strict=False))
 
     def __str__(self) -> str:
-        mark = "no " if self.never else "then " if self.ordered else ""
+        prefix = ""
+        if self.forbidden:
+            prefix = "no "
+        elif self.ordered:
+            prefix = "then "
         nodes = f"{' '.join(self.nodes)}: " if self.nodes else ""
-        return f"line {self.line}: {mark}{nodes}{' '.join(self.words)}"
+        return f"line {self.line}: {prefix}{nodes}{' '.join(self.words)}"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An act at a time, or (`at_ms` None) `pause_ms` after all that was expected before it."""
+    """An action at a time, or (``at_ms`` None) ``pause_ms`` after all that was expected before it."""
 
     line: int
     at_ms: float | None
     pause_ms: float
-    act: tuple[str, ...]
-    expected: tuple[Expected, ...]
+    action: tuple[str, ...]
+    expectations: tuple[Expectation, ...]
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """`options` are the header's lines that the form itself doesn't know: the subject's."""
+    """A parsed file.
+
+    ``started_later`` are the nodes that are not started at 0; ``timeout_ms`` is how long the run goes on
+    after the last step, and the limit of each ``then``; ``forbidden`` must not be observed in the entire run.
+    ``options`` are the header lines that only the subject knows.
+    """
 
     title: str
     names: tuple[str, ...]
-    later: frozenset[str]  # not started at 0
-    for_ms: float  # after the last step, and the limit of each `then`
+    started_later: frozenset[str]
+    timeout_ms: float
     seeds: int
-    never: tuple[Expected, ...]
+    forbidden: tuple[Expectation, ...]
     steps: tuple[Step, ...]
     options: dict[str, tuple[str, ...]]
 
 
 def load(path: Path) -> Scenario:
-    """Read a file. Raises FormError."""
+    """Parse a file; raises ScenarioSyntaxError."""
     return parse(path.read_text(encoding="utf-8"))
 
 
 def parse(text: str) -> Scenario:
-    """Raises FormError."""
-    header: dict[str, tuple[str, ...]] = {}
-    never: list[Expected] = []
-    steps: list[Step] = []
+    """Parse a text; raises ScenarioSyntaxError."""
+    parser = _Parser()
     for number, raw in enumerate(text.splitlines(), 1):
+        parser.add_line(number, raw)
+    return parser.scenario()
+
+
+class _Parser:
+    """Collects the lines of a file."""
+
+    def __init__(self) -> None:
+        self._header: dict[str, tuple[str, ...]] = {}
+        self._forbidden: list[Expectation] = []
+        self._steps: list[Step] = []
+
+    def add_line(self, number: int, raw: str) -> None:
         line = raw.split("#")[0].rstrip()
         left, bar, right = (part.strip() for part in line.partition("|"))
         if left and (step := _STEP.fullmatch(left)):
-            steps.append(_step(number, step))
-        elif left and not steps and not bar and (entry := _HEADER.fullmatch(left)):
-            if entry["key"] == "never":
-                never.append(_expected(number, "no " + entry["value"]))
-            else:
-                header[entry["key"]] = tuple(entry["value"].split())
-        elif left or (bar and not steps):
-            raise FormError(f"line {number}: neither a header, a step nor an expectation: {raw.strip()}")
+            self._steps.append(_step(number, step))
+        elif left and not self._steps and not bar and (entry := _HEADER.fullmatch(left)):
+            self._add_header(number, entry["key"], entry["value"])
+        elif left or (bar and not self._steps):
+            problem = f"neither a header, a step nor an expectation: {raw.strip()}"
+            raise ScenarioSyntaxError.at_line(number, problem)
         if right:
-            last = steps[-1]
-            more = (*last.expected, _expected(number, right))
-            steps[-1] = Step(last.line, last.at_ms, last.pause_ms, last.act, more)
-    return _scenario(header, tuple(never), tuple(steps))
-
-
-def _scenario(
-    header: dict[str, tuple[str, ...]], never: tuple[Expected, ...], steps: tuple[Step, ...]
-) -> Scenario:
-    names = header.pop("nodes", ())
-    if not names or not steps:
-        raise FormError("a scenario needs `nodes:` and at least one step")
-    scenario = Scenario(
-        title=" ".join(header.pop("title", ())),
-        names=names,
-        later=frozenset(header.pop("later", ())),
-        for_ms=float(header.pop("for", (FOR_MS,))[0]),
-        seeds=int(header.pop("seeds", (SEEDS,))[0]),
-        never=never,
-        steps=steps,
-        options=header,
-    )
-    for expected in [*never, *(line for step in steps for line in step.expected)]:
-        if unknown := set(expected.nodes) - set(names):
-            raise FormError(f"line {expected.line}: no node {' '.join(sorted(unknown))}")
-    return scenario
-
-
-def _step(number: int, found: re.Match[str]) -> Step:
-    at = None if found["at"] is None else float(found["at"])
-    return Step(number, at, float(found["pause"] or 0), tuple(found["act"].split()), ())
-
-
-def _expected(number: int, text: str) -> Expected:
-    if text == "settled":
-        return Expected(number, (), ("settled",))
-    found = _EXPECTED.fullmatch(text)
-    if found is None:
-        raise FormError(f"line {number}: not an expectation: {text}")
-    mark = (found["mark"] or "").strip()
-    words = tuple(found["words"].split())
-    return Expected(number, tuple(found["nodes"].split()), words, mark == "no", mark == "then")
+            step_before = self._steps[-1]
+            expectations = (*step_before.expectations, _expectation(number, right))
+            self._steps[-1] = replace(step_before, expectations=expectations)
+
+    def _add_header(self, number: int, key: str, value: str) -> None:
+        if key == "never":
+            self._forbidden.append(_expectation(number, f"no {value}"))
+        else:
+            self._header[key] = tuple(value.split())
+
+    def scenario(self) -> Scenario:
+        header = dict(self._header)
+        names = header.pop("nodes", ())
+        if not names or not self._steps:
+            problem = "a scenario needs `nodes:` and at least one step"
+            raise ScenarioSyntaxError(problem)
+        self._check_nodes(names)
+        return Scenario(
+            title=" ".join(header.pop("title", ())),
+            names=names,
+            started_later=frozenset(header.pop("later", ())),
+            timeout_ms=float(header.pop("for", (DEFAULT_TIMEOUT_MS,))[0]),
+            seeds=int(header.pop("seeds", (DEFAULT_SEEDS,))[0]),
+            forbidden=tuple(self._forbidden),
+            steps=tuple(self._steps),
+            options=header,
+        )
+
+    def _check_nodes(self, names: tuple[str, ...]) -> None:
+        expectations = [*self._forbidden, *(line for step in self._steps for line in step.expectations)]
+        for expectation in expectations:
+            unknown = set(expectation.nodes) - set(names)
+            if unknown:
+                raise ScenarioSyntaxError.at_line(expectation.line, f"no node {' '.join(sorted(unknown))}")
+
+
+def _step(number: int, match: re.Match[str]) -> Step:
+    at_ms = None if match["at"] is None else float(match["at"])
+    return Step(number, at_ms, float(match["pause"] or 0), tuple(match["action"].split()), ())
+
+
+def _expectation(number: int, text: str) -> Expectation:
+    if text == SETTLED:
+        return Expectation(number, (), (SETTLED,))
+    match = _EXPECTATION.fullmatch(text)
+    if match is None:
+        raise ScenarioSyntaxError.at_line(number, f"not an expectation: {text}")
+    prefix = (match["prefix"] or "").strip()
+    nodes = tuple(match["nodes"].split())
+    words = tuple(match["words"].split())
+    return Expectation(number, nodes, words, forbidden=prefix == "no", ordered=prefix == "then")
--- a/packages/fleet-sim/src/fleet_sim/scenario_actions.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_actions.py
@@ -1,125 +1,180 @@
-"""The acts of a scenario's steps: faults that last until they are healed, and ends of faults."""
+"""The actions of a scenario's steps: faults that last until they are healed, and ends of faults."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import fields
+from collections.abc import Callable, Mapping, Sequence
 
-from .cluster import World
+from .cluster import SimulatedCluster
 from .faults import Cut, Fault, Flap, Garbage, Kill, Lag, Leave, Noise, Partition, Pause, Replay, WallStep
-from .network import Link, Quality
-from .scenario import FormError
+from .network import Link, LinkQuality
+from .scenario import ScenarioSyntaxError
 
 Words = tuple[str, ...]
+"""The words of an action, or those after its verb."""
+
+QUALITY_KEYS: Mapping[str, str] = {
+    "loss": "loss",
+    "least_ms": "min_delay_ms",
+    "most_ms": "max_delay_ms",
+    "doubled": "duplicated",
+    "reordered": "reordered",
+    "held_ms": "reorder_delay_ms",
+}
+"""The field of ``LinkQuality`` for each word of the action ``noise``, which the files' format fixes."""
+
+MOMENTARY_FAULTS = (WallStep, Replay, Garbage)
+"""Faults that are over as soon as they have begun."""
 
 
-class Acts:
-    """Carries out steps in a world; remembers what works, so that `heal` can end it."""
+class ScenarioActions:
+    """Carries out actions on a cluster; remembers the faults in effect so that later actions can end them."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._working: dict[str, Fault] = {}
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster = cluster
+        self._active: dict[str, Fault] = {}
         self._count = 0
 
-    def do(self, line: int, words: Words) -> None:
-        """Raises FormError for words that are no act."""
-        verb, rest = words[0], words[1:]
+    def perform(self, line: int, words: Words) -> None:
+        """Carry out the action of a line; raises ScenarioSyntaxError if it is unknown or malformed."""
+        verb, *rest = words
+        arguments = tuple(rest)
         try:
-            if verb in _FAULTS:
-                for fault in _FAULTS[verb](rest):
+            if verb in _FAULT_PARSERS:
+                for fault in _FAULT_PARSERS[verb](arguments):
                     self._begin(fault)
             else:
-                self._end(verb, rest)
+                self._end_faults(verb, arguments)
         except (IndexError, KeyError, ValueError) as error:
-            raise FormError(f"line {line}: not an act: {' '.join(words)}") from error
+            raise ScenarioSyntaxError.at_line(line, f"not an act: {' '.join(words)}") from error
 
     def _begin(self, fault: Fault) -> None:
         self._count += 1
         cause = f"act {self._count}"
-        self._world.storm(cause, True)
-        fault.begin(self._world, cause)
-        if isinstance(fault, (WallStep, Replay, Garbage)):
-            self._world.storm(cause, False)
+        self._cluster.active_faults.add(cause)
+        fault.begin(self._cluster, cause)
+        if isinstance(fault, MOMENTARY_FAULTS):
+            self._cluster.active_faults.discard(cause)
         else:
-            self._working[cause] = fault
-
-    def _end(self, verb: str, rest: Words) -> None:
-        if verb == "heal":
-            self._heal(_arrow(rest) if rest else [])
-        elif verb == "ontime":
-            self._finish(lambda fault: isinstance(fault, Lag) and fault.node in rest)
-        elif verb in ("start", "restart"):
-            self._finish(lambda fault: isinstance(fault, (Kill, Leave)) and fault.node in rest)
-            for name in rest:
-                self._world.start(name)
-        elif verb == "continue":
-            self._finish(lambda fault: isinstance(fault, Pause) and fault.node in rest)
-        elif verb != "wait":
-            raise KeyError(verb)
+            self._active[cause] = fault
+
+    def _end_faults(self, verb: str, arguments: Words) -> None:
+        match verb:
+            case "heal":
+                self._heal(parse_arrow(arguments) if arguments else [])
+            case "ontime":
+                self._end_where(lambda fault: isinstance(fault, Lag) and fault.node in arguments)
+            case "start" | "restart":
+                self._end_where(lambda fault: isinstance(fault, (Kill, Leave)) and fault.node in arguments)
+                for name in arguments:
+                    self._cluster.start(name)
+            case "continue":
+                self._end_where(lambda fault: isinstance(fault, Pause) and fault.node in arguments)
+            case "wait":
+                pass
+            case _:
+                raise KeyError(verb)
 
     def _heal(self, links: list[Link]) -> None:
         if links:
-            self._finish(lambda fault: isinstance(fault, Flap) and (fault.source, fault.target) in links)
-            self._world.mend_links(links)
+            self._end_where(lambda fault: isinstance(fault, Flap) and (fault.source, fault.target) in links)
+            self._cluster.heal_links(links)
         else:
-            self._finish(lambda fault: isinstance(fault, (Cut, Partition, Flap, Noise)))
+            self._end_where(lambda fault: isinstance(fault, (Cut, Partition, Flap, Noise)))
 
-    def _finish(self, which: Callable[[Fault], bool]) -> None:
-        for cause, fault in list(self._working.items()):
-            if which(fault):
-                del self._working[cause]
-                self._world.storm(cause, False)
-                fault.end(self._world, cause)
+    def _end_where(self, condition: Callable[[Fault], bool]) -> None:
+        for cause, fault in list(self._active.items()):
+            if condition(fault):
+                del self._active[cause]
+                self._cluster.active_faults.discard(cause)
+                fault.end(self._cluster, cause)
 
 
-def _arrow(words: Words) -> list[Link]:
+def parse_arrow(words: Sequence[str]) -> list[Link]:
+    """Return the links of ``a -> b`` or ``a <-> b``; raises ValueError."""
     source, arrow, target = words
-    if arrow not in ("->", "<->"):
-        raise ValueError(arrow)
-    return [(source, target), (target, source)] if arrow == "<->" else [(source, target)]
+    match arrow:
+        case "->":
+            return [(source, target)]
+        case "<->":
+            return [(source, target), (target, source)]
+        case _:
+            raise ValueError(arrow)
+
 
+def parse_quality(words: Sequence[str]) -> dict[str, float]:
+    """Return the fields of ``LinkQuality`` that pairs of words name; raises KeyError or ValueError."""
+    pairs = zip(words[::2], words[1::2], strict=True)
+    return {QUALITY_KEYS[key]: float(value) for key, value in pairs}
 
-def _cut(words: Words) -> list[Fault]:
-    return [Cut(0, 0, *link) for link in _arrow(words)]
 
+def _parse_cut(words: Words) -> list[Fault]:
+    return [Cut(0, 0, source, target) for source, target in parse_arrow(words)]
 
-def _split(words: Words) -> list[Fault]:
+
+def _parse_split(words: Words) -> list[Fault]:
     groups = tuple(tuple(group.split()) for group in " ".join(words).split("/"))
     return [Partition(0, 0, groups)]
 
 
-def _flap(words: Words) -> list[Fault]:
-    (*link, every, ms) = words
-    links = _arrow(tuple(link))
+def _parse_flap(words: Words) -> list[Fault]:
+    *arrow, every, interval_ms = words
+    links = parse_arrow(arrow)
     if every != "every":
         raise ValueError(every)
-    return [Flap(0, 0, *links[0], float(ms), len(links) == 2)]
-
-
-def _noise(words: Words) -> list[Fault]:
-    pairs = dict(zip(words[::2], words[1::2], strict=True))
-    node = pairs.pop("node", "")
-    unknown = pairs.keys() - {quality.name for quality in fields(Quality)}
-    if unknown:
-        raise ValueError(unknown)
-    return [Noise(0, 0, Quality(**{key: float(value) for key, value in pairs.items()}), node)]
-
-
-def _kill(words: Words) -> list[Fault]:
-    keeps = words[-2:] != ("without", "disk")
-    return [Kill(0, 0, name, keeps) for name in (words if keeps else words[:-2])]
-
-
-_FAULTS: dict[str, Callable[[Words], list[Fault]]] = {
-    "cut": _cut,
-    "split": _split,
-    "flap": _flap,
-    "noise": _noise,
-    "kill": _kill,
-    "leave": lambda words: [Leave(0, 0, name) for name in words],
-    "pause": lambda words: [Pause(0, 0, name) for name in words],
-    "late": lambda words: [Lag(0, 0, words[0], float(words[1]))],
-    "step": lambda words: [WallStep(0, 0, words[0], float(words[1]))],
-    "replay": lambda words: [Replay(0, 0, *_arrow(words[:3])[0], int(words[3]))],
-    "garbage": lambda words: [Garbage(0, 0, words[0], int(words[1]))],
+    source, target = links[0]
+    return [Flap(0, 0, source, target, float(interval_ms), both_ways=len(links) == 2)]
+
+
+def _parse_noise(words: Words) -> list[Fault]:
+    node = ""
+    if "node" in words[::2]:
+        index = words.index("node")
+        node = words[index + 1]
+        words = words[:index] + words[index + 2 :]
+    return [Noise(0, 0, LinkQuality(**parse_quality(words)), node)]
+
+
+def _parse_kill(words: Words) -> list[Fault]:
+    keep_disk = words[-2:] != ("without", "disk")
+    names = words if keep_disk else words[:-2]
+    return [Kill(0, 0, name, keep_disk) for name in names]
+
+
+def _parse_leave(words: Words) -> list[Fault]:
+    return [Leave(0, 0, name) for name in words]
+
+
+def _parse_pause(words: Words) -> list[Fault]:
+    return [Pause(0, 0, name) for name in words]
+
+
+def _parse_lag(words: Words) -> list[Fault]:
+    return [Lag(0, 0, words[0], float(words[1]))]
+
+
+def _parse_wall_step(words: Words) -> list[Fault]:
+    return [WallStep(0, 0, words[0], float(words[1]))]
+
+
+def _parse_replay(words: Words) -> list[Fault]:
+    source, target = parse_arrow(words[:3])[0]
+    return [Replay(0, 0, source, target, int(words[3]))]
+
+
+def _parse_garbage(words: Words) -> list[Fault]:
+    return [Garbage(0, 0, words[0], int(words[1]))]
+
+
+_FAULT_PARSERS: dict[str, Callable[[Words], list[Fault]]] = {
+    "cut": _parse_cut,
+    "split": _parse_split,
+    "flap": _parse_flap,
+    "noise": _parse_noise,
+    "kill": _parse_kill,
+    "leave": _parse_leave,
+    "pause": _parse_pause,
+    "late": _parse_lag,
+    "step": _parse_wall_step,
+    "replay": _parse_replay,
+    "garbage": _parse_garbage,
 }
--- a/packages/fleet-sim/src/fleet_sim/shrink.py
+++ b/packages/fleet-sim/src/fleet_sim/shrink.py
@@ -1,38 +1,49 @@
-"""From a failing plan to a smaller one that fails by the same check."""
+"""Shrinking: from a plan that fails to a smaller one that fails by the same check."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import replace
 
-from .faults import Fault, Schedule
+from .fault_plans import Schedule
+from .faults import Fault
 from .run import Outcome, Plan, Subject, run
 
-SHORTEST_MS = 50.0  # faults aren't halved below this
-MOST_RUNS = 300
+MIN_DURATION_MS = 50.0
+"""Faults are not shortened below this."""
 
+MAX_RUNS = 300
+"""Runs after which the search ends."""
 
-def shrink(subject: Subject, failed: Outcome, most_runs: int = MOST_RUNS) -> Outcome:
-    """Drop faults, then shorten them, as long as the same check fails; the result is traced.
 
-    Greedy and one at a time: no single drop or halving of the result fails by that check,
-    unless `most_runs` ended the search.
+class NothingToShrinkError(ValueError):
+    """The run did not fail."""
+
+    def __init__(self) -> None:
+        super().__init__("nothing to shrink: the run holds")
+
+
+def shrink(subject: Subject, failed: Outcome, max_runs: int = MAX_RUNS) -> Outcome:
+    """Drop faults, then shorten them, while the same check fails; the result is traced.
+
+    Greedy and one fault at a time: no single drop or halving of the result fails by that check, unless
+    ``max_runs`` ended the search.  Raises NothingToShrinkError.
     """
     if failed.violation is None:
-        raise ValueError("nothing to shrink: the run holds")
-    check, best, runs = failed.violation.check, failed.plan, 0
-    while runs < most_runs:
-        for schedule in _smaller(best.schedule):
-            runs += 1
-            tried = replace(best, schedule=schedule)
-            if _fails(subject, tried, check):
-                best = tried
-                break
-            if runs >= most_runs:
-                break
-        else:
+        raise NothingToShrinkError
+    check = failed.violation.check
+    smallest = failed.plan
+    remaining_runs = max_runs
+    candidates = _smaller(smallest)
+    while remaining_runs > 0:
+        candidate = next(candidates, None)
+        if candidate is None:
             break
-    return run(subject, best, trace=True)
+        remaining_runs -= 1
+        if _fails(subject, candidate, check):
+            smallest = candidate
+            candidates = _smaller(smallest)
+    return run(subject, smallest, trace=True)
 
 
 def _fails(subject: Subject, plan: Plan, check: str) -> bool:
@@ -40,8 +51,13 @@
     return violation is not None and violation.check == check
 
 
-def _smaller(schedule: Schedule) -> Iterator[Schedule]:
-    """Schedules one step smaller, the boldest first."""
+def _smaller(plan: Plan) -> Iterator[Plan]:
+    """Yield plans that are one step smaller, those with the fewest faults first."""
+    for schedule in _smaller_schedules(plan.schedule):
+        yield replace(plan, schedule=schedule)
+
+
+def _smaller_schedules(schedule: Schedule) -> Iterator[Schedule]:
     half = len(schedule) // 2
     if half > 1:
         yield schedule[:half]
@@ -54,7 +70,7 @@
 
 
 def _shorter(fault: Fault) -> Iterator[Fault]:
-    if fault.lasts_ms > 2 * SHORTEST_MS:
-        yield replace(fault, lasts_ms=round(fault.lasts_ms / 2, 1))
-    if fault.lasts_ms > 4 * SHORTEST_MS:
-        yield replace(fault, lasts_ms=round(fault.lasts_ms * 0.8, 1))
+    if fault.duration_ms > 2 * MIN_DURATION_MS:
+        yield replace(fault, duration_ms=round(fault.duration_ms / 2, 1))
+    if fault.duration_ms > 4 * MIN_DURATION_MS:
+        yield replace(fault, duration_ms=round(fault.duration_ms * 0.8, 1))
--- a/packages/fleet-sim/src/fleet_sim/simulated_router.py
+++ b/packages/fleet-sim/src/fleet_sim/simulated_router.py
@@ -1,4 +1,4 @@
-"""What a router runs of the fleet, as one machine of the simulation."""
+"""What a router runs of the fleet, as one state machine of the simulation."""
 
 from __future__ import annotations
 
@@ -7,45 +7,53 @@
 from quota_leases import LEASE_CHANNEL, LeaseExchange, QuotaSettings
 from sansio_core import Action, Event, RandomSource, SetTimer, ShutdownRequested, Started, TimerFired
 
-GONE = (MemberState.FAILED, MemberState.LEFT)
-SHARES_TOKEN = -1  # the members' own tokens are not negative
+DEAD_STATES = (MemberState.FAILED, MemberState.LEFT)
+"""States of members among which no quota is divided."""
 
+RENEWAL_TOKEN = -1
+"""The timer of lease renewals; the tokens of ``Membership`` are not negative."""
 
-class Router:
-    """What a router runs of the fleet: a member, and its shares of the budgets on the same datagrams."""
 
-    def __init__(self, settings: MembershipSettings, shares: QuotaSettings, draw: RandomSource) -> None:
+class SimulatedRouter:
+    """A member, and its quota leases on the same datagrams."""
+
+    def __init__(self, settings: MembershipSettings, quotas: QuotaSettings, random: RandomSource) -> None:
         self.name = settings.name
-        self.member = Membership(settings, draw, self._heard)
-        self.keeper: LeaseExchange | None = None
-        self._shares = shares
-        self._life = settings.incarnation
+        self.membership = Membership(settings, random, self._handle_user_message)
+        self._leases: LeaseExchange | None = None
+        self._quotas = quotas
+        self._incarnation = settings.incarnation
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        if event == TimerFired(SHARES_TOKEN):
-            return self._ask(now)
-        if isinstance(event, Started):
-            self.keeper = LeaseExchange(self._shares, self.name, self._life, now)
-            return [*self.member.handle(now, event), SetTimer(self.keeper.renewal_interval_ms, SHARES_TOKEN)]
-        if isinstance(event, ShutdownRequested):
-            self.keeper = None
-        return self.member.handle(now, event)
-
-    def share(self, now: float) -> float:
-        return self.keeper.quota(now) if self.keeper else 0.0
-
-    def _ask(self, now: float) -> list[Action]:
-        if self.keeper is None:
+        """Process one event; return the actions to carry out, in order."""
+        match event:
+            case TimerFired(token) if token == RENEWAL_TOKEN:
+                return self._renew(now)
+            case Started():
+                self._leases = LeaseExchange(self._quotas, self.name, self._incarnation, now)
+                timer = SetTimer(self._leases.renewal_interval_ms, RENEWAL_TOKEN)
+                return [*self.membership.handle(now, event), timer]
+            case ShutdownRequested():
+                self._leases = None
+        return self.membership.handle(now, event)
+
+    def quota(self, now: float) -> float:
+        """Return the share of each budget that this router may use now: none once it has left."""
+        return self._leases.quota(now) if self._leases else 0.0
+
+    def _renew(self, now: float) -> list[Action]:
+        if self._leases is None:
             return []
         actions: list[Action] = []
-        for request in self.keeper.renew(now, self._live(now)):
-            actions += self.member.send_user_message(request.voter, LEASE_CHANNEL, request.body)
-        return [*actions, SetTimer(self.keeper.renewal_interval_ms, SHARES_TOKEN)]
+        for request in self._leases.renew(now, self._live_routers(now)):
+            actions += self.membership.send_user_message(request.voter, LEASE_CHANNEL, request.body)
+        return [*actions, SetTimer(self._leases.renewal_interval_ms, RENEWAL_TOKEN)]
 
-    def _heard(self, now: float, sender: str, channel: int, body: bytes) -> bytes | None:
-        if self.keeper is None or channel != LEASE_CHANNEL:
+    def _handle_user_message(self, now: float, sender: str, channel: int, body: bytes) -> bytes | None:
+        if self._leases is None or channel != LEASE_CHANNEL:
             return None
-        return self.keeper.handle_message(now, sender, body, self._live(now))
+        return self._leases.handle_message(now, sender, body, self._live_routers(now))
 
-    def _live(self, now: float) -> list[str]:
-        return [name for name, m in self.member.view(now).members.items() if m.state not in GONE]
+    def _live_routers(self, now: float) -> list[str]:
+        members = self.membership.view(now).members
+        return [name for name, member in members.items() if member.state not in DEAD_STATES]
--- a/packages/fleet-sim/src/fleet_sim/trace.py
+++ b/packages/fleet-sim/src/fleet_sim/trace.py
@@ -1,4 +1,4 @@
-"""What a run leaves behind for its timeline."""
+"""The trace of a run: what happened, in order; ``trace_rendering`` draws it as a timeline."""
 
 from __future__ import annotations
 
@@ -8,34 +8,44 @@
 from sansio_core import Notice
 
 
-class Kind(Enum):
-    """What an entry is about; it decides how the entry is drawn."""
+class EntryKind(Enum):
+    """What an entry is about, which decides how it is drawn."""
 
-    LIFE = "life"  # a process starts, stops, continues, ends
-    FAULT = "fault"  # a fault of one node, or of none (drawn across)
-    BROKEN = "broken"  # a link stops carrying
-    HEALED = "healed"  # a link carries again
-    SENT = "sent"  # a message of note that will arrive
-    LOST = "lost"  # a message of note that will not
-    TOLD = "told"  # a machine said so
+    PROCESS = "process"
+    """A process starts, pauses, continues or ends."""
+    FAULT = "fault"
+    """A fault of one node, or of all."""
+    LINK_CUT = "link cut"
+    """A link stops carrying datagrams."""
+    LINK_HEALED = "link healed"
+    """A link carries datagrams again."""
+    SENT = "sent"
+    """A notable message that will arrive."""
+    LOST = "lost"
+    """A notable message that will not arrive."""
+    NOTICE = "notice"
+    """A notice of a state machine."""
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """One thing that happened: at simulated ms, at `node` ("" = all), towards `other` if a link's."""
+class TraceEntry:
+    """One occurrence at simulated time ``at_ms``.
 
-    at: float
-    kind: Kind
+    ``node`` is empty if it concerns all nodes; ``peer`` is the other end of a link.
+    """
+
+    at_ms: float
+    kind: EntryKind
     node: str
     text: str
-    other: str = ""
+    peer: str = ""
 
 
-def told_text(told: Notice) -> str:
-    """The event's name and the values of its fields in their order: `member c failed 1 timeout`."""
-    return " ".join([told.name, *(_word(value) for value in told.fields.values())])
+def notice_text(notice: Notice) -> str:
+    """Return a notice's name and the values of its fields in order, such as ``member c failed 1 timeout``."""
+    return " ".join([notice.name, *(_value_text(value) for value in notice.fields.values())])
 
 
-def _word(value: str | float) -> str:
+def _value_text(value: str | float) -> str:
     text = f"{value:g}" if isinstance(value, float) else str(value)
     return text.replace(" ", "_").lower()
--- a/packages/fleet-sim/src/fleet_sim/trace_rendering.py
+++ b/packages/fleet-sim/src/fleet_sim/trace_rendering.py
@@ -1,7 +1,7 @@
-"""A run as text: one column a node, time downwards, faults, messages and links drawn in.
+"""A trace as text: one column for each node, time downwards, with faults, messages and links drawn in.
 
-Lifelines: `|` running, `:` paused, blank down. `|-X cut X->` is a link that breaks, `|-=healed=->` one that
-heals, `|--ping-->` a message of note, with `x` before its head when it is lost.
+Lifelines: ``|`` running, ``:`` paused, blank down.  ``|-X cut X->`` is a link that is cut,
+``|-=healed=->`` one that heals, ``|--ping-->`` a notable message, with ``x`` before its head if it is lost.
 """
 
 from __future__ import annotations
@@ -9,64 +9,98 @@
 from collections.abc import Iterable, Sequence
 from textwrap import wrap
 
-from .trace import Entry, Kind
+from .trace import EntryKind, TraceEntry
 
 LIFELINES = {"started": "|", "continued": "|", "paused": ":", "killed": " ", "ended": " "}
-TIME = 10  # width of the times
-ARROWS = {Kind.BROKEN, Kind.HEALED, Kind.SENT, Kind.LOST}
+"""How a node's column is drawn after a process entry, by the first word of its text."""
 
+TIME_WIDTH = 10
+"""Characters of the times in the first column."""
 
-class Renderer:
-    """Draws entries one by one; `width` is that of a column."""
+MIN_COLUMN_WIDTH = 16
+"""Characters of a node's column at least."""
 
-    def __init__(self, names: Sequence[str], width: int = 0) -> None:
-        self.names = list(names)
-        self.width = width or max(16, min(30, 150 // max(1, len(self.names))))
-        self._lines = dict.fromkeys(self.names, " ")
-
-    def head(self) -> str:
-        return f"{'ms':>{TIME}}  {''.join(f'{name:<{self.width}}' for name in self.names)}".rstrip()
-
-    def draw(self, entry: Entry) -> list[str]:
-        """The rows of one entry; the first bears its time."""
-        if entry.kind is Kind.LIFE:
-            self._lines[entry.node] = LIFELINES[entry.text.split(" ")[0].rstrip(",")]
-        if entry.kind in ARROWS:
-            rows = [self._arrow(entry)]
-        elif entry.node:
-            rows = [self._cells({entry.node: part}) for part in self._wrapped(entry)]
-        else:
-            rows = [f"==== {entry.text} ".ljust(self.width * len(self.names), "=")]
-        times = [f"{entry.at:{TIME}.1f}", *[" " * TIME] * (len(rows) - 1)]
-        return [f"{time}  {row}".rstrip() for time, row in zip(times, rows, strict=True)]
+MAX_COLUMN_WIDTH = 30
+"""Characters of a node's column at most."""
 
-    def _wrapped(self, entry: Entry) -> list[str]:
-        marks = {Kind.FAULT: "! ", Kind.LIFE: "* "}
-        return wrap(marks.get(entry.kind, "") + entry.text, self.width - 3) or [""]
+LINE_WIDTH = 150
+"""Characters that the columns together aim at."""
 
-    def _cells(self, texts: dict[str, str]) -> str:
-        return "".join(f"{self._lines[n]} {texts.get(n, '')}".ljust(self.width) for n in self.names)
+ARROW_KINDS = {EntryKind.LINK_CUT, EntryKind.LINK_HEALED, EntryKind.SENT, EntryKind.LOST}
+"""Entries that are drawn from one node to another."""
 
-    def _arrow(self, entry: Entry) -> str:
-        start, end = (self.names.index(name) * self.width for name in (entry.node, entry.other))
-        low, high = min(start, end), max(start, end)
-        room = high - low - 3  # between the lifelines, less the head
-        text = _label(entry)[:room].center(room, "-")
-        drawn = f"{text}->" if end > start else f"<-{text}"
-        row = self._cells({})
-        return row[: low + 1] + drawn + row[high:]
+TEXT_PREFIXES = {EntryKind.FAULT: "! ", EntryKind.PROCESS: "* "}
+"""What distinguishes texts of faults and processes from notices."""
 
 
-def _label(entry: Entry) -> str:
-    labels = {Kind.BROKEN: "X cut X", Kind.HEALED: "=healed=", Kind.LOST: f"{entry.text} x"}
-    return labels.get(entry.kind, entry.text)
+class TraceRenderer:
+    """Draws entries one by one; ``column_width`` 0 chooses a width by the number of nodes."""
 
+    def __init__(self, names: Sequence[str], column_width: int = 0) -> None:
+        self.names = list(names)
+        fitting_width = LINE_WIDTH // max(1, len(self.names))
+        self.column_width = column_width or max(MIN_COLUMN_WIDTH, min(MAX_COLUMN_WIDTH, fitting_width))
+        self._lifelines = dict.fromkeys(self.names, " ")
+
+    def header(self) -> str:
+        """Return the row of the nodes' names."""
+        columns = "".join(f"{name:<{self.column_width}}" for name in self.names)
+        return f"{'ms':>{TIME_WIDTH}}  {columns}".rstrip()
+
+    def draw(self, entry: TraceEntry) -> list[str]:
+        """Return the rows of an entry, of which the first has its time."""
+        if entry.kind is EntryKind.PROCESS:
+            self._lifelines[entry.node] = LIFELINES[entry.text.split(" ")[0].rstrip(",")]
+        if entry.kind in ARROW_KINDS:
+            rows = [self._arrow(entry)]
+        elif entry.node:
+            rows = [self._row({entry.node: part}) for part in self._wrapped(entry)]
+        else:
+            rows = [f"==== {entry.text} ".ljust(self.column_width * len(self.names), "=")]
+        times = [f"{entry.at_ms:{TIME_WIDTH}.1f}", *[" " * TIME_WIDTH] * (len(rows) - 1)]
+        return [f"{time}  {row}".rstrip() for time, row in zip(times, rows, strict=True)]
 
-def render(log: Iterable[Entry], names: Sequence[str], most: int = 0) -> str:
-    """The whole timeline, or the last `most` entries of it; the same log gives the same text."""
-    entries = list(log)
-    skipped = max(0, len(entries) - most) if most else 0
-    renderer = Renderer(names)
-    rows = [row for entry in entries for row in [renderer.draw(entry)]][skipped:]
-    head = [renderer.head()] + ([f"... {skipped} earlier entries left out"] if skipped else [])
-    return "\n".join(head + [line for row in rows for line in row])
+    def _wrapped(self, entry: TraceEntry) -> list[str]:
+        return wrap(TEXT_PREFIXES.get(entry.kind, "") + entry.text, self.column_width - 3) or [""]
+
+    def _row(self, texts: dict[str, str]) -> str:
+        cells = [f"{self._lifelines[name]} {texts.get(name, '')}" for name in self.names]
+        return "".join(cell.ljust(self.column_width) for cell in cells)
+
+    def _arrow(self, entry: TraceEntry) -> str:
+        start = self.names.index(entry.node) * self.column_width
+        end = self.names.index(entry.peer) * self.column_width
+        left = min(start, end)
+        right = max(start, end)
+        text_width = right - left - 3  # between the lifelines, less the head
+        text = _arrow_label(entry)[:text_width].center(text_width, "-")
+        arrow = f"{text}->" if end > start else f"<-{text}"
+        row = self._row({})
+        return row[: left + 1] + arrow + row[right:]
+
+
+def _arrow_label(entry: TraceEntry) -> str:
+    match entry.kind:
+        case EntryKind.LINK_CUT:
+            return "X cut X"
+        case EntryKind.LINK_HEALED:
+            return "=healed="
+        case EntryKind.LOST:
+            return f"{entry.text} x"
+        case _:
+            return entry.text
+
+
+def render_trace(trace: Iterable[TraceEntry], names: Sequence[str], max_entries: int = 0) -> str:
+    """Return the timeline of a trace, or of its last ``max_entries`` (0: all of them).
+
+    The same trace gives the same text.
+    """
+    renderer = TraceRenderer(names)
+    drawn = [renderer.draw(entry) for entry in trace]  # the first ones too: they set the lifelines
+    skipped = max(0, len(drawn) - max_entries) if max_entries else 0
+    lines = [renderer.header()]
+    if skipped:
+        lines.append(f"... {skipped} earlier entries left out")
+    lines += [line for rows in drawn[skipped:] for line in rows]
+    return "\n".join(lines)
--- a/packages/fleet-sim/tests/counter_gossip.py
+++ b/packages/fleet-sim/tests/counter_gossip.py
@@ -1,16 +1,19 @@
-"""A small gossip machine, with faults that a simulation must find when they are switched on."""
+"""A small gossip state machine, and mutants of it that a simulation must find."""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass, field
+from enum import Enum
 from typing import Any
 
-from fleet_sim import Disk, Node, Subject, World
+from fleet_sim import Disk, Node, SimulatedCluster, Subject
+from fleet_sim.cluster import MAX_DATAGRAM_BYTES, address_of
 from sansio_core import (
     Action,
     Address,
     DatagramReceived,
+    Event,
     Notice,
     RandomSource,
     SendDatagram,
@@ -20,71 +23,102 @@
     TimerFired,
 )
 
-EVERY_MS = 200.0
+GOSSIP_INTERVAL_MS = 200.0
+
+
+class Mutant(Enum):
+    """Faults that can be seeded into the state machine."""
+
+    OVERSIZED_DATAGRAMS = "sends datagrams that are too large"
+    TRUSTS_INPUT = "decodes datagrams without a check"
+    ACCEPTS_LOWER_COUNTS = "takes over lower counts"
 
 
 @dataclass
-class Gossip:
-    """Spreads the largest count it knows of each name; counts its own lives on its disk."""
+class CounterGossip:
+    """Spreads the largest count that it knows of each name; counts its own starts on its disk."""
 
     name: str
     peers: list[Address]
-    draw: RandomSource
+    random: RandomSource
     disk: Disk
-    flaws: frozenset[str]
-    known: dict[str, int] = field(default_factory=dict)
-
-    def handle(self, now: float, event: object) -> list[Action]:
-        if isinstance(event, Started):
-            lives = 1 + self.disk.get("lives", 0)
-            self.known[self.name] = self.disk["lives"] = lives
-            return [SetTimer(EVERY_MS, 1)]
-        if isinstance(event, TimerFired):
-            if "talks" in self.flaws:
-                return [SendDatagram(self.peers[0], b"x" * 257)]
-            peer = self.peers[int(self.draw() * len(self.peers))]
-            return [SendDatagram(peer, json.dumps(self.known).encode()), SetTimer(EVERY_MS, 1)]
-        if isinstance(event, DatagramReceived):
-            return self._merge(event.data)
-        return [Notice("bye")] if isinstance(event, ShutdownRequested) else []
+    mutants: frozenset[Mutant]
+    counts: dict[str, int] = field(default_factory=dict)
+
+    def handle(self, now: float, event: Event) -> list[Action]:
+        match event:
+            case Started():
+                starts = 1 + self.disk.get("starts", 0)
+                self.disk["starts"] = starts
+                self.counts[self.name] = starts
+                return [SetTimer(GOSSIP_INTERVAL_MS, 1)]
+            case TimerFired():
+                return self._send()
+            case DatagramReceived(_, data):
+                return self._merge(data)
+            case ShutdownRequested():
+                return [Notice("bye")]
+
+    def _send(self) -> list[Action]:
+        if Mutant.OVERSIZED_DATAGRAMS in self.mutants:
+            return [SendDatagram(self.peers[0], b"x" * (MAX_DATAGRAM_BYTES + 1))]
+        peer = self.peers[int(self.random() * len(self.peers))]
+        return [SendDatagram(peer, json.dumps(self.counts).encode()), SetTimer(GOSSIP_INTERVAL_MS, 1)]
 
     def _merge(self, data: bytes) -> list[Action]:
-        if "trusts" not in self.flaws and not data.startswith(b'{"'):
+        if Mutant.TRUSTS_INPUT not in self.mutants and not data.startswith(b'{"'):
             return []
-        told: list[Action] = []
-        for name, lives in json.loads(data).items():
-            if lives > self.known.get(name, 0) or ("forgets" in self.flaws and lives != self.known.get(name)):
-                self.known[name] = lives
-                told.append(Notice("learned", {"of": name, "lives": lives}))
-        return told
+        notices: list[Action] = []
+        for name, count in json.loads(data).items():
+            if self._replaces(name, count):
+                self.counts[name] = count
+                notices.append(Notice("learned", {"of": name, "starts": count}))
+        return notices
 
+    def _replaces(self, name: str, count: int) -> bool:
+        if Mutant.ACCEPTS_LOWER_COUNTS in self.mutants:
+            return count != self.counts.get(name)
+        return count > self.counts.get(name, 0)
 
-class NeverBack:
-    """No node's knowledge of another goes back within a life."""
 
-    name = "never back"
+class MonotonicCounts:
+    """No count that a process knows decreases."""
+
+    name = "monotonic counts"
 
     def __init__(self) -> None:
         self._seen: dict[tuple[str, int, str], int] = {}
 
-    def check(self, world: World, node: Node) -> str | None:
-        assert isinstance(node.machine, Gossip)
-        for name, lives in node.machine.known.items():
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        assert isinstance(node.machine, CounterGossip)
+        for name, count in node.machine.counts.items():
             key = (node.name, node.incarnation, name)
-            if lives < self._seen.get(key, 0):
-                return f"{name} went back to {lives}"
-            self._seen[key] = lives
+            if count < self._seen.get(key, 0):
+                return f"{name} went back to {count}"
+            self._seen[key] = count
         return None
 
 
-def same_everywhere(world: World) -> str | None:
-    tables = [n.machine.known for n in world.nodes.values() if n.running and isinstance(n.machine, Gossip)]
+def find_difference(cluster: SimulatedCluster) -> str | None:
+    tables = [
+        node.machine.counts
+        for node in cluster.nodes.values()
+        if node.is_running and isinstance(node.machine, CounterGossip)
+    ]
     return None if all(table == tables[0] for table in tables) else "tables differ"
 
 
-def gossip(*flaws: str, names: int = 4, **settings: Any) -> Subject:
-    def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Gossip:
-        peers = [peer for i in range(names) if (peer := (f"10.0.0.{i}", 7000)) != address]
-        return Gossip(name, peers, draw, disk, frozenset(flaws))
-
-    return Subject(build, lambda: [NeverBack()], same_everywhere, **{"settle_ms": 8_000.0, **settings})
+def gossip_subject(*mutants: Mutant, nodes: int = 4, **settings: Any) -> Subject:
+    def build(
+        name: str, address: Address, incarnation: int, random: RandomSource, disk: Disk
+    ) -> CounterGossip:
+        peers = [address_of(index) for index in range(nodes) if address_of(index) != address]
+        return CounterGossip(name, peers, random, disk, frozenset(mutants))
+
+    defaults = {"settle_timeout_ms": 8_000.0}
+    return Subject(
+        build,
+        invariants=lambda: [MonotonicCounts()],
+        find_unsettled=find_difference,
+        **defaults | settings,
+    )
--- a/packages/fleet-sim/tests/test_membership_timelines.py
+++ b/packages/fleet-sim/tests/test_membership_timelines.py
@@ -1,11 +1,13 @@
+"""The scenarios of ``tests/timelines``, each with the seeds that its header names."""
+
 from __future__ import annotations
 
 from pathlib import Path
 
 import pytest
-from fleet_sim.membership import from_scenario
+from fleet_sim.membership import subject_of_scenario
 from fleet_sim.scenario import load
-from fleet_sim.scenario_player import play
+from fleet_sim.scenario_runner import run_scenario
 
 FILES = sorted((Path(__file__).parents[3] / "tests" / "timelines").glob("*.timeline"))
 
@@ -14,5 +16,5 @@
 def test_timeline(path: Path) -> None:
     scenario = load(path)
     for seed in range(scenario.seeds):
-        report = play(scenario, from_scenario, seed)
-        assert not report.faults, report.text()
+        report = run_scenario(scenario, subject_of_scenario, seed)
+        assert not report.failures, report.text()
--- a/packages/fleet-sim/tests/test_scenarios.py
+++ b/packages/fleet-sim/tests/test_scenarios.py
@@ -1,13 +1,15 @@
+"""Scenarios: what is observed is compared with what is expected, and malformed files are rejected."""
+
 from __future__ import annotations
 
 import pytest
-from counter_gossip import gossip
-from fleet_sim.scenario import FormError, parse
-from fleet_sim.scenario_player import Report, play
+from counter_gossip import Mutant, gossip_subject
+from fleet_sim.scenario import ScenarioSyntaxError, parse
+from fleet_sim.scenario_runner import ScenarioReport, run_scenario
 
-HEAD = "title: Lives are counted\nnodes: a b c d\n"
+HEADER = "title: Starts are counted\nnodes: a b c d\n"
 SOUND = (
-    HEAD
+    HEADER
     + """
 never: a: learned b 3
 at 0     wait                       | a b: learned c 1
@@ -22,20 +24,22 @@
 )
 
 
-def played(text: str, *flaws: str) -> Report:
-    return play(parse(text), lambda scenario: gossip(*flaws, names=len(scenario.names)), seed=1)
+def report_of(text: str, *mutants: Mutant) -> ScenarioReport:
+    scenario = parse(text)
+    return run_scenario(scenario, lambda _: gossip_subject(*mutants, nodes=len(scenario.names)), seed=1)
 
 
-def test_a_scenario_holds_up_to_the_line_that_does_not() -> None:
-    report = played(SOUND)
-    assert report.faults == ["MISSING line 12: c: bye (at c)"]
+def test_a_scenario_holds_up_to_the_expectation_that_is_not_met() -> None:
+    report = report_of(SOUND)
+    assert report.failures == ["MISSING line 12: c: bye (at c)"]
     text = report.text()
-    assert "ok line 5: a b: learned c 1" in text and "ok line 8: a b d: learned c 2" in text
+    assert "ok line 5: a b: learned c 1" in text
+    assert "ok line 8: a b d: learned c 2" in text
     assert text.index("line 7: kill c") < text.index("line 8: restart c") < text.rindex("MISSING line 12")
 
 
 @pytest.mark.parametrize(
-    ("steps", "fault"),
+    ("steps", "failure"),
     [
         ("at 0 wait | a: learned b 1\n | then c: learned b 1\n", None),
         ("at 3000 leave b | b: bye\nthen restart b | a c d: learned b 2\n", None),
@@ -50,25 +54,26 @@
         ("at 0 late a 90000\nat 5000 ontime a | settled", None),
     ],
 )
-def test_what_is_seen_is_held_against_what_is_expected(steps: str, fault: str | None) -> None:
-    report = played(HEAD + steps, "trusts")
-    assert bool(report.faults) is bool(fault), report.text()
-    assert fault is None or fault in report.faults[0]
+def test_observations_are_compared_with_expectations(steps: str, failure: str | None) -> None:
+    report = report_of(HEADER + steps, Mutant.TRUSTS_INPUT)
+    assert bool(report.failures) is bool(failure), report.text()
+    assert failure is None or failure in report.failures[0]
 
 
 @pytest.mark.parametrize(
-    "text",
+    ("text", "message"),
     [
-        "nodes: a b\n",
-        HEAD + "at 0 fly a\n",
-        HEAD + "at 0 cut a to b\n",
-        HEAD + "at 0 noise los 1\n",
-        HEAD + "at 0 wait | e: learned a 1\n",
-        HEAD + "at 0 wait | learned a 1\n",
-        HEAD + "| a: learned b 1\n",
-        HEAD + "at 0 wait\nlater on\n",
+        ("nodes: a b\n", "at least one step"),
+        (HEADER + "at 0 fly a\n", "line 3: not an act: fly a"),
+        (HEADER + "at 0 cut a to b\n", "line 3: not an act"),
+        (HEADER + "at 0 noise los 1\n", "line 3: not an act"),
+        (HEADER + "at 0 noise loss\n", "line 3: not an act"),
+        (HEADER + "at 0 wait | e: learned a 1\n", "line 3: no node e"),
+        (HEADER + "at 0 wait | learned a 1\n", "line 3: not an expectation"),
+        (HEADER + "| a: learned b 1\n", "line 3: neither"),
+        (HEADER + "at 0 wait\nlater on\n", "line 4: neither"),
     ],
 )
-def test_what_is_not_of_the_form_is_refused_by_its_line(text: str) -> None:
-    with pytest.raises(FormError):
-        played(text)
+def test_malformed_scenarios_are_rejected(text: str, message: str) -> None:
+    with pytest.raises(ScenarioSyntaxError, match=message):
+        report_of(text)
--- a/packages/fleet-sim/tests/test_simulation_runs.py
+++ b/packages/fleet-sim/tests/test_simulation_runs.py
@@ -1,60 +1,73 @@
+"""Seeded runs: determined by their plans, failing on mutants, and shrunk to the faults that matter."""
+
 from __future__ import annotations
 
 import pytest
-from counter_gossip import gossip
-from fleet_sim import Fault, Outcome, Plan, Weather, drawn_plan, render, run, shrink
+from counter_gossip import Mutant, gossip_subject
+from fleet_sim import Fault, FaultProfile, Outcome, Plan, draw_plan, render_trace, run, shrink
 from fleet_sim.faults import Cut, Flap, Garbage, Kill, Lag, Leave, Partition, Pause, Replay, WallStep
 
 NAMES = ("a", "b", "c", "d")
 
 
-def first_failure(*flaws: str, seeds: int = 30) -> Outcome:
-    outcomes = (run(gossip(*flaws), drawn_plan(seed, 4, Weather())) for seed in range(seeds))
+def first_failure(mutant: Mutant, seeds: int = 30) -> Outcome:
+    outcomes = (run(gossip_subject(mutant), draw_plan(seed, 4, FaultProfile())) for seed in range(seeds))
     return next(outcome for outcome in outcomes if outcome.violation)
 
 
-def test_a_sound_machine_holds_under_every_kind_of_fault() -> None:
+def test_a_sound_state_machine_holds_under_every_kind_of_fault() -> None:
     for seed in range(25):
-        outcome = run(gossip(), drawn_plan(seed, 4, Weather()))
+        outcome = run(gossip_subject(), draw_plan(seed, 4, FaultProfile()))
         assert outcome.violation is None, outcome.story()
     assert outcome.steps > 200
 
 
 def test_a_run_is_determined_by_its_plan() -> None:
-    plans = [drawn_plan(seed, 4, Weather()) for seed in (3, 3, 4)]
-    same, again, other = (
-        run(gossip(), plan, trace=traced) for plan, traced in zip(plans, (False, True, False), strict=True)
-    )
-    assert (render(same.log, NAMES), same.steps) == (render(again.log, NAMES), again.steps)
-    assert same.steps != other.steps
+    first = run(gossip_subject(), draw_plan(3, 4, FaultProfile()))
+    second = run(gossip_subject(), draw_plan(3, 4, FaultProfile()), trace=True)
+    other = run(gossip_subject(), draw_plan(4, 4, FaultProfile()))
+    assert render_trace(first.trace, NAMES) == render_trace(second.trace, NAMES)
+    assert first.steps == second.steps
+    assert first.steps != other.steps
 
 
 @pytest.mark.parametrize(
-    ("flaw", "check", "left"),
-    [("talks", "size", []), ("trusts", "raised", [Garbage]), ("forgets", "never back", [Kill])],
+    ("mutant", "check", "remaining"),
+    [
+        (Mutant.OVERSIZED_DATAGRAMS, "size", []),
+        (Mutant.TRUSTS_INPUT, "raised", [Garbage]),
+        (Mutant.ACCEPTS_LOWER_COUNTS, "monotonic counts", [Kill]),
+    ],
 )
-def test_flaws_are_found_and_shrunk(flaw: str, check: str, left: list[type[Fault]]) -> None:
-    failed = first_failure(flaw)
-    assert failed.violation and failed.violation.check == check
-    small = shrink(gossip(flaw), failed)
-    assert small.violation and small.violation.check == check
-    assert [type(fault) for fault in small.plan.schedule] == left
-    assert f"seed {failed.plan.seed}" in small.story() and check in small.story()
+def test_mutants_are_found_and_their_schedules_shrunk(
+    mutant: Mutant, check: str, remaining: list[type[Fault]]
+) -> None:
+    failed = first_failure(mutant)
+    assert failed.violation
+    assert failed.violation.check == check
+    small = shrink(gossip_subject(mutant), failed)
+    assert small.violation
+    assert small.violation.check == check
+    assert [type(fault) for fault in small.plan.schedule] == remaining
+    assert f"seed {failed.plan.seed}" in small.story()
+    assert check in small.story()
 
 
 def test_only_a_failure_can_be_shrunk() -> None:
-    with pytest.raises(ValueError):
-        shrink(gossip(), run(gossip(), drawn_plan(0, 4, Weather())))
+    outcome = run(gossip_subject(), draw_plan(0, 4, FaultProfile()))
+    with pytest.raises(ValueError, match="nothing to shrink"):
+        shrink(gossip_subject(), outcome)
 
 
-def test_what_never_heals_fails_the_end() -> None:
-    forever = Plan(1, NAMES, (Cut(0.0, 1.0, "a", "b"),))
-    alone = run(gossip(names=2, settle_ms=1_000.0), forever)  # c and d are no one's peers
-    assert alone.violation and alone.violation.check == "settled"
+def test_a_subject_that_does_not_settle_fails() -> None:
+    plan = Plan(1, NAMES, (Cut(0.0, 1.0, "a", "b"),))
+    outcome = run(gossip_subject(nodes=2, settle_timeout_ms=1_000.0), plan)  # c and d are nobody's peers
+    assert outcome.violation
+    assert outcome.violation.check == "settled"
 
 
 @pytest.mark.parametrize(
-    ("fault", "seen"),
+    ("fault", "drawn"),
     [
         (Cut(1_000, 500, "a", "b"), ["|--", "X cut X--", ">|", "=healed=--", ">|"]),
         (Cut(1_000, 500, "b", "a", True), ["|<--", "X cut X--", "|<--", "=healed=--"]),
@@ -68,10 +81,11 @@
         (Replay(1_000, 0, "a", "b", 2), ["! 2 datagrams"]),
     ],
 )
-def test_each_fault_is_drawn_and_undone(fault: Fault, seen: list[str]) -> None:
-    outcome = run(gossip(), Plan(5, NAMES, (fault,)), trace=True)
+def test_each_fault_is_drawn_and_undone(fault: Fault, drawn: list[str]) -> None:
+    outcome = run(gossip_subject(), Plan(5, NAMES, (fault,)), trace=True)
     assert outcome.violation is None
-    text, at = render(outcome.log, NAMES, 0), 0
-    for part in seen:
-        assert part in text[at:], text
-        at = text.index(part, at)
+    timeline = render_trace(outcome.trace, NAMES)
+    position = 0
+    for part in drawn:
+        assert part in timeline[position:], timeline
+        position = timeline.index(part, position)
