--- a/packages/fleet-sim/src/fleet_sim/fault_plans.py
+++ b/packages/fleet-sim/src/fleet_sim/fault_plans.py
@@ -123,21 +123,26 @@
     duration_ms: float
 
     def node(self) -> str:
+        """Draw a node."""
         return self.source.choice(self.names)
 
     def link(self) -> tuple[str, str]:
+        """Draw the source and the target of a link."""
         source, target = self.source.sample(self.names, 2)
         return source, target
 
     def groups(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
+        """Draw the two sides of a partition."""
         shuffled = self.source.sample(self.names, len(self.names))
         size = self.source.randint(1, len(self.names) - 1)
         return tuple(shuffled[:size]), tuple(shuffled[size:])
 
     def chance(self, probability: float = 0.5) -> bool:
+        """Draw whether something is so."""
         return self.source.random() < probability
 
     def quality(self) -> LinkQuality:
+        """Draw a quality; the order of the fields is the order of the draws."""
         choice = self.source.choice
         min_delay_ms = choice(MIN_DELAYS_MS)
         return LinkQuality(
--- a/packages/fleet-sim/src/fleet_sim/membership_invariants.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_invariants.py
@@ -6,13 +6,14 @@
 from typing import cast
 
 from fleet_membership import MembershipView
+from fleet_membership.member_table import DEAD_STATES
 from gossip_codec import MemberState
 from sansio_core import Notice
 
 from .cluster import SimulatedCluster
 from .node import Node
 from .reachability import Reachability, connected_for_ms
-from .simulated_router import DEAD_STATES, SimulatedRouter
+from .simulated_router import SimulatedRouter
 
 CONNECTED_MS = 5_000.0
 """A member that its judge has been connected to for so long has failed falsely: that is counted."""
--- a/packages/fleet-sim/src/fleet_sim/network.py
+++ b/packages/fleet-sim/src/fleet_sim/network.py
@@ -48,6 +48,7 @@
     node: str
 
     def applies_to(self, link: Link) -> bool:
+        """Return whether the degradation concerns a link."""
         return not self.node or self.node in link
 
 
--- a/packages/fleet-sim/src/fleet_sim/scenario.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario.py
@@ -116,6 +116,7 @@
         self._steps: list[Step] = []
 
     def add_line(self, number: int, raw: str) -> None:
+        """Parse one line; raises ScenarioSyntaxError."""
         line = raw.split("#")[0].rstrip()
         left, bar, right = (part.strip() for part in line.partition("|"))
         if left and (step := _STEP.fullmatch(left)):
@@ -137,6 +138,7 @@
             self._header[key] = tuple(value.split())
 
     def scenario(self) -> Scenario:
+        """Return the scenario of the lines added; raises ScenarioSyntaxError if it is incomplete."""
         header = dict(self._header)
         names = header.pop("nodes", ())
         if not names or not self._steps:
--- a/packages/fleet-sim/src/fleet_sim/scenario_actions.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_actions.py
@@ -45,11 +45,11 @@
             else:
                 self._end_faults(verb, arguments)
         except (IndexError, KeyError, ValueError) as error:
-            raise ScenarioSyntaxError.at_line(line, f"not an act: {' '.join(words)}") from error
+            raise ScenarioSyntaxError.at_line(line, f"not an action: {' '.join(words)}") from error
 
     def _begin(self, fault: Fault) -> None:
         self._count += 1
-        cause = f"act {self._count}"
+        cause = f"act {self._count}"  # garbage is drawn from it: another word would be another run
         self._cluster.active_faults.add(cause)
         fault.begin(self._cluster, cause)
         if isinstance(fault, MOMENTARY_FAULTS):
--- a/packages/fleet-sim/src/fleet_sim/simulated_router.py
+++ b/packages/fleet-sim/src/fleet_sim/simulated_router.py
@@ -3,13 +3,10 @@
 from __future__ import annotations
 
 from fleet_membership import Membership, MembershipSettings
-from gossip_codec import MemberState
+from fleet_membership.member_table import DEAD_STATES
 from quota_leases import LEASE_CHANNEL, LeaseExchange, QuotaSettings
 from sansio_core import Action, Event, RandomSource, SetTimer, ShutdownRequested, Started, TimerFired
 
-DEAD_STATES = (MemberState.FAILED, MemberState.LEFT)
-"""States of members among which no quota is divided."""
-
 RENEWAL_TOKEN = -1
 """The timer of lease renewals; the tokens of ``Membership`` are not negative."""
 
--- a/packages/quota-leases/src/quota_leases/settings.py
+++ b/packages/quota-leases/src/quota_leases/settings.py
@@ -4,18 +4,12 @@
 
 from dataclasses import dataclass
 
+from fleet_membership import InvalidSettingError
+
 BUDGET_UNITS = 1_000_000_000
 """Units of a full budget; quotas are integers of this unit, so that their sums are exact."""
 
 
-class InvalidQuotaSettingError(ValueError):
-    """A setting is out of range; the message starts with its name."""
-
-    def __init__(self, setting: str, problem: str) -> None:
-        super().__init__(f"{setting} {problem}")
-        self.setting = setting
-
-
 @dataclass(frozen=True)
 class QuotaSettings:
     """How a budget is divided.
@@ -24,7 +18,7 @@
     gets; the ``voters`` lease out the rest in equal slices.
 
     A lease lasts ``lease_ms`` on its holder's clock.  No clock may run faster or slower than real time by
-    more than the share ``max_clock_drift``.  Raises InvalidQuotaSettingError.
+    more than the share ``max_clock_drift``.  Raises InvalidSettingError.
     """
 
     routers: tuple[str, ...]
@@ -35,15 +29,15 @@
 
     def __post_init__(self) -> None:
         if not self.routers or len(set(self.routers)) < len(self.routers):
-            raise InvalidQuotaSettingError("routers", "must be named, each once")
+            raise InvalidSettingError("routers", "must be named, each once")
         if not self.voters or len(set(self.voters)) < len(self.voters):
-            raise InvalidQuotaSettingError("voters", "must be named, each once")
+            raise InvalidSettingError("voters", "must be named, each once")
         if not 0.0 <= self.floor_fraction <= 1.0:
-            raise InvalidQuotaSettingError("floor_fraction", "must be in [0, 1]")
+            raise InvalidSettingError("floor_fraction", "must be in [0, 1]")
         if not 0.0 <= self.max_clock_drift < 1.0:
-            raise InvalidQuotaSettingError("max_clock_drift", "must be in [0, 1)")
+            raise InvalidSettingError("max_clock_drift", "must be in [0, 1)")
         if self.lease_ms <= 0.0:
-            raise InvalidQuotaSettingError("lease_ms", "must be above 0")
+            raise InvalidSettingError("lease_ms", "must be above 0")
 
     def floor_units(self, router: str) -> int:
         """Return the units that a router may use without a lease: none if it is not configured."""
