--- /dev/null
+++ b/packages/fleet-membership/src/fleet_membership/local_health.py
@@ -0,0 +1,26 @@
+"""Local health awareness (Lifeguard, Dadgar et al., 2017, section IV.A): how well this router itself does."""
+
+from __future__ import annotations
+
+MAX_SCORE = 8
+"""The worst score, the paper's saturation limit."""
+
+
+class LocalHealth:
+    """A score that grows with signs that this router is slow or unreachable; 0 is healthy."""
+
+    def __init__(self) -> None:
+        self.score = 0
+
+    @property
+    def multiplier(self) -> int:
+        """The factor by which probe and suspicion timeouts of this router are extended."""
+        return 1 + self.score
+
+    def degrade(self, by: int = 1) -> None:
+        """Record signs of bad health."""
+        self.score = min(MAX_SCORE, self.score + by)
+
+    def improve(self) -> None:
+        """Record a sign of good health."""
+        self.score = max(0, self.score - 1)
--- /dev/null
+++ b/packages/quota-leases/src/quota_leases/leases.py
@@ -0,0 +1,125 @@
+"""Quotas of the fleet's budgets that never add up to more than a budget, whatever the routers believe.
+
+The claim: at every moment of real time, the quotas of all routers add up to at most ``BUDGET_UNITS``.
+
+1. Floors.  Each configured router may use its floor without a lease, forever.  Floors are fixed parts that no
+   other router ever gets, so partitions, pauses and views do not matter to them.  They add up to
+   ``floor_fraction`` of the budget.
+2. Slices.  The rest is divided into one fixed slice for each voter, and a voter leases out its own slice
+   alone.  So voters need not agree on anything: it is enough that no slice is ever leased out twice.
+3. One slice.  A voter counts for each router the largest lease it issued that may still be valid, and issues
+   no more than what is left beside the others' (``LeaseIssuer.issue``).  Its view of the live routers sets
+   only the size that it aims at.
+4. Time.  A holder counts its lease from when it *requested* it, for ``lease_ms`` of its clock: at most
+   ``lease_ms / (1 - max_clock_drift)`` of real time.  The voter counts it from when it *issued* it, which is
+   later, for ``lease_ms * (1 + max_clock_drift) / (1 - max_clock_drift)`` of its own clock: at least
+   ``lease_ms / (1 - max_clock_drift)`` of real time.  So the voter's count ends last.  An answer lost, late,
+   duplicated or reordered only shortens the lease.
+5. Restarts.  A voter that starts issues nothing for that same time: all that its incarnation before issued
+   has expired by then.  A holder that starts has no leases; its requests carry its incarnation, so that no
+   answer to an older incarnation is accepted.
+
+What it costs: a dead router's floor stays unused, since nobody can distinguish it from one that is
+partitioned and uses it; and a dead voter's slice stays unused until the voter is back or replaced.  A floor
+of 1/N with survivors that take over the quota of the dead is impossible: the floors alone would add up to the
+budget.
+
+What it relies on: one process at a time under each name, the same settings everywhere, and clocks that go on
+while the process, or its host, is stopped (a suspended virtual machine needs one that counts that time).
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Collection
+from dataclasses import dataclass
+
+from quota_leases.settings import QuotaSettings
+
+MAX_PENDING_REQUESTS = 16
+"""Requests to one voter that may still be answered; the oldest is forgotten first."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Lease:
+    """Units of a voter's slice until a time on the clock of whoever counts them."""
+
+    expires_ms: float
+    units: int
+
+
+class LeaseIssuer:
+    """One voter's slice and the leases issued on it.
+
+    ``started_ms`` is when this incarnation started, on the clock of ``now``.
+    """
+
+    def __init__(self, settings: QuotaSettings, started_ms: float) -> None:
+        self._settings = settings
+        self._issue_from_ms = started_ms + settings.issuer_lease_ms
+        self._leases: dict[str, deque[_Lease]] = {}  # by router: the larger and older first
+
+    def issue(self, now: float, router: str, live_routers: Collection[str]) -> int:
+        """Issue a lease and return its units; the slice is meant to be divided among ``live_routers``."""
+        if now < self._issue_from_ms:
+            return 0
+        for name in list(self._leases):
+            self._drop_expired(name, now)
+        issued_to_others = sum(leases[0].units for name, leases in self._leases.items() if name != router)
+        fair_units = self._settings.slice_units // len({*live_routers, router})
+        units = min(fair_units, self._settings.slice_units - issued_to_others)
+        if units > 0:
+            self._record(router, _Lease(now + self._settings.issuer_lease_ms, units))
+        return units
+
+    def _record(self, router: str, lease: _Lease) -> None:
+        leases = self._leases.setdefault(router, deque())
+        while leases and leases[-1].units <= lease.units:  # expires sooner and is no larger
+            leases.pop()
+        leases.append(lease)
+
+    def _drop_expired(self, router: str, now: float) -> None:
+        leases = self._leases[router]
+        while leases and leases[0].expires_ms <= now:
+            leases.popleft()
+        if not leases:
+            del self._leases[router]
+
+
+class LeaseHolder:
+    """One router's floor and leases; ``incarnation`` must be higher at each start under the same name."""
+
+    def __init__(self, settings: QuotaSettings, name: str, incarnation: int) -> None:
+        self.incarnation = incarnation
+        self._settings = settings
+        self._floor_units = settings.floor_units(name)
+        self._request_id = 0
+        self._requested_ms: dict[str, dict[int, float]] = {voter: {} for voter in settings.voters}
+        self._leases: dict[str, _Lease] = {}  # by voter
+
+    def request(self, now: float, voter: str) -> int:
+        """Return the id of a request that is sent to a voter now."""
+        self._request_id += 1
+        pending = self._requested_ms[voter]
+        pending[self._request_id] = now
+        if len(pending) > MAX_PENDING_REQUESTS:
+            del pending[min(pending)]
+        return self._request_id
+
+    def accept(self, voter: str, incarnation: int, request_id: int, units: int) -> None:
+        """Accept a lease, unless it answers another incarnation or is older than one accepted before."""
+        pending = self._requested_ms.get(voter, {})
+        if incarnation != self.incarnation or request_id not in pending:
+            return
+        self._leases[voter] = _Lease(pending[request_id] + self._settings.lease_ms, units)
+        self._requested_ms[voter] = {newer: at_ms for newer, at_ms in pending.items() if newer > request_id}
+
+    def quota_units(self, now: float) -> int:
+        """Return the units that this router may use now.
+
+        That is its floor, and its leases while it holds leases of a majority of the voters.
+        """
+        valid = [lease.units for lease in self._leases.values() if now < lease.expires_ms]
+        if len(valid) <= len(self._settings.voters) // 2:
+            return self._floor_units
+        return self._floor_units + sum(valid)
--- /dev/null
+++ b/packages/quota-leases/src/quota_leases/partition_modes.py
@@ -0,0 +1,76 @@
+"""What a router does with each kind of operation in each partition mode.
+
+Two rules made the table.  An operation that both sides of a partition could carry out with harm is rejected
+at once, with a time to retry.  One that only reads, or only evicts from caches, goes on with what is known
+locally.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from fleet_membership import PartitionMode
+
+REJOINING_RETRY_MS = 2_000.0
+"""The voters answer soon, or the mode changes."""
+
+MINORITY_RETRY_MS = 5_000.0
+"""Members that are unreachable are contacted every two probe intervals."""
+
+ISOLATED_RETRY_MS = 10_000.0
+"""Nobody is reachable: an operator may have to act."""
+
+
+class Operation(Enum):
+    """Kinds of operations that a partition concerns."""
+
+    SAFE_READ = "safe read"
+    KEYED_REQUEST = "keyed request"
+    PURGE = "purge"
+    TENANT_MOVE = "tenant move"
+    """Any step of moving a tenant between shards."""
+    RESERVED_CAPACITY = "reserved capacity"
+    NEW_TENANT = "new tenant"
+
+
+class Decision(Enum):
+    """What to do with an operation."""
+
+    ALLOW = "allow"
+    USE_LAST_KNOWN = "use last known"
+    """Go on with the placement known last."""
+    LOCAL_ONLY = "local only"
+    """Carry it out on this router, and do not report it as carried out by the fleet."""
+    FLOOR_ONLY = "floor only"
+    """Use no more than the floor of the quota."""
+    REJECT = "reject"
+
+
+@dataclass(frozen=True, slots=True)
+class Rule:
+    """A decision; ``retry_after_ms`` is set with ``Decision.REJECT`` alone."""
+
+    decision: Decision
+    retry_after_ms: float | None = None
+
+
+def _without_majority(retry_after_ms: float) -> dict[Operation, Rule]:
+    reject = Rule(Decision.REJECT, retry_after_ms)
+    return {
+        Operation.SAFE_READ: Rule(Decision.USE_LAST_KNOWN),
+        Operation.KEYED_REQUEST: reject,
+        Operation.PURGE: Rule(Decision.LOCAL_ONLY),
+        Operation.TENANT_MOVE: reject,
+        Operation.RESERVED_CAPACITY: Rule(Decision.FLOOR_ONLY),
+        Operation.NEW_TENANT: reject,
+    }
+
+
+PARTITION_RULES: dict[PartitionMode, dict[Operation, Rule]] = {
+    PartitionMode.WITH_MAJORITY: {operation: Rule(Decision.ALLOW) for operation in Operation},
+    PartitionMode.REJOINING: _without_majority(REJOINING_RETRY_MS),
+    PartitionMode.MINORITY: _without_majority(MINORITY_RETRY_MS),
+    PartitionMode.ISOLATED: _without_majority(ISOLATED_RETRY_MS),
+}
+"""The rule for every operation in every mode; docs/design/fleet.md explains it."""
