--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/mypy
+	$(VENV)/bin/vulture
 	$(VENV)/bin/lint-imports --no-cache
 
 test: dev
