--- a/packages/standins/src/standins/rig.py
+++ b/packages/standins/src/standins/rig.py
@@ -17,7 +17,7 @@
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.net.alarm import Alarm, core_ms
 from thornjunction.net.client_link import ClientTable
 from thornjunction.net.front_fastcgi import FastCgiLink
@@ -81,7 +81,7 @@
         self.doors: list[DeafDoor] = []
         self.alarm = Alarm(reactor)
         limits = Limits(max_streams=4, dial_ms=400.0, idle_ms=15_000.0, connections=20)
-        budget = Budget(1_000_000)
+        budget = ByteBudget(1_000_000)
         self.pool = ShelfPool(reactor, limits, self.alarm.deadlines, core_ms, budget)
         self.counters = Counters(classes={kind.name for kind in classes})
         router = Router(settings, 7)
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -86,7 +86,7 @@
 
     async def test_who_leaves_is_owed_nothing_wherever_the_request_is(self) -> None:
         """Out at a shelf; refused there, so that its retry waits; out while its client reads nothing."""
-        self.rig.clients.budget.limit, router = 1 << 30, self.engine.router
+        self.rig.clients.budget.limit_bytes, router = 1 << 30, self.engine.router
         retry = asked(50, "keyed", HTTP_X_TXN_KEY="k")
         moments = ((asked(50), None, 0), (retry, (b"WAIT", b""), 0), (asked(50), None, 31))
         for (request, step, unread), how in ((m, how) for m in moments for how in (*ENDS, "abort")):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,7 +12,7 @@
 from tests.test_wire import PARAMS, asked
 from thornjunction import interface as api
 from thornjunction.core.ports import Answer, Call, Content, Refused, Reply, Served
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import LINGER_MS, MAX_CROSSED, ClientLink, ClientTable
 from thornjunction.net.front_fastcgi import MISUSES, FastCgiLink
@@ -42,7 +42,7 @@
     def __init__(self, capacity: int = 3, limit: int = 1_000_000) -> None:
         self.now, self.deadlines, self.replies = 1000.0, Deadlines(), []  # type: ignore[var-annotated]
         self.turned_away: list[tuple[str, Answer]] = []
-        self.table = ClientTable(capacity, Budget(limit))
+        self.table = ClientTable(capacity, ByteBudget(limit))
         self.door = Door(self, {"films": FILMS}, BASE, TRUST, ReplayWindow(), lambda: 5.0)
 
     def open(self, call: Call, reply: Reply) -> int:
@@ -121,7 +121,7 @@
     reader.dataReceived(REQUESTS[kind]())
     reader.pauseProducing()
     hall.replies[0](Served(Content(bytes(2000))))
-    assert hall.table.budget.total > 2000
+    assert hall.table.budget.reserved_bytes > 2000
     large.dataReceived(
         part + b"x" * 4000 if kind == "signed" else b"\x01\x04\x00\x01\xff\xff\x00\x00" + bytes(4000)
     )
@@ -130,7 +130,7 @@
     small.close("done")
     for link in (small, large, reader):
         link.connectionLost()
-    assert hall.table.budget.total == 0 and len(hall.table) == 0
+    assert hall.table.budget.reserved_bytes == 0 and len(hall.table) == 0
 
 
 @both
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,8 +14,8 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
 from thornjunction.core.ports import Answer, Call, Content, Failed, Order, Refused, Served
-from thornjunction.memory.deadlines import Deadlines
-from thornjunction.memory.slots import SlotTable
+from thornjunction.memory.deadlines import Deadlines, TooManyDeadlinesError
+from thornjunction.memory.slots import SlotTable, SlotTableFullError
 from thornjunction.net.channel import Channel
 from thornjunction.net.wire.commands import Commands, Purge
 from thornjunction.runtime.config import ConfigError, parse_config
@@ -26,14 +26,15 @@
 def test_a_stale_number_does_not_find_the_next_tenant() -> None:
     table: SlotTable[str] = SlotTable(2)
     first, second = table.add("a"), table.add("b")
-    assert first is not None and second is not None and table.add("c") is None
+    with pytest.raises(SlotTableFullError):
+        table.add("c")
     assert table.remove(first) == "a" and table.remove(first) is None
     assert table.add("d") not in (first, second) and table.get(first) is None and list(table) == ["b", "d"]
 
 
 def test_deadlines_run_in_order_and_are_bounded() -> None:
     told: list[str] = []
-    deadlines = Deadlines(limit=300)
+    deadlines = Deadlines(capacity=300)
     later = deadlines.add(5.0, lambda: told.append("later"))
     deadlines.add(2.0, lambda: (told.append("first"), deadlines.cancel(later))[0])
     deadlines.add(5.0, lambda: told.append("last"))
@@ -43,7 +44,7 @@
     for _ in range(1000):
         deadlines.cancel(deadlines.add(7.0, lambda: None))
     assert len(deadlines) == 0 and deadlines.next_due() == float("inf")
-    with pytest.raises(OverflowError):
+    with pytest.raises(TooManyDeadlinesError):
         for _ in range(301):
             deadlines.add(1.0, lambda: None)
 
--- a/tests/test_relay_endpoint.py
+++ b/tests/test_relay_endpoint.py
@@ -174,7 +174,7 @@
         self.pollers.answer(99, b"{}")  # to one that has left
         client.close()
         yield until(lambda: self.gone)
-        self.assertEqual((self.gone, self.pollers.budget.total), ([link.number or 1], 0))
+        self.assertEqual((self.gone, self.pollers.budget.reserved_bytes), ([link.number or 1], 0))
 
     @inlineCallbacks
     def test_an_answer_of_many_pieces_comes_whole_and_the_next_poll_after_it(self) -> Any:
@@ -187,7 +187,7 @@
             asked = len(self.asked)
             client.sendall(POLL)
             yield until(lambda asked=asked: len(self.asked) > asked)
-        self.assertEqual(self.pollers.budget.total, 0)
+        self.assertEqual(self.pollers.budget.reserved_bytes, 0)
 
     @inlineCallbacks
     def test_no_state_is_told_and_the_connection_ends(self) -> Any:
@@ -226,10 +226,10 @@
         body = b"x" * 8_000_000
         self.pollers.answer(link.number, body)
         self.pass_time(LOOK_MS)
-        self.assertGreater(self.pollers.budget.total, len(body))
+        self.assertGreater(self.pollers.budget.reserved_bytes, len(body))
         self.pass_time(UNREAD_MS)
         yield until(lambda: self.gone)
-        self.assertEqual((link.code, self.pollers.budget.total), ("unread", 0))
+        self.assertEqual((link.code, self.pollers.budget.reserved_bytes), ("unread", 0))
 
     @inlineCallbacks
     def test_who_does_not_read_and_asks_again_is_closed(self) -> Any:
@@ -241,7 +241,7 @@
 
     @inlineCallbacks
     def test_unread_answers_share_a_budget(self) -> Any:
-        self.pollers.budget.limit = 10_000_000
+        self.pollers.budget.limit_bytes = 10_000_000
         _, first = yield self.connected(POLL, receive_buffer=4096)
         _, second = yield self.connected(POLL, receive_buffer=4096)
         self.pollers.answer(first.number, b"x" * 6_000_000)
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -85,7 +85,7 @@
     def open(self, call: Call, reply: Reply) -> int | None:
         """Take a request on; its number, or None where no slot is free and nothing was taken."""
         now = self.clock()
-        if self.requests.full or len(self.deadlines) + 8 > self.deadlines.limit:
+        if self.requests.full or len(self.deadlines) + 8 > self.deadlines.capacity:
             return None
         # Guards what comes while the process ends: its answer is owed before the end, not later.
         left_ms = min(call.left_ms, max(self.ends_at - now, 0.0))
@@ -93,7 +93,6 @@
         # Guards against a decision that never comes, after an error in the module: the client gets an answer.
         backstop = self.deadlines.add(now + left_ms, lambda: self._overdue(slot[0]))
         number = self.requests.add(Open(call, reply, now, backstop, self.max_attempts))
-        assert number is not None
         slot.append(number)
         self.feed(
             api.Request(
@@ -201,7 +200,6 @@
         now, slot = self.clock(), [-1]
         timer = self.deadlines.add(now + max(fetch.timeout_ms, 0.0), lambda: self._timed_out(slot[0]))
         number = self.attempts.add(Out(fetch.request, attempt, fetch.server, now, timer))
-        assert number is not None
         slot[0] = self._numbers[fetch.request, attempt] = number
         self.upstreams.send(Order(number, request.call, fetch))
 
--- a/thornjunction/memory/__init__.py
+++ b/thornjunction/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept while the program runs: numbered slots and one ordered structure of deadlines."""
+"""Bounded resource tables: numbered slots, one queue of deadlines and one budget of buffered bytes."""
--- a/thornjunction/memory/budget.py
+++ b/thornjunction/memory/budget.py
@@ -1,24 +1,39 @@
-"""One budget for what all connections together hold: parts of messages, and answers that are not read."""
+"""One budget for the bytes that all connections buffer: parts of messages, and answers not read yet."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+EVICTION_REASON = "memory"  # the connection's end as the operators' pages name it in the log
 
-class Budget:
-    """Who holds how much, and by what call each can be made to let go."""
+CloseConnection = Callable[[str], None]
 
-    def __init__(self, limit: int) -> None:
-        self.limit, self.total = limit, 0
-        self._held: dict[Callable[[str], None], int] = {}
 
-    def hold(self, close: Callable[[str], None], size: int) -> None:
-        """``close``, a connection's own, now holds so much.  Past the limit the greatest holder goes: that is
-        the one that sends without end, or doesn't read, and not those that share the budget with it."""
-        self.total += size - self._held.pop(close, 0)
-        if size:
-            self._held[close] = size
-        while self.total > self.limit and self._held:
-            greatest = max(self._held, key=self._held.__getitem__)
-            self.total -= self._held.pop(greatest)
-            greatest("memory")
+class ByteBudget:
+    """Bytes reserved by each connection, which is known by its own bound ``close`` method.
+
+    Past the limit the connection that reserves most is closed: it is the one that sends without end or does
+    not read, and not one of those that share the budget with it.
+    """
+
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.reserved_bytes = 0
+        self._reserved_by: dict[CloseConnection, int] = {}
+
+    def reserve(self, close: CloseConnection, size_bytes: int) -> None:
+        """Set what a connection reserves, in place of what it reserved before; 0 releases it.
+
+        May call ``close`` of this or another connection, with the reason for the log.
+        """
+        self._release(close)
+        if size_bytes:
+            self._reserved_by[close] = size_bytes
+            self.reserved_bytes += size_bytes
+        while self.reserved_bytes > self.limit_bytes and self._reserved_by:
+            close_largest = max(self._reserved_by, key=self._reserved_by.__getitem__)
+            self._release(close_largest)
+            close_largest(EVICTION_REASON)
+
+    def _release(self, close: CloseConnection) -> None:
+        self.reserved_bytes -= self._reserved_by.pop(close, 0)
--- a/thornjunction/memory/deadlines.py
+++ b/thornjunction/memory/deadlines.py
@@ -1,73 +1,108 @@
-"""All deadlines of the program, in one ordered structure."""
+"""All deadlines of the program, in one queue ordered by time."""
 
 from __future__ import annotations
 
 import heapq
 import math
 from collections.abc import Callable
+from typing import NamedTuple
 
-LIMIT = 1 << 17  # entries at most: some for each open request, attempt and connection, all bounded tables
-COMPACT_OVER = 256  # called-off entries that may lie about before the heap is rebuilt
+MAX_DEADLINES = 1 << 17  # a few for each open request, attempt and connection, whose tables are all bounded
+MIN_CANCELLED_TO_COMPACT = 256  # fewer cancelled entries are not worth a rebuild of the heap
+
+
+class TooManyDeadlinesError(OverflowError):
+    """The queue holds as many deadlines as it may."""
+
+    def __init__(self, capacity: int) -> None:
+        super().__init__(f"{capacity} deadlines are pending")
+        self.capacity = capacity
 
 
 class Deadline:
-    """One entry: what to call when its time has come."""
+    """One entry of the queue: the callback to run when it is due, until it has run or is cancelled."""
+
+    __slots__ = ("callback", "in_heap")
+
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
+        self.in_heap = True
+
 
-    __slots__ = ("call", "queued")
+class _HeapEntry(NamedTuple):
+    """A deadline with its sort key; ``sequence`` keeps equal times in the order added."""
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
-        self.queued = True
+    due_ms: float
+    sequence: int
+    deadline: Deadline
 
 
 class Deadlines:
-    """A heap of deadlines on the core's clock; equal times run in the order added."""
+    """A queue of deadlines on the core's clock, in ms; equal times run in the order added.
 
-    def __init__(self, on_sooner: Callable[[float], None] | None = None, limit: int = LIMIT) -> None:
-        self.on_sooner, self.limit = on_sooner, limit
-        self._heap: list[tuple[float, int, Deadline]] = []
-        self._turn = self._dead = 0
+    ``on_earlier_due`` is called with the time of each new deadline that is due before all others, so that
+    whoever wakes the queue can wake it earlier.
+    """
+
+    def __init__(
+        self, on_earlier_due: Callable[[float], None] | None = None, capacity: int = MAX_DEADLINES
+    ) -> None:
+        self.on_earlier_due = on_earlier_due
+        self.capacity = capacity
+        self._heap: list[_HeapEntry] = []
+        self._sequence = 0
+        self._cancelled_in_heap = 0
 
     def __len__(self) -> int:
-        return len(self._heap) - self._dead
-
-    def add(self, when: float, call: Callable[[], None]) -> Deadline:
-        """Call at that time; OverflowError when the structure is full."""
-        if len(self) >= self.limit:
-            raise OverflowError("too many deadlines")
-        self._turn += 1
-        entry = Deadline(call)
-        sooner = not self._heap or when < self._heap[0][0]
-        heapq.heappush(self._heap, (when, self._turn, entry))
-        if sooner and self.on_sooner is not None:
-            self.on_sooner(when)
-        return entry
-
-    def cancel(self, entry: Deadline | None) -> None:
-        """Call off; harmless for one that has run or is none."""
-        if entry is None or entry.call is None:
+        return len(self._heap) - self._cancelled_in_heap
+
+    def add(self, due_ms: float, callback: Callable[[], None]) -> Deadline:
+        """Run the callback at that time of the core's clock.
+
+        Raises:
+            TooManyDeadlinesError: the queue is full.
+        """
+        if len(self) >= self.capacity:
+            raise TooManyDeadlinesError(self.capacity)
+        is_earliest = not self._heap or due_ms < self._heap[0].due_ms
+        self._sequence += 1
+        deadline = Deadline(callback)
+        heapq.heappush(self._heap, _HeapEntry(due_ms, self._sequence, deadline))
+        if is_earliest and self.on_earlier_due is not None:
+            self.on_earlier_due(due_ms)
+        return deadline
+
+    def cancel(self, deadline: Deadline | None) -> None:
+        """Keep a deadline from running; None, or one that ran or was cancelled, is passed over."""
+        if deadline is None or deadline.callback is None:
             return
-        entry.call = None
-        self._dead += entry.queued
-        if self._dead > max(COMPACT_OVER, len(self._heap) // 2):
-            self._heap = [kept for kept in self._heap if kept[2].call is not None]
-            heapq.heapify(self._heap)
-            self._dead = 0
+        deadline.callback = None
+        if deadline.in_heap:
+            self._cancelled_in_heap += 1
+        if self._cancelled_in_heap > max(MIN_CANCELLED_TO_COMPACT, len(self._heap) // 2):
+            self._drop_cancelled()
+
+    def _drop_cancelled(self) -> None:
+        self._heap = [entry for entry in self._heap if entry.deadline.callback is not None]
+        heapq.heapify(self._heap)
+        self._cancelled_in_heap = 0
 
     def next_due(self) -> float:
-        """When the next one is due; infinite if there is none."""
-        while self._heap and self._heap[0][2].call is None:
+        """Return the time of the earliest deadline, in ms; infinity if there is none."""
+        while self._heap and self._heap[0].deadline.callback is None:
             heapq.heappop(self._heap)
-            self._dead -= 1
-        return self._heap[0][0] if self._heap else math.inf
+            self._cancelled_in_heap -= 1
+        return self._heap[0].due_ms if self._heap else math.inf
 
-    def run_due(self, now: float) -> None:
-        """Call all that are due; what is added meanwhile waits for the next run."""
+    def run_due(self, now_ms: float) -> None:
+        """Run all callbacks that are due; deadlines they add wait for the next call, even if due already."""
         due: list[Deadline] = []
-        while self.next_due() <= now:
-            due.append(heapq.heappop(self._heap)[2])
-            due[-1].queued = False
-        for entry in due:
-            call, entry.call = entry.call, None
-            if call is not None:  # an earlier one of this run may have called it off
-                call()
+        while self.next_due() <= now_ms:
+            deadline = heapq.heappop(self._heap).deadline
+            deadline.in_heap = False
+            due.append(deadline)
+        for deadline in due:
+            callback = deadline.callback
+            deadline.callback = None
+            if callback is not None:  # an earlier callback of this call may have cancelled it
+                callback()
--- a/thornjunction/memory/slots.py
+++ b/thornjunction/memory/slots.py
@@ -1,53 +1,75 @@
-"""Tables of numbered slots, bounded; a number is not used again soon after its slot was freed."""
+"""Bounded tables of numbered slots whose numbers are not reused soon after a slot was freed."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
+Item = TypeVar("Item")
 
 
-class SlotTable(Generic[T]):
-    """Items by number.  A number is the slot's place plus the capacity times the uses of that slot so far,
-    so a stale number finds nothing instead of the slot's next tenant."""
+class SlotTableFullError(Exception):
+    """Every slot of a table is taken."""
 
     def __init__(self, capacity: int) -> None:
+        super().__init__(f"all {capacity} slots are taken")
         self.capacity = capacity
-        self._items: dict[int, T] = {}
-        self._free: list[int] = []
-        self._opened = 0
+
+
+class SlotTable(Generic[Item]):
+    """Items by slot number.
+
+    A number is the slot's index plus the capacity times how often the slot was freed so far.  A stale number
+    therefore finds nothing, where a plain index would find the slot's next item.
+    """
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self._items: dict[int, Item] = {}
+        self._freed_numbers: list[int] = []  # the next number of each slot that was used and is free
+        self._slots_ever_used = 0
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def __iter__(self) -> Iterator[T]:
-        return iter(list(self._items.values()))
+    def __iter__(self) -> Iterator[Item]:
+        return iter(list(self._items.values()))  # a copy: the table may change while it is walked
 
     def numbers(self) -> list[int]:
+        """Return the numbers of all items, in the order added."""
         return list(self._items)
 
     @property
     def full(self) -> bool:
+        """Whether every slot is taken."""
         return len(self._items) >= self.capacity
 
-    def add(self, item: T) -> int | None:
-        """The item's number; None if the table is full."""
+    def add(self, item: Item) -> int:
+        """Put an item into a free slot and return its number.
+
+        Raises:
+            SlotTableFullError: every slot is taken.
+        """
         if self.full:
-            return None
-        if self._free:
-            number = self._free.pop()
-        else:
-            number, self._opened = self._opened, self._opened + 1
+            raise SlotTableFullError(self.capacity)
+        number = self._take_free_number()
         self._items[number] = item
         return number
 
-    def get(self, number: int) -> T | None:
+    def _take_free_number(self) -> int:
+        if self._freed_numbers:
+            return self._freed_numbers.pop()
+        number = self._slots_ever_used
+        self._slots_ever_used += 1
+        return number
+
+    def get(self, number: int) -> Item | None:
+        """Return the item of that number; None if its slot was freed."""
         return self._items.get(number)
 
-    def remove(self, number: int) -> T | None:
-        """Free the slot; its next tenant gets another number."""
+    def remove(self, number: int) -> Item | None:
+        """Free the slot and return its item; None if it was freed before."""
         item = self._items.pop(number, None)
         if item is not None:
-            self._free.append(number + self.capacity)
+            self._freed_numbers.append(number + self.capacity)
         return item
--- a/thornjunction/net/client_link.py
+++ b/thornjunction/net/client_link.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.memory.slots import SlotTable
 from thornjunction.net.endings import code_of, log_end
@@ -31,7 +31,7 @@
 class ClientTable:
     """The connections of all fronts in numbered slots; where all are taken, the longest idle one goes."""
 
-    def __init__(self, capacity: int, budget: Budget) -> None:
+    def __init__(self, capacity: int, budget: ByteBudget) -> None:
         self.budget = budget
         self._slots: SlotTable[ClientLink] = SlotTable(capacity)
         self._idle: dict[ClientLink, None] = {}  # in the order in which they fell idle
@@ -56,10 +56,11 @@
             longest = next(iter(self._idle), None)
             if longest is not None:
                 longest.finish("evicted", CROSSING_MS)
+        if self._slots.full:
+            return None
         number = self._slots.add(link)
-        if number is not None:
-            self._idle[link] = None
-            self._bound()
+        self._idle[link] = None
+        self._bound()
         return number
 
     def linger(self, link: ClientLink) -> None:
@@ -159,7 +160,7 @@
     def _hold(self, size: int) -> None:
         if size or self._held:
             self._held = size
-            self.table.budget.hold(self.close, size)
+            self.table.budget.reserve(self.close, size)
 
     def _look(self) -> None:
         now = self.clock()
--- a/thornjunction/net/relay.py
+++ b/thornjunction/net/relay.py
@@ -15,7 +15,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from thornjunction.logs import get_logger
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.endings import code_of
 from thornjunction.net.transport import Transport
@@ -47,7 +47,7 @@
     ) -> None:
         self.most, self.deadlines, self.clock, self.ask, self.gone = most, deadlines, clock, ask, gone
         self.links: dict[int, PollerLink] = {}
-        self.budget, self.ends = Budget(HELD_BYTES), Counter[str]()
+        self.budget, self.ends = ByteBudget(HELD_BYTES), Counter[str]()
         self.ending = False
         self._last = 0
         self._look()
@@ -167,7 +167,7 @@
     def _write(self, response: http1.HttpResponse) -> None:
         self._body, self._at, self.since = response.body, 0, self.pollers.clock()
         self._head = http1.encode_response(replace(response, head=True))
-        self.pollers.budget.hold(self.close, len(self._head) + len(self._body))
+        self.pollers.budget.reserve(self.close, len(self._head) + len(self._body))
         if not self.code:
             self.transport.registerProducer(self, False)
 
@@ -182,7 +182,7 @@
         self._head = self._body = b""
         self.since = self.pollers.clock()
         self.transport.unregisterProducer()
-        self.pollers.budget.hold(self.close, 0)
+        self.pollers.budget.reserve(self.close, 0)
 
     def stopProducing(self) -> None:  # noqa: N802
         """Told at the connection's end."""
@@ -210,7 +210,7 @@
         self.pollers.noted(self.code or code_of(reason))
 
     def _forget(self) -> None:
-        self.pollers.budget.hold(self.close, 0)
+        self.pollers.budget.reserve(self.close, 0)
         if self.number is not None:
             number, self.number = self.number, None
             self.pollers.links.pop(number, None)
--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/shelf_link.py
@@ -17,7 +17,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from thornjunction.core.ports import Order
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.endings import code_of, log_end
 from thornjunction.net.transport import Transport
@@ -61,7 +61,7 @@
     limits: Limits
     deadlines: Deadlines
     clock: Callable[[], float]
-    budget: Budget
+    budget: ByteBudget
 
     def roomy(self, link: ShelfLink) -> None:
         """It may take more."""
@@ -120,20 +120,20 @@
             # Guards against a false length that swallows the answers behind it, and one that stops short.
             when = self.pool.clock() + self.pool.limits.part_ms
             self.part = self.pool.deadlines.add(when, lambda: self.close("part-answer"))
-        self.pool.budget.hold(self.close, self.reader.held)
+        self.pool.budget.reserve(self.close, self.reader.held)
 
     def _whole(self) -> None:
         """Only a whole answer is a sign of life."""
         self.heard, self.suspect = self.pool.clock(), self.retired
         if self.part is not None:
             self.pool.deadlines.cancel(self.part)
-            self.pool.budget.hold(self.close, 0)
+            self.pool.budget.reserve(self.close, 0)
             self.part = None
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         for timer in (self.idle, self.part, self.stuck, self.linger):
             self.pool.deadlines.cancel(timer)
-        self.pool.budget.hold(self.close, 0)
+        self.pool.budget.reserve(self.close, 0)
         self.code = self.code or code_of(reason)
         log_end("shelf", self.slot, self.code, shelf=self.name, served=self.served, open=len(self.out))
         self.pool.lost(self)
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -18,7 +18,7 @@
 
 from thornjunction import interface as api
 from thornjunction.core.ports import Content, Order
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.memory.slots import SlotTable
 from thornjunction.net.endings import log_end
@@ -101,7 +101,12 @@
     ends: Ends
 
     def __init__(
-        self, reactor: Any, limits: Limits, deadlines: Deadlines, clock: Callable[[], float], budget: Budget
+        self,
+        reactor: Any,
+        limits: Limits,
+        deadlines: Deadlines,
+        clock: Callable[[], float],
+        budget: ByteBudget,
     ) -> None:
         self.reactor, self.limits, self.deadlines, self.clock = reactor, limits, deadlines, clock
         self.budget = budget
@@ -244,10 +249,10 @@
         dialling.addCallbacks(up, down)
 
     def _dialled(self, found: Shelf, link: ShelfLink) -> None:
-        link.slot = self.links.add(link)
-        if link.slot is None:
+        if self.links.full:
             link.close("table-full")
             return self._fail_waiting(found, api.Status.SKIPPED)
+        link.slot = self.links.add(link)
         found.links.append(link)
         found.untold = -math.inf
         self.roomy(link)
--- a/thornjunction/runtime/relay_view.py
+++ b/thornjunction/runtime/relay_view.py
@@ -36,7 +36,7 @@
         status = self.machine.status(now)
         told = {one.name: getattr(status, one.name) for one in fields(status) if one.name != "faults"}
         told |= {f"faults.{name}": count for name, count in sorted(status.faults.items())}
-        told |= {"connections": len(self.pollers.links), "held_bytes": self.pollers.budget.total}
+        told |= {"connections": len(self.pollers.links), "held_bytes": self.pollers.budget.reserved_bytes}
         told |= {f"ends.{code}": count for code, count in sorted(self.pollers.ends.items())}
         figures = (f"relay.{name}={_text(value)}" for name, value in told.items())
         return encode_lines([*figures, *(self._router(one, now) for one in self.machine.roster(now))])
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -20,7 +20,7 @@
 from thornjunction.core.engine import Engine
 from thornjunction.core.ports import Answer, Refused
 from thornjunction.logs import get_logger
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.net.alarm import Alarm, core_ms, unix_to_core
 from thornjunction.net.client_link import ClientTable
 from thornjunction.net.front_fastcgi import FastCgiLink
@@ -63,7 +63,7 @@
         self.config, self.reactor, self.load = config, reactor, load
         self.alarm = Alarm(reactor)
         deadlines = self.alarm.deadlines
-        budget = Budget(config.buffer_bytes)
+        budget = ByteBudget(config.buffer_bytes)
         self.pool = ShelfPool(reactor, config.shelves, deadlines, core_ms, budget)
         self.router = Router(config.settings, config.seed)
         attempts = config.settings.max_attempts
