--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -166,7 +166,7 @@
 
     async def test_connections_that_the_system_holds_when_the_port_closes_were_taken(self) -> None:
         deadlines, stopped = self.rig.alarm.deadlines, list[bool]()
-        drain = Drain(self.rig.clients, deadlines, core_ms, self.engine.hurry)
+        drain = Drain(self.rig.clients, deadlines, core_ms, self.engine.answer_all_now)
         told = (core_ms, lambda: stopped.append(True))
         shutdown = Shutdown(self.rig.clients, drain, self.engine, deadlines, *told)
         drain.start(0.0)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -11,12 +11,21 @@
 from tests.standins import BASE, CLIP, TRUST
 from tests.test_wire import PARAMS, asked
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer, Call, Content, Refused, Reply, Served
+from thornjunction.core.ports import (
+    Answer,
+    ClientRequest,
+    Content,
+    Rejected,
+    ReplyCallback,
+    RequestTableFullError,
+    Served,
+)
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import LINGER_MS, MAX_CROSSED, ClientLink, ClientTable
 from thornjunction.net.front_fastcgi import MISUSES, FastCgiLink
 from thornjunction.net.front_signed import Door, SignedLink
+from thornjunction.net.wire import fastcgi
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
@@ -42,10 +51,13 @@
     def __init__(self, capacity: int = 3, limit: int = 1_000_000) -> None:
         self.now, self.deadlines, self.replies = 1000.0, Deadlines(), []  # type: ignore[var-annotated]
         self.turned_away: list[tuple[str, Answer]] = []
+        self.full = False
         self.table = ClientTable(capacity, ByteBudget(limit))
         self.door = Door(self, {"films": FILMS}, BASE, TRUST, ReplayWindow(), lambda: 5.0)
 
-    def open(self, call: Call, reply: Reply) -> int:
+    def open(self, call: ClientRequest, reply: ReplyCallback) -> int:
+        if self.full:
+            raise RequestTableFullError
         self.replies.append(reply)
         return len(self.replies)
 
@@ -97,6 +109,16 @@
     assert used.code == "half-request"
 
 
+@both
+def test_a_full_core_rejects(kind: str) -> None:
+    hall = Hall()
+    hall.full = True
+    link = hall.connect(kind)
+    link.dataReceived(REQUESTS[kind]())
+    rejected = {"fastcgi": fastcgi.encode_end(7, fastcgi.OVERLOADED), "signed": b"HTTP/1.1 503 "}
+    assert rejected[kind] in link.transport.value() and not link.is_open() and link.code == ""  # type: ignore[attr-defined]
+
+
 @both
 def test_where_the_table_is_full_the_longest_idle_goes(kind: str) -> None:
     hall = Hall()
@@ -105,7 +127,7 @@
         link.dataReceived(REQUESTS[kind]())
     assert hall.connect(kind).code == "table-full"  # each of them has an open request
     for place in (2, 0, 1):
-        hall.replies[place](Refused(0.0))
+        hall.replies[place](Rejected(0.0))
     links[2].dataReceived(REQUESTS[kind]())
     assert hall.connect(kind).code == "" and [link.code for link in links] == ["evicted", "", ""]
     assert hall.connect(kind).code == "" and [link.code for link in links] == ["evicted", "evicted", ""]
@@ -193,10 +215,10 @@
     hall, gone = Hall(), []  # type: ignore[var-annotated]
     link, take, hall.abandon = hall.connect("signed"), hall.open, gone.append  # type: ignore[method-assign]
 
-    def open_(call: Call, reply: Reply) -> int:
+    def open_(call: ClientRequest, reply: ReplyCallback) -> int:
         number = take(call, reply)
         if number == 1:
-            reply(Refused(0.0))
+            reply(Rejected(0.0))
         return number
 
     hall.open = open_  # type: ignore[method-assign]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Slots, deadlines, the engine, admission and the configuration, with a fake clock and fake ports."""
+"""Slots, deadlines, the engine, load shedding and the configuration, with a fake clock and fake ports."""
 
 from __future__ import annotations
 
@@ -10,17 +10,27 @@
 from tests.helpers import Bench, fetch_of, finals
 from tests.test_adapter import PARAMS as SETTINGS
 from thornjunction import interface as api
-from thornjunction.core.admission import LEAST, MOST_OPEN, Admission
+from thornjunction.core.attempts import AttemptState
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
-from thornjunction.core.ports import Answer, Call, Content, Failed, Order, Refused, Served
+from thornjunction.core.load_shedding import MAX_OPEN_REQUESTS, MIN_ADMITTED_SHARE, LoadShedder
+from thornjunction.core.ports import (
+    Answer,
+    ClientRequest,
+    Content,
+    Failed,
+    Rejected,
+    RequestTableFullError,
+    Served,
+    UpstreamRequest,
+)
 from thornjunction.memory.deadlines import Deadlines, TooManyDeadlinesError
 from thornjunction.memory.slots import SlotTable, SlotTableFullError
 from thornjunction.net.channel import Channel
 from thornjunction.net.wire.commands import Commands, Purge
 from thornjunction.runtime.config import ConfigError, parse_config
 
-CALL = Call("t1", "films", "00000000000000ff", 1000.0)
+REQUEST = ClientRequest("t1", "films", "00000000000000ff", 1000.0)
 
 
 def test_a_stale_number_does_not_find_the_next_tenant() -> None:
@@ -54,8 +64,8 @@
 
     def __init__(self) -> None:
         self.now, self.events, self.steps = 0.0, [], []  # type: ignore[var-annotated]
-        self.sent: list[Order] = []
-        self.given_up: list[int] = []
+        self.sent: list[UpstreamRequest] = []
+        self.cancelled: list[int] = []
         self.waits = False  # attempts, for a connection
         self.answers: list[Answer] = []
         self.deadlines, self.counters = Deadlines(), Counters(classes={"films"})
@@ -65,35 +75,43 @@
         self.events.append(event)
         return self.steps.pop(0) if self.steps else []
 
-    def send(self, order: Order) -> None:
-        self.sent.append(order)
+    def send(self, request: UpstreamRequest) -> None:
+        self.sent.append(request)
 
     def withdraw(self, number: int) -> bool:
         return self.waits
 
-    def give_up(self, number: int) -> None:
-        self.given_up.append(number)
+    def cancel(self, number: int) -> None:
+        self.cancelled.append(number)
 
     def probe(self, server: str) -> None:
         raise NotImplementedError
 
     def open(self) -> int:
         self.steps = [[api.Fetch("0", "s", 500.0, "s")]]
-        number = self.engine.open(CALL, self.answers.append)
-        assert number is not None
-        return number
+        return self.engine.open(REQUEST, self.answers.append)
 
     def pass_time(self, ms: float) -> None:
         self.now += ms
         self.deadlines.run_due(self.now)
 
 
+def test_a_full_core_takes_nothing_on() -> None:
+    script = Script()
+    for table in (script.engine.requests, script.deadlines):
+        table.capacity = 0
+        with pytest.raises(RequestTableFullError):
+            script.open()
+        table.capacity = 99
+    assert script.open() == 0 and len(script.engine.requests) == 1 and len(script.events) == 1
+
+
 def test_the_first_answer_is_the_only_one() -> None:
     script = Script()
     number = script.open()
     script.steps = [[api.Fail(str(number)), api.Refuse(str(number))]]
-    script.engine.ended(script.sent[0].number, api.Status.DONE, Content(b"x"))
-    script.engine.ended(script.sent[0].number, api.Status.RESET)
+    script.engine.attempt_ended(script.sent[0].number, api.Status.DONE, Content(b"x"))
+    script.engine.attempt_ended(script.sent[0].number, api.Status.RESET)
     script.pass_time(2000.0)
     assert script.answers == [Served(Content(b"x"))]
     assert isinstance(script.events[-1], api.Outcome) and script.events[-1].final
@@ -105,25 +123,39 @@
     script.engine.feed(api.TimerFired(1))
     script.pass_time(500.0)
     assert [e.status for e in script.events if isinstance(e, api.Outcome)] == [api.Status.SKIPPED]
-    assert number == 0 and script.given_up == []
+    assert number == 0 and script.cancelled == []
+
+
+def test_the_end_of_an_attempt_says_whether_its_request_has_ended() -> None:
+    for client_leaves, state in ((False, AttemptState.AWAITED), (True, AttemptState.UNNEEDED)):
+        script = Script()
+        number = script.open()
+        if client_leaves:
+            script.engine.abandon(number)
+        attempt = script.engine.attempts.find(str(number), 0)
+        assert attempt is not None and attempt.state is state
+        for _ in range(2):  # the second report is late, and counts for nothing
+            script.engine.attempt_ended(attempt.number, api.Status.RESET)
+        assert attempt.state is AttemptState.ENDED
+        assert [e.final for e in script.events if isinstance(e, api.Outcome)] == [client_leaves]
 
 
 def test_a_time_out_gives_up_and_is_told_once() -> None:
     script = Script()
     number = script.open()
     script.pass_time(500.0)
-    script.engine.ended(script.sent[0].number, api.Status.DONE, Content(b"late"))
+    script.engine.attempt_ended(script.sent[0].number, api.Status.DONE, Content(b"late"))
     assert [e.status for e in script.events if isinstance(e, api.Outcome)] == [api.Status.TIMEOUT]
-    assert script.given_up == [script.sent[0].number] and script.answers == []
+    assert script.cancelled == [script.sent[0].number] and script.answers == []
     script.steps = [[api.Refuse(str(number), 40.0)]]
     script.engine.feed(api.TimerFired(1))
-    assert script.answers == [Refused(40.0)]
+    assert script.answers == [Rejected(40.0)]
 
 
 def test_what_comes_while_the_process_ends_is_answered_before_its_end() -> None:
     """It had its whole time, and the kill came first: the client lost its answer."""
     script = Script()
-    script.engine.ends_at = 700.0
+    script.engine.shutdown_at_ms = 700.0
     script.open()
     assert script.events[0].left_ms == 700.0
     script.pass_time(699.0)
@@ -140,7 +172,7 @@
     assert bench.give(api.TimeUp(film.request)) == []
     script = Script()
     number = script.open()
-    script.engine.hurry()
+    script.engine.answer_all_now()
     assert script.events[-1] == api.TimeUp(str(number))
 
 
@@ -149,7 +181,7 @@
     script.open()
     script.steps = [None]  # type: ignore[list-item]
     script.handle = lambda now, event: 1 / 0  # type: ignore[method-assign,assignment,return-value]
-    script.engine.ended(script.sent[0].number, api.Status.ERROR)
+    script.engine.attempt_ended(script.sent[0].number, api.Status.ERROR)
     script.pass_time(1000.0)
     assert script.answers == [Failed(timed_out=True)]
 
@@ -167,39 +199,39 @@
 
 
 def test_admission_falls_with_lateness_and_recovers() -> None:
-    gate = Admission(lambda: 0.5)
-    assert gate.spent_ms() == 0.0  # the ways to the client and back are not the request's
-    gate.looked(1.0, 0.5)
-    assert gate.admits(0)
+    shedder = LoadShedder(lambda: 0.5)
+    assert shedder.read_delay_ms() == 0.0  # the ways to the client and back are not the request's
+    shedder.record_sample(1.0, 0.5)
+    assert shedder.admits(0)
     for _ in range(50):
-        gate.looked(100.0, 0.7)
-    assert gate.spent_ms() == 100.0
-    assert gate.share == LEAST and not gate.admits(0)
+        shedder.record_sample(100.0, 0.7)
+    assert shedder.read_delay_ms() == 100.0
+    assert shedder.admitted_share == MIN_ADMITTED_SHARE and not shedder.admits(0)
     for _ in range(100):
-        gate.looked(0.0, 0.5)
-    assert gate.admits(0) and not gate.admits(MOST_OPEN)
+        shedder.record_sample(0.0, 0.5)
+    assert shedder.admits(0) and not shedder.admits(MAX_OPEN_REQUESTS)
     for _ in range(30):
-        gate.looked(0.0, 0.99)
-    assert gate.share < 1.0
+        shedder.record_sample(0.0, 0.99)
+    assert shedder.admitted_share < 1.0
 
 
 def test_one_full_look_refuses_nobody() -> None:
     """20 ms of a healthy core are often full; it was refused for 354 times, with the loop 1 ms late."""
-    gate = Admission(lambda: 0.99)
+    shedder = LoadShedder(lambda: 0.99)
     for _ in range(50):
-        gate.looked(1.0, 0.98)
-        gate.looked(1.0, 0.6)
-        assert gate.admits(0)
+        shedder.record_sample(1.0, 0.98)
+        shedder.record_sample(1.0, 0.6)
+        assert shedder.admits(0)
 
 
 def test_a_process_that_was_kept_from_running_refuses_nobody_for_it() -> None:
     """Seen at each start: one look 150 ms late with 1% of the core used, and a fifth refused for 0.7 s."""
-    gate = Admission(lambda: 0.99, cores=0.5)
-    gate.looked(158.0, 0.01)
-    assert gate.admits(0)
+    shedder = LoadShedder(lambda: 0.99, cores=0.5)
+    shedder.record_sample(158.0, 0.01)
+    assert shedder.admits(0)
     for _ in range(30):
-        gate.looked(0.0, 0.45)  # of half a core
-    assert not gate.admits(0)
+        shedder.record_sample(0.0, 0.45)  # of half a core
+    assert not shedder.admits(0)
 
 
 def test_the_channels_first_answer_is_told_once() -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,7 +14,7 @@
 from tests.test_clients import REQUESTS, Hall, Transport, both
 from tests.test_wire import PARAMS, asked, fixed
 from thornjunction import interface as api
-from thornjunction.core.ports import Content, Failed, Refused, Served
+from thornjunction.core.ports import Content, Failed, Rejected, RequestOutcome, Served
 from thornjunction.net import operators
 from thornjunction.net.operators import OperatorsDoor, OperatorsLink
 from thornjunction.net.wire import ProtocolError
@@ -79,9 +79,9 @@
 
 def test_figures_count_what_was_answered_and_who_is_avoided() -> None:
     rig, files = Rig(), Counter(accepted=2, invalid=1)
-    rig.counters.answered("films", Served(Content(b"")), 1.0)
-    rig.counters.answered("films", Refused(0.0), 1.0)
-    rig.counters.answered("made-up", Failed(False), 1.0)
+    rig.counters.request_ended("films", RequestOutcome.SERVED, 1.0)
+    rig.counters.request_ended("films", RequestOutcome.REJECTED, 1.0)
+    rig.counters.request_ended("made-up", RequestOutcome.FAILED, 1.0)
     told = figures_of(rig.counters, rig.engine, rig.pool, rig.engine.router, files)  # type: ignore[arg-type]
     assert (told["fulfilled.films"], told["throttled.films"], told["faulted.films"]) == (1, 1, 0)
     assert (told["registry_entries"], told["out_of_rotation"], told["open_requests"]) == (2, 0, 0)
@@ -113,7 +113,7 @@
     link.dataReceived(asked(params=PARAMS | {"HTTP_X_ROW": "no object"}))
     link.busy = lambda: b"Status: 503\r\n\r\n"
     link.dataReceived(asked())
-    assert hall.turned_away == [("clips", Failed(False)), ("clips", Refused(0.0))]
+    assert hall.turned_away == [("clips", Failed(False)), ("clips", Rejected(0.0))]
 
 
 @both
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,7 +22,7 @@
 from tests.test_wire import asked, collectd_values
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
-from thornjunction.core.ports import Call, Order
+from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net import shelf_link, shelves
 from thornjunction.net.alarm import core_ms
 from thornjunction.net.metrics import Metrics
@@ -41,12 +41,12 @@
         self.rig.pool.ends = self
         self.told: list[Any] = []
 
-    def ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
         self.told.append((number, status, content.body if content else None))
 
     def send(self, number: int, name: str, **more: Any) -> None:
-        call = Call(name, "films", "00000000000000ff", 900.0, **more)
-        self.rig.pool.send(Order(number, call, api.Fetch("r", "edge1", 900.0, "origin")))
+        call = ClientRequest(name, "films", "00000000000000ff", 900.0, **more)
+        self.rig.pool.send(UpstreamRequest(number, call, api.Fetch("r", "edge1", 900.0, "origin")))
 
     @inlineCallbacks
     def test_each_word_has_its_end(self) -> Any:
@@ -63,7 +63,7 @@
         ends += ["ERROR", "DONE"]
         for number, (word, end) in enumerate(zip(words, ends, strict=True)):
             self.rig.script = [word]
-            self.send(number, f"t{number}", have="t1" if number > 5 else "")
+            self.send(number, f"t{number}", if_none_match="t1" if number > 5 else "")
             yield self.rig.until(lambda number=number: len(self.told) > number)
             self.assertEqual(self.told[number][:2], (number, api.Status[end]))
 
@@ -84,7 +84,7 @@
         self.rig.script, wanted = [None], self.rig.next_want()
         self.send(1, "same")
         yield wanted
-        self.rig.pool.give_up(1)
+        self.rig.pool.cancel(1)
         late, ident = self.rig.asked[0]
         self.rig.script, wanted = [None], self.rig.next_want()
         self.send(2, "same")
@@ -154,7 +154,7 @@
             self.send(number, f"t{number}")
             yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
             if number:
-                self.rig.pool.give_up(number)
+                self.rig.pool.cancel(number)
         self.rig.script = [(b"DONE", b"x")]
         self.send(9999, "next")
         yield self.rig.until(lambda: self.told)
@@ -168,7 +168,7 @@
     def test_figures_arrive_at_both(self) -> Any:
         rig, lines, packets, counters = Rig(), Deferred(), Deferred(), Counters()
         self.addCleanup(rig.stop)
-        counters.attempted(api.Status.DONE, 12.5)
+        counters.attempt_ended(api.Status.DONE, 12.5)
 
         class Graphite(Client):
             def dataReceived(self, data: bytes) -> None:  # noqa: N802
--- a/tests/test_shelf_endings.py
+++ b/tests/test_shelf_endings.py
@@ -15,7 +15,7 @@
 from tests.standins import SETTINGS_HERE, Rig
 from tests.test_wire import PARAMS, asked
 from thornjunction import interface as api
-from thornjunction.core.ports import Call, Order
+from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net import shelf_link, shelves
 from thornjunction.net.alarm import core_ms
 from thornjunction.net.wire import fastcgi
@@ -37,12 +37,14 @@
         self.pool, self.engine = self.rig.pool, self.rig.engine
         self.pool.ends = self
 
-    def ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
         self.told.append((number, status))
 
     def send(self, number: int, name: str = "", start_ms: float = 9e9, body: bytes = b"") -> None:
-        call = Call(name or f"t{number}", "films", "00000000000000ff", 900.0, body=body)
-        self.pool.send(Order(number, call, api.Fetch("r", "edge1", 900.0, "origin", start_ms=start_ms)))
+        call = ClientRequest(name or f"t{number}", "films", "00000000000000ff", 900.0, body=body)
+        self.pool.send(
+            UpstreamRequest(number, call, api.Fetch("r", "edge1", 900.0, "origin", start_ms=start_ms))
+        )
 
     @inlineCallbacks
     def out(self, number: int, **more: Any) -> Any:
@@ -95,8 +97,8 @@
         ends = {
             "abort": lambda at: at.write(fastcgi.encode_record(fastcgi.ABORT, 7, b"")),
             "closed": lambda at: at.loseConnection(),
-            "hurried": lambda _: self.engine.hurry(),
-            "overdue": lambda _: self.engine._overdue(self.engine.requests.numbers()[0]),
+            "hurried": lambda _: self.engine.answer_all_now(),
+            "overdue": lambda _: self.engine._backstop_due(next(iter(self.engine.requests))),
         }
         ran = self.engine.router.effects.ran
         for how, end in ends.items():
@@ -160,7 +162,7 @@
                 number += 1
                 self.send(number, body=b"x" * 100_000)
             self.assertFalse(link.has_room("new"))
-            self.pool.give_up(number)
+            self.pool.cancel(number)
             self.rig.later(shelf_link.HELD_MS)
             yield self.rig.until(lambda: self.told)
         self.assertEqual(self.told, [(open_, RESET) for open_ in range(number)])
--- a/tests/test_sigterm.py
+++ b/tests/test_sigterm.py
@@ -33,7 +33,7 @@
 def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(longest_ms: float) -> None:
     hall, at = Hall(), dict[str, float]()
     mark = lambda what: lambda: at.setdefault(what, hall.now - 1000.0)  # noqa: E731
-    engine: Any = SimpleNamespace(requests=[1], ends_at=0.0)
+    engine: Any = SimpleNamespace(requests=[1], shutdown_at_ms=0.0)
     drain = Drain(
         hall.table, hall.deadlines, lambda: hall.now, lambda: [mark("hurry")(), engine.requests.clear()]
     )  # type: ignore[func-returns-value]
@@ -42,7 +42,7 @@
     shutdown.start(longest_ms, [SimpleNamespace(stopListening=mark("close"))], accept=True)
     killed_at = min(longest_ms, LONGEST_MS) + KILL_MS
     hall.wait(killed_at)
-    assert 500.0 < at["close"] <= ACCEPT_MS and at["hurry"] == engine.ends_at - 1000.0
+    assert 500.0 < at["close"] <= ACCEPT_MS and at["hurry"] == engine.shutdown_at_ms - 1000.0
     assert killed_at - 200.0 <= at["hurry"] < at["stop"] <= killed_at - 3 * LOOK_MS and drain.refusing
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,7 @@
 from standins.clients import fastcgi_request
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Call, Content, Failed, Order, Refused, Served
+from thornjunction.core.ports import ClientRequest, Content, Failed, Rejected, Served, UpstreamRequest
 from thornjunction.net.wire import (
     ProtocolError,
     collectd,
@@ -100,18 +100,18 @@
 
 def test_answers_on_fastcgi() -> None:
     assert platform.encode_cgi(Served(Content(b"abc"))) == b"Status: 200\r\n\r\nabc"
-    assert platform.encode_cgi(Served(Content(b"", same=True))) == b"Status: 200\r\nX-Same: 1\r\n\r\n"
-    assert platform.encode_cgi(Refused(499.2)) == b"Status: 503\r\nX-Throttle-Ms: 500\r\n\r\n"
+    assert platform.encode_cgi(Served(Content(b"", not_modified=True))) == b"Status: 200\r\nX-Same: 1\r\n\r\n"
+    assert platform.encode_cgi(Rejected(499.2)) == b"Status: 503\r\nX-Throttle-Ms: 500\r\n\r\n"
     assert platform.encode_cgi(Failed(True)).startswith(b"Status: 504")
     records = fastcgi.RecordReader().feed(fastcgi.encode_answer(3, b"x" * 70_000))
     assert b"".join(r.content for r in records if r.kind == fastcgi.STDOUT) == b"x" * 70_000
     assert [r.kind for r in records][-2:] == [fastcgi.STDOUT, fastcgi.END]
 
 
-def order(**more: Any) -> Order:
-    call = Call("id", "readings", "7f3a9c21e0b4d655", 900.0, have="tag", body=b"b")
+def order(**more: Any) -> UpstreamRequest:
+    call = ClientRequest("id", "readings", "7f3a9c21e0b4d655", 900.0, if_none_match="tag", body=b"b")
     fetch = api.Fetch("1", "s1", 900.7, "p1", rank=2, max_age_ms=0.4, renew=True, held_only=True)
-    return Order(1, call, fetch if not more else api.Fetch("1", "s1", 900.7, "s1", **more))
+    return UpstreamRequest(1, call, fetch if not more else api.Fetch("1", "s1", 900.7, "s1", **more))
 
 
 def test_want_has_the_listed_fields_only() -> None:
--- a/thornjunction/core/counters.py
+++ b/thornjunction/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts and latencies of final answers and attempts; a reader takes them away at its own pace."""
+"""Counts and latencies of requests and attempts, which a reader takes away at its own pace."""
 
 from __future__ import annotations
 
@@ -6,47 +6,72 @@
 from dataclasses import dataclass, field
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer
+from thornjunction.core.ports import RequestOutcome
 
-MAX_NAMES = 256  # kinds of figures; classes come from the settings, so this is never near
+MAX_METRICS = 256  # class names come from the settings, so the table never gets near this
+UNKNOWN_CLASS = "unknown"  # stands for all class names that are in no settings
 
 
 @dataclass(slots=True)
-class Latency:
-    """Of one kind of event, in ms."""
+class LatencySummary:
+    """Latencies of one kind of event.
+
+    Attributes:
+        count: how many there were.
+        total_ms: their sum.
+        max_ms: the greatest.
+    """
 
     count: int = 0
-    total: float = 0.0
-    most: float = 0.0
+    total_ms: float = 0.0
+    max_ms: float = 0.0
 
     def add(self, took_ms: float) -> None:
-        self.count, self.total, self.most = self.count + 1, self.total + took_ms, max(self.most, took_ms)
+        """Take in one more."""
+        self.count += 1
+        self.total_ms += took_ms
+        self.max_ms = max(self.max_ms, took_ms)
+
+
+@dataclass(frozen=True, slots=True)
+class CountersSnapshot:
+    """Counts since the start of the process, and latencies since the last snapshot, by metric."""
+
+    counts: dict[str, int]
+    latencies: dict[str, LatencySummary]
 
 
 @dataclass(slots=True)
 class Counters:
-    """The observer whose figures the metrics send."""
+    """The observer whose figures are sent as metrics.
+
+    Attributes:
+        counts: events since the start of the process, by metric.
+        latencies: latencies since the last snapshot, by metric.
+        classes: names of all classes of the present settings and of earlier ones.
+    """
 
-    counts: Counter[str] = field(default_factory=Counter)  # since the start
-    latencies: dict[str, Latency] = field(default_factory=dict)  # since last taken
-    classes: set[str] = field(default_factory=set)  # of the settings, now and before
+    counts: Counter[str] = field(default_factory=Counter)
+    latencies: dict[str, LatencySummary] = field(default_factory=dict)
+    classes: set[str] = field(default_factory=set)
 
-    def answered(self, class_name: str, answer: Answer | None, took_ms: float) -> None:
-        how = "abandoned" if answer is None else type(answer).__name__.lower()
-        # Guards the table against clients that make names up.
-        name = class_name if class_name in self.classes else "unknown"
-        self._add(f"requests.{name}.{how}", took_ms)
+    def request_ended(self, class_name: str, outcome: RequestOutcome, took_ms: float) -> None:
+        """Count a request; class names that clients invent are counted together."""
+        known_name = class_name if class_name in self.classes else UNKNOWN_CLASS
+        self._add(f"requests.{known_name}.{outcome.value}", took_ms)
 
-    def attempted(self, status: api.Status, took_ms: float) -> None:
+    def attempt_ended(self, status: api.Status, took_ms: float) -> None:
+        """Count an attempt."""
         self._add(f"attempts.{status.value.replace(' ', '_')}", took_ms)
 
-    def _add(self, name: str, took_ms: float) -> None:
-        if name not in self.counts and len(self.counts) >= MAX_NAMES:
+    def _add(self, metric: str, took_ms: float) -> None:
+        if metric not in self.counts and len(self.counts) >= MAX_METRICS:
             return
-        self.counts[name] += 1
-        self.latencies.setdefault(name, Latency()).add(took_ms)
+        self.counts[metric] += 1
+        self.latencies.setdefault(metric, LatencySummary()).add(took_ms)
 
-    def take(self) -> tuple[dict[str, int], dict[str, Latency]]:
-        """Counts since the start, and latencies since the last call."""
-        latencies, self.latencies = self.latencies, {}
-        return dict(self.counts), latencies
+    def take_snapshot(self) -> CountersSnapshot:
+        """Return the figures, and start to collect latencies anew."""
+        snapshot = CountersSnapshot(dict(self.counts), self.latencies)
+        self.latencies = {}
+        return snapshot
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -1,171 +1,161 @@
-"""Drives one router: calls become its events, its actions become attempts and final answers."""
+"""Drives one router: requests become its events, and its actions become attempts and final answers."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, replace
-from typing import Protocol
 
 from thornjunction import interface as api
+from thornjunction.core.attempts import Attempt, AttemptKey, AttemptState, AttemptTable
+from thornjunction.core.open_requests import REQUEST_CAPACITY, OpenRequest
 from thornjunction.core.ports import (
     Answer,
-    Call,
+    ClientRequest,
     Content,
     Failed,
     Observer,
-    Order,
-    Refused,
-    Reply,
+    Rejected,
+    ReplyCallback,
+    RequestOutcome,
+    RequestTableFullError,
+    Router,
     Served,
+    UpstreamRequest,
     Upstreams,
 )
 from thornjunction.logs import get_logger
-from thornjunction.memory.deadlines import Deadline, Deadlines
+from thornjunction.memory.deadlines import Deadlines
 from thornjunction.memory.slots import SlotTable
 
-REQUESTS, ATTEMPTS = 4096, 8192  # open at most; what holds bytes is bounded at the connections
-NEAR_DEADLINE_MS = 50.0  # a failure this close to the client's limit counts as the deadline's
+DEADLINES_PER_REQUEST = 8  # free places in the queue of deadlines, below which no request is taken on
+NEAR_DEADLINE_MS = 50.0  # a failure this close to the client's deadline counts as caused by it
 
 log = get_logger(__name__)
 
 
-class Decider(Protocol):
-    """The decision module's router."""
-
-    def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
-
-
-@dataclass(slots=True)
-class Open:
-    """A request that is owed its answer."""
-
-    call: Call
-    reply: Reply
-    since: float
-    backstop: Deadline
-    max_attempts: int  # as the settings were when it came
-    attempts: int = 0
-
-
-@dataclass(slots=True)
-class Out:
-    """An attempt that is out."""
-
-    request: str
-    attempt: int
-    server: str
-    sent: float
-    timer: Deadline
+class Engine:
+    """Owns open requests and attempts, and carries out what the router decides.
 
+    Single-threaded.  Events that are raised while the router handles another wait for their turn.
 
-class Engine:
-    """Owns requests and attempts.  Single-threaded; events raised while one is handled wait their turn."""
+    Attributes:
+        max_attempts: attempts that each request may make from now on.
+        shutdown_at_ms: when this process has to have answered everything, on the core's clock.
+        kb_per_byte: size in KB of one byte of an answer, as the settings count sizes; 0: not known.
+    """
 
     def __init__(
         self,
-        router: Decider,
+        router: Router,
         max_attempts: int,
         clock: Callable[[], float],
         deadlines: Deadlines,
         upstreams: Upstreams,
         observer: Observer,
     ) -> None:
-        self.router, self.max_attempts, self.clock = router, max_attempts, clock
-        self.deadlines, self.upstreams, self.observer = deadlines, upstreams, observer
-        self.requests: SlotTable[Open] = SlotTable(REQUESTS)
-        self.attempts: SlotTable[Out] = SlotTable(ATTEMPTS)
-        self._numbers: dict[tuple[str, int], int] = {}  # by request and attempt: the attempt's slot
-        self._events: deque[api.Event] = deque()
-        self._busy = False
-        self.ends_at = math.inf  # when this process has to be done
-        self.kb_per_byte = 0.0  # of an answer, as the settings count sizes; 0: not told
-
-    def open(self, call: Call, reply: Reply) -> int | None:
-        """Take a request on; its number, or None where no slot is free and nothing was taken."""
-        now = self.clock()
-        if self.requests.full or len(self.deadlines) + 8 > self.deadlines.capacity:
-            return None
-        # Guards what comes while the process ends: its answer is owed before the end, not later.
-        left_ms = min(call.left_ms, max(self.ends_at - now, 0.0))
-        slot: list[int] = []
-        # Guards against a decision that never comes, after an error in the module: the client gets an answer.
-        backstop = self.deadlines.add(now + left_ms, lambda: self._overdue(slot[0]))
-        number = self.requests.add(Open(call, reply, now, backstop, self.max_attempts))
-        slot.append(number)
-        self.feed(
-            api.Request(
-                request=str(number),
-                class_name=call.class_name,
-                key=int(call.object_id, 16),
-                left_ms=left_ms,
-                part=call.part,
-                group=call.group,
-                size_kb=call.size_kb,
-                idempotency_key=call.idempotency_key,
-            )
-        )
-        return number
+        self.router = router
+        self.max_attempts = max_attempts
+        self.clock = clock
+        self.deadlines = deadlines
+        self.upstreams = upstreams
+        self.observer = observer
+        self.requests: SlotTable[OpenRequest] = SlotTable(REQUEST_CAPACITY)
+        self.attempts = AttemptTable()
+        self.shutdown_at_ms = math.inf
+        self.kb_per_byte = 0.0
+        self._pending_events: deque[api.Event] = deque()
+        self._is_handling = False
+
+    def open(self, client_request: ClientRequest, reply: ReplyCallback) -> int:
+        """Take a request on, and return its number.  ``reply`` may be called before this returns.
+
+        Raises:
+            RequestTableFullError: there is no capacity for it, and nothing was taken on.
+        """
+        free_deadlines = self.deadlines.capacity - len(self.deadlines)
+        if self.requests.full or free_deadlines < DEADLINES_PER_REQUEST:
+            raise RequestTableFullError
+        now_ms = self.clock()
+        # A process that shuts down owes its answer before its end, however long the client would wait.
+        left_ms = min(client_request.left_ms, max(self.shutdown_at_ms - now_ms, 0.0))
+        request = OpenRequest(client_request, reply, now_ms, self.max_attempts)
+        request.backstop = self.deadlines.add(now_ms + left_ms, lambda: self._backstop_due(request))
+        request.number = self.requests.add(request)
+        self.feed(request.event(left_ms))
+        return request.number
 
     def abandon(self, number: int) -> None:
-        """The client left; nothing is owed any more."""
-        request = self.requests.remove(number)
+        """The client of a request left; no answer is owed any more."""
+        request = self.requests.get(number)
         if request is None:
             return
-        self.deadlines.cancel(request.backstop)
-        self.observer.answered(request.call.class_name, None, self.clock() - request.since)
-        self.feed(api.ClientGone(str(number)))
-        self._withdraw(number, request)
+        self._close(request, RequestOutcome.ABANDONED, self.clock())
+        self.feed(api.ClientGone(request.request_id))
+        self._withdraw_attempts(request)
 
-    def hurry(self) -> None:
-        """All that is open gets its answer now, of what is known by now."""
+    def answer_all_now(self) -> None:
+        """Have the router answer all open requests at once, by what it knows by now."""
         for number in self.requests.numbers():
             self.feed(api.TimeUp(str(number)))
 
-    def ended(
+    def attempt_ended(
         self,
         number: int,
         status: api.Status,
         content: Content | None = None,
         report: api.Report | None = None,
     ) -> None:
-        """An attempt's end.  A late one, whose slot is free by now, is dropped."""
-        out = self.attempts.remove(number)
-        if out is None:
+        """Take in the end of an attempt; it is ignored if the attempt had ended before.
+
+        ``content`` is what was served, if the status is DONE; ``report`` the server's load report, if any.
+        """
+        attempt = self.attempts.get(number)
+        if attempt is None:
             return
-        self.deadlines.cancel(out.timer)
-        del self._numbers[out.request, out.attempt]
-        took = self.clock() - out.sent
-        self.observer.attempted(status, took)
-        request = None
+        is_unneeded = attempt.state is AttemptState.UNNEEDED
+        self.attempts.end(attempt)
+        self.deadlines.cancel(attempt.time_limit)
+        took_ms = self.clock() - attempt.sent_ms
+        self.observer.attempt_ended(status, took_ms)
+        answered = None
         if status is api.Status.DONE and content is not None:
-            request = self._finish(int(out.request), Served(content))
-        final = self.requests.get(int(out.request)) is None
-        size = len(content.body) * self.kb_per_byte if content is not None else 0.0
-        end = api.Outcome(out.request, out.attempt, out.server, status, took, final=final, report=report)
-        self.feed(replace(end, size_kb=size) if size else end)
-        self._withdraw(int(out.request), request)  # after it, or the router learns from the copies first
-
-    def probed(self, server: str, status: api.Status, took_ms: float, report: api.Report | None) -> None:
+            answered = self._answer(int(attempt.key.request_id), Served(content))
+        self.feed(
+            api.Outcome(
+                request=attempt.key.request_id,
+                attempt=attempt.key.attempt_index,
+                server=attempt.server,
+                status=status,
+                took_ms=took_ms,
+                final=is_unneeded or answered is not None,
+                report=report,
+                size_kb=len(content.body) * self.kb_per_byte if content is not None else 0.0,
+            )
+        )
+        if answered is not None:
+            self._withdraw_attempts(answered)  # only now_ms: the router learns from this attempt's end first
+
+    def probe_ended(self, server: str, status: api.Status, took_ms: float, report: api.Report | None) -> None:
+        """Take in the result of a health check."""
         self.feed(api.Probed(server, status, took_ms, report))
 
     def feed(self, event: api.Event) -> None:
         """Hand the router an event and carry out what it decides, in order."""
-        self._events.append(event)
-        if self._busy:
+        self._pending_events.append(event)
+        if self._is_handling:
             return
-        self._busy = True
+        self._is_handling = True
         try:
-            while self._events:
-                self._handle(self._events.popleft())
+            while self._pending_events:
+                self._handle(self._pending_events.popleft())
         finally:
-            self._busy = False
+            self._is_handling = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.router.handle(self.clock(), event)
-        except Exception:  # one event that the module chokes on must not end the process
+        except Exception:  # an event that the router fails on must not end the process
             log.exception("module-failed", event_kind=type(event).__name__)
             return
         for action in actions:
@@ -178,72 +168,94 @@
             case api.Cancel():
                 self._cancel(action)
             case api.Refuse():
-                self._end(int(action.request), Refused(action.wait_ms))
+                self._answer_and_withdraw(action.request, Rejected(action.wait_ms))
             case api.Fail():
-                self._end(int(action.request), None)
+                self._answer_and_withdraw(action.request, None)
             case api.SetTimer():
-                token = action.token
-                self.deadlines.add(self.clock() + action.in_ms, lambda: self.feed(api.TimerFired(token)))
+                self._set_timer(action)
             case api.Probe():
                 self.upstreams.probe(action.server)
 
+    def _set_timer(self, timer: api.SetTimer) -> None:
+        fired = api.TimerFired(timer.token)
+        self.deadlines.add(self.clock() + timer.in_ms, lambda: self.feed(fired))
+
     def _send(self, fetch: api.Fetch) -> None:
         request = self.requests.get(int(fetch.request))
-        attempt = 0
-        if request is not None:
-            attempt, request.attempts = request.attempts, request.attempts + 1
-        if request is None or attempt >= request.max_attempts or self.attempts.full:
-            self.feed(
-                api.Outcome(fetch.request, attempt, fetch.server, api.Status.SKIPPED, final=request is None)
-            )
+        if request is None:
+            self._skip(fetch, 0, final=True)
+            return
+        index = request.attempts_made
+        request.attempts_made += 1
+        if index >= request.max_attempts or self.attempts.full:
+            self._skip(fetch, index, final=False)
             return
-        now, slot = self.clock(), [-1]
-        timer = self.deadlines.add(now + max(fetch.timeout_ms, 0.0), lambda: self._timed_out(slot[0]))
-        number = self.attempts.add(Out(fetch.request, attempt, fetch.server, now, timer))
-        slot[0] = self._numbers[fetch.request, attempt] = number
-        self.upstreams.send(Order(number, request.call, fetch))
+        now_ms = self.clock()
+        attempt = Attempt(AttemptKey(fetch.request, index), fetch.server, now_ms)
+        time_limit_at_ms = now_ms + max(fetch.timeout_ms, 0.0)
+        attempt.time_limit = self.deadlines.add(
+            time_limit_at_ms, lambda: self._stop(attempt, api.Status.TIMEOUT)
+        )
+        self.attempts.add(attempt)
+        self.upstreams.send(UpstreamRequest(attempt.number, request.client_request, fetch))
 
-    def _timed_out(self, number: int) -> None:
-        self._call_back(number, api.Status.TIMEOUT)
+    def _skip(self, fetch: api.Fetch, index: int, final: bool) -> None:
+        self.feed(api.Outcome(fetch.request, index, fetch.server, api.Status.SKIPPED, final=final))
 
     def _cancel(self, cancel: api.Cancel) -> None:
-        number = self._numbers.get((cancel.request, cancel.attempt))
-        if number is not None:
-            self._call_back(number, api.Status.CANCELLED)
-
-    def _call_back(self, number: int, status: api.Status) -> None:
-        """Stop waiting for an attempt's end; one that has not begun never ran."""
-        if self.upstreams.withdraw(number):
-            return self.ended(number, api.Status.SKIPPED)
-        self.upstreams.give_up(number)
-        self.ended(number, status)
-
-    def _withdraw(self, number: int, request: Open | None) -> None:
-        """No attempt of a request that has ended may begin: its client may have left, and what it would do
-        is owed to nobody."""
-        for attempt in range(request.attempts if request is not None else 0):
-            out = self._numbers.get((str(number), attempt))
-            if out is not None and self.upstreams.withdraw(out):
-                self.ended(out, api.Status.SKIPPED)
-
-    def _overdue(self, number: int) -> None:
-        request = self._finish(number, None)
-        self.feed(api.ClientGone(str(number)))
-        self._withdraw(number, request)
-
-    def _end(self, number: int, answer: Answer | None) -> None:
-        self._withdraw(number, self._finish(number, answer))
-
-    def _finish(self, number: int, answer: Answer | None) -> Open | None:
-        """The one final answer: who comes second finds the slot free, and gets None back.  No answer given:
-        failed, the clock says why."""
-        request = self.requests.remove(number)
+        attempt = self.attempts.find(cancel.request, cancel.attempt)
+        if attempt is not None:
+            self._stop(attempt, api.Status.CANCELLED)
+
+    def _stop(self, attempt: Attempt, status_if_begun: api.Status) -> None:
+        """Stop waiting for an attempt; one that has not begun never ran, and ends SKIPPED."""
+        if self.upstreams.withdraw(attempt.number):
+            self.attempt_ended(attempt.number, api.Status.SKIPPED)
+            return
+        self.upstreams.cancel(attempt.number)
+        self.attempt_ended(attempt.number, status_if_begun)
+
+    def _withdraw_attempts(self, request: OpenRequest) -> None:
+        """No attempt of a request that has ended may begin: its effect would be owed to nobody.
+
+        Those that may have begun run on.
+        """
+        for index in range(request.attempts_made):
+            attempt = self.attempts.find(request.request_id, index)
+            if attempt is not None and self.upstreams.withdraw(attempt.number):
+                self.attempt_ended(attempt.number, api.Status.SKIPPED)
+
+    def _backstop_due(self, request: OpenRequest) -> None:
+        """The router has not answered by the client's deadline, as after an error in it."""
+        self._answer(request.number, None)
+        self.feed(api.ClientGone(request.request_id))
+        self._withdraw_attempts(request)
+
+    def _answer_and_withdraw(self, request_id: str, answer: Answer | None) -> None:
+        request = self._answer(int(request_id), answer)
+        if request is not None:
+            self._withdraw_attempts(request)
+
+    def _answer(self, number: int, answer: Answer | None) -> OpenRequest | None:
+        """Give a request its final answer, and return the request.
+
+        Returns None if it has ended before: that is what makes its final answer the only one.  Without an
+        answer the request failed, and the clock tells whether its deadline is the reason.
+        """
+        request = self.requests.get(number)
         if request is None:
             return None
-        self.deadlines.cancel(request.backstop)
-        now = self.clock()
+        now_ms = self.clock()
         if answer is None:
-            answer = Failed(timed_out=now >= request.since + request.call.left_ms - NEAR_DEADLINE_MS)
-        self.observer.answered(request.call.class_name, answer, now - request.since)
+            deadline_ms = request.opened_ms + request.client_request.left_ms
+            answer = Failed(timed_out=now_ms >= deadline_ms - NEAR_DEADLINE_MS)
+        self._close(request, answer.outcome, now_ms)
         request.reply(answer)
         return request
+
+    def _close(self, request: OpenRequest, outcome: RequestOutcome, now_ms: float) -> None:
+        """Nothing is owed for a request any more."""
+        self.requests.remove(request.number)
+        self.deadlines.cancel(request.backstop)
+        self.attempts.mark_unneeded(request.request_id, request.attempts_made)
+        self.observer.request_ended(request.client_request.class_name, outcome, now_ms - request.opened_ms)
--- /dev/null
+++ b/thornjunction/core/load_shedding.py
@@ -0,0 +1,74 @@
+"""Load shedding: rejects new requests that the process cannot decide in time, by its event loop's lag.
+
+Measured under an ordinary load: a router is asked for 2,000 to 5,000 requests a second, and decides about
+2,000 at most.  Without load shedding all of them wait together until all are late, and the admission gates of
+the decisions close on healthy cache servers.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+SAMPLE_INTERVAL_MS = 20.0  # between samples of the event loop's lag
+LATE_LAG_MS = 20.0  # lag of a sample that counts as late
+MAX_LATE_WEIGHT = 4.0  # one very late sample counts as so many late ones at most
+MIN_BUSY_USAGE = 0.5  # a late sample with less of the core in use is not the doing of our own work
+FULL_USAGE = 0.85  # smoothed use of the core past which fewer are admitted; near 1 queues grow without end
+USAGE_GAIN = (
+    0.1  # of a sample in the smoothed use: the last ten; single samples of a healthy core are often full
+)
+LAG_DECAY = 0.98  # of the greatest lag, kept from sample to sample
+MAX_OPEN_REQUESTS = 384  # half as many again as under an ordinary load; past it all requests get later
+LATE_FACTOR = 0.9  # by which a late sample lowers the admitted share
+FULL_FACTOR = 0.97  # by which a sample with the core full lowers it
+RECOVERY_STEP = 0.01  # by which any other sample raises it
+MIN_ADMITTED_SHARE = 0.1  # so that there is always some work to learn from
+
+
+class LoadShedder:
+    """Admits a share of new requests, by the lag of the event loop and the number of open requests.
+
+    ``draw`` returns random numbers in [0, 1); ``cores`` is the number of cores that the process may use.
+    """
+
+    def __init__(self, draw: Callable[[], float], cores: float = 1.0) -> None:
+        self._draw = draw
+        self._cores = cores
+        self._smoothed_usage = 0.0  # of what the process may use
+        self._lag_ms = 0.0  # greatest of late, decayed
+        self.admitted_share = 1.0
+
+    def record_sample(self, lag_ms: float, core_usage: float) -> None:
+        """Take in a sample of the event loop.
+
+        ``lag_ms`` is how late the sample came, ``core_usage`` the share of one core that the process used
+        since the last sample.  A late sample with little usage means that the process was kept from running,
+        which no rejection helps against.
+        """
+        usage = core_usage / self._cores
+        self._lag_ms = max(lag_ms, self._lag_ms * LAG_DECAY)
+        self._smoothed_usage += USAGE_GAIN * (usage - self._smoothed_usage)
+        if lag_ms > LATE_LAG_MS and usage > MIN_BUSY_USAGE:
+            late_weight = min(lag_ms / LATE_LAG_MS, MAX_LATE_WEIGHT)
+            self._lower(LATE_FACTOR**late_weight)
+        elif self._smoothed_usage > FULL_USAGE:
+            self._lower(FULL_FACTOR)
+        else:
+            self.admitted_share = min(self.admitted_share + RECOVERY_STEP, 1.0)
+
+    def _lower(self, factor: float) -> None:
+        self.admitted_share = max(self.admitted_share * factor, MIN_ADMITTED_SHARE)
+
+    def read_delay_ms(self) -> float:
+        """Return how long a request may have waited until it was read: one turn of the event loop.
+
+        Nothing more is taken off the client's time: it counts from the request's last byte, and clients that
+        wait only briefly need every millisecond.
+        """
+        return self._lag_ms
+
+    def admits(self, open_requests: int) -> bool:
+        """Whether to take on one more request, with so many open."""
+        if open_requests >= MAX_OPEN_REQUESTS:
+            return False
+        return self.admitted_share >= 1.0 or self._draw() < self.admitted_share
--- a/thornjunction/core/ports.py
+++ b/thornjunction/core/ports.py
@@ -1,92 +1,157 @@
-"""What the core exchanges with its surroundings: small typed values and the ports that carry them."""
+"""What the core exchanges with its surroundings: frozen values, and the ports that carry them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
+from enum import Enum
+from typing import ClassVar, Protocol
 
 from thornjunction import interface as api
 
 
-@dataclass(frozen=True, slots=True)
-class Call:
-    """A client's request as a front understood it."""
+class RequestOutcome(Enum):
+    """How a client's request ended; the values are the names of the metrics."""
+
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    ABANDONED = "abandoned"
+
 
-    name: str  # unique to this try; passed on as it is
+@dataclass(frozen=True, slots=True)
+class ClientRequest:
+    """A client's request as a front decoded it.
+
+    Attributes:
+        transaction_id: unique to this request, also among a client's retries; passed on unchanged.
+        class_name: the name of its class.
+        object_id: the object it asks for, 16 hex digits; passed on unchanged.
+        left_ms: how much longer the client waits.
+        part: which part of the object, from 0.
+        group: the group to which the object belongs.
+        size_kb: size of the part; 0: not known.
+        idempotency_key: the same in all of a client's retries of one request; empty: none.
+        if_none_match: entity tag of the copy that the client has; empty: none.
+        body: the bytes that came with it.
+    """
+
+    transaction_id: str
     class_name: str
-    object_id: str  # 16 hex digits; passed on as they are
+    object_id: str
     left_ms: float
     part: int = 0
     group: int = 0
     size_kb: float = 0.0
     idempotency_key: str = ""
-    have: str = ""  # the tag of the client's copy
+    if_none_match: str = ""
     body: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What an upstream gave: bytes, or the word that the client's own copy holds."""
+    """What an upstream served.
+
+    Attributes:
+        body: the bytes; empty with ``not_modified``.
+        etag: the entity tag of the copy; empty: not known.
+        not_modified: whether the client's own copy is the current one.
+    """
 
     body: bytes
-    tag: str = ""
-    same: bool = False
+    etag: str = ""
+    not_modified: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """Final answer: these bytes, or the client's copy."""
+    """Final answer: this content."""
+
+    outcome: ClassVar = RequestOutcome.SERVED
 
     content: Content
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """Final answer: nothing happened; trying again is harmless."""
+class Rejected:
+    """Final answer: nothing ran, and a retry is harmless.
+
+    Attributes:
+        retry_after_ms: how long the client is asked to stay away; 0: not at all.
+    """
 
-    wait_ms: float
+    outcome: ClassVar = RequestOutcome.REJECTED
+
+    retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Final answer: not served, and no promise of what happened."""
+    """Final answer: not served, and the request may have run.
+
+    Attributes:
+        timed_out: whether the client's deadline is the reason.
+    """
+
+    outcome: ClassVar = RequestOutcome.FAILED
 
     timed_out: bool
 
 
-Answer = Served | Refused | Failed
-Reply = Callable[[Answer], None]
+Answer = Served | Rejected | Failed
+ReplyCallback = Callable[[Answer], None]
+
+
+class RequestTableFullError(Exception):
+    """The core has no capacity for another request, and took nothing on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """One attempt, as the upstream side needs it."""
+class UpstreamRequest:
+    """One attempt, as the upstream side needs it.
+
+    Attributes:
+        number: the attempt's number, under which its end is reported.
+        client_request: what to pass on.
+        fetch: the router's decision.
+    """
 
-    number: int  # under which its end is reported
-    call: Call
+    number: int
+    client_request: ClientRequest
     fetch: api.Fetch
 
 
+class Router(Protocol):
+    """The decision module."""
+
+    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        """Take in one event at its time in ms; return the actions to carry out, in order."""
+
+
 class Upstreams(Protocol):
-    """Carries attempts to servers and reports the end of each to ``Engine.ended``."""
+    """Carries attempts to servers, and reports the end of each to ``Engine.attempt_ended``."""
 
-    def send(self, order: Order) -> None: ...
+    def send(self, request: UpstreamRequest) -> None:
+        """Send an attempt, or queue it until a connection is up."""
 
     def withdraw(self, number: int) -> bool:
-        """Take back an attempt that has not begun, whose end is then not reported any more; False: it may
-        have begun, and stays as it is."""
+        """Take back an attempt that has not begun, whose end is then not reported any more.
+
+        Returns False for one that may have begun; it stays as it is.
+        """
 
-    def give_up(self, number: int) -> None:
-        """Stop waiting; its end is not reported any more."""
+    def cancel(self, number: int) -> None:
+        """Stop waiting for an attempt, whose end is then not reported any more."""
 
-    def probe(self, server: str) -> None: ...
+    def probe(self, server: str) -> None:
+        """Send a health check, and report its end to ``Engine.probe_ended``."""
 
 
 class Observer(Protocol):
-    """Told of each final answer and each attempt's end; must not hold anything up."""
+    """Is notified of the end of each request and each attempt; must return at once."""
 
-    def answered(self, class_name: str, answer: Answer | None, took_ms: float) -> None:
-        """``answer`` is None where the client left first."""
+    def request_ended(self, class_name: str, outcome: RequestOutcome, took_ms: float) -> None:
+        """A request of that class ended."""
 
-    def attempted(self, status: api.Status, took_ms: float) -> None: ...
+    def attempt_ended(self, status: api.Status, took_ms: float) -> None:
+        """An attempt ended."""
--- a/thornjunction/net/front_fastcgi.py
+++ b/thornjunction/net/front_fastcgi.py
@@ -7,7 +7,14 @@
 from dataclasses import dataclass
 from typing import Protocol as Port
 
-from thornjunction.core.ports import Answer, Call, Failed, Refused, Reply
+from thornjunction.core.ports import (
+    Answer,
+    ClientRequest,
+    Failed,
+    Rejected,
+    ReplyCallback,
+    RequestTableFullError,
+)
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import ClientLink, ClientTable
 from thornjunction.net.wire import ProtocolError, fastcgi, platform
@@ -19,7 +26,7 @@
 class Core(Port):
     """What a front asks of the engine."""
 
-    def open(self, call: Call, reply: Reply) -> int | None: ...
+    def open(self, call: ClientRequest, reply: ReplyCallback) -> int: ...
 
     def abandon(self, number: int) -> None: ...
 
@@ -120,7 +127,7 @@
                 self.transport.write(reply)
 
     def _overloaded(self, asked: fastcgi.Asked) -> None:
-        self._count(asked, Refused(0.0))
+        self._count(asked, Rejected(0.0))
         end = fastcgi.encode_end(asked.request_id, fastcgi.OVERLOADED)
         self._write(asked.request_id, end, asked.keep)
 
@@ -133,7 +140,7 @@
             return self._write(ident, fastcgi.encode_answer(ident, said), asked.keep)
         busy = self.busy()
         if busy:
-            self._count(asked, Refused(0.0))
+            self._count(asked, Rejected(0.0))
             return self._write(ident, fastcgi.encode_answer(ident, busy), asked.keep)
         try:
             call = platform.decode_call(asked.params, asked.body, max(self.spent_ms(), waited_ms))
@@ -142,11 +149,13 @@
             return self._misused(ident, asked.keep)
         self.misuses = 0
         pending = self.pending[ident] = Pending(asked.keep)
-        number = self.core.open(call, lambda answer: self._reply(ident, pending, answer))
-        if number is None:
+        try:
+            number = self.core.open(call, lambda answer: self._reply(ident, pending, answer))
+        except RequestTableFullError:
             if self.pending.pop(ident, None) is pending:
                 self._overloaded(asked)
-        elif self.pending.get(ident) is pending:
+            return
+        if self.pending.get(ident) is pending:
             pending.number = number
         else:  # answered, or its connection ended while the core decided
             self.core.abandon(number)
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/front_signed.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer
+from thornjunction.core.ports import Answer, RequestTableFullError
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import ClientLink, ClientTable
@@ -122,11 +122,12 @@
         if grant.taken is not None and self.door.gossip is not None:
             self.door.gossip.tell(*grant.taken)
         self.serving, answered = True, self.answered
-        number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
-        if number is None:
+        try:
+            number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
+        except RequestTableFullError:
             self.serving = False
-            self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep))
-        elif self.code:  # its connection ended while the core decided
+            return self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep))
+        if self.code:  # its connection ended while the core decided
             self.door.core.abandon(number)
         elif self.answered == answered:  # else it was answered at once, and the next one may be in the core
             self.number = number
--- a/thornjunction/net/metrics.py
+++ b/thornjunction/net/metrics.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.core.counters import Counters, Latency
+from thornjunction.core.counters import Counters, CountersSnapshot
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.endings import code_of, log_end
 from thornjunction.net.transport import Transport, dial
@@ -19,12 +19,14 @@
 DIAL_MS = 1000.0
 
 
-def samples_of(counts: dict[str, int], latencies: dict[str, Latency]) -> list[graphite.Sample]:
+def samples_of(snapshot: CountersSnapshot) -> list[graphite.Sample]:
     """Counts since the start; mean and greatest latency of the interval."""
-    samples = [graphite.Sample(f"{name}.count", value, counter=True) for name, value in counts.items()]
-    for name, latency in latencies.items():
-        samples.append(graphite.Sample(f"{name}.mean_ms", latency.total / latency.count))
-        samples.append(graphite.Sample(f"{name}.max_ms", latency.most))
+    samples = [
+        graphite.Sample(f"{name}.count", value, counter=True) for name, value in snapshot.counts.items()
+    ]
+    for name, latency in snapshot.latencies.items():
+        samples.append(graphite.Sample(f"{name}.mean_ms", latency.total_ms / latency.count))
+        samples.append(graphite.Sample(f"{name}.max_ms", latency.max_ms))
     return samples
 
 
@@ -93,7 +95,7 @@
         self.deadlines.add(self.clock() + self.interval_s * 1000.0, self._tick)
 
     def _tick(self) -> None:
-        samples, now = samples_of(*self.counters.take()), self.unix_s()
+        samples, now = samples_of(self.counters.take_snapshot()), self.unix_s()
         if self._link is not None:
             self._link.send(graphite.encode_lines(f"{self._prefix}.{self.name}", samples, now))
         if self._collectd is not None:
--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/shelf_link.py
@@ -16,7 +16,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.core.ports import Order
+from thornjunction.core.ports import UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.endings import code_of, log_end
@@ -48,7 +48,7 @@
 class Sent:
     """What is out on a connection, or waits for one: an attempt or (no order) a probe."""
 
-    order: Order | None
+    order: UpstreamRequest | None
     at: float
     start_by: float = math.inf  # not to begin after that
     timer: Deadline | None = None  # a probe's end
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Content, Order
+from thornjunction.core.ports import Content, UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.memory.slots import SlotTable
@@ -48,7 +48,7 @@
 class Ends(Port):
     """Where ends are reported: the engine."""
 
-    def ended(
+    def attempt_ended(
         self,
         number: int,
         status: api.Status,
@@ -56,7 +56,9 @@
         report: api.Report | None = None,
     ) -> None: ...
 
-    def probed(self, server: str, status: api.Status, took_ms: float, report: api.Report | None) -> None: ...
+    def probe_ended(
+        self, server: str, status: api.Status, took_ms: float, report: api.Report | None
+    ) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -144,10 +146,10 @@
                 link.hurry()
         return over
 
-    def send(self, order: Order) -> None:
+    def send(self, order: UpstreamRequest) -> None:
         now = self.clock()
         sent = Sent(order, now, now + order.fetch.start_ms)
-        self._send(order.fetch.server, order.call.name, sent, shelf.encode_want(order))
+        self._send(order.fetch.server, order.client_request.transaction_id, sent, shelf.encode_want(order))
 
     def withdraw(self, number: int) -> bool:
         """Take back an attempt that has not begun; False: it may have."""
@@ -159,7 +161,7 @@
         self.deadlines.cancel(waits[0].bound)
         return True
 
-    def give_up(self, number: int) -> None:
+    def cancel(self, number: int) -> None:
         if self.withdraw(number):
             return
         found, ident = self._where.pop(number, (None, ""))
@@ -317,7 +319,10 @@
             same = answer.word is shelf.Word.KEEP
             content = Content(answer.body, answer.fields.get("rev", ""), same)
             # Guards against "your copy holds" to a client that has none, or has another than the one named.
-            if same and (not sent.order.call.have or content.tag != sent.order.call.have):
+            if same and (
+                not sent.order.client_request.if_none_match
+                or content.etag != sent.order.client_request.if_none_match
+            ):
                 status, content = api.Status.ERROR, None
         self._end(link.name, sent, status, content, report)
 
@@ -332,6 +337,6 @@
         self.deadlines.cancel(sent.bound)
         if sent.order is not None:
             self._where.pop(sent.order.number, None)
-            return self.ends.ended(sent.order.number, status, content, report)
+            return self.ends.attempt_ended(sent.order.number, status, content, report)
         self.deadlines.cancel(sent.timer)
-        self.ends.probed(name, status, self.clock() - sent.at, report)
+        self.ends.probe_ended(name, status, self.clock() - sent.at, report)
--- a/thornjunction/net/wire/platform.py
+++ b/thornjunction/net/wire/platform.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Mapping
 
-from thornjunction.core.ports import Answer, Call, Failed, Refused, Served
+from thornjunction.core.ports import Answer, ClientRequest, Failed, Rejected, Served
 from thornjunction.net.wire import ProtocolError
 
 HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII)
@@ -16,13 +16,13 @@
 MAX_PART, MAX_GROUP, MAX_TTL_MS = 1 << 20, 255, 600_000.0
 
 
-def decode_call(params: Mapping[str, str], body: bytes, spent_ms: float = 0.0) -> Call:
+def decode_call(params: Mapping[str, str], body: bytes, spent_ms: float = 0.0) -> ClientRequest:
     """The call, with some of its time spent; ProtocolError for one that no client sends in this form."""
     script = params.get("SCRIPT_NAME", "")
     if not script.startswith(ROOT):
         raise ProtocolError("path")
-    return Call(
-        name=_match(HEX16, params, "HTTP_X_TXN"),
+    return ClientRequest(
+        transaction_id=_match(HEX16, params, "HTTP_X_TXN"),
         class_name=_word(script[len(ROOT) :], "path"),
         object_id=_match(HEX16, params, "HTTP_X_ROW"),
         left_ms=max(number(params.get("HTTP_X_TTL_MS", ""), MAX_TTL_MS, "ttl") - spent_ms, 1.0),
@@ -30,7 +30,7 @@
         group=int(number(params.get("HTTP_X_GROUP", "0"), MAX_GROUP, "group")),
         size_kb=number(params.get("HTTP_X_WORKING_SET_KB", "0"), 1e9, "size"),
         idempotency_key=_optional(params, "HTTP_X_TXN_KEY"),
-        have=_optional(params, "HTTP_X_HAVE"),
+        if_none_match=_optional(params, "HTTP_X_HAVE"),
         body=body,
     )
 
@@ -66,9 +66,9 @@
 def encode_cgi(answer: Answer) -> bytes:
     match answer:
         case Served(content):
-            same = b"X-Same: 1\r\n" if content.same else b""
-            return b"Status: 200\r\n" + same + b"\r\n" + (b"" if content.same else content.body)
-        case Refused(wait_ms):
+            same = b"X-Same: 1\r\n" if content.not_modified else b""
+            return b"Status: 200\r\n" + same + b"\r\n" + (b"" if content.not_modified else content.body)
+        case Rejected(wait_ms):
             return b"Status: 503\r\nX-Throttle-Ms: %d\r\n\r\n" % max(math.ceil(wait_ms), 0)
         case Failed(timed_out):
             return b"Status: 504\r\n\r\n" if timed_out else b"Status: 502\r\n\r\n"
--- a/thornjunction/net/wire/shelf.py
+++ b/thornjunction/net/wire/shelf.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from thornjunction.core.ports import Order
+from thornjunction.core.ports import UpstreamRequest
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.resp import encode_array
 
@@ -35,9 +35,9 @@
     body: bytes
 
 
-def encode_want(order: Order) -> bytes:
+def encode_want(order: UpstreamRequest) -> bytes:
     """The attempt's request.  Unbounded ages and absent values are left out; times round down."""
-    call, fetch = order.call, order.fetch
+    call, fetch = order.client_request, order.fetch
     filled = fetch.source != fetch.server
     # Guards against a shelf told to renew a copy from nowhere: without a source nothing can be fetched.
     words = (
@@ -55,10 +55,10 @@
         "store": str(fetch.rank) if fetch.rank else "",
         "cap": str(max(math.floor(fetch.max_age_ms), 1)) if fetch.max_age_ms > 0 else "",
         "do": "+".join(word for word, said in words if said),
-        "inm": call.have,
+        "inm": call.if_none_match,
     }
     told = ",".join(f"{name}={value}" for name, value in fields.items() if value)
-    return encode_array((b"want", call.name.encode(), told.encode(), call.body))
+    return encode_array((b"want", call.transaction_id.encode(), told.encode(), call.body))
 
 
 def encode_never_mind(ident: str) -> bytes:
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -8,7 +8,7 @@
 from urllib.parse import unquote
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer, Call, Failed, Refused, Served
+from thornjunction.core.ports import Answer, ClientRequest, Failed, Rejected, Served
 from thornjunction.net.wire import ProtocolError, ranges
 from thornjunction.net.wire.http1 import HttpRequest, HttpResponse
 from thornjunction.net.wire.platform import MAX_GROUP, MAX_PART, WORD, number
@@ -54,7 +54,7 @@
 
 def decode_call(
     request: HttpRequest, target: str, name: str, classes: Mapping[str, api.RequestClass]
-) -> Call:
+) -> ClientRequest:
     """The call; MisuseError for a request that fits no class."""
     found = PATH.fullmatch(target)
     kind = classes.get(found[1]) if found else None
@@ -71,8 +71,8 @@
     except ProtocolError as error:
         raise MisuseError(400, str(error)) from error
     have = request.headers.get("if-none-match", "").strip('"')
-    return Call(
-        name=name,
+    return ClientRequest(
+        transaction_id=name,
         class_name=kind.name,
         object_id=found[3],
         left_ms=min(asked, kind.give_up_ms),
@@ -80,7 +80,7 @@
         group=int(found[2]),
         size_kb=size,
         idempotency_key=key if kind.safety is not api.Safety.SAFE else "",
-        have=have if WORD.fullmatch(have) else "",
+        if_none_match=have if WORD.fullmatch(have) else "",
         body=request.body,
     )
 
@@ -92,16 +92,16 @@
     match answer:
         case Served(content):
             headers = {"Cache-Control": "private, no-store"} | dict(extra)
-            if content.tag:
-                headers["ETag"] = f'"{content.tag}"'
-            if content.same:
+            if content.etag:
+                headers["ETag"] = f'"{content.etag}"'
+            if content.not_modified:
                 return HttpResponse(304, headers, b"", keep)
-            part = ranges.choose(request.headers, content.tag, len(content.body))
+            part = ranges.choose(request.headers, content.etag, len(content.body))
             headers |= {"Content-Type": "application/octet-stream", "Accept-Ranges": "bytes"}
             if part.content_range:
                 headers["Content-Range"] = part.content_range
             return HttpResponse(part.status, headers, content.body[part.start : part.end], keep, head)
-        case Refused(wait_ms):
+        case Rejected(wait_ms):
             return refused(wait_ms / 1000, keep)
         case Failed(timed_out):
             return HttpResponse(504 if timed_out else 502, {}, b"", keep)
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -15,10 +15,10 @@
 from twisted.internet import protocol
 
 from thornjunction import interface as api
-from thornjunction.core.admission import TICK_MS, Admission
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
-from thornjunction.core.ports import Answer, Refused
+from thornjunction.core.load_shedding import SAMPLE_INTERVAL_MS, LoadShedder
+from thornjunction.core.ports import Answer, Rejected
 from thornjunction.logs import get_logger
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.net.alarm import Alarm, core_ms, unix_to_core
@@ -73,11 +73,11 @@
         self.births = Births()
         self.channel = parts.channel(extras, config, reactor, deadlines, self.take, self._serve)
         self.clients = ClientTable(max(config.sockets // 3, 1), budget)
-        self.drain = Drain(self.clients, deadlines, core_ms, self.engine.hurry)
+        self.drain = Drain(self.clients, deadlines, core_ms, self.engine.answer_all_now)
         self.shutdown = Shutdown(self.clients, self.drain, self.engine, deadlines, core_ms, self._stop)
         self.handover = Handover(config.shared_folder, config.name)
         self.ready = self.ending = self.succeeded = self.faulty = False
-        self.admission = Admission(random.Random(config.seed).random, config.cores)
+        self.load_shedder = LoadShedder(random.Random(config.seed).random, config.cores)
         self.classes: dict[str, api.RequestClass] = {}
         self.second = parts.second_front(extras, self.engine, self.classes, self.clients, deadlines)
         self._settle(config.settings)
@@ -123,17 +123,19 @@
         now, busy_s = core_ms(), time.process_time()
         wall_s = (now - since) / 1000.0
         late_ms = max(now - due, self.clients.turns.late_ms(now))
-        self.admission.looked(late_ms, (busy_s - used_s) / wall_s if since else 0.0)
-        self.alarm.deadlines.add(now + TICK_MS, lambda: self._watch(now + TICK_MS, now, busy_s))
+        self.load_shedder.record_sample(late_ms, (busy_s - used_s) / wall_s if since else 0.0)
+        self.alarm.deadlines.add(
+            now + SAMPLE_INTERVAL_MS, lambda: self._watch(now + SAMPLE_INTERVAL_MS, now, busy_s)
+        )
 
     def busy(self) -> bytes:
         """What to answer where the core is to be spared; empty where it is not."""
-        admitted = not self.drain.refusing and self.admission.admits(len(self.engine.requests))
+        admitted = not self.drain.refusing and self.load_shedder.admits(len(self.engine.requests))
         return b"" if admitted else self._refusal
 
     def turned_away(self, class_name: str, answer: Answer) -> None:
         """Counts a request that a front answered itself."""
-        self.counters.answered(class_name, answer, 0.0)
+        self.counters.request_ended(class_name, answer.outcome, 0.0)
 
     def listen(self, host: str, port: int, build: Callable[[], protocol.Protocol]) -> None:
         """Open a front; a port that can't be had ends the program with a message."""
@@ -157,7 +159,7 @@
         self.reactor.stop()
 
     def _platform_link(self) -> FastCgiLink:
-        deadlines, spent = self.alarm.deadlines, self.admission.spent_ms
+        deadlines, spent = self.alarm.deadlines, self.load_shedder.read_delay_ms
         return FastCgiLink(
             self.clients,
             deadlines,
@@ -254,7 +256,7 @@
         self.classes |= {kind.name: kind for kind in settings.classes}
         self.counters.classes |= self.classes.keys()
         wait_ms = settings.max_wait_advice_ms if settings.may_advise_wait else 0.0
-        self._refusal = platform.encode_cgi(Refused(wait_ms))
+        self._refusal = platform.encode_cgi(Rejected(wait_ms))
 
     def end(self) -> None:
         """SIGTERM: accept through the stated window, answer all that was taken, then exit 0."""
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -44,8 +44,8 @@
         """``longest_ms``: the longest that any client waits; ``accept``: whether new connections are ours."""
         now, self.ports, self.accept = self.clock(), ports, accept
         self._last = now + min(longest_ms, LONGEST_MS) + KILL_MS - EARLY_MS
-        self.engine.ends_at = self._last - EARLY_MS
-        left_ms = self.engine.ends_at - now
+        self.engine.shutdown_at_ms = self._last - EARLY_MS
+        left_ms = self.engine.shutdown_at_ms - now
         wait_ms = min(ACCEPT_MS, left_ms) if accept else 0.0
         # What is open keeps its own time to the end; only then is it hurried.  Refusals begin halfway at the
         # latest, else short deadlines would let a connection with always something open come to none.
@@ -64,7 +64,7 @@
         over = now >= self._last if not open_now else now >= self._last + EARLY_MS + LATE_MS
         if over or not (open_now or self.clients.connected):
             return self.stop()
-        if now >= self.engine.ends_at:
+        if now >= self.engine.shutdown_at_ms:
             for link in self.clients:
                 if not link.is_open():
                     link.finish("drained")
