--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -134,7 +134,7 @@
             )
         )
         if answered is not None:
-            self._withdraw_attempts(answered)  # only now_ms: the router learns from this attempt's end first
+            self._withdraw_attempts(answered)  # only now: the router learns from this attempt's end first
 
     def probe_ended(self, server: str, status: api.Status, took_ms: float, report: api.Report | None) -> None:
         """Take in the result of a health check."""
