--- a/tests/test_pool_capacity.py
+++ b/tests/test_pool_capacity.py
@@ -10,7 +10,7 @@
 
 from tests.standins import Rig
 from thornjunction import interface as api
-from thornjunction.core.ports import Call, Order
+from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.connection_table import ConnectionTable
 from thornjunction.net.wire.commands import Host
 
@@ -64,7 +64,7 @@
         self.addCleanup(self.rig.stop)
         self.pool, self.pool.ends = self.rig.pool, self
 
-    def ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
         self.told[number] = status
 
     def list_servers(self, count: int, capacity: int) -> None:
@@ -75,8 +75,8 @@
         self.pool.update(tuple(hosts), True)
 
     def send(self, number: int, server: int) -> None:
-        call = Call(f"t{number}", "films", "00000000000000ff", 900.0)
-        self.pool.send(Order(number, call, api.Fetch("r", f"e{server}", 900.0, "origin")))
+        call = ClientRequest(f"t{number}", "films", "00000000000000ff", 900.0)
+        self.pool.send(UpstreamRequest(number, call, api.Fetch("r", f"e{server}", 900.0, "origin")))
 
     @inlineCallbacks
     def test_more_servers_than_places_are_all_asked(self) -> Any:
--- a/thornjunction/net/alarm.py
+++ b/thornjunction/net/alarm.py
@@ -6,7 +6,10 @@
 import time
 from typing import Any
 
-from thornjunction.memory.deadlines import Deadlines
+from thornjunction.logs import get_logger
+from thornjunction.memory.deadlines import DeadlineCallbackErrors, Deadlines
+
+log = get_logger("net")
 
 EARLY_MS = 1e9  # keeps starts before this machine's own boot above zero, which the module reads as "long ago"
 
@@ -43,7 +46,10 @@
             self._late, self._call = True, self.reactor.callLater(0, self._ring)
             return
         self._late = False
-        self.deadlines.run_due(now)
+        try:
+            self.deadlines.run_due(now)
+        except DeadlineCallbackErrors:
+            log.exception("deadline_failed")
         due = self.deadlines.next_due()
         if due < math.inf:
             self._arm(due)
--- a/thornjunction/net/client_link.py
+++ b/thornjunction/net/client_link.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.memory.budget import Budget
+from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.memory.slots import SlotTable
 from thornjunction.net.endings import code_of, log_end
@@ -44,7 +44,7 @@
 class ClientTable:
     """The connections of all fronts in numbered slots; where all are taken, the longest idle one goes."""
 
-    def __init__(self, capacity: int, budget: Budget) -> None:
+    def __init__(self, capacity: int, budget: ByteBudget) -> None:
         self.budget = budget
         self._slots: SlotTable[ClientLink] = SlotTable(capacity)
         self._idle: dict[ClientLink, None] = {}  # in the order in which they fell idle
@@ -66,10 +66,11 @@
         """Its number; None where every connection has an open request."""
         if self._slots.full:
             self._evict()
+        if self._slots.full:
+            return None
         number = self._slots.add(link)
-        if number is not None:
-            self._idle[link] = None
-            self._bound()
+        self._idle[link] = None
+        self._bound()
         return number
 
     def _evict(self) -> None:
@@ -191,7 +192,7 @@
     def _hold(self, size: int) -> None:
         if size or self._held:
             self._held = size
-            self.table.budget.hold(self._let_go, size)
+            self.table.budget.reserve(self._let_go, size)
 
     def _let_go(self, code: str) -> None:
         """Free what is held here, the most of all.  Answers that are not read can only be cut off; where the
