--- a/thornjunction/net/client_link.py
+++ b/thornjunction/net/client_link.py
@@ -204,13 +204,19 @@
         self.finish(self.ending)
 
     def _look(self) -> None:
-        now = self.clock()
-        code = "" if self.is_open() else self._overdue(now)
+        if self._overdue():
+            self.read_now()
+        code = self._overdue()
         if code:
             return self.finish(self.ending or code, CROSSING_MS)
-        self._watch = self.deadlines.add(now + LOOK_MS, self._look)
+        if not self.code:
+            self._watch = self.deadlines.add(self.clock() + LOOK_MS, self._look)
 
-    def _overdue(self, now: float) -> str:
+    def _overdue(self) -> str:
+        """Why this connection has to end; empty where it has not."""
+        now = self.clock()
+        if self.is_open():
+            return ""
         if self._part_since and now - self._part_since >= SILENT_MS:
             return "half-request"
         if not self.asked and now - self._since >= SILENT_MS:
@@ -267,7 +273,8 @@
         self.finish(self.ending)
 
     def read_now(self) -> None:
-        """Take in what has come, before it is decided whether this connection is idle."""
+        """Take in what has come, before it is decided whether this connection rests: a request may lie there
+        for long in a process that was held up."""
         data = self.read_on()
         if data:
             self.dataReceived(data)
@@ -296,9 +303,15 @@
     def leave(self) -> None:
         """Close if nothing is under way.  A new connection, whose first request may be on its way, gets the
         time that is owed to it."""
-        if self.asked and not (self.code or self.is_open() or self.held()):
+        if not self._rests():
+            return
+        self.read_now()
+        if self._rests():
             self.finish("drained")
 
+    def _rests(self) -> bool:
+        return self.asked and not (self.code or self.is_open() or self.held())
+
     def pauseProducing(self) -> None:  # noqa: N802
         """The client does not read: it may hold the memory of its answers for so long."""
         if self._paused:  # told anew with each write
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -66,6 +66,7 @@
             return self.stop()
         if now >= self.engine.ends_at:
             for link in self.clients:
+                link.read_now()
                 if not link.is_open():
                     link.finish("drained")
         self.deadlines.add(now + LOOK_MS, self._look)
