--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -12,6 +12,7 @@
 from twisted.trial.unittest import TestCase
 
 from tests.standins import CLIP, Rig
+from thornjunction import interface as api
 from thornjunction.net.alarm import core_ms
 from thornjunction.net.client_link import IDLE_MS, SILENT_MS, ClientTable
 from thornjunction.net.wire import fastcgi
@@ -72,6 +73,29 @@
                 client.leave()
                 await self.clients.gone()
 
+    async def test_a_restart_while_servers_drain_answers_all_and_sends_them_nothing_new(self) -> None:
+        """What is out at a server that drains has its time; what comes then is refused, and it ends."""
+        stopped, deadlines = list[bool](), self.rig.alarm.deadlines
+        drain = Drain(self.rig.clients, deadlines, core_ms, self.engine.hurry)
+        told = (self.engine, deadlines, core_ms, lambda: stopped.append(True))
+        shutdown = Shutdown(self.rig.clients, drain, *told)
+        self.rig.script = [None]
+        client, _ = await self.clients.rested()
+        client.send(asked(1, ttl_ms=3_000))
+        await self.until(self.rig.wants)
+        shutdown.start(3_000.0, [], accept=False)
+        self.rig.list_servers(api.State.DRAINING)
+        client.send(asked(2, ttl_ms=300))
+        await self.until(lambda: client.answers() == 1)
+        shelf, ident = self.rig.asked[-1]
+        shelf.say(ident, b"DONE", b"x")
+        await self.until(client.ended)
+        self.assertEqual((client.end, client.answers(), client.got.count(b"Status: 200")), ("fin", 2, 1))
+        self.assertEqual(len(self.rig.wants()), 1)
+        client.leave()
+        await self.until(lambda: stopped)
+        drain.stop()
+
     async def test_an_answer_on_its_way_survives_what_breaks_the_protocol(self) -> None:
         """And what came whole before it is answered, too; nothing behind it is read."""
         sent, http = 0, self.clients.http(CLIP)
