--- a/packages/control-client/src/control_client/__init__.py
+++ b/packages/control-client/src/control_client/__init__.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from control_client.follower import HOLD_MS, Follower
-from control_client.seam import (
+from control_client.events import (
     Answer,
     Answered,
     Ask,
@@ -20,8 +19,9 @@
     Standing,
     Taken,
 )
-from control_client.sources import Sources
-from control_client.times import SourceTimes
+from control_client.selection_timings import SourceTimes
+from control_client.source_selection import Sources
+from control_client.state_follower import HOLD_MS, Follower
 
 __all__ = [
     "HOLD_MS",
--- a/packages/control-client/src/control_client/sources.py
+++ b/packages/control-client/src/control_client/source_selection.py
@@ -13,7 +13,7 @@
 
 from sansio_core import Address, Notice, RandomSource, SetTimer, Started, TimerFired
 
-from control_client.seam import (
+from control_client.events import (
     Answered,
     Ask,
     Failed,
@@ -23,8 +23,8 @@
     SourcesAction,
     SourcesEvent,
 )
-from control_client.standing import PROBE_MS, Source, doubled
-from control_client.times import SourceTimes
+from control_client.selection_timings import SourceTimes
+from control_client.source_health import PROBE_MS, Source, doubled
 
 MOST_SOURCES = 16
 LATE_MS = 100.0  # of a timer: this process was late itself, and what has come is not read yet
--- a/packages/control-client/src/control_client/follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -10,9 +10,9 @@
 
 import math
 
-from control_client.fold import Fold
-from control_client.purges import PurgeMemory
-from control_client.seam import Answer, Event, ListEvent, Position, PurgeEvent, Standing, Taken
+from control_client.events import Answer, Event, ListEvent, Position, PurgeEvent, Standing, Taken
+from control_client.recent_purges import PurgeMemory
+from control_client.state_merge import Fold
 
 LATER_MS = 1000.0  # an as-of later by this tells of discovery set back, where the seq is lower
 HISTORY_MS = 2000.0  # one earlier by this, with a seq not lower: of a time before discovery was set back
--- a/packages/control-client/src/control_client/fold.py
+++ b/packages/control-client/src/control_client/state_merge.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from control_client.seam import ListEvent
+from control_client.events import ListEvent
 
 
 class Fold:
--- a/packages/control-client/tests/test_sources_choice.py
+++ b/packages/control-client/tests/test_source_selection.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from sansio_core import SetTimer, Started, TimerFired
-from sources_world import TIMES, World
+from selection_simulation import TIMES, World
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150, database=None)
 WITHIN_MS = 2000.0  # a router is at another source
--- a/packages/control-client/tests/test_follower.py
+++ b/packages/control-client/tests/test_state_follower.py
@@ -6,8 +6,8 @@
 
 import pytest
 from control_client import Answer, Follower, ListEvent, Position, PurgeEvent, Standing
-from control_client.follower import BACK_MS, HISTORY_MS, LATER_MS, MOST_AGAIN_MS
-from follower_world import SHELFS, Discovery, Held, RelayModel
+from control_client.state_follower import BACK_MS, HISTORY_MS, LATER_MS, MOST_AGAIN_MS
+from follower_simulation import SHELFS, Discovery, Held, RelayModel
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
--- a/packages/control-relay/src/control_relay/__init__.py
+++ b/packages/control-relay/src/control_relay/__init__.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from control_relay.machine import Relay
-from control_relay.seam import (
+from control_relay.events import (
     Answer,
     Attached,
     Confirmed,
@@ -21,6 +20,7 @@
     RouterStanding,
     Status,
 )
+from control_relay.relay import Relay
 from control_relay.settings import RelaySettings
 
 __all__ = [
--- a/packages/control-relay/src/control_relay/marks.py
+++ b/packages/control-relay/src/control_relay/low_water_marks.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from control_relay.purges import What
+from control_relay.active_purges import What
 
 MOST_MARKS = 4_096
 
--- a/packages/control-relay/src/control_relay/routers.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -11,7 +11,7 @@
 from sortedcontainers import SortedDict
 
 from control_relay.encoding import whole_number
-from control_relay.seam import Polled
+from control_relay.events import Polled
 from control_relay.settings import RelaySettings
 
 NAME = re.compile(r"[A-Za-z0-9._-]{1,32}", re.ASCII)  # of an epoch, a router or a relay
--- a/packages/control-relay/src/control_relay/pages.py
+++ b/packages/control-relay/src/control_relay/paged_responses.py
@@ -8,8 +8,8 @@
 from heapq import merge
 
 from control_relay.encoding import answer
-from control_relay.log import Log
-from control_relay.shelves import Shelves
+from control_relay.endpoints import Shelves
+from control_relay.event_log import Log
 
 SLACK_MS = 50  # an answer is shared for so long; the age that it tells is greater by this
 MOST_KEPT = 64  # answers
--- a/packages/control-relay/src/control_relay/waiting.py
+++ b/packages/control-relay/src/control_relay/pending_polls.py
@@ -6,7 +6,7 @@
 
 from sortedcontainers import SortedDict
 
-from control_relay.routers import Router
+from control_relay.members import Router
 
 SLOT_MS = 25.0  # deadlines are rounded up to this
 EARLY_MS = 1.0  # by which a timer may fire early, as clocks are rounded
--- a/packages/control-relay/src/control_relay/machine.py
+++ b/packages/control-relay/src/control_relay/relay.py
@@ -8,12 +8,9 @@
 
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
-from control_relay import views
+from control_relay import status as views
 from control_relay.encoding import age_of, duration, whole_number
-from control_relay.marks import Flushes, Marks
-from control_relay.pages import Pages, Reply
-from control_relay.routers import NAME, Router, Routers
-from control_relay.seam import (
+from control_relay.events import (
     Answer,
     Attached,
     Confirmed,
@@ -30,9 +27,12 @@
     RouterStanding,
     Status,
 )
+from control_relay.low_water_marks import Flushes, Marks
+from control_relay.members import NAME, Router, Routers
+from control_relay.paged_responses import Pages, Reply
+from control_relay.pending_polls import SLOT_MS, Waiting
+from control_relay.relay_state import State
 from control_relay.settings import RelaySettings
-from control_relay.state import State
-from control_relay.waiting import SLOT_MS, Waiting
 
 JOIN, DEADLINE = 1, 2  # timers
 
--- a/packages/control-relay/src/control_relay/state.py
+++ b/packages/control-relay/src/control_relay/relay_state.py
@@ -7,13 +7,13 @@
 
 from sansio_core import Notice
 
+from control_relay.active_purges import GROUPS, Purge, Purges, What, time_of, what_of
 from control_relay.encoding import age_of, list_event, purge_event, whole_number
-from control_relay.log import Log
-from control_relay.marks import Record
-from control_relay.purges import GROUPS, Purge, Purges, What, time_of, what_of
-from control_relay.seam import ListTold, PurgeTold, RelayAction
+from control_relay.endpoints import Shelves
+from control_relay.event_log import Log
+from control_relay.events import ListTold, PurgeTold, RelayAction
+from control_relay.low_water_marks import Record
 from control_relay.settings import RelaySettings
-from control_relay.shelves import Shelves
 
 
 class State:
--- a/packages/control-relay/src/control_relay/views.py
+++ b/packages/control-relay/src/control_relay/status.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from control_relay.marks import Marks, Record
-from control_relay.routers import Routers, names_of
-from control_relay.seam import HandedUp, PurgeStanding, RouterStanding, Status
+from control_relay.events import HandedUp, PurgeStanding, RouterStanding, Status
+from control_relay.low_water_marks import Marks, Record
+from control_relay.members import Routers, names_of
 
 if TYPE_CHECKING:
-    from control_relay.machine import Relay
+    from control_relay.relay import Relay
 
 
 def status(relay: Relay, now: float) -> Status:
--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -10,7 +10,7 @@
 from fleet_sim import Outcome, run, shrink
 from fleet_sim.command import Total
 
-from control_sim.plans import plan
+from control_sim.fault_plans import plan
 from control_sim.topology import subject
 
 
--- a/packages/control-sim/src/control_sim/discovery.py
+++ b/packages/control-sim/src/control_sim/discovery.py
@@ -8,7 +8,7 @@
 from fleet_sim import Disk
 from sansio_core import RandomSource, SetTimer, Started, TimerFired
 
-from control_sim.lines import Asked, HungUp, Reply
+from control_sim.connections import Asked, HungUp, Reply
 
 SHELFS = ("s1", "s2", "s3", "s4")
 CLOCK = "clock"  # a shelf whose line changes with every version, so that a list tells which one it is
--- a/packages/control-sim/src/control_sim/nodes.py
+++ b/packages/control-sim/src/control_sim/nodes.py
@@ -20,8 +20,8 @@
 from control_relay import Polled as RelayPolled
 from sansio_core import Notice, RandomSource, SetTimer, Started, TimerFired
 
-from control_sim.client import BLOCK_MS, Client, read
-from control_sim.lines import Asked, Broken, HungUp, Poll, Replied, Reply, Request
+from control_sim.connections import Asked, Broken, HungUp, Poll, Replied, Reply, Request
+from control_sim.poll_client import BLOCK_MS, Client, read
 
 Lines = dict[str, Any]
 LIFE_BITS = 20
--- a/packages/control-sim/src/control_sim/client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -26,7 +26,7 @@
 )
 from sansio_core import Address, RandomSource, SetTimer, Started, TimerFired
 
-from control_sim.lines import Broken, Hangup, Poll, Replied, Request
+from control_sim.connections import Broken, Hangup, Poll, Replied, Request
 
 BLOCK_MS, PAUSE_MS = 800.0, 50.0
 TIMES = SourceTimes(look_ms=1000.0, good_ms=1500.0, spread_ms=1000.0, most_look_ms=4000.0)
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -10,9 +10,9 @@
 from fleet_sim import Disk, Node, Quality, Subject, World
 from sansio_core import Address, Notice, RandomSource
 
-from control_sim.checks import Checks, settled
+from control_sim.connections import CARRY
 from control_sim.discovery import Discovery
-from control_sim.lines import CARRY
+from control_sim.invariants import Checks, settled
 from control_sim.nodes import PlainRouter, RelayNode, Router, first_connection
 
 HOLD_MS = 4_000.0
--- a/packages/control-sim/tests/flaws.py
+++ b/packages/control-sim/tests/mutants.py
@@ -1,6 +1,6 @@
 """Ways to break relays and routers on purpose, each of which seeds must find.
 
-`python packages/control-sim/tests/flaws.py [SEEDS]` counts by which checks, for the table in
+`python packages/control-sim/tests/mutants.py [SEEDS]` counts by which checks, for the table in
 docs/design/control.md."""
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from typing import Any
 from unittest.mock import patch
 
-import control_client.follower
+import control_client.state_follower
 from control_relay import Polled, Relay, RelaySettings
-from control_relay.log import Log
-from control_relay.marks import Marks
-from control_relay.pages import Page, Pages
-from control_relay.purges import Purges
-from control_relay.routers import Router, Routers
+from control_relay.active_purges import Purges
+from control_relay.event_log import Log
+from control_relay.low_water_marks import Marks
+from control_relay.members import Router, Routers
+from control_relay.paged_responses import Page, Pages
 from control_sim import outcome_of, topology
 
 Flaw = Callable[[], Any]  # a context in which the code is broken
@@ -95,8 +95,8 @@
 @contextmanager
 def _lists_of_any_age() -> Iterator[None]:
     with (
-        patch.object(control_client.follower, "LATER_MS", float("-inf")),
-        patch.object(control_client.follower, "HISTORY_MS", float("inf")),
+        patch.object(control_client.state_follower, "LATER_MS", float("-inf")),
+        patch.object(control_client.state_follower, "HISTORY_MS", float("inf")),
     ):
         yield
 
--- a/packages/control-sim/tests/test_control_sim.py
+++ b/packages/control-sim/tests/test_control_sim.py
@@ -5,10 +5,10 @@
 import pytest
 from control_sim import KINDS, NAMES, outcome_of, plan, subject
 from control_sim.command import main
-from control_sim.plans import KillAll
-from flaws import FLAWS, found
+from control_sim.fault_plans import KillAll
 from fleet_sim import Plan, run, shrink
 from fleet_sim.faults import Kill, Noise, Pause
+from mutants import FLAWS, found
 
 SEEDS = 500
 RARE = {  # found by few seeds, or by none: see docs/design/control.md
