--- a/benchmarks/relay_core.py
+++ b/benchmarks/relay_core.py
@@ -13,7 +13,16 @@
 import tracemalloc
 from typing import Any
 
-from control_relay import Answer, Confirmed, ListTold, Polled, PurgeTold, Relay, RelaySettings
+from control_relay import (
+    EndpointListUpdate,
+    PollReceived,
+    PollRequest,
+    PurgeReceived,
+    Relay,
+    RelaySettings,
+    SendResponse,
+    UpstreamConfirmed,
+)
 from sansio_core import SetTimer, Started, TimerFired
 
 BASE = 1_764_600_000 << 20
@@ -45,8 +54,8 @@
         self.purges, self.number = purges, 1
         self.names = [f"router-{number:04}" for number in range(routers)]
         self.handle(Started())
-        self.handle(ListTold(1, 1, True, tuple(shelf(number) for number in range(shelfs))))
-        self.handle(Confirmed(0.0, 1))
+        self.handle(EndpointListUpdate(1, 1, True, tuple(shelf(number) for number in range(shelfs))))
+        self.handle(UpstreamConfirmed(0.0, 1))
         for poller in range(routers):
             self.push(poller * 1.0, ("poll", poller, 0))
         self.push(0.0, ("purge", 0, 0))
@@ -64,10 +73,10 @@
         count, total = self.cost.get(type(event).__name__, (0, 0.0))
         self.cost[type(event).__name__] = count + 1, total + took
         for action in actions:
-            if isinstance(action, Answer):
+            if isinstance(action, SendResponse):
                 self.answers += 1
                 self.told_bytes += len(action.body)
-                self.push(self.now + AGAIN_MS, ("poll", action.poller, self.relay.log.told))
+                self.push(self.now + AGAIN_MS, ("poll", action.poller, self.relay.state.log.delivered))
             elif isinstance(action, SetTimer):
                 self.push(self.now + action.in_ms, ("timer", action.token, 0))
 
@@ -76,13 +85,14 @@
             self.now, _, (kind, who, resume) = heapq.heappop(self.queue)
             if kind == "poll":
                 epoch = self.relay.epoch if resume else ""
-                self.handle(Polled(who, resume, BLOCK_MS, epoch, "router", self.names[who]))
+                request = PollRequest(resume, BLOCK_MS, epoch, "router", self.names[who])
+                self.handle(PollReceived(who, request))
             elif kind == "timer":
                 self.handle(TimerFired(who))
             else:
                 self.number += 1
-                self.handle(PurgeTold(self.number, f"{self.number * 7919:016x}", -1, 1e12 + self.now))
-                self.handle(Confirmed(0.0, self.number))
+                self.handle(PurgeReceived(self.number, f"{self.number * 7919:016x}", -1, 1e12 + self.now))
+                self.handle(UpstreamConfirmed(0.0, self.number))
                 self.push(self.now + 1_000.0 / self.purges, ("purge", 0, 0))
 
 
@@ -94,10 +104,10 @@
     bench.answers = bench.told_bytes = 0
     bench.run(2_000.0 + seconds * 1_000.0)
     total = sum(cost for _, cost in bench.cost.values())
-    polls, poll_s = bench.cost["Polled"]
-    events, event_s = bench.cost["PurgeTold"]
+    polls, poll_s = bench.cost["PollReceived"]
+    events, event_s = bench.cost["PurgeReceived"]
     flushes, flush_s = bench.cost["TimerFired"]
-    behind = bench.relay.log.told - bench.relay.marks.done
+    behind = bench.relay.state.log.delivered - bench.relay.low_water_marks.acknowledged
     tracemalloc.start()
     Bench(routers, purges, shelfs).run(12_000.0)
     peak = tracemalloc.get_traced_memory()[1]
--- a/packages/control-relay/src/control_relay/active_purges.py
+++ b/packages/control-relay/src/control_relay/active_purges.py
@@ -1,4 +1,4 @@
-"""Purges that hold, by what they purge: the latest time wins."""
+"""Purges that are still delivered, by their target: of several for one target the latest wins."""
 
 from __future__ import annotations
 
@@ -9,78 +9,100 @@
 
 from sortedcontainers import SortedList
 
-from control_relay.encoding import LARGEST, whole_number
+from control_relay.validation import int_or_default
 
-GROUPS = 256
-HEX = frozenset("0123456789abcdef")
-What = str | int  # an object's 16 hex digits, or a group
+GROUP_COUNT = 256
+"""Groups are numbered from 0 to one less than this."""
 
+UNKNOWN_GROUP = -1
 
-def what_of(key: object, family: object) -> What | None:
-    """The object or group that is meant; None where that can't be read."""
+KEY_DIGITS = 16
+HEX_DIGITS = frozenset("0123456789abcdef")
+
+PurgeTarget = str | int
+"""An object's ``KEY_DIGITS`` hexadecimal digits, or a group's number."""
+
+
+def parse_target(key: object, group: object) -> PurgeTarget | None:
+    """Return the object or group that a purge names; None where it cannot be read."""
     if key is None:
-        group = whole_number(family, -1)
-        return group if 0 <= group < GROUPS else None
-    if not isinstance(key, str) or not 0 < len(key) <= 16:
+        number = parse_group(group)
+        return number if number != UNKNOWN_GROUP else None
+    if not isinstance(key, str) or not 0 < len(key) <= KEY_DIGITS:
         return None
     digits = key.lower()
-    return digits.zfill(16) if HEX.issuperset(digits) else None
+    return digits.zfill(KEY_DIGITS) if HEX_DIGITS.issuperset(digits) else None
 
 
-def time_of(when_ms: object) -> float:
-    """Unix ms, or infinity where it can't be read."""
-    number = isinstance(when_ms, int | float) and not isinstance(when_ms, bool)
-    return float(when_ms) if number and -LARGEST <= when_ms <= LARGEST else math.inf  # type: ignore[operator,arg-type]
+def parse_group(group: object) -> int:
+    """Return a group's number, or ``UNKNOWN_GROUP``."""
+    number = int_or_default(group, UNKNOWN_GROUP)
+    return number if 0 <= number < GROUP_COUNT else UNKNOWN_GROUP
 
 
 @dataclass(slots=True)
-class Purge:
-    what: What
-    group: int  # of the object, -1 where it is not known
-    when_ms: float
+class ActivePurge:
+    """A purge under the relay's event number; ``group`` is the object's, or ``UNKNOWN_GROUP``."""
+
+    target: PurgeTarget
+    group: int
+    issued_unix_ms: float
     number: int
-    until: float
+    expires_at_ms: float
 
+    def is_as_late_as(self, issued_unix_ms: float) -> bool:
+        """Return whether this purge makes one issued at that time redundant.
 
-class Purges:
-    """By object and group; oldest holds first."""
+        A purge without a readable time makes none redundant.
+        """
+        return issued_unix_ms <= self.issued_unix_ms < math.inf
+
+
+class ActivePurges:
+    """Purges by target and in the order of their expiry."""
 
     def __init__(self) -> None:
-        self._held: dict[What, Purge] = {}
-        self._ends: SortedList[tuple[float, int, Purge]] = SortedList()
-        self.next_end = math.inf  # when the first hold passes
+        self.next_expiry_ms = math.inf
+        self._by_target: dict[PurgeTarget, ActivePurge] = {}
+        self._by_expiry: SortedList[tuple[float, int, ActivePurge]] = SortedList()
 
     def __len__(self) -> int:
-        return len(self._held)
-
-    def get(self, what: What) -> Purge | None:
-        return self._held.get(what)
-
-    def add(self, purge: Purge) -> Purge | None:
-        """Returns the one that it supersedes."""
-        old = self._held.get(purge.what)
-        if old is not None:
-            self.remove(old)
-        self._held[purge.what] = purge
-        self._ends.add((purge.until, purge.number, purge))
-        self.next_end = self._ends[0][0]
-        return old
-
-    def remove(self, purge: Purge) -> None:
-        del self._held[purge.what]
-        self._ends.remove((purge.until, purge.number, purge))
-        self.next_end = self._ends[0][0] if self._ends else math.inf
-
-    def passed(self, now: float) -> Iterator[Purge]:
-        """Take out those whose hold has passed."""
-        while self.next_end <= now:
-            purge = self._ends[0][2]
+        return len(self._by_target)
+
+    def get(self, target: PurgeTarget) -> ActivePurge | None:
+        """Return the purge of this target, if there is one."""
+        return self._by_target.get(target)
+
+    def add(self, purge: ActivePurge) -> ActivePurge | None:
+        """Add a purge; return the one of the same target that it supersedes."""
+        superseded = self._by_target.get(purge.target)
+        if superseded is not None:
+            self.remove(superseded)
+        self._by_target[purge.target] = purge
+        self._by_expiry.add((purge.expires_at_ms, purge.number, purge))
+        self._update_next_expiry()
+        return superseded
+
+    def remove(self, purge: ActivePurge) -> None:
+        """Remove a purge that is present."""
+        del self._by_target[purge.target]
+        self._by_expiry.remove((purge.expires_at_ms, purge.number, purge))
+        self._update_next_expiry()
+
+    def pop_expired(self, now: float) -> Iterator[ActivePurge]:
+        """Remove and yield the purges whose retention has ended."""
+        while self.next_expiry_ms <= now:
+            purge = self._by_expiry[0][2]
             self.remove(purge)
             yield purge
 
-    def by_end(self) -> Iterator[Purge]:
-        """The one whose hold passes first comes first."""
-        return (purge for _, _, purge in self._ends)
+    def by_expiry(self) -> Iterator[ActivePurge]:
+        """Yield all purges, the first to expire first."""
+        return (purge for _, _, purge in self._by_expiry)
+
+    def oldest_objects(self, count: int) -> list[ActivePurge]:
+        """Return up to ``count`` purges of objects, the first to expire first."""
+        return list(islice((purge for purge in self.by_expiry() if isinstance(purge.target, str)), count))
 
-    def oldest_objects(self, most: int) -> list[Purge]:
-        return list(islice((purge for purge in self.by_end() if isinstance(purge.what, str)), most))
+    def _update_next_expiry(self) -> None:
+        self.next_expiry_ms = self._by_expiry[0][0] if self._by_expiry else math.inf
--- /dev/null
+++ b/packages/control-relay/src/control_relay/delivery_times.py
@@ -0,0 +1,35 @@
+"""When events were delivered."""
+
+from __future__ import annotations
+
+import math
+from bisect import bisect_right
+from typing import NamedTuple
+
+MAX_BATCHES = 1_024
+"""Batches remembered; past it the older half is thinned out."""
+
+
+class _Batch(NamedTuple):
+    last_number: int
+    delivered_at_ms: float
+
+
+class DeliveryTimes:
+    """Delivery times of the last batches, coarser for older ones."""
+
+    def __init__(self, max_batches: int = MAX_BATCHES) -> None:
+        self._max_batches = max_batches
+        self._batches: list[_Batch] = []
+
+    def record(self, last_number: int, now: float) -> None:
+        """Record that all events up to ``last_number`` are delivered."""
+        self._batches.append(_Batch(last_number, now))
+        if len(self._batches) > self._max_batches:
+            half = self._max_batches // 2
+            self._batches = self._batches[0:half:2] + self._batches[half:]
+
+    def first_after(self, number: int) -> float:
+        """Return when an event after this number was first delivered; infinite where none was."""
+        index = bisect_right(self._batches, number, key=lambda batch: batch.last_number)
+        return self._batches[index].delivered_at_ms if index < len(self._batches) else math.inf
--- a/packages/control-relay/src/control_relay/encoding.py
+++ b/packages/control-relay/src/control_relay/encoding.py
@@ -1,80 +1,91 @@
-"""The wire form of events and answers, made once each."""
+"""JSON encoding of events and poll responses, in the form of the command channel's wire."""
 
 from __future__ import annotations
 
 import json
 import math
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
-LARGEST = 1 << 53  # of a number: past it JSON's readers differ
-MOST_LINE = 4_096  # bytes of a shelf's line; a longer one keeps the keys known here alone
-MOST_TEXT = 255  # characters of a text in it
-KNOWN = ("host", "dial", "site", "class", "block", "health", "share", "born_ms")
+from control_relay.validation import MAX_SAFE_INTEGER
 
+MAX_ENDPOINT_BYTES = 4_096
+"""Encoded size of an endpoint; a larger one is reduced to ``KNOWN_KEYS``."""
 
-def encode(value: Any) -> bytes:
-    """JSON without spaces, keys in order.  Raises ValueError, TypeError or RecursionError."""
-    return json.dumps(value, separators=(",", ":"), sort_keys=True, allow_nan=False).encode()
+MAX_TEXT_LENGTH = 255
+"""Characters of a text in a reduced endpoint, and of an endpoint's name."""
 
+KNOWN_KEYS = ("host", "dial", "site", "class", "block", "health", "share", "born_ms")
+"""Keys of an endpoint that routers read."""
 
-def whole_number(value: Any, default: int = 0) -> int:
-    """A number as JSON's readers agree on it, or the default."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not -LARGEST <= value <= LARGEST:
-        return default
-    return int(value)
 
+@dataclass(frozen=True, slots=True)
+class EncodedEndpoint:
+    """An endpoint's name, its JSON, and whether it has left the list."""
 
-def duration(value: Any, most: float) -> float:
-    """Milliseconds in [0, most]; 0 for what is none."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        return 0.0
-    return float(min(value, most))
+    name: str
+    data: bytes
+    has_left: bool
 
 
-def age_of(value: Any) -> float | None:
-    """Milliseconds, at least 0; None for what is none."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) <= LARGEST:
-        return None
-    return max(0.0, float(value))
+def encode_json(value: Any) -> bytes:
+    """Encode without spaces and with sorted keys, so that equal values have equal encodings.
+
+    Raises ValueError, TypeError or RecursionError for what JSON cannot express.
+    """
+    return json.dumps(value, separators=(",", ":"), sort_keys=True, allow_nan=False).encode()
 
 
-def line(host: Any) -> tuple[str, bytes, bool] | None:
-    """A shelf's name, its line, and whether it has left; None for what names no shelf."""
-    if not isinstance(host, Mapping) or not isinstance(name := host.get("host"), str):
+def encode_endpoint(endpoint: Any) -> EncodedEndpoint | None:
+    """Encode an endpoint; None where it has no valid name."""
+    if not isinstance(endpoint, Mapping):
         return None
-    if not 0 < len(name) <= MOST_TEXT:
+    name = endpoint.get("host")
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_TEXT_LENGTH:
         return None
     try:
-        data = encode(dict(host))
+        data = encode_json(dict(endpoint))
     except (ValueError, TypeError, RecursionError):
         data = b""
-    if not 0 < len(data) <= MOST_LINE:
-        # Guards memory against one line; what is missing in it, routers read on the side that breaks no rule.
-        data = encode({key: host[key] for key in KNOWN if key in host and _plain(host[key])})
-    return name, data, host.get("health") == "left"
+    if not 0 < len(data) <= MAX_ENDPOINT_BYTES:
+        # Bounds memory per endpoint.  Routers replace missing keys by their most cautious reading.
+        known = {key: endpoint[key] for key in KNOWN_KEYS if key in endpoint}
+        data = encode_json({key: value for key, value in known.items() if _is_short_scalar(value)})
+    return EncodedEndpoint(name, data, endpoint.get("health") == "left")
 
 
-def _plain(value: Any) -> bool:
+def _is_short_scalar(value: Any) -> bool:
     if isinstance(value, str):
-        return len(value) <= MOST_TEXT
-    return isinstance(value, int | float) and math.isfinite(value) and abs(value) <= LARGEST
-
-
-def list_event(number: int, seq: int | None, whole: bool, lines: Iterable[bytes]) -> bytes:
-    head = b'{"cursor":%d,"nodes":{"seq":%s,"whole":%s,"hosts":[' % (number, encode(seq), encode(whole))
-    return head + b",".join(lines) + b"]}}"
-
-
-def purge_event(number: int, key: str | None, family: int, when_ms: float) -> bytes:
-    """A time that is not finite goes out as null, which every router reads as now."""
-    what: dict[str, Any] = {"family": family} if key is None else {"id": key}
-    if math.isfinite(when_ms):
-        what["when"] = int(when_ms) if when_ms == int(when_ms) else when_ms
+        return len(value) <= MAX_TEXT_LENGTH
+    return isinstance(value, int | float) and math.isfinite(value) and abs(value) <= MAX_SAFE_INTEGER
+
+
+def encode_list_event(number: int, seq: int | None, is_complete: bool, endpoints: Iterable[bytes]) -> bytes:
+    """Encode a list event of endpoints that are encoded already."""
+    header = b'{"cursor":%d,"nodes":{"seq":%s,"whole":%s,"hosts":[' % (
+        number,
+        encode_json(seq),
+        encode_json(is_complete),
+    )
+    return header + b",".join(endpoints) + b"]}}"
+
+
+def encode_purge_event(number: int, target: str | int, issued_unix_ms: float) -> bytes:
+    """Encode a purge of an object (text) or group (number).
+
+    A non-finite time is sent as null, which every router reads as now.
+    """
+    purge: dict[str, Any] = {"id": target} if isinstance(target, str) else {"family": target}
+    if not math.isfinite(issued_unix_ms):
+        purge["when"] = None
+    elif issued_unix_ms == int(issued_unix_ms):
+        purge["when"] = int(issued_unix_ms)
     else:
-        what["when"] = None
-    return b'{"cursor":%d,"drop":%s}' % (number, encode(what))
+        purge["when"] = issued_unix_ms
+    return b'{"cursor":%d,"drop":%s}' % (number, encode_json(purge))
 
 
-def answer(epoch: str, age_ms: int, cursor: int, events: bytes) -> bytes:
+def encode_response(epoch: str, age_ms: int, cursor: int, events: bytes) -> bytes:
+    """Encode a poll response around events that are encoded and joined already."""
     return b'{"cursor":%d,"epoch":"%s","age":%d,"cmds":[%s]}' % (cursor, epoch.encode(), age_ms, events)
--- a/packages/control-relay/src/control_relay/endpoints.py
+++ b/packages/control-relay/src/control_relay/endpoints.py
@@ -1,66 +1,70 @@
-"""The list of shelfs as it stands."""
+"""The current endpoint list, each endpoint kept in its encoded form."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import Any
 
-from control_relay.encoding import line, list_event
+from control_relay.encoding import encode_endpoint, encode_list_event
 
 
-class Shelves:
-    """Holds ``most`` shelfs at most; those that have left are not held, for a whole list tells who is
-    there."""
+class EndpointList:
+    """The endpoints that are in the list now; those that have left are not kept.
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.number = 0  # of the last change, the relay's own; 0: no whole list has come
+    ``number`` is the relay's number of the last change, 0 until a complete list has come; ``seq`` is
+    discovery's version; ``rejected`` counts endpoints that were not taken.
+    """
+
+    def __init__(self, max_endpoints: int) -> None:
+        self.number = 0
         self.seq: int | None = None
-        self.passed_over = 0  # lines that could not be taken
-        self._lines: dict[str, bytes] = {}
-        self._whole = b""
+        self.rejected = 0
+        self._max_endpoints = max_endpoints
+        self._endpoints: dict[str, bytes] = {}
+        self._encoded = b""
 
     def __len__(self) -> int:
-        return len(self._lines)
+        return len(self._endpoints)
 
-    def whole(self, hosts: Iterable[Any], seq: int | None) -> bool:
-        """Take a whole list; False if it says what stands."""
-        lines: dict[str, bytes] = {}
-        self._enter(lines, hosts)
-        if self.number and (lines, seq) == (self._lines, self.seq):
+    def replace(self, endpoints: Iterable[Any], seq: int | None) -> bool:
+        """Take a complete list; return False if it equals the current one."""
+        replacement: dict[str, bytes] = {}
+        self._merge(replacement, endpoints)
+        if self.number and replacement == self._endpoints and seq == self.seq:
             return False
-        self._lines, self.seq = lines, seq
+        self._endpoints = replacement
+        self.seq = seq
         return True
 
-    def change(self, hosts: Iterable[Any], seq: int | None) -> list[bytes]:
-        """Take a change; returns the lines to be told."""
+    def apply(self, endpoints: Iterable[Any], seq: int | None) -> list[bytes]:
+        """Apply a change; return the encoded endpoints that were taken."""
         self.seq = seq
-        return self._enter(self._lines, hosts)
+        return self._merge(self._endpoints, endpoints)
 
-    def numbered(self, number: int) -> None:
-        """What was taken last is told under this number."""
-        self.number, self._whole = number, b""
+    def assign_number(self, number: int) -> None:
+        """Record the event number of the last change."""
+        self.number = number
+        self._encoded = b""
 
-    def event(self) -> bytes:
-        """The whole list, under the number of its last change."""
-        if not self._whole:
-            self._whole = list_event(self.number, self.seq, True, self._lines.values())
-        return self._whole
+    def encoded_event(self) -> bytes:
+        """Return the complete list as an event under the number of its last change."""
+        if not self._encoded:
+            self._encoded = encode_list_event(self.number, self.seq, True, self._endpoints.values())
+        return self._encoded
 
-    def _enter(self, lines: dict[str, bytes], hosts: Iterable[Any]) -> list[bytes]:
-        told = []
-        for host in hosts:
-            read = line(host)
-            if read is None:
-                self.passed_over += 1
+    def _merge(self, into: dict[str, bytes], endpoints: Iterable[Any]) -> list[bytes]:
+        taken = []
+        for endpoint in endpoints:
+            encoded = encode_endpoint(endpoint)
+            if encoded is None:
+                self.rejected += 1
                 continue
-            name, data, left = read
-            if left:
-                lines.pop(name, None)
-            elif name in lines or len(lines) < self.most:
-                lines[name] = data
-            else:  # Guards memory; routers never hear of a shelf that is not held
-                self.passed_over += 1
+            if encoded.has_left:
+                into.pop(encoded.name, None)
+            elif encoded.name in into or len(into) < self._max_endpoints:
+                into[encoded.name] = encoded.data
+            else:  # Bounds memory: members never hear of an endpoint that is not kept here.
+                self.rejected += 1
                 continue
-            told.append(data)
-        return told
+            taken.append(encoded.data)
+        return taken
--- a/packages/control-relay/src/control_relay/event_log.py
+++ b/packages/control-relay/src/control_relay/event_log.py
@@ -1,110 +1,134 @@
-"""The numbered events, each encoded once."""
+"""The log of numbered events, each encoded once."""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from heapq import merge
+from typing import NamedTuple
 
 from sortedcontainers import SortedDict
 
-Encode = Callable[[int], bytes]  # an event under its number
 
+class LogEvent(NamedTuple):
+    """An event number and the encoded event."""
 
-class Log:
-    """Events up to ``told`` have gone out; those up to ``head`` wait to be joined.
+    number: int
+    data: bytes
 
-    A router whose ``resume`` is not below ``floor`` finds all that it lacks here.  What is superseded leaves
-    the log only when what supersedes it goes out: until then nobody has been told either."""
 
-    def __init__(self, first: int, most_changes: int, most_change_bytes: int) -> None:
-        self.head = self.told = first - 1
-        self.floor = first
-        self.changes: SortedDict[int, bytes] = SortedDict()
-        self.purges: SortedDict[int, bytes] = SortedDict()
-        self.bytes = 0
-        self._most, self._most_bytes = most_changes, most_change_bytes
-        self._live: deque[int] = deque()  # changes that are not superseded
-        self._live_bytes = 0
-        self._retired: list[int] = []
+class EventLog:
+    """Events up to ``delivered`` have been sent out; those up to ``head`` wait for their batch.
+
+    A member whose ``resume`` is not below ``floor`` finds all that it lacks here.  A superseded event leaves
+    the log only when the event that supersedes it is delivered: a response in between that contained neither
+    would acknowledge both.
+    """
+
+    def __init__(self, first_number: int, max_list_changes: int, max_list_change_bytes: int) -> None:
+        self.head = first_number - 1
+        self.delivered = first_number - 1
+        self.floor = first_number
+        self.size_bytes = 0
+        self._max_list_changes = max_list_changes
+        self._max_list_change_bytes = max_list_change_bytes
+        self._list_changes: SortedDict[int, bytes] = SortedDict()
+        self._purges: SortedDict[int, bytes] = SortedDict()
+        self._current_changes: deque[int] = deque()  # numbers of changes that are not superseded
+        self._current_change_bytes = 0
+        self._superseded: list[int] = []
 
     def __len__(self) -> int:
-        return len(self.changes) + len(self.purges)
+        return len(self._list_changes) + len(self._purges)
 
     @property
-    def pending(self) -> bool:
-        return self.head > self.told
+    def next_number(self) -> int:
+        """The number of the event that is appended next."""
+        return self.head + 1
 
     @property
-    def crowded(self) -> bool:
-        """Whether so much is superseded that it should go out now."""
-        return len(self._retired) > self._most
-
-    def add_purge(self, encode: Encode) -> int:
-        return self._add(self.purges, encode)
-
-    def add_change(self, encode: Encode, whole: bool) -> int:
-        """A whole list supersedes all changes before it."""
-        if whole:
-            for number in self._live:
-                self.retire(number)
-            self._live.clear()
-            self._live_bytes = 0
-        number = self._add(self.changes, encode)
-        self._live.append(number)
-        self._live_bytes += len(self.changes[number])
-        while len(self._live) > self._most or self._live_bytes > self._most_bytes:
-            self._forget()
+    def has_undelivered(self) -> bool:
+        """Whether events wait to be delivered."""
+        return self.head > self.delivered
+
+    @property
+    def is_crowded(self) -> bool:
+        """Whether so many superseded events are kept that the batch should be delivered now."""
+        return len(self._superseded) > self._max_list_changes
+
+    def append_purge(self, data: bytes) -> int:
+        """Append an encoded purge; return its number."""
+        return self._append(self._purges, data)
+
+    def append_list_change(self, data: bytes, is_complete: bool) -> int:
+        """Append an encoded list event; return its number.  A complete list supersedes all changes before."""
+        if is_complete:
+            for superseded in self._current_changes:
+                self.supersede(superseded)
+            self._current_changes.clear()
+            self._current_change_bytes = 0
+        number = self._append(self._list_changes, data)
+        self._current_changes.append(number)
+        self._current_change_bytes += len(data)
+        while self._exceeds_bounds():
+            self._drop_oldest_change()
         return number
 
-    def retire(self, number: int) -> None:
-        """An event is superseded by one that follows."""
-        if number > self.told:
-            self.drop(number)
+    def supersede(self, number: int) -> None:
+        """Mark an event as superseded by one that follows."""
+        if number > self.delivered:
+            self.remove(number)
         else:
-            self._retired.append(number)
+            self._superseded.append(number)
 
-    def drop(self, number: int) -> None:
-        for events in (self.purges, self.changes):
+    def remove(self, number: int) -> None:
+        """Remove an event; nothing happens where it is no longer present."""
+        for events in (self._purges, self._list_changes):
             data = events.pop(number, None)
             if data is not None:
-                self.bytes -= len(data)
-
-    def flush(self) -> None:
-        """What waits goes out now."""
-        for number in self._retired:
-            self.drop(number)
-        self._retired.clear()
-        self.told = self.head
-
-    def first_after(self, resume: int) -> int:
-        """The number of the first event that has gone out and is later; 0: none."""
-        first = 0
-        for events in (self.purges, self.changes):
-            at = events.bisect_right(resume)
-            if at < len(events):
-                number = events.keys()[at]
-                first = min(first, number) if first else number
-        return first if first <= self.told else 0
-
-    def after(self, resume: int) -> Iterator[tuple[int, bytes]]:
-        """Events that have gone out and are later, by their numbers."""
-        return merge(self.purges_after(resume), self._between(self.changes, resume))
-
-    def purges_after(self, resume: int) -> Iterator[tuple[int, bytes]]:
-        return self._between(self.purges, resume)
-
-    def _between(self, events: SortedDict[int, bytes], resume: int) -> Iterator[tuple[int, bytes]]:
-        return ((number, events[number]) for number in events.irange(resume + 1, self.told))
-
-    def _add(self, events: SortedDict[int, bytes], encode: Encode) -> int:
+                self.size_bytes -= len(data)
+
+    def mark_delivered(self) -> None:
+        """Count everything up to ``head`` as delivered, and remove what it supersedes."""
+        for number in self._superseded:
+            self.remove(number)
+        self._superseded.clear()
+        self.delivered = self.head
+
+    def first_after(self, resume: int) -> int | None:
+        """Return the number of the first delivered event after ``resume``; None where there is none."""
+        first = None
+        for events in (self._purges, self._list_changes):
+            index = events.bisect_right(resume)
+            if index < len(events):
+                number = events.keys()[index]
+                first = number if first is None else min(first, number)
+        return first if first is not None and first <= self.delivered else None
+
+    def events_after(self, resume: int) -> Iterator[LogEvent]:
+        """Yield the delivered events after ``resume`` in the order of their numbers."""
+        return merge(self.purges_after(resume), self._delivered_after(self._list_changes, resume))
+
+    def purges_after(self, resume: int) -> Iterator[LogEvent]:
+        """Yield the delivered purges after ``resume`` in the order of their numbers."""
+        return self._delivered_after(self._purges, resume)
+
+    def _delivered_after(self, events: SortedDict[int, bytes], resume: int) -> Iterator[LogEvent]:
+        return (LogEvent(number, events[number]) for number in events.irange(resume + 1, self.delivered))
+
+    def _append(self, events: SortedDict[int, bytes], data: bytes) -> int:
         self.head += 1
-        data = events[self.head] = encode(self.head)
-        self.bytes += len(data)
+        events[self.head] = data
+        self.size_bytes += len(data)
         return self.head
 
-    def _forget(self) -> None:
-        number = self._live.popleft()
-        self._live_bytes -= len(self.changes[number])
-        self.drop(number)
+    def _exceeds_bounds(self) -> bool:
+        if len(self._current_changes) > self._max_list_changes:
+            return True
+        return self._current_change_bytes > self._max_list_change_bytes
+
+    def _drop_oldest_change(self) -> None:
+        number = self._current_changes.popleft()
+        self._current_change_bytes -= len(self._list_changes[number])
+        self.remove(number)
         self.floor = number
--- a/packages/control-relay/src/control_relay/events.py
+++ b/packages/control-relay/src/control_relay/events.py
@@ -1,170 +1,242 @@
-"""What goes into ``Relay`` and comes out of it.  Times are ms on the caller's monotonic clock."""
+"""Events and actions of ``Relay``, and the reports that it gives about itself.
+
+Times are milliseconds on the caller's monotonic clock unless a name says ``unix``.  Values that come from the
+network are not trusted: a value of the wrong type or range is replaced by the field's default.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import Enum, StrEnum
 from typing import Any
 
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
-Host = Mapping[
-    str, Any
-]  # a shelf's line in the form of the wire: host, dial, site, ..., and keys not known here
+Endpoint = Mapping[str, Any]
+"""One endpoint in its wire form: ``host``, ``dial``, ``site`` and so on; unknown keys are passed on."""
+
+
+class PollerRole(StrEnum):
+    """Who sends a poll; the values are those of the wire.  An unknown value counts as ``ROUTER``."""
+
+    ROUTER = "router"
+    RELAY = "relay"
+    SIBLING = "sibling"
+    """A relay of the same level, which is served but neither tracked nor waited for."""
+
+    PROBE = "probe"
+    """A health check: answered at once with the age alone.  A probe with a name deregisters its sender."""
+
+
+class RejectReason(StrEnum):
+    """Why a poll is answered with status 503; the values appear in logs and counters."""
+
+    NO_STATE = "no-state"
+    POLLS_FULL = "polls-full"
+    ROUTERS_FULL = "routers-full"
+
+
+class MemberState(StrEnum):
+    """State of a member that lacks events; the values are those that the admin endpoint shows."""
+
+    LAGGING = "lagging"
+    UNREACHABLE = "cut-off"
+
+
+class Readiness(Enum):
+    """Whether a relay can serve.  It becomes ready once and stays so."""
+
+    NO_STATE = "no-state"
+    READY = "ready"
 
 
 @dataclass(frozen=True, slots=True)
-class Attached:
-    """From now on another upstream is followed, or the same one under another epoch: numbers start anew."""
+class UpstreamChanged:
+    """The relay now follows another upstream, or the same one in a new epoch: event numbers start anew."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListTold:
-    """A list event of the upstream that was taken.  ``number`` is the upstream's; ``seq`` is discovery's,
-    None where it could not be read.  Lines that can't be read are counted, and passed over or told as
-    leaving."""
+class EndpointListUpdate:
+    """The upstream sent its endpoint list, or changes of it.
+
+    ``number`` is the upstream's event number, and ``seq`` discovery's version of the list, None where it
+    could not be read.  Endpoints that cannot be read are counted as faults.
+    """
 
     number: int
     seq: int | None
-    whole: bool
-    hosts: tuple[Host, ...]
+    is_complete: bool
+    endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class PurgeTold:
-    """A purge of the upstream that was taken: of an object (``key``, hex digits), or of a group (``key``
-    None, ``family`` 0 to 255).  With an object, ``family`` is its group, or -1 where it is not known.
-    ``when_ms`` in Unix ms; not finite: it could not be read, and counts as now.  ``age_ms``: for how long it
-    has been told at least, 0 where that is not known; its hold is shorter by that."""
+class PurgeReceived:
+    """The upstream sent a purge of an object (``key``, hexadecimal) or of a group (``key`` is None).
+
+    With a key, ``group`` is the object's group, or -1 where it is unknown.  A non-finite ``issued_unix_ms``
+    could not be read and counts as now.  ``age_ms`` is the least time since the purge was issued, 0 where it
+    is unknown; it shortens the retention.
+    """
 
     number: int
     key: str | None
-    family: int
-    when_ms: float
+    group: int
+    issued_unix_ms: float
     age_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
-    """An upstream's answer has come whole: all that was told so far stood so ``age_ms`` ago, or later.  The
-    first one after a whole list makes the relay ready.  ``number`` is the upstream's up to which all was
-    taken or passed over; 0 where that is not known: then up to the last event that came.  Only what it covers
-    is ever handed up as done."""
+class UpstreamConfirmed:
+    """A response of the upstream was received completely.
+
+    Everything received so far was current ``age_ms`` ago or later.  ``number`` is the upstream's event number
+    up to which everything was processed, 0 for that of the last event received.  Only what a confirmation
+    covers is ever reported upstream as acknowledged.  The first one after a complete list makes the relay
+    ready.
+    """
 
     age_ms: float
     number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Polled:
-    """A poll has come.  ``poller`` names its connection; an earlier poll of the same one gets no answer any
-    more. ``epoch`` is empty where the poll has none; ``role`` is ``router``, ``relay``, ``sibling`` or
-    ``probe``: this is answered at once with nothing but the age, and one with a name says that its sender is
-    served elsewhere now and is not to be waited for.  ``name`` is empty where it counts as long as its
-    connection lives.  ``done``, ``behind`` and ``names`` are a relay's."""
+class PollRequest:
+    """The content of a poll.
+
+    ``resume`` is the number of the last event that the poller has, and ``epoch`` the numbers it belongs to,
+    empty where the poll names none.  ``name`` is empty for a poller that is known by its connection only.
+    The last three fields are a relay's ``UpstreamProgress``.
+    """
 
-    poller: int
     resume: int
     block_ms: float
     epoch: str = ""
-    role: str = "router"
+    role: str = PollerRole.ROUTER
     name: str = ""
-    done: int = 0
-    behind: int = 0
-    names: tuple[str, ...] = ()
+    acknowledged: int = 0
+    lagging_count: int = 0
+    lagging_names: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class PollReceived:
+    """A poll arrived on connection ``poller``.  An earlier poll of the same connection gets no response."""
+
+    poller: int
+    request: PollRequest
 
 
 @dataclass(frozen=True, slots=True)
-class PollerGone:
-    """A connection has ended; its poll gets no answer any more."""
+class PollerDisconnected:
+    """A connection ended; its poll gets no response."""
 
     poller: int
 
 
 @dataclass(frozen=True, slots=True)
-class Dismissed:
-    """Operators took a router or relay out of service: it is not waited for any more, until it polls
-    again."""
+class MemberDeregistered:
+    """Operators took a router or relay out of service: it is not waited for until it polls again."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """The body of a poll's answer, JSON; one object for all that are told the same."""
+class SendResponse:
+    """Answer a poll with this JSON body; members that lack the same events share one object."""
 
     poller: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """Answer 503.  ``why``: ``no-state``, ``polls-full`` or ``routers-full``."""
+class RejectPoll:
+    """Answer a poll with status 503."""
 
     poller: int
-    why: str
+    reason: RejectReason
 
 
 RelayEvent = (
-    Started | TimerFired | Attached | ListTold | PurgeTold | Confirmed | Polled | PollerGone | Dismissed
+    Started
+    | TimerFired
+    | UpstreamChanged
+    | EndpointListUpdate
+    | PurgeReceived
+    | UpstreamConfirmed
+    | PollReceived
+    | PollerDisconnected
+    | MemberDeregistered
 )
-RelayAction = Answer | Refuse | SetTimer | Notice
+RelayAction = SendResponse | RejectPoll | SetTimer | Notice
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
-    """``head`` is the last number told; ``age_ms`` None before the first ``Confirmed``; ``purges`` that
-    hold."""
+class RelayStatus:
+    """Figures of a relay.
+
+    ``head`` is the last delivered event number and ``acknowledged`` the last one that all members have
+    acknowledged.  ``age_ms`` is None until discovery has confirmed the state.
+    """
 
     ready: bool
     epoch: str
     head: int
-    done: int
+    acknowledged: int
     age_ms: float | None
     seq: int | None
-    shelfs: int
+    endpoints: int
     purges: int
     log_events: int
     log_bytes: int
-    waiting: int
-    present: int
-    cut_off: int
-    forgotten: int
+    pending_polls: int
+    reachable_members: int
+    unreachable_members: int
+    evicted_members: int
     faults: Mapping[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class PurgeStanding:
-    """A purge under the relay's own number.  ``done_since`` None: ``unconfirmed`` have not confirmed it,
-    some of them are ``names``."""
+class PurgeStatus:
+    """Propagation of a purge, under the relay's own event number.
+
+    While ``propagated_at_ms`` is None, ``lagging_count`` routers have not acknowledged it, some of which are
+    ``lagging_names``.
+    """
 
     number: int
     key: str | None
-    family: int
-    when_ms: float
-    told_at: float
-    done_since: float | None
-    unconfirmed: int
-    names: tuple[str, ...]
+    group: int
+    issued_unix_ms: float
+    received_at_ms: float
+    propagated_at_ms: float | None
+    lagging_count: int
+    lagging_names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class RouterStanding:
-    """Who has not confirmed the head.  ``state`` is ``lagging`` or ``cut-off``; ``since`` it has not; of a
-    relay ``unconfirmed`` and ``names`` are those behind it, as it last said."""
+class MemberStatus:
+    """A member that has not acknowledged the last delivered event.
+
+    It lacks something since ``lagging_since_ms``.  For a relay the last two fields describe the routers below
+    it, as it reported them last.
+    """
 
     name: str
-    role: str
-    state: str
-    since: float
-    unconfirmed: int
-    names: tuple[str, ...]
+    role: PollerRole
+    state: MemberState
+    lagging_since_ms: float
+    lagging_count: int
+    lagging_names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class HandedUp:
-    """For the relay's own poll: ``done``, ``behind`` and ``names`` of ``docs/design/control.md``."""
+class UpstreamProgress:
+    """What a relay reports with its own polls (``done``, ``behind`` and ``names`` on the wire).
+
+    ``acknowledged`` is in the upstream's numbers; ``lagging_count`` routers have not acknowledged more.
+    """
 
-    done: int
-    behind: int
-    names: tuple[str, ...]
+    acknowledged: int
+    lagging_count: int
+    lagging_names: tuple[str, ...]
--- a/packages/control-relay/src/control_relay/members.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -1,196 +1,166 @@
-"""Who polls, and what each has confirmed."""
+"""The table of members, indexed so that the least acknowledged number is known without a search."""
 
 from __future__ import annotations
 
 import math
-import re
 from collections import OrderedDict
-from collections.abc import Iterable, Iterator
-from dataclasses import dataclass, field
+from collections.abc import Iterator
+from enum import Enum
 
 from sortedcontainers import SortedDict
 
-from control_relay.encoding import whole_number
-from control_relay.events import Polled
+from control_relay.events import PollerRole, PollRequest
+from control_relay.member import MAX_LAGGING_NAMES, Member
 from control_relay.settings import RelaySettings
+from control_relay.validation import NAME_PATTERN, int_or_default
 
-NAME = re.compile(r"[A-Za-z0-9._-]{1,32}", re.ASCII)  # of an epoch, a router or a relay
-MOST_BEHIND = 1 << 20  # routers behind a relay
-MOST_NAMES = 8  # that are handed up or shown
-MOST_TOLD = 64  # answers of a router that it has not confirmed yet
-
-
-@dataclass(slots=True, eq=False)
-class Router:
-    """A router or a relay below.  ``told``: of answers that it has not confirmed, the last event's number
-    and up to where the answer covers.  ``whole_at``: the number of the list in the last whole state that it
-    was told, None where that is not known."""
-
-    name: str
-    role: str
-    expected: bool
-    seen_at: float
-    poller: int = 0
-    block_ms: float = 0.0
-    resume: int = 0
-    whole_at: int | None = None
-    confirmed: int = 0
-    behind: int = 0
-    names: tuple[str, ...] = ()
-    told: list[tuple[int, int]] = field(default_factory=list)
-
-    def tell(self, last: int, covers: int) -> None:
-        """An answer goes out."""
-        if len(self.told) >= MOST_TOLD:
-            del self.told[::2]  # Guards memory: the answers in between are confirmed with the later ones
-        self.told.append((last, covers))
-
-    def covered(self, taken: int) -> int:
-        """Up to where it holds all, when it says that it has taken the event of this number."""
-        covers, behind = self.confirmed, 0
-        for last, upto in self.told:
-            if last > taken:
-                break
-            covers, behind = max(covers, upto), behind + 1
-        del self.told[:behind]
-        return covers
-
-    @property
-    def weight(self) -> int:
-        """Routers that it stands for."""
-        return max(1, self.behind) if self.role == "relay" else 1
-
-    @property
-    def shown(self) -> tuple[str, ...]:
-        """Their names, as far as they are known."""
-        return self.names if self.role == "relay" and self.names else (self.name,)
-
-
-class Routers:
-    """By name; by what they have confirmed, so that the least of it is known without a search; by their
-    silence."""
-
-    def __init__(self, settings: RelaySettings, now: float) -> None:
-        self._absent_ms, self._most = settings.absent_ms, settings.most_routers
-        self._by_name: dict[str, Router] = {}
-        self._levels: SortedDict[int, dict[str, Router]] = SortedDict()
-        self._silence: OrderedDict[str, Router] = (
-            OrderedDict()
-        )  # those not expected; the longest silent first
-        self.lowest = math.inf  # confirmed by all; infinite: nobody is there
-        self.forgotten = 0
-        for name in settings.expected[: self._most]:
-            self._enter(Router(name, "router", True, now))
+MAX_REPORTED_LAGGING = 1 << 20
+"""Routers behind a relay; a larger report is reduced to this."""
+
+
+class ResumePosition(Enum):
+    """Where a poll continues, compared with what its sender polled for before."""
+
+    CONTINUED = "continued"
+    REWOUND = "rewound"
+    """Below the last poll's number: the sender restarted."""
+
+    FOREIGN = "foreign"
+    """Not a number that this relay has given out in this epoch."""
+
+
+class MemberTableFullError(Exception):
+    """The table is full and every member is reachable or expected."""
+
+
+class MemberTable:
+    """Members by name, by what they have acknowledged, and by how long they have been silent."""
+
+    def __init__(self, settings: RelaySettings) -> None:
+        self.lowest_acknowledged = math.inf  # infinite without members
+        self.evicted = 0
+        self._absence_timeout_ms = settings.absence_timeout_ms
+        self._max_members = settings.max_members
+        self._by_name: dict[str, Member] = {}
+        self._by_acknowledged: SortedDict[int, dict[str, Member]] = SortedDict()
+        self._evictable: OrderedDict[str, Member] = OrderedDict()  # not expected; longest silent first
+        for name in settings.expected_members[: self._max_members]:
+            self._insert(Member(name, PollerRole.ROUTER, is_expected=True, last_poll_at_ms=0.0))
 
     def __len__(self) -> int:
         return len(self._by_name)
 
-    def __iter__(self) -> Iterator[Router]:
+    def __iter__(self) -> Iterator[Member]:
         return iter(self._by_name.values())
 
-    def get(self, name: object) -> Router | None:
+    def get(self, name: object) -> Member | None:
+        """Return the member of this name, which comes from the network and may be of any type."""
         return self._by_name.get(name) if isinstance(name, str) else None
 
-    def polled(self, now: float, name: str, role: str, block_ms: float) -> Router | None:
-        """Who polls; None when there is no place for one more."""
-        router = self._by_name.get(name)
-        if router is None:
-            if len(self._by_name) >= self._most and not self._forget_one(now):
-                return None
-            router = Router(name, role, False, now)
-            self._enter(router)
-        elif not router.expected:
-            self._silence.move_to_end(name)
-        router.role, router.seen_at, router.block_ms = role, now, block_ms
-        return router
-
-    def confirm(self, router: Router, number: int) -> None:
-        """From now on it counts as having confirmed this number, which may be lower than before."""
-        if number == router.confirmed:
-            return
-        self._leave_level(router)
-        router.confirmed = number
-        self._enter_level(router)
-
-    def heard(self, router: Router, poll: Polled, resume: int) -> bool:
-        """Take a confirmation in this epoch; False if the number went back: this is another life."""
-        if resume < router.resume:
-            self.forget_confirmed(router)
-            router.resume = resume
-            return False
-        while router.told and router.told[-1][0] > resume:
-            router.told.pop()  # Guards what superseded an event of an answer that never came
-        router.resume, taken = resume, resume
-        if router.role == "relay":
-            taken = min(resume, whole_number(poll.done))
-            router.behind = min(max(0, whole_number(poll.behind)), MOST_BEHIND)
-            names = poll.names[:MOST_NAMES]
-            router.names = tuple(name for name in names if isinstance(name, str) and NAME.fullmatch(name))
-        self.confirm(router, router.covered(taken))
-        return True
-
-    def forget_confirmed(self, router: Router) -> None:
-        """It begins anew."""
-        router.told.clear()
-        router.resume = 0
-        self.confirm(router, 0)
-
-    def dismiss(self, name: object) -> None:
-        router = self.get(name)
-        if router is not None:
-            del self._by_name[router.name]
-            self._silence.pop(router.name, None)
-            self._leave_level(router)
-
-    def cut_off(self, router: Router, now: float) -> bool:
-        return now - router.seen_at > router.block_ms + self._absent_ms
-
-    def below(self, number: int) -> Iterator[Router]:
-        """Those that have not confirmed it, the furthest behind first."""
-        for level, routers in self._levels.items():
-            if level >= number:
+    def register_poll(self, now: float, name: str, role: PollerRole, block_ms: float) -> Member:
+        """Return the member that polls, a new one where the name is unknown.
+
+        Raises MemberTableFullError where there is no room for a new one.
+        """
+        member = self._by_name.get(name)
+        if member is None:
+            if len(self._by_name) >= self._max_members:
+                self._evict_longest_unreachable(now)
+            member = Member(name, role, is_expected=False, last_poll_at_ms=now)
+            self._insert(member)
+        elif not member.is_expected:
+            self._evictable.move_to_end(name)
+        member.role = role
+        member.last_poll_at_ms = now
+        member.block_ms = block_ms
+        return member
+
+    def apply_poll(self, member: Member, request: PollRequest, resume: int) -> ResumePosition:
+        """Take a poll in this epoch as an acknowledgement of what the member says it has.
+
+        A number below that of the last poll is a restart, which acknowledges nothing.
+        """
+        if resume < member.resume:
+            self.restart(member)
+            member.resume = resume
+            return ResumePosition.REWOUND
+        # A response that never arrived must not be acknowledged by the number of a later event.
+        member.discard_responses_after(resume)
+        member.resume = resume
+        acknowledged = resume
+        if member.role is PollerRole.RELAY:
+            acknowledged = min(resume, int_or_default(request.acknowledged))
+            self._record_progress(member, request)
+        self._set_acknowledged(member, member.acknowledge(acknowledged))
+        return ResumePosition.CONTINUED
+
+    def restart(self, member: Member) -> None:
+        """Forget what a member has acknowledged: it starts with nothing."""
+        member.unacknowledged.clear()
+        member.resume = 0
+        self._set_acknowledged(member, 0)
+
+    def remove(self, name: object) -> None:
+        """Stop waiting for a member; nothing happens where the name is unknown."""
+        member = self.get(name)
+        if member is not None:
+            del self._by_name[member.name]
+            self._evictable.pop(member.name, None)
+            self._remove_from_level(member)
+
+    def is_unreachable(self, member: Member, now: float) -> bool:
+        """Return whether a member has missed the time of its next poll."""
+        return now - member.last_poll_at_ms > member.block_ms + self._absence_timeout_ms
+
+    def not_acknowledged(self, number: int) -> Iterator[Member]:
+        """Yield the members that have not acknowledged ``number``, those that lack most first."""
+        for acknowledged, members in self._by_acknowledged.items():
+            if acknowledged >= number:
                 return
-            yield from routers.values()
-
-    def _enter(self, router: Router) -> None:
-        self._by_name[router.name] = router
-        if not router.expected:
-            self._silence[router.name] = router
-        self._enter_level(router)
-
-    def _enter_level(self, router: Router) -> None:
-        number = router.confirmed
-        routers = self._levels.get(number)
-        if routers is None:
-            routers = self._levels[number] = {}
-            self.lowest = min(self.lowest, number)
-        routers[router.name] = router
-
-    def _leave_level(self, router: Router) -> None:
-        routers = self._levels[router.confirmed]
-        del routers[router.name]
-        if not routers:
-            del self._levels[router.confirmed]
-            self.lowest = self._levels.keys()[0] if self._levels else math.inf
-
-    def _forget_one(self, now: float) -> bool:
-        """The one that is cut off for longest; nobody who is present, nor who is expected."""
-        if not self._silence:
-            return False
-        name, router = next(iter(self._silence.items()))
-        if not self.cut_off(router, now):
-            return False
-        self.dismiss(name)
-        self.forgotten += 1
-        return True
-
-
-def names_of(routers: Iterable[Router]) -> tuple[int, tuple[str, ...]]:
-    """How many routers these stand for, and some of their names."""
-    count = 0
-    names: list[str] = []
-    for router in routers:
-        count += router.weight
-        if len(names) < MOST_NAMES:
-            names.extend(router.shown)
-    return count, tuple(names[:MOST_NAMES])
+            yield from members.values()
+
+    def _record_progress(self, member: Member, request: PollRequest) -> None:
+        count = int_or_default(request.lagging_count)
+        names = request.lagging_names[:MAX_LAGGING_NAMES]
+        member.reported_lagging_count = min(max(0, count), MAX_REPORTED_LAGGING)
+        member.reported_lagging_names = tuple(
+            name for name in names if isinstance(name, str) and NAME_PATTERN.fullmatch(name)
+        )
+
+    def _insert(self, member: Member) -> None:
+        self._by_name[member.name] = member
+        if not member.is_expected:
+            self._evictable[member.name] = member
+        self._add_to_level(member)
+
+    def _set_acknowledged(self, member: Member, number: int) -> None:
+        if number == member.acknowledged:
+            return
+        self._remove_from_level(member)
+        member.acknowledged = number
+        self._add_to_level(member)
+
+    def _add_to_level(self, member: Member) -> None:
+        level = self._by_acknowledged.get(member.acknowledged)
+        if level is None:
+            level = {}
+            self._by_acknowledged[member.acknowledged] = level
+            self.lowest_acknowledged = min(self.lowest_acknowledged, member.acknowledged)
+        level[member.name] = member
+
+    def _remove_from_level(self, member: Member) -> None:
+        level = self._by_acknowledged[member.acknowledged]
+        del level[member.name]
+        if level:
+            return
+        del self._by_acknowledged[member.acknowledged]
+        levels = self._by_acknowledged.keys()
+        self.lowest_acknowledged = levels[0] if levels else math.inf
+
+    def _evict_longest_unreachable(self, now: float) -> None:
+        """Remove the member that has been unreachable for longest; expected ones are never evicted."""
+        longest_silent = next(iter(self._evictable.values()), None)
+        if longest_silent is None or not self.is_unreachable(longest_silent, now):
+            raise MemberTableFullError
+        self.remove(longest_silent.name)
+        self.evicted += 1
--- a/packages/control-relay/src/control_relay/paged_responses.py
+++ b/packages/control-relay/src/control_relay/paged_responses.py
@@ -1,4 +1,4 @@
-"""What a poll is answered with: pages of the log or of the whole state, shared by all who need the same."""
+"""Poll responses: pages of the log or of the complete state, shared by all members that lack the same."""
 
 from __future__ import annotations
 
@@ -6,79 +6,121 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from heapq import merge
+from typing import NamedTuple
 
-from control_relay.encoding import answer
-from control_relay.endpoints import Shelves
-from control_relay.event_log import Log
+from control_relay.encoding import encode_response
+from control_relay.endpoints import EndpointList
+from control_relay.event_log import EventLog, LogEvent
 
-SLACK_MS = 50  # an answer is shared for so long; the age that it tells is greater by this
-MOST_KEPT = 64  # answers
+SHARED_FOR_MS = 50
+"""How long a response is shared.  The age that it states is greater by this, so that it is never too low."""
+
+MAX_CACHED_RESPONSES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Events up to ``last``.  Who has taken them holds all up to ``covers``; 0: more is to
-    come, and until then a router may hold back the list that it has been told."""
+    """Encoded events.
+
+    ``last_number`` is that of the last event, None without events.  Whoever has them is complete up to
+    ``complete_up_to``; None where more pages follow, because a member may not apply a list before the last.
+    """
 
     events: bytes
     cursor: int
-    last: int
-    covers: int
+    last_number: int | None
+    complete_up_to: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """An answer's body; ``whole``: it belongs to a whole state whose list has this number, else 0."""
+class Response:
+    """A page as a response body.
+
+    ``complete_state_number`` is the list's number where the page belongs to a complete state, else None.
+    """
 
     body: bytes
-    last: int
-    covers: int
-    whole: int
-
-
-class Pages:
-    def __init__(self, epoch: str, log: Log, shelves: Shelves, page_bytes: int) -> None:
-        self.epoch, self._log, self._shelves, self._most = epoch, log, shelves, page_bytes
-        self._kept: dict[tuple[bool, int], tuple[float, Reply]] = {}
-
-    def clear(self) -> None:
-        """The log has changed."""
-        self._kept.clear()
-
-    def changes(self, now: float, age_ms: float, resume: int) -> Reply:
-        """What follows ``resume``; the same object to all who lack the same."""
-        first = self._log.first_after(resume)
-        return self._kept_reply(now, age_ms, (False, first), resume)
-
-    def whole(self, now: float, age_ms: float, resume: int) -> Reply:
-        """The whole state, without the purges up to ``resume``."""
-        first = next(self._log.purges_after(resume), (0, b""))[0]
-        return self._kept_reply(now, age_ms, (True, first), resume)
-
-    def _kept_reply(self, now: float, age_ms: float, key: tuple[bool, int], resume: int) -> Reply:
-        kept = self._kept.get(key)
-        if kept is not None and 0 <= now - kept[0] <= SLACK_MS:
-            return kept[1]
-        page = self._whole_page(resume) if key[0] else self._page(self._log.after(resume))
-        body = answer(self.epoch, math.ceil(age_ms) + SLACK_MS, page.cursor, page.events)
-        reply = Reply(body, page.last, page.covers, self._shelves.number if key[0] else 0)
-        if len(self._kept) >= MOST_KEPT:
-            self._kept.clear()
-        self._kept[key] = now, reply
-        return reply
-
-    def _whole_page(self, resume: int) -> Page:
-        whole = self._shelves.number, self._shelves.event()
-        return self._page(merge(self._log.purges_after(resume), [whole]))
-
-    def _page(self, events: Iterable[tuple[int, bytes]]) -> Page:
-        """The cursor is the last event's number, or what there is to tell if more is to come."""
-        taken: list[bytes] = []
-        size = last = 0
+    last_number: int | None
+    complete_up_to: int | None
+    complete_state_number: int | None
+
+
+class _CacheKey(NamedTuple):
+    is_complete_state: bool
+    first_number: int | None
+
+
+class _CachedResponse(NamedTuple):
+    encoded_at_ms: float
+    response: Response
+
+
+class PagedResponses:
+    """Encodes responses and caches them for ``SHARED_FOR_MS``.
+
+    Call ``invalidate`` after each change of the log.
+    """
+
+    def __init__(self, epoch: str, log: EventLog, endpoints: EndpointList, max_page_bytes: int) -> None:
+        self._epoch = epoch
+        self._log = log
+        self._endpoints = endpoints
+        self._max_page_bytes = max_page_bytes
+        self._cache: dict[_CacheKey, _CachedResponse] = {}
+
+    def invalidate(self) -> None:
+        """Forget all cached responses."""
+        self._cache.clear()
+
+    def changes(self, now: float, age_ms: float, resume: int) -> Response:
+        """Return a page of the events after ``resume``."""
+        key = _CacheKey(False, self._log.first_after(resume))
+        cached = self._cached(now, key)
+        if cached is not None:
+            return cached
+        page = self._page(self._log.events_after(resume))
+        return self._encode(now, age_ms, key, page)
+
+    def complete_state(self, now: float, age_ms: float, resume: int) -> Response:
+        """Return a page of the complete list and the active purges after ``resume``."""
+        first_purge = next(self._log.purges_after(resume), None)
+        key = _CacheKey(True, first_purge.number if first_purge is not None else None)
+        cached = self._cached(now, key)
+        if cached is not None:
+            return cached
+        endpoint_list = LogEvent(self._endpoints.number, self._endpoints.encoded_event())
+        page = self._page(merge(self._log.purges_after(resume), [endpoint_list]))
+        return self._encode(now, age_ms, key, page)
+
+    def _cached(self, now: float, key: _CacheKey) -> Response | None:
+        cached = self._cache.get(key)
+        if cached is None or not 0 <= now - cached.encoded_at_ms <= SHARED_FOR_MS:
+            return None
+        return cached.response
+
+    def _encode(self, now: float, age_ms: float, key: _CacheKey, page: Page) -> Response:
+        body = encode_response(self._epoch, math.ceil(age_ms) + SHARED_FOR_MS, page.cursor, page.events)
+        complete_state_number = self._endpoints.number if key.is_complete_state else None
+        response = Response(body, page.last_number, page.complete_up_to, complete_state_number)
+        if len(self._cache) >= MAX_CACHED_RESPONSES:
+            self._cache.clear()
+        self._cache[key] = _CachedResponse(now, response)
+        return response
+
+    def _page(self, events: Iterable[LogEvent]) -> Page:
+        """Fill a page.
+
+        Its cursor is the last event's number, or that of the last delivered event where more pages follow.
+        """
+        encoded: list[bytes] = []
+        size_bytes = 0
+        last_number = None
+        delivered = self._log.delivered
         for number, data in events:
-            if taken and size + len(data) + 1 > self._most:
-                return Page(b",".join(taken), self._log.told, last, 0)
-            taken.append(data)
-            size += len(data) + 1
-            last = number
-        return Page(b",".join(taken), last or self._log.told, last, self._log.told)
+            if encoded and size_bytes + len(data) + 1 > self._max_page_bytes:
+                return Page(b",".join(encoded), delivered, last_number, complete_up_to=None)
+            encoded.append(data)
+            size_bytes += len(data) + 1
+            last_number = number
+        cursor = delivered if last_number is None else last_number
+        return Page(b",".join(encoded), cursor, last_number, complete_up_to=delivered)
--- a/packages/control-relay/src/control_relay/pending_polls.py
+++ b/packages/control-relay/src/control_relay/pending_polls.py
@@ -1,24 +1,37 @@
-"""Long polls that wait: all of them have what was told, so one answer is for all."""
+"""Long polls that wait for an event.  All of them have what was delivered, so one response answers all."""
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from sortedcontainers import SortedDict
 
-from control_relay.members import Router
+from control_relay.member import Member
 
-SLOT_MS = 25.0  # deadlines are rounded up to this
-EARLY_MS = 1.0  # by which a timer may fire early, as clocks are rounded
+DEADLINE_SLOT_MS = 25.0
+"""Deadlines are rounded up to a multiple of this, so that one timer serves many polls."""
 
+TIMER_TOLERANCE_MS = 1.0
+"""How early a timer may fire, because clocks are rounded."""
 
-class Waiting:
-    """Deadlines in slots, so that a poll comes and goes without a search."""
+
+class PendingPoll(NamedTuple):
+    """A poll on connection ``poller``; ``member`` is None for a sibling."""
+
+    poller: int
+    member: Member | None
+    resume: int
+    deadline_slot: int
+
+
+class PendingPolls:
+    """Polls by connection and by slot of their deadline, so that adding and removing needs no search."""
 
     def __init__(self) -> None:
-        self._polls: dict[int, tuple[int, Router | None, int]] = {}  # by poller: slot, who, resume
+        self._polls: dict[int, PendingPoll] = {}
         self._slots: SortedDict[int, dict[int, None]] = SortedDict()
-        self._armed = math.inf  # the slot for which a timer runs
+        self._armed_slot = math.inf  # the slot for which a timer runs
 
     def __len__(self) -> int:
         return len(self._polls)
@@ -26,43 +39,56 @@
     def __contains__(self, poller: int) -> bool:
         return poller in self._polls
 
-    def add(self, poller: int, router: Router | None, resume: int, deadline: float) -> None:
-        slot = math.ceil(deadline / SLOT_MS)
-        self._polls[poller] = slot, router, resume
+    def add(self, poller: int, member: Member | None, resume: int, deadline_ms: float) -> None:
+        """Add a poll whose connection has none."""
+        slot = math.ceil(deadline_ms / DEADLINE_SLOT_MS)
+        self._polls[poller] = PendingPoll(poller, member, resume, slot)
         pollers = self._slots.get(slot)
         if pollers is None:
-            pollers = self._slots[slot] = {}
+            pollers = {}
+            self._slots[slot] = pollers
         pollers[poller] = None
 
     def remove(self, poller: int) -> None:
+        """Remove a connection's poll, if it has one."""
         poll = self._polls.pop(poller, None)
-        if poll is not None:
-            pollers = self._slots[poll[0]]
-            del pollers[poller]
-            if not pollers:
-                del self._slots[poll[0]]
-
-    def take_all(self) -> list[tuple[int, Router | None, int]]:
-        """Poller, who, resume: of all that wait."""
-        taken = [(poller, router, resume) for poller, (_, router, resume) in self._polls.items()]
+        if poll is None:
+            return
+        pollers = self._slots[poll.deadline_slot]
+        del pollers[poller]
+        if not pollers:
+            del self._slots[poll.deadline_slot]
+
+    def take_all(self) -> list[PendingPoll]:
+        """Remove and return all polls."""
+        polls = list(self._polls.values())
         self._polls.clear()
         self._slots.clear()
-        return taken
-
-    def take_due(self, now: float) -> list[tuple[int, Router | None, int]]:
-        """The same of those whose deadline has come."""
-        taken = []
-        while self._slots and self._slots.peekitem(0)[0] * SLOT_MS <= now + EARLY_MS:
-            for poller in self._slots.popitem(0)[1]:
-                _, router, resume = self._polls.pop(poller)
-                taken.append((poller, router, resume))
-        return taken
-
-    def arm(self, now: float, fired: bool = False) -> float | None:
-        """In how many ms a timer is to fire; None where one that runs will do."""
-        if fired and self._armed * SLOT_MS <= now + EARLY_MS:
-            self._armed = math.inf
-        if not self._slots or self._slots.peekitem(0)[0] >= self._armed:
+        return polls
+
+    def take_due(self, now: float) -> list[PendingPoll]:
+        """Remove and return the polls whose deadline has passed."""
+        due: list[PendingPoll] = []
+        while self._slots and self._is_due(self._slots.keys()[0], now):
+            _, pollers = self._slots.popitem(0)
+            due.extend(self._polls.pop(poller) for poller in pollers)
+        return due
+
+    def timer_fired(self, now: float) -> None:
+        """Record that the timer requested last has fired, unless this is an earlier one."""
+        if self._is_due(self._armed_slot, now):
+            self._armed_slot = math.inf
+
+    def arm_timer(self, now: float) -> float | None:
+        """Return after how many ms a timer has to fire; None where one that runs is early enough."""
+        if not self._slots:
             return None
-        self._armed = self._slots.peekitem(0)[0]
-        return max(0.0, self._armed * SLOT_MS - now)
+        first_slot = self._slots.keys()[0]
+        if first_slot >= self._armed_slot:
+            return None
+        self._armed_slot = first_slot
+        return max(0.0, first_slot * DEADLINE_SLOT_MS - now)
+
+    @staticmethod
+    def _is_due(slot: float, now: float) -> bool:
+        return slot * DEADLINE_SLOT_MS <= now + TIMER_TOLERANCE_MS
--- /dev/null
+++ b/packages/control-relay/src/control_relay/poll_handling.py
@@ -0,0 +1,128 @@
+"""Decides how a poll is answered: with changes, the complete state, later, or not at all."""
+
+from __future__ import annotations
+
+from control_relay.delivery import Delivery
+from control_relay.events import (
+    PollerRole,
+    PollReceived,
+    PollRequest,
+    RejectPoll,
+    RejectReason,
+    RelayAction,
+)
+from control_relay.member import Member
+from control_relay.members import MemberTable, MemberTableFullError, ResumePosition
+from control_relay.relay_state import RelayState
+from control_relay.settings import RelaySettings
+from control_relay.validation import NAME_PATTERN, duration_or_zero, int_or_default
+
+
+class PollHandler:
+    """Handles the polls of a relay that is ready.
+
+    ``first_number`` is the first event number of the relay's epoch.
+    """
+
+    def __init__(
+        self,
+        settings: RelaySettings,
+        epoch: str,
+        first_number: int,
+        state: RelayState,
+        members: MemberTable,
+        delivery: Delivery,
+    ) -> None:
+        self._settings = settings
+        self._epoch = epoch
+        self._first_number = first_number
+        self._log = state.log
+        self._endpoints = state.endpoints
+        self._members = members
+        self._delivery = delivery
+
+    def handle(self, now: float, event: PollReceived) -> list[RelayAction]:
+        """Answer a poll, or keep it until there is something to answer."""
+        poller = event.poller
+        request = event.request
+        pending_polls = self._delivery.pending_polls
+        pending_polls.remove(poller)
+        if request.role == PollerRole.PROBE:
+            self._deregister_prober(now, poller, request)
+            return [self._delivery.respond_to_probe(now, poller)]
+        if len(pending_polls) >= self._settings.max_pending_polls:
+            return [RejectPoll(poller, RejectReason.POLLS_FULL)]
+        block_ms = duration_or_zero(request.block_ms, self._settings.max_block_ms)
+        try:
+            member = self._register(now, poller, request, block_ms)
+        except MemberTableFullError:
+            return [RejectPoll(poller, RejectReason.ROUTERS_FULL)]
+        return self._answer(now, poller, member, request, block_ms)
+
+    def _answer(
+        self, now: float, poller: int, member: Member | None, request: PollRequest, block_ms: float
+    ) -> list[RelayAction]:
+        resume = int_or_default(request.resume)
+        position = self._resume_position(member, request, resume)
+        self._delivery.advance_low_water_marks(now)
+        if position is ResumePosition.FOREIGN:
+            return self._delivery.respond_with_complete_state(now, poller, member, resume=0)
+        if not self._has_list(member, resume, position):
+            return self._delivery.respond_with_complete_state(now, poller, member, resume)
+        if resume >= self._log.delivered or self._log.first_after(resume) is None:
+            return self._delivery.wait_for_event(now, poller, member, resume, block_ms)
+        return [self._delivery.respond_with_changes(now, poller, member, resume)]
+
+    def _register(self, now: float, poller: int, request: PollRequest, block_ms: float) -> Member | None:
+        """Return the member that polls; None for a sibling, which is not tracked."""
+        if request.role == PollerRole.SIBLING:
+            return None
+        has_name = isinstance(request.name, str) and NAME_PATTERN.fullmatch(request.name)
+        name = request.name if has_name else connection_name(poller)
+        role = PollerRole.RELAY if request.role == PollerRole.RELAY else PollerRole.ROUTER
+        member = self._members.register_poll(now, name, role, block_ms)
+        member.poller = poller
+        return member
+
+    def _resume_position(self, member: Member | None, request: PollRequest, resume: int) -> ResumePosition:
+        """Compare a poll with what its sender had before, and take its acknowledgement."""
+        is_own_epoch = not request.epoch or request.epoch == self._epoch
+        if not is_own_epoch or not self._first_number <= resume <= self._log.delivered:
+            if member is not None:
+                self._members.restart(member)
+            return ResumePosition.FOREIGN
+        if member is None:
+            return ResumePosition.CONTINUED
+        return self._members.apply_poll(member, request, resume)
+
+    def _has_list(self, member: Member | None, resume: int, position: ResumePosition) -> bool:
+        """Return whether the poller has the list to which the changes after ``resume`` apply.
+
+        It may have received purges of a complete state and not yet the list that follows them.
+        """
+        if resume >= self._endpoints.number:
+            return True
+        complete_state_number = self._delivery.latest_complete_state_number
+        if member is not None and member.complete_state_number is not None:
+            complete_state_number = member.complete_state_number
+        if position is not ResumePosition.CONTINUED:
+            return False
+        return resume >= self._log.floor and resume >= complete_state_number
+
+    def _deregister_prober(self, now: float, poller: int, request: PollRequest) -> None:
+        """Stop waiting for a member whose probe says that another source serves it.
+
+        A member that came back and waits on another connection is kept: the probe is a late one.
+        """
+        member = self._members.get(request.name)
+        if member is None:
+            return
+        waits_elsewhere = member.poller != poller and member.poller in self._delivery.pending_polls
+        if not waits_elsewhere:
+            self._members.remove(request.name)
+            self._delivery.advance_low_water_marks(now)
+
+
+def connection_name(poller: int) -> str:
+    """Return the name of a member that is known by its connection only."""
+    return f"#{poller}"
--- a/packages/control-relay/src/control_relay/relay_state.py
+++ b/packages/control-relay/src/control_relay/relay_state.py
@@ -1,94 +1,134 @@
-"""What an upstream told: the list as it stands, the purges that hold, and the log that comes of them."""
+"""What the upstream sent: the current list, the active purges, and the log of numbered events."""
 
 from __future__ import annotations
 
 import math
 from collections import Counter
+from dataclasses import dataclass
 
 from sansio_core import Notice
 
-from control_relay.active_purges import GROUPS, Purge, Purges, What, time_of, what_of
-from control_relay.encoding import age_of, list_event, purge_event, whole_number
-from control_relay.endpoints import Shelves
-from control_relay.event_log import Log
-from control_relay.events import ListTold, PurgeTold, RelayAction
-from control_relay.low_water_marks import Record
+from control_relay.active_purges import (
+    GROUP_COUNT,
+    UNKNOWN_GROUP,
+    ActivePurge,
+    ActivePurges,
+    PurgeTarget,
+    parse_group,
+    parse_target,
+)
+from control_relay.encoding import encode_list_event, encode_purge_event
+from control_relay.endpoints import EndpointList
+from control_relay.event_log import EventLog
+from control_relay.events import EndpointListUpdate, PurgeReceived
+from control_relay.low_water_marks import PropagatingPurge
 from control_relay.settings import RelaySettings
+from control_relay.validation import age_or_none, int_or_default, unix_ms_or_infinity
 
+MERGED_FRACTION = 4
+"""Past ``max_purges``, one in this many of the purges becomes purges of groups."""
 
-class State:
-    def __init__(self, settings: RelaySettings, base: int) -> None:
-        self.settings = settings
-        self.log = Log(base, settings.most_changes, settings.most_change_bytes)
-        self.shelves, self.purges = Shelves(settings.most_shelfs), Purges()
+
+@dataclass(frozen=True, slots=True)
+class PurgeResult:
+    """The purge that was added, None where it was redundant or unreadable, and notices about it."""
+
+    purge: PropagatingPurge | None = None
+    notices: tuple[Notice, ...] = ()
+
+
+class RelayState:
+    """Applies the upstream's events and numbers those that are new."""
+
+    def __init__(self, settings: RelaySettings, first_number: int) -> None:
+        self.endpoints = EndpointList(settings.max_endpoints)
+        self.purges = ActivePurges()
+        self.log = EventLog(first_number, settings.max_list_changes, settings.max_list_change_bytes)
         self.faults: Counter[str] = Counter()
+        self._settings = settings
 
-    def list_told(self, event: ListTold) -> list[RelayAction]:
-        """Number what is new of it."""
-        shelves, before = self.shelves, self.shelves.passed_over
-        seq = None if event.seq is None else whole_number(event.seq)
-        if event.whole:
-            if shelves.whole(event.hosts, seq):
-                shelves.numbered(self.log.head + 1)
-                self.log.add_change(lambda number: shelves.event(), True)
-        elif not shelves.number:
-            return self._fault("change-before-list")
+    def apply_list_update(self, event: EndpointListUpdate) -> list[Notice]:
+        """Apply a complete list or a change; a complete list that equals the current one is no event."""
+        endpoints = self.endpoints
+        rejected_before = endpoints.rejected
+        seq = None if event.seq is None else int_or_default(event.seq)
+        if event.is_complete:
+            self._replace_list(event, seq)
+        elif not endpoints.number:
+            return self._count_fault("change-before-list")
         else:
-            lines = shelves.change(event.hosts, seq)
-            shelves.numbered(self.log.add_change(lambda n: list_event(n, seq, False, lines), False))
-        return self._fault("host-line") if shelves.passed_over > before else []
-
-    def purge_told(self, now: float, event: PurgeTold) -> tuple[list[RelayAction], Record | None]:
-        """Number it if it is new: no purge of the same with this time or a later one holds."""
-        what = what_of(event.key, event.family)
-        if what is None:
-            return self._fault("purge-form"), None
-        when_ms = time_of(event.when_ms)
-        old = self.purges.get(what)
-        if old is not None and when_ms <= old.when_ms < math.inf:
-            return [], None
-        until = now + self.settings.hold_ms - (age_of(event.age_ms) or 0.0)
-        if until <= now:
-            return [], None
-        if old is not None:
-            until = max(until, old.until)
-        group = whole_number(event.family, -1)
-        number = self._add_purge(what, group if 0 <= group < GROUPS else -1, when_ms, until)
-        actions: list[RelayAction] = []
-        if len(self.purges) > self.settings.most_purges:
-            actions = self._join(now)
-        return actions, Record(number, what, when_ms, now)
-
-    def expire(self, now: float) -> None:
-        for purge in self.purges.passed(now):
-            self.log.drop(purge.number)
-
-    def _add_purge(self, what: What, group: int, when_ms: float, until: float) -> int:
-        key, family = (what, -1) if isinstance(what, str) else (None, what)
-        number = self.log.add_purge(lambda n: purge_event(n, key, family, when_ms))
-        old = self.purges.add(Purge(what, group, when_ms, number, until))
-        if old is not None:
-            self.log.retire(old.number)
+            changed = endpoints.apply(event.endpoints, seq)
+            data = encode_list_event(self.log.next_number, seq, False, changed)
+            endpoints.assign_number(self.log.append_list_change(data, is_complete=False))
+        if endpoints.rejected > rejected_before:
+            return self._count_fault("host-line")
+        return []
+
+    def apply_purge(self, now: float, event: PurgeReceived) -> PurgeResult:
+        """Add a purge unless one of the same target that is no older is active."""
+        target = parse_target(event.key, event.group)
+        if target is None:
+            return PurgeResult(notices=tuple(self._count_fault("purge-form")))
+        issued_unix_ms = unix_ms_or_infinity(event.issued_unix_ms)
+        active = self.purges.get(target)
+        if active is not None and active.is_as_late_as(issued_unix_ms):
+            return PurgeResult()
+        expires_at_ms = now + self._settings.purge_retention_ms - (age_or_none(event.age_ms) or 0.0)
+        if expires_at_ms <= now:
+            return PurgeResult()
+        if active is not None:
+            expires_at_ms = max(expires_at_ms, active.expires_at_ms)
+        number = self._add_purge(target, parse_group(event.group), issued_unix_ms, expires_at_ms)
+        notices: tuple[Notice, ...] = ()
+        if len(self.purges) > self._settings.max_purges:
+            notices = (self._merge_oldest_purges(now),)
+        return PurgeResult(PropagatingPurge(number, target, issued_unix_ms, now), notices)
+
+    def expire_purges(self, now: float) -> bool:
+        """Remove the purges whose retention has ended; return whether there were any."""
+        if self.purges.next_expiry_ms > now:
+            return False
+        for purge in self.purges.pop_expired(now):
+            self.log.remove(purge.number)
+        return True
+
+    def _replace_list(self, event: EndpointListUpdate, seq: int | None) -> None:
+        if self.endpoints.replace(event.endpoints, seq):
+            self.endpoints.assign_number(self.log.next_number)
+            self.log.append_list_change(self.endpoints.encoded_event(), is_complete=True)
+
+    def _add_purge(self, target: PurgeTarget, group: int, issued_unix_ms: float, expires_at_ms: float) -> int:
+        data = encode_purge_event(self.log.next_number, target, issued_unix_ms)
+        number = self.log.append_purge(data)
+        superseded = self.purges.add(ActivePurge(target, group, issued_unix_ms, number, expires_at_ms))
+        if superseded is not None:
+            self.log.supersede(superseded.number)
         return number
 
-    def _join(self, now: float) -> list[RelayAction]:
-        """Guards memory: the oldest purges of objects become purges of their groups, or of all groups where
-        the group is not known, so that none is lost."""
-        oldest = self.purges.oldest_objects(max(1, self.settings.most_purges // 4))
-        latest: dict[int, float] = {}
+    def _merge_oldest_purges(self, now: float) -> Notice:
+        """Replace the oldest purges of objects by purges of their groups, which bounds memory.
+
+        Where an object's group is unknown all groups are purged, so that no purge is lost.
+        """
+        oldest = self.purges.oldest_objects(max(1, self._settings.max_purges // MERGED_FRACTION))
+        latest_by_group: dict[int, float] = {}
         for purge in oldest:
             self.purges.remove(purge)
-            self.log.retire(purge.number)
-            for group in range(GROUPS) if purge.group < 0 else (purge.group,):
-                latest[group] = max(latest.get(group, -math.inf), purge.when_ms)
-        for group, when_ms in latest.items():
-            held = self.purges.get(group)
-            if held is None or not when_ms <= held.when_ms < math.inf:
-                self._add_purge(group, group, when_ms, now + self.settings.hold_ms)
-        return [Notice("purges-joined", {"objects": len(oldest), "groups": len(latest)})]
-
-    def _fault(self, code: str) -> list[RelayAction]:
-        """Told at the first, second, fourth and so on, so that bad input costs bounded log."""
+            self.log.supersede(purge.number)
+            groups = range(GROUP_COUNT) if purge.group == UNKNOWN_GROUP else (purge.group,)
+            for group in groups:
+                latest = latest_by_group.get(group, -math.inf)
+                latest_by_group[group] = max(latest, purge.issued_unix_ms)
+        for group, issued_unix_ms in latest_by_group.items():
+            active = self.purges.get(group)
+            if active is None or not active.is_as_late_as(issued_unix_ms):
+                self._add_purge(group, group, issued_unix_ms, now + self._settings.purge_retention_ms)
+        return Notice("purges-joined", {"objects": len(oldest), "groups": len(latest_by_group)})
+
+    def _count_fault(self, code: str) -> list[Notice]:
+        """Count a fault; a notice for the 1st, 2nd, 4th and so on bounds the log under bad input."""
         self.faults[code] += 1
         count = self.faults[code]
-        return [Notice("relay-fault", {"code": code, "count": count})] if count & (count - 1) == 0 else []
+        if count.bit_count() > 1:
+            return []
+        return [Notice("relay-fault", {"code": code, "count": count})]
--- a/packages/control-relay/src/control_relay/settings.py
+++ b/packages/control-relay/src/control_relay/settings.py
@@ -1,4 +1,7 @@
-"""What a relay's core is told at its start."""
+"""Configuration of a relay's core: durations in milliseconds, sizes in bytes.
+
+``docs/design/control.md`` derives the default values from the fleet's size and load.
+"""
 
 from __future__ import annotations
 
@@ -7,18 +10,43 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Times in ms, sizes in bytes; the figures are those of ``docs/design/control.md``."""
-
-    expected: tuple[str, ...] = ()  # routers and relays that count as not confirmed until they have polled
-    join_ms: float = 150.0  # events that come within this of the first one that waits go out as one answer
-    hold_ms: float = 10_000.0  # how long a purge is told
-    absent_ms: float = 3_000.0  # without a poll, beyond the last one's block: cut off
-    most_block_ms: float = 5_000.0  # of a long poll
-    page_bytes: int = 64_000  # of an answer's events, or one event
-    most_purges: int = 4_096
-    most_shelfs: int = 4_096
-    most_changes: int = 1_024  # of the list, in the log
-    most_change_bytes: int = 1_000_000
-    most_routers: int = 2_048  # named; past it the longest cut off is forgotten
-    most_waiting: int = 4_096  # long polls
-    recent: int = 16  # purges that ``Relay.purges`` shows
+    """Bounds and durations by which ``Relay`` works."""
+
+    expected_members: tuple[str, ...] = ()
+    """Routers and relays that count as unacknowledged until they have polled for the first time."""
+
+    batch_window_ms: float = 150.0
+    """Events that arrive within this time of the first undelivered one are delivered in one response."""
+
+    purge_retention_ms: float = 10_000.0
+    """How long a purge is delivered to members that lack it."""
+
+    absence_timeout_ms: float = 3_000.0
+    """A member that has not polled for this long after its last poll's block time is unreachable."""
+
+    max_block_ms: float = 5_000.0
+    """Upper bound of a long poll's block time."""
+
+    max_page_bytes: int = 64_000
+    """Encoded events in one response; a single event may exceed it."""
+
+    max_purges: int = 4_096
+    """Purges retained before the oldest ones are merged into purges of groups."""
+
+    max_endpoints: int = 4_096
+    """Endpoints in the list; further ones are counted as faults and never delivered."""
+
+    max_list_changes: int = 1_024
+    """Changes of the endpoint list that the log retains."""
+
+    max_list_change_bytes: int = 1_000_000
+    """Encoded size of the changes that the log retains."""
+
+    max_members: int = 2_048
+    """Routers and relays tracked by name; beyond it the longest unreachable one is evicted."""
+
+    max_pending_polls: int = 4_096
+    """Long polls that wait for an event at the same time."""
+
+    recent_purges: int = 16
+    """Purges that ``Relay.recent_purges`` reports."""
--- a/packages/control-relay/src/control_relay/status.py
+++ b/packages/control-relay/src/control_relay/status.py
@@ -1,63 +1,106 @@
-"""What the operators' door, and the relay's own poll, are told."""
+"""Reports about a relay, for the admin endpoint and for the relay's own polls."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-from control_relay.events import HandedUp, PurgeStanding, RouterStanding, Status
-from control_relay.low_water_marks import Marks, Record
-from control_relay.members import Routers, names_of
-
-if TYPE_CHECKING:
-    from control_relay.relay import Relay
-
-
-def status(relay: Relay, now: float) -> Status:
-    state, log = relay.state, relay.log
-    cut_off = sum(relay.routers.cut_off(router, now) for router in relay.routers)
-    return Status(
-        ready=relay.ready,
-        epoch=relay.epoch,
-        head=log.told,
-        done=relay.marks.done,
-        age_ms=relay.age_ms(now) if relay.as_of > float("-inf") else None,
-        seq=state.shelves.seq,
-        shelfs=len(state.shelves),
-        purges=len(state.purges),
-        log_events=len(log),
-        log_bytes=log.bytes,
-        waiting=len(relay.waiting),
-        present=len(relay.routers) - cut_off,
-        cut_off=cut_off,
-        forgotten=relay.routers.forgotten,
-        faults=dict(state.faults),
-    )
-
-
-def purges(marks: Marks, routers: Routers) -> tuple[PurgeStanding, ...]:
-    return tuple(_purge(record, routers) for record in marks.records)
-
-
-def _purge(record: Record, routers: Routers) -> PurgeStanding:
-    behind = routers.below(record.number) if record.done_since is None else ()
-    count, names = names_of(behind)
-    key, family = (record.what, -1) if isinstance(record.what, str) else (None, record.what)
-    return PurgeStanding(
-        record.number, key, family, record.when_ms, record.told_at, record.done_since, count, names
-    )
-
-
-def roster(relay: Relay, now: float) -> tuple[RouterStanding, ...]:
-    rows = []
-    for router in relay.routers.below(relay.log.told):
-        state = "cut-off" if relay.routers.cut_off(router, now) else "lagging"
-        since = min(now, relay.flushes.first_after(router.confirmed))
-        rows.append(RouterStanding(router.name, router.role, state, since, router.weight, router.shown))
-    return tuple(rows)
-
-
-def handed_up(marks: Marks, routers: Routers, told: int) -> HandedUp:
-    """Behind are those that have not confirmed more than what is done."""
-    if marks.done >= told:
-        return HandedUp(marks.upstream_done, 0, ())
-    return HandedUp(marks.upstream_done, *names_of(routers.below(marks.done + 1)))
+from control_relay.active_purges import UNKNOWN_GROUP
+from control_relay.delivery import Delivery
+from control_relay.events import (
+    MemberState,
+    MemberStatus,
+    PurgeStatus,
+    Readiness,
+    RelayStatus,
+    UpstreamProgress,
+)
+from control_relay.low_water_marks import LowWaterMarks, PropagatingPurge
+from control_relay.member import LaggingSummary, summarize_lagging
+from control_relay.members import MemberTable
+from control_relay.relay_state import RelayState
+
+NOBODY_LAGS = LaggingSummary(0, ())
+
+
+class StatusReporter:
+    """Reads the parts of a relay; changes nothing."""
+
+    def __init__(
+        self,
+        epoch: str,
+        state: RelayState,
+        members: MemberTable,
+        low_water_marks: LowWaterMarks,
+        delivery: Delivery,
+    ) -> None:
+        self._epoch = epoch
+        self._state = state
+        self._members = members
+        self._low_water_marks = low_water_marks
+        self._delivery = delivery
+
+    def status(self, now: float, readiness: Readiness) -> RelayStatus:
+        """Return the relay's figures."""
+        state = self._state
+        freshness = self._delivery.freshness
+        unreachable = sum(self._members.is_unreachable(member, now) for member in self._members)
+        return RelayStatus(
+            ready=readiness is Readiness.READY,
+            epoch=self._epoch,
+            head=state.log.delivered,
+            acknowledged=self._low_water_marks.acknowledged,
+            age_ms=freshness.age_ms(now) if freshness.is_confirmed else None,
+            seq=state.endpoints.seq,
+            endpoints=len(state.endpoints),
+            purges=len(state.purges),
+            log_events=len(state.log),
+            log_bytes=state.log.size_bytes,
+            pending_polls=len(self._delivery.pending_polls),
+            reachable_members=len(self._members) - unreachable,
+            unreachable_members=unreachable,
+            evicted_members=self._members.evicted,
+            faults=dict(state.faults),
+        )
+
+    def recent_purges(self) -> tuple[PurgeStatus, ...]:
+        """Return the propagation of the last purges, the latest last."""
+        return tuple(self._purge_status(purge) for purge in self._low_water_marks.recent_purges)
+
+    def lagging_members(self, now: float) -> tuple[MemberStatus, ...]:
+        """Return who has not acknowledged the last delivered event, those that lack most first."""
+        statuses = []
+        for member in self._members.not_acknowledged(self._state.log.delivered):
+            unreachable = self._members.is_unreachable(member, now)
+            status = MemberStatus(
+                name=member.name,
+                role=member.role,
+                state=MemberState.UNREACHABLE if unreachable else MemberState.LAGGING,
+                lagging_since_ms=min(now, self._delivery.delivery_times.first_after(member.acknowledged)),
+                lagging_count=member.represented_count,
+                lagging_names=member.represented_names,
+            )
+            statuses.append(status)
+        return tuple(statuses)
+
+    def upstream_progress(self) -> UpstreamProgress:
+        """Return what the relay's own poll reports; lagging are those with no more than is acknowledged."""
+        summary = NOBODY_LAGS
+        if self._low_water_marks.acknowledged < self._state.log.delivered:
+            summary = summarize_lagging(
+                self._members.not_acknowledged(self._low_water_marks.acknowledged + 1)
+            )
+        return UpstreamProgress(self._low_water_marks.upstream_acknowledged, summary.count, summary.names)
+
+    def _purge_status(self, purge: PropagatingPurge) -> PurgeStatus:
+        summary = NOBODY_LAGS
+        if purge.propagated_at_ms is None:
+            summary = summarize_lagging(self._members.not_acknowledged(purge.number))
+        target = purge.target
+        return PurgeStatus(
+            number=purge.number,
+            key=target if isinstance(target, str) else None,
+            group=UNKNOWN_GROUP if isinstance(target, str) else target,
+            issued_unix_ms=purge.issued_unix_ms,
+            received_at_ms=purge.received_at_ms,
+            propagated_at_ms=purge.propagated_at_ms,
+            lagging_count=summary.count,
+            lagging_names=summary.names,
+        )
--- a/packages/control-relay/tests/relay_driver.py
+++ b/packages/control-relay/tests/relay_driver.py
@@ -1,4 +1,4 @@
-"""A relay with a clock, for tests: timers fire when time goes on."""
+"""A relay with a simulated clock: timers fire while ``advance`` lets time pass."""
 
 from __future__ import annotations
 
@@ -8,107 +8,117 @@
 from typing import Any
 
 from control_relay import (
-    Answer,
-    Confirmed,
-    ListTold,
-    Polled,
-    PurgeTold,
-    Refuse,
+    EndpointListUpdate,
+    PollReceived,
+    PollRequest,
+    PurgeReceived,
+    RejectPoll,
+    RejectReason,
     Relay,
     RelayAction,
     RelayEvent,
     RelaySettings,
+    SendResponse,
+    UpstreamConfirmed,
 )
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
-BASE = 1_764_600_000 << 20
+FIRST_NUMBER = 1_764_600_000 << 20
+MAX_POLLS = 1_000
+"""Polls until a member that gets the same events again and again counts as a failure."""
 
 
-def host(name: str, **more: Any) -> dict[str, Any]:
-    return {"host": name, "health": "active", **more}
+def endpoint(name: str, **fields: Any) -> dict[str, Any]:
+    return {"host": name, "health": "active", **fields}
 
 
-class Driver:
-    def __init__(self, epoch: str = "r1", base: int = BASE, **settings: Any) -> None:
-        self.relay, self.now, self.epoch = Relay(RelaySettings(**settings), epoch, base), 0.0, epoch
-        self.answers: dict[int, bytes] = {}
-        self.refused: dict[int, str] = {}
-        self.told: list[Notice] = []
+class RelayDriver:
+    """Feeds a relay and keeps what it sends: ``bodies`` and ``rejected`` by connection, and ``notices``."""
+
+    def __init__(self, epoch: str = "r1", first_number: int = FIRST_NUMBER, **settings: Any) -> None:
+        self.relay = Relay(RelaySettings(**settings), epoch, first_number)
+        self.now = 0.0
+        self.epoch = epoch
+        self.bodies: dict[int, bytes] = {}
+        self.rejected: dict[int, RejectReason] = {}
+        self.notices: list[Notice] = []
         self._timers: list[tuple[float, int]] = []
-        self._upstream = 0
-        self.do(Started())
+        self._upstream_number = 0
+        self.feed(Started())
 
-    def do(self, event: RelayEvent) -> list[RelayAction]:
+    def feed(self, event: RelayEvent) -> list[RelayAction]:
         actions = self.relay.handle(self.now, event)
         for action in actions:
             match action:
-                case Answer(poller, body):
-                    self.answers[poller] = body
-                case Refuse(poller, why):
-                    self.refused[poller] = why
+                case SendResponse(poller, body):
+                    self.bodies[poller] = body
+                case RejectPoll(poller, reason):
+                    self.rejected[poller] = reason
                 case SetTimer(in_ms, token):
                     heapq.heappush(self._timers, (self.now + in_ms, token))
                 case Notice():
-                    self.told.append(action)
+                    self.notices.append(action)
         return actions
 
-    def wait(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         until = self.now + ms
         while self._timers and self._timers[0][0] <= until:
             self.now, token = heapq.heappop(self._timers)
-            self.do(TimerFired(token))
+            self.feed(TimerFired(token))
         self.now = until
 
-    # -- upstream
-
-    def number(self) -> int:
-        self._upstream += 1
-        return self._upstream
+    # Upstream
 
-    def list(self, *hosts: Mapping[str, Any], seq: int | None = 1, whole: bool = True) -> None:
-        self.do(ListTold(self.number(), seq, whole, hosts))
+    def update_list(
+        self, *endpoints: Mapping[str, Any], seq: int | None = 1, is_complete: bool = True
+    ) -> None:
+        self.feed(EndpointListUpdate(self._next_upstream_number(), seq, is_complete, endpoints))
 
-    def purge(self, key: str, when: float = 1e12, age: float = 0.0) -> None:
-        self.do(PurgeTold(self.number(), key, -1, when, age))
+    def purge(self, key: str, issued_unix_ms: float = 1e12, age_ms: float = 0.0) -> None:
+        self.feed(PurgeReceived(self._next_upstream_number(), key, -1, issued_unix_ms, age_ms))
 
-    def group(self, family: int, when: float = 1e12) -> None:
-        self.do(PurgeTold(self.number(), None, family, when))
+    def purge_group(self, group: int, issued_unix_ms: float = 1e12) -> None:
+        self.feed(PurgeReceived(self._next_upstream_number(), None, group, issued_unix_ms))
 
-    def confirm(self, age: float = 0.0) -> None:
-        self.do(Confirmed(age, self._upstream))
+    def confirm(self, age_ms: float = 0.0) -> None:
+        self.feed(UpstreamConfirmed(age_ms, self._upstream_number))
 
-    def ready(self, *hosts: Mapping[str, Any]) -> Driver:
-        self.list(*(hosts or (host("a"), host("b"))))
+    def make_ready(self, *endpoints: Mapping[str, Any]) -> RelayDriver:
+        self.update_list(*(endpoints or (endpoint("a"), endpoint("b"))))
         self.confirm()
         return self
 
-    # -- routers
+    def _next_upstream_number(self) -> int:
+        self._upstream_number += 1
+        return self._upstream_number
+
+    # Members
 
-    def poll(self, poller: int, resume: int, name: str = "", **more: Any) -> dict[str, Any] | None:
-        """The answer if it came at once."""
-        self.answers.pop(poller, None)
-        poll = {"epoch": self.epoch, "block_ms": 1_000.0, **more}
-        self.do(Polled(poller, resume, name=name, **poll))
-        return self.answer(poller)
+    def poll(self, poller: int, resume: int, name: str = "", **fields: Any) -> dict[str, Any] | None:
+        """Return the response if it was sent at once."""
+        self.bodies.pop(poller, None)
+        request = {"epoch": self.epoch, "block_ms": 1_000.0, **fields}
+        self.feed(PollReceived(poller, PollRequest(resume, name=name, **request)))
+        return self.response(poller)
 
-    def answer(self, poller: int) -> dict[str, Any] | None:
-        body = self.answers.get(poller)
+    def response(self, poller: int) -> dict[str, Any] | None:
+        body = self.bodies.get(poller)
         return json.loads(body) if body is not None else None
 
-    def follow(self, poller: int, resume: int = 0, name: str = "") -> int:
-        """Poll until there is nothing more; returns the last event's number."""
-        for _ in range(1_000):
-            told = self.poll(poller, resume, name)
-            if told is None:
+    def poll_until_current(self, poller: int, resume: int = 0, name: str = "") -> int:
+        """Poll until there is nothing more; return the last event's number."""
+        for _ in range(MAX_POLLS):
+            response = self.poll(poller, resume, name)
+            if response is None:
                 return resume
-            resume = last(told, resume)
-        raise AssertionError("the same is told again and again")
+            resume = last_number(response, resume)
+        raise AssertionError("the same events are sent again and again")
 
 
-def numbers(told: dict[str, Any] | None) -> list[int]:
-    assert told is not None
-    return [command["cursor"] for command in told["cmds"]]
+def event_numbers(response: dict[str, Any] | None) -> list[int]:
+    assert response is not None
+    return [event["cursor"] for event in response["cmds"]]
 
 
-def last(told: dict[str, Any] | None, otherwise: int = 0) -> int:
-    return max(numbers(told), default=otherwise)
+def last_number(response: dict[str, Any] | None, default: int = 0) -> int:
+    return max(event_numbers(response), default=default)
--- a/packages/control-relay/tests/test_resource_bounds.py
+++ b/packages/control-relay/tests/test_resource_bounds.py
@@ -1,4 +1,4 @@
-"""Whatever comes: no exception, bounded memory, answers that can be read, and no event lost."""
+"""Any input: no exception, bounded memory, readable responses, and no event lost."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 from typing import Any
 
 from control_relay import (
-    Answer,
-    Attached,
-    Confirmed,
-    Dismissed,
-    ListTold,
-    Polled,
-    PollerGone,
-    PurgeTold,
+    EndpointListUpdate,
+    MemberDeregistered,
+    PollerDisconnected,
+    PollReceived,
+    PollRequest,
+    PurgeReceived,
     Relay,
     RelaySettings,
+    SendResponse,
+    UpstreamChanged,
+    UpstreamConfirmed,
 )
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from relay_driver import BASE, Driver, host
+from relay_driver import FIRST_NUMBER, RelayDriver, endpoint
 from sansio_core import SetTimer, Started, TimerFired
 
 SMALL = RelaySettings(
-    expected=("e",),
-    most_purges=16,
-    most_shelfs=8,
-    most_changes=4,
-    most_change_bytes=600,
-    most_routers=6,
-    most_waiting=5,
-    page_bytes=200,
+    expected_members=("e",),
+    max_purges=16,
+    max_endpoints=8,
+    max_list_changes=4,
+    max_list_change_bytes=600,
+    max_members=6,
+    max_pending_polls=5,
+    max_page_bytes=200,
 )
 odd: st.SearchStrategy[Any] = st.one_of(
     st.none(),
@@ -41,7 +42,7 @@
     st.text(max_size=40),
     st.lists(st.integers(), max_size=3),
 )
-number = st.one_of(st.integers(BASE - 3, BASE + 40), st.integers(0, 40), odd)
+number = st.one_of(st.integers(FIRST_NUMBER - 3, FIRST_NUMBER + 40), st.integers(0, 40), odd)
 lines: st.SearchStrategy[Any] = st.one_of(
     odd,
     st.fixed_dictionaries(
@@ -51,154 +52,199 @@
 )
 name = st.one_of(st.sampled_from(("", "e", "x", "y", "z")), st.text(max_size=34), odd)
 events = st.one_of(
-    st.builds(ListTold, number, st.one_of(st.none(), number), st.booleans(), st.lists(lines).map(tuple)),
-    st.builds(PurgeTold, number, st.one_of(st.none(), st.sampled_from("abc"), odd), odd, odd, odd),
-    st.builds(Confirmed, st.one_of(st.just(0.0), odd), number),
     st.builds(
-        Polled,
+        EndpointListUpdate, number, st.one_of(st.none(), number), st.booleans(), st.lists(lines).map(tuple)
+    ),
+    st.builds(PurgeReceived, number, st.one_of(st.none(), st.sampled_from("abc"), odd), odd, odd, odd),
+    st.builds(UpstreamConfirmed, st.one_of(st.just(0.0), odd), number),
+    st.builds(
+        PollReceived,
         st.integers(0, 9),
-        number,
-        st.one_of(st.sampled_from((0.0, 800.0)), odd),
-        st.one_of(st.sampled_from(("", "r1", "r2")), odd),
-        st.one_of(st.sampled_from(("router", "relay", "sibling", "probe")), odd),
-        name,
-        number,
-        number,
-        st.lists(name).map(tuple),
+        st.builds(
+            PollRequest,
+            number,
+            st.one_of(st.sampled_from((0.0, 800.0)), odd),
+            st.one_of(st.sampled_from(("", "r1", "r2")), odd),
+            st.one_of(st.sampled_from(("router", "relay", "sibling", "probe")), odd),
+            name,
+            number,
+            number,
+            st.lists(name).map(tuple),
+        ),
     ),
-    st.builds(PollerGone, st.integers(0, 9)),
+    st.builds(PollerDisconnected, st.integers(0, 9)),
     st.builds(TimerFired, st.integers(0, 3)),
-    st.builds(Dismissed, name),
-    st.just(Attached()),
+    st.builds(MemberDeregistered, name),
+    st.just(UpstreamChanged()),
 )
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 3_000), events), max_size=40))
-def test_any_events_cost_bounded_memory_and_give_answers_that_can_be_read(
+def test_any_events_keep_memory_bounded_and_responses_readable(
     steps: list[tuple[float, Any]],
 ) -> None:
-    relay, now = Relay(SMALL, "r1", BASE), 0.0
+    relay = Relay(SMALL, "r1", FIRST_NUMBER)
+    now = 0.0
     relay.handle(now, Started())
-    for wait, event in steps:
-        now += wait
-        done = relay.marks.done
+    for elapsed_ms, event in steps:
+        now += elapsed_ms
+        acknowledged = relay.low_water_marks.acknowledged
         for action in relay.handle(now, event):
-            if isinstance(action, Answer):
-                told = json.loads(action.body)
-                assert told["age"] >= 0 and told["cursor"] <= relay.log.told
+            if isinstance(action, SendResponse):
+                response = json.loads(action.body)
+                assert response["age"] >= 0
+                assert response["cursor"] <= relay.state.log.delivered
             elif isinstance(action, SetTimer):
-                assert math.isfinite(action.in_ms) and action.in_ms >= 0
-        assert relay.marks.done >= done
+                assert math.isfinite(action.in_ms)
+                assert action.in_ms >= 0
+        assert relay.low_water_marks.acknowledged >= acknowledged
         status = relay.status(now)
-        assert status.present + status.cut_off <= 6 and status.waiting <= 5 and status.shelfs <= 8
-        assert status.purges <= 16 + 256 and status.log_events <= 2 * (16 + 256) + 9
-        relay.purges(now), relay.roster(now), relay.handed_up(now)
+        assert status.reachable_members + status.unreachable_members <= 6
+        assert status.pending_polls <= 5
+        assert status.endpoints <= 8
+        assert status.purges <= 16 + 256
+        assert status.log_events <= 2 * (16 + 256) + 9
+        relay.recent_purges()
+        relay.lagging_members(now)
+        relay.upstream_progress()
 
 
-@settings(max_examples=200, derandomize=True, deadline=None)
-@given(
-    st.lists(st.sampled_from(("list", "whole", "purge", "old", "poll", "lost", "late", "wait")), max_size=60)
-)
-def test_a_router_in_step_holds_what_the_relay_holds(steps: list[str]) -> None:
-    relay = Driver(page_bytes=150, most_changes=3, hold_ms=2_000.0).ready()
-    resume, seq = 0, 1
-    held: dict[str, Any] = {}
-    purges: dict[str, float] = {}
-    late, whens = 0, 0.0
-
-    def take(told: dict[str, Any] | None) -> None:
-        nonlocal resume
-        for command in told["cmds"] if told is not None else ():
-            if command["cursor"] <= resume:
+class RouterModel:
+    """Applies responses as a router does, and drives the relay that sends them."""
+
+    def __init__(self) -> None:
+        self.relay = RelayDriver(
+            max_page_bytes=150, max_list_changes=3, purge_retention_ms=2_000.0
+        ).make_ready()
+        self.endpoints: dict[str, Any] = {}
+        self.purges: dict[str, float] = {}
+        self.resume = 0
+        self._seq = 1
+        self._issued = 0.0
+        self._other_resume = 0
+
+    def apply(self, response: dict[str, Any] | None) -> None:
+        for event in response["cmds"] if response is not None else ():
+            if event["cursor"] <= self.resume:
                 continue
-            resume = command["cursor"]
-            if "drop" in command:
-                purges[command["drop"]["id"]] = max(
-                    command["drop"]["when"], purges.get(command["drop"]["id"], 0)
-                )
+            self.resume = event["cursor"]
+            if "drop" in event:
+                key, issued = event["drop"]["id"], event["drop"]["when"]
+                self.purges[key] = max(issued, self.purges.get(key, 0))
                 continue
-            if command["nodes"]["whole"]:
-                held.clear()
-            for line in command["nodes"]["hosts"]:
-                held[line["host"]] = line
-
-    for step in [*steps, "wait", "poll", "poll", "poll", "poll", "poll", "poll", "poll", "poll", "poll"]:
-        whens += 1.0
-        match step:
-            case "list":
-                seq += 1
-                relay.list(host(f"s{seq % 5}", seq=seq), seq=seq, whole=False)
-            case "whole":
-                seq += 1
-                relay.list(host("a", seq=seq), host("b"), seq=seq)
+            if event["nodes"]["whole"]:
+                self.endpoints.clear()
+            for line in event["nodes"]["hosts"]:
+                self.endpoints[line["host"]] = line
+
+    def poll(self) -> None:
+        self.apply(self.relay.poll(1, self.resume, "x"))
+
+    def step(self, what: str, key: int) -> None:
+        self._issued += 1.0
+        match what:
+            case "change":
+                self._seq += 1
+                changed = endpoint(f"s{self._seq % 5}", seq=self._seq)
+                self.relay.update_list(changed, seq=self._seq, is_complete=False)
+            case "replace":
+                self._seq += 1
+                self.relay.update_list(endpoint("a", seq=self._seq), endpoint("b"), seq=self._seq)
             case "purge":
-                relay.purge(f"{len(steps) + seq:x}"[-1], whens)
-            case "old":
-                relay.purge(f"{seq:x}"[-1], whens - 1.5)
+                self.relay.purge(f"{key + self._seq:x}"[-1], self._issued)
+            case "older purge":
+                self.relay.purge(f"{self._seq:x}"[-1], self._issued - 1.5)
             case "poll":
-                take(relay.poll(1, resume, "x"))
-            case "lost":
-                relay.poll(1, resume, "x")
-            case "late":
-                late = relay.follow(2, late, "y")
+                self.poll()
+            case "lose response":
+                self.relay.poll(1, self.resume, "x")
+            case "poll of another router":
+                self._other_resume = self.relay.poll_until_current(2, self._other_resume, "y")
             case "wait":
-                relay.wait(200)
-                take(relay.answer(1))
-    relay.poll(1, resume, "x")
-    lines = json.loads(relay.relay.state.shelves.event())["nodes"]["hosts"]
-    assert held == {line["host"]: line for line in lines}
-    for purge in relay.relay.state.purges.by_end():
-        assert purges.get(str(purge.what), 0) >= purge.when_ms
+                self.relay.advance(200)
+                self.apply(self.relay.response(1))
+
+
+STEPS = (
+    "change",
+    "replace",
+    "purge",
+    "older purge",
+    "poll",
+    "lose response",
+    "poll of another router",
+    "wait",
+)
+
+
+@settings(max_examples=200, derandomize=True, deadline=None)
+@given(st.lists(st.sampled_from(STEPS), max_size=60))
+def test_current_router_has_the_relays_list_and_purges(steps: list[str]) -> None:
+    router = RouterModel()
+    for step in [*steps, "wait", *["poll"] * 9]:
+        router.step(step, len(steps))
+    router.relay.poll(1, router.resume, "x")
+    state = router.relay.relay.state
+    expected = json.loads(state.endpoints.encoded_event())["nodes"]["hosts"]
+    assert router.endpoints == {line["host"]: line for line in expected}
+    for purge in state.purges.by_expiry():
+        assert router.purges.get(str(purge.target), 0) >= purge.issued_unix_ms
 
 
-def test_a_line_that_is_too_long_or_unreadable_keeps_what_is_known() -> None:
+def test_oversized_or_unreadable_endpoint_is_reduced_to_known_keys() -> None:
     nested: Any = []
     for _ in range(5_000):
         nested = [nested]
-    relay = Driver().ready(
-        host("a", x="y" * 9_000), host("b", x=nested), host("c", x=float("nan")), host("d")
+    relay = RelayDriver().make_ready(
+        endpoint("a", x="y" * 9_000), endpoint("b", x=nested), endpoint("c", x=float("nan")), endpoint("d")
     )
-    relay.list(host(""), host("e" * 300), seq=1, whole=False)
-    told = relay.poll(1, 0, "x")
-    assert told is not None
-    assert told["cmds"][0]["nodes"]["hosts"] == [host("a"), host("b"), host("c"), host("d")]
+    relay.update_list(endpoint(""), endpoint("e" * 300), seq=1, is_complete=False)
+    response = relay.poll(1, 0, "x")
+    assert response is not None
+    assert response["cmds"][0]["nodes"]["hosts"] == [
+        endpoint("a"),
+        endpoint("b"),
+        endpoint("c"),
+        endpoint("d"),
+    ]
     assert relay.relay.status(0).faults == {"host-line": 1}
 
 
-def test_faults_are_told_ever_more_rarely() -> None:
-    relay = Driver().ready()
+def test_fault_notices_become_rarer() -> None:
+    relay = RelayDriver().make_ready()
     for _ in range(1_000):
         relay.purge("no number")
-    assert len([told for told in relay.told if told.name == "relay-fault"]) == 10
+    assert len([notice for notice in relay.notices if notice.name == "relay-fault"]) == 10
     assert relay.relay.status(0).faults == {"purge-form": 1_000}
 
 
-def test_a_shelf_past_the_bound_is_never_told() -> None:
-    relay = Driver(most_shelfs=2).ready(host("a"), host("b"))
-    relay.follow(1, 0, "x")
-    relay.list(host("c"), host("a", health="leaving"), seq=2, whole=False)
-    relay.wait(150)
-    told = relay.answer(1)
-    assert told is not None and told["cmds"][0]["nodes"]["hosts"] == [host("a", health="leaving")]
+def test_endpoint_beyond_the_bound_is_never_delivered() -> None:
+    relay = RelayDriver(max_endpoints=2).make_ready(endpoint("a"), endpoint("b"))
+    relay.poll_until_current(1, 0, "x")
+    relay.update_list(endpoint("c"), endpoint("a", health="leaving"), seq=2, is_complete=False)
+    relay.advance(150)
+    response = relay.response(1)
+    assert response is not None
+    assert response["cmds"][0]["nodes"]["hosts"] == [endpoint("a", health="leaving")]
 
 
-def test_a_storm_of_one_purge_keeps_one() -> None:
-    relay = Driver().ready()
-    relay.follow(1, 0, "x")
-    for when in range(5_000):
-        relay.purge("a1", float(when))
+def test_repeated_purges_of_one_target_keep_one() -> None:
+    relay = RelayDriver().make_ready()
+    relay.poll_until_current(1, 0, "x")
+    for issued in range(5_000):
+        relay.purge("a1", float(issued))
     status = relay.relay.status(0)
     assert (status.purges, status.log_events) == (1, 2)
 
 
-def test_many_routers_are_answered_without_a_search() -> None:
-    """Counts what is touched, not how long it takes: the structures are asked once a poll."""
-    relay = Driver().ready()
-    heads = [relay.follow(poller, 0, f"x{poller}") for poller in range(1_200)]
+def test_polls_of_many_routers_need_no_search() -> None:
+    """Counts accesses instead of time: no poll iterates over the members."""
+    relay = RelayDriver().make_ready()
+    heads = [relay.poll_until_current(poller, 0, f"x{poller}") for poller in range(1_200)]
     relay.purge("a1")
-    relay.wait(150)
-    before = relay.relay.routers
+    relay.advance(150)
+    before = relay.relay.members
     calls = 0
     original = type(before).__iter__
 
@@ -211,7 +257,30 @@
     try:
         for poller in range(1_200):
             relay.poll(poller, heads[poller] + 1, f"x{poller}")
-            relay.relay.handed_up(relay.now)
+            relay.relay.upstream_progress()
     finally:
         type(before).__iter__ = original  # type: ignore[method-assign]
-    assert calls == 0 and relay.relay.status(relay.now).done == heads[0] + 1
+    assert calls == 0
+    assert relay.relay.status(relay.now).acknowledged == heads[0] + 1
+
+
+def test_member_table_is_bounded_and_evicts_the_longest_unreachable() -> None:
+    relay = RelayDriver(max_members=4, expected_members=("e",)).make_ready()
+    for number in range(3):
+        relay.poll_until_current(number, 0, f"x{number}")
+    relay.poll(9, 0, "new")
+    assert relay.rejected == {9: "routers-full"}
+    relay.advance(4_500)
+    relay.poll_until_current(0, 0, "x0")
+    relay.poll_until_current(9, 0, "new")
+    status = relay.relay.status(relay.now)
+    assert (status.evicted_members, status.reachable_members + status.unreachable_members) == (1, 4)
+    assert {row.name for row in relay.relay.lagging_members(relay.now)} == {"e"}
+
+
+def test_pending_polls_are_bounded() -> None:
+    relay = RelayDriver(max_pending_polls=2).make_ready()
+    head = relay.poll_until_current(1, 0, "x")
+    relay.poll(2, head, "y")
+    relay.poll(3, head, "z")
+    assert relay.rejected == {3: "polls-full"}
--- a/packages/control-sim/src/control_sim/invariants.py
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -7,7 +7,7 @@
 from bisect import bisect_right
 from typing import Any
 
-from control_relay import Relay
+from control_relay import Readiness, Relay
 from fleet_sim import Node, World
 
 from control_sim.discovery import CLOCK, Discovery
@@ -102,12 +102,12 @@
         self._note_taken(machine.name, machine.client.epochs)
         relay, now = machine.relay, node.local(world.now)
         lines = self._lines_of(machine)
-        if not relay.ready:
+        if relay.readiness is not Readiness.READY:
             return None
-        purges = {purge.what: purge.when_ms for purge in relay.state.purges.by_end()}
+        purges = {purge.target: purge.issued_unix_ms for purge in relay.state.purges.by_expiry()}
         seen = self._seen.setdefault(relay.epoch, {})
-        for purge in relay.state.purges.by_end():
-            seen.setdefault(purge.number, (purge.what, purge.when_ms, purge.until))
+        for purge in relay.state.purges.by_expiry():
+            seen.setdefault(purge.number, (purge.target, purge.issued_unix_ms, purge.expires_at_ms))
         return (
             self._named("mixed", self._known(lines))
             or self._named("backwards", self._forward(world, node, lines))
@@ -116,7 +116,7 @@
         )
 
     def _lines_of(self, machine: RelayNode) -> Lines:
-        number = machine.relay.state.shelves.number
+        number = machine.relay.state.endpoints.number
         kept = self._heads.get(machine.relay.epoch)
         if kept is None or kept[0] != number:
             kept = self._heads[machine.relay.epoch] = number, 0, machine.lines
@@ -166,10 +166,15 @@
         relay = self._relay_of(world, epoch)
         if relay is None:
             return None
-        for purge in relay.relay.state.purges.by_end():
-            if purge.number <= cursor and router.held.purges.get(purge.what, -math.inf) < purge.when_ms:
-                return f"has taken {cursor} of {epoch} but not the purge of {purge.what} under {purge.number}"
-        number = relay.relay.state.shelves.number
+        for purge in relay.relay.state.purges.by_expiry():
+            if (
+                purge.number <= cursor
+                and router.held.purges.get(purge.target, -math.inf) < purge.issued_unix_ms
+            ):
+                return (
+                    f"has taken {cursor} of {epoch} but not the purge of {purge.target} under {purge.number}"
+                )
+        number = relay.relay.state.endpoints.number
         if router.client.epochs.get(epoch, 0) < number:
             return None
         if not router.client.settled:
@@ -186,13 +191,13 @@
 
     def _done_early(self, world: World, node: Node, relay: Relay) -> str | None:
         """What is done is held by all who polled here: by their numbers, and purges by what they hold."""
-        key, done = (node.name, node.incarnation), relay.marks.done
+        key, done = (node.name, node.incarnation), relay.low_water_marks.acknowledged
         before = self._done.get(key, 0)
         self._done[key] = done
         if done <= before:
             return None
-        events = [number for number, _ in relay.log.after(0) if before < number <= done]
-        for router in relay.routers:
+        events = [number for number, _ in relay.state.log.events_after(0) if before < number <= done]
+        for router in relay.members:
             if router.name.startswith("#"):
                 continue
             taken = self.taken.get((router.name, relay.epoch), 0)
@@ -206,7 +211,7 @@
 
     def _list_held(self, world: World, at: Node, name: str, relay: Relay, done: int) -> str | None:
         """By those that have not started since it came."""
-        machine, number = world.nodes[name].machine, relay.state.shelves.number
+        machine, number = world.nodes[name].machine, relay.state.endpoints.number
         if number > done or not isinstance(machine, Router) or not machine.held.lines:
             return None
         assert isinstance(at.machine, RelayNode)
@@ -230,7 +235,7 @@
             if isinstance(machine, RelayNode):
                 below = self._seen.get(machine.relay.epoch, {}).items()
                 same = [n for n, (other, then, _) in below if other == what and then >= when]
-                if same and min(same) > machine.relay.marks.done:
+                if same and min(same) > machine.relay.low_water_marks.acknowledged:
                     return f"purge {number} is done, but not at {name}"
         return None
 
@@ -262,10 +267,11 @@
 def _unconfirmed(node: Node, machine: RelayNode, now: float) -> str | None:
     """Where all who ever polled are there, all is done; else who is missing is named."""
     relay, local = machine.relay, node.local(now)
-    lagging = [row for row in relay.roster(local) if row.state != "cut-off"]
-    behind = [row for row in lagging if row.role != "relay" or row.names == (row.name,)]
+    lagging = [row for row in relay.lagging_members(local) if row.state != "cut-off"]
+    behind = [row for row in lagging if row.role != "relay" or row.lagging_names == (row.name,)]
     if behind:
         return f"{behind[0].name} lags at {machine.name}"
-    if relay.marks.done < relay.log.told and not relay.roster(local):
-        return f"{machine.name} has {relay.marks.done} done of {relay.log.told}, and names nobody"
+    done, delivered = relay.low_water_marks.acknowledged, relay.state.log.delivered
+    if done < delivered and not relay.lagging_members(local):
+        return f"{machine.name} has {done} done of {delivered}, and names nobody"
     return None
--- a/packages/control-sim/src/control_sim/nodes.py
+++ b/packages/control-sim/src/control_sim/nodes.py
@@ -8,16 +8,17 @@
 
 from control_client import Event, ListEvent
 from control_relay import (
-    Answer,
-    Attached,
-    Confirmed,
-    ListTold,
-    PollerGone,
-    PurgeTold,
-    Refuse,
+    EndpointListUpdate,
+    PollerDisconnected,
+    PollReceived,
+    PollRequest,
+    PurgeReceived,
+    RejectPoll,
     Relay,
+    SendResponse,
+    UpstreamChanged,
+    UpstreamConfirmed,
 )
-from control_relay import Polled as RelayPolled
 from sansio_core import Notice, RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.connections import Asked, Broken, HungUp, Poll, Replied, Reply, Request
@@ -134,16 +135,16 @@
         self.lives: dict[str, int] = {}  # of those that polled, which one it was
         self._upstream_epoch = ""
         self._sources: dict[int, str] = {}
-        hold_ms = relay.settings.hold_ms
+        hold_ms = relay.settings.purge_retention_ms
         self.client = Client(upstreams, siblings, draw, first_connection, hold_ms, self._poll, self._take)
 
     @property
     def lines(self) -> Lines:
         """The list as the core holds it."""
-        shelves = self.relay.state.shelves
+        shelves = self.relay.state.endpoints
         if not shelves.number:
             return {}
-        hosts = json.loads(shelves.event())["nodes"]["hosts"]
+        hosts = json.loads(shelves.encoded_event())["nodes"]["hosts"]
         return {line["host"]: line for line in hosts}
 
     def handle(self, now: float, event: object) -> list[Any]:
@@ -156,39 +157,53 @@
                 self._sources[connection] = source
                 if poll.role != "probe":
                     self.lives[source] = life_of(connection)
-                names = poll.role, poll.name, poll.done, poll.behind, poll.names
                 return self._core(
-                    now, RelayPolled(connection, poll.resume, poll.block_ms, poll.epoch, *names)
+                    now,
+                    PollReceived(
+                        connection,
+                        PollRequest(
+                            poll.resume,
+                            poll.block_ms,
+                            poll.epoch,
+                            poll.role,
+                            poll.name,
+                            poll.done,
+                            poll.behind,
+                            poll.names,
+                        ),
+                    ),
                 )
             case HungUp(connection=connection):
                 self._sources.pop(connection, None)
-                return self._core(now, PollerGone(connection))
+                return self._core(now, PollerDisconnected(connection))
         return self.client.handle(now, event)
 
     def _poll(self, now: float, sibling: bool) -> Poll:
         if sibling:
             return Poll(0, 0, role="sibling")
-        up = self.relay.handed_up(now)
-        return Poll(0, 0, "", "relay", self.name, up.done, up.behind, up.names)
+        up = self.relay.upstream_progress()
+        return Poll(0, 0, "", "relay", self.name, up.acknowledged, up.lagging_count, up.lagging_names)
 
     def _take(self, now: float, events: Sequence[Event], all_told: bool) -> list[Any]:
         actions: list[Any] = []
         if self.client.follower.epoch != self._upstream_epoch:
             self._upstream_epoch = self.client.follower.epoch
-            actions += self._core(now, Attached())
+            actions += self._core(now, UpstreamChanged())
         for event in events:
             actions += self._core(now, _told(event))
         if all_told:
-            actions += self._core(now, Confirmed(self.client.age_ms(now), self.client.follower.cursor))
+            actions += self._core(
+                now, UpstreamConfirmed(self.client.age_ms(now), self.client.follower.cursor)
+            )
         return actions
 
     def _core(self, now: float, event: Any) -> list[Any]:
         done: list[Any] = []
         for action in self.relay.handle(now, event):
             match action:
-                case Answer(poller=poller, body=body):
+                case SendResponse(poller=poller, body=body):
                     done.append(Reply(self._sources[poller], poller, body))
-                case Refuse(poller=poller):
+                case RejectPoll(poller=poller):
                     done.append(Reply(self._sources[poller], poller, None))
                 case SetTimer(in_ms=in_ms, token=token):
                     done.append(SetTimer(in_ms, token * 2))
@@ -197,10 +212,10 @@
         return done
 
 
-def _told(event: Event) -> ListTold | PurgeTold:
+def _told(event: Event) -> EndpointListUpdate | PurgeReceived:
     if isinstance(event, ListEvent):
         hosts = event.body if event.body is not None else event.lines.values()
-        return ListTold(event.number, event.seq, event.whole, tuple(hosts))
+        return EndpointListUpdate(event.number, event.seq, event.whole, tuple(hosts))
     key, family = (event.what, -1) if isinstance(event.what, str) else (None, event.what)
     assert isinstance(family, int)
-    return PurgeTold(event.number, key, family, event.when_ms)
+    return PurgeReceived(event.number, key, family, event.when_ms)
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -34,11 +34,11 @@
 def settings(name: str) -> RelaySettings:
     """Short holds, small pages and a small log, so that their ends are met within seconds."""
     return RelaySettings(
-        expected=EXPECTED.get(name, ()),
-        hold_ms=HOLD_MS,
-        absent_ms=800.0,
-        page_bytes=320,
-        most_changes=4,
+        expected_members=EXPECTED.get(name, ()),
+        purge_retention_ms=HOLD_MS,
+        absence_timeout_ms=800.0,
+        max_page_bytes=320,
+        max_list_changes=4,
     )
 
 
--- a/packages/control-sim/tests/mutants.py
+++ b/packages/control-sim/tests/mutants.py
@@ -1,99 +1,118 @@
-"""Ways to break relays and routers on purpose, each of which seeds must find.
+"""Mutants: seeded defects of relays and routers, which the simulation's invariants must find.
 
-`python packages/control-sim/tests/mutants.py [SEEDS]` counts by which checks, for the table in
-docs/design/control.md."""
+``python packages/control-sim/tests/mutants.py [SEEDS]`` counts the failing seeds of each mutant by invariant,
+for the table in ``docs/design/control.md``.
+"""
 
 from __future__ import annotations
 
 import sys
 from collections import Counter
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from collections.abc import Callable, Iterable, Iterator
+from contextlib import AbstractContextManager, contextmanager
 from dataclasses import replace
 from typing import Any
 from unittest.mock import patch
 
 import control_client.state_follower
-from control_relay import Polled, Relay, RelaySettings
-from control_relay.active_purges import Purges
-from control_relay.event_log import Log
-from control_relay.low_water_marks import Marks
-from control_relay.members import Router, Routers
-from control_relay.paged_responses import Page, Pages
+from control_relay import PollReceived, PollRequest, RelaySettings
+from control_relay.active_purges import ActivePurges
+from control_relay.delivery import Delivery
+from control_relay.event_log import EventLog, LogEvent
+from control_relay.freshness import Freshness
+from control_relay.low_water_marks import LowWaterMarks
+from control_relay.member import Member
+from control_relay.members import MemberTable, ResumePosition
+from control_relay.paged_responses import Page, PagedResponses
+from control_relay.poll_handling import PollHandler
 from control_sim import outcome_of, topology
 
-Flaw = Callable[[], Any]  # a context in which the code is broken
+Mutant = Callable[[], AbstractContextManager[Any]]
+"""Returns a context in which the code has the defect."""
 
+DEFAULT_SEEDS = 500
 
-def _patch(owner: Any, name: str, broken: Any) -> Flaw:
-    return lambda: patch.object(owner, name, broken)
+original_handle_poll = PollHandler.handle
+original_page = PagedResponses._page
+original_apply_poll = MemberTable.apply_poll
+original_advance = LowWaterMarks.advance
+original_settings = topology.settings
 
 
-def _present_only(self: Relay, now: float) -> None:
-    there = [router.confirmed for router in self.routers if not self.routers.cut_off(router, now)]
-    self.marks.advance(now, min(there, default=self.log.told), self.log.told)
+def replacing(owner: Any, name: str, defect: Any) -> Mutant:
+    return lambda: patch.object(owner, name, defect)
 
 
-_polled = Relay._polled
+def advance_by_reachable_members(self: Delivery, now: float) -> None:
+    members = self._members
+    reachable = [member.acknowledged for member in members if not members.is_unreachable(member, now)]
+    lowest = min(reachable, default=self._log.delivered)
+    self._low_water_marks.advance(now, lowest, self._log.delivered)
 
 
-def _any_epoch(self: Relay, now: float, event: Polled) -> Any:
-    return _polled(self, now, replace(event, epoch=self.epoch))
+def advance_by_most_advanced_member(
+    self: LowWaterMarks, now: float, lowest_acknowledged: float, delivered: int
+) -> None:
+    original_advance(self, now, delivered, delivered)
 
 
-def _skipping(self: Pages, events: Any) -> Page:
-    taken: list[bytes] = []
-    size = last = 0
-    for number, data in events:
-        if taken and size + len(data) + 1 > self._most:
-            return Page(b",".join([*taken[:-1], data]), self._log.told, number, 0)
-        taken.append(data)
-        size, last = size + len(data) + 1, number
-    return Page(b",".join(taken), last or self._log.told, last, self._log.told)
-
-
-_page = Pages._page
-
+def accept_any_epoch(self: PollHandler, now: float, event: PollReceived) -> Any:
+    request = replace(event.request, epoch=self._epoch)
+    return original_handle_poll(self, now, replace(event, request=request))
 
-def _early_cover(self: Pages, events: Any) -> Page:
-    page = _page(self, events)
-    return page if page.covers else replace(page, covers=page.last)
 
-
-def _no_floor(self: Log) -> None:
-    number = self._live.popleft()
-    self._live_bytes -= len(self.changes[number])
-    self.drop(number)
+def skip_event_at_page_end(self: PagedResponses, events: Iterable[LogEvent]) -> Page:
+    encoded: list[bytes] = []
+    size_bytes = 0
+    last_number = None
+    delivered = self._log.delivered
+    for number, data in events:
+        if encoded and size_bytes + len(data) + 1 > self._max_page_bytes:
+            return Page(b",".join([*encoded[:-1], data]), delivered, number, None)
+        encoded.append(data)
+        size_bytes += len(data) + 1
+        last_number = number
+    return Page(b",".join(encoded), last_number or delivered, last_number, delivered)
 
 
-def _no_guard(self: Relay, router: Router | None, resume: int, steady: bool) -> bool:
-    return resume >= self.log.floor
+def acknowledge_each_page(self: PagedResponses, events: Iterable[LogEvent]) -> Page:
+    page = original_page(self, events)
+    return page if page.complete_up_to is not None else replace(page, complete_up_to=page.last_number)
 
 
-_heard = Routers.heard
+def drop_change_without_raising_floor(self: EventLog) -> None:
+    number = self._current_changes.popleft()
+    self._current_change_bytes -= len(self._list_changes[number])
+    self.remove(number)
 
 
-def _resume_counts(self: Routers, router: Router, poll: Polled, resume: int) -> bool:
-    return _heard(self, router, replace(poll, done=resume), resume)
+def assume_list(self: PollHandler, member: Member | None, resume: int, position: ResumePosition) -> bool:
+    return resume >= self._log.floor
 
 
-def _no_flush(self: Relay, now: float, poller: int, router: Router | None, resume: int) -> Any:
-    return [self._tell(poller, router, resume, self.pages.whole(now, self.age_ms(now), resume))]
+def trust_resume_of_relay(
+    self: MemberTable, member: Member, request: PollRequest, resume: int
+) -> ResumePosition:
+    return original_apply_poll(self, member, replace(request, acknowledged=resume), resume)
 
 
-def _age_of_all(self: Relay, now: float) -> float:
-    return max(0.0, now - self.as_of)
+def respond_without_delivering_first(
+    self: Delivery, now: float, poller: int, member: Member | None, resume: int
+) -> Any:
+    response = self._responses.complete_state(now, self.freshness.age_ms(now), resume)
+    return [self._respond(poller, member, resume, response)]
 
 
-_settings = topology.settings
+def age_of_known_state(self: Freshness, now: float) -> float:
+    return max(0.0, now - self.known_as_of_ms)
 
 
-def _short_hold(name: str) -> RelaySettings:
-    return replace(_settings(name), hold_ms=300.0)
+def short_retention(name: str) -> RelaySettings:
+    return replace(original_settings(name), purge_retention_ms=300.0)
 
 
 @contextmanager
-def _lists_of_any_age() -> Iterator[None]:
+def accept_lists_of_any_age() -> Iterator[None]:
     with (
         patch.object(control_client.state_follower, "LATER_MS", float("-inf")),
         patch.object(control_client.state_follower, "HISTORY_MS", float("inf")),
@@ -101,37 +120,51 @@
         yield
 
 
-FLAWS: dict[str, Flaw] = {
-    "cut-off routers count as done": _patch(Relay, "_advance", _present_only),
-    "the epoch of a poll is ignored": _patch(Relay, "_polled", _any_epoch),
-    "an older list is taken from another source": _lists_of_any_age,
-    "a page's end skips an event": _patch(Pages, "_page", _skipping),
-    "the floor of the log is ignored": _patch(Log, "_forget", _no_floor),
-    "purges are held for 0.3 s instead of 4": _patch(topology, "settings", _short_hold),
-    "a relay's resume counts instead of its done": _patch(Routers, "heard", _resume_counts),
-    "a page confirms before all is told": _patch(Pages, "_page", _early_cover),
-    "half a whole state counts as the list": _patch(Relay, "_holds_list", _no_guard),
-    "a whole state goes out before what waits": _patch(Relay, "_tell_whole", _no_flush),
-    "the age leaves out what waits to be joined": _patch(Relay, "age_ms", _age_of_all),
-    "superseded events go at once": _patch(Log, "retire", Log.drop),
-    "a restarted router's confirmations stay": _patch(Routers, "forget_confirmed", lambda self, router: None),
-    "an earlier purge replaces a later one": _patch(Purges, "get", lambda self, what: None),
-    "done goes by the furthest router": _patch(
-        Marks, "advance", lambda self, now, lowest, told, f=Marks.advance: f(self, now, told, told)
+MUTANTS: dict[str, Mutant] = {
+    "unreachable routers count as acknowledged": replacing(
+        Delivery, "advance_low_water_marks", advance_by_reachable_members
+    ),
+    "the epoch of a poll is ignored": replacing(PollHandler, "handle", accept_any_epoch),
+    "an older list is accepted from another source": accept_lists_of_any_age,
+    "the end of a page skips an event": replacing(PagedResponses, "_page", skip_event_at_page_end),
+    "the floor of the log is ignored": replacing(
+        EventLog, "_drop_oldest_change", drop_change_without_raising_floor
+    ),
+    "purges are retained for 0.3 s instead of 4": replacing(topology, "settings", short_retention),
+    "a relay's resume counts instead of its progress": replacing(
+        MemberTable, "apply_poll", trust_resume_of_relay
+    ),
+    "each page acknowledges": replacing(PagedResponses, "_page", acknowledge_each_page),
+    "half a complete state counts as the list": replacing(PollHandler, "_has_list", assume_list),
+    "a complete state overtakes undelivered events": replacing(
+        Delivery, "respond_with_complete_state", respond_without_delivering_first
+    ),
+    "the age ignores undelivered events": replacing(Freshness, "age_ms", age_of_known_state),
+    "superseded events are removed at once": replacing(EventLog, "supersede", EventLog.remove),
+    "a restarted router keeps its acknowledgements": replacing(
+        MemberTable, "restart", lambda self, member: None
+    ),
+    "an earlier purge replaces a later one": replacing(ActivePurges, "get", lambda self, target: None),
+    "propagation goes by the most advanced router": replacing(
+        LowWaterMarks, "advance", advance_by_most_advanced_member
     ),
 }
 
 
-def found(flaw: str, seeds: int) -> Counter[str]:
-    """By which checks how many of the first seeds fail."""
-    with FLAWS[flaw]():
+def count_failures(mutant: str, seeds: int) -> Counter[str]:
+    """Return how many of the first seeds fail, by invariant."""
+    with MUTANTS[mutant]():
         outcomes = [outcome_of(seed) for seed in range(seeds)]
     return Counter(outcome.violation.check for outcome in outcomes if outcome.violation)
 
 
+def main() -> None:
+    seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
+    for mutant in MUTANTS:
+        failures = count_failures(mutant, seeds)
+        by_invariant = ", ".join(f"{name} {count}" for name, count in sorted(failures.items()))
+        print(f"| {mutant} | {failures.total()} | {by_invariant or 'none'} |", flush=True)
+
+
 if __name__ == "__main__":
-    most = int(sys.argv[1]) if len(sys.argv) > 1 else 500
-    for each in FLAWS:
-        checks = found(each, most)
-        named = ", ".join(f"{check} {count}" for check, count in sorted(checks.items()))
-        print(f"| {each} | {checks.total()} | {named} |", flush=True)
+    main()
--- a/packages/control-sim/tests/test_control_sim.py
+++ b/packages/control-sim/tests/test_control_sim.py
@@ -8,17 +8,17 @@
 from control_sim.fault_plans import KillAll
 from fleet_sim import Plan, run, shrink
 from fleet_sim.faults import Kill, Noise, Pause
-from mutants import FLAWS, found
+from mutants import MUTANTS, count_failures
 
 SEEDS = 500
 RARE = {  # found by few seeds, or by none: see docs/design/control.md
     "the epoch of a poll is ignored",
-    "an older list is taken from another source",
-    "the age leaves out what waits to be joined",
-    "superseded events go at once",
-    "a restarted router's confirmations stay",
+    "an older list is accepted from another source",
+    "the age ignores undelivered events",
+    "superseded events are removed at once",
+    "a restarted router keeps its acknowledgements",
     "an earlier purge replaces a later one",
-    "a whole state goes out before what waits",
+    "a complete state overtakes undelivered events",
     "the floor of the log is ignored",
 }
 
@@ -57,22 +57,22 @@
     assert one.steps != other.steps
 
 
-@pytest.mark.parametrize("flaw", [flaw for flaw in FLAWS if flaw not in RARE])
-def test_what_is_broken_on_purpose_is_found(flaw: str) -> None:
-    with FLAWS[flaw]():
+@pytest.mark.parametrize("mutant", [mutant for mutant in MUTANTS if mutant not in RARE])
+def test_what_is_broken_on_purpose_is_found(mutant: str) -> None:
+    with MUTANTS[mutant]():
         assert first_failure(30)
 
 
 @pytest.mark.parametrize(
-    ("flaw", "check"),
+    ("mutant", "check"),
     [("the floor of the log is ignored", "mixed"), ("the epoch of a poll is ignored", "lost")],
 )
-def test_rarer_flaws_are_found_by_more_seeds(flaw: str, check: str) -> None:
-    assert found(flaw, 250)[check] > 0
+def test_rare_mutants_are_found_by_more_seeds(mutant: str, check: str) -> None:
+    assert count_failures(mutant, 250)[check] > 0
 
 
 def test_a_failure_is_shrunk_to_the_faults_that_it_needs() -> None:
-    with FLAWS["a page confirms before all is told"]():
+    with MUTANTS["each page acknowledges"]():
         failed = next(o for seed in range(100) if (o := outcome_of(seed)).violation)
         small = shrink(subject(), failed)
     assert small.violation and small.violation.check == "early"
@@ -87,7 +87,7 @@
     assert capsys.readouterr().out.startswith("3 seeds, 0 failed")
     assert main(["--seed", "2"]) == 0
     assert "relay-ready" in capsys.readouterr().out
-    with FLAWS["cut-off routers count as done"]():
+    with MUTANTS["unreachable routers count as acknowledged"]():
         assert main(["--seeds", "20", "--keep-going"]) == 1
     told = capsys.readouterr().out
     assert "early at" in told and "schedule:" in told
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -16,18 +16,19 @@
 
 from control_client import Sources, SourceTimes
 from control_relay import (
-    Answer,
-    Attached,
-    Confirmed,
-    Dismissed,
-    ListTold,
-    Polled,
-    PollerGone,
-    PurgeTold,
-    Refuse,
+    EndpointListUpdate,
+    MemberDeregistered,
+    PollerDisconnected,
+    PollReceived,
+    PollRequest,
+    PurgeReceived,
+    RejectPoll,
     Relay,
     RelayAction,
     RelayEvent,
+    SendResponse,
+    UpstreamChanged,
+    UpstreamConfirmed,
 )
 from control_relay import RelaySettings as MachineSettings
 from sansio_core import Notice, SetTimer, Started, TimerFired
@@ -62,7 +63,11 @@
         self.settings, self.reactor = settings, reactor
         self.alarm = Alarm(reactor)
         deadlines = self.alarm.deadlines
-        told = MachineSettings(expected=settings.routers, join_ms=settings.join_ms, hold_ms=settings.hold_ms)
+        told = MachineSettings(
+            expected_members=settings.routers,
+            batch_window_ms=settings.join_ms,
+            purge_retention_ms=settings.hold_ms,
+        )
         # Unix seconds, so that a plain router that comes from elsewhere takes what it is told.
         self.machine = Relay(told, secrets.token_hex(8), int(time.time()) << 20)
         self.pollers = Pollers(_connections(), deadlines, core_ms, self._polled, self._gone)
@@ -79,7 +84,7 @@
             on_current=lambda: None,
             name=settings.name,
             words=self._words,
-            on_epoch=lambda: self.feed(Attached()),
+            on_epoch=lambda: self.feed(UpstreamChanged()),
             on_confirmed=self._confirmed,
         )
         self._ports: list[Any] = []
@@ -114,10 +119,10 @@
 
     def _carry_out(self, action: RelayAction) -> None:
         match action:
-            case Answer(poller, body):
+            case SendResponse(poller, body):
                 self.pollers.answer(poller, body)
-            case Refuse(poller, why):
-                self.pollers.refuse(poller, why)
+            case RejectPoll(poller, reason):
+                self.pollers.refuse(poller, reason)
             case SetTimer(in_ms, token):
                 self._later(in_ms, lambda: self.feed(TimerFired(token)))
             case Notice(name, fields):
@@ -127,22 +132,31 @@
         self.alarm.deadlines.add(core_ms() + in_ms, call)
 
     def _polled(self, poller: int, poll: Poll) -> None:
-        told = poll.done or 0, poll.behind, poll.names
-        self.feed(Polled(poller, poll.resume, poll.block_ms, poll.epoch, poll.role, poll.name, *told))
+        request = PollRequest(
+            poll.resume,
+            poll.block_ms,
+            poll.epoch,
+            poll.role,
+            poll.name,
+            acknowledged=poll.done or 0,
+            lagging_count=poll.behind,
+            lagging_names=poll.names,
+        )
+        self.feed(PollReceived(poller, request))
 
     def _gone(self, poller: int) -> None:
-        self.feed(PollerGone(poller))
+        self.feed(PollerDisconnected(poller))
 
     def dismiss(self, name: str) -> None:
         """A router or relay was taken out of service: nobody waits for it any more."""
         log.info("dismissed", name=name)
-        self.feed(Dismissed(name))
+        self.feed(MemberDeregistered(name))
 
     def take(self, command: Command) -> None:
         """An event of the upstream, as it was understood."""
         if isinstance(command, ListChange):
             hosts = tuple(line_of(host) for host in command.hosts)
-            return self.feed(ListTold(command.cursor, command.seq, command.whole, hosts))
+            return self.feed(EndpointListUpdate(command.cursor, command.seq, command.whole, hosts))
         # Guards routers against an hour of purges that no cache holds any more, and the bound on those kept;
         # their numbers count with the answer's end.
         age_ms = max(time.time() * 1000.0 - command.when_ms - SKEW_MS, 0.0)
@@ -150,20 +164,21 @@
             return
         key = f"{command.key:016x}" if command.key is not None else None
         family = command.group if key is None else -1
-        self.feed(PurgeTold(command.cursor, key, family, command.when_ms, age_ms))
+        self.feed(PurgeReceived(command.cursor, key, family, command.when_ms, age_ms))
 
     def _confirmed(self, age_ms: float, number: int) -> None:
         """All that was told so far, up to this number of the upstream, stood so, so long ago."""
         if math.isfinite(age_ms):
-            self.feed(Confirmed(age_ms, number))
+            self.feed(UpstreamConfirmed(age_ms, number))
 
     def _words(self, sibling: bool) -> str:
         """What this relay's own polls say beside their number: what all below it have confirmed."""
         if sibling:
             return f"&as=sibling&name={self.settings.name}"
-        up = self.machine.handed_up(core_ms())
-        names = "&names=" + ",".join(up.names) if up.names else ""
-        return f"&as=relay&name={self.settings.name}&done={up.done}&behind={up.behind}{names}"
+        progress = self.machine.upstream_progress()
+        names = "&names=" + ",".join(progress.lagging_names) if progress.lagging_names else ""
+        done, behind = progress.acknowledged, progress.lagging_count
+        return f"&as=relay&name={self.settings.name}&done={done}&behind={behind}{names}"
 
     def _listen(self, address: tuple[str, int], build: Callable[[], protocol.Protocol]) -> None:
         """Open a port; one that can't be had ends the program with a message."""
--- a/thornjunction/runtime/relay_view.py
+++ b/thornjunction/runtime/relay_view.py
@@ -4,14 +4,31 @@
 
 import time
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import fields
 
-from control_relay import PurgeStanding, Relay, RouterStanding
+from control_relay import MemberStatus, PurgeStatus, Relay
 
 from thornjunction.net.relay import Pollers
 from thornjunction.net.wire.operators import encode_lines, encode_word
 from thornjunction.net.wire.polls import NAME
 
+STATUS_FIELDS = {
+    "ready": "ready",
+    "epoch": "epoch",
+    "head": "head",
+    "done": "acknowledged",
+    "age_ms": "age_ms",
+    "seq": "seq",
+    "shelfs": "endpoints",
+    "purges": "purges",
+    "log_events": "log_events",
+    "log_bytes": "log_bytes",
+    "waiting": "pending_polls",
+    "present": "reachable_members",
+    "cut_off": "unreachable_members",
+    "forgotten": "evicted_members",
+}
+"""Names of the figures on the operators' page, and the fields of ``RelayStatus`` with their values."""
+
 
 class RelayView:
     """The door's calls.  Times of day are Unix ms."""
@@ -34,27 +51,30 @@
     def _relay(self) -> bytes:
         now = self.clock()
         status = self.machine.status(now)
-        told = {one.name: getattr(status, one.name) for one in fields(status) if one.name != "faults"}
+        told = {name: getattr(status, field) for name, field in STATUS_FIELDS.items()}
         told |= {f"faults.{name}": count for name, count in sorted(status.faults.items())}
         told |= {"connections": len(self.pollers.links), "held_bytes": self.pollers.budget.total}
         told |= {f"ends.{code}": count for code, count in sorted(self.pollers.ends.items())}
         figures = (f"relay.{name}={_text(value)}" for name, value in told.items())
-        return encode_lines([*figures, *(self._router(one, now) for one in self.machine.roster(now))])
+        return encode_lines(
+            [*figures, *(self._router(one, now) for one in self.machine.lagging_members(now))]
+        )
 
-    def _router(self, one: RouterStanding, now: float) -> str:
-        since = self._unix(one.since, now)
-        return f"behind {one.name} {one.role} {one.state} {since} {one.unconfirmed} {_names(one.names)}"
+    def _router(self, one: MemberStatus, now: float) -> str:
+        since = self._unix(one.lagging_since_ms, now)
+        lagging = f"{one.lagging_count} {_names(one.lagging_names)}"
+        return f"behind {one.name} {one.role} {one.state} {since} {lagging}"
 
     def _purges(self) -> bytes:
         now = self.clock()
-        return encode_lines(self._purge(one, now) for one in self.machine.purges(now))
-
-    def _purge(self, one: PurgeStanding, now: float) -> str:
-        what = one.key if one.key is not None else f"group-{one.family}"
-        when = f"{one.when_ms:.0f}"
-        if one.done_since is not None:
-            return f"purge {what} {when} done {self._unix(one.done_since, now)}"
-        return f"purge {what} {when} waits {one.unconfirmed} {_names(one.names)}"
+        return encode_lines(self._purge(one, now) for one in self.machine.recent_purges())
+
+    def _purge(self, one: PurgeStatus, now: float) -> str:
+        what = one.key if one.key is not None else f"group-{one.group}"
+        when = f"{one.issued_unix_ms:.0f}"
+        if one.propagated_at_ms is not None:
+            return f"purge {what} {when} done {self._unix(one.propagated_at_ms, now)}"
+        return f"purge {what} {when} waits {one.lagging_count} {_names(one.lagging_names)}"
 
     def _dismissed(self, name: str) -> bytes:
         if not NAME.fullmatch(name):
