--- a/packages/control-client/src/control_client/__init__.py
+++ b/packages/control-client/src/control_client/__init__.py
@@ -1,46 +1,64 @@
-"""Which source of control to poll, and what may be taken of what it tells (``docs/design/control.md``)."""
+"""Selects the source of control state to poll, and accepts what it sends (``docs/design/control.md``)."""
 
 from __future__ import annotations
 
+from control_client.backoff import jittered
 from control_client.events import (
-    Answer,
-    Answered,
-    Ask,
-    Event,
-    Failed,
-    Leave,
-    ListEvent,
-    Polled,
-    Position,
-    Probe,
+    AcceptedEvents,
+    EndpointListEvent,
+    PollAnswered,
+    PollFailed,
+    PollResponse,
+    PollSent,
+    ProbeAnswered,
+    ProbeFailed,
     PurgeEvent,
-    SourcesAction,
-    SourcesEvent,
-    Standing,
-    Taken,
+    ResponseOutcome,
+    ResumePosition,
+    SelectorAction,
+    SelectorEvent,
+    SelectorState,
+    SendProbe,
+    StartPolling,
+    StateEvent,
+    StopPolling,
+    SwitchReason,
+    SyncStatus,
 )
-from control_client.selection_timings import SourceTimes
-from control_client.source_selection import Sources
-from control_client.state_follower import HOLD_MS, Follower
+from control_client.selection_timings import InvalidTimingError, SelectionTimings
+from control_client.source_health import SourceHealth
+from control_client.source_pool import InvalidSourcesError
+from control_client.source_selection import SourceSelector
+from control_client.state_follower import PURGE_RETENTION_MS, FollowerState, StateFollower
 
 __all__ = [
-    "HOLD_MS",
-    "Answer",
-    "Answered",
-    "Ask",
-    "Event",
-    "Failed",
-    "Follower",
-    "Leave",
-    "ListEvent",
-    "Polled",
-    "Position",
-    "Probe",
+    "PURGE_RETENTION_MS",
+    "AcceptedEvents",
+    "EndpointListEvent",
+    "FollowerState",
+    "InvalidSourcesError",
+    "InvalidTimingError",
+    "PollAnswered",
+    "PollFailed",
+    "PollResponse",
+    "PollSent",
+    "ProbeAnswered",
+    "ProbeFailed",
     "PurgeEvent",
-    "SourceTimes",
-    "Sources",
-    "SourcesAction",
-    "SourcesEvent",
-    "Standing",
-    "Taken",
+    "ResponseOutcome",
+    "ResumePosition",
+    "SelectionTimings",
+    "SelectorAction",
+    "SelectorEvent",
+    "SelectorState",
+    "SendProbe",
+    "SourceHealth",
+    "SourceSelector",
+    "StartPolling",
+    "StateEvent",
+    "StateFollower",
+    "StopPolling",
+    "SwitchReason",
+    "SyncStatus",
+    "jittered",
 ]
--- a/packages/control-client/src/control_client/events.py
+++ b/packages/control-client/src/control_client/events.py
@@ -1,123 +1,189 @@
-"""What goes into ``Sources`` and ``Follower`` and comes out of them.  Times are ms on the caller's clock."""
+"""Events and actions of ``SourceSelector``, and the state that ``StateFollower`` accepts.
+
+Times are milliseconds on the caller's monotonic clock unless a name says ``unix``.  A source is a relay or
+discovery that can be polled.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Hashable, Mapping
-from dataclasses import dataclass, field
-from enum import Enum
+from dataclasses import dataclass
+from enum import Enum, StrEnum
 from typing import Any
 
 from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
 
+class SwitchReason(StrEnum):
+    """Why a source is polled or left, as the log has it; failures have reasons of the caller."""
+
+    STARTED = "start"
+    RETRY = "again"
+    TIMEOUT = "silent"
+    DEGRADED = "behind"
+    RECOVERED = "back"
+
+
+class SelectorState(Enum):
+    """State of a selector."""
+
+    SEARCHING = "searching"
+    """No source is polled: all that may be polled have failed and wait for their retry."""
+
+    HEALTHY = "healthy"
+    DEGRADED = "degraded"
+    """The polled source's state is too old, or older than the one that is kept."""
+
+
 @dataclass(frozen=True, slots=True)
-class Polled:
-    """A poll was sent to the source that is asked; an answer or a failure follows."""
+class PollSent:
+    """A poll was sent to the selected source; ``PollAnswered`` or ``PollFailed`` follows."""
 
     source: Address
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """A poll or probe was answered.  ``age_ms`` as the answer tells it; 0 from a plain discovery.  ``older``
-    where the follower keeps what is held against it (``Standing.OLDER``)."""
+class PollAnswered:
+    """A poll was answered.
+
+    ``age_ms`` is the age that the response states, 0 from a plain discovery.  ``is_stale`` says that the
+    follower keeps its list because the source's is older (``SyncStatus.SOURCE_STALE``).
+    """
 
     source: Address
     age_ms: float
-    older: bool = False
-    probe: bool = False
+    is_stale: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
-    """A dial, poll or probe failed, or the connection ended; the caller has no connection to it any more."""
+class PollFailed:
+    """Connecting or polling failed, or the connection ended; the caller has no connection any more."""
 
     source: Address
-    why: str
-    probe: bool = False
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Poll this source from now on.  No other is being asked: it was left or has failed."""
+class ProbeAnswered:
+    """A probe was answered with this age."""
 
     source: Address
+    age_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
-    """Stop polling this source, and report nothing more of it."""
+class ProbeFailed:
+    """A probe was not answered."""
 
     source: Address
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    """One short poll beside the others, of which nothing is taken and which confirms nothing; report
-    ``Answered`` or ``Failed`` with ``probe`` set."""
+class StartPolling:
+    """Poll this source from now on.  The previous one has failed or was stopped."""
 
     source: Address
 
 
-SourcesEvent = Started | TimerFired | Polled | Answered | Failed
-SourcesAction = Ask | Leave | Probe | SetTimer | Notice
+@dataclass(frozen=True, slots=True)
+class StopPolling:
+    """Stop polling this source, and report nothing more about it."""
+
+    source: Address
 
 
 @dataclass(frozen=True, slots=True)
-class ListEvent:
-    """A change of the list of shelfs.  ``lines`` by name of shelf, None for one that has left; ``seq`` is
-    discovery's, None where it could not be read.  ``body`` is the caller's own form; None in an event that
-    the follower has put together, which is whole and has no line of a shelf that has left."""
+class SendProbe:
+    """Send one short poll beside the others, of which no state is taken.
+
+    Report ``ProbeAnswered`` or ``ProbeFailed``.
+    """
+
+    source: Address
+
+
+SelectorEvent = Started | TimerFired | PollSent | PollAnswered | PollFailed | ProbeAnswered | ProbeFailed
+SelectorAction = StartPolling | StopPolling | SendProbe | SetTimer | Notice
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListEvent:
+    """A complete endpoint list or a change of it.
+
+    ``endpoints`` are by name, None for one that has left.  ``seq`` is discovery's version of the list, None
+    where it could not be read.  ``payload`` is the caller's form of the event; None for a list that the
+    follower has merged, which is complete and contains no endpoint that has left.
+    """
 
     number: int
     seq: int | None
-    whole: bool
-    lines: Mapping[str, Any]
-    body: Any = None
+    is_complete: bool
+    endpoints: Mapping[str, Any]
+    payload: Any = None
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeEvent:
-    """``what`` is the object or group.  ``when_ms`` is in Unix ms; a time to come is handed in as now, else
-    purges told after it, and before that time, would be taken for earlier ones."""
+    """A purge of an object or group.
+
+    A time in the future has to be replaced by the present: otherwise purges that are issued before that time
+    would count as earlier ones.
+    """
 
     number: int
-    what: Hashable
-    when_ms: float
-    body: Any = None
+    target: Hashable
+    issued_unix_ms: float
+    payload: Any = None
 
 
-Event = ListEvent | PurgeEvent
+StateEvent = EndpointListEvent | PurgeEvent
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """A whole answer.  ``epoch`` is empty, and ``age_ms`` 0, from a plain discovery; ``cursor`` is its
-    own."""
+class PollResponse:
+    """A complete response.  From a plain discovery ``epoch`` is empty and ``age_ms`` 0.
+
+    ``cursor`` is the number of the last event that the source has.
+    """
 
     epoch: str
     age_ms: float
     cursor: int
-    events: tuple[Event, ...] = ()
+    events: tuple[StateEvent, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Position:
-    """What the next poll says: whose numbers, and the number of the last event taken; 0 asks for all."""
+class ResumePosition:
+    """What the next poll states: the epoch, and the number of the last event taken; 0 asks for all."""
 
     epoch: str
     resume: int
 
 
-class Standing(Enum):
-    IN_STEP = "in step"  # all that the source had to tell was taken
-    MORE = "more"  # more is to come: the next poll tells it at once
-    OLDER = "older"  # the list that is held is kept against the source's: another should be asked
+class SyncStatus(Enum):
+    """How far the follower is in step with the source after a response."""
+
+    IN_SYNC = "in sync"
+    """Everything that the source had was taken."""
+
+    MORE_AVAILABLE = "more available"
+    """The next poll gets more at once."""
+
+    SOURCE_STALE = "source stale"
+    """The current list is kept because the source's is older; another source should be polled."""
+
+
+@dataclass(frozen=True, slots=True)
+class AcceptedEvents:
+    """The events of a response to apply, in this order."""
+
+    events: tuple[StateEvent, ...]
+    status: SyncStatus
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """What is to be applied now, in this order."""
+class ResponseOutcome:
+    """The result of a response's end: a list to apply, if one was merged and accepted, and the status."""
 
-    events: tuple[Event, ...] = field(default=())
-    standing: Standing = Standing.IN_STEP
+    merged_list: EndpointListEvent | None
+    status: SyncStatus
--- /dev/null
+++ b/packages/control-client/src/control_client/response_timeout.py
@@ -0,0 +1,54 @@
+"""The time that a source has to answer a poll."""
+
+from __future__ import annotations
+
+import math
+
+from control_client.backoff import exponential_backoff
+from control_client.selection_timings import SelectionTimings
+
+LATE_TIMER_MS = 100.0
+"""A timer that fires later than this shows that this process was late: responses may be unread."""
+
+MAX_GRACE_MS = 500.0
+"""Upper bound of the time that is then given to read them."""
+
+
+class ResponseTimeout:
+    """Deadline of the current poll, infinite where none is in flight.
+
+    Consecutive timeouts, of whichever source, double the time: sources that are slow because many clients
+    arrive at once must not be asked in turn for complete states that nobody waits for.
+    """
+
+    def __init__(self, timings: SelectionTimings) -> None:
+        self.deadline_ms = math.inf
+        self._timings = timings
+        self._consecutive_timeouts = 0
+
+    def start(self, now: float) -> None:
+        """Start the time of a poll, or of connecting for one."""
+        timeout_ms = exponential_backoff(
+            self._timings.response_timeout_ms,
+            self._consecutive_timeouts,
+            self._timings.max_response_timeout_ms,
+        )
+        self.deadline_ms = now + timeout_ms
+
+    def response_received(self) -> None:
+        """Clear the deadline; the next timeout is short again."""
+        self.deadline_ms = math.inf
+        self._consecutive_timeouts = 0
+
+    def record_timeout(self) -> None:
+        """Count a timeout."""
+        self._consecutive_timeouts += 1
+
+    def has_expired(self, now: float, timer_late_ms: float) -> bool:
+        """Return whether the source timed out; grants a grace period where this process was late itself."""
+        if now < self.deadline_ms:
+            return False
+        if timer_late_ms > LATE_TIMER_MS:
+            self.deadline_ms = now + min(timer_late_ms, MAX_GRACE_MS)
+            return False
+        return True
--- /dev/null
+++ b/packages/control-client/src/control_client/resync_limiter.py
@@ -0,0 +1,31 @@
+"""Limits how often a complete state is requested again."""
+
+from __future__ import annotations
+
+import math
+
+MIN_RESYNC_INTERVAL_MS = 1000.0
+
+MAX_RESYNC_INTERVAL_MS = 30_000.0
+"""The interval doubles up to this."""
+
+STABLE_MS = 60_000.0
+"""After this time without a resynchronization the interval is short again."""
+
+
+class ResyncLimiter:
+    """The interval between resynchronizations doubles until there was none for ``STABLE_MS``."""
+
+    def __init__(self) -> None:
+        self._next_allowed_ms = -math.inf
+        self._interval_ms = MIN_RESYNC_INTERVAL_MS
+
+    def try_acquire(self, now: float) -> bool:
+        """Return whether a resynchronization is allowed now, and count it if so."""
+        if now < self._next_allowed_ms:
+            return False
+        if now - self._next_allowed_ms >= STABLE_MS:
+            self._interval_ms = MIN_RESYNC_INTERVAL_MS
+        self._next_allowed_ms = now + self._interval_ms
+        self._interval_ms = min(self._interval_ms * 2, MAX_RESYNC_INTERVAL_MS)
+        return True
--- a/packages/control-client/src/control_client/source_health.py
+++ b/packages/control-client/src/control_client/source_health.py
@@ -1,4 +1,4 @@
-"""What is known of one source."""
+"""What a selector knows about one source."""
 
 from __future__ import annotations
 
@@ -7,37 +7,47 @@
 
 from sansio_core import Address
 
-PROBE_MS = 3000.0  # after which a probe of which nothing was reported counts as failed
 
+@dataclass(slots=True, eq=False)
+class SourceHealth:
+    """Health of a source.  Times are on the caller's clock; infinity stands for never.
 
-@dataclass(slots=True)
-class Source:
-    """Times are on the caller's clock; ``math.inf`` stands for never."""
+    ``priority`` is the source's index in the operators' order, 0 the preferred one.  ``penalties`` counts
+    failures and degradations while it was polled, until it has been stable.
+    """
 
     address: Address
-    place: int  # in the order
-    sibling: bool
-    fails: int = 0  # in a row
-    strikes: int = 0  # failed or was behind when it was asked; none after a calm while
-    retry_at: float = -math.inf  # may be asked again
-    look_at: float = math.inf  # the next probe
-    probed_until: float = math.inf  # a probe is out
-    as_of: float = -math.inf  # as it told last
-    good_since: float = math.inf  # it has answered probes well ever since
-    go_at: float = math.inf  # when to go back to it
+    priority: int
+    is_sibling: bool
+    consecutive_failures: int = 0
+    penalties: int = 0
+    retry_at_ms: float = -math.inf
+    next_probe_ms: float = math.inf
+    probe_deadline_ms: float = math.inf
+    as_of_ms: float = -math.inf
+    healthy_since_ms: float = math.inf
+    return_at_ms: float = math.inf
 
     @property
     def name(self) -> str:
+        """The address as text."""
         return f"{self.address[0]}:{self.address[1]}"
 
-    def doubt(self) -> None:
-        """It does not answer well: it has to prove itself from the start."""
-        self.good_since = self.go_at = math.inf
-
-    def next_due(self) -> float:
-        return min(self.look_at, self.probed_until, self.go_at)
-
-
-def doubled(first: float, times: int, most: float) -> float:
-    """Doubled so many times, up to a bound."""
-    return min(first * 2.0 ** min(max(times, 0), 16), most)
+    @property
+    def is_probed(self) -> bool:
+        """Whether a probe is in flight."""
+        return self.probe_deadline_ms < math.inf
+
+    def mark_unhealthy(self) -> None:
+        """Start its recovery time anew."""
+        self.healthy_since_ms = math.inf
+        self.return_at_ms = math.inf
+
+    def clear_probes(self) -> None:
+        """Forget planned probes and one in flight."""
+        self.next_probe_ms = math.inf
+        self.probe_deadline_ms = math.inf
+
+    def next_due_ms(self) -> float:
+        """Return when something has to be done about this source."""
+        return min(self.next_probe_ms, self.probe_deadline_ms, self.return_at_ms)
--- a/packages/control-client/src/control_client/source_selection.py
+++ b/packages/control-client/src/control_client/source_selection.py
@@ -1,287 +1,295 @@
-"""Decides whom to poll.
+"""Selects the source to poll.
 
-Upstreams are asked in the operators' order, siblings only where no upstream answers.  A failure moves on
-at once; an age that is too high only where another is younger, and then not more often than a while that
-grows.  Sources that are not asked are probed: earlier ones so that we go back to them, all while the one
-that is asked is behind or older than what is held.  Every wait is drawn, so that a whole region does not
-come at once."""
+Upstreams are polled in the operators' order, siblings only where no upstream answers.  A failure moves on at
+once; a state that is too old only where another source is fresher, and less and less often.  Sources that are
+not polled are probed: preferred ones to return to them, all of them while the polled one is degraded.  Waits
+are drawn at random, so that a whole region does not switch at once.
+"""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 
 from sansio_core import Address, Notice, RandomSource, SetTimer, Started, TimerFired
 
+from control_client.backoff import exponential_backoff, jittered
 from control_client.events import (
-    Answered,
-    Ask,
-    Failed,
-    Leave,
-    Polled,
-    Probe,
-    SourcesAction,
-    SourcesEvent,
+    PollAnswered,
+    PollFailed,
+    PollSent,
+    ProbeAnswered,
+    ProbeFailed,
+    SelectorAction,
+    SelectorEvent,
+    SelectorState,
+    SendProbe,
+    StartPolling,
+    StopPolling,
+    SwitchReason,
 )
-from control_client.selection_timings import SourceTimes
-from control_client.source_health import PROBE_MS, Source, doubled
+from control_client.probe_scheduler import ProbeScheduler
+from control_client.response_timeout import ResponseTimeout
+from control_client.selection_timings import SelectionTimings
+from control_client.source_health import SourceHealth
+from control_client.source_pool import SourcePool
+from control_client.switch_limiter import SwitchLimiter
 
-MOST_SOURCES = 16
-LATE_MS = 100.0  # of a timer: this process was late itself, and what has come is not read yet
-GRACE_MS = 500.0  # at most, for that
-UPSTREAM_FAILS = 2  # in a row of each upstream, until siblings are asked
-TIMES = SourceTimes()
+MIN_TIMER_MS = 1.0
 
+DEFAULT_TIMINGS = SelectionTimings()
 
-class Sources:
-    """One router's or relay's choice.  ValueError where there is no source, too many, or one twice."""
+
+class SourceSelector:
+    """Selection of one router or relay.  Raises InvalidSourcesError.
+
+    ``switches`` counts how often another source was polled than before.
+    """
 
     def __init__(
         self,
         upstreams: Sequence[Address],
         draw: RandomSource,
         siblings: Sequence[Address] = (),
-        times: SourceTimes = TIMES,
+        timings: SelectionTimings = DEFAULT_TIMINGS,
     ) -> None:
-        given = [*upstreams, *siblings]
-        if not given or len(given) > MOST_SOURCES or len(set(given)) < len(given):
-            raise ValueError(f"between 1 and {MOST_SOURCES} sources are needed, each named once")
-        self.times, self.draw = times, draw
-        self.sources = {
-            address: Source(address, place, place >= len(upstreams)) for place, address in enumerate(given)
-        }
-        self.current: Source | None = None
-        self.moves = 0  # how often another source was asked than the one before
-        self._before: Source | None = None
-        self._since = 0.0  # when the current one was first asked
-        self._silent_at, self._silences = math.inf, 0  # in a row, of any source
-        self._troubled = False  # the current one is behind, or older than what is held
-        self._looks = 0  # in a row, while it is
-        self._free_at, self._moved_at, self._rests = -math.inf, -math.inf, 0  # of moves that nothing forces
-        self._token, self._due = 0, math.inf
-        self._actions: list[SourcesAction] = []
-
-    def handle(self, now: float, event: SourcesEvent) -> list[SourcesAction]:
-        """Carry out what is returned at once, in its order.  KeyError for a source that was not given."""
+        self.timings = timings
+        self.draw = draw
+        self.state = SelectorState.SEARCHING
+        self.current: SourceHealth | None = None
+        self.switches = 0
+        self._last_polled: SourceHealth | None = None
+        self._polled_since_ms = 0.0
+        self._pool = SourcePool(upstreams, siblings, timings)
+        self._timeout = ResponseTimeout(timings)
+        self._limiter = SwitchLimiter(timings)
+        self._probes = ProbeScheduler(timings, draw)
+        self._timer_token = 0
+        self._timer_due_ms = math.inf
+        self._actions: list[SelectorAction] = []
+
+    def handle(self, now: float, event: SelectorEvent) -> list[SelectorAction]:
+        """Process one event at ``now`` (ms); return the actions to carry out at once, in order.
+
+        Raises KeyError for an unknown source.
+        """
         self._actions = []
         match event:
             case Started():
-                self._next(now, "start")
+                self._poll_first_available(now, SwitchReason.STARTED)
             case TimerFired():
-                if event.token == self._token:
-                    late, self._due = now - self._due, math.inf
-                    self._tick(now, late)
-            case Polled():
-                if self._is_current(event.source):
-                    self._silent_at = now + self._patience_ms()
-            case Answered():
-                source = self.sources[event.source]
-                if event.probe:
-                    self._probed(source, now, event.age_ms)
-                elif source is self.current:
-                    self._answered(source, now, event)
-            case Failed():
-                source = self.sources[event.source]
-                if event.probe:
-                    self._probe_failed(source, now)
-                elif source is self.current:
-                    self._failed(source, now, event.why)
-        self._arm(now)
+                self._handle_timer(now, event.token)
+            case PollSent():
+                if self.current is not None and self.current.address == event.source:
+                    self._timeout.start(now)
+            case PollAnswered():
+                self._handle_poll_answer(now, event)
+            case PollFailed():
+                source = self._pool.by_address[event.source]
+                if source is self.current:
+                    self._fail_current(source, now, event.reason)
+            case ProbeAnswered():
+                self._handle_probe_answer(self._pool.by_address[event.source], now, event.age_ms)
+            case ProbeFailed():
+                self._fail_probe(self._pool.by_address[event.source], now)
+        self._arm_timer(now)
         return self._actions
 
     def age_ms(self, now: float) -> float:
-        """Of what the source that is asked told last; infinite: nothing yet."""
-        return now - self.current.as_of if self.current is not None else math.inf
+        """Return the age of the state that the polled source stated last; infinite: none yet."""
+        return now - self.current.as_of_ms if self.current is not None else math.inf
 
-    def _is_current(self, address: Address) -> bool:
-        return self.current is not None and self.current.address == address
+    @property
+    def sources(self) -> Mapping[Address, SourceHealth]:
+        """All sources by address, in the operators' order."""
+        return self._pool.by_address
 
-    def _others(self) -> list[Source]:
-        """Who may be asked instead of the current one; siblings only in the place of a sibling."""
-        current = self.current
-        return [
-            source
-            for source in self.sources.values()
-            if current is not None and source is not current and (current.sibling or not source.sibling)
-        ]
-
-    def _patience_ms(self) -> float:
-        """Guards sources that are slow, as many come to them at once, against being asked in turn for whole
-        states that nobody waits for."""
-        return doubled(self.times.silent_ms, self._silences, self.times.most_silent_ms)
-
-    def _drawn(self, ms: float) -> float:
-        return ms * (0.5 + self.draw() / 2)
-
-    def _answered(self, source: Source, now: float, event: Answered) -> None:
-        self._silent_at, source.fails, source.as_of = math.inf, 0, now - event.age_ms
-        self._silences = 0
-        self._troubled = event.older or event.age_ms > self.times.behind_ms
-        if not self._troubled:
-            self._looks = 0
-        elif self._looks == 0:
-            self._look_round(now)
-        if now - self._since >= self.times.calm_ms:
-            source.strikes = 0
-
-    def _look_round(self, now: float) -> None:
-        """Ask the others how young they are: at once, and then now and then while the trouble lasts."""
-        for source in self._others():
-            if source.probed_until == math.inf:
-                source.look_at = now
-        self._look(now)
-
-    def _failed(self, source: Source, now: float, why: str) -> None:
+    # Polls
+
+    def _handle_poll_answer(self, now: float, event: PollAnswered) -> None:
+        source = self._pool.by_address[event.source]
+        if source is not self.current:
+            return
+        self._timeout.response_received()
+        source.consecutive_failures = 0
+        source.as_of_ms = now - event.age_ms
+        if event.is_stale or event.age_ms > self.timings.degraded_age_ms:
+            self.state = SelectorState.DEGRADED
+            if self._probes.rounds == 0:
+                self._probe_alternatives(source, now)
+        else:
+            self.state = SelectorState.HEALTHY
+            self._probes.rounds = 0
+        if now - self._polled_since_ms >= self.timings.stable_ms:
+            source.penalties = 0
+
+    def _fail_current(self, source: SourceHealth, now: float, reason: str) -> None:
         self.current = None
-        self._silences += why == "silent"
-        source.fails += 1
-        source.strikes += 1
-        source.retry_at = now + self._drawn(
-            doubled(self.times.again_ms, source.fails - 1, self.times.most_again_ms)
+        self.state = SelectorState.SEARCHING
+        if reason == SwitchReason.TIMEOUT:
+            self._timeout.record_timeout()
+        retry_ms = exponential_backoff(
+            self.timings.retry_ms, source.consecutive_failures, self.timings.max_retry_ms
         )
-        source.doubt()
-        self._tell("source-left", source, why)
-        self._next(now, why)
-
-    def _next(self, now: float, why: str) -> None:
-        """Ask the first that may be asked; where there is none, the timer brings us back."""
-        waiting = [source for source in self._allowed() if source.retry_at <= now]
-        if waiting:
-            # One that answered last goes before one that did not.
-            self._ask(min(waiting, key=lambda source: (source.fails > 0, source.place)), now, why)
-
-    def _allowed(self) -> list[Source]:
-        """By whom it may be tried, while nobody is asked."""
-        upstreams = [source for source in self.sources.values() if not source.sibling]
-        siblings = [source for source in self.sources.values() if source.sibling]
-        return upstreams + siblings * all(source.fails >= UPSTREAM_FAILS for source in upstreams)
-
-    def _ask(self, source: Source, now: float, why: str) -> None:
-        self.moves += self._before is not None and self._before is not source
-        self._before = self.current = source
-        self._since, self._silent_at = now, now + self._patience_ms()
-        self._troubled, self._looks = False, 0
-        source.look_at = source.probed_until = math.inf
-        source.doubt()
-        self._actions.append(Ask(source.address))
-        self._tell("source-asked", source, why)
-        for other in self.sources.values():
-            self._plan_look(other, now)
-
-    def _move(self, source: Source, now: float, why: str) -> None:
-        """A move that nothing forces: these are bounded."""
-        if now - self._moved_at >= self.times.calm_ms:
-            self._rests = 0
-        self._free_at = now + doubled(self.times.rest_ms, self._rests, self.times.most_rest_ms)
-        self._moved_at, self._rests = now, self._rests + 1
+        source.consecutive_failures += 1
+        source.penalties += 1
+        source.retry_at_ms = now + jittered(retry_ms, self.draw)
+        source.mark_unhealthy()
+        self._notify("source-left", source, reason)
+        self._poll_first_available(now, reason)
+
+    def _poll_first_available(self, now: float, reason: str) -> None:
+        """Poll the first source that may be polled; without one the timer tries again."""
+        source = self._pool.first_available(now)
+        if source is not None:
+            self._poll(source, now, reason)
+
+    def _poll(self, source: SourceHealth, now: float, reason: str) -> None:
+        if self._last_polled is not None and self._last_polled is not source:
+            self.switches += 1
+        self._last_polled = source
+        self.current = source
+        self.state = SelectorState.HEALTHY
+        self._polled_since_ms = now
+        self._timeout.start(now)
+        self._probes.rounds = 0
+        source.clear_probes()
+        source.mark_unhealthy()
+        self._actions.append(StartPolling(source.address))
+        self._notify("source-asked", source, reason)
+        for other in self._pool:
+            self._plan_probe(other, now)
+
+    def _switch(self, source: SourceHealth, now: float, reason: str) -> None:
+        """Switch to another source although the polled one has not failed."""
+        self._limiter.record(now)
         if self.current is not None:
-            self.current.strikes += self._troubled
-            self._actions.append(Leave(self.current.address))
-        self._ask(source, now, why)
-
-    def _plan_look(self, source: Source, now: float) -> None:
-        """Earlier sources are looked at so that we go back; all, while the current one is in trouble."""
-        current, times = self.current, self.times
-        if current is None or source.probed_until < math.inf:
+            if self.state is SelectorState.DEGRADED:
+                self.current.penalties += 1
+            self._actions.append(StopPolling(self.current.address))
+        self._poll(source, now, reason)
+
+    # Probes
+
+    def _plan_probe(self, source: SourceHealth, now: float) -> None:
+        if self.current is None:
             return
-        wanted = self._troubled and source in self._others()
-        if source.place >= current.place and not wanted:
-            source.look_at = math.inf
-            return source.doubt()
-        times_over = max(source.fails, self._looks - 1 if wanted else 0)
-        source.look_at = now + self._drawn(doubled(times.look_ms, times_over, times.most_look_ms))
-
-    def _look(self, now: float) -> None:
-        due = [source for source in self.sources.values() if source.look_at <= now]
-        self._looks += bool(due) and self._troubled
+        is_degraded = self.state is SelectorState.DEGRADED
+        self._probes.plan(
+            source,
+            now,
+            is_preferred=source.priority < self.current.priority,
+            is_alternative=is_degraded and source in self._pool.alternatives_to(self.current),
+        )
+
+    def _probe_alternatives(self, current: SourceHealth, now: float) -> None:
+        """Probe all alternatives at once, because the polled source has just become degraded."""
+        for source in self._pool.alternatives_to(current):
+            if not source.is_probed:
+                source.next_probe_ms = now
+        self._send_due_probes(now)
+
+    def _send_due_probes(self, now: float) -> None:
+        due = [source for source in self._pool if source.next_probe_ms <= now]
+        if due and self.state is SelectorState.DEGRADED:
+            self._probes.rounds += 1
         for source in due:
-            source.look_at, source.probed_until = math.inf, now + PROBE_MS
-            self._actions.append(Probe(source.address))
+            self._probes.start(source, now)
+            self._actions.append(SendProbe(source.address))
 
-    def _probe_failed(self, source: Source, now: float) -> None:
-        if source.probed_until == math.inf:
+    def _fail_probe(self, source: SourceHealth, now: float) -> None:
+        if not source.is_probed:
             return
-        source.probed_until = math.inf
-        source.fails += 1
-        source.doubt()
-        self._plan_look(source, now)
-        self._prefer_younger(now)
-
-    def _probed(self, source: Source, now: float, age_ms: float) -> None:
-        if source.probed_until == math.inf:
+        source.probe_deadline_ms = math.inf
+        source.consecutive_failures += 1
+        source.mark_unhealthy()
+        self._plan_probe(source, now)
+        self._switch_to_fresher(now)
+
+    def _handle_probe_answer(self, source: SourceHealth, now: float, age_ms: float) -> None:
+        if not source.is_probed:
             return
-        source.probed_until, source.fails, source.as_of = math.inf, 0, now - age_ms
-        self._plan_look(source, now)
+        source.probe_deadline_ms = math.inf
+        source.consecutive_failures = 0
+        source.as_of_ms = now - age_ms
+        self._plan_probe(source, now)
         current = self.current
         if current is None:
             return
-        upward = current.sibling and not source.sibling
-        if age_ms > self.times.behind_ms and not (upward and not self._is_younger(current, source)):
-            source.doubt()
+        returns_to_upstream = current.is_sibling and not source.is_sibling
+        # An old state of an upstream is good enough where the sibling's is not fresher.
+        suffices = returns_to_upstream and not self._pool.is_fresher(current, source)
+        if age_ms > self.timings.degraded_age_ms and not suffices:
+            source.mark_unhealthy()
         else:
-            source.good_since = min(source.good_since, now)
-            self._plan_return(source, now, upward)
-        self._prefer_younger(now)
-
-    def _plan_return(self, source: Source, now: float, upward: bool) -> None:
-        times, current = self.times, self.current
-        if current is None or source.place >= current.place or source.go_at < math.inf:
-            return
-        good_ms = 0.0 if upward else doubled(times.good_ms, source.strikes - 1, times.most_good_ms)
-        if now - source.good_since >= good_ms:
-            spread_ms = times.sibling_spread_ms if upward else times.spread_ms
-            source.go_at = now + self.draw() * spread_ms
+            source.healthy_since_ms = min(source.healthy_since_ms, now)
+            self._plan_return(source, current, now)
+        self._switch_to_fresher(now)
 
-    def _is_younger(self, one: Source, other: Source) -> bool:
-        return one.as_of - other.as_of >= self.times.younger_ms
+    # Switches without a failure
 
-    def _prefer_younger(self, now: float) -> None:
-        """While the current one is in trouble: the first that is not behind, else the youngest of all."""
+    def _plan_return(self, source: SourceHealth, current: SourceHealth, now: float) -> None:
+        """Plan the return to a preferred source that has been healthy for long enough."""
+        if source.priority >= current.priority or source.return_at_ms < math.inf:
+            return
+        timings = self.timings
+        recovery_ms = exponential_backoff(timings.recovery_ms, source.penalties - 1, timings.max_recovery_ms)
+        spread_ms = timings.return_spread_ms
+        if current.is_sibling and not source.is_sibling:
+            recovery_ms = 0.0
+            spread_ms = timings.sibling_return_spread_ms
+        if now - source.healthy_since_ms >= recovery_ms:
+            source.return_at_ms = now + self.draw() * spread_ms
+
+    def _return_to_preferred(self, now: float) -> None:
+        for source in self._pool:
+            if source.return_at_ms > now:
+                continue
+            if self._limiter.allows(now):
+                self._switch(source, now, SwitchReason.RECOVERED)
+                return
+            delay_ms = self.draw() * self.timings.return_spread_ms
+            source.return_at_ms = self._limiter.next_allowed_ms + delay_ms
+
+    def _switch_to_fresher(self, now: float) -> None:
+        """While the polled source is degraded, switch to a fresher one."""
         current = self.current
-        if current is None or not self._troubled or now < self._free_at:
+        if current is None or self.state is not SelectorState.DEGRADED or not self._limiter.allows(now):
             return
-        others = [
-            source for source in self._others() if source.fails == 0 and self._is_younger(source, current)
-        ]
-        fresh = [source for source in others if now - source.as_of <= self.times.behind_ms]
-        if fresh:
-            self._move(min(fresh, key=lambda source: source.place), now, "behind")
-        elif others and all(source.probed_until == math.inf for source in self._others()):
-            self._move(max(others, key=lambda source: source.as_of), now, "behind")
-
-    def _tick(self, now: float, late_ms: float) -> None:
+        replacement = self._pool.replacement_for(current, now)
+        if replacement is not None:
+            self._switch(replacement, now, SwitchReason.DEGRADED)
+
+    # Time
+
+    def _handle_timer(self, now: float, token: int) -> None:
+        if token != self._timer_token:
+            return  # an earlier timer, which a later one has replaced
+        late_ms = now - self._timer_due_ms
+        self._timer_due_ms = math.inf
         if self.current is None:
-            return self._next(now, "again")
-        if self._silent_at <= now:
-            if late_ms > LATE_MS:
-                # Guards a source that has answered against a process that was late itself.
-                self._silent_at = now + min(late_ms, GRACE_MS)
-            else:
-                self._actions.append(Leave(self.current.address))
-                return self._failed(self.current, now, "silent")
-        for source in self.sources.values():
-            if source.probed_until <= now:
-                self._probe_failed(source, now)
-        self._return(now)
-        self._look(now)
-
-    def _return(self, now: float) -> None:
-        for source in self.sources.values():
-            if source.go_at > now:
-                continue
-            if now < self._free_at:
-                source.go_at = self._free_at + self.draw() * self.times.spread_ms
-            else:
-                return self._move(source, now, "back")
+            self._poll_first_available(now, SwitchReason.RETRY)
+            return
+        if self._timeout.has_expired(now, late_ms):
+            self._actions.append(StopPolling(self.current.address))
+            self._fail_current(self.current, now, SwitchReason.TIMEOUT)
+            return
+        for source in self._pool:
+            if source.probe_deadline_ms <= now:
+                self._fail_probe(source, now)
+        self._return_to_preferred(now)
+        self._send_due_probes(now)
 
-    def _arm(self, now: float) -> None:
+    def _arm_timer(self, now: float) -> None:
         if self.current is None:
-            due = min(source.retry_at for source in self._allowed())
+            due_ms = min(source.retry_at_ms for source in self._pool.eligible())
         else:
-            due = min(self._silent_at, *(source.next_due() for source in self.sources.values()))
-        if due < self._due:
-            self._due, self._token = due, self._token + 1
-            self._actions.append(SetTimer(max(due - now, 1.0), self._token))
-
-    def _tell(self, name: str, source: Source, why: str) -> None:
-        self._actions.append(Notice(name, {"source": source.name, "why": why}))
+            next_due_ms = min(source.next_due_ms() for source in self._pool)
+            due_ms = min(self._timeout.deadline_ms, next_due_ms)
+        if due_ms < self._timer_due_ms:
+            self._timer_due_ms = due_ms
+            self._timer_token += 1
+            self._actions.append(SetTimer(max(due_ms - now, MIN_TIMER_MS), self._timer_token))
+
+    def _notify(self, name: str, source: SourceHealth, reason: str) -> None:
+        self._actions.append(Notice(name, {"source": source.name, "why": str(reason)}))
--- a/packages/control-client/src/control_client/state_follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -1,189 +1,283 @@
-"""What may be taken of what sources tell: no older state un-drains or un-purges.
+"""Decides what to accept of the state that sources send: no older state undoes a drain or a purge.
 
-A state has an as-of: when discovery itself confirmed that it stood so.  Of an answer it lies between the
-poll's time and the answer's, less the age that is told; of what is held the later end counts, of what is
-offered the earlier one.  Who enters another epoch, or asks for all again, puts the list events together
-until the source has told all, and judges the list that they come to: a plain discovery tells its history
-from the first list on, and a step of that is no state to serve by."""
+Every state has a freshness timestamp (as-of): when discovery itself confirmed it.  For a response it lies
+between the poll's time and the response's, less the age that the response states.  For the current state the
+later end counts, for an offered one the earlier.  After a change of epoch, or a request for everything, list
+events are merged until the source has sent all, and the resulting list is judged: a plain discovery sends its
+history from the first list on, and an intermediate list must not be served by.
+"""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
+from enum import Enum
 
-from control_client.events import Answer, Event, ListEvent, Position, PurgeEvent, Standing, Taken
-from control_client.recent_purges import PurgeMemory
-from control_client.state_merge import Fold
+from control_client.cursor_reset import CursorResetDetector
+from control_client.events import (
+    AcceptedEvents,
+    EndpointListEvent,
+    PollResponse,
+    PurgeEvent,
+    ResponseOutcome,
+    ResumePosition,
+    StateEvent,
+    SyncStatus,
+)
+from control_client.recent_purges import RecentPurges
+from control_client.resync_limiter import ResyncLimiter
+from control_client.state_merge import EndpointListMerge
 
-LATER_MS = 1000.0  # an as-of later by this tells of discovery set back, where the seq is lower
-HISTORY_MS = 2000.0  # one earlier by this, with a seq not lower: of a time before discovery was set back
-BACK_TIMES, BACK_MS = 3, 1500.0  # answers in a row, and over how long, until numbers count as gone back
-AGAIN_MS, MOST_AGAIN_MS = 1000.0, 30_000.0  # between whole states that are asked for again
-CALM_MS = 60_000.0  # without one, after which the first wait is short again
-LATE_MS = 1300.0  # of an answer: past it nothing says when it was written
-MOST_PURGES, MOST_LINES, HOLD_MS = 4096, 4096, 10_000.0
+RESET_MARGIN_MS = 1000.0
+"""A list with a lower seq is accepted if it is fresher by this: then discovery was set back."""
 
+HISTORY_MARGIN_MS = 2000.0
+"""A list that is older by this is rejected whatever its seq: it is from before discovery was set back."""
 
-class Follower:
-    """Follows one source at a time, whichever is asked.  Call ``asked`` at each poll, then ``take`` with
-    the answer, or for an answer in pieces ``begin``, ``offer`` for each event as it comes, and ``end``.
-    An answer that breaks off needs no call: what was offered stays taken, and the next poll asks for the
-    rest."""
+SLOW_RESPONSE_MS = 1300.0
+"""Past this time after its poll, nothing says when a response was written."""
+
+MAX_PURGES = 4096
+
+MAX_ENDPOINTS = 4096
+
+PURGE_RETENTION_MS = 10_000.0
+
+NO_EVENT = -1
+
+
+class FollowerState(Enum):
+    """How list events of the source are treated."""
+
+    MERGING = "merging"
+    """They are merged into a complete list, which is judged once the source has sent all."""
+
+    FOLLOWING = "following"
+    """They are accepted as they come."""
+
+    SKIPPING = "skipping"
+    """The source's list is older than the current one: its changes are skipped."""
+
+
+@dataclass(slots=True)
+class _ResponseProgress:
+    """The response that is being received.
+
+    ``floor`` is the last event taken before it, ``last_event`` the highest number in it.  ``is_unrelated``
+    marks the answer of a plain discovery to a number of another epoch, which it took for one of its numbers.
+    """
+
+    received_at_ms: float = 0.0
+    earliest_as_of_ms: float = 0.0
+    latest_as_of_ms: float = 0.0
+    cursor: int = 0
+    floor: int = 0
+    last_event: int = 0
+    is_unrelated: bool = False
+
+    @property
+    def is_incomplete(self) -> bool:
+        """Whether the source has more, or has not yet the numbers that were taken from it."""
+        if self.is_unrelated or self.cursor < self.floor:
+            return True
+        return NO_EVENT < self.last_event < self.cursor
+
+
+class StateFollower:
+    """Follows one source at a time, whichever is polled.
+
+    Call ``begin_poll`` at each poll, then ``accept_response`` with the response; or, for a response in
+    pieces, ``begin_response``, ``accept_event`` for each event and ``end_response``.  A response that breaks
+    off needs no call: accepted events stay accepted, and the next poll asks for the rest.
+    """
 
     def __init__(
-        self, hold_ms: float = HOLD_MS, most_purges: int = MOST_PURGES, most_lines: int = MOST_LINES
+        self,
+        purge_retention_ms: float = PURGE_RETENTION_MS,
+        max_purges: int = MAX_PURGES,
+        max_endpoints: int = MAX_ENDPOINTS,
     ) -> None:
-        self.purges, self.fold = PurgeMemory(hold_ms, most_purges), Fold(most_lines)
-        self.epoch, self.cursor = "", 0
+        self.state = FollowerState.MERGING
+        self.epoch = ""
+        self.cursor = 0
         self.seq: int | None = None
-        self.listed, self.as_of = False, -math.inf  # of the list that is held
-        self._confirmed = -math.inf  # as-of for others: of the last answer that told all
-        self._entering = True
-        self._passing: float | None = None  # the source is older: its changes up to this seq are no news
-        self._gap, self._again_at, self._again_ms = False, -math.inf, AGAIN_MS
-        self._back, self._back_since = 0, 0.0
-        self._checked: int | None = None  # the number that was held when numbers went back
-        self._asked_at, self._asked_from = -math.inf, 0
-        self._now = self._earliest = self._latest = 0.0
-        self._floor = self._reached = self._last = 0
-        self._foreign = False
-
-    def start(self, now: float, cursor: int, seq: int | None) -> None:
-        """A list is known from elsewhere, in the numbers of a plain discovery.  It counts as of now: so
-        nothing un-drains that it drains, and what is truly later is taken a second later."""
-        self.cursor, self.seq, self.listed = cursor, seq, True
-        self.as_of, self._entering = now, False
-
-    def asked(self, now: float) -> Position:
-        """A poll goes out now: what it says."""
-        self._asked_at, self._asked_from = now, 0 if self._checked is not None else self.cursor
-        return Position(self.epoch, self._asked_from)
+        self.has_list = False
+        self.list_as_of_ms = -math.inf
+        self.recent_purges = RecentPurges(purge_retention_ms, max_purges)
+        self.merge = EndpointListMerge(max_endpoints)
+        self._confirmed_as_of_ms = -math.inf  # of the last complete response
+        self._skip_through_seq = math.inf  # in SKIPPING: later changes are news
+        self._has_gap = False  # a change was missed
+        self._resync_limiter = ResyncLimiter()
+        self._cursor_reset = CursorResetDetector()
+        self._polled_at_ms = -math.inf
+        self._polled_from = 0
+        self._response = _ResponseProgress()
+
+    def seed(self, now: float, cursor: int, seq: int | None) -> None:
+        """Start with a list that was obtained otherwise, in the numbers of a plain discovery.
+
+        It counts as current now, so that nothing undoes its drains; a list that is truly fresher is accepted
+        a second later.
+        """
+        self.cursor = cursor
+        self.seq = seq
+        self.has_list = True
+        self.list_as_of_ms = now
+        self.state = FollowerState.FOLLOWING
+
+    def begin_poll(self, now: float) -> ResumePosition:
+        """Return what the poll that is sent now has to state."""
+        self._polled_at_ms = now
+        self._polled_from = 0 if self._cursor_reset.is_verifying else self.cursor
+        return ResumePosition(self.epoch, self._polled_from)
 
     def age_ms(self, now: float) -> float:
-        """How long ago discovery confirmed what is held, no less than the truth; infinite: never."""
-        return now - self._confirmed
-
-    def take(self, now: float, answer: Answer) -> Taken:
-        """What is to be applied of an answer, lists before purges; its events come by their numbers."""
-        self.begin(now, answer.epoch, answer.age_ms, answer.cursor)
-        taken: list[Event] = [event for event in answer.events if self.offer(event)]
-        whole, standing = self.end()
-        purges = [event for event in taken if isinstance(event, PurgeEvent)]
-        # A drain must not wait for a purge; a list that was put together stands behind the changes before it.
-        lists = [event for event in taken if isinstance(event, ListEvent)]
-        return Taken((*lists, *([whole] if whole is not None else []), *purges), standing)
-
-    def begin(self, now: float, epoch: str, age_ms: float, cursor: int | None) -> None:
-        """An answer to the last poll begins.  ``cursor`` is None where that comes behind the events only;
-        then nothing is taken for a new start of discovery."""
-        age = max(age_ms, 0.0)
-        self._now, self._latest, self._earliest = now, now - age, min(self._asked_at, now) - age
-        cursor = cursor if cursor is not None else max(self.cursor, self._asked_from)
-        self._last, self._reached, self._foreign = cursor, -1, False
+        """Return how long ago discovery confirmed the current state, at most; infinite: never."""
+        return now - self._confirmed_as_of_ms
+
+    def accept_response(self, now: float, response: PollResponse) -> AcceptedEvents:
+        """Return the events of a complete response that have to be applied.
+
+        Lists come before purges, because a drain must not wait for a purge; a merged list comes after the
+        changes that precede it.
+        """
+        self.begin_response(now, response.epoch, response.age_ms, response.cursor)
+        accepted = [event for event in response.events if self.accept_event(event)]
+        outcome = self.end_response()
+        events: list[StateEvent] = [event for event in accepted if isinstance(event, EndpointListEvent)]
+        if outcome.merged_list is not None:
+            events.append(outcome.merged_list)
+        events.extend(event for event in accepted if isinstance(event, PurgeEvent))
+        return AcceptedEvents(tuple(events), outcome.status)
+
+    def begin_response(self, now: float, epoch: str, age_ms: float, cursor: int | None) -> None:
+        """Begin the response to the last poll.
+
+        ``cursor`` is None where the response states it after its events; a reset of the source's numbers is
+        then not recognized.
+        """
+        age_ms = max(age_ms, 0.0)
+        if cursor is None:
+            cursor = max(self.cursor, self._polled_from)
+        is_unrelated = False
         if epoch != self.epoch:
-            self._enter(epoch)
-            # A plain discovery knows no epochs: it took a number of others for one of its own.
-            self._foreign = epoch == "" and self._asked_from > 0
-        else:
-            self._look_back(cursor)
-        self._floor = self.cursor
-
-    def offer(self, event: Event) -> bool:
-        """Whether this event of the answer is to be applied now."""
-        self._reached = max(self._reached, event.number)
-        if self._foreign or event.number <= self._floor:
+            self._enter_epoch(epoch)
+            is_unrelated = epoch == "" and self._polled_from > 0
+        elif self._cursor_reset.observe(now, cursor, self.cursor):
+            self._enter_epoch(epoch)
+        self._response = _ResponseProgress(
+            received_at_ms=now,
+            earliest_as_of_ms=min(self._polled_at_ms, now) - age_ms,
+            latest_as_of_ms=now - age_ms,
+            cursor=cursor,
+            floor=self.cursor,
+            last_event=NO_EVENT,
+            is_unrelated=is_unrelated,
+        )
+
+    def accept_event(self, event: StateEvent) -> bool:
+        """Return whether an event of the response has to be applied now."""
+        response = self._response
+        response.last_event = max(response.last_event, event.number)
+        if response.is_unrelated or event.number <= response.floor:
             return False
         self.cursor = max(self.cursor, event.number)
         if isinstance(event, PurgeEvent):
-            return self.purges.is_new(self._now, event.what, event.when_ms)
-        if self._entering or (event.whole and self._passing is not None):
-            self._entering = True
-            self.fold.add(event)
+            return self.recent_purges.is_new(response.received_at_ms, event.target, event.issued_unix_ms)
+        if self.state is FollowerState.SKIPPING and event.is_complete:
+            self.state = FollowerState.MERGING
+        if self.state is FollowerState.MERGING:
+            self.merge.add(event)
             return False
-        return self._change(event)
-
-    def end(self, cursor: int | None = None) -> tuple[ListEvent | None, Standing]:
-        """The answer has come whole: the list that is to be applied, if any, and how the source stands.
-        ``cursor`` where it was not known at the beginning."""
-        self._last = self._last if cursor is None else cursor
-        behind = self._last < self._floor  # it says that it has not told what we have from it
-        if self._foreign or behind or 0 <= self._reached < self._last:
-            return None, Standing.MORE
-        whole = self._judge(self.fold.event()) if self._entering and self.fold.whole else None
-        if self._entering:
-            self._gap |= self.fold.lost
-        elif self._passing is None:
+        return self._accept_list_event(event)
+
+    def end_response(self, cursor: int | None = None) -> ResponseOutcome:
+        """Return the result of a response that was received completely.
+
+        ``cursor`` is given where it was not known at the beginning.
+        """
+        response = self._response
+        if cursor is not None:
+            response.cursor = cursor
+        if response.is_incomplete:
+            return ResponseOutcome(None, SyncStatus.MORE_AVAILABLE)
+        merged_list = None
+        if self.state is FollowerState.MERGING and self.merge.is_complete:
+            merged_list = self._judge_merged_list()
+        if self.state is FollowerState.MERGING and self.merge.has_dropped_changes:
+            self._has_gap = True
+        if self.state is FollowerState.FOLLOWING:
             self._confirm()
-        kept = self._entering or self._passing is not None
-        # Only where the verdict may be another one by now is all asked for again.
-        doubtful = self._gap or (self._passing is not None and self._earliest - self.as_of >= LATER_MS)
-        if doubtful and self._ask_all():
-            return whole, Standing.MORE
-        return whole, Standing.OLDER if kept else Standing.IN_STEP
+        if self._needs_resync() and self._resync_limiter.try_acquire(response.received_at_ms):
+            self._enter_epoch(self.epoch)
+            return ResponseOutcome(merged_list, SyncStatus.MORE_AVAILABLE)
+        is_following = self.state is FollowerState.FOLLOWING
+        return ResponseOutcome(merged_list, SyncStatus.IN_SYNC if is_following else SyncStatus.SOURCE_STALE)
 
-    def _confirm(self) -> None:
-        late = self._now - self._asked_at > LATE_MS
-        self.as_of = max(self.as_of, self._latest)
-        self._confirmed = max(self._confirmed, self._earliest if late else self._latest)
-
-    def _enter(self, epoch: str) -> None:
-        self.epoch, self.cursor, self._entering, self._passing = epoch, 0, True, None
-        self._gap, self._back, self._checked = False, 0, None
-        self.fold.clear()
-
-    def _look_back(self, cursor: int) -> None:
-        """Guards against a discovery that starts its numbers anew, and against one false word that says
-        so."""
-        if self._checked is not None:
-            held, self._checked = self._checked, None
-            if cursor < held:
-                self._enter(self.epoch)
-        elif cursor >= self.cursor:
-            self._back = 0
-        else:
-            self._back_since = self._back_since if self._back else self._now
-            self._back += 1
-            if self._back >= BACK_TIMES and self._now - self._back_since >= BACK_MS:
-                self._back, self._checked = 0, self.cursor
-
-    def _change(self, event: ListEvent) -> bool:
-        """A list event within the epoch: its number alone gives the order."""
-        if event.whole:
-            self.seq, self.listed = event.seq, True
+    def _enter_epoch(self, epoch: str) -> None:
+        """Expect the complete state of an epoch."""
+        self.epoch = epoch
+        self.cursor = 0
+        self.state = FollowerState.MERGING
+        self.merge.clear()
+        self._has_gap = False
+        self._cursor_reset.clear()
+
+    def _accept_list_event(self, event: EndpointListEvent) -> bool:
+        """Accept a list event within the epoch, where its number alone gives the order."""
+        if event.is_complete:
+            self.seq = event.seq
+            self.has_list = True
             return True
-        if self._passing is not None:
-            # Guards what is held against the changes of another history: news of an older source are asked
-            # for as a whole, and judged as such.
-            self._gap |= event.seq is not None and event.seq > self._passing
+        if self.state is FollowerState.SKIPPING:
+            # The changes may be of another history: later ones make the follower ask for the complete state.
+            if event.seq is not None and event.seq > self._skip_through_seq:
+                self._has_gap = True
             return False
         if event.seq is not None:
-            self._gap |= self.seq is not None and event.seq > self.seq + 1
+            if self.seq is not None and event.seq > self.seq + 1:
+                self._has_gap = True
             self.seq = event.seq
         return True
 
-    def _judge(self, told: ListEvent) -> ListEvent | None:
-        """The list that a source tells as a whole; None where the one that is held stays."""
-        self._entering = False
-        self.fold.clear()
-        lower = told.seq is None or (self.seq is not None and told.seq < self.seq)
-        if self.listed and self._earliest - self.as_of < LATER_MS:
-            if lower:
-                self._passing = self.seq if self.seq is not None else math.inf
-                return None
-            if self.as_of - self._latest >= HISTORY_MS:
-                # Guards a new count that is still low against the lists of a source that missed the start.
-                self._passing = math.inf
-                return None
-        self.seq, self.listed, self._passing = told.seq, True, None
-        self.as_of = max(self.as_of, self._latest)
-        return told
-
-    def _ask_all(self) -> bool:
-        """The next poll asks for the whole state; not more often than a while that grows."""
-        if self._now < self._again_at:
+    def _judge_merged_list(self) -> EndpointListEvent | None:
+        """Return the merged list, or None where the current one is kept."""
+        merged = self.merge.result()
+        self.merge.clear()
+        skip_through_seq = self._seq_to_keep(merged)
+        if skip_through_seq is not None:
+            self.state = FollowerState.SKIPPING
+            self._skip_through_seq = skip_through_seq
+            return None
+        self.state = FollowerState.FOLLOWING
+        self.seq = merged.seq
+        self.has_list = True
+        self.list_as_of_ms = max(self.list_as_of_ms, self._response.latest_as_of_ms)
+        return merged
+
+    def _seq_to_keep(self, merged: EndpointListEvent) -> float | None:
+        """Return up to which seq a source's changes are skipped; None where its list is accepted."""
+        if not self.has_list or self._response.earliest_as_of_ms - self.list_as_of_ms >= RESET_MARGIN_MS:
+            return None
+        if merged.seq is None or (self.seq is not None and merged.seq < self.seq):
+            return self.seq if self.seq is not None else math.inf
+        if self.list_as_of_ms - self._response.latest_as_of_ms >= HISTORY_MARGIN_MS:
+            # A source that missed discovery's reset still has a higher seq than the new count.
+            return math.inf
+        return None
+
+    def _confirm(self) -> None:
+        response = self._response
+        is_slow = response.received_at_ms - self._polled_at_ms > SLOW_RESPONSE_MS
+        as_of_ms = response.earliest_as_of_ms if is_slow else response.latest_as_of_ms
+        self.list_as_of_ms = max(self.list_as_of_ms, response.latest_as_of_ms)
+        self._confirmed_as_of_ms = max(self._confirmed_as_of_ms, as_of_ms)
+
+    def _needs_resync(self) -> bool:
+        """Return whether the complete state could lead to another verdict than the last one did."""
+        if self._has_gap:
+            return True
+        if self.state is not FollowerState.SKIPPING:
             return False
-        if self._now - self._again_at >= CALM_MS:
-            self._again_ms = AGAIN_MS
-        self._enter(self.epoch)
-        self._again_at = self._now + self._again_ms
-        self._again_ms = min(self._again_ms * 2, MOST_AGAIN_MS)
-        return True
+        return self._response.earliest_as_of_ms - self.list_as_of_ms >= RESET_MARGIN_MS
--- a/packages/control-client/src/control_client/state_merge.py
+++ b/packages/control-client/src/control_client/state_merge.py
@@ -1,41 +1,57 @@
-"""List events taken together, as the one list that they come to."""
+"""Merges list events into the one list that results from them."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from control_client.events import ListEvent
+from control_client.events import EndpointListEvent
 
 
-class Fold:
-    """Holds ``most`` shelfs; ``overfull`` counts lines past that, which are passed over."""
+class EndpointListMerge:
+    """A list being merged; changes before the first complete list are dropped.
 
-    def __init__(self, most: int) -> None:
-        self.most, self.overfull = most, 0
-        self.clear()
+    ``rejected`` counts endpoints beyond ``max_endpoints``.
+    """
+
+    def __init__(self, max_endpoints: int) -> None:
+        self.rejected = 0
+        self.is_complete = False
+        self.has_dropped_changes = False
+        self.endpoints: dict[str, Any] = {}
+        self._max_endpoints = max_endpoints
+        self._number = 0
+        self._seq: int | None = None
 
     def clear(self) -> None:
-        self.number, self.seq = 0, None
-        self.whole = self.lost = False  # a whole list has come; a change has come before one
-        self.lines: dict[str, Any] = {}
-
-    number: int
-    seq: int | None
-
-    def add(self, event: ListEvent) -> None:
-        if event.whole:
-            self.whole, self.lines = True, {}
-        elif not self.whole:
-            self.lost = True
+        """Start anew; the count of rejected endpoints stays."""
+        self.is_complete = False
+        self.has_dropped_changes = False
+        self.endpoints = {}
+        self._number = 0
+        self._seq = None
+
+    def add(self, event: EndpointListEvent) -> None:
+        """Merge the next event of the source."""
+        if event.is_complete:
+            self.is_complete = True
+            self.endpoints = {}
+        elif not self.is_complete:
+            self.has_dropped_changes = True
             return
-        self.number, self.seq = event.number, event.seq if event.seq is not None else self.seq
-        for name, line in event.lines.items():
-            if line is None:
-                self.lines.pop(name, None)
-            elif name in self.lines or len(self.lines) < self.most:
-                self.lines[name] = line
-            else:
-                self.overfull += 1
-
-    def event(self) -> ListEvent:
-        return ListEvent(self.number, self.seq, True, self.lines)
+        self._number = event.number
+        if event.seq is not None:
+            self._seq = event.seq
+        for name, endpoint in event.endpoints.items():
+            self._merge_endpoint(name, endpoint)
+
+    def result(self) -> EndpointListEvent:
+        """Return the merged list as a complete list event."""
+        return EndpointListEvent(self._number, self._seq, True, self.endpoints)
+
+    def _merge_endpoint(self, name: str, endpoint: Any) -> None:
+        if endpoint is None:
+            self.endpoints.pop(name, None)
+        elif name in self.endpoints or len(self.endpoints) < self._max_endpoints:
+            self.endpoints[name] = endpoint
+        else:
+            self.rejected += 1
--- a/packages/control-client/tests/selection_simulation.py
+++ b/packages/control-client/tests/selection_simulation.py
@@ -1,120 +1,171 @@
-"""Sources that live, hang, refuse, fall behind and come back, and one who polls them, in virtual time."""
+"""Sources that answer, hang, refuse, lag and recover, and a client that polls them, in simulated time."""
 
 from __future__ import annotations
 
 import heapq
 import random
 from collections.abc import Callable
-from typing import Any
-
-from control_client import Answered, Ask, Failed, Leave, Polled, Probe, Sources, SourceTimes
+from enum import Enum
+from typing import Any, NamedTuple
+
+from control_client import (
+    PollAnswered,
+    PollFailed,
+    PollSent,
+    ProbeAnswered,
+    ProbeFailed,
+    SelectionTimings,
+    SendProbe,
+    SourceSelector,
+    StartPolling,
+    StopPolling,
+)
 from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
-BLOCK_MS, WAY_MS, PROBE_SILENT_MS = 800.0, 1.0, 900.0
-TIMES = SourceTimes()
+BLOCK_MS = 800.0
+LATENCY_MS = 1.0
+PROBE_TIMEOUT_MS = 900.0
+TIMINGS = SelectionTimings()
+
+
+class SourceMode(Enum):
+    UP = "up"
+    DEAD = "dead"
+    """Nobody listens."""
+
+    HUNG = "hung"
+    """Nothing is answered."""
+
+    NO_STATE = "no state"
+    """Polls are answered with status 503."""
+
+
+class PollStart(NamedTuple):
+    """A source was polled from this time on, for this reason."""
 
+    at_ms: float
+    source: int
+    reason: str
 
-class World:
-    """``ways`` says of each source how it is: ``up``, ``dead`` (nobody listens), ``hung`` (nothing is
-    answered), ``bare`` (503); ``stuck`` since when what it tells does not grow."""
+
+class ProbeSent(NamedTuple):
+    at_ms: float
+    source: int
+
+
+class SelectionSimulation:
+    """``stale_since`` has the time since when a source's state is no longer updated."""
 
     def __init__(self, upstreams: int, siblings: int = 0, seed: int = 1) -> None:
-        self.addresses: list[Address] = [(f"127.0.0.{at + 1}", 1) for at in range(upstreams + siblings)]
-        self.ways = dict.fromkeys(self.addresses, "up")
-        self.stuck: dict[Address, float] = {}
+        self.addresses: list[Address] = [(f"127.0.0.{index + 1}", 1) for index in range(upstreams + siblings)]
+        self.modes = dict.fromkeys(self.addresses, SourceMode.UP)
+        self.stale_since: dict[Address, float] = {}
         self.now = 0.0
-        self.machine = Sources(
-            self.addresses[:upstreams], random.Random(seed).random, self.addresses[upstreams:], TIMES
+        self.selector = SourceSelector(
+            self.addresses[:upstreams], random.Random(seed).random, self.addresses[upstreams:], TIMINGS
         )
-        self.asked: list[tuple[float, int, str]] = []  # when, which, why
-        self.probes: list[tuple[float, int]] = []
-        self.link = 0  # the connection that polls; 0 where there is none
-        self._links = self._order = 0
-        self._open: Address | None = None
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self.poll_starts: list[PollStart] = []
+        self.probes: list[ProbeSent] = []
+        self._connection = 0
+        self._polled: Address | None = None
+        self._scheduled = 0
+        self._calls: list[tuple[float, int, Callable[[], None]]] = []
         self.feed(Started())
 
-    def way(self, at: int, way: str) -> None:
-        """From now on the source is so; what dies ends its connections."""
-        self.ways[self.addresses[at]] = way
-        if way == "dead" and self._open == self.addresses[at]:
-            self.lost(self._open, "lost")
+    def set_mode(self, index: int, mode: SourceMode) -> None:
+        """Change how a source behaves; one that dies ends its connections."""
+        address = self.addresses[index]
+        self.modes[address] = mode
+        if mode is SourceMode.DEAD and self._polled == address:
+            self._lose(address, "lost")
 
-    def stick(self, at: int, since: float) -> None:
-        self.stuck[self.addresses[at]] = since
+    def set_stale(self, index: int, since_ms: float) -> None:
+        self.stale_since[self.addresses[index]] = since_ms
 
     def run(self, ms: float) -> None:
         end = self.now + ms
-        while self._due and self._due[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._due)
+        while self._calls and self._calls[0][0] <= end:
+            self.now, _, call = heapq.heappop(self._calls)
             call()
         self.now = end
 
     def current(self) -> int:
-        return self.addresses.index(self._open) if self._open is not None else -1
+        return self.addresses.index(self._polled) if self._polled is not None else -1
+
+    def polled_sources(self) -> list[int]:
+        return [start.source for start in self.poll_starts]
 
     def feed(self, event: Any) -> None:
-        for action in self.machine.handle(self.now, event):
-            self.carry_out(action)
-
-    def carry_out(self, action: Any) -> None:
-        if isinstance(action, SetTimer):
-            self.later(action.in_ms, lambda: self.feed(TimerFired(action.token)))
-        elif isinstance(action, Ask):
-            assert self._open is None, "two sources are asked at once"
-            self._links += 1
-            self._open, self.link = action.source, self._links
-            self.later(WAY_MS, lambda link=self.link: self.dialled(link))  # type: ignore[misc]
-        elif isinstance(action, Leave):
-            assert self._open == action.source
-            self._open, self.link = None, 0
-        elif isinstance(action, Probe):
-            self.probes.append((self.now, self.addresses.index(action.source)))
-            self.later(WAY_MS, lambda: self.probed(action.source))
-        elif isinstance(action, Notice) and action.name == "source-asked":
-            at = [f"{host}:{port}" for host, port in self.addresses].index(str(action.fields["source"]))
-            self.asked.append((self.now, at, str(action.fields["why"])))
-
-    def later(self, ms: float, call: Callable[[], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._due, (self.now + ms, self._order, call))
-
-    def age(self, address: Address) -> float:
-        return max(self.now - self.stuck.get(address, self.now), 0.0)
-
-    def dialled(self, link: int) -> None:
-        if link != self.link or self._open is None:
+        for action in self.selector.handle(self.now, event):
+            self._carry_out(action)
+
+    def _carry_out(self, action: Any) -> None:
+        match action:
+            case SetTimer(in_ms, token):
+                self._call_later(in_ms, lambda: self.feed(TimerFired(token)))
+            case StartPolling(source):
+                self._connect(source)
+            case StopPolling(source):
+                assert self._polled == source
+                self._polled = None
+                self._connection += 1
+            case SendProbe(source):
+                self.probes.append(ProbeSent(self.now, self.addresses.index(source)))
+                self._call_later(LATENCY_MS, lambda: self._answer_probe(source))
+            case Notice(name, fields) if name == "source-asked":
+                names = [f"{host}:{port}" for host, port in self.addresses]
+                index = names.index(str(fields["source"]))
+                self.poll_starts.append(PollStart(self.now, index, str(fields["why"])))
+
+    def _call_later(self, ms: float, call: Callable[[], None]) -> None:
+        self._scheduled += 1
+        heapq.heappush(self._calls, (self.now + ms, self._scheduled, call))
+
+    def _age_ms(self, address: Address) -> float:
+        return max(self.now - self.stale_since.get(address, self.now), 0.0)
+
+    def _connect(self, source: Address) -> None:
+        assert self._polled is None, "two sources are polled at once"
+        self._polled = source
+        self._connection += 1
+        connection = self._connection
+        self._call_later(LATENCY_MS, lambda: self._connected(connection))
+
+    def _connected(self, connection: int) -> None:
+        if connection != self._connection or self._polled is None:
             return
-        if self.ways[self._open] == "dead":
-            return self.lost(self._open, "dial-failed")
-        self.poll(link, WAY_MS)
+        if self.modes[self._polled] is SourceMode.DEAD:
+            self._lose(self._polled, "dial-failed")
+        else:
+            self._poll(connection, LATENCY_MS)
 
-    def poll(self, link: int, block_ms: float) -> None:
-        if self._open is not None:
-            self.feed(Polled(self._open))
-            self.later(block_ms, lambda: self.answer(link))
+    def _poll(self, connection: int, block_ms: float) -> None:
+        if self._polled is not None:
+            self.feed(PollSent(self._polled))
+            self._call_later(block_ms, lambda: self._answer_poll(connection))
 
-    def answer(self, link: int) -> None:
-        if link != self.link or self._open is None:
+    def _answer_poll(self, connection: int) -> None:
+        if connection != self._connection or self._polled is None:
             return
-        way = self.ways[self._open]
-        if way == "hung":
-            self.later(WAY_MS, lambda: self.answer(link))
-        elif way == "bare":
-            self.lost(self._open, "status-503")
-        else:
-            self.feed(Answered(self._open, self.age(self._open)))
-            if link == self.link:
-                self.poll(link, BLOCK_MS)
-
-    def lost(self, address: Address, why: str) -> None:
-        self._open, self.link = None, 0
-        self.feed(Failed(address, why))
-
-    def probed(self, address: Address) -> None:
-        way = self.ways[address]
-        if way == "up":
-            self.feed(Answered(address, self.age(address), probe=True))
+        match self.modes[self._polled]:
+            case SourceMode.HUNG:
+                self._call_later(LATENCY_MS, lambda: self._answer_poll(connection))
+            case SourceMode.NO_STATE:
+                self._lose(self._polled, "status-503")
+            case _:
+                self.feed(PollAnswered(self._polled, self._age_ms(self._polled)))
+                if connection == self._connection:
+                    self._poll(connection, BLOCK_MS)
+
+    def _lose(self, address: Address, reason: str) -> None:
+        self._polled = None
+        self._connection += 1
+        self.feed(PollFailed(address, reason))
+
+    def _answer_probe(self, address: Address) -> None:
+        mode = self.modes[address]
+        if mode is SourceMode.UP:
+            self.feed(ProbeAnswered(address, self._age_ms(address)))
         else:
-            wait_ms = PROBE_SILENT_MS if way == "hung" else 0.0
-            self.later(wait_ms, lambda: self.feed(Failed(address, way, probe=True)))
+            wait_ms = PROBE_TIMEOUT_MS if mode is SourceMode.HUNG else 0.0
+            self._call_later(wait_ms, lambda: self.feed(ProbeFailed(address)))
--- /dev/null
+++ b/packages/control-client/tests/test_follower_interleavings.py
@@ -0,0 +1,93 @@
+"""Interleavings of older, fresher and restarted sources: nothing is lost, repeated or undone."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from control_client.resync_limiter import MAX_RESYNC_INTERVAL_MS
+from control_client.state_follower import HISTORY_MARGIN_MS
+from follower_simulation import ENDPOINTS, DiscoveryModel, FollowingClient, RelayModel
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
+
+deterministic = settings(
+    derandomize=True, deadline=None, max_examples=400, suppress_health_check=list(HealthCheck), database=None
+)
+RELAYS = 3
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(st.just("wait"), st.sampled_from([1.0, 90.0, 400.0, 1100.0, 2500.0])),
+        st.tuples(st.just("change"), st.sampled_from(ENDPOINTS)),
+        st.tuples(st.just("reset"), st.integers(1, 5)),
+        st.tuples(st.just("purge"), st.sampled_from("xyz")),
+        st.tuples(st.just("copy"), st.integers(0, RELAYS - 1)),
+        st.tuples(st.just("restart"), st.integers(0, RELAYS - 1)),
+        st.tuples(st.just("poll"), st.integers(0, RELAYS - 1)),
+        st.tuples(st.just("poll"), st.integers(0, RELAYS - 1)),
+        st.tuples(st.just("cut"), st.integers(0, RELAYS - 1)),
+    ),
+    max_size=60,
+)
+
+
+class Interleaving:
+    """One interleaving of steps.  A discovery that is reset is down for ``down_ms``."""
+
+    def __init__(self, down_ms: float) -> None:
+        self.now = 10_000.0
+        self.down_ms = down_ms
+        self.discovery = DiscoveryModel()
+        self.relays = [RelayModel(f"r{index}", self.discovery) for index in range(RELAYS)]
+        for relay in self.relays:
+            relay.copy(self.now)
+        self.client = FollowingClient(self.discovery)
+
+    def step(self, what: str, argument: Any) -> None:
+        self.now += 1.0
+        match what:
+            case "wait":
+                self.now += argument
+            case "change":
+                self.discovery.change(argument)
+            case "reset":
+                self.now += self.down_ms
+                self.discovery.reset(argument)
+            case "purge":
+                self.discovery.purge(argument, self.now)
+            case "copy":
+                self.relays[argument].copy(self.now)
+            case "restart":
+                self.relays[argument].restart(self.now)
+            case "poll":
+                self.client.poll(self.now, self.relays[argument])
+            case "cut":
+                self.cut(self.relays[argument])
+
+    def cut(self, relay: RelayModel) -> None:
+        """A response that breaks off after its first event."""
+        follower = self.client.follower
+        position = follower.begin_poll(self.now)
+        response = relay.response(self.now, position.epoch, position.resume)
+        follower.begin_response(self.now, response.epoch, response.age_ms, response.cursor)
+        for event in response.events[:1]:
+            if follower.accept_event(event):
+                self.client.apply(event)
+        self.client.check_list()
+
+
+@given(STEPS, st.integers(0, RELAYS - 1))
+@deterministic
+def test_any_interleaving_loses_repeats_and_undoes_nothing(steps: list[tuple[str, Any]], last: int) -> None:
+    """Each list is one that stood, none older than the one before; no purge is applied twice.
+
+    At the end one source brings everything.
+    """
+    interleaving = Interleaving(down_ms=2.0 * HISTORY_MARGIN_MS)
+    for what, argument in steps:
+        interleaving.step(what, argument)
+    interleaving.now += 2.0 * MAX_RESYNC_INTERVAL_MS
+    interleaving.client.poll_until_in_sync(interleaving.now, interleaving.relays[last])
+    assert interleaving.client.endpoints == interleaving.discovery.endpoints
+    latest = dict(interleaving.discovery.purges)
+    assert interleaving.client.purged == latest
+    assert len(set(interleaving.client.applied_purges)) == len(interleaving.client.applied_purges)
--- a/packages/control-client/tests/test_source_selection.py
+++ b/packages/control-client/tests/test_source_selection.py
@@ -1,277 +1,231 @@
-"""Whom to poll: each reason to leave, the way back, and what bounds both."""
+"""Which source is polled: each reason to switch, the return, and the bounds of both."""
 
 from __future__ import annotations
 
-from typing import Any
+from itertools import pairwise
 
 import pytest
-from control_client import Answered, Ask, Failed, Leave, Polled, Probe, Sources, SourceTimes
-from hypothesis import given, settings
-from hypothesis import strategies as st
-from sansio_core import SetTimer, Started, TimerFired
-from selection_simulation import TIMES, World
-
-fixed = settings(derandomize=True, deadline=None, max_examples=150, database=None)
-WITHIN_MS = 2000.0  # a router is at another source
+from control_client import (
+    InvalidSourcesError,
+    InvalidTimingError,
+    PollAnswered,
+    PollSent,
+    SelectionTimings,
+    SourceSelector,
+    StopPolling,
+    SwitchReason,
+)
+from sansio_core import Started, TimerFired
+from selection_simulation import TIMINGS, SelectionSimulation, SourceMode
+
+SWITCH_WITHIN_MS = 2000.0
+"""Until a router polls another source."""
+
 MINUTE_MS = 60_000.0
 
 
-@pytest.mark.parametrize("way", ["dead", "hung", "bare"])
-def test_a_source_that_does_not_answer_is_left_for_the_next(way: str) -> None:
-    world = World(3)
-    world.run(5000.0)
-    world.way(0, way)
-    failed_at = world.now
-    world.run(WITHIN_MS)
-    assert [at for _, at, _ in world.asked] == [0, 1] and world.asked[1][0] - failed_at < WITHIN_MS
-
-
-def test_the_next_may_be_dead_as_well() -> None:
-    world = World(3)
-    world.way(0, "dead")
-    world.way(1, "bare")
-    world.run(100.0)
-    assert [at for _, at, _ in world.asked] == [0, 1, 2] and world.current() == 2
-
-
-def test_sources_that_are_slow_as_many_come_are_not_asked_in_turn_for_whole_states() -> None:
-    world = World(2)
-    world.run(5000.0)
-    world.way(0, "hung")
-    world.way(1, "hung")
-    world.run(MINUTE_MS)
-    left = [at for at, _, why in world.asked if why == "silent"]
-    gaps = [later - earlier for earlier, later in zip(left, left[1:], strict=False)]
-    assert 2 * TIMES.silent_ms <= gaps[0] < gaps[1] <= max(gaps) <= TIMES.most_silent_ms + TIMES.again_ms
-    assert len(left) <= MINUTE_MS / TIMES.most_silent_ms + 3
-    world.way(1, "up")
-    world.run(2 * TIMES.most_silent_ms)
-    assert world.current() == 1
-    world.way(0, "up")
-    world.way(1, "hung")
-    hung_at = world.now
-    world.run(WITHIN_MS)  # one answer, and the next that hangs is left as soon as ever
-    assert world.asked[-1][0] - hung_at < WITHIN_MS and world.current() == 0
-
-
-def test_a_source_that_falls_behind_is_left_where_another_is_younger() -> None:
-    world = World(3)
-    world.run(5000.0)
-    world.stick(0, world.now)
-    behind_at = world.now + TIMES.behind_ms
-    world.run(TIMES.behind_ms + WITHIN_MS)
-    assert [at for _, at, _ in world.asked] == [0, 1] and world.asked[1][0] - behind_at < WITHIN_MS
-
-
-def test_where_all_are_behind_the_youngest_is_taken_and_others_are_looked_at_now_and_then() -> None:
-    world = World(3)
-    world.run(5000.0)
-    for at, ago_ms in enumerate((9000.0, 4000.0, 9000.0)):
-        world.stick(at, world.now - ago_ms)
-    world.run(WITHIN_MS)
-    assert world.current() == 1
-    world.probes.clear()
-    world.run(10.0 * MINUTE_MS)
-    assert [at for _, at, _ in world.asked] == [0, 1]
-    assert 2 * 30 <= len(world.probes) <= 2 * 100  # of each, in ten minutes
-    world.stuck.pop(world.addresses[2])
-    world.run(TIMES.most_look_ms + 1.0)
-    assert world.current() == 2
-
-
-def test_where_all_are_equally_behind_nobody_moves() -> None:
-    world = World(2)
-    world.run(5000.0)
-    for at in range(2):
-        world.stick(at, world.now - 300.0 * (1 - at))
-    world.run(5.0 * MINUTE_MS)
-    assert [at for _, at, _ in world.asked] == [0]
-
-
-def test_an_older_source_is_left_where_another_is_younger() -> None:
-    world = World(2)
-    world.run(5000.0)
-    world.stick(0, world.now - 1500.0)  # not behind, but older than what is held
-    world.feed(Answered(world.addresses[0], 1500.0, older=True))
-    world.run(10.0)
-    assert world.current() == 1
-
-
-def test_the_first_is_gone_back_to_after_it_has_answered_well_and_not_by_all_at_once() -> None:
-    back = []
+@pytest.mark.parametrize("mode", [SourceMode.DEAD, SourceMode.HUNG, SourceMode.NO_STATE])
+def test_source_that_does_not_answer_is_left_for_the_next(mode: SourceMode) -> None:
+    simulation = SelectionSimulation(3)
+    simulation.run(5000.0)
+    simulation.set_mode(0, mode)
+    failed_at = simulation.now
+    simulation.run(SWITCH_WITHIN_MS)
+    assert simulation.polled_sources() == [0, 1]
+    assert simulation.poll_starts[1].at_ms - failed_at < SWITCH_WITHIN_MS
+
+
+def test_next_source_may_fail_as_well() -> None:
+    simulation = SelectionSimulation(3)
+    simulation.set_mode(0, SourceMode.DEAD)
+    simulation.set_mode(1, SourceMode.NO_STATE)
+    simulation.run(100.0)
+    assert simulation.polled_sources() == [0, 1, 2]
+    assert simulation.current() == 2
+
+
+def test_consecutive_timeouts_give_slow_sources_more_time() -> None:
+    simulation = SelectionSimulation(2)
+    simulation.run(5000.0)
+    simulation.set_mode(0, SourceMode.HUNG)
+    simulation.set_mode(1, SourceMode.HUNG)
+    simulation.run(MINUTE_MS)
+    timeouts = [start.at_ms for start in simulation.poll_starts if start.reason == SwitchReason.TIMEOUT]
+    gaps = [later - earlier for earlier, later in pairwise(timeouts)]
+    assert 2 * TIMINGS.response_timeout_ms <= gaps[0] < gaps[1]
+    assert max(gaps) <= TIMINGS.max_response_timeout_ms + TIMINGS.retry_ms
+    assert len(timeouts) <= MINUTE_MS / TIMINGS.max_response_timeout_ms + 3
+    simulation.set_mode(1, SourceMode.UP)
+    simulation.run(2 * TIMINGS.max_response_timeout_ms)
+    assert simulation.current() == 1
+    simulation.set_mode(0, SourceMode.UP)
+    simulation.set_mode(1, SourceMode.HUNG)
+    hung_at = simulation.now
+    simulation.run(SWITCH_WITHIN_MS)  # after one answer a timeout is short again
+    assert simulation.poll_starts[-1].at_ms - hung_at < SWITCH_WITHIN_MS
+    assert simulation.current() == 0
+
+
+def test_degraded_source_is_left_for_a_fresher_one() -> None:
+    simulation = SelectionSimulation(3)
+    simulation.run(5000.0)
+    simulation.set_stale(0, simulation.now)
+    degraded_at = simulation.now + TIMINGS.degraded_age_ms
+    simulation.run(TIMINGS.degraded_age_ms + SWITCH_WITHIN_MS)
+    assert simulation.polled_sources() == [0, 1]
+    assert simulation.poll_starts[1].at_ms - degraded_at < SWITCH_WITHIN_MS
+
+
+def test_freshest_source_is_polled_where_all_are_degraded() -> None:
+    simulation = SelectionSimulation(3)
+    simulation.run(5000.0)
+    for index, ago_ms in enumerate((9000.0, 4000.0, 9000.0)):
+        simulation.set_stale(index, simulation.now - ago_ms)
+    simulation.run(SWITCH_WITHIN_MS)
+    assert simulation.current() == 1
+    simulation.probes.clear()
+    simulation.run(10.0 * MINUTE_MS)
+    assert simulation.polled_sources() == [0, 1]
+    assert 2 * 30 <= len(simulation.probes) <= 2 * 100  # of each, in ten minutes
+    simulation.stale_since.pop(simulation.addresses[2])
+    simulation.run(TIMINGS.max_probe_interval_ms + 1.0)
+    assert simulation.current() == 2
+
+
+def test_no_switch_where_all_sources_are_equally_degraded() -> None:
+    simulation = SelectionSimulation(2)
+    simulation.run(5000.0)
+    for index in range(2):
+        simulation.set_stale(index, simulation.now - 300.0 * (1 - index))
+    simulation.run(5.0 * MINUTE_MS)
+    assert simulation.polled_sources() == [0]
+
+
+def test_stale_source_is_left_for_a_fresher_one() -> None:
+    simulation = SelectionSimulation(2)
+    simulation.run(5000.0)
+    # Not degraded by its age, but older than the current list.
+    simulation.set_stale(0, simulation.now - 1500.0)
+    simulation.feed(PollAnswered(simulation.addresses[0], 1500.0, is_stale=True))
+    simulation.run(10.0)
+    assert simulation.current() == 1
+
+
+def test_return_to_the_preferred_source_after_its_recovery_is_spread() -> None:
+    returns = []
     for seed in range(200):
-        world = World(2, seed=seed)
-        world.run(5000.0)
-        world.way(0, "dead")
-        world.run(1000.0)
-        world.way(0, "up")
-        up_at = world.now
-        world.run(2.0 * TIMES.good_ms + TIMES.spread_ms)
-        assert [at for _, at, _ in world.asked] == [0, 1, 0], world.asked
-        assert world.asked[-1][2] == "back" and world.machine.moves == 2
-        back.append(world.asked[-1][0] - up_at)
-    assert min(back) >= TIMES.good_ms
-    most = max(sum(start <= at < start + 1000.0 for at in back) for start in back)
-    assert most <= 40, f"{most} of 200 within one second"
-
-
-def test_a_break_in_the_answers_of_an_earlier_source_counts_from_the_start() -> None:
-    world = World(2)
-    world.way(0, "dead")
-    world.run(100.0)
+        simulation = SelectionSimulation(2, seed=seed)
+        simulation.run(5000.0)
+        simulation.set_mode(0, SourceMode.DEAD)
+        simulation.run(1000.0)
+        simulation.set_mode(0, SourceMode.UP)
+        up_at = simulation.now
+        simulation.run(2.0 * TIMINGS.recovery_ms + TIMINGS.return_spread_ms)
+        assert simulation.polled_sources() == [0, 1, 0], simulation.poll_starts
+        assert simulation.poll_starts[-1].reason == "back"
+        assert simulation.selector.switches == 2
+        returns.append(simulation.poll_starts[-1].at_ms - up_at)
+    assert min(returns) >= TIMINGS.recovery_ms
+    crowd = max(sum(start <= at < start + 1000.0 for at in returns) for start in returns)
+    assert crowd <= 40, f"{crowd} of 200 within one second"
+
+
+def test_failed_probe_restarts_the_recovery_time() -> None:
+    simulation = SelectionSimulation(2)
+    simulation.set_mode(0, SourceMode.DEAD)
+    simulation.run(100.0)
     for _ in range(20):
-        world.way(0, "up")
-        world.run(0.6 * TIMES.good_ms)
-        world.way(0, "dead")
-        world.run(2.0 * TIMES.most_look_ms)
-    assert [at for _, at, _ in world.asked] == [0, 1]
-
-
-def test_a_source_that_comes_and_goes_is_asked_less_and_less() -> None:
-    world = World(2)
-    while world.now < 60.0 * MINUTE_MS:
-        world.run(100.0)
-        if world.current() == 0:
-            world.run(3000.0)
-            world.way(0, "dead")
-            world.run(100.0)
-            world.way(0, "up")
-    assert 10 <= world.machine.moves <= 60  # in an hour; without the growing wait some 300
-
-
-def test_ages_that_cross_again_and_again_bound_the_moves() -> None:
-    world = World(2)
-    while world.now < 10.0 * MINUTE_MS:
-        current = world.current()
-        world.stick(current, world.now - 5000.0)
-        world.stuck.pop(world.addresses[1 - current], None)
-        world.run(3000.0)
-    assert world.machine.moves <= 40  # without the growing rest 200
-
-
-def test_all_down_costs_few_dials_and_the_first_that_is_back_is_asked() -> None:
+        simulation.set_mode(0, SourceMode.UP)
+        simulation.run(0.6 * TIMINGS.recovery_ms)
+        simulation.set_mode(0, SourceMode.DEAD)
+        simulation.run(2.0 * TIMINGS.max_probe_interval_ms)
+    assert simulation.polled_sources() == [0, 1]
+
+
+def test_flapping_source_is_returned_to_ever_more_rarely() -> None:
+    simulation = SelectionSimulation(2)
+    while simulation.now < 60.0 * MINUTE_MS:
+        simulation.run(100.0)
+        if simulation.current() == 0:
+            simulation.run(3000.0)
+            simulation.set_mode(0, SourceMode.DEAD)
+            simulation.run(100.0)
+            simulation.set_mode(0, SourceMode.UP)
+    assert 10 <= simulation.selector.switches <= 60  # in an hour; without the growing recovery time some 300
+
+
+def test_alternating_ages_cause_few_switches() -> None:
+    simulation = SelectionSimulation(2)
+    while simulation.now < 10.0 * MINUTE_MS:
+        current = simulation.current()
+        simulation.set_stale(current, simulation.now - 5000.0)
+        simulation.stale_since.pop(simulation.addresses[1 - current], None)
+        simulation.run(3000.0)
+    assert simulation.selector.switches <= 40  # without the growing interval 200
+
+
+def test_outage_of_all_sources_costs_few_connections_and_ends_at_once() -> None:
     for first in range(3):
-        world = World(3)
-        world.run(5000.0)
-        for at in range(3):
-            world.way(at, "dead")
-        world.asked.clear()
-        world.run(MINUTE_MS)
-        assert 3 * 25 <= len(world.asked) <= 3 * 70
-        world.way(first, "up")
-        world.run(WITHIN_MS)
-        assert world.current() == first
-        world.run(0.9 * TIMES.good_ms)
-        assert world.current() == first
-
-
-def test_siblings_are_asked_only_where_no_upstream_answers() -> None:
-    world = World(2, siblings=2)
-    world.way(0, "dead")
-    world.run(MINUTE_MS)
-    world.stick(1, world.now - 9000.0)
-    world.run(MINUTE_MS)
-    assert {at for _, at, _ in world.asked} == {0, 1} == {at for _, at in world.probes} | {0, 1}
-    world.way(1, "bare")
-    world.run(WITHIN_MS)
-    assert world.current() == 2
-    world.way(2, "hung")
-    world.run(WITHIN_MS)
-    assert world.current() == 3
-    world.stuck.clear()
-    world.way(1, "up")
-    world.run(TIMES.most_look_ms + TIMES.sibling_spread_ms)
-    assert world.current() == 1
-
-
-def test_an_upstream_that_fails_once_is_asked_again_before_a_sibling() -> None:
-    world = World(1, siblings=1)
-    world.run(5000.0)
-    world.way(0, "dead")
-    world.way(0, "up")
-    world.run(WITHIN_MS)
-    assert [at for _, at, _ in world.asked] == [0, 0]
-
-
-def test_a_process_that_was_late_itself_reads_before_it_judges() -> None:
-    machine, source = Sources([("a", 1), ("b", 1)], lambda: 0.5), ("a", 1)
-    machine.handle(0.0, Started())
-    machine.handle(1.0, Answered(source, 0.0))
-    machine.handle(1.0, Polled(source))
-    (timer,) = [action for action in machine.handle(1.0, Polled(source)) if isinstance(action, SetTimer)] or [
-        SetTimer(0.0, machine._token)
-    ]
-    late = machine.handle(60_000.0, TimerFired(timer.token))
-    assert not [action for action in late if isinstance(action, Leave)]
-    machine.handle(60_001.0, Answered(source, 0.0))
-    machine.handle(60_001.0, Polled(source))
-    assert machine.current is not None and machine.current.address == source
-
-
-def test_sources_are_named_once_and_there_are_some() -> None:
-    for given_ in ([], [("a", 1)] * 2, [("a", port) for port in range(17)]):
-        with pytest.raises(ValueError, match="sources"):
-            Sources(given_, lambda: 0.0)
-    with pytest.raises(ValueError, match="silent_ms"):
-        SourceTimes(silent_ms=0.0)
-
-
-EVENTS = st.lists(
-    st.tuples(
-        st.sampled_from(["answer", "older", "fail", "probe", "unprobe", "poll", "time", "late"]),
-        st.integers(0, 3),
-        st.sampled_from([0.0, 1.0, 900.0, 2500.0, 20_000.0]),
-    ),
-    max_size=30,
-)
-
-
-@given(EVENTS)
-@fixed
-def test_whatever_comes_one_source_is_asked_and_work_is_bounded(events: list[tuple[str, int, float]]) -> None:
-    addresses = [("127.0.0.1", port) for port in range(1, 5)]
-    machine = Sources(addresses[:3], lambda: 0.3, addresses[3:])
-    now, asked, timers = 0.0, None, dict[int, float]()
-
-    def feed(event: Any) -> None:
-        nonlocal asked
-        if isinstance(event, Failed) and not event.probe and event.source == asked:
-            asked = None
-        actions = machine.handle(now, event)
-        assert len(actions) <= 2 * len(addresses) + 6
-        for action in actions:
-            if isinstance(action, SetTimer):
-                timers[action.token] = now + action.in_ms
-            elif isinstance(action, Ask):
-                assert asked is None
-                asked = action.source
-            elif isinstance(action, Leave):
-                assert asked == action.source
-                asked = None
-            elif isinstance(action, Probe):
-                assert action.source != asked
-
-    feed(Started())
-    for what, at, ms in events:
-        source = addresses[at]
-        if what in ("time", "late"):
-            until = now + ms
-            while timers and min(timers.values()) <= until:
-                token = min(timers, key=lambda token: timers[token])
-                due = timers.pop(token)
-                now = max(now, due) if what == "time" else until
-                feed(TimerFired(token))
-            now = until
-        else:
-            feed(
-                {
-                    "answer": Answered(source, ms),
-                    "older": Answered(source, ms, older=True),
-                    "fail": Failed(source, "x"),
-                    "probe": Answered(source, ms, probe=True),
-                    "unprobe": Failed(source, "x", probe=True),
-                    "poll": Polled(source),
-                }[what]
-            )
-        assert timers or asked, "nothing would wake it"
-    assert len(timers) <= 40
+        simulation = SelectionSimulation(3)
+        simulation.run(5000.0)
+        for index in range(3):
+            simulation.set_mode(index, SourceMode.DEAD)
+        simulation.poll_starts.clear()
+        simulation.run(MINUTE_MS)
+        assert 3 * 25 <= len(simulation.poll_starts) <= 3 * 70
+        simulation.set_mode(first, SourceMode.UP)
+        simulation.run(SWITCH_WITHIN_MS)
+        assert simulation.current() == first
+        simulation.run(0.9 * TIMINGS.recovery_ms)
+        assert simulation.current() == first
+
+
+def test_siblings_are_polled_only_where_no_upstream_answers() -> None:
+    simulation = SelectionSimulation(2, siblings=2)
+    simulation.set_mode(0, SourceMode.DEAD)
+    simulation.run(MINUTE_MS)
+    simulation.set_stale(1, simulation.now - 9000.0)
+    simulation.run(MINUTE_MS)
+    assert set(simulation.polled_sources()) == {0, 1}
+    assert {probe.source for probe in simulation.probes} <= {0, 1}
+    simulation.set_mode(1, SourceMode.NO_STATE)
+    simulation.run(SWITCH_WITHIN_MS)
+    assert simulation.current() == 2
+    simulation.set_mode(2, SourceMode.HUNG)
+    simulation.run(SWITCH_WITHIN_MS)
+    assert simulation.current() == 3
+    simulation.stale_since.clear()
+    simulation.set_mode(1, SourceMode.UP)
+    simulation.run(TIMINGS.max_probe_interval_ms + TIMINGS.sibling_return_spread_ms)
+    assert simulation.current() == 1
+
+
+def test_upstream_that_fails_once_is_retried_before_a_sibling() -> None:
+    simulation = SelectionSimulation(1, siblings=1)
+    simulation.run(5000.0)
+    simulation.set_mode(0, SourceMode.DEAD)
+    simulation.set_mode(0, SourceMode.UP)
+    simulation.run(SWITCH_WITHIN_MS)
+    assert simulation.polled_sources() == [0, 0]
+
+
+def test_late_process_gets_a_grace_period_before_a_timeout() -> None:
+    source = ("a", 1)
+    selector = SourceSelector([source, ("b", 1)], lambda: 0.5)
+    selector.handle(0.0, Started())
+    selector.handle(1.0, PollAnswered(source, 0.0))
+    selector.handle(1.0, PollSent(source))
+    actions = selector.handle(60_000.0, TimerFired(selector._timer_token))
+    assert not [action for action in actions if isinstance(action, StopPolling)]
+    selector.handle(60_001.0, PollAnswered(source, 0.0))
+    selector.handle(60_001.0, PollSent(source))
+    assert selector.current is not None
+    assert selector.current.address == source
+
+
+def test_invalid_sources_and_timings_raise() -> None:
+    for addresses in ([], [("a", 1)] * 2, [("a", port) for port in range(17)]):
+        with pytest.raises(InvalidSourcesError, match="sources"):
+            SourceSelector(addresses, lambda: 0.0)
+    with pytest.raises(InvalidTimingError, match="response_timeout_ms"):
+        SelectionTimings(response_timeout_ms=0.0)
--- a/packages/control-sim/src/control_sim/nodes.py
+++ b/packages/control-sim/src/control_sim/nodes.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from control_client import Event, ListEvent
+from control_client import EndpointListEvent, StateEvent
 from control_relay import (
     EndpointListUpdate,
     PollerDisconnected,
@@ -44,13 +44,15 @@
         self.lines: Lines = {}
         self.purges: dict[Any, float] = {}
 
-    def take(self, event: Event) -> None:
-        if not isinstance(event, ListEvent):
-            self.purges[event.what] = max(event.when_ms, self.purges.get(event.what, event.when_ms))
+    def take(self, event: StateEvent) -> None:
+        if not isinstance(event, EndpointListEvent):
+            self.purges[event.target] = max(
+                event.issued_unix_ms, self.purges.get(event.target, event.issued_unix_ms)
+            )
             return
-        if event.whole:
+        if event.is_complete:
             self.lines = {}
-        for name, line in event.lines.items():
+        for name, line in event.endpoints.items():
             if line is None:
                 self.lines.pop(name, None)
             else:
@@ -75,7 +77,7 @@
     def handle(self, now: float, event: object) -> list[Any]:
         return self.client.handle(now, event)
 
-    def _take(self, now: float, events: Sequence[Event], all_told: bool) -> list[Any]:
+    def _take(self, now: float, events: Sequence[StateEvent], all_told: bool) -> list[Any]:
         for event in events:
             self.held.take(event)
         return []
@@ -184,7 +186,7 @@
         up = self.relay.upstream_progress()
         return Poll(0, 0, "", "relay", self.name, up.acknowledged, up.lagging_count, up.lagging_names)
 
-    def _take(self, now: float, events: Sequence[Event], all_told: bool) -> list[Any]:
+    def _take(self, now: float, events: Sequence[StateEvent], all_told: bool) -> list[Any]:
         actions: list[Any] = []
         if self.client.follower.epoch != self._upstream_epoch:
             self._upstream_epoch = self.client.follower.epoch
@@ -212,10 +214,10 @@
         return done
 
 
-def _told(event: Event) -> EndpointListUpdate | PurgeReceived:
-    if isinstance(event, ListEvent):
-        hosts = event.body if event.body is not None else event.lines.values()
-        return EndpointListUpdate(event.number, event.seq, event.whole, tuple(hosts))
-    key, family = (event.what, -1) if isinstance(event.what, str) else (None, event.what)
+def _told(event: StateEvent) -> EndpointListUpdate | PurgeReceived:
+    if isinstance(event, EndpointListEvent):
+        hosts = event.payload if event.payload is not None else event.endpoints.values()
+        return EndpointListUpdate(event.number, event.seq, event.is_complete, tuple(hosts))
+    key, family = (event.target, -1) if isinstance(event.target, str) else (None, event.target)
     assert isinstance(family, int)
-    return PurgeReceived(event.number, key, family, event.when_ms)
+    return PurgeReceived(event.number, key, family, event.issued_unix_ms)
--- a/packages/control-sim/src/control_sim/poll_client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -9,35 +9,41 @@
 from typing import Any
 
 from control_client import (
-    Answer,
-    Answered,
-    Ask,
-    Event,
-    Failed,
-    Follower,
-    Leave,
-    ListEvent,
-    Polled,
-    Probe,
+    EndpointListEvent,
+    PollAnswered,
+    PollFailed,
+    PollResponse,
+    PollSent,
+    ProbeAnswered,
+    ProbeFailed,
     PurgeEvent,
-    Sources,
-    SourceTimes,
-    Standing,
+    SelectionTimings,
+    SendProbe,
+    SourceSelector,
+    StartPolling,
+    StateEvent,
+    StateFollower,
+    StopPolling,
+    SyncStatus,
 )
 from sansio_core import Address, RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.connections import Broken, Hangup, Poll, Replied, Request
 
 BLOCK_MS, PAUSE_MS = 800.0, 50.0
-TIMES = SourceTimes(look_ms=1000.0, good_ms=1500.0, spread_ms=1000.0, most_look_ms=4000.0)
-Take = Callable[[float, Sequence[Event], bool], list[Any]]  # what an answer brought, and whether it told all
+TIMES = SelectionTimings(
+    probe_interval_ms=1000.0, recovery_ms=1500.0, return_spread_ms=1000.0, max_probe_interval_ms=4000.0
+)
+Take = Callable[
+    [float, Sequence[StateEvent], bool], list[Any]
+]  # what an answer brought, and whether it told all
 
 
-def read(body: bytes, times: float = 1.0) -> Answer:
+def read(body: bytes, times: float = 1.0) -> PollResponse:
     """The first part of an answer's events, as far as it has come."""
     told = json.loads(body)
     events = [_event(command) for command in told["cmds"]]
-    return Answer(
+    return PollResponse(
         told.get("epoch", ""),
         float(told.get("age", 0.0)),
         told["cursor"],
@@ -45,14 +51,14 @@
     )
 
 
-def _event(command: dict[str, Any]) -> Event:
+def _event(command: dict[str, Any]) -> StateEvent:
     number = command["cursor"]
     if "drop" in command:
         drop = command["drop"]
         return PurgeEvent(number, drop.get("id", drop.get("family")), drop["when"])
     nodes = command["nodes"]
     lines = {line["host"]: None if line["health"] == "left" else line for line in nodes["hosts"]}
-    return ListEvent(number, nodes["seq"], nodes["whole"], lines, nodes["hosts"])
+    return EndpointListEvent(number, nodes["seq"], nodes["whole"], lines, nodes["hosts"])
 
 
 class Client:
@@ -71,9 +77,9 @@
     ) -> None:
         self.siblings = siblings
         addresses: list[Address] = [(name, 0) for name in upstreams]
-        self.sources = Sources(addresses, draw, [(name, 0) for name in siblings], TIMES)
-        self.follower = Follower(hold_ms)
-        self.standing: Standing | None = None
+        self.sources = SourceSelector(addresses, draw, [(name, 0) for name in siblings], TIMES)
+        self.follower = StateFollower(hold_ms)
+        self.standing: SyncStatus | None = None
         self.epochs: dict[str, int] = {}  # numbers taken with their list, by epoch
         self._draw, self._poll, self._take = draw, poll, take
         self._source: Address | None = None
@@ -98,7 +104,7 @@
             case Replied() if event.connection == self._connection:
                 return self._replied(now, event)
             case Broken() if event.connection in self._probes:
-                failed = Failed(self._probes.pop(event.connection), "broken", probe=True)
+                failed = ProbeFailed(self._probes.pop(event.connection))
                 return self._carry(now, self.sources.handle(now, failed))
             case Broken() if event.connection == self._connection:
                 return self._failed(now, "broken")
@@ -108,7 +114,7 @@
     def settled(self) -> bool:
         """Whether the last answer told all that its source had, and the source is no older than what is
         held."""
-        return self.standing is Standing.IN_STEP
+        return self.standing is SyncStatus.IN_SYNC
 
     def age_ms(self, now: float) -> float:
         return self.follower.age_ms(now)
@@ -117,14 +123,14 @@
         done: list[Any] = []
         for action in actions:
             match action:
-                case Ask(source=source):
+                case StartPolling(source=source):
                     self._source, self._connection = source, self._next_connection()
                     done += self._ask(now)
-                case Leave(source=source):
+                case StopPolling(source=source):
                     done.append(Request(source[0], self._connection, self._farewell(now)))
                     done.append(Hangup(source[0], self._connection))
                     self._source, self._connection = None, 0
-                case Probe(source=source):
+                case SendProbe(source=source):
                     connection = self._next_connection()
                     self._probes[connection] = source
                     done.append(Request(source[0], connection, self._farewell(now)))
@@ -146,23 +152,23 @@
     def _ask(self, now: float) -> list[Any]:
         assert self._source is not None
         self._asked = True
-        position = self.follower.asked(now)
+        position = self.follower.begin_poll(now)
         poll = self._poll(now, self._source[0] in self.siblings)
         poll = replace(poll, resume=position.resume, epoch=position.epoch, block_ms=BLOCK_MS)
         request = Request(self._source[0], self._connection, poll)
-        return [request, *self._carry(now, self.sources.handle(now, Polled(self._source)))]
+        return [request, *self._carry(now, self.sources.handle(now, PollSent(self._source)))]
 
     def _probed(self, now: float, event: Replied) -> list[Any]:
         source = self._probes.pop(event.connection)
         if event.body is None or event.cut:
-            return self._carry(now, self.sources.handle(now, Failed(source, "refused", probe=True)))
+            return self._carry(now, self.sources.handle(now, ProbeFailed(source)))
         age = read(event.body).age_ms
-        return self._carry(now, self.sources.handle(now, Answered(source, age, probe=True)))
+        return self._carry(now, self.sources.handle(now, ProbeAnswered(source, age)))
 
     def _failed(self, now: float, why: str) -> list[Any]:
         source, self._source, self._connection = self._source, None, 0
         assert source is not None
-        return self._carry(now, self.sources.handle(now, Failed(source, why)))
+        return self._carry(now, self.sources.handle(now, PollFailed(source, why)))
 
     def _replied(self, now: float, event: Replied) -> list[Any]:
         self._asked = False
@@ -170,19 +176,19 @@
             return self._failed(now, "refused")
         if event.cut:
             part = read(event.body, self._draw())
-            self.follower.begin(now, part.epoch, part.age_ms, part.cursor)
-            taken = [one for one in part.events if self.follower.offer(one)]
+            self.follower.begin_response(now, part.epoch, part.age_ms, part.cursor)
+            taken = [one for one in part.events if self.follower.accept_event(one)]
             return self._take(now, taken, False) + self._failed(now, "cut")
         answer = read(event.body)
         before = self.follower.cursor, self.follower.epoch
-        told = self.follower.take(now, answer)
-        self.standing = told.standing
+        told = self.follower.accept_response(now, answer)
+        self.standing = told.status
         self._note_epoch()
-        actions = self._take(now, told.events, told.standing is Standing.IN_STEP)
-        older = told.standing is Standing.OLDER
+        actions = self._take(now, told.events, told.status is SyncStatus.IN_SYNC)
+        older = told.status is SyncStatus.SOURCE_STALE
         source = self._source
         assert source is not None
-        actions += self._carry(now, self.sources.handle(now, Answered(source, answer.age_ms, older)))
+        actions += self._carry(now, self.sources.handle(now, PollAnswered(source, answer.age_ms, older)))
         if source != self._source or not self._connection:
             return actions
         if before == (self.follower.cursor, self.follower.epoch):
@@ -191,5 +197,7 @@
 
     def _note_epoch(self) -> None:
         follower = self.follower
-        if follower.epoch and (self.standing is not Standing.MORE or follower.epoch in self.epochs):
+        if follower.epoch and (
+            self.standing is not SyncStatus.MORE_AVAILABLE or follower.epoch in self.epochs
+        ):
             self.epochs[follower.epoch] = max(self.epochs.get(follower.epoch, 0), follower.cursor)
--- a/packages/control-sim/tests/mutants.py
+++ b/packages/control-sim/tests/mutants.py
@@ -114,8 +114,8 @@
 @contextmanager
 def accept_lists_of_any_age() -> Iterator[None]:
     with (
-        patch.object(control_client.state_follower, "LATER_MS", float("-inf")),
-        patch.object(control_client.state_follower, "HISTORY_MS", float("inf")),
+        patch.object(control_client.state_follower, "RESET_MARGIN_MS", float("-inf")),
+        patch.object(control_client.state_follower, "HISTORY_MARGIN_MS", float("inf")),
     ):
         yield
 
--- a/tests/sources_rig.py
+++ b/tests/sources_rig.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from control_client import Sources
+from control_client import SourceSelector
 from standins.rig import reactor, until
 from standins.watch import HandClock, WatchStandIn, answer
 from twisted.internet import protocol
@@ -151,7 +151,7 @@
         self.taken: list[Command] = []
         self.confirmed: list[tuple[float, int]] = []
         self.epochs = self.current = 0
-        machine = Sources([source.address for source in self.sources], lambda: 0.5)
+        machine = SourceSelector([source.address for source in self.sources], lambda: 0.5)
         clock: Callable[[], float] = lambda: self.now  # noqa: E731
         self.channel = SourcedChannel(
             reactor,
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -69,7 +69,7 @@
         rig, (a, b) = yield self.begun("A", "B")
         a.way, hung_at = "hung", rig.now
         rig.pass_time(1299.0)
-        self.assertEqual((rig.channel.sources.current.place, b.polls), (0, []))
+        self.assertEqual((rig.channel.sources.current.priority, b.polls), (0, []))
         rig.pass_time(1.0)
         yield rig.asked(b, 2)
         self.assertLess(rig.now - hung_at, WITHIN_MS)
@@ -83,7 +83,7 @@
         rig.pass_time(1300.0)
         yield rig.asked(b, 1)
         rig.pass_time(1799.0)
-        self.assertEqual(rig.channel.sources.current.place, 1)
+        self.assertEqual(rig.channel.sources.current.priority, 1)
         rig.pass_time(802.0)
         self.assertNotEqual(rig.channel.sources.current, rig.channel.sources.sources[b.address])
 
@@ -94,7 +94,7 @@
         a.purge(7, 70)
         rig.deadlines.run_due(rig.now)  # before any socket is read
         yield until(lambda: 7 in rig.purged())
-        self.assertEqual((rig.channel.sources.current.place, b.polls), (0, []))
+        self.assertEqual((rig.channel.sources.current.priority, b.polls), (0, []))
 
     @inlineCallbacks
     def test_a_source_that_refuses_is_left_and_told_so(self) -> Any:
@@ -132,7 +132,9 @@
         a.release()
         yield rig.asked(b, 2)
         yield rig.live(30_000.0)
-        self.assertEqual((rig.channel.sources.current.place, rig.channel.sources.moves, c.polls), (1, 1, []))
+        self.assertEqual(
+            (rig.channel.sources.current.priority, rig.channel.sources.switches, c.polls), (1, 1, [])
+        )
         self.assertLess(len(c.probes), 12)
 
     @inlineCallbacks
@@ -202,9 +204,9 @@
         a.forget_purges()
         polls = len(a.polls)
         yield rig.live(9_000.0)
-        self.assertEqual((rig.channel.sources.current.place, len(a.polls)), (1, polls))
+        self.assertEqual((rig.channel.sources.current.priority, len(a.polls)), (1, polls))
         yield rig.live(21_000.0)
-        self.assertEqual((rig.channel.sources.current.place, rig.channel.sources.moves), (0, 2))
+        self.assertEqual((rig.channel.sources.current.priority, rig.channel.sources.switches), (0, 2))
         self.assertGreaterEqual(len(a.probes), 5)
         yield until(lambda: b.probes)  # it isn't to wait for this router
         self.assertEqual(rig.purged(), [1])
@@ -256,7 +258,7 @@
         yield a.kill()
         yield rig.turned(lambda: len(b.polls) > 1)
         self.assertEqual((len(rig.listed()), rig.purged()), (3002, [1, 2]))
-        self.assertEqual((rig.channel.follower.seq, rig.channel.sources.moves), (9, 1))
+        self.assertEqual((rig.channel.follower.seq, rig.channel.sources.switches), (9, 1))
 
     @inlineCallbacks
     def test_a_long_list_that_comes_slowly_is_no_silence(self) -> Any:
@@ -271,7 +273,7 @@
             b.links[-1].transport.write(b.unsaid[start : start + most])
             due = rig.now + link.channel.silent_ms  # of what comes next, where this was progress
             yield rig.turned(lambda due=due: link.due == due or link.polls > 0)  # type: ignore[misc]
-        self.assertEqual((len(rig.listed()), rig.channel.sources.moves), (4002, 1))
+        self.assertEqual((len(rig.listed()), rig.channel.sources.switches), (4002, 1))
 
     @inlineCallbacks
     def test_whose_numbers_they_are_must_be_said_before_the_events_of_a_long_answer(self) -> Any:
--- a/thornjunction/net/sourced_channel.py
+++ b/thornjunction/net/sourced_channel.py
@@ -11,20 +11,23 @@
 from typing import Any
 
 from control_client import (
-    Answered,
-    Ask,
-    Event,
-    Failed,
-    Follower,
-    Leave,
-    ListEvent,
-    Polled,
-    Probe,
+    EndpointListEvent,
+    PollAnswered,
+    PollFailed,
+    PollSent,
+    ProbeAnswered,
+    ProbeFailed,
     PurgeEvent,
-    Sources,
-    SourcesAction,
-    SourcesEvent,
-    Standing,
+    SelectorAction,
+    SelectorEvent,
+    SendProbe,
+    SourceSelector,
+    StartPolling,
+    StateEvent,
+    StateFollower,
+    StopPolling,
+    SyncStatus,
+    jittered,
 )
 from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
@@ -43,19 +46,19 @@
 log = get_logger(__name__)
 
 
-def event_of(command: Command, unix_ms: float) -> Event:
+def event_of(command: Command, unix_ms: float) -> StateEvent:
     """A command in the machine's form, itself within it."""
     if isinstance(command, ListChange):
         gone = api.State.GONE
         lines = {host.name: host if host.state is not gone else None for host in command.hosts}
-        return ListEvent(command.cursor, command.seq, command.whole, lines, command)
+        return EndpointListEvent(command.cursor, command.seq, command.whole, lines, command)
     return PurgeEvent(command.cursor, (command.key, command.group), min(command.when_ms, unix_ms), command)
 
 
-def command_of(event: Event) -> Command:
-    if isinstance(event, ListEvent) and event.body is None:
-        return ListChange(event.number, True, tuple(event.lines.values()), event.seq)
-    command: Command = event.body
+def command_of(event: StateEvent) -> Command:
+    if isinstance(event, EndpointListEvent) and event.payload is None:
+        return ListChange(event.number, True, tuple(event.endpoints.values()), event.seq)
+    command: Command = event.payload
     return command
 
 
@@ -71,7 +74,7 @@
     def __init__(
         self,
         reactor: Any,
-        sources: Sources,
+        sources: SourceSelector,
         hold_ms: float,
         deadlines: Deadlines,
         clock: Callable[[], float],
@@ -84,7 +87,7 @@
     ) -> None:
         first = next(iter(sources.sources))
         super().__init__(reactor, first, deadlines, clock, take, on_current)
-        self.sources, self.follower = sources, Follower(hold_ms)
+        self.sources, self.follower = sources, StateFollower(hold_ms)
         self.name, self.words, self.on_epoch, self.on_confirmed = name, words, on_epoch, on_confirmed
         self._asked_for: Address | None = None  # whom the machine wants polled
         self._open = False  # a connection or dial of ours is there, or its end is still to come
@@ -101,7 +104,7 @@
         for event in known.events:
             self._feed(event)
         if lists:
-            self.follower.start(self.clock(), known.cursor, lists[-1].seq)
+            self.follower.seed(self.clock(), known.cursor, lists[-1].seq)
         self.cursor = self.follower.cursor
 
     def start(self) -> None:
@@ -120,14 +123,14 @@
         return True
 
     def target(self, block_ms: float) -> str:
-        position = self.follower.asked(self.clock())
+        position = self.follower.begin_poll(self.clock())
         self.cursor = self._asked = self.follower.cursor
         epoch = f"&epoch={position.epoch}" if position.epoch else ""
-        words = self.words(self.sources.sources[self.address].sibling)
+        words = self.words(self.sources.sources[self.address].is_sibling)
         return f"/cmd/next?resume={position.resume}&block={block_ms:.0f}{epoch}{words}"
 
     def expecting(self) -> None:
-        self._feed_machine(Polled(self.address))
+        self._feed_machine(PollSent(self.address))
 
     def answered(self, commands: Commands, steady: bool = False) -> None:
         """An answer has come whole; of a long one, its events have been offered."""
@@ -141,15 +144,15 @@
             self.faulty += 1
             if worth_logging(self.faulty):
                 log.error("channel-faults", told=commands.cursor, faults=",".join(commands.faults))
-        standing = self._take(commands.events, commands.cursor)
+        status = self._take(commands.events, commands.cursor)
         now, follower = self.clock(), self.follower
-        if standing is Standing.IN_STEP:
+        if status is SyncStatus.IN_SYNC:
             self.on_confirmed(follower.age_ms(now), follower.cursor)
-        if follower.listed and standing is not Standing.MORE and not self.current:
+        if follower.has_list and status is not SyncStatus.MORE_AVAILABLE and not self.current:
             self.current = True
             self.on_current()
         age_ms = commands.age_ms or 0.0
-        self._feed_machine(Answered(self.address, age_ms, older=standing is Standing.OLDER))
+        self._feed_machine(PollAnswered(self.address, age_ms, is_stale=status is SyncStatus.SOURCE_STALE))
 
     def apply_piece(self, head: Commands | None, listed: list[Any]) -> Commands:
         """Offer what is new of a long answer's piece; a list is put together until its end."""
@@ -163,23 +166,28 @@
     def _begin(self, head: Commands) -> None:
         follower, before = self.follower, self.follower.epoch
         told = head.cursor if head.cursor >= 0 else None
-        follower.begin(self.clock(), head.epoch or "", head.age_ms or 0.0, told)
+        follower.begin_response(self.clock(), head.epoch or "", head.age_ms or 0.0, told)
         self._unix_ms = time.time() * 1000.0
         if follower.epoch != before:
             self.on_epoch()
 
-    def _take(self, commands: tuple[Command, ...], last: int | None) -> Standing:
+    def _take(self, commands: tuple[Command, ...], last: int | None) -> SyncStatus:
         """Offer these; with ``last``, the answer's own number, this is its end.  Drains go before purges."""
         events = [event_of(command, self._unix_ms) for command in commands]
-        taken: list[Event] = [event for event in events if self.follower.offer(event)]
-        whole, standing = self.follower.end(last) if last is not None else (None, Standing.MORE)
-        lists = [event for event in taken if isinstance(event, ListEvent)]
+        taken: list[StateEvent] = [event for event in events if self.follower.accept_event(event)]
+        whole = None
+        status = SyncStatus.MORE_AVAILABLE
+        if last is not None:
+            outcome = self.follower.end_response(last)
+            whole = outcome.merged_list
+            status = outcome.status
+        lists = [event for event in taken if isinstance(event, EndpointListEvent)]
         purges = [event for event in taken if isinstance(event, PurgeEvent)]
-        ready: list[Event] = [*lists, *([whole] if whole is not None else []), *purges]
+        ready: list[StateEvent] = [*lists, *([whole] if whole is not None else []), *purges]
         for event in ready:
             self._feed(command_of(event))
         self.cursor = self.follower.cursor
-        return standing
+        return status
 
     def _feed(self, event: Command) -> None:
         try:
@@ -195,30 +203,30 @@
         if code == "moved" or self._asked_for != self.address:
             return self._dial()
         self._asked_for, left = None, self.address
-        self._feed_machine(Failed(left, code))
+        self._feed_machine(PollFailed(left, code))
         if self._asked_for != left:
             self._say_farewell(left, FAREWELL_MS)
 
-    def _feed_machine(self, event: SourcesEvent) -> None:
+    def _feed_machine(self, event: SelectorEvent) -> None:
         if self.stopped:
             return
         for action in self.sources.handle(self.clock(), event):
             self._carry_out(action)
 
-    def _carry_out(self, action: SourcesAction) -> None:
+    def _carry_out(self, action: SelectorAction) -> None:
         match action:
-            case Ask(source):
+            case StartPolling(source):
                 self._asked_for = source
                 self._farewells.pop(source, None)
                 self._dial()
-            case Leave(source):
+            case StopPolling(source):
                 self._asked_for = None
                 self._say_farewell(source)
                 if self.link is not None:
                     self.link.leave("moved")
                 elif self._dialling is not None:
                     self._dialling.cancel()
-            case Probe(source):
+            case SendProbe(source):
                 self._probe(source, self._probed(source))
             case SetTimer(in_ms, token):
                 self.deadlines.add(self.clock() + in_ms, lambda: self._feed_machine(TimerFired(token)))
@@ -249,9 +257,9 @@
         def done(answer: Commands | None, code: str) -> None:
             if answer is not None:
                 self._farewells.pop(source, None)
-                self._feed_machine(Answered(source, answer.age_ms or 0.0, probe=True))
+                self._feed_machine(ProbeAnswered(source, answer.age_ms or 0.0))
             else:
-                self._feed_machine(Failed(source, code, probe=True))
+                self._feed_machine(ProbeFailed(source))
 
         return done
 
@@ -276,7 +284,7 @@
                 self._probe(source, done)
 
         if in_ms > 0.0:
-            self.deadlines.add(self.clock() + in_ms * (0.5 + self.sources.draw() / 2), say)
+            self.deadlines.add(self.clock() + jittered(in_ms, self.sources.draw), say)
         else:
             say()
 
@@ -286,6 +294,6 @@
         age_ms, current = self.follower.age_ms(self.clock()), self.sources.current
         return {
             "control_age_ms": int(age_ms) if math.isfinite(age_ms) else -1,
-            "control_source": current.place if current is not None else -1,
-            "control_moves": self.sources.moves,
+            "control_source": current.priority if current is not None else -1,
+            "control_moves": self.sources.switches,
         }
--- a/thornjunction/runtime/parts.py
+++ b/thornjunction/runtime/parts.py
@@ -78,15 +78,17 @@
     name can't stand in a poll."""
     if extras is None or extras.control is None:
         return Channel(reactor, config.channel, deadlines, core_ms, take, on_current)
-    from control_client import HOLD_MS, Sources
+    from control_client import PURGE_RETENTION_MS, SourceSelector
 
     from thornjunction.net.sourced_channel import SourcedChannel
     from thornjunction.runtime.addresses import check_name
 
     name = extras.control.name or config.name
     check_name("control.name", name)
-    sources, words = Sources(extras.control.sources, random.SystemRandom().random), f"&as=router&name={name}"
-    hold_ms = max(config.settings.purge_takes_ms, HOLD_MS)  # of relays: they repeat a purge for so long
+    sources = SourceSelector(extras.control.sources, random.SystemRandom().random)
+    words = f"&as=router&name={name}"
+    # Relays repeat a purge for as long as they retain it.
+    hold_ms = max(config.settings.purge_takes_ms, PURGE_RETENTION_MS)
     return SourcedChannel(
         reactor, sources, hold_ms, deadlines, core_ms, take, on_current, name, lambda _: words
     )
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from control_client import Sources, SourceTimes
+from control_client import SelectionTimings, SourceSelector
 from control_relay import (
     EndpointListUpdate,
     MemberDeregistered,
@@ -49,7 +49,8 @@
 MOST_CONNECTIONS = 4096
 OWN_DESCRIPTORS = 64  # of the program, its upstream and its door
 END_MS = 500.0  # for the last answers to be read
-TIMES = SourceTimes(most_look_ms=2_000.0)  # relays are few: they notice soon that discovery is back
+# Relays are few: they may notice soon that discovery is back.
+TIMES = SelectionTimings(max_probe_interval_ms=2_000.0)
 SKEW_MS = 60_000.0  # by which discovery's clock may differ from this machine's
 AGAIN_MS = 1_000.0  # until a timer in which the machine failed is due once more
 
@@ -76,7 +77,7 @@
         self.operators = OperatorsDoor(view.calls, deadlines, core_ms, view.named)
         self.upstream = SourcedChannel(
             reactor,
-            Sources(settings.upstreams, random.random, settings.siblings, TIMES),
+            SourceSelector(settings.upstreams, random.random, settings.siblings, TIMES),
             settings.hold_ms,
             deadlines,
             core_ms,
