--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -1,4 +1,4 @@
-"""`python -m control_sim`: many seeds; a failing one is shrunk and its timeline printed."""
+"""``python -m control_sim``: run many seeds; shrink a failing one and print its timeline."""
 
 from __future__ import annotations
 
@@ -10,53 +10,70 @@
 from fleet_sim import Outcome, run, shrink
 from fleet_sim.command import Total
 
-from control_sim.fault_plans import plan
-from control_sim.topology import subject
+from control_sim.fault_plans import draw_plan
+from control_sim.topology import build_subject
 
+DEFAULT_SEEDS = 500
 
-def outcome_of(seed: int) -> Outcome:
-    """One seed's run, without its log."""
-    outcome = run(subject(), plan(seed))
+SEEDS_PER_CHUNK = 10
+"""Seeds that a worker process takes at once."""
+
+
+def run_seed(seed: int) -> Outcome:
+    """Run one seed; return its outcome without the log."""
+    outcome = run(build_subject(), draw_plan(seed))
     outcome.log.clear()
     return outcome
 
 
-def outcomes(seeds: Iterable[int], jobs: int = 1) -> Iterator[Outcome]:
-    """In the order of the seeds."""
+def run_seeds(seeds: Iterable[int], jobs: int = 1) -> Iterator[Outcome]:
+    """Yield the outcomes in the order of the seeds."""
     if jobs == 1:
-        yield from map(outcome_of, seeds)
+        yield from map(run_seed, seeds)
         return
     with Pool(jobs) as pool:
-        yield from pool.imap(outcome_of, seeds, chunksize=10)
+        yield from pool.imap(run_seed, seeds, chunksize=SEEDS_PER_CHUNK)
 
 
-def story(outcome: Outcome) -> str:
-    """A failure, made as small as it goes."""
-    return shrink(subject(), outcome).story()
+def shrunk_story(outcome: Outcome) -> str:
+    """Return the story of a failure, with as few faults as still cause it."""
+    return shrink(build_subject(), outcome).story()
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Exit status 1 if a seed fails."""
+    """Run the command; return 1 if a seed fails, else 0."""
+    options = _parse(arguments)
+    if options.seed is not None:
+        outcome = run(build_subject(), draw_plan(options.seed), trace=True)
+        print(outcome.story(0))
+        return 1 if outcome.violation else 0
+    return _run_many(options)
+
+
+def _parse(arguments: Sequence[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m control_sim", description=__doc__)
-    parser.add_argument("--seeds", type=int, default=500, help="how many seeds")
+    parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="how many seeds")
     parser.add_argument("--first", type=int, default=0, help="the first of them")
     parser.add_argument("--seed", type=int, help="this one alone, with its timeline")
     parser.add_argument("--jobs", type=int, default=1, help="processes that share the seeds")
     parser.add_argument("--keep-going", action="store_true", help="count all failures, shrink the first")
-    args = parser.parse_args(arguments)
-    if args.seed is not None:
-        outcome = run(subject(), plan(args.seed), trace=True)
-        print(outcome.story(0))
-        return 1 if outcome.violation else 0
-    begun, total, failed = time.perf_counter(), Total(), None
-    for outcome in outcomes(range(args.first, args.first + args.seeds), args.jobs):
+    return parser.parse_args(arguments)
+
+
+def _run_many(options: argparse.Namespace) -> int:
+    started = time.perf_counter()
+    total = Total()
+    first_failure = None
+    for outcome in run_seeds(range(options.first, options.first + options.seeds), options.jobs):
         total.add(outcome)
-        if outcome.violation:
-            print(f"seed {outcome.plan.seed}: {outcome.violation}", flush=True)
-            failed = failed or outcome
-            if not args.keep_going:
-                break
-    print(total.text(time.perf_counter() - begun))
-    if failed is not None:
-        print(story(failed))
-    return 1 if failed else 0
+        if outcome.violation is None:
+            continue
+        print(f"seed {outcome.plan.seed}: {outcome.violation}", flush=True)
+        first_failure = first_failure or outcome
+        if not options.keep_going:
+            break
+    print(total.text(time.perf_counter() - started))
+    if first_failure is None:
+        return 0
+    print(shrunk_story(first_failure))
+    return 1
--- a/packages/control-sim/src/control_sim/connections.py
+++ b/packages/control-sim/src/control_sim/connections.py
@@ -1,52 +1,45 @@
-"""Polls and answers between simulated processes.
+"""Polls and replies on connections between simulated processes.
 
-The network of ``fleet_sim`` is one of datagrams; here it decides what becomes of a stream: what it loses
-comes late, as TCP sends it again; what it doubles is an answer that is cut off in the middle; a cut link is
-silent."""
+The network of ``fleet_sim`` carries datagrams; here it decides about streams.  What it loses arrives late, as
+TCP retransmits it; what it duplicates is a reply that is cut off in the middle; a cut link is silent.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
+from control_relay import PollRequest
 from fleet_sim import Kind, Node, State, World
 
-AGAIN_MS = 300.0  # until TCP sends again
+RETRANSMISSION_MS = 300.0
+"""Delay of what the network loses."""
 
-
-@dataclass(frozen=True, slots=True)
-class Poll:
-    resume: int
-    block_ms: float
-    epoch: str = ""
-    role: str = "router"
-    name: str = ""
-    done: int = 0
-    behind: int = 0
-    names: tuple[str, ...] = ()
+INCARNATION_BITS = 20
+"""Bits of a connection's number for the process's incarnation, and as many for a count."""
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class SendRequest:
     """Action: poll a process on a connection."""
 
     to: str
     connection: int
-    poll: Poll
+    request: PollRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Hangup:
-    """Action: end a connection."""
+class CloseConnection:
+    """Action: close a connection."""
 
     to: str
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """Action: answer what came on a connection; ``body`` None: 503."""
+class SendReply:
+    """Action: answer the poll on a connection; without a body, with status 503."""
 
     to: str
     connection: int
@@ -54,77 +47,108 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestReceived:
+    """A poll arrived."""
+
     source: str
     connection: int
-    poll: Poll
+    request: PollRequest
 
 
 @dataclass(frozen=True, slots=True)
-class HungUp:
+class ConnectionClosed:
+    """The poller closed a connection."""
+
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
-class Replied:
-    """``cut``: the connection ended in the middle of the body."""
+class ReplyReceived:
+    """A reply arrived, completely or ``is_truncated``; without a body it has status 503."""
 
     connection: int
     body: bytes | None
-    cut: bool
+    is_truncated: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """The connection was refused or reset."""
+class ConnectionFailed:
+    """A connection was refused."""
 
     connection: int
 
 
-def carry_request(world: World, node: Node, action: Request) -> None:
+class _Transmission(NamedTuple):
+    delay_ms: float
+    is_duplicated: bool
+
+
+def first_connection(node_index: int, incarnation: int) -> int:
+    """Return a number from which a process may count its connections; it tells node and incarnation."""
+    return (node_index << INCARNATION_BITS | incarnation) << INCARNATION_BITS
+
+
+def incarnation_of(connection: int) -> int:
+    """Return the incarnation of the process that opened a connection."""
+    return connection >> INCARNATION_BITS & (1 << INCARNATION_BITS) - 1
+
+
+def carry_request(world: World, node: Node, action: SendRequest) -> None:
+    """Deliver a poll; a process that is down refuses the connection."""
     target = world.nodes[action.to]
 
     def arrive() -> None:
         if target.state is State.DOWN:
-            _send(world, target, node, Broken(action.connection))
+            _deliver_later(world, target, node, ConnectionFailed(action.connection))
         else:
-            world.deliver(target, Asked(node.name, action.connection, action.poll))
+            world.deliver(target, RequestReceived(node.name, action.connection, action.request))
 
-    _later(world, node, target, arrive)
+    transmission = _transmit(world, node, target)
+    if transmission is not None:
+        _schedule(world, transmission, arrive)
 
 
-def carry_hangup(world: World, node: Node, action: Hangup) -> None:
-    _send(world, node, world.nodes[action.to], HungUp(action.connection))
+def carry_close(world: World, node: Node, action: CloseConnection) -> None:
+    """Deliver the end of a connection."""
+    _deliver_later(world, node, world.nodes[action.to], ConnectionClosed(action.connection))
 
 
-def carry_reply(world: World, node: Node, action: Reply) -> None:
+def carry_reply(world: World, node: Node, action: SendReply) -> None:
+    """Deliver a reply, truncated where the network duplicates it."""
     target = world.nodes[action.to]
-
-    def arrive() -> None:
-        world.deliver(target, Replied(action.connection, action.body, bool(cut)))
-
-    cut: list[bool] = []
-    if _later(world, node, target, arrive) and action.body is not None:
-        cut.append(True)
+    transmission = _transmit(world, node, target)
+    if transmission is None:
+        return
+    is_truncated = transmission.is_duplicated and action.body is not None
+    reply = ReplyReceived(action.connection, action.body, is_truncated)
+    _schedule(world, transmission, lambda: world.deliver(target, reply))
+    if is_truncated:
         world.note(Kind.LOST, "answer cut", node.name, target.name)
 
 
-def _send(world: World, node: Node, target: Node, event: object) -> None:
-    _later(world, node, target, lambda: world.deliver(target, event))
+def _deliver_later(world: World, source: Node, target: Node, event: object) -> None:
+    transmission = _transmit(world, source, target)
+    if transmission is not None:
+        _schedule(world, transmission, lambda: world.deliver(target, event))
 
 
-def _later(world: World, node: Node, target: Node, act: Callable[[], None]) -> bool:
-    """Do it when the bytes arrive, if they do; whether the network doubled them."""
-    link = (node.name, target.name)
+def _transmit(world: World, source: Node, target: Node) -> _Transmission | None:
+    """Return what the network does with the bytes; None on a cut link."""
+    link = (source.name, target.name)
     if world.network.is_cut(link):
-        return False
-    delays = world.network.fates(link, node.fate)
-    world.at(world.now + (delays[0] if delays else AGAIN_MS), act)
-    return len(delays) > 1
+        return None
+    delays_ms = world.network.fates(link, source.fate)
+    delay_ms = delays_ms[0] if delays_ms else RETRANSMISSION_MS
+    return _Transmission(delay_ms, is_duplicated=len(delays_ms) > 1)
+
+
+def _schedule(world: World, transmission: _Transmission, arrive: Callable[[], None]) -> None:
+    world.at(world.now + transmission.delay_ms, arrive)
 
 
-CARRY: dict[type, Callable[[World, Node, Any], None]] = {
-    Request: carry_request,
-    Hangup: carry_hangup,
-    Reply: carry_reply,
+CARRIERS: dict[type, Callable[[World, Node, Any], None]] = {
+    SendRequest: carry_request,
+    CloseConnection: carry_close,
+    SendReply: carry_reply,
 }
+"""How the world carries out the actions of this module."""
--- a/packages/control-sim/src/control_sim/discovery.py
+++ b/packages/control-sim/src/control_sim/discovery.py
@@ -1,132 +1,205 @@
-"""Discovery by the plain protocol: the one source of truth, which issues changes and purges for a while."""
+"""Discovery by the plain protocol: the source of truth, which issues changes and purges for a while."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from typing import Any, NamedTuple
 
 from fleet_sim import Disk
 from sansio_core import RandomSource, SetTimer, Started, TimerFired
 
-from control_sim.connections import Asked, HungUp, Reply
+from control_sim.connections import ConnectionClosed, RequestReceived, SendReply
 
-SHELFS = ("s1", "s2", "s3", "s4")
-CLOCK = "clock"  # a shelf whose line changes with every version, so that a list tells which one it is
-OBJECTS = tuple(f"{n:016x}" for n in range(6))
-FIRST = 1_000_000  # number, less a thousand a life
-ISSUES = 16  # events, until it is still
-KEPT = 12  # purges that a new start tells again
-ISSUE = 0  # timer; those of polls are greater
+ENDPOINT_NAMES = ("s1", "s2", "s3", "s4")
+
+VERSION_ENDPOINT = "clock"
+"""An endpoint that changes with every version of the list, so that a list shows which version it is."""
+
+OBJECT_KEYS = tuple(f"{number:016x}" for number in range(6))
+
+GROUP_COUNT = 2
+
+FIRST_NUMBER = 1_000_000
+
+NUMBERS_PER_INCARNATION = 1_000
+"""Each incarnation begins so much lower: numbers that continue could not be told from the former ones."""
+
+INCARNATION_VERSION_BITS = 20
+"""Versions of a list that was reset are in another range."""
+
+MAX_ISSUED_EVENTS = 16
+
+RETAINED_PURGES = 12
+"""Purges that a restarted discovery sends again."""
+
+FIRST_SEQ = 3
+
+MIN_ISSUE_DELAY_MS = 50.0
+ISSUE_DELAY_SPREAD_MS = 700.0
+
+CHANGE_PROBABILITY = 0.4
+OBJECT_PURGE_PROBABILITY = 0.8
+LATE_PURGE_PROBABILITY = 0.1
+LATE_PURGE_MS = 400.0
+
+UNIX_MS_PER_INCARNATION = 1e7
+
+MIN_BLOCK_MS = 1.0
+
+ISSUE_TIMER = 0
+"""Timers of polls have greater tokens."""
+
+
+class PurgeIssue(NamedTuple):
+    """A purge of an object or group."""
+
+    target: str | int
+    issued_unix_ms: float
+
+
+class _PendingPoll(NamedTuple):
+    source: str
+    connection: int
+    resume: int
 
 
 class Discovery:
-    """Numbers anew at each start, below all that went before: numbers that go on in another life can't be
-    told from those that do in the same one, by the protocol.  With its disk it goes on with its list;
-    without, it is set back."""
+    """Keeps list and recent purges on its disk.
+
+    Without the disk it is set back; in both cases its event numbers start anew.
+    """
 
     def __init__(self, incarnation: int, draw: RandomSource, disk: Disk) -> None:
-        self.draw, self.disk, self.life = draw, disk, incarnation
-        disk.setdefault("seq", 3)
-        disk.setdefault("version", incarnation << 20)
-        disk.setdefault("lines", {name: self._line(name, "active") for name in (*SHELFS, CLOCK)})
+        self._draw = draw
+        self._disk = disk
+        self._incarnation = incarnation
+        disk.setdefault("seq", FIRST_SEQ)
+        disk.setdefault("version", incarnation << INCARNATION_VERSION_BITS)
+        names = (*ENDPOINT_NAMES, VERSION_ENDPOINT)
+        disk.setdefault("endpoints", {name: self._endpoint(name, "active") for name in names})
         disk.setdefault("purges", [])
         disk.setdefault("issued", 0)
-        self.lines: dict[str, dict[str, Any]] = disk["lines"]
-        self.purges: list[tuple[str | int, float]] = []  # of this life, as they were issued
-        self.first = FIRST - 1_000 * incarnation
-        self.events: list[str] = []
-        self._waiting: dict[int, tuple[str, int, int]] = {}  # by token: who, connection, resume
-        self._token = 0
-        self._started = 0.0
-
-    @property
-    def last(self) -> int:
-        """The number of the last event."""
-        return self.first + len(self.events) - 1
+        self.endpoints: dict[str, dict[str, Any]] = disk["endpoints"]
+        self.purges: list[PurgeIssue] = []  # of this incarnation, in the order of their issue
+        self._first_number = FIRST_NUMBER - NUMBERS_PER_INCARNATION * incarnation
+        self._events: list[str] = []
+        self._pending_polls: dict[int, _PendingPoll] = {}  # by timer
+        self._last_timer = ISSUE_TIMER
+        self._started_ms = 0.0
 
     @property
     def version(self) -> int:
-        return int(self.disk["version"])
+        """The version of the list, of which every change has another one."""
+        return int(self._disk["version"])
 
     def handle(self, now: float, event: object) -> list[Any]:
+        """Process one event; return the actions to carry out."""
         match event:
             case Started():
-                self._started = now
-                self._tell_list(True, list(self.lines.values()))
-                for what, when in self.disk["purges"]:
-                    self._tell_purge(what, when)
-                return [SetTimer(self._wait(), ISSUE)]
-            case TimerFired(token=token):
-                return self._issue(now) if token == ISSUE else self._expired(token)
-            case Asked():
-                return self._asked(event)
-            case HungUp():
-                self._waiting = {t: w for t, w in self._waiting.items() if w[1] != event.connection}
+                return self._start(now)
+            case TimerFired(token) if token == ISSUE_TIMER:
+                return self._issue(now)
+            case TimerFired(token):
+                return self._answer_expired(token)
+            case RequestReceived():
+                return self._handle_poll(event)
+            case ConnectionClosed(connection):
+                self._forget_polls(connection)
         return []
 
-    def _wait(self) -> float:
-        return 50.0 + 700.0 * self.draw() ** 2
+    @property
+    def _last_number(self) -> int:
+        return self._first_number + len(self._events) - 1
+
+    # Issuing
+
+    def _start(self, now: float) -> list[Any]:
+        self._started_ms = now
+        self._append_list(True, list(self.endpoints.values()))
+        for purge in self._disk["purges"]:
+            self._append_purge(purge)
+        return [SetTimer(self._issue_delay_ms(), ISSUE_TIMER)]
+
+    def _issue_delay_ms(self) -> float:
+        return MIN_ISSUE_DELAY_MS + ISSUE_DELAY_SPREAD_MS * self._draw() ** 2
 
     def _issue(self, now: float) -> list[Any]:
-        if self.disk["issued"] >= ISSUES:
+        if self._disk["issued"] >= MAX_ISSUED_EVENTS:
             return []
-        self.disk["issued"] += 1
-        if self.draw() < 0.4:
-            self._change()
+        self._disk["issued"] += 1
+        if self._draw() < CHANGE_PROBABILITY:
+            self._change_list()
         else:
             self._purge(now)
-        return [*self._answer_all(), SetTimer(self._wait(), ISSUE)]
-
-    def _change(self) -> None:
-        name = SHELFS[int(self.draw() * len(SHELFS))]
-        self.disk["version"] += 1
-        self.disk["seq"] += 1
-        line = self._line(name, ("active", "leaving", "left")[int(self.draw() * 3)])
-        clock = self._line(CLOCK, "active")
-        for changed in (line, clock):
-            if changed["health"] == "left":
-                self.lines.pop(name, None)
+        return [*self._answer_all(), SetTimer(self._issue_delay_ms(), ISSUE_TIMER)]
+
+    def _change_list(self) -> None:
+        name = ENDPOINT_NAMES[int(self._draw() * len(ENDPOINT_NAMES))]
+        self._disk["version"] += 1
+        self._disk["seq"] += 1
+        health = ("active", "leaving", "left")[int(self._draw() * 3)]
+        changed = [self._endpoint(name, health), self._endpoint(VERSION_ENDPOINT, "active")]
+        for endpoint in changed:
+            if endpoint["health"] == "left":
+                self.endpoints.pop(name, None)
             else:
-                self.lines[changed["host"]] = changed
-        self._tell_list(False, [line, clock])
+                self.endpoints[endpoint["host"]] = endpoint
+        self._append_list(False, changed)
 
     def _purge(self, now: float) -> None:
-        what: str | int = OBJECTS[int(self.draw() * 6)] if self.draw() < 0.8 else int(self.draw() * 2)
-        when = self.life * 1e7 + now - self._started
-        if self.draw() < 0.1:
-            when -= 400.0  # told late
-        self.purges.append((what, when))
-        self.disk["purges"] = [*self.disk["purges"], (what, when)][-KEPT:]
-        self._tell_purge(what, when)
-
-    def _line(self, name: str, health: str) -> dict[str, Any]:
-        return {"host": name, "health": health, "version": self.disk["version"], "dial": "10.0.0.1:1"}
-
-    def _tell_list(self, whole: bool, lines: list[dict[str, Any]]) -> None:
-        self._tell({"nodes": {"seq": self.disk["seq"], "whole": whole, "hosts": lines}})
-
-    def _tell_purge(self, what: str | int, when: float) -> None:
-        self._tell({"drop": {"id" if isinstance(what, str) else "family": what, "when": when}})
-
-    def _tell(self, event: dict[str, Any]) -> None:
-        self.events.append(json.dumps({"cursor": self.last + 1, **event}))
-
-    def _asked(self, event: Asked) -> list[Any]:
-        poll = event.poll
-        if poll.resume < self.last or poll.block_ms < 1:
-            return [self._reply(event.source, event.connection, poll.resume)]
-        self._token += 1
-        self._waiting[self._token] = event.source, event.connection, poll.resume
-        return [SetTimer(poll.block_ms, self._token)]
+        target: str | int
+        if self._draw() < OBJECT_PURGE_PROBABILITY:
+            target = OBJECT_KEYS[int(self._draw() * len(OBJECT_KEYS))]
+        else:
+            target = int(self._draw() * GROUP_COUNT)
+        issued_unix_ms = self._incarnation * UNIX_MS_PER_INCARNATION + now - self._started_ms
+        if self._draw() < LATE_PURGE_PROBABILITY:
+            issued_unix_ms -= LATE_PURGE_MS
+        purge = PurgeIssue(target, issued_unix_ms)
+        self.purges.append(purge)
+        self._disk["purges"] = [*self._disk["purges"], purge][-RETAINED_PURGES:]
+        self._append_purge(purge)
+
+    def _endpoint(self, name: str, health: str) -> dict[str, Any]:
+        return {"host": name, "health": health, "version": self._disk["version"], "dial": "10.0.0.1:1"}
+
+    def _append_list(self, is_complete: bool, endpoints: list[dict[str, Any]]) -> None:
+        self._append({"nodes": {"seq": self._disk["seq"], "whole": is_complete, "hosts": endpoints}})
+
+    def _append_purge(self, purge: PurgeIssue) -> None:
+        key = "id" if isinstance(purge.target, str) else "family"
+        self._append({"drop": {key: purge.target, "when": purge.issued_unix_ms}})
+
+    def _append(self, event: dict[str, Any]) -> None:
+        self._events.append(json.dumps({"cursor": self._last_number + 1, **event}))
+
+    # Polls
+
+    def _handle_poll(self, event: RequestReceived) -> list[Any]:
+        request = event.request
+        poll = _PendingPoll(event.source, event.connection, request.resume)
+        if request.resume < self._last_number or request.block_ms < MIN_BLOCK_MS:
+            return [self._reply(poll)]
+        self._last_timer += 1
+        self._pending_polls[self._last_timer] = poll
+        return [SetTimer(request.block_ms, self._last_timer)]
+
+    def _forget_polls(self, connection: int) -> None:
+        self._pending_polls = {
+            timer: poll for timer, poll in self._pending_polls.items() if poll.connection != connection
+        }
 
     def _answer_all(self) -> list[Any]:
-        waiting, self._waiting = self._waiting, {}
-        return [self._reply(*poll) for poll in waiting.values()]
-
-    def _expired(self, token: int) -> list[Any]:
-        poll = self._waiting.pop(token, None)
-        return [] if poll is None else [self._reply(*poll)]
-
-    def _reply(self, source: str, connection: int, resume: int) -> Reply:
-        told = ",".join(self.events[max(0, resume + 1 - self.first) :])
-        return Reply(source, connection, b'{"cursor":%d,"cmds":[%s]}' % (self.last, told.encode()))
+        polls = list(self._pending_polls.values())
+        self._pending_polls.clear()
+        return [self._reply(poll) for poll in polls]
+
+    def _answer_expired(self, timer: int) -> list[Any]:
+        poll = self._pending_polls.pop(timer, None)
+        return [] if poll is None else [self._reply(poll)]
+
+    def _reply(self, poll: _PendingPoll) -> SendReply:
+        first = max(0, poll.resume + 1 - self._first_number)
+        events = ",".join(self._events[first:])
+        body = b'{"cursor":%d,"cmds":[%s]}' % (self._last_number, events.encode())
+        return SendReply(poll.source, poll.connection, body)
--- a/packages/control-sim/src/control_sim/fault_plans.py
+++ b/packages/control-sim/src/control_sim/fault_plans.py
@@ -1,4 +1,4 @@
-"""Drawn schedules of faults that fit the topology."""
+"""Random schedules of faults that fit the topology."""
 
 from __future__ import annotations
 
@@ -9,71 +9,92 @@
 from fleet_sim import Fault, Kind, Plan, Quality, World
 from fleet_sim.faults import Cut, Flap, Kill, Lag, Noise, Partition, Pause
 
-from control_sim.topology import NAMES, SIBLINGS, UPSTREAMS
+from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, RELAY_NAMES, ROUTER_NAMES
+from control_sim.topology import SIBLINGS, UPSTREAMS
 
 LINKS = tuple((a, b) for table in (UPSTREAMS, SIBLINGS) for a, others in table.items() for b in others)
-RELAYS = ("r1", "r2", "c1")
-ROUTERS = ("x1", "x2")
-FROM_MS, UNTIL_MS, LONGEST_MS, MOST = 300.0, 5_000.0, 5_000.0, 5
+
+FIRST_FAULT_MS = 300.0
+LAST_FAULT_MS = 5_000.0
+MAX_DURATION_MS = 5_000.0
+MIN_DURATION_MS = 100.0
+
+DURATION_RATE = 3 / MAX_DURATION_MS
+"""Of the exponential distribution: most faults are short."""
+
+MAX_FAULTS = 5
+
+DrawFault = Callable[[random.Random, float, float], Fault]
+"""Draws a fault of a kind; takes its start and duration (ms)."""
 
 
 @dataclass(frozen=True, slots=True)
-class KillAll(Fault):
-    """All relays at once, each restarted empty."""
+class KillAllRelays(Fault):
+    """All relays are killed at once; each restarts empty."""
 
     def begin(self, world: World, cause: str) -> None:
+        """Kill the relays."""
         world.note(Kind.FAULT, "all relays killed")
-        for name in RELAYS:
+        for name in RELAY_NAMES:
             world.kill(name, cause)
 
     def end(self, world: World, cause: str) -> None:
-        for name in RELAYS:
+        """Restart the relays that this fault killed."""
+        for name in RELAY_NAMES:
             if world.nodes[name].down_by == cause:
                 world.start(name)
 
 
-def plan(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
+    """Return the plan of a seed: one to ``MAX_FAULTS`` faults."""
     draw = random.Random(f"{seed}/schedule")
-    faults = [_fault(draw) for _ in range(draw.randint(1, MOST))]
-    return Plan(seed, NAMES, tuple(sorted(faults, key=lambda fault: fault.at_ms)))
+    faults = [_draw_fault(draw) for _ in range(draw.randint(1, MAX_FAULTS))]
+    return Plan(seed, NODE_NAMES, tuple(sorted(faults, key=lambda fault: fault.at_ms)))
 
 
-def _fault(draw: random.Random) -> Fault:
-    at = round(draw.uniform(FROM_MS, UNTIL_MS), 1)
-    lasts = round(min(LONGEST_MS, 100 + draw.expovariate(3 / LONGEST_MS)), 1)
-    return KINDS[draw.choice(tuple(KINDS))](draw, at, lasts)
+def _draw_fault(draw: random.Random) -> Fault:
+    at_ms = round(draw.uniform(FIRST_FAULT_MS, LAST_FAULT_MS), 1)
+    drawn_ms = MIN_DURATION_MS + draw.expovariate(DURATION_RATE)
+    duration_ms = round(min(MAX_DURATION_MS, drawn_ms), 1)
+    return FAULT_KINDS[draw.choice(tuple(FAULT_KINDS))](draw, at_ms, duration_ms)
 
 
-def _noise(draw: random.Random, at: float, lasts: float) -> Noise:
-    least = draw.choice((0.5, 5.0, 60.0))
-    quality = Quality(draw.choice((0.0, 0.1, 0.4)), least, least * 4, doubled=draw.choice((0.0, 0.1, 0.4)))
-    return Noise(at, lasts, quality, draw.choice(("", *NAMES)))
+def _draw_noise(draw: random.Random, at_ms: float, duration_ms: float) -> Noise:
+    least_ms = draw.choice((0.5, 5.0, 60.0))
+    lost = draw.choice((0.0, 0.1, 0.4))
+    duplicated = draw.choice((0.0, 0.1, 0.4))
+    quality = Quality(lost, least_ms, least_ms * 4, doubled=duplicated)
+    return Noise(at_ms, duration_ms, quality, draw.choice(("", *NODE_NAMES)))
 
 
-def _split(draw: random.Random, at: float, lasts: float) -> Partition:
-    mixed = draw.sample(NAMES, len(NAMES))
-    where = draw.randint(1, len(NAMES) - 1)
-    return Partition(at, lasts, (tuple(mixed[:where]), tuple(mixed[where:])))
+def _draw_partition(draw: random.Random, at_ms: float, duration_ms: float) -> Partition:
+    shuffled = draw.sample(NODE_NAMES, len(NODE_NAMES))
+    split = draw.randint(1, len(NODE_NAMES) - 1)
+    return Partition(at_ms, duration_ms, (tuple(shuffled[:split]), tuple(shuffled[split:])))
 
 
-def _one_way(draw: random.Random, at: float, lasts: float) -> Cut:
+def _draw_one_way_cut(draw: random.Random, at_ms: float, duration_ms: float) -> Cut:
     source, target = draw.choice(LINKS)
-    pair = (source, target) if draw.random() < 0.5 else (target, source)
-    return Cut(at, lasts, *pair)
-
-
-KINDS: dict[str, Callable[[random.Random, float, float], Fault]] = {
-    "cut": lambda d, at, lasts: Cut(at, lasts, *d.choice(LINKS), both=True),
-    "cut one way": _one_way,
-    "split": _split,
-    "flap": lambda d, at, lasts: Flap(at, lasts, *d.choice(LINKS), d.choice((150.0, 700.0)), True),
-    "noise": _noise,
-    "relay killed": lambda d, at, lasts: Kill(at, lasts, d.choice(RELAYS)),
-    "all relays killed": lambda d, at, lasts: KillAll(at, lasts),
-    "router killed": lambda d, at, lasts: Kill(at, lasts, d.choice(ROUTERS)),
-    "discovery down": lambda d, at, lasts: Kill(at, lasts, "d"),
-    "discovery set back": lambda d, at, lasts: Kill(at, lasts, "d", keep_disk=False),
-    "relay paused": lambda d, at, lasts: Pause(at, lasts, d.choice(RELAYS)),
-    "router paused": lambda d, at, lasts: Pause(at, lasts, d.choice(ROUTERS)),
-    "late timers": lambda d, at, lasts: Lag(at, lasts, d.choice(NAMES[1:]), d.choice((50.0, 400.0))),
+    if draw.random() < 0.5:
+        return Cut(at_ms, duration_ms, source, target)
+    return Cut(at_ms, duration_ms, target, source)
+
+
+FAULT_KINDS: dict[str, DrawFault] = {
+    "cut": lambda draw, at_ms, ms: Cut(at_ms, ms, *draw.choice(LINKS), both=True),
+    "cut one way": _draw_one_way_cut,
+    "split": _draw_partition,
+    "flap": lambda draw, at_ms, ms: Flap(at_ms, ms, *draw.choice(LINKS), draw.choice((150.0, 700.0)), True),
+    "noise": _draw_noise,
+    "relay killed": lambda draw, at_ms, ms: Kill(at_ms, ms, draw.choice(RELAY_NAMES)),
+    "all relays killed": lambda _, at_ms, ms: KillAllRelays(at_ms, ms),
+    "router killed": lambda draw, at_ms, ms: Kill(at_ms, ms, draw.choice(ROUTER_NAMES)),
+    "discovery down": lambda _, at_ms, ms: Kill(at_ms, ms, DISCOVERY_NAME),
+    "discovery set back": lambda _, at_ms, ms: Kill(at_ms, ms, DISCOVERY_NAME, keep_disk=False),
+    "relay paused": lambda draw, at_ms, ms: Pause(at_ms, ms, draw.choice(RELAY_NAMES)),
+    "router paused": lambda draw, at_ms, ms: Pause(at_ms, ms, draw.choice(ROUTER_NAMES)),
+    "late timers": lambda draw, at_ms, ms: Lag(
+        at_ms, ms, draw.choice(NODE_NAMES[1:]), draw.choice((50.0, 400.0))
+    ),
 }
+"""By name; a draw depends on their order."""
--- a/packages/control-sim/src/control_sim/poll_client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -1,12 +1,11 @@
-"""The polling side of a router or relay: the real ``Sources`` and ``Follower``, and the state that comes of
-them."""
+"""The polling side of a router or relay, around the real ``SourceSelector`` and ``StateFollower``."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import replace
-from typing import Any
+from typing import Any, Protocol
 
 from control_client import (
     EndpointListEvent,
@@ -18,6 +17,8 @@
     ProbeFailed,
     PurgeEvent,
     SelectionTimings,
+    SelectorAction,
+    SelectorEvent,
     SendProbe,
     SourceSelector,
     StartPolling,
@@ -26,178 +27,233 @@
     StopPolling,
     SyncStatus,
 )
+from control_relay import PollerRole, PollRequest
 from sansio_core import Address, RandomSource, SetTimer, Started, TimerFired
 
-from control_sim.connections import Broken, Hangup, Poll, Replied, Request
+from control_sim.connections import CloseConnection, ConnectionFailed, ReplyReceived, SendRequest
 
-BLOCK_MS, PAUSE_MS = 800.0, 50.0
-TIMES = SelectionTimings(
-    probe_interval_ms=1000.0, recovery_ms=1500.0, return_spread_ms=1000.0, max_probe_interval_ms=4000.0
+BLOCK_MS = 800.0
+
+PROBE_BLOCK_MS = 1.0
+
+PAUSE_MS = 50.0
+"""Before the next poll, where a response brought nothing."""
+
+PAUSE_TIMER = 1
+"""All timers of a client are odd: those of its selector are doubled, plus 1."""
+
+TIMINGS = SelectionTimings(
+    probe_interval_ms=1000.0,
+    max_probe_interval_ms=4000.0,
+    recovery_ms=1500.0,
+    return_spread_ms=1000.0,
 )
-Take = Callable[
-    [float, Sequence[StateEvent], bool], list[Any]
-]  # what an answer brought, and whether it told all
 
 
-def read(body: bytes, times: float = 1.0) -> PollResponse:
-    """The first part of an answer's events, as far as it has come."""
-    told = json.loads(body)
-    events = [_event(command) for command in told["cmds"]]
+class PollingNode(Protocol):
+    """The router or relay that a client belongs to."""
+
+    def poll_request(self, is_sibling: bool) -> PollRequest:
+        """Return what a poll of an upstream or sibling says about this node."""
+        ...
+
+    def apply(self, now: float, events: Sequence[StateEvent], is_complete: bool) -> list[Any]:
+        """Apply accepted events; ``is_complete`` if the source has sent all."""
+        ...
+
+
+def decode_response(body: bytes, received_fraction: float = 1.0) -> PollResponse:
+    """Decode a response, or the part of its events that was received."""
+    response = json.loads(body)
+    events = [_decode_event(event) for event in response["cmds"]]
     return PollResponse(
-        told.get("epoch", ""),
-        float(told.get("age", 0.0)),
-        told["cursor"],
-        tuple(events[: int(len(events) * times)]),
+        response.get("epoch", ""),
+        float(response.get("age", 0.0)),
+        response["cursor"],
+        tuple(events[: int(len(events) * received_fraction)]),
     )
 
 
-def _event(command: dict[str, Any]) -> StateEvent:
-    number = command["cursor"]
-    if "drop" in command:
-        drop = command["drop"]
-        return PurgeEvent(number, drop.get("id", drop.get("family")), drop["when"])
-    nodes = command["nodes"]
-    lines = {line["host"]: None if line["health"] == "left" else line for line in nodes["hosts"]}
-    return EndpointListEvent(number, nodes["seq"], nodes["whole"], lines, nodes["hosts"])
+def _decode_event(event: dict[str, Any]) -> StateEvent:
+    number = event["cursor"]
+    if "drop" in event:
+        purge = event["drop"]
+        return PurgeEvent(number, purge.get("id", purge.get("family")), purge["when"])
+    nodes = event["nodes"]
+    endpoints = {line["host"]: None if line["health"] == "left" else line for line in nodes["hosts"]}
+    return EndpointListEvent(number, nodes["seq"], nodes["whole"], endpoints, nodes["hosts"])
+
 
+class PollClient:
+    """Polls sources and hands the node what may be applied.
 
-class Client:
-    """``poll`` gives what is said of oneself; ``take`` is handed what may be taken.  All timers are odd; the
-    first is the pause before a poll."""
+    ``completed_epochs`` has, by epoch, the last number taken once the epoch's list was complete.
+    """
 
     def __init__(
         self,
+        node: PollingNode,
         upstreams: tuple[str, ...],
         siblings: tuple[str, ...],
         draw: RandomSource,
         first_connection: int,
-        hold_ms: float,
-        poll: Callable[[float, bool], Poll],
-        take: Take,
+        purge_retention_ms: float,
     ) -> None:
-        self.siblings = siblings
-        addresses: list[Address] = [(name, 0) for name in upstreams]
-        self.sources = SourceSelector(addresses, draw, [(name, 0) for name in siblings], TIMES)
-        self.follower = StateFollower(hold_ms)
-        self.standing: SyncStatus | None = None
-        self.epochs: dict[str, int] = {}  # numbers taken with their list, by epoch
-        self._draw, self._poll, self._take = draw, poll, take
+        self.follower = StateFollower(purge_retention_ms)
+        self.status: SyncStatus | None = None
+        self.completed_epochs: dict[str, int] = {}
+        self._node = node
+        self._siblings = siblings
+        self._selector = SourceSelector(_addresses(upstreams), draw, _addresses(siblings), TIMINGS)
+        self._draw = draw
         self._source: Address | None = None
-        self._connection, self._last_connection = 0, first_connection
-        self._probes: dict[int, Address] = {}
-        self._asked = False  # a poll is out
+        self._connection: int | None = None
+        self._last_connection = first_connection
+        self._probes: dict[int, Address] = {}  # by connection
+        self._has_polled = False  # and no reply has come
 
     @property
-    def source(self) -> str:
-        return self._source[0] if self._source is not None else ""
+    def is_in_sync(self) -> bool:
+        """Whether the last response brought all that its source had, and the source is not stale."""
+        return self.status is SyncStatus.IN_SYNC
+
+    def age_ms(self, now: float) -> float:
+        """Return the age of the current state (ms)."""
+        return self.follower.age_ms(now)
 
     def handle(self, now: float, event: object) -> list[Any]:
+        """Process one event; return the actions to carry out."""
         match event:
             case Started():
-                return self._carry(now, self.sources.handle(now, event))
-            case TimerFired(token=1):
-                return self._ask(now) if self._connection and not self._asked else []
-            case TimerFired(token=token):
-                return self._carry(now, self.sources.handle(now, TimerFired(token // 2)))
-            case Replied() if event.connection in self._probes:
-                return self._probed(now, event)
-            case Replied() if event.connection == self._connection:
-                return self._replied(now, event)
-            case Broken() if event.connection in self._probes:
-                failed = ProbeFailed(self._probes.pop(event.connection))
-                return self._carry(now, self.sources.handle(now, failed))
-            case Broken() if event.connection == self._connection:
-                return self._failed(now, "broken")
+                return self._select(now, event)
+            case TimerFired(token) if token == PAUSE_TIMER:
+                may_poll = self._connection is not None and not self._has_polled
+                return self._poll(now) if may_poll else []
+            case TimerFired(token):
+                return self._select(now, TimerFired(token // 2))
+            case ReplyReceived(connection) if connection in self._probes:
+                return self._handle_probe_reply(now, event)
+            case ReplyReceived(connection) if connection == self._connection:
+                return self._handle_reply(now, event)
+            case ConnectionFailed(connection) if connection in self._probes:
+                return self._select(now, ProbeFailed(self._probes.pop(connection)))
+            case ConnectionFailed(connection) if connection == self._connection:
+                return self._fail(now, "broken")
         return []
 
-    @property
-    def settled(self) -> bool:
-        """Whether the last answer told all that its source had, and the source is no older than what is
-        held."""
-        return self.standing is SyncStatus.IN_SYNC
+    # Selection
 
-    def age_ms(self, now: float) -> float:
-        return self.follower.age_ms(now)
+    def _select(self, now: float, event: SelectorEvent) -> list[Any]:
+        actions: list[Any] = []
+        for action in self._selector.handle(now, event):
+            actions += self._carry_out(now, action)
+        return actions
 
-    def _carry(self, now: float, actions: Sequence[Any]) -> list[Any]:
-        done: list[Any] = []
-        for action in actions:
-            match action:
-                case StartPolling(source=source):
-                    self._source, self._connection = source, self._next_connection()
-                    done += self._ask(now)
-                case StopPolling(source=source):
-                    done.append(Request(source[0], self._connection, self._farewell(now)))
-                    done.append(Hangup(source[0], self._connection))
-                    self._source, self._connection = None, 0
-                case SendProbe(source=source):
-                    connection = self._next_connection()
-                    self._probes[connection] = source
-                    done.append(Request(source[0], connection, self._farewell(now)))
-                case SetTimer(in_ms=in_ms, token=token):
-                    done.append(SetTimer(in_ms, token * 2 + 1))
-                case _:
-                    done.append(action)
-        return done
-
-    def _farewell(self, now: float) -> Poll:
-        """A probe: it says that we are served elsewhere."""
+    def _carry_out(self, now: float, action: SelectorAction) -> list[Any]:
+        match action:
+            case StartPolling(source):
+                self._source = source
+                self._connection = self._open_connection()
+                return self._poll(now)
+            case StopPolling(source):
+                return self._stop_polling(source)
+            case SendProbe(source):
+                connection = self._open_connection()
+                self._probes[connection] = source
+                return [SendRequest(source[0], connection, self._probe_request())]
+            case SetTimer(in_ms, token):
+                return [SetTimer(in_ms, token * 2 + 1)]
+        return [action]
+
+    def _stop_polling(self, source: Address) -> list[Any]:
+        """Deregister at the source by a probe, and close the connection."""
+        assert self._connection is not None
+        probe = SendRequest(source[0], self._connection, self._probe_request())
+        close = CloseConnection(source[0], self._connection)
+        self._source = None
+        self._connection = None
+        return [probe, close]
+
+    def _probe_request(self) -> PollRequest:
+        """Return a probe with this node's name: another source serves it."""
+        name = self._node.poll_request(is_sibling=False).name
         follower = self.follower
-        return Poll(follower.cursor, 1.0, follower.epoch, "probe", self._poll(now, False).name)
+        return PollRequest(follower.cursor, PROBE_BLOCK_MS, follower.epoch, PollerRole.PROBE, name)
 
-    def _next_connection(self) -> int:
+    def _open_connection(self) -> int:
         self._last_connection += 1
         return self._last_connection
 
-    def _ask(self, now: float) -> list[Any]:
+    # Polls and probes
+
+    def _poll(self, now: float) -> list[Any]:
         assert self._source is not None
-        self._asked = True
+        assert self._connection is not None
+        self._has_polled = True
+        source = self._source[0]
         position = self.follower.begin_poll(now)
-        poll = self._poll(now, self._source[0] in self.siblings)
-        poll = replace(poll, resume=position.resume, epoch=position.epoch, block_ms=BLOCK_MS)
-        request = Request(self._source[0], self._connection, poll)
-        return [request, *self._carry(now, self.sources.handle(now, PollSent(self._source)))]
+        request = replace(
+            self._node.poll_request(is_sibling=source in self._siblings),
+            resume=position.resume,
+            epoch=position.epoch,
+            block_ms=BLOCK_MS,
+        )
+        send = SendRequest(source, self._connection, request)
+        return [send, *self._select(now, PollSent(self._source))]
 
-    def _probed(self, now: float, event: Replied) -> list[Any]:
+    def _handle_probe_reply(self, now: float, event: ReplyReceived) -> list[Any]:
         source = self._probes.pop(event.connection)
-        if event.body is None or event.cut:
-            return self._carry(now, self.sources.handle(now, ProbeFailed(source)))
-        age = read(event.body).age_ms
-        return self._carry(now, self.sources.handle(now, ProbeAnswered(source, age)))
+        if event.body is None or event.is_truncated:
+            return self._select(now, ProbeFailed(source))
+        return self._select(now, ProbeAnswered(source, decode_response(event.body).age_ms))
 
-    def _failed(self, now: float, why: str) -> list[Any]:
-        source, self._source, self._connection = self._source, None, 0
+    def _fail(self, now: float, reason: str) -> list[Any]:
+        source = self._source
         assert source is not None
-        return self._carry(now, self.sources.handle(now, PollFailed(source, why)))
+        self._source = None
+        self._connection = None
+        return self._select(now, PollFailed(source, reason))
 
-    def _replied(self, now: float, event: Replied) -> list[Any]:
-        self._asked = False
+    def _handle_reply(self, now: float, event: ReplyReceived) -> list[Any]:
+        self._has_polled = False
         if event.body is None:
-            return self._failed(now, "refused")
-        if event.cut:
-            part = read(event.body, self._draw())
-            self.follower.begin_response(now, part.epoch, part.age_ms, part.cursor)
-            taken = [one for one in part.events if self.follower.accept_event(one)]
-            return self._take(now, taken, False) + self._failed(now, "cut")
-        answer = read(event.body)
-        before = self.follower.cursor, self.follower.epoch
-        told = self.follower.accept_response(now, answer)
-        self.standing = told.status
-        self._note_epoch()
-        actions = self._take(now, told.events, told.status is SyncStatus.IN_SYNC)
-        older = told.status is SyncStatus.SOURCE_STALE
+            return self._fail(now, "refused")
+        if event.is_truncated:
+            return self._take_part(now, event.body) + self._fail(now, "cut")
+        return self._take_response(now, decode_response(event.body))
+
+    def _take_part(self, now: float, body: bytes) -> list[Any]:
+        """Apply the part of a truncated response that was received."""
+        response = decode_response(body, received_fraction=self._draw())
+        self.follower.begin_response(now, response.epoch, response.age_ms, response.cursor)
+        accepted = [event for event in response.events if self.follower.accept_event(event)]
+        return self._node.apply(now, accepted, is_complete=False)
+
+    def _take_response(self, now: float, response: PollResponse) -> list[Any]:
         source = self._source
         assert source is not None
-        actions += self._carry(now, self.sources.handle(now, PollAnswered(source, answer.age_ms, older)))
-        if source != self._source or not self._connection:
+        position_before = (self.follower.cursor, self.follower.epoch)
+        accepted = self.follower.accept_response(now, response)
+        self.status = accepted.status
+        self._note_completed_epoch()
+        actions = self._node.apply(now, accepted.events, is_complete=self.is_in_sync)
+        is_stale = accepted.status is SyncStatus.SOURCE_STALE
+        actions += self._select(now, PollAnswered(source, response.age_ms, is_stale))
+        if source != self._source:
             return actions
-        if before == (self.follower.cursor, self.follower.epoch):
-            return [*actions, SetTimer(PAUSE_MS, 1)]
-        return actions + self._ask(now)
+        if position_before == (self.follower.cursor, self.follower.epoch):
+            return [*actions, SetTimer(PAUSE_MS, PAUSE_TIMER)]
+        return actions + self._poll(now)
 
-    def _note_epoch(self) -> None:
-        follower = self.follower
-        if follower.epoch and (
-            self.standing is not SyncStatus.MORE_AVAILABLE or follower.epoch in self.epochs
-        ):
-            self.epochs[follower.epoch] = max(self.epochs.get(follower.epoch, 0), follower.cursor)
+    def _note_completed_epoch(self) -> None:
+        epoch = self.follower.epoch
+        if not epoch:
+            return
+        has_more = self.status is SyncStatus.MORE_AVAILABLE
+        if not has_more or epoch in self.completed_epochs:
+            taken_before = self.completed_epochs.get(epoch, 0)
+            self.completed_epochs[epoch] = max(taken_before, self.follower.cursor)
+
+
+def _addresses(names: Sequence[str]) -> list[Address]:
+    return [(name, 0) for name in names]
--- /dev/null
+++ b/packages/control-sim/src/control_sim/settling.py
@@ -0,0 +1,55 @@
+"""What must hold some time after the last fault has ended."""
+
+from __future__ import annotations
+
+from control_relay import MemberState, MemberStatus, PollerRole
+from fleet_sim import Node, World
+
+from control_sim.discovery import Discovery
+from control_sim.discovery_history import version_of
+from control_sim.node_names import DISCOVERY_NAME
+from control_sim.relay_node import RelayNode
+from control_sim.router_nodes import Endpoints, PlainRouterNode, RouterNode
+
+
+def unsettled_reason(world: World) -> str | None:
+    """Return what is not settled: all that run have discovery's list, and relays know that they do."""
+    discovery = world.nodes[DISCOVERY_NAME].machine
+    assert isinstance(discovery, Discovery)
+    for name, node in world.nodes.items():
+        endpoints = _endpoints(node)
+        if endpoints is not None and version_of(endpoints) != discovery.version:
+            return f"{name} has list {version_of(endpoints)} and not {discovery.version}"
+        if isinstance(node.machine, RelayNode):
+            reason = _unacknowledged_reason(node, node.machine, world.now)
+            if reason:
+                return reason
+    return None
+
+
+def _endpoints(node: Node) -> Endpoints | None:
+    machine = node.machine
+    if isinstance(machine, RelayNode):
+        return machine.endpoints()
+    if isinstance(machine, RouterNode | PlainRouterNode):
+        return machine.state.endpoints
+    return None
+
+
+def _unacknowledged_reason(node: Node, machine: RelayNode, now: float) -> str | None:
+    """Return who lags, or that something is unacknowledged and nobody is named for it."""
+    relay = machine.relay
+    lagging = relay.lagging_members(node.local(now))
+    for member in lagging:
+        if member.state is MemberState.LAGGING and _lags_itself(member):
+            return f"{member.name} lags at {machine.name}"
+    acknowledged = relay.low_water_marks.acknowledged
+    delivered = relay.state.log.delivered
+    if acknowledged < delivered and not lagging:
+        return f"{machine.name} has {acknowledged} acknowledged of {delivered}, and names nobody"
+    return None
+
+
+def _lags_itself(member: MemberStatus) -> bool:
+    """Return whether a member lags, rather than routers that it names."""
+    return member.role is not PollerRole.RELAY or member.lagging_names == (member.name,)
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -1,5 +1,8 @@
-"""Discovery `d`, relays `r1` and `r2` (siblings), `c1` below both, routers, and a plain router, as a
-subject."""
+"""The simulated processes, and who polls whom.
+
+Discovery ``d``; relays ``r1`` and ``r2``, which are siblings; relay ``c1`` below both; routers ``x1`` and
+``x2``; and ``x3``, a router that knows only the plain protocol.
+"""
 
 from __future__ import annotations
 
@@ -10,66 +13,81 @@
 from fleet_sim import Disk, Node, Quality, Subject, World
 from sansio_core import Address, Notice, RandomSource
 
-from control_sim.connections import CARRY
+from control_sim.connections import CARRIERS, first_connection
 from control_sim.discovery import Discovery
-from control_sim.invariants import Checks, settled
-from control_sim.nodes import PlainRouter, RelayNode, Router, first_connection
+from control_sim.invariants import build_invariants
+from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, PLAIN_ROUTER_NAME, ROUTER_NAMES
+from control_sim.relay_node import RelayNode
+from control_sim.router_nodes import PlainRouterNode, RouterNode
+from control_sim.settling import unsettled_reason
+
+PURGE_RETENTION_MS = 4_000.0
+
+SETTLING_TIME_MS = 25_000.0
+"""After the last fault, until all must have settled."""
+
+START_UNIX_S = 1_764_600_000
+"""Unix time at which simulated time begins; a relay's event numbers follow from it."""
+
+INCARNATION_S = 10
+"""A relay's restart counts as so much later."""
 
-HOLD_MS = 4_000.0
-SETTLE_MS = 25_000.0
-BASE = 1_764_600_000  # Unix seconds at which simulated time begins
-NAMES = ("d", "r1", "r2", "c1", "x1", "x2", "x3")
 UPSTREAMS = {
-    "r1": ("d",),
-    "r2": ("d",),
+    "r1": (DISCOVERY_NAME,),
+    "r2": (DISCOVERY_NAME,),
     "c1": ("r1", "r2"),
     "x1": ("r1", "r2"),
     "x2": ("c1", "r2"),
-    "x3": ("r2",),  # the plain one
+    PLAIN_ROUTER_NAME: ("r2",),
 }
+
 SIBLINGS = {"r1": ("r2",), "r2": ("r1",)}
-EXPECTED = {"r1": ("x1",), "c1": ("x2",)}
+
+EXPECTED_MEMBERS = {"r1": ("x1",), "c1": ("x2",)}
 
 
-def settings(name: str) -> RelaySettings:
-    """Short holds, small pages and a small log, so that their ends are met within seconds."""
+def relay_settings(name: str) -> RelaySettings:
+    """Return settings with short retention, small pages and a small log, so that seconds reach their ends."""
     return RelaySettings(
-        expected_members=EXPECTED.get(name, ()),
-        purge_retention_ms=HOLD_MS,
+        expected_members=EXPECTED_MEMBERS.get(name, ()),
+        purge_retention_ms=PURGE_RETENTION_MS,
         absence_timeout_ms=800.0,
         max_page_bytes=320,
         max_list_changes=4,
     )
 
 
-def build(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Any:
-    connection = first_connection(NAMES.index(name) + 1, incarnation)
-    if name == "d":
+def build_node(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Any:  # noqa: ARG001 - the factory's interface
+    """Build the state machine of a process that starts."""
+    connection = first_connection(NODE_NAMES.index(name) + 1, incarnation)
+    if name == DISCOVERY_NAME:
         return Discovery(incarnation, draw, disk)
-    if name == "x3":
-        return PlainRouter(UPSTREAMS[name][0], connection)
-    if name.startswith("x"):
-        return Router(name, UPSTREAMS[name], draw, connection, HOLD_MS)
-    relay = Relay(settings(name), f"{name}-{incarnation}", (BASE + 10 * incarnation) << 20)
+    if name == PLAIN_ROUTER_NAME:
+        return PlainRouterNode(UPSTREAMS[name][0], connection)
+    if name in ROUTER_NAMES:
+        return RouterNode(name, UPSTREAMS[name], draw, connection, PURGE_RETENTION_MS)
+    first_number = (START_UNIX_S + INCARNATION_S * incarnation) << 20
+    relay = Relay(relay_settings(name), f"{name}-{incarnation}", first_number)
     return RelayNode(name, relay, UPSTREAMS[name], SIBLINGS.get(name, ()), draw, connection)
 
 
-def tally(world: World, counts: Counter[str]) -> None:
-    """Counts what relays and sources tell, so that a run shows what it met."""
+def count_notices(world: World, counts: Counter[str]) -> None:
+    """Count the notices of relays and clients, so that a run shows what it met."""
 
-    def listen(node: Node, told: Notice) -> None:
-        counts[told.name] += 1
+    def count(node: Node, notice: Notice) -> None:  # noqa: ARG001 - the listener's interface
+        counts[notice.name] += 1
 
-    world.listeners.append(listen)
+    world.listeners.append(count)
 
 
-def subject(names: tuple[str, ...] = NAMES) -> Subject:
+def build_subject() -> Subject:
+    """Return the simulated system with its invariants."""
     return Subject(
-        build,
-        lambda: [Checks(HOLD_MS)],
-        settled,
-        SETTLE_MS,
+        build_node,
+        lambda: build_invariants(PURGE_RETENTION_MS),
+        unsettled_reason,
+        SETTLING_TIME_MS,
         Quality(least_ms=0.5, most_ms=4.0),
-        carry=CARRY,
-        tally=tally,
+        carry=CARRIERS,
+        tally=count_notices,
     )
--- a/packages/control-sim/tests/mutants.py
+++ b/packages/control-sim/tests/mutants.py
@@ -25,7 +25,7 @@
 from control_relay.members import MemberTable, ResumePosition
 from control_relay.paged_responses import Page, PagedResponses
 from control_relay.poll_handling import PollHandler
-from control_sim import outcome_of, topology
+from control_sim import run_seed, topology
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 """Returns a context in which the code has the defect."""
@@ -36,7 +36,7 @@
 original_page = PagedResponses._page
 original_apply_poll = MemberTable.apply_poll
 original_advance = LowWaterMarks.advance
-original_settings = topology.settings
+original_relay_settings = topology.relay_settings
 
 
 def replacing(owner: Any, name: str, defect: Any) -> Mutant:
@@ -108,7 +108,7 @@
 
 
 def short_retention(name: str) -> RelaySettings:
-    return replace(original_settings(name), purge_retention_ms=300.0)
+    return replace(original_relay_settings(name), purge_retention_ms=300.0)
 
 
 @contextmanager
@@ -130,7 +130,7 @@
     "the floor of the log is ignored": replacing(
         EventLog, "_drop_oldest_change", drop_change_without_raising_floor
     ),
-    "purges are retained for 0.3 s instead of 4": replacing(topology, "settings", short_retention),
+    "purges are retained for 0.3 s instead of 4": replacing(topology, "relay_settings", short_retention),
     "a relay's resume counts instead of its progress": replacing(
         MemberTable, "apply_poll", trust_resume_of_relay
     ),
@@ -154,7 +154,7 @@
 def count_failures(mutant: str, seeds: int) -> Counter[str]:
     """Return how many of the first seeds fail, by invariant."""
     with MUTANTS[mutant]():
-        outcomes = [outcome_of(seed) for seed in range(seeds)]
+        outcomes = [run_seed(seed) for seed in range(seeds)]
     return Counter(outcome.violation.check for outcome in outcomes if outcome.violation)
 
 
--- a/packages/control-sim/tests/test_control_sim.py
+++ b/packages/control-sim/tests/test_control_sim.py
@@ -1,17 +1,17 @@
-"""Relays under drawn faults, and that the checks have teeth."""
+"""The simulation: no seed fails, and the invariants find seeded defects."""
 
 from __future__ import annotations
 
 import pytest
-from control_sim import KINDS, NAMES, outcome_of, plan, subject
+from control_sim import FAULT_KINDS, NODE_NAMES, build_subject, draw_plan, run_seed
 from control_sim.command import main
-from control_sim.fault_plans import KillAll
-from fleet_sim import Plan, run, shrink
+from control_sim.fault_plans import KillAllRelays
+from fleet_sim import Outcome, Plan, run, shrink
 from fleet_sim.faults import Kill, Noise, Pause
 from mutants import MUTANTS, count_failures
 
 SEEDS = 500
-RARE = {  # found by few seeds, or by none: see docs/design/control.md
+RARELY_FOUND = {  # by few seeds or none: see docs/design/control.md
     "the epoch of a poll is ignored",
     "an older list is accepted from another source",
     "the age ignores undelivered events",
@@ -23,64 +23,64 @@
 }
 
 
-def first_failure(most: int) -> str:
-    """The check that fails first."""
-    for seed in range(most):
-        violation = outcome_of(seed).violation
-        if violation is not None:
-            return violation.check
-    return ""
+def first_failure(seeds: int) -> Outcome | None:
+    """Return the first outcome with a violation."""
+    outcomes = (run_seed(seed) for seed in range(seeds))
+    return next((outcome for outcome in outcomes if outcome.violation), None)
 
 
-def test_nothing_is_lost_goes_back_or_is_done_too_early() -> None:
-    met = set()
+def test_no_seed_violates_an_invariant() -> None:
+    kinds_met = set()
     for seed in range(SEEDS):
-        outcome = outcome_of(seed)
-        assert outcome.violation is None, run(subject(), outcome.plan, trace=True).story()
-        met |= {type(fault) for fault in outcome.plan.schedule}
-    assert len(met) >= 7
+        outcome = run_seed(seed)
+        assert outcome.violation is None, run(build_subject(), outcome.plan, trace=True).story()
+        kinds_met |= {type(fault) for fault in outcome.plan.schedule}
+    assert len(kinds_met) >= 7
 
 
-def test_every_kind_of_fault_is_drawn() -> None:
-    assert {type(fault) for seed in range(200) for fault in plan(seed).schedule} >= {
-        KillAll,
-        Kill,
-        Noise,
-        Pause,
-    }
-    assert len(KINDS) == 13
+def test_all_kinds_of_faults_are_drawn() -> None:
+    drawn = {type(fault) for seed in range(200) for fault in draw_plan(seed).schedule}
+    assert drawn >= {KillAllRelays, Kill, Noise, Pause}
+    assert len(FAULT_KINDS) == 13
 
 
-def test_a_run_is_determined_by_its_seed() -> None:
-    one, again, other = outcome_of(3), outcome_of(3), outcome_of(4)
-    assert (one.steps, one.counts, one.settled_ms) == (again.steps, again.counts, again.settled_ms)
-    assert one.steps != other.steps
+def test_run_is_determined_by_its_seed() -> None:
+    outcome = run_seed(3)
+    repeated = run_seed(3)
+    assert (outcome.steps, outcome.counts, outcome.settled_ms) == (
+        repeated.steps,
+        repeated.counts,
+        repeated.settled_ms,
+    )
+    assert outcome.steps != run_seed(4).steps
 
 
-@pytest.mark.parametrize("mutant", [mutant for mutant in MUTANTS if mutant not in RARE])
-def test_what_is_broken_on_purpose_is_found(mutant: str) -> None:
+@pytest.mark.parametrize("mutant", [mutant for mutant in MUTANTS if mutant not in RARELY_FOUND])
+def test_mutant_is_found(mutant: str) -> None:
     with MUTANTS[mutant]():
         assert first_failure(30)
 
 
 @pytest.mark.parametrize(
-    ("mutant", "check"),
+    ("mutant", "invariant"),
     [("the floor of the log is ignored", "mixed"), ("the epoch of a poll is ignored", "lost")],
 )
-def test_rare_mutants_are_found_by_more_seeds(mutant: str, check: str) -> None:
-    assert count_failures(mutant, 250)[check] > 0
+def test_rare_mutant_is_found_by_more_seeds(mutant: str, invariant: str) -> None:
+    assert count_failures(mutant, 250)[invariant] > 0
 
 
-def test_a_failure_is_shrunk_to_the_faults_that_it_needs() -> None:
+def test_failure_is_shrunk_to_the_faults_that_cause_it() -> None:
     with MUTANTS["each page acknowledges"]():
-        failed = next(o for seed in range(100) if (o := outcome_of(seed)).violation)
-        small = shrink(subject(), failed)
-    assert small.violation and small.violation.check == "early"
-    assert len(small.plan.schedule) <= len(failed.plan.schedule)
-    assert f"seed {failed.plan.seed}" in small.story()
+        failed = first_failure(100)
+        assert failed is not None
+        shrunk = shrink(build_subject(), failed)
+    assert shrunk.violation is not None
+    assert shrunk.violation.check == "early"
+    assert len(shrunk.plan.schedule) <= len(failed.plan.schedule)
+    assert f"seed {failed.plan.seed}" in shrunk.story()
 
 
-def test_the_command_runs_seeds_prints_one_and_ends_with_the_story_of_a_failure(
+def test_command_runs_seeds_prints_one_and_tells_the_story_of_a_failure(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert main(["--seeds", "3"]) == 0
@@ -89,16 +89,18 @@
     assert "relay-ready" in capsys.readouterr().out
     with MUTANTS["unreachable routers count as acknowledged"]():
         assert main(["--seeds", "20", "--keep-going"]) == 1
-    told = capsys.readouterr().out
-    assert "early at" in told and "schedule:" in told
+    output = capsys.readouterr().out
+    assert "early at" in output
+    assert "schedule:" in output
 
 
-def test_all_relays_restarted_while_discovery_is_down_lose_nothing() -> None:
-    faults = (KillAll(2_000.0, 300.0), Kill(1_900.0, 4_000.0, "d"))
-    outcome = run(subject(), Plan(1, NAMES, faults))
+def test_restart_of_all_relays_while_discovery_is_down_loses_nothing() -> None:
+    faults = (KillAllRelays(2_000.0, 300.0), Kill(1_900.0, 4_000.0, "d"))
+    outcome = run(build_subject(), Plan(1, NODE_NAMES, faults))
     assert outcome.violation is None, outcome.story()
 
 
-def test_a_router_paused_for_longer_than_the_log_comes_back_into_step() -> None:
-    outcome = run(subject(), Plan(1, NAMES, (Pause(500.0, 9_000.0, "x1"), Pause(500.0, 9_000.0, "c1"))))
+def test_router_paused_for_longer_than_the_log_gets_back_in_sync() -> None:
+    faults = (Pause(500.0, 9_000.0, "x1"), Pause(500.0, 9_000.0, "c1"))
+    outcome = run(build_subject(), Plan(1, NODE_NAMES, faults))
     assert outcome.violation is None, outcome.story()
