--- a/packages/control-client/src/control_client/response_timeout.py
+++ b/packages/control-client/src/control_client/response_timeout.py
@@ -18,7 +18,7 @@
     """Deadline of the current poll, infinite where none is in flight.
 
     Consecutive timeouts, of whichever source, double the time: sources that are slow because many clients
-    arrive at once must not be asked in turn for complete states that nobody waits for.
+    arrive at once must not be polled in turn for complete states that nobody waits for.
     """
 
     def __init__(self, timings: SelectionTimings) -> None:
--- a/packages/control-client/src/control_client/source_selection.py
+++ b/packages/control-client/src/control_client/source_selection.py
@@ -95,10 +95,6 @@
         self._arm_timer(now)
         return self._actions
 
-    def age_ms(self, now: float) -> float:
-        """Return the age of the state that the polled source stated last; infinite: none yet."""
-        return now - self.current.as_of_ms if self.current is not None else math.inf
-
     @property
     def sources(self) -> Mapping[Address, SourceHealth]:
         """All sources by address, in the operators' order."""
--- a/packages/control-relay/src/control_relay/delivery_times.py
+++ b/packages/control-relay/src/control_relay/delivery_times.py
@@ -18,15 +18,14 @@
 class DeliveryTimes:
     """Delivery times of the last batches, coarser for older ones."""
 
-    def __init__(self, max_batches: int = MAX_BATCHES) -> None:
-        self._max_batches = max_batches
+    def __init__(self) -> None:
         self._batches: list[_Batch] = []
 
     def record(self, last_number: int, now: float) -> None:
         """Record that all events up to ``last_number`` are delivered."""
         self._batches.append(_Batch(last_number, now))
-        if len(self._batches) > self._max_batches:
-            half = self._max_batches // 2
+        if len(self._batches) > MAX_BATCHES:
+            half = MAX_BATCHES // 2
             self._batches = self._batches[0:half:2] + self._batches[half:]
 
     def first_after(self, number: int) -> float:
--- a/packages/control-relay/src/control_relay/paged_responses.py
+++ b/packages/control-relay/src/control_relay/paged_responses.py
@@ -94,7 +94,7 @@
 
     def _cached(self, now: float, key: _CacheKey) -> Response | None:
         cached = self._cache.get(key)
-        if cached is None or not 0 <= now - cached.encoded_at_ms <= SHARED_FOR_MS:
+        if cached is None or now - cached.encoded_at_ms > SHARED_FOR_MS:
             return None
         return cached.response
 
--- a/packages/control-relay/tests/test_resource_bounds.py
+++ b/packages/control-relay/tests/test_resource_bounds.py
@@ -130,8 +130,8 @@
                 continue
             self.resume = event["cursor"]
             if "drop" in event:
-                key, issued = event["drop"]["id"], event["drop"]["when"]
-                self.purges[key] = max(issued, self.purges.get(key, 0))
+                key = event["drop"]["id"]
+                self.purges[key] = max(event["drop"]["when"], self.purges.get(key, 0))
                 continue
             if event["nodes"]["whole"]:
                 self.endpoints.clear()
