--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -8,7 +8,7 @@
 from multiprocessing import Pool
 
 from fleet_sim import Outcome, run, shrink
-from fleet_sim.command import Total
+from fleet_sim.command import OutcomeTotals
 
 from control_sim.fault_plans import draw_plan
 from control_sim.topology import build_subject
@@ -20,9 +20,9 @@
 
 
 def run_seed(seed: int) -> Outcome:
-    """Run one seed; return its outcome without the log."""
+    """Run one seed; return its outcome without the trace."""
     outcome = run(build_subject(), draw_plan(seed))
-    outcome.log.clear()
+    outcome.trace.clear()
     return outcome
 
 
@@ -62,7 +62,7 @@
 
 def _run_many(options: argparse.Namespace) -> int:
     started = time.perf_counter()
-    total = Total()
+    total = OutcomeTotals()
     first_failure = None
     for outcome in run_seeds(range(options.first, options.first + options.seeds), options.jobs):
         total.add(outcome)
--- a/packages/control-sim/src/control_sim/connections.py
+++ b/packages/control-sim/src/control_sim/connections.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from control_relay import PollRequest
-from fleet_sim import Kind, Node, State, World
+from fleet_sim import EntryKind, Node, ProcessState, SimulatedCluster
 
 RETRANSMISSION_MS = 300.0
 """Delay of what the network loses."""
@@ -93,62 +93,62 @@
     return connection >> INCARNATION_BITS & (1 << INCARNATION_BITS) - 1
 
 
-def carry_request(world: World, node: Node, action: SendRequest) -> None:
+def carry_request(cluster: SimulatedCluster, node: Node, action: SendRequest) -> None:
     """Deliver a poll; a process that is down refuses the connection."""
-    target = world.nodes[action.to]
+    target = cluster.nodes[action.to]
 
     def arrive() -> None:
-        if target.state is State.DOWN:
-            _deliver_later(world, target, node, ConnectionFailed(action.connection))
+        if target.state is ProcessState.DOWN:
+            _deliver_later(cluster, target, node, ConnectionFailed(action.connection))
         else:
-            world.deliver(target, RequestReceived(node.name, action.connection, action.request))
+            cluster.deliver(target, RequestReceived(node.name, action.connection, action.request))
 
-    transmission = _transmit(world, node, target)
+    transmission = _transmit(cluster, node, target)
     if transmission is not None:
-        _schedule(world, transmission, arrive)
+        _schedule(cluster, transmission, arrive)
 
 
-def carry_close(world: World, node: Node, action: CloseConnection) -> None:
+def carry_close(cluster: SimulatedCluster, node: Node, action: CloseConnection) -> None:
     """Deliver the end of a connection."""
-    _deliver_later(world, node, world.nodes[action.to], ConnectionClosed(action.connection))
+    _deliver_later(cluster, node, cluster.nodes[action.to], ConnectionClosed(action.connection))
 
 
-def carry_reply(world: World, node: Node, action: SendReply) -> None:
+def carry_reply(cluster: SimulatedCluster, node: Node, action: SendReply) -> None:
     """Deliver a reply, truncated where the network duplicates it."""
-    target = world.nodes[action.to]
-    transmission = _transmit(world, node, target)
+    target = cluster.nodes[action.to]
+    transmission = _transmit(cluster, node, target)
     if transmission is None:
         return
     is_truncated = transmission.is_duplicated and action.body is not None
     reply = ReplyReceived(action.connection, action.body, is_truncated)
-    _schedule(world, transmission, lambda: world.deliver(target, reply))
+    _schedule(cluster, transmission, lambda: cluster.deliver(target, reply))
     if is_truncated:
-        world.note(Kind.LOST, "answer cut", node.name, target.name)
+        cluster.record(EntryKind.LOST, "answer cut", node.name, target.name)
 
 
-def _deliver_later(world: World, source: Node, target: Node, event: object) -> None:
-    transmission = _transmit(world, source, target)
+def _deliver_later(cluster: SimulatedCluster, source: Node, target: Node, event: object) -> None:
+    transmission = _transmit(cluster, source, target)
     if transmission is not None:
-        _schedule(world, transmission, lambda: world.deliver(target, event))
+        _schedule(cluster, transmission, lambda: cluster.deliver(target, event))
 
 
-def _transmit(world: World, source: Node, target: Node) -> _Transmission | None:
+def _transmit(cluster: SimulatedCluster, source: Node, target: Node) -> _Transmission | None:
     """Return what the network does with the bytes; None on a cut link."""
     link = (source.name, target.name)
-    if world.network.is_cut(link):
+    if cluster.network.is_cut(link):
         return None
-    delays_ms = world.network.fates(link, source.fate)
+    delays_ms = cluster.network.delivery_delays_ms(link, source.random)
     delay_ms = delays_ms[0] if delays_ms else RETRANSMISSION_MS
     return _Transmission(delay_ms, is_duplicated=len(delays_ms) > 1)
 
 
-def _schedule(world: World, transmission: _Transmission, arrive: Callable[[], None]) -> None:
-    world.at(world.now + transmission.delay_ms, arrive)
+def _schedule(cluster: SimulatedCluster, transmission: _Transmission, arrive: Callable[[], None]) -> None:
+    cluster.schedule(cluster.now + transmission.delay_ms, arrive)
 
 
-CARRIERS: dict[type, Callable[[World, Node, Any], None]] = {
+CARRIERS: dict[type, Callable[[SimulatedCluster, Node, Any], None]] = {
     SendRequest: carry_request,
     CloseConnection: carry_close,
     SendReply: carry_reply,
 }
-"""How the world carries out the actions of this module."""
+"""How the cluster carries out the actions of this module."""
--- a/packages/control-sim/src/control_sim/discovery_history.py
+++ b/packages/control-sim/src/control_sim/discovery_history.py
@@ -6,7 +6,7 @@
 from bisect import bisect_right
 from typing import NamedTuple
 
-from fleet_sim import Node, World
+from fleet_sim import Node, SimulatedCluster
 
 from control_sim.discovery import INCARNATION_VERSION_BITS, VERSION_ENDPOINT, Discovery
 from control_sim.router_nodes import Endpoints
@@ -39,14 +39,14 @@
         self._incarnation = 0
         self._observed_purges = 0
 
-    def observe(self, world: World, node: Node, discovery: Discovery) -> None:
+    def observe(self, cluster: SimulatedCluster, node: Node, discovery: Discovery) -> None:
         """Record what discovery has issued since the last call."""
         if node.incarnation != self._incarnation:
             self._incarnation = node.incarnation
             self._observed_purges = 0
-        self._observe_version(world.now, discovery)
+        self._observe_version(cluster.now, discovery)
         for target, issued_unix_ms in discovery.purges[self._observed_purges :]:
-            self.purges.append(IssuedPurge(target, issued_unix_ms, world.now))
+            self.purges.append(IssuedPurge(target, issued_unix_ms, cluster.now))
         self._observed_purges = len(discovery.purges)
 
     def version_at(self, at_ms: float) -> int:
--- a/packages/control-sim/src/control_sim/fault_plans.py
+++ b/packages/control-sim/src/control_sim/fault_plans.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fleet_sim import Fault, Kind, Plan, Quality, World
+from fleet_sim import EntryKind, Fault, LinkQuality, Plan, SimulatedCluster
 from fleet_sim.faults import Cut, Flap, Kill, Lag, Noise, Partition, Pause
 
 from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, RELAY_NAMES, ROUTER_NAMES
@@ -32,17 +32,17 @@
 class KillAllRelays(Fault):
     """All relays are killed at once; each restarts empty."""
 
-    def begin(self, world: World, cause: str) -> None:
+    def begin(self, cluster: SimulatedCluster, cause: str) -> None:
         """Kill the relays."""
-        world.note(Kind.FAULT, "all relays killed")
+        cluster.record(EntryKind.FAULT, "all relays killed")
         for name in RELAY_NAMES:
-            world.kill(name, cause)
+            cluster.kill(name, cause)
 
-    def end(self, world: World, cause: str) -> None:
+    def end(self, cluster: SimulatedCluster, cause: str) -> None:
         """Restart the relays that this fault killed."""
         for name in RELAY_NAMES:
-            if world.nodes[name].down_by == cause:
-                world.start(name)
+            if cluster.nodes[name].stopped_by == cause:
+                cluster.start(name)
 
 
 def draw_plan(seed: int) -> Plan:
@@ -61,9 +61,9 @@
 
 def _draw_noise(draw: random.Random, at_ms: float, duration_ms: float) -> Noise:
     least_ms = draw.choice((0.5, 5.0, 60.0))
-    lost = draw.choice((0.0, 0.1, 0.4))
+    loss = draw.choice((0.0, 0.1, 0.4))
     duplicated = draw.choice((0.0, 0.1, 0.4))
-    quality = Quality(lost, least_ms, least_ms * 4, doubled=duplicated)
+    quality = LinkQuality(loss, least_ms, least_ms * 4, duplicated=duplicated)
     return Noise(at_ms, duration_ms, quality, draw.choice(("", *NODE_NAMES)))
 
 
@@ -81,7 +81,7 @@
 
 
 FAULT_KINDS: dict[str, DrawFault] = {
-    "cut": lambda draw, at_ms, ms: Cut(at_ms, ms, *draw.choice(LINKS), both=True),
+    "cut": lambda draw, at_ms, ms: Cut(at_ms, ms, *draw.choice(LINKS), both_ways=True),
     "cut one way": _draw_one_way_cut,
     "split": _draw_partition,
     "flap": lambda draw, at_ms, ms: Flap(at_ms, ms, *draw.choice(LINKS), draw.choice((150.0, 700.0)), True),
--- a/packages/control-sim/src/control_sim/invariants.py
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -9,7 +9,7 @@
 import math
 
 from control_relay import Readiness
-from fleet_sim import Invariant, Node, World
+from fleet_sim import Invariant, Node, SimulatedCluster
 
 from control_sim.discovery_history import DiscoveryHistory, version_of
 from control_sim.observations import Observations, active_purges
@@ -54,9 +54,9 @@
     def __init__(self, observations: Observations) -> None:
         self._observations = observations
 
-    def check(self, world: World, node: Node) -> str | None:
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
         """Record what the node did."""
-        self._observations.record(world, node)
+        self._observations.record(cluster, node)
         return None
 
 
@@ -68,7 +68,7 @@
     def __init__(self, observations: Observations) -> None:
         self._observations = observations
 
-    def check(self, world: World, node: Node) -> str | None:  # noqa: ARG002 - an invariant's interface
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:  # noqa: ARG002 - an invariant's interface
         """Return what is wrong with the node's list."""
         endpoints = self._observations.endpoints_of(node.machine)
         if endpoints and endpoints != self._observations.history.lists.get(version_of(endpoints)):
@@ -85,7 +85,7 @@
         self._observations = observations
         self._versions: dict[tuple[str, int], int] = {}
 
-    def check(self, world: World, node: Node) -> str | None:
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
         """Return what is wrong with the version of the node's list."""
         if not isinstance(node.machine, RouterNode | RelayNode):
             return None
@@ -98,7 +98,7 @@
         self._versions[key] = version
         if version >= version_before:
             return None
-        if world.now - self._observations.history.reset_at_ms < RESET_UNCERTAINTY_MS:
+        if cluster.now - self._observations.history.reset_at_ms < RESET_UNCERTAINTY_MS:
             return None
         return f"from version {version_before} back to {version}"
 
@@ -112,27 +112,27 @@
         self._observations = observations
         self._purge_retention_ms = purge_retention_ms
 
-    def check(self, world: World, node: Node) -> str | None:
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
         """Return what the node lacks, given its age."""
         machine = node.machine
         if not isinstance(machine, RouterNode | RelayNode):
             return None
         endpoints = self._observations.endpoints_of(machine)
-        age_ms = _stated_age_ms(machine, node.local(world.now))
+        age_ms = _stated_age_ms(machine, node.monotonic_ms(cluster.now))
         if endpoints is None or not math.isfinite(age_ms):
             return None
         history = self._observations.history
-        as_of_ms = world.now - age_ms * CLOCK_TOLERANCE - HOP_UNCERTAINTY_MS * HOPS_BY_LEVEL[node.name[0]]
+        as_of_ms = cluster.now - age_ms * CLOCK_TOLERANCE - HOP_UNCERTAINTY_MS * HOPS_BY_LEVEL[node.name[0]]
         version = version_of(endpoints)
         may_be_reset = as_of_ms - history.reset_at_ms < RESET_UNCERTAINTY_MS
         if version < history.version_at(as_of_ms) and not may_be_reset:
             return f"list {version} is older than its age of {age_ms:.0f} ms"
-        missing = self._missing_purge(world, node, machine, history, as_of_ms)
+        missing = self._missing_purge(cluster, node, machine, history, as_of_ms)
         return f"{missing}, age {age_ms:.0f} ms" if missing else None
 
     def _missing_purge(
         self,
-        world: World,
+        cluster: SimulatedCluster,
         node: Node,
         machine: RouterNode | RelayNode,
         history: DiscoveryHistory,
@@ -140,14 +140,16 @@
     ) -> str | None:
         purges = active_purges(machine)
         # What discovery itself has lost, nobody can know.
-        oldest_ms = max(world.now - self._purge_retention_ms + EXPIRY_MARGIN_MS, history.reset_at_ms)
+        oldest_ms = max(cluster.now - self._purge_retention_ms + EXPIRY_MARGIN_MS, history.reset_at_ms)
         for purge in reversed(history.purges):
             if purge.issued_at_ms < oldest_ms:
                 return None
-            if not node.since < purge.issued_at_ms <= as_of_ms:
+            if not node.state_changed_ms < purge.issued_at_ms <= as_of_ms:
                 continue
             if purges.get(purge.target, -math.inf) < purge.issued_unix_ms:
-                return f"lacks the purge of {purge.target} issued {world.now - purge.issued_at_ms:.0f} ms ago"
+                return (
+                    f"lacks the purge of {purge.target} issued {cluster.now - purge.issued_at_ms:.0f} ms ago"
+                )
         return None
 
 
@@ -159,14 +161,14 @@
     def __init__(self, observations: Observations) -> None:
         self._observations = observations
 
-    def check(self, world: World, node: Node) -> str | None:
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
         """Return what a router lacks of what its relay has."""
         router = node.machine
         if not isinstance(router, RouterNode):
             return None
         epoch = router.client.follower.epoch
         cursor = router.client.follower.cursor
-        relay_node = _relay_of(world, epoch)
+        relay_node = _relay_of(cluster, epoch)
         if relay_node is None:
             return None
         for purge in relay_node.relay.state.purges.by_expiry():
@@ -189,9 +191,9 @@
     return machine.relay.age_ms(local_now)
 
 
-def _relay_of(world: World, epoch: str) -> RelayNode | None:
+def _relay_of(cluster: SimulatedCluster, epoch: str) -> RelayNode | None:
     """Return the relay whose current epoch this is, if there is one."""
-    node = world.nodes.get(epoch.partition("-")[0])
+    node = cluster.nodes.get(epoch.partition("-")[0])
     machine = node.machine if node is not None else None
     if isinstance(machine, RelayNode) and machine.relay.epoch == epoch:
         return machine
--- a/packages/control-sim/src/control_sim/observations.py
+++ b/packages/control-sim/src/control_sim/observations.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from control_relay import Readiness
-from fleet_sim import Node, World
+from fleet_sim import Node, SimulatedCluster
 
 from control_sim.discovery import Discovery
 from control_sim.discovery_history import DiscoveryHistory
@@ -40,11 +40,11 @@
         self._relay_purges: dict[str, dict[int, RelayPurge]] = {}  # by epoch and number
         self._relay_lists: dict[str, _NumberedList] = {}  # by epoch
 
-    def record(self, world: World, node: Node) -> None:
+    def record(self, cluster: SimulatedCluster, node: Node) -> None:
         """Record what a node did in the last step."""
         machine = node.machine
         if isinstance(machine, Discovery):
-            self.history.observe(world, node, machine)
+            self.history.observe(cluster, node, machine)
         elif isinstance(machine, RouterNode):
             self._record_taken(machine.name, machine.client)
         elif isinstance(machine, RelayNode):
--- a/packages/control-sim/src/control_sim/propagation.py
+++ b/packages/control-sim/src/control_sim/propagation.py
@@ -5,7 +5,7 @@
 import math
 
 from control_relay import Readiness
-from fleet_sim import Node, World
+from fleet_sim import Node, SimulatedCluster
 
 from control_sim.discovery_history import version_of
 from control_sim.observations import Observations, RelayPurge
@@ -26,7 +26,7 @@
         self._reset_uncertainty_ms = reset_uncertainty_ms
         self._acknowledged: dict[tuple[str, int], int] = {}
 
-    def check(self, world: World, node: Node) -> str | None:
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
         """Return which member lacks something that its relay counts as acknowledged."""
         relay_node = node.machine
         if not isinstance(relay_node, RelayNode) or relay_node.relay.readiness is not Readiness.READY:
@@ -43,8 +43,8 @@
                 continue
             failure = (
                 self._untaken_event(relay_node, member.name, numbers)
-                or self._missing_purge(world, node, relay_node, member.name, numbers)
-                or self._missing_list(world, relay_node, member.name, acknowledged)
+                or self._missing_purge(cluster, node, relay_node, member.name, numbers)
+                or self._missing_list(cluster, relay_node, member.name, acknowledged)
             )
             if failure:
                 return failure
@@ -58,15 +58,17 @@
             return f"{numbers[-1]} is acknowledged, but {name} has {taken} of {events[-1]}"
         return None
 
-    def _missing_list(self, world: World, relay_node: RelayNode, name: str, acknowledged: int) -> str | None:
+    def _missing_list(
+        self, cluster: SimulatedCluster, relay_node: RelayNode, name: str, acknowledged: int
+    ) -> str | None:
         """Check the list of routers that have one: they have not restarted since it came."""
-        router = world.nodes[name].machine
+        router = cluster.nodes[name].machine
         number = relay_node.relay.state.endpoints.number
         if number > acknowledged or not isinstance(router, RouterNode) or not router.state.endpoints:
             return None
         version = version_of(self._observations.relay_list(relay_node))
         routers_version = version_of(router.state.endpoints)
-        since_reset_ms = world.now - self._observations.history.reset_at_ms
+        since_reset_ms = cluster.now - self._observations.history.reset_at_ms
         if routers_version < version and since_reset_ms > self._reset_uncertainty_ms:
             return (
                 f"list {number} is acknowledged, but {name} has version {routers_version} and not {version}"
@@ -74,16 +76,16 @@
         return None
 
     def _missing_purge(
-        self, world: World, node: Node, relay_node: RelayNode, name: str, numbers: range
+        self, cluster: SimulatedCluster, node: Node, relay_node: RelayNode, name: str, numbers: range
     ) -> str | None:
         """Check members that polled in this incarnation, or that are older than the purge."""
-        member = world.nodes[name]
+        member = cluster.nodes[name]
         has_polled = relay_node.served_incarnations.get(name) == member.incarnation
-        local_now = node.local(world.now)
+        local_now = node.monotonic_ms(cluster.now)
         for number, purge in self._observations.relay_purges(relay_node.relay.epoch).items():
             if number not in numbers or purge.expires_at_ms <= local_now:
                 continue
-            if not has_polled and self._issued_at_ms(purge) < member.since:
+            if not has_polled and self._issued_at_ms(purge) < member.state_changed_ms:
                 continue
             if self._lacks(member.machine, purge):
                 return f"purge {number} is acknowledged, but {name} lacks it"
--- a/packages/control-sim/src/control_sim/settling.py
+++ b/packages/control-sim/src/control_sim/settling.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from control_relay import MemberState, MemberStatus, PollerRole
-from fleet_sim import Node, World
+from fleet_sim import Node, SimulatedCluster
 
 from control_sim.discovery import Discovery
 from control_sim.discovery_history import version_of
@@ -12,16 +12,16 @@
 from control_sim.router_nodes import Endpoints, PlainRouterNode, RouterNode
 
 
-def unsettled_reason(world: World) -> str | None:
+def unsettled_reason(cluster: SimulatedCluster) -> str | None:
     """Return what is not settled: all that run have discovery's list, and relays know that they do."""
-    discovery = world.nodes[DISCOVERY_NAME].machine
+    discovery = cluster.nodes[DISCOVERY_NAME].machine
     assert isinstance(discovery, Discovery)
-    for name, node in world.nodes.items():
+    for name, node in cluster.nodes.items():
         endpoints = _endpoints(node)
         if endpoints is not None and version_of(endpoints) != discovery.version:
             return f"{name} has list {version_of(endpoints)} and not {discovery.version}"
         if isinstance(node.machine, RelayNode):
-            reason = _unacknowledged_reason(node, node.machine, world.now)
+            reason = _unacknowledged_reason(node, node.machine, cluster.now)
             if reason:
                 return reason
     return None
@@ -39,7 +39,7 @@
 def _unacknowledged_reason(node: Node, machine: RelayNode, now: float) -> str | None:
     """Return who lags, or that something is unacknowledged and nobody is named for it."""
     relay = machine.relay
-    lagging = relay.lagging_members(node.local(now))
+    lagging = relay.lagging_members(node.monotonic_ms(now))
     for member in lagging:
         if member.state is MemberState.LAGGING and _lags_itself(member):
             return f"{member.name} lags at {machine.name}"
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from control_relay import Relay, RelaySettings
-from fleet_sim import Disk, Node, Quality, Subject, World
+from fleet_sim import Disk, LinkQuality, Node, SimulatedCluster, Subject
 from sansio_core import Address, Notice, RandomSource
 
 from control_sim.connections import CARRIERS, first_connection
@@ -71,13 +71,13 @@
     return RelayNode(name, relay, UPSTREAMS[name], SIBLINGS.get(name, ()), draw, connection)
 
 
-def count_notices(world: World, counts: Counter[str]) -> None:
+def count_notices(cluster: SimulatedCluster, counts: Counter[str]) -> None:
     """Count the notices of relays and clients, so that a run shows what it met."""
 
     def count(node: Node, notice: Notice) -> None:  # noqa: ARG001 - the listener's interface
         counts[notice.name] += 1
 
-    world.listeners.append(count)
+    cluster.listeners.append(count)
 
 
 def build_subject() -> Subject:
@@ -87,7 +87,7 @@
         lambda: build_invariants(PURGE_RETENTION_MS),
         unsettled_reason,
         SETTLING_TIME_MS,
-        Quality(least_ms=0.5, most_ms=4.0),
-        carry=CARRIERS,
-        tally=count_notices,
+        LinkQuality(min_delay_ms=0.5, max_delay_ms=4.0),
+        action_handlers=CARRIERS,
+        attach_counters=count_notices,
     )
--- /dev/null
+++ b/packages/fleet-membership/src/fleet_membership/anti_entropy.py
@@ -0,0 +1,116 @@
+"""Anti-entropy: member tables compared by digests, with the claims that differ sent in datagrams.
+
+Most exchanges are with a live member; every third one is with a member that failed, or with a seed that is
+not among the live ones.  That is how two sides of a partition find each other again, and how a member joins.
+"""
+
+from __future__ import annotations
+
+from gossip_codec import MAX_UPDATES, MemberState, Sync, Update, UpdateBatch, unpack_address
+from sansio_core import Address
+
+from fleet_membership.context import MemberContext
+from fleet_membership.member_table import LIVE_STATES
+from fleet_membership.tasks import SynchronizeTables
+
+UNREACHABLE_EVERY = 3
+"""Exchanges of which one goes to an unreachable peer."""
+
+MAX_DATAGRAMS = 16
+"""Datagrams of one exchange; a larger difference takes several exchanges."""
+
+EAGER_PROBE_INTERVALS = 2.0
+"""Probe intervals between exchanges while there is no majority or while tables differ."""
+
+MIN_JITTER = 0.75
+"""The shortest time between exchanges as a share of their interval."""
+
+JITTER_RANGE = 0.5
+"""The range of that share: it is drawn, so that routers do not exchange all at once."""
+
+
+class AntiEntropy:
+    """Exchanges member tables with peers."""
+
+    def __init__(self, context: MemberContext) -> None:
+        self._context = context
+        self._exchanges = 0
+        self._next_stranger_ms = float("-inf")
+        self._due_ms = float("inf")
+
+    def start(self, now: float) -> None:
+        """Exchange tables with the seeds, and begin the periodic exchanges."""
+        settings = self._context.settings
+        for seed in settings.seeds:
+            if seed != settings.address:
+                self._request(seed)
+        self._schedule_next(now, eager=True)
+
+    def run_exchange(self, now: float, has_majority: bool) -> None:
+        """Begin the periodic exchange, unless it was moved to another time."""
+        if now < self._due_ms:
+            return
+        self._schedule_next(now, eager=not has_majority)
+        self._exchanges += 1
+        for peer in self._choose_peers(has_majority):
+            self._request(peer)
+
+    def synchronize_with_stranger(self, now: float, peer: Address) -> None:
+        """Exchange tables with an unknown sender, at most once in a probe interval."""
+        if now >= self._next_stranger_ms:
+            self._next_stranger_ms = now + self._context.settings.probe_every_ms
+            self._request(peer)
+
+    def handle_sync(self, now: float, peer: Address, message: Sync) -> None:
+        """Send the claims that differ; while tables do, the next exchange comes soon."""
+        context = self._context
+        differing = context.table.differing(message.digests)
+        if not differing:
+            return
+        if self._due_ms > now + EAGER_PROBE_INTERVALS * context.settings.probe_every_ms:
+            self._schedule_next(now, eager=True)
+        self._send_claims(peer, differing)
+        if not message.is_reply:
+            sync = Sync(context.table.digests(), is_reply=True)
+            context.send(peer, sync, (context.table.local_update,))
+
+    def _send_claims(self, peer: Address, claims: list[Update]) -> None:
+        """Send claims from a drawn one on, so that those left out this time may be sent the next."""
+        start = int(self._context.random() * len(claims))
+        remaining = claims[start:] + claims[:start]
+        for _ in range(MAX_DATAGRAMS):
+            sent_count = self._context.send(peer, UpdateBatch(), remaining[:MAX_UPDATES])
+            remaining = remaining[sent_count:]
+            if not remaining:
+                break
+
+    def _request(self, peer: Address) -> None:
+        table = self._context.table
+        self._context.send(peer, Sync(table.digests(), is_reply=False), (table.local_update,))
+
+    def _schedule_next(self, now: float, eager: bool) -> None:
+        settings = self._context.settings
+        interval_ms = settings.sync_every_ms
+        if eager:
+            interval_ms = min(interval_ms, EAGER_PROBE_INTERVALS * settings.probe_every_ms)
+        self._due_ms = now + interval_ms * (MIN_JITTER + JITTER_RANGE * self._context.random())
+        self._context.schedule.add(self._due_ms, SynchronizeTables())
+
+    def _choose_peers(self, has_majority: bool) -> list[Address]:
+        context = self._context
+        live = [unpack_address(member.update.address) for member in context.table.others(*LIVE_STATES)]
+        unreachable = self._unreachable(live)
+        if not has_majority or not live:
+            return context.sample(live, 1) + context.sample(unreachable, 2)
+        if unreachable and self._exchanges % UNREACHABLE_EVERY == 0:
+            return context.sample(unreachable, 1)
+        return context.sample(live, 1)
+
+    def _unreachable(self, live: list[Address]) -> list[Address]:
+        """Return the failed members, and the seeds that are neither live nor failed."""
+        context = self._context
+        failed = [
+            unpack_address(member.update.address) for member in context.table.others(MemberState.FAILED)
+        ]
+        known = {*live, *failed, context.settings.address}
+        return failed + [seed for seed in context.settings.seeds if seed not in known]
