--- a/packages/control-relay/src/control_relay/pending_polls.py
+++ b/packages/control-relay/src/control_relay/pending_polls.py
@@ -69,7 +69,7 @@
     def take_due(self, now: float) -> list[PendingPoll]:
         """Remove and return the polls whose deadline has passed."""
         due: list[PendingPoll] = []
-        while self._slots and self._is_due(self._slots.keys()[0], now):
+        while self._slots and self._is_due(next(iter(self._slots)), now):
             _, pollers = self._slots.popitem(0)
             due.extend(self._polls.pop(poller) for poller in pollers)
         return due
@@ -83,7 +83,7 @@
         """Return after how many ms a timer has to fire; None where one that runs is early enough."""
         if not self._slots:
             return None
-        first_slot = self._slots.keys()[0]
+        first_slot = next(iter(self._slots))
         if first_slot >= self._armed_slot:
             return None
         self._armed_slot = first_slot
