--- /dev/null
+++ b/packages/control-sim/src/control_sim/connections.py
@@ -0,0 +1,154 @@
+"""Polls and replies on connections between simulated processes.
+
+The network of ``fleet_sim`` carries datagrams; here it decides about streams.  What it loses arrives late, as
+TCP retransmits it; what it duplicates is a reply that is cut off in the middle; a cut link is silent.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from control_relay import PollRequest
+from fleet_sim import EntryKind, Node, ProcessState, SimulatedCluster
+
+RETRANSMISSION_MS = 300.0
+"""Delay of what the network loses."""
+
+INCARNATION_BITS = 20
+"""Bits of a connection's number for the process's incarnation, and as many for a count."""
+
+
+@dataclass(frozen=True, slots=True)
+class SendRequest:
+    """Action: poll a process on a connection."""
+
+    to: str
+    connection: int
+    request: PollRequest
+
+
+@dataclass(frozen=True, slots=True)
+class CloseConnection:
+    """Action: close a connection."""
+
+    to: str
+    connection: int
+
+
+@dataclass(frozen=True, slots=True)
+class SendReply:
+    """Action: answer the poll on a connection; without a body, with status 503."""
+
+    to: str
+    connection: int
+    body: bytes | None
+
+
+@dataclass(frozen=True, slots=True)
+class RequestReceived:
+    """A poll arrived."""
+
+    source: str
+    connection: int
+    request: PollRequest
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionClosed:
+    """The poller closed a connection."""
+
+    connection: int
+
+
+@dataclass(frozen=True, slots=True)
+class ReplyReceived:
+    """A reply arrived, completely or ``is_truncated``; without a body it has status 503."""
+
+    connection: int
+    body: bytes | None
+    is_truncated: bool
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionFailed:
+    """A connection was refused."""
+
+    connection: int
+
+
+class _Transmission(NamedTuple):
+    delay_ms: float
+    is_duplicated: bool
+
+
+def first_connection(node_index: int, incarnation: int) -> int:
+    """Return a number from which a process may count its connections; it tells node and incarnation."""
+    return (node_index << INCARNATION_BITS | incarnation) << INCARNATION_BITS
+
+
+def incarnation_of(connection: int) -> int:
+    """Return the incarnation of the process that opened a connection."""
+    return connection >> INCARNATION_BITS & (1 << INCARNATION_BITS) - 1
+
+
+def carry_request(cluster: SimulatedCluster, node: Node, action: SendRequest) -> None:
+    """Deliver a poll; a process that is down refuses the connection."""
+    target = cluster.nodes[action.to]
+
+    def arrive() -> None:
+        if target.state is ProcessState.DOWN:
+            _deliver_later(cluster, target, node, ConnectionFailed(action.connection))
+        else:
+            cluster.deliver(target, RequestReceived(node.name, action.connection, action.request))
+
+    transmission = _transmit(cluster, node, target)
+    if transmission is not None:
+        _schedule(cluster, transmission, arrive)
+
+
+def carry_close(cluster: SimulatedCluster, node: Node, action: CloseConnection) -> None:
+    """Deliver the end of a connection."""
+    _deliver_later(cluster, node, cluster.nodes[action.to], ConnectionClosed(action.connection))
+
+
+def carry_reply(cluster: SimulatedCluster, node: Node, action: SendReply) -> None:
+    """Deliver a reply, truncated where the network duplicates it."""
+    target = cluster.nodes[action.to]
+    transmission = _transmit(cluster, node, target)
+    if transmission is None:
+        return
+    is_truncated = transmission.is_duplicated and action.body is not None
+    reply = ReplyReceived(action.connection, action.body, is_truncated)
+    _schedule(cluster, transmission, lambda: cluster.deliver(target, reply))
+    if is_truncated:
+        cluster.record(EntryKind.LOST, "answer cut", node.name, target.name)
+
+
+def _deliver_later(cluster: SimulatedCluster, source: Node, target: Node, event: object) -> None:
+    transmission = _transmit(cluster, source, target)
+    if transmission is not None:
+        _schedule(cluster, transmission, lambda: cluster.deliver(target, event))
+
+
+def _transmit(cluster: SimulatedCluster, source: Node, target: Node) -> _Transmission | None:
+    """Return what the network does with the bytes; None on a cut link."""
+    link = (source.name, target.name)
+    if cluster.network.is_cut(link):
+        return None
+    delays_ms = cluster.network.delivery_delays_ms(link, source.random)
+    delay_ms = delays_ms[0] if delays_ms else RETRANSMISSION_MS
+    return _Transmission(delay_ms, is_duplicated=len(delays_ms) > 1)
+
+
+def _schedule(cluster: SimulatedCluster, transmission: _Transmission, arrive: Callable[[], None]) -> None:
+    cluster.schedule(cluster.now + transmission.delay_ms, arrive)
+
+
+CARRIERS: dict[type, Callable[[SimulatedCluster, Node, Any], None]] = {
+    SendRequest: carry_request,
+    CloseConnection: carry_close,
+    SendReply: carry_reply,
+}
+"""How the cluster carries out the actions of this module."""
--- /dev/null
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -0,0 +1,200 @@
+"""What must hold after every step, against what discovery issued.
+
+The names of the invariants are those of ``docs/design/control.md``.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+
+from control_relay import Readiness
+from fleet_sim import Invariant, Node, SimulatedCluster
+
+from control_sim.discovery_history import DiscoveryHistory, version_of
+from control_sim.observations import Observations, active_purges
+from control_sim.propagation import PropagationInvariant
+from control_sim.relay_node import RelayNode
+from control_sim.router_nodes import RouterNode
+
+HOP_UNCERTAINTY_MS = 1400.0
+"""How much too low an age may be per hop: until then nobody knows when a response was written."""
+
+HOPS_BY_LEVEL = {"r": 2, "c": 3, "x": 4}
+"""Hops from discovery by a name's first letter; a sibling is one more."""
+
+RESET_UNCERTAINTY_MS = 6_000.0
+"""After discovery was set back, sources that missed it may be taken for fresher ones."""
+
+EXPIRY_MARGIN_MS = 500.0
+"""Purges that expire so soon need not be present."""
+
+CLOCK_TOLERANCE = 1.001
+"""Clocks of simulated processes drift."""
+
+
+def build_invariants(purge_retention_ms: float) -> list[Invariant]:
+    """Return the invariants of one run, in the order of their checks."""
+    observations = Observations()
+    return [
+        Recorder(observations),
+        ListIntegrity(observations),
+        ListOrder(observations),
+        StatedAge(observations, purge_retention_ms),
+        NothingLost(observations),
+        PropagationInvariant(observations, RESET_UNCERTAINTY_MS),
+    ]
+
+
+class Recorder:
+    """Records each step for the invariants after it; never fails."""
+
+    name = "recorder"
+
+    def __init__(self, observations: Observations) -> None:
+        self._observations = observations
+
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Record what the node did."""
+        self._observations.record(cluster, node)
+        return None
+
+
+class ListIntegrity:
+    """A list was discovery's at some time, never a mixture."""
+
+    name = "mixed"
+
+    def __init__(self, observations: Observations) -> None:
+        self._observations = observations
+
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:  # noqa: ARG002 - an invariant's interface
+        """Return what is wrong with the node's list."""
+        endpoints = self._observations.endpoints_of(node.machine)
+        if endpoints and endpoints != self._observations.history.lists.get(version_of(endpoints)):
+            return f"a list that never stood: {json.dumps(endpoints)}"
+        return None
+
+
+class ListOrder:
+    """No older list is accepted within an incarnation, except after discovery was set back."""
+
+    name = "backwards"
+
+    def __init__(self, observations: Observations) -> None:
+        self._observations = observations
+        self._versions: dict[tuple[str, int], int] = {}
+
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Return what is wrong with the version of the node's list."""
+        if not isinstance(node.machine, RouterNode | RelayNode):
+            return None
+        endpoints = self._observations.endpoints_of(node.machine)
+        if endpoints is None:
+            return None
+        key = (node.name, node.incarnation)
+        version = version_of(endpoints)
+        version_before = self._versions.get(key, 0)
+        self._versions[key] = version
+        if version >= version_before:
+            return None
+        if cluster.now - self._observations.history.reset_at_ms < RESET_UNCERTAINTY_MS:
+            return None
+        return f"from version {version_before} back to {version}"
+
+
+class StatedAge:
+    """Everything that was issued before the freshness timestamp is present."""
+
+    name = "age"
+
+    def __init__(self, observations: Observations, purge_retention_ms: float) -> None:
+        self._observations = observations
+        self._purge_retention_ms = purge_retention_ms
+
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Return what the node lacks, given its age."""
+        machine = node.machine
+        if not isinstance(machine, RouterNode | RelayNode):
+            return None
+        endpoints = self._observations.endpoints_of(machine)
+        age_ms = _stated_age_ms(machine, node.monotonic_ms(cluster.now))
+        if endpoints is None or not math.isfinite(age_ms):
+            return None
+        history = self._observations.history
+        as_of_ms = cluster.now - age_ms * CLOCK_TOLERANCE - HOP_UNCERTAINTY_MS * HOPS_BY_LEVEL[node.name[0]]
+        version = version_of(endpoints)
+        may_be_reset = as_of_ms - history.reset_at_ms < RESET_UNCERTAINTY_MS
+        if version < history.version_at(as_of_ms) and not may_be_reset:
+            return f"list {version} is older than its age of {age_ms:.0f} ms"
+        missing = self._missing_purge(cluster, node, machine, history, as_of_ms)
+        return f"{missing}, age {age_ms:.0f} ms" if missing else None
+
+    def _missing_purge(
+        self,
+        cluster: SimulatedCluster,
+        node: Node,
+        machine: RouterNode | RelayNode,
+        history: DiscoveryHistory,
+        as_of_ms: float,
+    ) -> str | None:
+        purges = active_purges(machine)
+        # What discovery itself has lost, nobody can know.
+        oldest_ms = max(cluster.now - self._purge_retention_ms + EXPIRY_MARGIN_MS, history.reset_at_ms)
+        for purge in reversed(history.purges):
+            if purge.issued_at_ms < oldest_ms:
+                return None
+            if not node.state_changed_ms < purge.issued_at_ms <= as_of_ms:
+                continue
+            if purges.get(purge.target, -math.inf) < purge.issued_unix_ms:
+                return (
+                    f"lacks the purge of {purge.target} issued {cluster.now - purge.issued_at_ms:.0f} ms ago"
+                )
+        return None
+
+
+class NothingLost:
+    """A router with all numbers of its relay has the relay's list and active purges."""
+
+    name = "lost"
+
+    def __init__(self, observations: Observations) -> None:
+        self._observations = observations
+
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
+        """Return what a router lacks of what its relay has."""
+        router = node.machine
+        if not isinstance(router, RouterNode):
+            return None
+        epoch = router.client.follower.epoch
+        cursor = router.client.follower.cursor
+        relay_node = _relay_of(cluster, epoch)
+        if relay_node is None:
+            return None
+        for purge in relay_node.relay.state.purges.by_expiry():
+            latest = router.state.purges.get(purge.target, -math.inf)
+            if purge.number <= cursor and latest < purge.issued_unix_ms:
+                return f"has {cursor} of {epoch} but not the purge of {purge.target} under {purge.number}"
+        number = relay_node.relay.state.endpoints.number
+        if router.client.completed_epochs.get(epoch, 0) < number or not router.client.is_in_sync:
+            return None
+        if version_of(router.state.endpoints) < version_of(self._observations.relay_list(relay_node)):
+            return f"has {cursor} of {epoch} but not its list under {number}"
+        return None
+
+
+def _stated_age_ms(machine: RouterNode | RelayNode, local_now: float) -> float:
+    if isinstance(machine, RouterNode):
+        return machine.client.age_ms(local_now)
+    if machine.relay.readiness is not Readiness.READY:
+        return math.inf
+    return machine.relay.age_ms(local_now)
+
+
+def _relay_of(cluster: SimulatedCluster, epoch: str) -> RelayNode | None:
+    """Return the relay whose current epoch this is, if there is one."""
+    node = cluster.nodes.get(epoch.partition("-")[0])
+    machine = node.machine if node is not None else None
+    if isinstance(machine, RelayNode) and machine.relay.epoch == epoch:
+        return machine
+    return None
