--- a/thornjunction/memory/budget.py
+++ b/thornjunction/memory/budget.py
@@ -6,34 +6,34 @@
 
 EVICTION_REASON = "memory"  # the connection's end as the operators' pages name it in the log
 
-CloseConnection = Callable[[str], None]
+Evict = Callable[[str], None]
 
 
 class ByteBudget:
-    """Bytes reserved by each connection, which is known by its own bound ``close`` method.
+    """Bytes reserved by each connection, which is known by its own bound method that frees them.
 
-    Past the limit the connection that reserves most is closed: it is the one that sends without end or does
+    Past the limit the connection that reserves most is evicted: it is the one that sends without end or does
     not read, and not one of those that share the budget with it.
     """
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.reserved_bytes = 0
-        self._reserved_by: dict[CloseConnection, int] = {}
+        self._reserved_by: dict[Evict, int] = {}
 
-    def reserve(self, close: CloseConnection, size_bytes: int) -> None:
+    def reserve(self, evict: Evict, size_bytes: int) -> None:
         """Set what a connection reserves, in place of what it reserved before; 0 releases it.
 
-        May call ``close`` of this or another connection, with the reason for the log.
+        May call ``evict`` of this or another connection, with the reason for the log.
         """
-        self._release(close)
+        self._release(evict)
         if size_bytes:
-            self._reserved_by[close] = size_bytes
+            self._reserved_by[evict] = size_bytes
             self.reserved_bytes += size_bytes
         while self.reserved_bytes > self.limit_bytes and self._reserved_by:
-            close_largest = max(self._reserved_by, key=self._reserved_by.__getitem__)
-            self._release(close_largest)
-            close_largest(EVICTION_REASON)
+            evict_largest = max(self._reserved_by, key=self._reserved_by.__getitem__)
+            self._release(evict_largest)
+            evict_largest(EVICTION_REASON)
 
-    def _release(self, close: CloseConnection) -> None:
-        self.reserved_bytes -= self._reserved_by.pop(close, 0)
+    def _release(self, evict: Evict) -> None:
+        self.reserved_bytes -= self._reserved_by.pop(evict, 0)
