--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -48,7 +48,14 @@
 class Program:
     """The program on a listening socket that it inherits, with a door of its own."""
 
-    def __init__(self, folder: Path, shared: socket.socket, config: dict[str, object]) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        shared: socket.socket,
+        config: dict[str, object],
+        module: str = "thornjunction",
+        **environ: str,
+    ) -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.door = address(free)
@@ -56,8 +63,8 @@
         path.write_text(json.dumps(config))
         env = os.environ | {"PROXY_CONFIG": str(path), "PROXY_ADMIN_ADDR": self.door, "TMPDIR": str(folder)}
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "thornjunction"],
-            env=env | {"PROXY_SOCKET_FD": str(shared.fileno())},
+            [sys.executable, "-m", module],
+            env=env | {"PROXY_SOCKET_FD": str(shared.fileno())} | environ,
             cwd=ROOT,
             pass_fds=[shared.fileno()],
             stderr=subprocess.DEVNULL,
--- a/thornjunction/net/gossip.py
+++ b/thornjunction/net/gossip.py
@@ -25,7 +25,8 @@
 
 class Gossip(protocol.DatagramProtocol):
     """One UDP socket: tells peers what is taken here, learns what they took.  ``counts`` holds ``sent``,
-    ``learnt``, ``known`` (already in the window), ``dropped`` (the queue was full) and one code a refused
+    ``learnt``, ``known`` (already in the window), ``dropped`` (the queue was full),
+    ``unsent`` (the system refused a datagram) and one code a refused
     datagram."""
 
     def __init__(
@@ -59,9 +60,15 @@
             batch = [self.queue.popleft() for _ in range(min(len(self.queue), gossip.MAX_ENTRIES))]
             datagram = gossip.encode(batch, self.secret)
             for peer in self.peers:
-                transport.write(datagram, peer)
+                self._send(transport, datagram, peer)
             self.counts["sent"] += len(batch)
 
+    def _send(self, transport: Any, datagram: bytes, peer: tuple[str, int]) -> None:
+        try:
+            transport.write(datagram, peer)
+        except OSError:  # no buffer, no way there: for the peer no more than a lost datagram
+            self.counts["unsent"] += 1
+
     def datagramReceived(self, data: bytes, addr: Any) -> None:  # noqa: N802
         try:
             entries = gossip.decode(data, self.secret)
--- a/thornjunction/net/metrics.py
+++ b/thornjunction/net/metrics.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import suppress
 from typing import Any
 
 from twisted.internet import protocol
@@ -98,7 +99,8 @@
             self._link.send(graphite.encode_lines(f"{self._prefix}.{self.name}", samples, now))
         if self._collectd is not None:
             for packet in collectd.encode_packets(self.name, samples, now, self.interval_s):
-                self._udp.write(packet, self._collectd)
+                with suppress(OSError):  # no buffer, no way there: these figures are let go
+                    self._udp.write(packet, self._collectd)
         self.start()
 
     def _dial(self) -> None:
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -12,18 +12,15 @@
 from typing import Any
 from typing import Protocol as Port
 
-from twisted.internet.defer import Deferred
-from twisted.internet.error import ConnectionRefusedError
-from twisted.python.failure import Failure
-
 from thornjunction import interface as api
 from thornjunction.core.ports import Content, Order
 from thornjunction.memory.budget import Budget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.connection_table import ConnectionTable
+from thornjunction.net.dial_errors import DialFailure
 from thornjunction.net.endings import log_end
+from thornjunction.net.server_dial import DialTarget, ServerDial
 from thornjunction.net.shelf_link import Limits, Sent, ShelfLink
-from thornjunction.net.transport import dial
 from thornjunction.net.wire import shelf
 from thornjunction.net.wire.commands import Host
 from thornjunction.settings import read_report
@@ -64,9 +61,10 @@
     """One server of the list and the ways to it."""
 
     host: Host
+    on_called_off: Callable[[], None]
     links: list[ShelfLink] = field(default_factory=list)
     waiting: dict[str, tuple[Sent, bytes]] = field(default_factory=dict)  # for the dial, by ident
-    dial: Deferred[Any] | None = None
+    dial: ServerDial | None = None
     untold: float = -math.inf  # when a dial failed last of which nobody was told
 
     def way(self, ident: str) -> ShelfLink | None:
@@ -82,10 +80,11 @@
         return [(self.host.name, sent) for sent, _ in waiting.values()]
 
     def call_off(self) -> list[tuple[str, Sent]]:
-        """End the dial, and the wait for it; what waited."""
+        """End the dial, and the wait for it; what waited.  The pool is told by ``on_called_off``."""
         dialling, self.dial = self.dial, None
         if dialling is not None:
             dialling.cancel()
+            self.on_called_off()
         return self.clear()
 
     def retire(self) -> list[tuple[str, Sent]]:
@@ -123,7 +122,7 @@
             if host.state is api.State.GONE:
                 over += self.shelves.pop(host.name).retire() if known is not None else []
             elif known is None:
-                self.shelves[host.name] = Shelf(host)
+                self.shelves[host.name] = Shelf(host, self.links.release)
             else:
                 over += self._change(known, host)
         for name, sent in over:  # when all is taken in: who waited may go to another of these hosts
@@ -223,27 +222,24 @@
             return
         assert found.host.address is not None
         self.links.reserve()
-        name, now = found.host.name, self.clock()
+        name = found.host.name
+        target = DialTarget(name, found.host.address, lambda: ShelfLink(self, name), self.limits.dial_ms)
+        wanted = lambda: bool(found.waiting)  # noqa: E731
+        dialling = ServerDial(self.reactor, self.deadlines, lambda: self.clock(), target, wanted)
 
         def up(link: ShelfLink) -> None:
             found.dial = None
             self._dialled(found, link)
 
-        def down(failure: Failure) -> None:
+        def down(failure: DialFailure) -> None:
+            found.dial = None
             self.links.release()
             log_end("shelf", None, "dial-failed", shelf=name)
-            if found.dial is dialling:  # else it was called off, and nothing waits for it
-                found.dial = None
-                self._undialled(found, now, isinstance(failure.value, ConnectionRefusedError))
-
-        found.dial = dialling = dial(
-            self.reactor,
-            found.host.address,
-            lambda: ShelfLink(self, name),
-            self.deadlines,
-            now + self.limits.dial_ms,
-        )
-        dialling.addCallbacks(up, down)
+            self._undialled(found, dialling.since, failure)
+
+        dialling.up, dialling.down = up, down
+        found.dial = dialling
+        dialling.start()
 
     def _dialled(self, found: Shelf, link: ShelfLink) -> None:
         self.links.add(link)
@@ -255,11 +251,13 @@
             return self._dial(found)
         self._fail_waiting(found, api.Status.SKIPPED)
 
-    def _undialled(self, found: Shelf, since: float, refused: bool) -> None:
+    def _undialled(self, found: Shelf, since: float, failure: DialFailure) -> None:
         """A dial failed.  Where the shelf was heard from meanwhile, one that did not come up in time speaks
         for itself alone: whoever is told REFUSED takes the whole shelf out for a while."""
+        if failure is DialFailure.LOCAL:  # and nobody waits for it any more
+            return
         heard = any(link.heard >= since for link in found.trusted())
-        if heard and not refused:
+        if heard and failure is not DialFailure.REFUSED:
             for link in found.links:
                 self.roomy(link)
             return self._fail_waiting(found, api.Status.SKIPPED)
--- a/thornjunction/net/transport.py
+++ b/thornjunction/net/transport.py
@@ -10,6 +10,8 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint
 
 from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.connector import SingleConnectReactor
+from thornjunction.net.listener import RestingReactor
 
 OWN_TIMER = 3600  # seconds: our deadline ends a dial long before Twisted's would
 
@@ -62,7 +64,7 @@
     until: float,
 ) -> Deferred[Any]:
     """Connect, or fail at that time."""
-    endpoint: Any = TCP4ClientEndpoint(reactor, *address, timeout=OWN_TIMER)
+    endpoint: Any = TCP4ClientEndpoint(SingleConnectReactor(reactor), *address, timeout=OWN_TIMER)
     connecting: Deferred[Any] = endpoint.connect(Building(build))
     timer = deadlines.add(until, connecting.cancel)
 
@@ -76,4 +78,4 @@
 def server_endpoint(reactor: Any, address: tuple[str, int]) -> Any:
     """Where a front listens; port 0 takes any free one."""
     build: Any = TCP4ServerEndpoint
-    return build(reactor, address[1], backlog=1024, interface=address[0])
+    return build(RestingReactor(reactor), address[1], backlog=1024, interface=address[0])
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -9,7 +9,6 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
-from socket import AF_INET
 from typing import TYPE_CHECKING, Any
 
 from twisted.internet import protocol
@@ -24,6 +23,7 @@
 from thornjunction.net.alarm import Alarm, core_ms, unix_to_core
 from thornjunction.net.client_link import ClientTable
 from thornjunction.net.front_fastcgi import FastCgiLink
+from thornjunction.net.listener import adopt
 from thornjunction.net.operators import OperatorsDoor, OperatorsLink
 from thornjunction.net.shelves import ShelfPool
 from thornjunction.net.transport import Building, server_endpoint
@@ -146,7 +146,7 @@
         """Accept on the platform's own listening socket, which other processes hold too."""
         try:
             os.set_blocking(fd, False)  # else the accept behind the last connection would stop the process
-            self._ports.append(self.reactor.adoptStreamPort(fd, AF_INET, Building(self._platform_link)))
+            self._ports.append(adopt(self.reactor, fd, Building(self._platform_link)))
             os.close(fd)  # the port has one of its own
         except OSError as error:
             self._no_port(error)
