--- a/tests/test_shelf_endings.py
+++ b/tests/test_shelf_endings.py
@@ -21,6 +21,7 @@
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import encode_array
 
+LEFT_MS = 30_000.0  # of each attempt's time: past all waits here, so that another bound has to end them
 SKIPPED, REFUSED, RESET = api.Status.SKIPPED, api.Status.REFUSED, api.Status.RESET
 
 
@@ -41,8 +42,8 @@
         self.told.append((number, status))
 
     def send(self, number: int, name: str = "", start_ms: float = 9e9, body: bytes = b"") -> None:
-        call = Call(name or f"t{number}", "films", "00000000000000ff", 900.0, body=body)
-        self.pool.send(Order(number, call, api.Fetch("r", "edge1", 900.0, "origin", start_ms=start_ms)))
+        call = Call(name or f"t{number}", "films", "00000000000000ff", LEFT_MS, body=body)
+        self.pool.send(Order(number, call, api.Fetch("r", "edge1", LEFT_MS, "origin", start_ms=start_ms)))
 
     @inlineCallbacks
     def out(self, number: int, **more: Any) -> Any:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -115,14 +115,14 @@
 
 
 def test_want_has_the_listed_fields_only() -> None:
-    (items,) = resp.ArrayReader().feed(shelf.encode_want(order()))
+    (items,) = resp.ArrayReader().feed(shelf.encode_want(order(), order().fetch.timeout_ms))
     assert items[:2] == (b"want", b"id") and items[3] == b"b"
     told = b"profile=readings,thing=7f3a9c21e0b4d655,nth=0,max=900,up=p1,store=2,cap=1"
     assert items[2] == told + b",do=only-if-cached+refresh,inm=tag"
 
 
 def test_without_a_source_nothing_is_renewed_or_asked_of_it() -> None:
-    (items,) = resp.ArrayReader().feed(shelf.encode_want(order(renew=True, held_only=True)))
+    (items,) = resp.ArrayReader().feed(shelf.encode_want(order(renew=True, held_only=True), 900.0))
     assert b"do=" not in items[2] and b"up=" not in items[2]
 
 
--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/shelf_link.py
@@ -55,6 +55,10 @@
     timer: Deadline | None = None  # a probe's end
     bound: Deadline | None = None  # while it waits
 
+    def left_ms(self, now: float) -> float:
+        """Of the time that the decision gave it."""
+        return self.order.fetch.timeout_ms - (now - self.at) if self.order is not None else math.inf
+
 
 class Pool(Port):
     """Who owns the connections, and is told what comes of them."""
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -28,6 +28,7 @@
 PREFERRED, NEEDED, AT_MOST = 4, 8, 10  # connections to one shelf: opened beside others with room; where
 # none has room (32 streams each, and a large box's share at the peak is over 128); with those under suspicion
 CROWDED = 2  # out on the least used connection, past which another is opened beside it
+LEAST_LEFT_MS = 5.0  # of its client's time: an attempt with less is not begun
 WAITING = 256  # attempts that may wait for one dial
 
 __all__ = ["Limits", "ShelfPool"]
@@ -63,7 +64,7 @@
     host: Host
     on_called_off: Callable[[], None]
     links: list[ShelfLink] = field(default_factory=list)
-    waiting: dict[str, tuple[Sent, bytes]] = field(default_factory=dict)  # for the dial, by ident
+    waiting: dict[str, Sent] = field(default_factory=dict)  # for the dial, by ident
     dial: ServerDial | None = None
     untold: float = -math.inf  # when a dial failed last of which nobody was told
 
@@ -77,7 +78,7 @@
     def clear(self) -> list[tuple[str, Sent]]:
         """Nothing waits here any more; what did, with the shelf's name."""
         waiting, self.waiting = self.waiting, {}
-        return [(self.host.name, sent) for sent, _ in waiting.values()]
+        return [(self.host.name, sent) for sent in waiting.values()]
 
     def call_off(self) -> list[tuple[str, Sent]]:
         """End the dial, and the wait for it; what waited.  The pool is told by ``on_called_off``."""
@@ -141,16 +142,16 @@
     def send(self, order: Order) -> None:
         now = self.clock()
         sent = Sent(order, now, now + order.fetch.start_ms)
-        self._send(order.fetch.server, order.call.name, sent, shelf.encode_want(order))
+        self._send(order.fetch.server, order.call.name, sent)
 
     def withdraw(self, number: int) -> bool:
         """Take back an attempt that has not begun; False: it may have."""
         found, ident = self._where.get(number, (None, ""))
         waits = found.waiting.get(ident) if found is not None else None
-        if found is None or waits is None or waits[0].order is None or waits[0].order.number != number:
+        if found is None or waits is None or waits.order is None or waits.order.number != number:
             return False
         del found.waiting[ident], self._where[number]
-        self.deadlines.cancel(waits[0].bound)
+        self.deadlines.cancel(waits.bound)
         return True
 
     def give_up(self, number: int) -> None:
@@ -168,7 +169,7 @@
         sent.timer = self.deadlines.add(
             sent.at + self.limits.dial_ms, lambda: self._probe_over(server, tag, sent)
         )
-        self._send(server, tag, sent, shelf.encode_busy(tag))
+        self._send(server, tag, sent)
 
     def _probe_over(self, server: str, tag: str, sent: Sent) -> None:
         found = self.shelves.get(server)
@@ -179,7 +180,7 @@
                     link.drop(tag)
         self._end(server, sent, api.Status.TIMEOUT)
 
-    def _send(self, server: str, ident: str, sent: Sent, data: bytes) -> None:
+    def _send(self, server: str, ident: str, sent: Sent) -> None:
         found = self.shelves.get(server)
         if found is None or found.host.address is None:
             return self._end(server, sent, api.Status.REFUSED)
@@ -189,7 +190,7 @@
             self._where[sent.order.number] = (found, ident)
         link = found.way(ident)
         if link is not None:
-            self._put(link, ident, sent, data)
+            self._put(link, ident, sent)
             if link.load() > CROWDED and not self.links.full and self._may_dial(found, PREFERRED):
                 self._dial(found)
             return
@@ -200,14 +201,20 @@
         if ident in found.waiting or len(found.waiting) >= WAITING or not may_dial:
             # Guards against blame: BUSY would count against the shelf's source, which this pool never asked.
             return self._end(server, sent, api.Status.SKIPPED)
-        found.waiting[ident] = (sent, data)
+        found.waiting[ident] = sent
         if sent.start_by < math.inf:
             sent.bound = self.deadlines.add(sent.start_by, lambda: self._overdue(found, ident, sent))
         self._dial(found)
 
-    def _put(self, link: ShelfLink, ident: str, sent: Sent, data: bytes) -> None:
-        self.relayed += sent.order is not None
-        link.put(ident, sent, data)
+    def _put(self, link: ShelfLink, ident: str, sent: Sent) -> None:
+        """Write it, with the time that is left by now: it may have waited for a dial."""
+        if sent.order is None:
+            return link.put(ident, sent, shelf.encode_busy(ident))
+        left_ms = sent.left_ms(self.clock())
+        if left_ms < LEAST_LEFT_MS:
+            return self._end(link.name, sent, api.Status.SKIPPED)
+        self.relayed += 1
+        link.put(ident, sent, shelf.encode_want(sent.order, left_ms))
 
     def _overdue(self, found: Shelf, ident: str, sent: Sent) -> None:
         """It should have begun by now, and waits for a dial still."""
@@ -271,17 +278,17 @@
         if found is None or not found.waiting or link not in found.links:
             return
         now = self.clock()
-        for ident, (sent, data) in list(found.waiting.items()):
+        for ident, sent in list(found.waiting.items()):
             if not link.free():
                 return
-            if found.waiting.get(ident, (None,))[0] is not sent:
+            if found.waiting.get(ident) is not sent:
                 continue  # ended by what the end of one before it led to
             if now > sent.start_by:  # and the loop is late
                 self._overdue(found, ident, sent)
             elif link.has_room(ident):
                 del found.waiting[ident]
                 self.deadlines.cancel(sent.bound)
-                self._put(link, ident, sent, data)
+                self._put(link, ident, sent)
 
     def _fail_waiting(self, found: Shelf, status: api.Status) -> None:
         for name, sent in found.clear():
--- a/thornjunction/net/wire/shelf.py
+++ b/thornjunction/net/wire/shelf.py
@@ -35,8 +35,9 @@
     body: bytes
 
 
-def encode_want(order: Order) -> bytes:
-    """The attempt's request.  Unbounded ages and absent values are left out; times round down."""
+def encode_want(order: Order, left_ms: float) -> bytes:
+    """The attempt's request, with the time left for it as it is written.  Unbounded ages and absent values are
+    left out; times round down."""
     call, fetch = order.call, order.fetch
     filled = fetch.source != fetch.server
     # Guards against a shelf told to renew a copy from nowhere: without a source nothing can be fetched.
@@ -49,7 +50,7 @@
         "profile": call.class_name,
         "thing": call.object_id,
         "nth": str(call.part),
-        "max": str(max(math.floor(fetch.timeout_ms), 1)),
+        "max": str(max(math.floor(left_ms), 1)),
         "replay": call.idempotency_key,
         "up": fetch.source if filled else "",
         "store": str(fetch.rank) if fetch.rank else "",
