--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -12,18 +12,15 @@
 from typing import Any
 from typing import Protocol as Port
 
-from twisted.internet.defer import Deferred
-from twisted.internet.error import ConnectionRefusedError
-from twisted.python.failure import Failure
-
 from thornjunction import interface as api
 from thornjunction.core.ports import Content, UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.connection_table import ConnectionTable
+from thornjunction.net.dial_errors import DialFailure
 from thornjunction.net.endings import log_end
+from thornjunction.net.server_dial import DialTarget, ServerDial
 from thornjunction.net.shelf_link import Limits, Sent, ShelfLink
-from thornjunction.net.transport import dial
 from thornjunction.net.wire import shelf
 from thornjunction.net.wire.commands import Host
 from thornjunction.settings import read_report
@@ -31,6 +28,7 @@
 PREFERRED, NEEDED, AT_MOST = 4, 8, 10  # connections to one shelf: opened beside others with room; where
 # none has room (32 streams each, and a large box's share at the peak is over 128); with those under suspicion
 CROWDED = 2  # out on the least used connection, past which another is opened beside it
+LEAST_LEFT_MS = 5.0  # of its client's time: an attempt with less is not begun
 WAITING = 256  # attempts that may wait for one dial
 
 __all__ = ["Limits", "ShelfPool"]
@@ -66,9 +64,10 @@
     """One server of the list and the ways to it."""
 
     host: Host
+    on_called_off: Callable[[], None]
     links: list[ShelfLink] = field(default_factory=list)
-    waiting: dict[str, tuple[Sent, bytes]] = field(default_factory=dict)  # for the dial, by ident
-    dial: Deferred[Any] | None = None
+    waiting: dict[str, Sent] = field(default_factory=dict)  # for the dial, by ident
+    dial: ServerDial | None = None
     untold: float = -math.inf  # when a dial failed last of which nobody was told
 
     def way(self, ident: str) -> ShelfLink | None:
@@ -81,13 +80,14 @@
     def clear(self) -> list[tuple[str, Sent]]:
         """Nothing waits here any more; what did, with the shelf's name."""
         waiting, self.waiting = self.waiting, {}
-        return [(self.host.name, sent) for sent, _ in waiting.values()]
+        return [(self.host.name, sent) for sent in waiting.values()]
 
     def call_off(self) -> list[tuple[str, Sent]]:
-        """End the dial, and the wait for it; what waited."""
+        """End the dial, and the wait for it; what waited.  The pool is told by ``on_called_off``."""
         dialling, self.dial = self.dial, None
         if dialling is not None:
             dialling.cancel()
+            self.on_called_off()
         return self.clear()
 
     def retire(self) -> list[tuple[str, Sent]]:
@@ -130,7 +130,7 @@
             if host.state is api.State.GONE:
                 over += self.shelves.pop(host.name).retire() if known is not None else []
             elif known is None:
-                self.shelves[host.name] = Shelf(host)
+                self.shelves[host.name] = Shelf(host, self.links.release)
             else:
                 over += self._change(known, host)
         for name, sent in over:  # when all is taken in: who waited may go to another of these hosts
@@ -149,16 +149,16 @@
     def send(self, order: UpstreamRequest) -> None:
         now = self.clock()
         sent = Sent(order, now, now + order.fetch.start_ms)
-        self._send(order.fetch.server, order.client_request.transaction_id, sent, shelf.encode_want(order))
+        self._send(order.fetch.server, order.client_request.transaction_id, sent)
 
     def withdraw(self, number: int) -> bool:
         """Take back an attempt that has not begun; False: it may have."""
         found, ident = self._where.get(number, (None, ""))
         waits = found.waiting.get(ident) if found is not None else None
-        if found is None or waits is None or waits[0].order is None or waits[0].order.number != number:
+        if found is None or waits is None or waits.order is None or waits.order.number != number:
             return False
         del found.waiting[ident], self._where[number]
-        self.deadlines.cancel(waits[0].bound)
+        self.deadlines.cancel(waits.bound)
         return True
 
     def cancel(self, number: int) -> None:
@@ -176,7 +176,7 @@
         sent.timer = self.deadlines.add(
             sent.at + self.limits.dial_ms, lambda: self._probe_over(server, tag, sent)
         )
-        self._send(server, tag, sent, shelf.encode_busy(tag))
+        self._send(server, tag, sent)
 
     def _probe_over(self, server: str, tag: str, sent: Sent) -> None:
         found = self.shelves.get(server)
@@ -187,7 +187,7 @@
                     link.drop(tag)
         self._end(server, sent, api.Status.TIMEOUT)
 
-    def _send(self, server: str, ident: str, sent: Sent, data: bytes) -> None:
+    def _send(self, server: str, ident: str, sent: Sent) -> None:
         found = self.shelves.get(server)
         if found is None or found.host.address is None:
             return self._end(server, sent, api.Status.REFUSED)
@@ -197,7 +197,7 @@
             self._where[sent.order.number] = (found, ident)
         link = found.way(ident)
         if link is not None:
-            self._put(link, ident, sent, data)
+            self._put(link, ident, sent)
             if link.load() > CROWDED and not self.links.full and self._may_dial(found, PREFERRED):
                 self._dial(found)
             return
@@ -208,14 +208,20 @@
         if ident in found.waiting or len(found.waiting) >= WAITING or not may_dial:
             # Guards against blame: BUSY would count against the shelf's source, which this pool never asked.
             return self._end(server, sent, api.Status.SKIPPED)
-        found.waiting[ident] = (sent, data)
+        found.waiting[ident] = sent
         if sent.start_by < math.inf:
             sent.bound = self.deadlines.add(sent.start_by, lambda: self._overdue(found, ident, sent))
         self._dial(found)
 
-    def _put(self, link: ShelfLink, ident: str, sent: Sent, data: bytes) -> None:
-        self.relayed += sent.order is not None
-        link.put(ident, sent, data)
+    def _put(self, link: ShelfLink, ident: str, sent: Sent) -> None:
+        """Write it, with the time that is left by now: it may have waited for a dial."""
+        if sent.order is None:
+            return link.put(ident, sent, shelf.encode_busy(ident))
+        left_ms = sent.left_ms(self.clock())
+        if left_ms < LEAST_LEFT_MS:
+            return self._end(link.name, sent, api.Status.SKIPPED)
+        self.relayed += 1
+        link.put(ident, sent, shelf.encode_want(sent.order, left_ms))
 
     def _overdue(self, found: Shelf, ident: str, sent: Sent) -> None:
         """It should have begun by now, and waits for a dial still."""
@@ -230,27 +236,24 @@
             return
         assert found.host.address is not None
         self.links.reserve()
-        name, now = found.host.name, self.clock()
+        name = found.host.name
+        target = DialTarget(name, found.host.address, lambda: ShelfLink(self, name), self.limits.dial_ms)
+        wanted = lambda: bool(found.waiting)  # noqa: E731
+        dialling = ServerDial(self.reactor, self.deadlines, lambda: self.clock(), target, wanted)
 
         def up(link: ShelfLink) -> None:
             found.dial = None
             self._dialled(found, link)
 
-        def down(failure: Failure) -> None:
+        def down(failure: DialFailure) -> None:
+            found.dial = None
             self.links.release()
             log_end("shelf", None, "dial-failed", shelf=name)
-            if found.dial is dialling:  # else it was called off, and nothing waits for it
-                found.dial = None
-                self._undialled(found, now, isinstance(failure.value, ConnectionRefusedError))
-
-        found.dial = dialling = dial(
-            self.reactor,
-            found.host.address,
-            lambda: ShelfLink(self, name),
-            self.deadlines,
-            now + self.limits.dial_ms,
-        )
-        dialling.addCallbacks(up, down)
+            self._undialled(found, dialling.since, failure)
+
+        dialling.up, dialling.down = up, down
+        found.dial = dialling
+        dialling.start()
 
     def _dialled(self, found: Shelf, link: ShelfLink) -> None:
         self.links.add(link)
@@ -262,11 +265,13 @@
             return self._dial(found)
         self._fail_waiting(found, api.Status.SKIPPED)
 
-    def _undialled(self, found: Shelf, since: float, refused: bool) -> None:
+    def _undialled(self, found: Shelf, since: float, failure: DialFailure) -> None:
         """A dial failed.  Where the shelf was heard from meanwhile, one that did not come up in time speaks
         for itself alone: whoever is told REFUSED takes the whole shelf out for a while."""
+        if failure is DialFailure.LOCAL:  # and nobody waits for it any more
+            return
         heard = any(link.heard >= since for link in found.trusted())
-        if heard and not refused:
+        if heard and failure is not DialFailure.REFUSED:
             for link in found.links:
                 self.roomy(link)
             return self._fail_waiting(found, api.Status.SKIPPED)
@@ -280,17 +285,17 @@
         if found is None or not found.waiting or link not in found.links:
             return
         now = self.clock()
-        for ident, (sent, data) in list(found.waiting.items()):
+        for ident, sent in list(found.waiting.items()):
             if not link.free():
                 return
-            if found.waiting.get(ident, (None,))[0] is not sent:
+            if found.waiting.get(ident) is not sent:
                 continue  # ended by what the end of one before it led to
             if now > sent.start_by:  # and the loop is late
                 self._overdue(found, ident, sent)
             elif link.has_room(ident):
                 del found.waiting[ident]
                 self.deadlines.cancel(sent.bound)
-                self._put(link, ident, sent, data)
+                self._put(link, ident, sent)
 
     def _fail_waiting(self, found: Shelf, status: api.Status) -> None:
         for name, sent in found.clear():
