--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -20,8 +20,8 @@
 from tests import test_fleet_origin as origin_model
 from tests.helpers import ORIGIN, SETTINGS, Bench, edge, only, parent
 from thornjunction import interface as api
-from thornjunction.limits.effects import EFFECT_KEPT, EFFECTS
-from thornjunction.limits.retries import FLEET_DEPTH
+from thornjunction.limits.idempotency import EFFECT_KEPT, EFFECTS
+from thornjunction.limits.retry_budget import FLEET_DEPTH
 from thornjunction.net.shelves import AT_MOST, CROWDED, NEEDED, PREFERRED
 from thornjunction.policy.router import Router
 
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -7,8 +7,8 @@
 
 from tests.helpers import EDGES, ORIGIN, PARENTS, Bench, fetch_of, finals, only
 from thornjunction import interface as api
-from thornjunction.limits.gates import LEAST, Gate
-from thornjunction.limits.retries import Retries, wait_ms
+from thornjunction.limits.admission_gates import LEAST, Gate
+from thornjunction.limits.retry_budget import Retries, wait_ms
 
 
 def blind(**more: object) -> Bench:
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -11,7 +11,7 @@
 
 from tests.helpers import EDGES, FILMS, KEYED, ORDER, ORIGIN, PAGES, PARENTS, Bench, edge, fetch_of, finals
 from thornjunction import interface as api
-from thornjunction.limits.effects import NEVER_RAN
+from thornjunction.limits.idempotency import NEVER_RAN
 from thornjunction.settings import Params, read_class
 
 AWAY = tuple(edge(f"{zone}{n}", zone=zone) for zone in ("there", "yonder") for n in range(2))
--- a/thornjunction/limits/health.py
+++ b/thornjunction/limits/outlier_detection.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from thornjunction import interface as api
-from thornjunction.limits.cold import Bucket
+from thornjunction.limits.slow_start import Bucket
 
 EJECT_AFTER, EJECT_FIRST, EJECT_LAST = 5, 500.0, 4_000.0  # bad outcomes in a row; ms out
 ONE_RESET = 10.0  # ms in which resets are one
--- a/thornjunction/policy/attempts.py
+++ b/thornjunction/policy/attempts.py
@@ -8,10 +8,10 @@
 
 from thornjunction import interface as api
 from thornjunction.estimates import FAST_GAIN, Mean, Usual, mix
-from thornjunction.limits.blame import own
-from thornjunction.limits.effects import Ran
-from thornjunction.limits.gates import Gate
-from thornjunction.limits.health import Health
+from thornjunction.limits.admission_gates import Gate
+from thornjunction.limits.fault_attribution import own
+from thornjunction.limits.idempotency import Ran
+from thornjunction.limits.outlier_detection import Health
 
 PULSE = 0.5  # of the aim: slower answers of what runs at the origin tell of its queue
 MARGIN = 6.0  # ms before the client's limit at which we answer: a few of a caller's ticks
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -8,8 +8,8 @@
 
 from thornjunction import interface as api
 from thornjunction.estimates import Mean, mix, rendezvous
-from thornjunction.limits.cold import ColdBudgets
-from thornjunction.limits.effects import discarded, window_left
+from thornjunction.limits.idempotency import discarded, window_left
+from thornjunction.limits.slow_start import ColdBudgets
 from thornjunction.policy.attempts import MARGIN, Job, Server
 
 ORDERS = 8192  # preferences kept at most
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -11,14 +11,14 @@
 
 from thornjunction import interface as api
 from thornjunction.estimates import Sizes, Usual
-from thornjunction.limits.blame import BROKEN, has_room
-from thornjunction.limits.effects import NEVER_RAN, Effects, start_ms, window_left
-from thornjunction.limits.gates import Gate
+from thornjunction.limits.admission_gates import Gate
+from thornjunction.limits.fault_attribution import BROKEN, has_room
+from thornjunction.limits.idempotency import NEVER_RAN, Effects, start_ms, window_left
 from thornjunction.limits.purges import Purges
-from thornjunction.limits.retries import Retries, wait_ms
+from thornjunction.limits.retry_budget import Retries, wait_ms
 from thornjunction.policy.attempts import MARGIN, Attempt, Gates, Job, Server
+from thornjunction.policy.fill_ranking import KNOWN, Ranking
 from thornjunction.policy.placement import Placement
-from thornjunction.policy.ranking import KNOWN, Ranking
 
 FILLS_LATE, CALM = 0.8, 0.8  # of gates: below, fills are under strain; below, no copy is sent
 TICK, HELD_TRIES, SECOND = 50.0, 10, 1000.0  # ms between looks, at so many held requests; between steps of w
