--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -86,7 +86,7 @@
 
     async def test_who_leaves_is_owed_nothing_wherever_the_request_is(self) -> None:
         """Out at a shelf; refused there, so that its retry waits; out while its client reads nothing."""
-        self.rig.clients.budget.limit, router = 1 << 30, self.engine.router
+        self.rig.clients.budget.limit_bytes, router = 1 << 30, self.engine.router
         retry = asked(50, "keyed", HTTP_X_TXN_KEY="k")
         moments = ((asked(50), None, 0), (retry, (b"WAIT", b""), 0), (asked(50), None, 31))
         for (request, step, unread), how in ((m, how) for m in moments for how in (*ENDS, "abort")):
@@ -166,7 +166,7 @@
 
     async def test_connections_that_the_system_holds_when_the_port_closes_were_taken(self) -> None:
         deadlines, stopped = self.rig.alarm.deadlines, list[bool]()
-        drain = Drain(self.rig.clients, deadlines, core_ms, self.engine.hurry)
+        drain = Drain(self.rig.clients, deadlines, core_ms, self.engine.answer_all_now)
         told = (core_ms, lambda: stopped.append(True))
         shutdown = Shutdown(self.rig.clients, drain, self.engine, deadlines, *told)
         drain.start(0.0)
