--- a/tests/test_control_settings.py
+++ b/tests/test_control_settings.py
@@ -17,7 +17,7 @@
 from thornjunction.runtime.config import ConfigError
 from thornjunction.runtime.control_settings import load_relay, read_control
 from thornjunction.runtime.extras import load_extras
-from thornjunction.settings import Params, WireError
+from thornjunction.settings import SettingsReader, WireError
 
 ROOT = Path(__file__).resolve().parent.parent
 RELAY: dict[str, Any] = {"listen": "127.0.0.1:8600", "name": "relay-1", "upstreams": ["127.0.0.1:8700"]}
@@ -130,7 +130,7 @@
 
 
 def control(**told: Any) -> control_settings.ControlSettings:
-    return read_control(Params(told, "control."))
+    return read_control(SettingsReader(told, "control."))
 
 
 def test_a_whole_control_is_taken() -> None:
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -12,7 +12,7 @@
 from tests.helpers import EDGES, FILMS, KEYED, ORDER, ORIGIN, PAGES, PARENTS, Bench, edge, fetch_of, finals
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import NEVER_EXECUTED
-from thornjunction.settings import Params, read_class
+from thornjunction.settings import SettingsReader, read_class
 
 AWAY = tuple(edge(f"{zone}{n}", zone=zone) for zone in ("there", "yonder") for n in range(2))
 COLD = edge("cold", zone="there", started_ms=999.0)
@@ -172,5 +172,5 @@
 def test_the_grace_is_read_where_an_old_copy_earns_something() -> None:
     data = {"name": "a", "aimMs": 1.0, "giveUpMs": 2.0, "idempotency": "safe"}
     for earns, grace in ((0.7, 30.0), (0.0, 0.0)):
-        special = Params({"classFreshMs": [9.0], "staleForMs": [30.0], "staleEarns": [earns]})
+        special = SettingsReader({"classFreshMs": [9.0], "staleForMs": [30.0], "staleEarns": [earns]})
         assert read_class(data, 0, special).grace_ms == grace
--- a/thornjunction/adapter.py
+++ b/thornjunction/adapter.py
@@ -12,7 +12,14 @@
 
 from thornjunction import interface as api
 from thornjunction.policy.router import Router
-from thornjunction.settings import Params, WireError, parse_json, read_report, read_roles, read_settings
+from thornjunction.settings import (
+    SettingsReader,
+    WireError,
+    parse_json,
+    read_report,
+    read_roles,
+    read_settings,
+)
 
 STATUSES = {
     "done": api.Status.DONE,
@@ -68,9 +75,9 @@
     """One front: its router and the names that its wire uses."""
 
     def __init__(self, fields: Fields) -> None:
-        params = Params(parse_json(value(fields, "params", str)))
+        params = SettingsReader(parse_json(value(fields, "params", str)))
         self.roles = read_roles(params)
-        report = params.below("report") if "report" in params.data else Params({"columns": []})
+        report = params.section("report") if "report" in params.data else SettingsReader({"columns": []})
         self.columns: list[str] = report.get("columns", list, [])
         self.router = Router(read_settings(params), value(fields, "randomSeed", int, 0))
 
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -97,8 +97,10 @@
         return source.entry.role is api.Role.ORIGIN and not self.by_role[api.Role.PARENT]
 
     def sibling(self, request: PendingRequest, target: Upstream, now: float) -> Upstream | None:
-        """The cache that is likely to hold it, of each location the first by
-        hash, of the own one the first two.  Near ones first; then by hash, or one would be asked by all."""
+        """The other cache that is likely to hold it: of each zone the first by hash, of this one two.
+
+        Near zones first; then by hash, or one zone would be asked by all.
+        """
         here, hubs, may = self.settings.zone, self.settings.zone_hub, self.settings.siblings
         if may is api.Siblings.NONE:
             return None
@@ -124,8 +126,11 @@
         return None
 
     def cache(self, request: PendingRequest, now: float) -> Upstream | None:
-        """The first by hash, bar cold ones past their budget, ejected or tried ones (unless all are) and
-        those whose gate is shut.  Where both choices are shut, new ones are refused."""
+        """The first by hash that may take it.
+
+        Cold ones past their budget, ejected or tried ones (unless all are) and those whose gate is shut are
+        left out.  Where the gates of both candidates are shut, new requests are rejected.
+        """
         order = self.preference(request.object_hash, self.by_role[api.Role.EDGE])
         order = [
             s
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -79,11 +79,8 @@
                 self.admission.admit(event)
             case api.Outcome():
                 self._attempt_ended(event)
-            case api.TimerFired(token=token):
-                if token == TICK_TOKEN:
-                    self.periodic.tick()
-                else:
-                    self.admission.deadline_passed(token)
+            case api.TimerFired():
+                self._timer_fired(event.token)
             case api.Servers():
                 self.placement.take(event, self.context.now_ms)
             case api.Purged():
@@ -104,6 +101,12 @@
         self.attempts.withdraw_execution(attempt, event.status)
         self.dispatcher.attempt_ended(event, attempt)
 
+    def _timer_fired(self, token: int) -> None:
+        if token == TICK_TOKEN:
+            self.periodic.tick()
+        else:
+            self.admission.deadline_passed(token)
+
     def _adopt(self, settings: api.Settings) -> None:
         """Hand the settings to the parts that decide by them; open requests keep those they came under."""
         self.context.adopt(settings)
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -13,7 +13,7 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Commands, parse_address, read_commands
 from thornjunction.net.wire.resp import MAX_BULK
-from thornjunction.settings import Params, WireError, parse_json, read_roles, read_settings
+from thornjunction.settings import SettingsReader, WireError, parse_json, read_roles, read_settings
 
 LEAST_SOCKETS = 3  # a third for clients, one for shelfs, one for the channel and the program's own
 BUFFER_SHARE = 0.2  # of the memory; half of the least that the platform gives is the program itself
@@ -62,18 +62,18 @@
 def parse_config(text: bytes, environ: Mapping[str, str]) -> Config:
     """The configuration from its JSON text; name and address may come from the environment."""
     try:
-        return _read(Params(parse_json(text)), environ)
+        return _read(SettingsReader(parse_json(text)), environ)
     except (WireError, RecursionError) as error:
         raise ConfigError(str(error)) from error
 
 
-def _read(top: Params, environ: Mapping[str, str]) -> Config:
-    limits, params = top.below("limits"), top.below("settings")
+def _read(top: SettingsReader, environ: Mapping[str, str]) -> Config:
+    limits, params = top.section("limits"), top.section("settings")
     sockets = int(limits.number("sockets", 1024))
     if sockets < LEAST_SOCKETS:
         raise ConfigError(f"limits.sockets: {sockets} is too few, {LEAST_SOCKETS} at least")
     settings = _settings(params)
-    allowed, flow = params.below("allowed"), top.number("flow_bytes_per_s", 0.0)
+    allowed, flow = params.section("allowed"), top.number("flow_bytes_per_s", 0.0)
     door = environ.get("PROXY_ADMIN_ADDR") or top.get("admin_addr", str, "")
     return Config(
         name=environ.get("PROXY_NAME") or top.get("name", str),
@@ -121,7 +121,7 @@
         raise ConfigError("settings.classes: two of one name")
 
 
-def _settings(params: Params) -> api.Settings:
+def _settings(params: SettingsReader) -> api.Settings:
     try:
         return read_settings(params)
     except (TypeError, ValueError, OverflowError) as error:
--- a/thornjunction/runtime/control_settings.py
+++ b/thornjunction/runtime/control_settings.py
@@ -11,7 +11,7 @@
 
 from thornjunction.runtime.addresses import Address, check_name, near_address
 from thornjunction.runtime.config import ConfigError, address_of
-from thornjunction.settings import Params, WireError
+from thornjunction.settings import SettingsReader, WireError
 
 MOST_SOURCES, MOST_ROUTERS = 16, 2048  # that one polls; that a relay expects
 JOIN_MS, MOST_JOIN_MS = 150.0, 1_000.0  # how long the first event waits for others, by default and at most
@@ -42,13 +42,13 @@
     admin_addr: Address | None = None  # where the operators' door listens
 
 
-def read_control(params: Params) -> ControlSettings:
+def read_control(params: SettingsReader) -> ControlSettings:
     """The section's settings; ConfigError or WireError otherwise."""
     _check_keys(params, "name", "sources", "private")
     private, name = params.get("private", bool, False), params.get("name", str, "")
     if name:
         check_name("control.name", name)
-    return ControlSettings(name, _sources("control.sources", params.listed("sources", str, 1), private))
+    return ControlSettings(name, _sources("control.sources", params.values("sources", str, 1), private))
 
 
 def load_relay(path: Path, environ: Mapping[str, str]) -> RelaySettings | None:
@@ -56,7 +56,7 @@
     ``admin_addr``, as it does a router's.  ConfigError names file and key.  Reads that section alone: a relay
     loads no library of the others."""
     try:
-        top = Params(tomllib.loads(path.read_text(encoding="utf-8")))
+        top = SettingsReader(tomllib.loads(path.read_text(encoding="utf-8")))
         if "relay" not in top.data:
             return None
         if find_spec("control_relay") is None:
@@ -67,19 +67,19 @@
         raise ConfigError(f"{path.name}: {error}") from error
 
 
-def read_relay(top: Params) -> RelaySettings:
+def read_relay(top: SettingsReader) -> RelaySettings:
     """The section's settings; ConfigError or WireError otherwise."""
     beside = [name for name in BESIDE_RELAY if name in top.data]
     if beside:
         raise ConfigError(f"relay: a relay is no router, leave out [{beside[0]}]")
-    params = top.below("relay")
+    params = top.section("relay")
     _check_keys(params, *RelaySettings.__slots__, "private")
     private, name = params.get("private", bool, False), params.get("name", str)
     check_name("relay.name", name)
     listen = near_address("relay.listen", params.get("listen", str), private)
     door = params.get("admin_addr", str, "")
-    upstreams = _sources("relay.upstreams", params.listed("upstreams", str, 1), private)
-    siblings = _sources("relay.siblings", params.listed("siblings", str), private)
+    upstreams = _sources("relay.upstreams", params.values("upstreams", str, 1), private)
+    siblings = _sources("relay.siblings", params.values("siblings", str), private)
     for key, others in (("upstreams", upstreams), ("siblings", siblings)):
         if listen in others:
             raise ConfigError(f"relay.{key}: names this relay's own address")
@@ -90,14 +90,14 @@
         name,
         upstreams,
         siblings,
-        _routers(params.listed("routers", str)),
+        _routers(params.values("routers", str)),
         join_ms=_within(params, "join_ms", JOIN_MS, 0.0, MOST_JOIN_MS),
         hold_ms=_within(params, "hold_ms", HOLD_MS, LEAST_HOLD_MS, MOST_HOLD_MS),
         admin_addr=near_address("relay.admin_addr", door, private) if door else None,
     )
 
 
-def _check_keys(params: Params, *known: str) -> None:
+def _check_keys(params: SettingsReader, *known: str) -> None:
     """Guards against a key that is misspelt, for which a default would stand in unseen."""
     unknown = sorted(params.data.keys() - set(known))
     if unknown:
@@ -119,7 +119,7 @@
     return tuple(names)
 
 
-def _within(params: Params, name: str, default: float, least: float, most: float) -> float:
+def _within(params: SettingsReader, name: str, default: float, least: float, most: float) -> float:
     value = params.number(name, default)
     if not least <= value <= most:
         raise ConfigError(f"{params.path}{name}: not within {least:.0f} and {most:.0f} ms")
--- a/thornjunction/runtime/extras.py
+++ b/thornjunction/runtime/extras.py
@@ -15,7 +15,7 @@
 from joserfc.jwk import ECKey, OctKey
 
 from thornjunction.runtime.config import ConfigError, address_of
-from thornjunction.settings import Params, WireError, parse_json
+from thornjunction.settings import SettingsReader, WireError, parse_json
 from thornjunction.signing import keyset
 from thornjunction.signing.address import Forwarding
 from thornjunction.signing.replay import ReplayWindow
@@ -105,10 +105,10 @@
     if not path.exists():
         return Extras()
     try:
-        top = Params(tomllib.loads(path.read_text(encoding="utf-8")))
+        top = SettingsReader(tomllib.loads(path.read_text(encoding="utf-8")))
         return Extras(
             signed=_signed(top, path.parent) if "signed" in top.data else None,
-            metrics=_metrics(top.below("metrics")) if "metrics" in top.data else None,
+            metrics=_metrics(top.section("metrics")) if "metrics" in top.data else None,
             fleet=_fleet(top, path.parent) if "fleet" in top.data else None,
             control=_control(top) if "control" in top.data else None,
         )
@@ -116,24 +116,24 @@
         raise ConfigError(f"{path.name}: {error}") from error
 
 
-def _fleet(top: Params, folder: Path) -> FleetSettings:
+def _fleet(top: SettingsReader, folder: Path) -> FleetSettings:
     from thornjunction.runtime.fleet_settings import read_fleet
 
     if find_spec("fleet_membership") is None:
         raise ConfigError("fleet: its packages are not installed (packages/)")
-    return read_fleet(top.below("fleet"), folder)
+    return read_fleet(top.section("fleet"), folder)
 
 
-def _control(top: Params) -> ControlSettings:
+def _control(top: SettingsReader) -> ControlSettings:
     from thornjunction.runtime.control_settings import read_control
 
     if find_spec("control_sources") is None:
         raise ConfigError("control: its packages are not installed (packages/)")
-    return read_control(top.below("control"))
+    return read_control(top.section("control"))
 
 
-def _signed(top: Params, folder: Path) -> SignedFront:
-    front = top.below("signed")
+def _signed(top: SettingsReader, folder: Path) -> SignedFront:
+    front = top.section("signed")
     listen = address_of("signed.listen", front.get("listen", str))
     if not ip_address(listen[0]).is_loopback:
         raise ConfigError("signed.listen: not a loopback address")
@@ -142,12 +142,12 @@
         raise ConfigError("signed.base: not a scheme and a host")
     source = _key_source(front, folder) if "keyset" in front.data else None
     trust = _trust(front, folder, source)
-    gossip = _gossip(front.below("gossip"), folder) if "gossip" in front.data else None
-    tls = _tls(front.below("tls"), folder) if "tls" in front.data else None
+    gossip = _gossip(front.section("gossip"), folder) if "gossip" in front.data else None
+    tls = _tls(front.section("tls"), folder) if "tls" in front.data else None
     return SignedFront(listen, base, trust, _replays(front), _forwarding(front), source, gossip, tls)
 
 
-def _tls(params: Params, folder: Path) -> TlsFiles:
+def _tls(params: SettingsReader, folder: Path) -> TlsFiles:
     files = TlsFiles(
         folder / params.get("cert", str), folder / params.get("key", str), params.number("every_s", 60)
     )
@@ -161,7 +161,7 @@
     return files
 
 
-def _gossip(params: Params, folder: Path) -> GossipPeers:
+def _gossip(params: SettingsReader, folder: Path) -> GossipPeers:
     peers = tuple(address_of("signed.gossip.peers", str(peer)) for peer in params.get("peers", list))
     try:
         secret = (folder / params.get("secret_file", str)).read_bytes().strip()
@@ -172,7 +172,7 @@
     return GossipPeers(address_of("signed.gossip.listen", params.get("listen", str)), peers, secret)
 
 
-def _key_source(front: Params, folder: Path) -> KeySource:
+def _key_source(front: SettingsReader, folder: Path) -> KeySource:
     retire = front.data.get("retire", {})
     if not isinstance(retire, dict) or not all(isinstance(at, datetime) for at in retire.values()):
         raise ConfigError("signed.retire: not a table of kid = date and time")
@@ -184,7 +184,7 @@
     )
 
 
-def _replays(front: Params) -> ReplayWindow:
+def _replays(front: SettingsReader) -> ReplayWindow:
     cap_mb, horizon_s = front.number("replay_cap_mb", 8.0), front.number("replay_horizon_s", 86_400.0)
     if not 0.01 <= cap_mb <= 4096 or not 60.0 <= horizon_s <= 30 * 86_400.0:
         raise ConfigError(
@@ -193,7 +193,7 @@
     return ReplayWindow(int(cap_mb * (1 << 20)), max(horizon_s / 8640, 1.0), horizon_s)
 
 
-def _forwarding(front: Params) -> Forwarding:
+def _forwarding(front: SettingsReader) -> Forwarding:
     told = front.data.get("forwarding", {})
     try:
         return Forwarding(str(told.get("header", "")).lower(), tuple(told.get("trusted", ())))
@@ -201,7 +201,7 @@
         raise ConfigError(f"signed.forwarding: {error}") from error
 
 
-def _trust(front: Params, folder: Path, source: KeySource | None) -> Trust:
+def _trust(front: SettingsReader, folder: Path, source: KeySource | None) -> Trust:
     algorithms = tuple(front.get("algorithms", list))
     if not algorithms or not set(algorithms) <= set(ALGORITHMS):
         raise ConfigError(f"signed.algorithms: not a list of {', '.join(ALGORITHMS)}")
@@ -226,7 +226,7 @@
 
 def _key(data: Any, place: int, folder: Path, algorithms: tuple[str, ...]) -> SigningKey:
     name = f"signed.keys[{place}]"
-    params = Params(data, f"{name}.")
+    params = SettingsReader(data, f"{name}.")
     algorithm, until = params.get("algorithm", str), params.data.get("until")
     if algorithm not in algorithms:
         raise ConfigError(f"{name}.algorithm: not among signed.algorithms")
@@ -240,7 +240,7 @@
     return SigningKey(params.get("kid", str), algorithm, key, until.timestamp() if until else None)
 
 
-def _metrics(params: Params) -> MetricsTargets:
+def _metrics(params: SettingsReader) -> MetricsTargets:
     targets = {name: params.data.get(name) for name in ("graphite", "collectd")}
     addresses = {n: address_of(f"metrics.{n}", str(told)) if told else None for n, told in targets.items()}
     return MetricsTargets(
--- a/thornjunction/runtime/fleet_settings.py
+++ b/thornjunction/runtime/fleet_settings.py
@@ -9,7 +9,7 @@
 
 from thornjunction.runtime.addresses import Address, check_name, near_address
 from thornjunction.runtime.config import ConfigError
-from thornjunction.settings import Params
+from thornjunction.settings import SettingsReader
 
 LEAST_SECRET = 32  # bytes
 MOST_TIMING = 3_600_000  # ms, or of a count
@@ -32,7 +32,7 @@
     timings: Mapping[str, float]
 
 
-def read_fleet(params: Params, folder: Path) -> FleetSettings:
+def read_fleet(params: SettingsReader, folder: Path) -> FleetSettings:
     """The section's settings, paths relative to the file's folder; ConfigError or WireError otherwise."""
     private = params.get("private", bool, False)
     place, told = params.get("listen", str), params.get("advertise", str, "")
@@ -50,7 +50,7 @@
         seeds=tuple(near_address("fleet.seeds", str(seed), private) for seed in params.get("seeds", list)),
         voters=tuple(str(voter) for voter in params.get("voters", list)),
         data=folder / params.get("data", str),
-        timings=_timings(params.below("timings")) if "timings" in params.data else {},
+        timings=_timings(params.section("timings")) if "timings" in params.data else {},
     )
     if not settings.voters or len(set(settings.voters)) < len(settings.voters):
         raise ConfigError("fleet.voters: empty, or one name twice")
@@ -69,7 +69,7 @@
     return secret
 
 
-def _timings(params: Params) -> dict[str, float]:
+def _timings(params: SettingsReader) -> dict[str, float]:
     told = {name: params.get(name, (int, float)) for name in params.data}
     for name, value in told.items():
         if not 0 < value <= MOST_TIMING:
--- a/thornjunction/settings.py
+++ b/thornjunction/settings.py
@@ -1,84 +1,134 @@
-"""Reads the settings: the simulator's first message and the real router's configuration hold the same."""
+"""Reads the settings: the simulator's first message and the router's configuration hold the same object."""
 
 from __future__ import annotations
 
 import json
 import math
 from collections.abc import Mapping
+from dataclasses import replace
 from typing import Any
 
 from thornjunction import interface as api
 
-MOST = 1e15  # of any number here: past it a float no longer holds all milliseconds
+# Largest number that a setting may have: past it a float no longer holds all whole milliseconds.
+LARGEST_NUMBER = 1e15
+# Characters of a wrong value that an error shows.
+SHOWN_CHARACTERS = 80
+# Milliseconds of a second: rates are set a second and used a millisecond.
+MS_PER_S = 1000.0
 
 
 class WireError(Exception):
     """A line or a setting that cannot be understood; the text names it."""
 
 
-class Params:
-    """Reads the settings; an error names the setting."""
+class MissingSettingError(WireError):
+    """A setting that must be given is not there."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"setting {name!r} is missing")
+
+
+class InvalidSettingError(WireError):
+    """A setting has a value that it cannot have."""
+
+    def __init__(self, name: str, value: Any) -> None:
+        super().__init__(f"setting {name!r} has an impossible value {value!r}")
+
+
+class NotAnObjectError(WireError):
+    """A group of settings is not a JSON object."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"setting {name!r} is not an object")
+
+
+class InvalidJsonError(WireError):
+    """The text of the settings is not JSON."""
+
+    def __init__(self, cause: Exception) -> None:
+        super().__init__(f"settings are not JSON: {cause}")
+
+
+class UnknownZoneError(WireError):
+    """A setting names a zone by a place that the list of zones does not have."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"setting {name!r} names a place outside zones")
+
+
+def _shown(value: Any) -> str:
+    return str(value)[:SHOWN_CHARACTERS]
+
+
+class SettingsReader:
+    """Reads values of a JSON object by name; ``path`` is put before the names in errors.
+
+    All methods raise ``MissingSettingError`` for a setting that is not there and has no default, and
+    ``InvalidSettingError`` for one of another kind or out of range.
+    """
 
     def __init__(self, data: Any, path: str = "") -> None:
         if not isinstance(data, Mapping):
-            raise WireError(f"setting {path or 'params'!r} is not an object")
-        self.data, self.path = data, path
+            raise NotAnObjectError(path or "params")
+        self.data = data
+        self.path = path
 
     def get(self, name: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-        """The value of a setting, of the stated kind."""
+        """Return the value of a setting, of the given kind; a bool does not count as a number."""
         found = self.data.get(name, default)
         if found is None:
-            raise WireError(f"setting {self.path + name!r} is missing")
+            raise MissingSettingError(self.path + name)
         if not isinstance(found, kind) or (isinstance(found, bool) and kind is not bool):
-            raise WireError(f"setting {self.path + name!r} has an impossible value {found!r}")
+            raise InvalidSettingError(self.path + name, found)
         return found
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A number that is not negative."""
+        """Return a number that is not negative."""
         return self._checked(name, self.get(name, (int, float), default))
 
-    def _checked(self, name: str, found: Any) -> float:
-        number = isinstance(found, int | float) and not isinstance(found, bool)
-        if not number or not 0 <= found <= MOST:
-            raise WireError(f"setting {self.path + name!r} has an impossible value {str(found)[:80]!r}")
-        return float(found)
+    def positive(self, name: str) -> float:
+        """Return a number above zero."""
+        found = self.number(name)
+        if not found > 0:
+            raise InvalidSettingError(self.path + name, found)
+        return found
 
     def numbers(self, name: str) -> list[float]:
-        """A list of numbers that are not negative; empty where it is not told."""
+        """Return a list of numbers that are not negative; empty where it is not given."""
         return [self._checked(name, found) for found in self.get(name, list, [])]
 
-    def listed(self, name: str, kind: type, least: int = 0) -> list[Any]:
-        """A list of values of one kind, so many at least; empty where it is not told and need not be."""
+    def values(self, name: str, kind: type, least: int = 0) -> list[Any]:
+        """Return a list of at least so many values of one kind; empty where none is given or needed."""
         found: list[Any] = self.get(name, list, None if least else [])
         if len(found) < least or not all(isinstance(value, kind) for value in found):
-            raise WireError(f"setting {self.path + name!r} has an impossible value {str(found)[:80]!r}")
-        return found
-
-    def positive(self, name: str) -> float:
-        """A number above zero."""
-        found = self.number(name)
-        if not found > 0:
-            raise WireError(f"setting {self.path + name!r} has an impossible value {found!r}")
+            raise InvalidSettingError(self.path + name, _shown(found))
         return found
 
     def choice(self, name: str, options: type[Any], default: str | None = None) -> Any:
-        """One of an enum's values."""
+        """Return the member of an enum that has the setting's value."""
         found = self.get(name, str, default)
         try:
             return options(found)
         except ValueError as error:
-            raise WireError(f"setting {self.path + name!r} has an impossible value {found!r}") from error
+            raise InvalidSettingError(self.path + name, found) from error
+
+    def section(self, name: str) -> SettingsReader:
+        """Return a reader of the settings under a name."""
+        return SettingsReader(self.get(name, dict), f"{self.path}{name}.")
 
-    def below(self, name: str) -> Params:
-        """The settings under a name."""
-        return Params(self.get(name, dict), f"{self.path}{name}.")
+    def _checked(self, name: str, found: Any) -> float:
+        is_number = isinstance(found, int | float) and not isinstance(found, bool)
+        if not is_number or not 0 <= found <= LARGEST_NUMBER:
+            raise InvalidSettingError(self.path + name, _shown(found))
+        return float(found)
 
 
-def read_class(data: Any, place: int, special: Params) -> api.RequestClass:
-    """One class of requests."""
-    params = Params(data, f"classes[{place}].")
+def read_class(data: Any, place: int, special: SettingsReader) -> api.RequestClass:
+    """Return one request class; ``special`` holds lists with a value for each class, by its place."""
+    params = SettingsReader(data, f"classes[{place}].")
     safety = params.choice("idempotency", api.Safety)
-    passes = special.listed("passOn", bool)
+    passes = special.values("passOn", bool)
 
     def by_class(name: str) -> float:
         listed = special.numbers(name)
@@ -101,64 +151,76 @@
 
 
 def parse_json(text: str | bytes) -> Any:
-    """The settings' text as JSON."""
+    """Return the settings' text as JSON; raises ``InvalidJsonError``."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise WireError(f"settings are not JSON: {error}") from error
+        raise InvalidJsonError(error) from error
 
 
-def read_settings(params: Params) -> api.Settings:
-    """The router's settings from the platform's."""
-    allowed, safety, special = params.below("allowed"), params.below("safety"), params.below("specifics")
-    zones: list[str] = params.listed("zones", str, least=1)
-    classes = params.listed("classes", Mapping, least=1)
-
-    def by_zone(name: str) -> dict[str, float]:
-        return dict(zip(zones, special.numbers(name), strict=False))
-
-    hubs = {zone: int(hub) for zone, hub in by_zone("hubByZone").items()}
-    if any(hub >= len(zones) for hub in hubs.values()):
-        raise WireError(f"setting {special.path + 'hubByZone'!r} names a place outside zones")
-
-    return api.Settings(
+def read_settings(params: SettingsReader) -> api.Settings:
+    """Return the router's settings from the platform's."""
+    allowed = params.section("allowed")
+    safety = params.section("safety")
+    special = params.section("specifics")
+    zones: list[str] = params.values("zones", str, least=1)
+    classes = params.values("classes", Mapping, least=1)
+    common = api.Settings(
         classes=tuple(read_class(data, place, special) for place, data in enumerate(classes)),
         zone=params.get("myZone", str),
         instances=int(params.number("instances")),
-        zone_fronts={zone: int(count) for zone, count in by_zone("instancesByZone").items()},
+        zone_fronts={},
         max_attempts=math.ceil(allowed.positive("attemptsCap")),
         drain_grace_ms=safety.number("drainGraceMs"),
         cold_share=safety.number("startCapacity"),
         cold_ms=safety.number("coldMs"),
         fall_multiple=safety.number("fallMultiple"),
         fall_ms=safety.number("fallMs"),
-        parent_cold_share=special.number("parentFloor", 1.0),
-        parent_cold_ms=special.number("parentWarmsInMs", 0.0),
-        parent_fall_multiple=special.number("upperFallMultiple", 2.0),
-        purge_takes_ms=special.number("purgeTakesMs", 0.0),
-        purge_grace_ms=special.number("obeyAfterMs", 0.0),
         answer_slack_ms=safety.number("answerSlackMs", 0.0),
-        flow_kb_per_ms=special.number("oneFlowKbPerS", 0.0) / 1000.0,
         weighted=params.get("weights", str, "none") in ("nominal", "rough"),
         may_cancel=allowed.get("cancel", bool, False),
         may_copy=allowed.get("secondCopies", bool, False),
         may_probe=allowed.get("probing", bool, False),
-        may_bypass=special.get("mayPassBy", bool, False),
-        may_join=special.get("collapses", bool, False),
         may_advise_wait=allowed.get("retryAfter", bool, False),
         max_wait_advice_ms=allowed.number("maxRetryAfterMs", 0.0),
+    )
+    return _with_specifics(common, special, zones)
+
+
+def _with_specifics(settings: api.Settings, special: SettingsReader, zones: list[str]) -> api.Settings:
+    """Return the settings with those of this platform's kind; lists there have a value for each zone."""
+
+    def by_zone(name: str) -> dict[str, float]:
+        return dict(zip(zones, special.numbers(name), strict=False))
+
+    hubs = {zone: int(hub) for zone, hub in by_zone("hubByZone").items()}
+    if any(hub >= len(zones) for hub in hubs.values()):
+        raise UnknownZoneError(special.path + "hubByZone")
+    links_kb_per_s = by_zone("pipeKbPerS")
+    return replace(
+        settings,
+        zone_fronts={zone: int(count) for zone, count in by_zone("instancesByZone").items()},
+        parent_cold_share=special.number("parentFloor", 1.0),
+        parent_cold_ms=special.number("parentWarmsInMs", 0.0),
+        parent_fall_multiple=special.number("upperFallMultiple", 2.0),
+        purge_takes_ms=special.number("purgeTakesMs", 0.0),
+        purge_grace_ms=special.number("obeyAfterMs", 0.0),
+        flow_kb_per_ms=special.number("oneFlowKbPerS", 0.0) / MS_PER_S,
+        may_bypass=special.get("mayPassBy", bool, False),
+        may_join=special.get("collapses", bool, False),
         siblings=special.choice("siblings", api.Siblings, "none"),
         notes=special.choice("says", api.Notes, "none"),
         zone_hub={zone: zones[hub] for zone, hub in hubs.items()},
         zone_link_kb_per_ms={
-            zone: kb_per_s / 1000.0 for zone, kb_per_s in by_zone("pipeKbPerS").items() if kb_per_s > 0
+            zone: kb_per_s / MS_PER_S for zone, kb_per_s in links_kb_per_s.items() if kb_per_s > 0
         },
     )
 
 
-def read_roles(params: Params) -> dict[str, api.Role]:
-    """The kinds of machine that are not edge caches."""
-    special, kinds = params.below("specifics"), params.listed("machineTypes", str, least=1)
+def read_roles(params: SettingsReader) -> dict[str, api.Role]:
+    """Return the roles of the kinds of machine that are not edge caches."""
+    special = params.section("specifics")
+    kinds = params.values("machineTypes", str, least=1)
     roles: dict[str, api.Role] = {}
     for name, role in (("secondTierKind", api.Role.PARENT), ("rootKind", api.Role.ORIGIN)):
         place = special.get(name, int, -1)
@@ -167,6 +229,6 @@
     return roles
 
 
-def read_report(told: Mapping[str, float]) -> api.Report:
-    """A load report from its named values."""
-    return api.Report(busy=told.get("util"), hit_share=told.get("x0"), link=told.get("x1"))
+def read_report(values: Mapping[str, float]) -> api.Report:
+    """Return a load report from its named values; those that are not there are unknown."""
+    return api.Report(busy=values.get("util"), hit_share=values.get("x0"), link=values.get("x1"))
