--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -1,33 +1,62 @@
-"""Which server: an edge cache by a hash of the object, one of two hashed parents as source (DESIGN)."""
+"""Which server takes a request: an edge cache by a hash of the object, one of two hashed parents as source.
+
+The ordinary path follows Song et al., section 3.  ``candidates.py`` ranks the servers for an object; here it
+is decided which of them may take this request now.  The ranking is iterated over lazily: a decision looks at
+the first few servers, and at all of them only where none of these is usable.
+"""
 
 from __future__ import annotations
 
 import math
 import zlib
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
+from enum import IntEnum
+from itertools import islice
 
 from thornjunction import interface as api
-from thornjunction.estimates import SmoothedMean, mix64, rendezvous_score
+from thornjunction.estimates import SmoothedMean, mix64
 from thornjunction.limits.idempotency import is_repeat_safe, repeat_window_ms
 from thornjunction.limits.slow_start import SlowStart
+from thornjunction.policy.candidates import CandidateGroup, RankingCache
 from thornjunction.policy.requests import PendingRequest
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
 
-ORDERS = 8192  # preferences kept at most
-CHOICES = 2  # caches by hash that a new request may go to: hot objects get a second copy (paper, section 3)
-FAR = 2.0  # a far parent's first byte, times, where it is not told
+# Caches that a new request may go to: hot objects get a second copy (paper, section 3).
+CACHE_CHOICES = 2
+# Parents of which the faster one is the source (paper, section 3).
+PARENT_CHOICES = 2
+# A far parent's first byte over a near one's, where outcomes do not tell it.
+FAR_FACTOR = 2.0
+# Time to the first byte of any source, until one was measured; only its being the same matters.
+DEFAULT_FIRST_BYTE_MS = 1.0
+
+
+class Fitness(IntEnum):
+    """How fit a cache is for the next attempt of a request; lower is better."""
+
+    UNTRIED = 0  # in service, and it has not failed this request
+    TRIED = 1  # in service
+    EJECTED_UNTRIED = 2  # out of service after failures, though its process was not found to be away
+    EJECTED_TRIED = 3
 
 
 class Placement:
     """The list of servers, and who of them may take what."""
 
-    def __init__(self, settings: api.Settings, fetch: SmoothedMean, draw: Callable[[], float]) -> None:
-        self.settings, self.fetch, self.draw, self.slow_start = settings, fetch, draw, SlowStart(draw)
+    def __init__(
+        self, settings: api.Settings, mean_fetch_ms: SmoothedMean, draw: Callable[[], float]
+    ) -> None:
+        self.settings = settings
+        self.slow_start = SlowStart(draw)
         self.servers: dict[str, Upstream] = {}
-        self.by_role: dict[api.Role, list[Upstream]] = {role: [] for role in api.Role}  # edges: of this zone
-        self.caches: dict[str, list[Upstream]] = {}  # edges by zone
-        self.orders: dict[tuple[int, str], list[Upstream]] = {}  # preferences, until the list changes
+        self.caches: dict[str, CandidateGroup[Upstream]] = {}  # edges by zone
+        self._mean_fetch_ms = mean_fetch_ms  # to the first byte of a fill, of all sources
+        self._draw = draw
+        self._rankings = RankingCache()
+        self.by_role: dict[api.Role, CandidateGroup[Upstream]] = {  # edges: of this zone
+            role: CandidateGroup(self._rankings) for role in api.Role
+        }
 
     def adopt(self, settings: api.Settings) -> None:
         """Place by these settings from now on."""
@@ -35,137 +64,203 @@
         self.slow_start.adopt(settings)
 
     def take(self, event: api.Servers, now: float) -> None:
-        """A list, or its changes."""
-        named, zone = {entry.server for entry in event.entries}, self.settings.zone
+        """Take in a list of servers, or its changes."""
         if event.whole:
-            self.servers = {name: server for name, server in self.servers.items() if name in named}
+            listed = {entry.server for entry in event.entries}
+            for server_id in [known for known in self.servers if known not in listed]:
+                self._remove(server_id)
         for entry in event.entries:
-            server = self.servers.get(entry.server)
-            if entry.state is not api.State.SERVING:  # rule 3: at once, well within any grace
-                self.servers.pop(entry.server, None)
-            elif server is None or entry.started_ms != server.entry.started_ms:  # also a new process
-                self.servers[entry.server] = Upstream(entry, now)
-            else:
-                server.entry = entry
-        self.by_role = {role: [s for s in self.servers.values() if s.entry.role is role] for role in api.Role}
-        self.caches = {}
-        for cache in self.by_role[api.Role.EDGE]:
-            self.caches.setdefault(cache.entry.zone, []).append(cache)
-        self.by_role[api.Role.EDGE] = self.caches.get(zone, [])
-        self.orders.clear()
-        for role, listed in self.by_role.items():
-            self.slow_start.note_listed(role, len(listed))
+            if entry.state is api.State.SERVING:
+                self._put(entry, now)
+            else:  # rule 3: at once, well within any grace
+                self._remove(entry.server)
+        self.by_role[api.Role.EDGE] = self._edges(self.settings.zone)
+        for role, group in self.by_role.items():
+            self.slow_start.note_listed(role, len(group))
 
-    def avoided(self, listed: Iterable[str], now: float) -> int:
-        """How many of these get nothing now: they leave, or are out after failures."""
-        return sum(s is None or not s.is_available(now) for s in map(self.servers.get, listed))
+    def _put(self, entry: api.ServerEntry, now: float) -> None:
+        """Take in the entry of a server that serves."""
+        server = self.servers.get(entry.server)
+        if server is not None and server.entry == entry:
+            return
+        if server is not None and (server.entry.role, server.entry.zone) != (entry.role, entry.zone):
+            self._remove_from_group(server)
+        if server is None or entry.started_ms != server.entry.started_ms:
+            server = Upstream(entry, now)  # a new process has no history
+            self.servers[entry.server] = server
+        server.entry = entry
+        self._group(entry).put(entry.server, server, entry.weight)
 
-    def preference(self, copy: int, servers: list[Upstream]) -> list[Upstream]:
-        """Rendezvous order, by weight where it is told: a server that leaves moves its own objects only."""
-        known = self.orders.get((copy, servers[0].id)) if servers else []
-        if known is not None:
-            return known
+    def _remove(self, server_id: str) -> None:
+        """Forget a server, if it is known."""
+        server = self.servers.pop(server_id, None)
+        if server is not None:
+            self._remove_from_group(server)
 
-        def score(server: Upstream) -> float:
-            return rendezvous_score(copy, server.salt, server.entry.weight if self.settings.weighted else 1.0)
+    def _remove_from_group(self, server: Upstream) -> None:
+        """Take a server out of its group, and an edge's group away with its last server."""
+        group = self._group(server.entry)
+        group.remove(server.id)
+        if server.entry.role is api.Role.EDGE and not group:
+            del self.caches[server.entry.zone]
 
-        if len(self.orders) >= ORDERS:
-            del self.orders[next(iter(self.orders))]
-        order = self.orders[copy, servers[0].id] = sorted(servers, key=score, reverse=True)
-        return order
+    def _group(self, entry: api.ServerEntry) -> CandidateGroup[Upstream]:
+        """The group that a server belongs to."""
+        return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.by_role[entry.role]
+
+    def _edges(self, zone: str) -> CandidateGroup[Upstream]:
+        """The edge caches of a zone."""
+        group = self.caches.get(zone)
+        if group is None:
+            group = self.caches[zone] = CandidateGroup(self._rankings)
+        return group
+
+    def avoided(self, listed: Iterable[str], now: float) -> int:
+        """How many of these get nothing now: they leave, or are out of service after failures."""
+        servers = map(self.servers.get, listed)
+        return sum(1 for server in servers if server is None or not server.is_available(now))
+
+    def preference(self, object_hash: int, group: CandidateGroup[Upstream]) -> Iterator[Upstream]:
+        """The servers of a group in rendezvous order for an object, by weight where there are weights."""
+        return group.candidates(object_hash, self.settings.weighted)
 
     def first_byte(self, parent: Upstream) -> float:
-        """Smoothed; where answers do not tell it, hits blur it, and distance counts too."""
-        far = self.settings.zone_hub.get(self.settings.zone) != parent.entry.zone
-        far = far and self.settings.notes is api.Notes.NONE
-        return parent.first_byte_ms.get(self.fetch.get(1.0)) * (FAR if far else 1.0)
+        """Smoothed ms to a parent's first byte.
+
+        Where outcomes do not tell it, hits blur it, so distance counts too.
+        """
+        measured = parent.first_byte_ms.get(self._mean_fetch_ms.get(DEFAULT_FIRST_BYTE_MS))
+        is_far = self.settings.zone_hub.get(self.settings.zone) != parent.entry.zone
+        if is_far and self.settings.notes is api.Notes.NONE:
+            return measured * FAR_FACTOR
+        return measured
 
     def source(self, request: PendingRequest, now: float) -> Upstream | None:
-        """Of two parents the one with the lower first-byte time; where neither can, others or the origin."""
-        origins = self.by_role[api.Role.ORIGIN]
-        parents = self.preference(
-            request.object_hash, [] if request.request_class.passes else self.by_role[api.Role.PARENT]
-        )
-        ordered = sorted(parents[:2], key=self.first_byte) + parents[2:]
-        able = [s for s in ordered + origins if s.id not in request.tried_servers and s.is_available(now)]
-        return next(
-            (s for s in able if self.within_budget(s, request.fill_cost_ms, now)), next(iter(origins), None)
-        )
+        """Where a miss is filled from: of two parents the one with the lower first-byte time.
+
+        Where neither can, another parent, or an origin.
+        """
+        for server in self._sources(request):
+            usable = server.id not in request.tried_servers and server.is_available(now)
+            if usable and self.within_budget(server, request.fill_cost_ms, now):
+                return server
+        return next(iter(self.by_role[api.Role.ORIGIN]), None)
+
+    def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
+        """All sources for a request, the best first."""
+        if not request.request_class.passes:
+            parents = self.preference(request.object_hash, self.by_role[api.Role.PARENT])
+            yield from sorted(islice(parents, PARENT_CHOICES), key=self.first_byte)
+            yield from parents
+        yield from self.by_role[api.Role.ORIGIN]
 
     def no_parents(self, source: Upstream) -> bool:
-        """Whether misses are filled from the origin itself; it has all, so ``held_only`` spares nothing."""
+        """Whether misses are filled from the origin itself; it has all, so ``cached_only`` spares nothing."""
         return source.entry.role is api.Role.ORIGIN and not self.by_role[api.Role.PARENT]
 
     def sibling(self, request: PendingRequest, target: Upstream, now: float) -> Upstream | None:
-        """The other cache that is likely to hold it: of each zone the first by hash, of this one two.
+        """The cache, other than the target, that is likely to hold an object.
 
-        Near zones first; then by hash, or one zone would be asked by all.
+        Of each zone the first by hash counts, of this router's zone the first two. Cold caches hold little.
         """
-        here, hubs, may = self.settings.zone, self.settings.zone_hub, self.settings.siblings
-        if may is api.Siblings.NONE:
-            return None
-
-        def far(zone: str) -> tuple[bool, bool, int]:
-            return (
-                zone != here,
-                hubs.get(zone) != hubs.get(here),
-                mix64(request.object_hash ^ zlib.crc32(zone.encode())),
-            )
-
-        zones = sorted(self.caches, key=far) if may is api.Siblings.ANY else [here]
-        for zone in zones:
-            likely = self.preference(request.object_hash, self.caches.get(zone, []))
-            for cache in likely[: CHOICES if zone == here else 1]:
-                new = (
-                    cache is not target and cache.id not in request.tried_servers and cache.is_available(now)
-                )
-                if (
-                    new and self.slow_start.rate(cache.entry, cache.slow_start, now) == math.inf
-                ):  # cold ones hold little
+        for zone in self._sibling_zones(request):
+            choices = CACHE_CHOICES if zone == self.settings.zone else 1
+            for cache in islice(self.preference(request.object_hash, self.caches[zone]), choices):
+                if cache is target or cache.id in request.tried_servers:
+                    continue
+                is_warm = self.slow_start.rate(cache.entry, cache.slow_start, now) == math.inf
+                if is_warm and cache.is_available(now):
                     return cache
         return None
 
+    def _sibling_zones(self, request: PendingRequest) -> Iterator[str]:
+        """Zones whose caches may be asked: this router's first, then those of the same hub.
+
+        Among these they are ordered by hash, or one zone would be asked by all.
+        """
+        own_zone = self.settings.zone
+        hubs = self.settings.zone_hub
+        if self.settings.siblings is api.Siblings.NONE:
+            return
+        if own_zone in self.caches:
+            yield own_zone
+        if self.settings.siblings is not api.Siblings.ANY:
+            return
+
+        def distance(zone: str) -> tuple[bool, int]:
+            zone_hash = mix64(request.object_hash ^ zlib.crc32(zone.encode()))
+            return hubs.get(zone) != hubs.get(own_zone), zone_hash
+
+        yield from sorted(self.caches.keys() - {own_zone}, key=distance)
+
     def cache(self, request: PendingRequest, now: float) -> Upstream | None:
-        """The first by hash that may take it.
+        """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
 
-        Cold ones past their budget, ejected or tried ones (unless all are) and those whose gate is shut are
-        left out.  Where the gates of both candidates are shut, new requests are rejected.
+        Where both gates are shut, a new request is rejected; one that was tried already, or that is passed
+        through, goes to the first.
         """
-        order = self.preference(request.object_hash, self.by_role[api.Role.EDGE])
-        order = [
-            s
-            for s in order
-            if self.may_resend(request, s, now) and self.within_budget(s, request.cache_cost_ms, now)
-        ]
-        able = [s for s in order if s.is_available(now)] or [s for s in order if not s.is_unreachable]
-        able = [s for s in able if s.id not in request.tried_servers] or able
-        free = [
-            s
-            for s in able[:CHOICES]
-            if s.gate.admits(now, self.draw, request.size_weight, request.class_size_weight)
-        ]
-        return next(
-            iter(free or (able if request.attempts_started > 0 or request.request_class.passes else [])), None
-        )
+        able = self._able_caches(request, now)
+        for server in able:
+            if server.gate.admits(now, self._draw, request.size_weight, request.class_size_weight):
+                return server
+        is_rejected = request.attempts_started == 0 and not request.request_class.passes
+        return None if is_rejected or not able else able[0]
+
+    def _able_caches(self, request: PendingRequest, now: float) -> list[Upstream]:
+        """The best caches for the next attempt, two at most, all of the best fitness that any has."""
+        untried: list[Upstream] = []
+        others: list[tuple[Fitness, Upstream]] = []
+        for server in self.preference(request.object_hash, self.by_role[api.Role.EDGE]):
+            fitness = self._fitness(request, server, now)
+            if fitness is Fitness.UNTRIED:
+                untried.append(server)
+                if len(untried) == CACHE_CHOICES:
+                    return untried
+            elif fitness is not None:
+                others.append((fitness, server))
+        if untried or not others:
+            return untried
+        best = min(fitness for fitness, _ in others)
+        return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
+
+    def _fitness(self, request: PendingRequest, server: Upstream, now: float) -> Fitness | None:
+        """How fit a cache is for the next attempt of this request; None: it must not get it."""
+        if not self.may_resend(request, server, now):
+            return None
+        if not self.within_budget(server, request.cache_cost_ms, now):
+            return None
+        is_tried = server.id in request.tried_servers
+        if server.is_available(now):
+            return Fitness.TRIED if is_tried else Fitness.UNTRIED
+        if server.is_unreachable:
+            return None
+        return Fitness.EJECTED_TRIED if is_tried else Fitness.EJECTED_UNTRIED
 
     def may_resend(self, request: PendingRequest, server: Upstream, now: float) -> bool:
-        """Rule 2: what may have run is resent only where and while its repeat is discarded."""
-        window_ms = (
-            repeat_window_ms(request.request_class, request.possible_execution, now) - ANSWER_MARGIN_MS
-        )
-        return is_repeat_safe(request.request_class, request.possible_execution, server.entry, window_ms)
+        """Rule 2: what may have been executed is sent again only where and while its repeat is discarded."""
+        request_class = request.request_class
+        execution = request.possible_execution
+        window_ms = repeat_window_ms(request_class, execution, now) - ANSWER_MARGIN_MS
+        return is_repeat_safe(request_class, execution, server.entry, window_ms)
 
-    def within_budget(self, server: Upstream, work: float, now: float) -> bool:
-        """Whether slow start lets a server take this much transfer time, in ms."""
-        return self.slow_start.admits(server.entry, server.slow_start, work, now)
+    def within_budget(self, server: Upstream, transfer_ms: float, now: float) -> bool:
+        """Rule 4: whether a server that started lately bears so much more transfer time."""
+        return self.slow_start.admits(server.entry, server.slow_start, transfer_ms, now)
 
-    def charge(self, server: Upstream, work: float, now: float) -> None:
-        """Count what is sent against the budget of a server that is cold."""
-        self.slow_start.charge(server.entry, server.slow_start, work, now)
+    def charge(self, server: Upstream, transfer_ms: float, now: float) -> None:
+        """Rule 4: count what is sent to a server that started lately."""
+        self.slow_start.charge(server.entry, server.slow_start, transfer_ms, now)
 
     def worth_waiting(self, request: PendingRequest, now: float) -> bool:
-        """All that may take it are down, or cold and past a budget that will grow."""
-        caches = [cache for cache in self.by_role[api.Role.EDGE] if self.may_resend(request, cache, now)]
-        return bool(caches) and not any(
-            self.within_budget(s, request.cache_cost_ms, now) and not s.is_unreachable for s in caches
-        )
+        """Whether some cache may take the request later.
+
+        So where all that may take it are unreachable, or cold and past a budget that will grow.
+        """
+        may_take_later = False
+        for server in self.by_role[api.Role.EDGE]:
+            if not self.may_resend(request, server, now):
+                continue
+            if not server.is_unreachable and self.within_budget(server, request.cache_cost_ms, now):
+                return False
+            may_take_later = True
+        return may_take_later
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -33,7 +33,7 @@
 
 
 class Router:
-    """Decides for one front through one life; call ``handle`` with events in the order of their times."""
+    """Decides for one process of a router; call ``handle`` with events in the order of their times."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """Build the parts. The same seed and events give the same actions."""
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-import zlib
 from typing import Protocol
 
 from thornjunction import interface as api
-from thornjunction.estimates import FAST_GAIN, SmoothedMean, mix64
+from thornjunction.estimates import FAST_GAIN, SmoothedMean
 from thornjunction.limits.admission_gates import AdmissionGate
 from thornjunction.limits.outlier_detection import OutlierDetector
 from thornjunction.limits.slow_start import SlowStartWindow
@@ -47,7 +46,6 @@
     def __init__(self, entry: api.ServerEntry, now_ms: float) -> None:
         self.id = entry.server
         self.entry = entry
-        self.salt = mix64(zlib.crc32(entry.server.encode()))
         self.outliers = OutlierDetector()
         self.slow_start = SlowStartWindow(entry.started_ms)
         self.gate = AdmissionGate()
