--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -16,8 +16,8 @@
 
 from capacity_fit import fit, row, sized_main, table
 
-from tests import test_cold_fleet as cold_model
 from tests import test_fleet_origin as origin_model
+from tests import test_slow_start_fleet as cold_model
 from tests.helpers import ORIGIN, SETTINGS, Bench, edge, only, parent
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MOST_KEYS
@@ -118,7 +118,7 @@
 
 
 def cold_fleet(routers: int, rate: float, zone_fronts: int) -> dict[str, list[float]]:
-    """When each cold server of ``tests/test_cold_fleet.py`` was asked; ``rate``: requests a s a router."""
+    """When each cold server of ``tests/test_slow_start_fleet.py`` was asked; ``rate``: requests a s a router."""
     draw = random.Random(routers)
     more = {"instances": routers, "zone_fronts": {"here": zone_fronts}, "may_copy": True}
     sent: dict[str, list[float]] = {entry.server: [] for entry in cold_model.COLD}
