--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -118,7 +118,7 @@
 
 
 def cold_fleet(routers: int, rate: float, zone_fronts: int) -> dict[str, list[float]]:
-    """When each cold server of ``tests/test_slow_start_fleet.py`` was asked; ``rate``: requests a s a router."""
+    """When each cold server of the model was asked; ``rate``: requests a s a router."""
     draw = random.Random(routers)
     more = {"instances": routers, "zone_fronts": {"here": zone_fronts}, "may_copy": True}
     sent: dict[str, list[float]] = {entry.server: [] for entry in cold_model.COLD}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -232,7 +232,7 @@
         bench.ask(50)
         bench.answer((only(bench.wait(600.0), api.Fetch) or bench.sent[str(bench.asked)])[0])
         assert server.outliers.ejected_for_ms == 0
-        rate = bench.router.placement.slow_start.rate(server.entry, server.slow_start, bench.now)
+        rate = bench.router.placement.slow_start.rate(server.entry, server.slow_start_window, bench.now)
         assert (rate < 1e9) is cold
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -140,9 +140,9 @@
             if trouble == "ejected":
                 server.outliers.eject(bench.now)
             else:
-                server.slow_start.cold_since_ms = bench.now
-                server.slow_start.advance(bench.now, 1_000.0, bench.router.random.random)
-                server.slow_start.spent_ms = 1e9
+                server.slow_start_window.cold_since_ms = bench.now
+                server.slow_start_window.advance(bench.now, 1_000.0, bench.router.random.random)
+                server.slow_start_window.spent_ms = 1e9
     assert {fetch_of(bench.ask(key)).server for key in range(20)} == {able}
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -300,7 +300,7 @@
     cold = edge("edge3", started_ms=bench.now)
     bench.give(api.Servers((*EDGES[away:3], cold, *PARENTS, ORIGIN)))
     server = bench.router.placement.servers["edge3"]
-    return bench.router.placement.slow_start.rate(server.entry, server.slow_start, bench.now)
+    return bench.router.placement.slow_start.rate(server.entry, server.slow_start_window, bench.now)
 
 
 def test_a_cold_caches_budget_does_not_swell_with_what_is_lost_around_it() -> None:
--- a/tests/test_slow_start_sizes.py
+++ b/tests/test_slow_start_sizes.py
@@ -32,7 +32,7 @@
     """How many a window's budget there holds where each counts as its class's aim, and one that its chance
     may add."""
     server, cold = bench.router.placement.servers[name], bench.router.placement.slow_start
-    return cold.rate(server.entry, server.slow_start, bench.now) * cold.window_ms / FILMS.aim_ms + 1.0
+    return cold.rate(server.entry, server.slow_start_window, bench.now) * cold.window_ms / FILMS.aim_ms + 1.0
 
 
 def films_sent(bench: Bench, server: str, count: int = 60) -> int:
--- a/thornjunction/limits/__init__.py
+++ b/thornjunction/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold for a fleet whose routers do not hear one another; no clock, no I/O, no wire."""
+"""Limits that hold for a whole fleet of routers that do not communicate; no clock, no I/O."""
--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start (rule 4): what each router may send to a server that started lately.
 
-Routers do not hear one another; each takes its part of a cold server's capacity in windows of its own, so
-that all together stay under what the server bears.
+The routers of a fleet do not communicate; each takes its share of a cold server's capacity in windows of
+its own, so that all together stay under what the server can do.
 """
 
 from __future__ import annotations
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -168,7 +168,7 @@
             for cache in islice(self.preference(request.object_hash, self.caches[zone]), choices):
                 if cache is target or cache.id in request.tried_servers:
                     continue
-                is_warm = self.slow_start.rate(cache.entry, cache.slow_start, now) == math.inf
+                is_warm = self.slow_start.rate(cache.entry, cache.slow_start_window, now) == math.inf
                 if is_warm and cache.is_available(now):
                     return cache
         return None
@@ -245,11 +245,11 @@
 
     def within_budget(self, server: Upstream, transfer_ms: float, now: float) -> bool:
         """Rule 4: whether a server that started lately bears so much more transfer time."""
-        return self.slow_start.admits(server.entry, server.slow_start, transfer_ms, now)
+        return self.slow_start.admits(server.entry, server.slow_start_window, transfer_ms, now)
 
     def charge(self, server: Upstream, transfer_ms: float, now: float) -> None:
         """Rule 4: count what is sent to a server that started lately."""
-        self.slow_start.charge(server.entry, server.slow_start, transfer_ms, now)
+        self.slow_start.charge(server.entry, server.slow_start_window, transfer_ms, now)
 
     def worth_waiting(self, request: PendingRequest, now: float) -> bool:
         """Whether some cache may take the request later.
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -47,7 +47,7 @@
         self.id = entry.server
         self.entry = entry
         self.outliers = OutlierDetector()
-        self.slow_start = SlowStartWindow(entry.started_ms)
+        self.slow_start_window = SlowStartWindow(entry.started_ms)
         self.gate = AdmissionGate()
         # As the source of fills, in ms.
         self.first_byte_ms = SmoothedMean(FAST_GAIN)
@@ -85,4 +85,4 @@
         """
         recovered = self.outliers.record_success()
         if recovered and self.is_unreachable:
-            self.slow_start.restart(now_ms)
+            self.slow_start_window.restart(now_ms)
