--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -199,7 +199,7 @@
 def retries(counts: tuple[int, ...]) -> None:
     rows, points = [], []
     for routers in (4, 20, *counts):
-        saved = routers * Router(replace(SETTINGS, instances=routers), 1).retries.saved
+        saved = routers * Router(replace(SETTINGS, instances=routers), 1).retry_budget.tokens
         points.append((routers, saved))
         rows.append(row(routers, f"{saved:.0f}", f"{FLEET_RESERVE:.0f}", f"{saved / FLEET_RESERVE:.1f}"))
     print(table("routers | further attempts saved up by all | meant | times", rows))
