--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -59,9 +59,10 @@
             self._hedging.record_race(winner=attempt, loser=request.in_flight[0])
         if event.final or event.status is api.Status.DONE:
             self._completion.close(request)
-        elif request.in_flight:
-            pass  # the end of the other attempt decides
-        elif event.status is api.Status.MISS and not request.request_class.passes:
+            return
+        if request.in_flight:  # the end of the other attempt decides
+            return
+        if event.status is api.Status.MISS and not request.request_class.passes:
             self._after_cached_only_miss(request, attempt)
         else:
             self._after_failure(event, attempt)
--- a/thornjunction/policy/shared_gates.py
+++ b/thornjunction/policy/shared_gates.py
@@ -9,7 +9,6 @@
 from thornjunction.limits.fault_attribution import is_cache_responsible
 from thornjunction.policy.context import DecisionContext
 from thornjunction.policy.requests import Attempt
-from thornjunction.policy.upstreams import Upstream
 
 # Share of the objective past which an answer of what runs at the origin tells of its queue.
 ORIGIN_LATE_SHARE = 0.5
@@ -64,7 +63,7 @@
 
     def _gate_of(self, attempt: Attempt, note: api.Note, *, late: bool) -> AdmissionGate:
         """Return the gate that an answer speaks of: its cache's, or that of fills."""
-        server: Upstream = attempt.server
+        server = attempt.server
         if attempt.source is None:
             return server.gate
         if note is api.Note.NONE:
