--- a/thornjunction/policy/fetch_plan.py
+++ b/thornjunction/policy/fetch_plan.py
@@ -63,7 +63,7 @@
         may_fill = self._gates.fills.admits(now_ms, draw, request.size_weight, request.class_size_weight)
         if may_fill and not cached_only:
             return FillPlan(source, cached_only=False)
-        if source is not None and self._placement.no_parents(source):
+        if source is not None and self._placement.fills_from_origin(source):
             return self._plan_peer_lookup(request, server, may_fill=may_fill, cached_only=cached_only)
         return FillPlan(source if may_fill else None, cached_only)
 
@@ -75,7 +75,7 @@
         if request.peer_lookups < MOST_PEER_LOOKUPS:
             link_load = self._ranking.link_load.value
             if may_fill or has_capacity_for_lookup(server.load, link_load):
-                peer = self._placement.sibling(request, server, self._context.now_ms)
+                peer = self._placement.choose_peer(request, server, self._context.now_ms)
         if peer is None:
             request.cached_only = cached_only
             return FillPlan(None, cached_only)
--- a/thornjunction/policy/hedging.py
+++ b/thornjunction/policy/hedging.py
@@ -49,9 +49,9 @@
         now_ms = self._context.now_ms
         if not self.gate.admits(now_ms, self._context.draw):
             return
-        server = self._placement.cache(request, now_ms)
+        server = self._placement.choose_cache(request, now_ms)
         if server is not None:
-            source = self._placement.source(request, now_ms)
+            source = self._placement.choose_source(request, now_ms)
             self._attempts.send(request, server, source)
 
     def _needs_hedge(self, attempt: Attempt) -> bool:
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -63,7 +63,7 @@
         self.settings = settings
         self.slow_start.adopt(settings)
 
-    def take(self, event: api.Servers, now: float) -> None:
+    def update(self, event: api.Servers, now_ms: float) -> None:
         """Take in a list of servers, or its changes."""
         if event.whole:
             listed = {entry.server for entry in event.entries}
@@ -71,14 +71,14 @@
                 self._remove(server_id)
         for entry in event.entries:
             if entry.state is api.State.SERVING:
-                self._put(entry, now)
+                self._put(entry, now_ms)
             else:  # rule 3: at once, well within any grace
                 self._remove(entry.server)
         self.by_role[api.Role.EDGE] = self._edges(self.settings.zone)
         for role, group in self.by_role.items():
             self.slow_start.note_listed(role, len(group))
 
-    def _put(self, entry: api.ServerEntry, now: float) -> None:
+    def _put(self, entry: api.ServerEntry, now_ms: float) -> None:
         """Take in the entry of a server that serves."""
         server = self.servers.get(entry.server)
         if server is not None and server.entry == entry:
@@ -86,7 +86,7 @@
         if server is not None and (server.entry.role, server.entry.zone) != (entry.role, entry.zone):
             self._remove_from_group(server)
         if server is None or entry.started_ms != server.entry.started_ms:
-            server = Upstream(entry, now)  # a new process has no history
+            server = Upstream(entry, now_ms)  # a new process has no history
             self.servers[entry.server] = server
         server.entry = entry
         self._group(entry).put(entry.server, server, entry.weight)
@@ -115,16 +115,16 @@
             group = self.caches[zone] = CandidateGroup(self._rankings)
         return group
 
-    def avoided(self, listed: Iterable[str], now: float) -> int:
+    def count_unavailable(self, listed: Iterable[str], now_ms: float) -> int:
         """How many of these get nothing now: they leave, or are out of service after failures."""
         servers = map(self.servers.get, listed)
-        return sum(1 for server in servers if server is None or not server.is_available(now))
+        return sum(1 for server in servers if server is None or not server.is_available(now_ms))
 
-    def preference(self, object_hash: int, group: CandidateGroup[Upstream]) -> Iterator[Upstream]:
+    def _candidates(self, object_hash: int, group: CandidateGroup[Upstream]) -> Iterator[Upstream]:
         """The servers of a group in rendezvous order for an object, by weight where there are weights."""
         return group.candidates(object_hash, self.settings.weighted)
 
-    def first_byte(self, parent: Upstream) -> float:
+    def _expected_first_byte_ms(self, parent: Upstream) -> float:
         """Smoothed ms to a parent's first byte.
 
         Where outcomes do not tell it, hits blur it, so distance counts too.
@@ -135,45 +135,45 @@
             return measured * FAR_FACTOR
         return measured
 
-    def source(self, request: PendingRequest, now: float) -> Upstream | None:
+    def choose_source(self, request: PendingRequest, now_ms: float) -> Upstream | None:
         """Where a miss is filled from: of two parents the one with the lower first-byte time.
 
         Where neither can, another parent, or an origin.
         """
         for server in self._sources(request):
-            usable = server.id not in request.tried_servers and server.is_available(now)
-            if usable and self.within_budget(server, request.fill_cost_ms, now):
+            usable = server.id not in request.tried_servers and server.is_available(now_ms)
+            if usable and self.within_budget(server, request.fill_cost_ms, now_ms):
                 return server
         return next(iter(self.by_role[api.Role.ORIGIN]), None)
 
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
         """All sources for a request, the best first."""
         if not request.request_class.passes:
-            parents = self.preference(request.object_hash, self.by_role[api.Role.PARENT])
-            yield from sorted(islice(parents, PARENT_CHOICES), key=self.first_byte)
+            parents = self._candidates(request.object_hash, self.by_role[api.Role.PARENT])
+            yield from sorted(islice(parents, PARENT_CHOICES), key=self._expected_first_byte_ms)
             yield from parents
         yield from self.by_role[api.Role.ORIGIN]
 
-    def no_parents(self, source: Upstream) -> bool:
+    def fills_from_origin(self, source: Upstream) -> bool:
         """Whether misses are filled from the origin itself; it has all, so ``cached_only`` spares nothing."""
         return source.entry.role is api.Role.ORIGIN and not self.by_role[api.Role.PARENT]
 
-    def sibling(self, request: PendingRequest, target: Upstream, now: float) -> Upstream | None:
+    def choose_peer(self, request: PendingRequest, target: Upstream, now_ms: float) -> Upstream | None:
         """The cache, other than the target, that is likely to hold an object.
 
         Of each zone the first by hash counts, of this router's zone the first two. Cold caches hold little.
         """
-        for zone in self._sibling_zones(request):
+        for zone in self._peer_zones(request):
             choices = CACHE_CHOICES if zone == self.settings.zone else 1
-            for cache in islice(self.preference(request.object_hash, self.caches[zone]), choices):
+            for cache in islice(self._candidates(request.object_hash, self.caches[zone]), choices):
                 if cache is target or cache.id in request.tried_servers:
                     continue
-                is_warm = self.slow_start.rate(cache.entry, cache.slow_start_window, now) == math.inf
-                if is_warm and cache.is_available(now):
+                is_warm = self.slow_start.rate(cache.entry, cache.slow_start_window, now_ms) == math.inf
+                if is_warm and cache.is_available(now_ms):
                     return cache
         return None
 
-    def _sibling_zones(self, request: PendingRequest) -> Iterator[str]:
+    def _peer_zones(self, request: PendingRequest) -> Iterator[str]:
         """Zones whose caches may be asked: this router's first, then those of the same hub.
 
         Among these they are ordered by hash, or one zone would be asked by all.
@@ -193,25 +193,25 @@
 
         yield from sorted(self.caches.keys() - {own_zone}, key=distance)
 
-    def cache(self, request: PendingRequest, now: float) -> Upstream | None:
+    def choose_cache(self, request: PendingRequest, now_ms: float) -> Upstream | None:
         """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
 
         Where both gates are shut, a new request is rejected; one that was tried already, or that is passed
         through, goes to the first.
         """
-        able = self._able_caches(request, now)
+        able = self._able_caches(request, now_ms)
         for server in able:
-            if server.gate.admits(now, self._draw, request.size_weight, request.class_size_weight):
+            if server.gate.admits(now_ms, self._draw, request.size_weight, request.class_size_weight):
                 return server
         is_rejected = request.attempts_started == 0 and not request.request_class.passes
         return None if is_rejected or not able else able[0]
 
-    def _able_caches(self, request: PendingRequest, now: float) -> list[Upstream]:
+    def _able_caches(self, request: PendingRequest, now_ms: float) -> list[Upstream]:
         """The best caches for the next attempt, two at most, all of the best fitness that any has."""
         untried: list[Upstream] = []
         others: list[tuple[Fitness, Upstream]] = []
-        for server in self.preference(request.object_hash, self.by_role[api.Role.EDGE]):
-            fitness = self._fitness(request, server, now)
+        for server in self._candidates(request.object_hash, self.by_role[api.Role.EDGE]):
+            fitness = self._fitness(request, server, now_ms)
             if fitness is Fitness.UNTRIED:
                 untried.append(server)
                 if len(untried) == CACHE_CHOICES:
@@ -223,44 +223,44 @@
         best = min(fitness for fitness, _ in others)
         return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
 
-    def _fitness(self, request: PendingRequest, server: Upstream, now: float) -> Fitness | None:
+    def _fitness(self, request: PendingRequest, server: Upstream, now_ms: float) -> Fitness | None:
         """How fit a cache is for the next attempt of this request; None: it must not get it."""
-        if not self.may_resend(request, server, now):
+        if not self.may_repeat_at(request, server, now_ms):
             return None
-        if not self.within_budget(server, request.cache_cost_ms, now):
+        if not self.within_budget(server, request.cache_cost_ms, now_ms):
             return None
         is_tried = server.id in request.tried_servers
-        if server.is_available(now):
+        if server.is_available(now_ms):
             return Fitness.TRIED if is_tried else Fitness.UNTRIED
         if server.is_unreachable:
             return None
         return Fitness.EJECTED_TRIED if is_tried else Fitness.EJECTED_UNTRIED
 
-    def may_resend(self, request: PendingRequest, server: Upstream, now: float) -> bool:
+    def may_repeat_at(self, request: PendingRequest, server: Upstream, now_ms: float) -> bool:
         """Rule 2: what may have been executed is sent again only where and while its repeat is discarded."""
         request_class = request.request_class
         execution = request.possible_execution
-        window_ms = repeat_window_ms(request_class, execution, now) - ANSWER_MARGIN_MS
+        window_ms = repeat_window_ms(request_class, execution, now_ms) - ANSWER_MARGIN_MS
         return is_repeat_safe(request_class, execution, server.entry, window_ms)
 
-    def within_budget(self, server: Upstream, transfer_ms: float, now: float) -> bool:
+    def within_budget(self, server: Upstream, transfer_ms: float, now_ms: float) -> bool:
         """Rule 4: whether a server that started lately bears so much more transfer time."""
-        return self.slow_start.admits(server.entry, server.slow_start_window, transfer_ms, now)
+        return self.slow_start.admits(server.entry, server.slow_start_window, transfer_ms, now_ms)
 
-    def charge(self, server: Upstream, transfer_ms: float, now: float) -> None:
+    def charge(self, server: Upstream, transfer_ms: float, now_ms: float) -> None:
         """Rule 4: count what is sent to a server that started lately."""
-        self.slow_start.charge(server.entry, server.slow_start_window, transfer_ms, now)
+        self.slow_start.charge(server.entry, server.slow_start_window, transfer_ms, now_ms)
 
-    def worth_waiting(self, request: PendingRequest, now: float) -> bool:
+    def is_worth_waiting(self, request: PendingRequest, now_ms: float) -> bool:
         """Whether some cache may take the request later.
 
         So where all that may take it are unreachable, or cold and past a budget that will grow.
         """
         may_take_later = False
         for server in self.by_role[api.Role.EDGE]:
-            if not self.may_resend(request, server, now):
+            if not self.may_repeat_at(request, server, now_ms):
                 continue
-            if not server.is_unreachable and self.within_budget(server, request.cache_cost_ms, now):
+            if not server.is_unreachable and self.within_budget(server, request.cache_cost_ms, now_ms):
                 return False
             may_take_later = True
         return may_take_later
--- a/thornjunction/policy/retry_policy.py
+++ b/thornjunction/policy/retry_policy.py
@@ -72,14 +72,14 @@
     def _place(self, request: PendingRequest) -> NextStep:
         """Choose the server and source of an attempt."""
         now_ms = self._context.now_ms
-        source = self._placement.source(request, now_ms)
+        source = self._placement.choose_source(request, now_ms)
         bypasses_caches = request.request_class.passes and self._context.settings.may_bypass
         if bypasses_caches and source is not None:
             server: Upstream | None = source
         else:
-            server = self._placement.cache(request, now_ms)
-        if server is not None and self._placement.may_resend(request, server, now_ms):
+            server = self._placement.choose_cache(request, now_ms)
+        if server is not None and self._placement.may_repeat_at(request, server, now_ms):
             return Send(server, source)
-        if self._placement.worth_waiting(request, now_ms):
+        if self._placement.is_worth_waiting(request, now_ms):
             return NoAttempt.WAIT
         return NoAttempt.GIVE_UP
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -82,7 +82,7 @@
             case api.TimerFired():
                 self._timer_fired(event.token)
             case api.Servers():
-                self.placement.take(event, self.context.now_ms)
+                self.placement.update(event, self.context.now_ms)
             case api.Purged():
                 self.purges.add(event, self.context.now_ms)
             case api.Settings():
