--- a/thornjunction/policy/periodic.py
+++ b/thornjunction/policy/periodic.py
@@ -25,6 +25,31 @@
 STRAINED_GATE_SHARE = 0.8
 
 
+class EstimateSteps:
+    """Moves the slow estimates, once a second."""
+
+    def __init__(
+        self, context: DecisionContext, gates: SharedGates, ranking: FillRanking, slow_start: SlowStart
+    ) -> None:
+        self._context = context
+        self._gates = gates
+        self._ranking = ranking
+        self._slow_start = slow_start
+        self._stepped_at_ms: float | None = None
+
+    def step_if_due(self) -> None:
+        """Learn the load and adjust the fill ranking, if a second has passed; the first call only begins."""
+        now_ms = self._context.now_ms
+        if self._stepped_at_ms is None:
+            self._stepped_at_ms = now_ms
+        elapsed_ms = now_ms - self._stepped_at_ms
+        if elapsed_ms < STEP_INTERVAL_MS:
+            return
+        self._slow_start.end_interval(elapsed_ms, strained=self._gates.fills.share < 1)
+        self._ranking.adjust(fills_strained=self._gates.lowest_share < STRAINED_GATE_SHARE)
+        self._stepped_at_ms = now_ms
+
+
 class PeriodicTasks:
     """Runs what depends on time rather than on events."""
 
@@ -37,8 +62,7 @@
         gates: SharedGates,
         silence: SilenceDetector,
         hedging: Hedging,
-        ranking: FillRanking,
-        slow_start: SlowStart,
+        steps: EstimateSteps,
     ) -> None:
         self._context = context
         self._requests = requests
@@ -47,9 +71,7 @@
         self._gates = gates
         self._silence = silence
         self._hedging = hedging
-        self._ranking = ranking
-        self._slow_start = slow_start
-        self._stepped_at_ms: float | None = None
+        self._steps = steps
 
     def tick(self) -> None:
         """Run what is due, and set the timer of the next tick."""
@@ -59,7 +81,7 @@
             self._gates.record_if_late(attempt)
         self._silence.check()
         self._hedging.send_due()
-        self._step_estimates()
+        self._steps.step_if_due()
 
     def _resume_waiting(self) -> None:
         """Try the requests that have waited longest; one that must wait again queues behind the others."""
@@ -67,15 +89,3 @@
         for request in due[:RESUMED_PER_TICK]:
             self._requests.resume(request)
             self._dispatcher.dispatch(request)
-
-    def _step_estimates(self) -> None:
-        """Once a second, learn the load and adjust the fill ranking."""
-        now_ms = self._context.now_ms
-        if self._stepped_at_ms is None:
-            self._stepped_at_ms = now_ms
-        elapsed_ms = now_ms - self._stepped_at_ms
-        if elapsed_ms < STEP_INTERVAL_MS:
-            return
-        self._slow_start.end_interval(elapsed_ms, strained=self._gates.fills.share < 1)
-        self._ranking.adjust(fills_strained=self._gates.lowest_share < STRAINED_GATE_SHARE)
-        self._stepped_at_ms = now_ms
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -24,7 +24,7 @@
 from thornjunction.policy.fill_ranking import FillRanking
 from thornjunction.policy.hedging import Hedging
 from thornjunction.policy.outcomes import OutcomeLearning
-from thornjunction.policy.periodic import TICK_TOKEN, PeriodicTasks
+from thornjunction.policy.periodic import TICK_TOKEN, EstimateSteps, PeriodicTasks
 from thornjunction.policy.placement import Placement
 from thornjunction.policy.requests import RequestTable
 from thornjunction.policy.retry_policy import RetryPolicy
@@ -39,29 +39,40 @@
         """Build the parts. The same seed and events give the same actions."""
         self.random = random.Random(seed)
         draw = self.random.random
-        self.context = context = DecisionContext(settings, draw)
-        self.requests = requests = RequestTable()
-        self.sizes = sizes = RequestSizes()
-        self.retry_budget = retry_budget = RetryBudget(settings.instances)
-        self.executions = executions = ExecutionTable()
+        context = DecisionContext(settings, draw)
+        self.context = context
+        self.requests = RequestTable()
+        self.sizes = RequestSizes()
+        self.retry_budget = RetryBudget(settings.instances)
+        self.executions = ExecutionTable()
         self.purges = Purges()
-        self.gates = gates = SharedGates(context)
-        self.ranking = ranking = FillRanking(draw)
-        self.placement = placement = Placement(settings, ranking.mean_fetch_ms, draw)
-        slow_start = placement.slow_start
-        planner = FetchPlanner(context, placement, gates, self.purges, ranking)
-        self.attempts = attempts = AttemptLifecycle(context, placement, planner, retry_budget, executions)
-        self.hedging = hedging = Hedging(context, attempts, placement, gates, retry_budget)
-        retry_policy = RetryPolicy(context, placement, retry_budget, executions)
-        self.completion = completion = Completion(context, requests)
-        self.dispatcher = Dispatcher(context, requests, retry_policy, attempts, completion, hedging)
-        self.learning = OutcomeLearning(context, gates, ranking, sizes)
+        self.gates = SharedGates(context)
+        self.ranking = FillRanking(draw)
+        self.placement = Placement(settings, self.ranking.mean_fetch_ms, draw)
+        slow_start = self.placement.slow_start
+        planner = FetchPlanner(context, self.placement, self.gates, self.purges, self.ranking)
+        self.attempts = AttemptLifecycle(context, self.placement, planner, self.retry_budget, self.executions)
+        self.hedging = Hedging(context, self.attempts, self.placement, self.gates, self.retry_budget)
+        retry_policy = RetryPolicy(context, self.placement, self.retry_budget, self.executions)
+        self.completion = Completion(context, self.requests)
+        self.dispatcher = Dispatcher(
+            context, self.requests, retry_policy, self.attempts, self.completion, self.hedging
+        )
+        self.learning = OutcomeLearning(context, self.gates, self.ranking, self.sizes)
         self.admission = RequestAdmission(
-            context, requests, self.dispatcher, completion, sizes, ranking, slow_start, retry_budget
+            context,
+            self.requests,
+            self.dispatcher,
+            self.completion,
+            self.sizes,
+            self.ranking,
+            slow_start,
+            self.retry_budget,
         )
-        silence = SilenceDetector(context, requests, attempts, retry_budget)
+        silence = SilenceDetector(context, self.requests, self.attempts, self.retry_budget)
+        steps = EstimateSteps(context, self.gates, self.ranking, slow_start)
         self.periodic = PeriodicTasks(
-            context, requests, self.dispatcher, attempts, gates, silence, hedging, ranking, slow_start
+            context, self.requests, self.dispatcher, self.attempts, self.gates, silence, self.hedging, steps
         )
         self._adopt(settings)
 
--- a/thornjunction/settings.py
+++ b/thornjunction/settings.py
@@ -76,12 +76,12 @@
 
     def get(self, name: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
         """Return the value of a setting, of the given kind; a bool does not count as a number."""
-        found = self.data.get(name, default)
-        if found is None:
+        value = self.data.get(name, default)
+        if value is None:
             raise MissingSettingError(self.path + name)
-        if not isinstance(found, kind) or (isinstance(found, bool) and kind is not bool):
-            raise InvalidSettingError(self.path + name, found)
-        return found
+        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+            raise InvalidSettingError(self.path + name, value)
+        return value
 
     def number(self, name: str, default: float | None = None) -> float:
         """Return a number that is not negative."""
@@ -89,50 +89,50 @@
 
     def positive(self, name: str) -> float:
         """Return a number above zero."""
-        found = self.number(name)
-        if not found > 0:
-            raise InvalidSettingError(self.path + name, found)
-        return found
+        value = self.number(name)
+        if not value > 0:
+            raise InvalidSettingError(self.path + name, value)
+        return value
 
     def numbers(self, name: str) -> list[float]:
         """Return a list of numbers that are not negative; empty where it is not given."""
-        return [self._checked(name, found) for found in self.get(name, list, [])]
+        return [self._checked(name, value) for value in self.get(name, list, [])]
 
-    def values(self, name: str, kind: type, least: int = 0) -> list[Any]:
-        """Return a list of at least so many values of one kind; empty where none is given or needed."""
-        found: list[Any] = self.get(name, list, None if least else [])
-        if len(found) < least or not all(isinstance(value, kind) for value in found):
-            raise InvalidSettingError(self.path + name, _shown(found))
-        return found
+    def values(self, name: str, kind: type, minimum_count: int = 0) -> list[Any]:
+        """Return a list of values of one kind; empty where none is given and none is needed."""
+        values: list[Any] = self.get(name, list, None if minimum_count else [])
+        if len(values) < minimum_count or not all(isinstance(value, kind) for value in values):
+            raise InvalidSettingError(self.path + name, _shown(values))
+        return values
 
     def choice(self, name: str, options: type[Any], default: str | None = None) -> Any:
         """Return the member of an enum that has the setting's value."""
-        found = self.get(name, str, default)
+        value = self.get(name, str, default)
         try:
-            return options(found)
+            return options(value)
         except ValueError as error:
-            raise InvalidSettingError(self.path + name, found) from error
+            raise InvalidSettingError(self.path + name, value) from error
 
     def section(self, name: str) -> SettingsReader:
         """Return a reader of the settings under a name."""
         return SettingsReader(self.get(name, dict), f"{self.path}{name}.")
 
-    def _checked(self, name: str, found: Any) -> float:
-        is_number = isinstance(found, int | float) and not isinstance(found, bool)
-        if not is_number or not 0 <= found <= LARGEST_NUMBER:
-            raise InvalidSettingError(self.path + name, _shown(found))
-        return float(found)
+    def _checked(self, name: str, value: Any) -> float:
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        if not is_number or not 0 <= value <= LARGEST_NUMBER:
+            raise InvalidSettingError(self.path + name, _shown(value))
+        return float(value)
 
 
-def read_class(data: Any, place: int, special: SettingsReader) -> api.RequestClass:
-    """Return one request class; ``special`` holds lists with a value for each class, by its place."""
-    params = SettingsReader(data, f"classes[{place}].")
+def read_class(data: Any, index: int, special: SettingsReader) -> api.RequestClass:
+    """Return one request class; ``special`` holds lists with a value for each class, by its index."""
+    params = SettingsReader(data, f"classes[{index}].")
     safety = params.choice("idempotency", api.Safety)
     passes = special.values("passOn", bool)
 
     def by_class(name: str) -> float:
-        listed = special.numbers(name)
-        return listed[place] if place < len(listed) else 0.0
+        values = special.numbers(name)
+        return values[index] if index < len(values) else 0.0
 
     return api.RequestClass(
         name=params.get("name", str),
@@ -146,7 +146,7 @@
         memory_ms=params.number("memorySpanMs", None if safety is api.Safety.KEYED else 0.0),
         fresh_ms=by_class("classFreshMs"),
         grace_ms=by_class("staleForMs") if by_class("staleEarns") > 0 else 0.0,
-        passes=place < len(passes) and passes[place],
+        passes=index < len(passes) and passes[index],
     )
 
 
@@ -163,10 +163,10 @@
     allowed = params.section("allowed")
     safety = params.section("safety")
     special = params.section("specifics")
-    zones: list[str] = params.values("zones", str, least=1)
-    classes = params.values("classes", Mapping, least=1)
+    zones: list[str] = params.values("zones", str, minimum_count=1)
+    classes = params.values("classes", Mapping, minimum_count=1)
     common = api.Settings(
-        classes=tuple(read_class(data, place, special) for place, data in enumerate(classes)),
+        classes=tuple(read_class(data, index, special) for index, data in enumerate(classes)),
         zone=params.get("myZone", str),
         instances=int(params.number("instances")),
         zone_fronts={},
@@ -220,12 +220,12 @@
 def read_roles(params: SettingsReader) -> dict[str, api.Role]:
     """Return the roles of the kinds of machine that are not edge caches."""
     special = params.section("specifics")
-    kinds = params.values("machineTypes", str, least=1)
+    kinds = params.values("machineTypes", str, minimum_count=1)
     roles: dict[str, api.Role] = {}
     for name, role in (("secondTierKind", api.Role.PARENT), ("rootKind", api.Role.ORIGIN)):
-        place = special.get(name, int, -1)
-        if 0 <= place < len(kinds):
-            roles[kinds[place]] = role
+        index = special.get(name, int, -1)
+        if 0 <= index < len(kinds):
+            roles[kinds[index]] = role
     return roles
 
 
