--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -1,8 +1,8 @@
 """Which server takes a request: an edge cache by a hash of the object, one of two hashed parents as source.
 
 The ordinary path follows Song et al., section 3.  ``candidates.py`` ranks the servers for an object; here it
-is decided which of them may take this request now.  The ranking is iterated over lazily: a decision looks at
-the first few servers, and at all of them only where none of these is usable.
+is decided which of them may take this request now.  The ranking is iterated over lazily: a decision examines
+the first few servers, and ``SERVERS_EXAMINED`` of them only where none of these is usable.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from thornjunction.estimates import SmoothedMean, mix64
 from thornjunction.limits.idempotency import is_repeat_safe, repeat_window_ms
 from thornjunction.limits.slow_start import SlowStart
-from thornjunction.policy.candidates import CandidateGroup, RankingCache
+from thornjunction.policy.candidates import CANDIDATES_KEPT, CandidateGroup, RankingCache
 from thornjunction.policy.requests import PendingRequest
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
@@ -26,6 +26,8 @@
 CACHE_CHOICES = 2
 # Parents of which the faster one is the source (paper, section 3).
 PARENT_CHOICES = 2
+# Servers that a decision examines at most: where a tenth is usable, all but 1 decision in 10**11 find one.
+SERVERS_EXAMINED = 256
 # A far parent's first byte over a near one's, where outcomes do not tell it.
 FAR_FACTOR = 2.0
 # Time to the first byte of any source, until one was measured; only its being the same matters.
@@ -149,7 +151,8 @@
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
         """All sources for a request, the best first."""
         if not request.request_class.passes:
-            parents = self._candidates(request.object_hash, self.by_role[api.Role.PARENT])
+            ranked = self._candidates(request.object_hash, self.by_role[api.Role.PARENT])
+            parents = islice(ranked, SERVERS_EXAMINED)
             yield from sorted(islice(parents, PARENT_CHOICES), key=self._expected_first_byte_ms)
             yield from parents
         yield from self.by_role[api.Role.ORIGIN]
@@ -200,33 +203,40 @@
         through, goes to the first.
         """
         able = self._able_caches(request, now_ms)
-        for server in able:
-            if server.gate.admits(now_ms, self._draw, request.size_weight, request.class_size_weight):
-                return server
-        is_rejected = request.attempts_started == 0 and not request.request_class.passes
-        return None if is_rejected or not able else able[0]
+        admitted_by = [
+            server
+            for server in able
+            if server.gate.admits(now_ms, self._draw, request.size_weight, request.class_size_weight)
+        ]
+        if admitted_by:
+            return admitted_by[0]
+        must_go = request.attempts_started > 0 or request.request_class.passes
+        return able[0] if able and must_go else None
 
     def _able_caches(self, request: PendingRequest, now_ms: float) -> list[Upstream]:
-        """The best caches for the next attempt, two at most, all of the best fitness that any has."""
+        """The best caches for the next attempt, two at most, all of the best fitness that any has.
+
+        The first few are examined in any case: so the windows in which cold ones have their budgets go on
+        however seldom these are needed.
+        """
         untried: list[Upstream] = []
         others: list[tuple[Fitness, Upstream]] = []
-        for server in self._candidates(request.object_hash, self.by_role[api.Role.EDGE]):
+        ranked = self._candidates(request.object_hash, self.by_role[api.Role.EDGE])
+        for place, server in enumerate(self._repeatable(request, ranked, now_ms), start=1):
             fitness = self._fitness(request, server, now_ms)
             if fitness is Fitness.UNTRIED:
                 untried.append(server)
-                if len(untried) == CACHE_CHOICES:
-                    return untried
             elif fitness is not None:
                 others.append((fitness, server))
+            if place >= CANDIDATES_KEPT and len(untried) >= CACHE_CHOICES:
+                break
         if untried or not others:
-            return untried
+            return untried[:CACHE_CHOICES]
         best = min(fitness for fitness, _ in others)
         return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
 
     def _fitness(self, request: PendingRequest, server: Upstream, now_ms: float) -> Fitness | None:
         """How fit a cache is for the next attempt of this request; None: it must not get it."""
-        if not self.may_repeat_at(request, server, now_ms):
-            return None
         if not self.within_budget(server, request.cache_cost_ms, now_ms):
             return None
         is_tried = server.id in request.tried_servers
@@ -236,6 +246,15 @@
             return None
         return Fitness.EJECTED_TRIED if is_tried else Fitness.EJECTED_UNTRIED
 
+    def _repeatable(
+        self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
+    ) -> Iterator[Upstream]:
+        """Those of the servers that the request may be sent to by rule 2, ``SERVERS_EXAMINED`` at most."""
+        if request.possible_execution is None:
+            return islice(servers, SERVERS_EXAMINED)
+        allowed = (server for server in servers if self.may_repeat_at(request, server, now_ms))
+        return islice(allowed, SERVERS_EXAMINED)
+
     def may_repeat_at(self, request: PendingRequest, server: Upstream, now_ms: float) -> bool:
         """Rule 2: what may have been executed is sent again only where and while its repeat is discarded."""
         request_class = request.request_class
@@ -256,11 +275,13 @@
 
         So where all that may take it are unreachable, or cold and past a budget that will grow.
         """
+        caches = self.by_role[api.Role.EDGE]
+        # A small group is examined whole, in any order; ranking it would take longer.
+        is_small = len(caches) <= SERVERS_EXAMINED
+        servers = iter(caches) if is_small else self._candidates(request.object_hash, caches)
         may_take_later = False
-        for server in self.by_role[api.Role.EDGE]:
-            if not self.may_repeat_at(request, server, now_ms):
-                continue
-            if not server.is_unreachable and self.within_budget(server, request.cache_cost_ms, now_ms):
+        for server in self._repeatable(request, servers, now_ms):
+            if self.within_budget(server, request.cache_cost_ms, now_ms) and not server.is_unreachable:
                 return False
             may_take_later = True
         return may_take_later
