--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -18,6 +18,8 @@
 WINDOW_BUDGET_SHARE = 0.5
 # Share of the load that reaches the parents, where the settings tell no capacities.
 PARENT_LOAD_SHARE = 0.25
+# Start of a server that was warm when it was first listed.
+LONG_AGO_MS = -math.inf
 
 
 class SlowStartWindow:
@@ -25,7 +27,7 @@
 
     def __init__(self, started_ms: float) -> None:
         """Begin with a server that started at this time; 0 stands for long ago."""
-        self.cold_since_ms = started_ms if started_ms > 0 else -math.inf
+        self.cold_since_ms = started_ms if started_ms > 0 else LONG_AGO_MS
         self.spent_ms = 0.0
         # Part of a whole window that the present one lasts, and with it of the budget.
         self.length_share = 1.0
@@ -145,6 +147,8 @@
         self, entry: api.ServerEntry, window: SlowStartWindow, transfer_ms: float, now_ms: float
     ) -> bool:
         """Decide whether one more request of this transfer time fits this window's share."""
+        if window.cold_since_ms == LONG_AGO_MS:  # as most servers are
+            return True
         rate = self._budgeted_rate(entry, window, now_ms)
         if rate is None:
             return True
@@ -155,13 +159,13 @@
         self, entry: api.ServerEntry, window: SlowStartWindow, transfer_ms: float, now_ms: float
     ) -> None:
         """Count a request that is sent against this window's share."""
+        if window.cold_since_ms == LONG_AGO_MS:
+            return
         if self._budgeted_rate(entry, window, now_ms) is not None:
             window.spent_ms += transfer_ms
 
     def _budgeted_rate(self, entry: api.ServerEntry, window: SlowStartWindow, now_ms: float) -> float | None:
         """Return a cold server's rate, in the window that lies at this time; None for a warm server."""
-        if window.cold_since_ms == -math.inf:
-            return None
         rate = self.rate(entry, window, now_ms)
         if rate == math.inf:
             return None
--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -17,7 +17,7 @@
 # Errors after which the request itself is at fault: one bad request must not spend all its attempts.
 MOST_ERRORS = 3
 # Ends that say little of the server: one answer was lost, and what it holds is not.
-LOST_ANSWERS = frozenset({api.Status.RESET, api.Status.ERROR})
+LOST_ANSWERS = (api.Status.RESET, api.Status.ERROR)
 
 
 class Dispatcher:
--- a/thornjunction/policy/outcomes.py
+++ b/thornjunction/policy/outcomes.py
@@ -13,9 +13,9 @@
 from thornjunction.policy.shared_gates import SharedGates
 
 # Ends that say nothing of who was asked: this router ended the attempt itself.
-ENDED_BY_ROUTER = frozenset({api.Status.CANCELLED, api.Status.SKIPPED})
+ENDED_BY_ROUTER = (api.Status.CANCELLED, api.Status.SKIPPED)
 # Ends that show a cache in order: it served, or said that it does not have the object.
-IN_ORDER = frozenset({api.Status.DONE, api.Status.MISS})
+IN_ORDER = (api.Status.DONE, api.Status.MISS)
 # Notes of a fill that succeeded, and of an outcome that speaks of the origin.
 FILLED = frozenset({api.Note.FILLED, api.Note.FILLED_FROM_ORIGIN})
 FROM_ORIGIN = frozenset({api.Note.FILLED_FROM_ORIGIN, api.Note.ORIGIN_FAILED})
