--- a/thornjunction/limits/admission_gates.py
+++ b/thornjunction/limits/admission_gates.py
@@ -37,7 +37,7 @@
     def __init__(self, recovery_per_ms: float = RECOVERY_PER_MS) -> None:
         self.recovery_per_ms = recovery_per_ms
         self.share = 1.0
-        self._updated_at_ms = 0.0
+        self.updated_at_ms = 0.0
         self._last_answer_at_ms = -math.inf
 
     def record(self, now_ms: float, *, late: bool) -> None:
@@ -54,9 +54,9 @@
     def current_share(self, now_ms: float) -> float:
         """Return the share of work that is admitted now, with what time alone has regained."""
         if self.share < 1.0:
-            elapsed_ms = max(now_ms - self._updated_at_ms, 0.0)
+            elapsed_ms = max(now_ms - self.updated_at_ms, 0.0)
             self.share = min(self.share + self.recovery_per_ms * elapsed_ms, 1.0)
-        self._updated_at_ms = now_ms
+        self.updated_at_ms = now_ms
         return self.share
 
     def admits(
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -55,9 +55,9 @@
         self.caches: dict[str, CandidateGroup[Upstream]] = {}  # edges by zone
         self._mean_fetch_ms = mean_fetch_ms  # to the first byte of a fill, of all sources
         self._draw = draw
-        self._rankings = RankingCache()
+        self.rankings = RankingCache()
         self.by_role: dict[api.Role, CandidateGroup[Upstream]] = {  # edges: of this zone
-            role: CandidateGroup(self._rankings) for role in api.Role
+            role: CandidateGroup(self.rankings) for role in api.Role
         }
 
     def adopt(self, settings: api.Settings) -> None:
@@ -114,7 +114,7 @@
         """The edge caches of a zone."""
         group = self.caches.get(zone)
         if group is None:
-            group = self.caches[zone] = CandidateGroup(self._rankings)
+            group = self.caches[zone] = CandidateGroup(self.rankings)
         return group
 
     def count_unavailable(self, listed: Iterable[str], now_ms: float) -> int:
