--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,7 +11,7 @@
 
 from tests.helpers import KEYED, ORIGIN, Bench, edge, fetch_of, parent
 from thornjunction import interface as api
-from thornjunction.estimates import mix, rendezvous
+from thornjunction.estimates import mix64, rendezvous_score
 from thornjunction.policy import candidates
 from thornjunction.policy.candidates import (
     CANDIDATES_KEPT,
@@ -23,7 +23,7 @@
 from thornjunction.policy.placement import SERVERS_EXAMINED
 
 SMALL, BLENDED, LARGE = EXACT_MOST, EXACT_MOST + TABLE_BLEND // 2, EXACT_MOST + 2 * TABLE_BLEND
-OBJECTS = [mix(number) for number in range(2_000)]
+OBJECTS = [mix64(number) for number in range(2_000)]
 
 
 def group_of(count: int, weight: float = 8.0) -> CandidateGroup[str]:
@@ -41,7 +41,7 @@
     group = group_of(SMALL)
 
     def score(server: str) -> float:
-        return rendezvous(OBJECTS[0], mix(candidates.zlib.crc32(server.encode())), 8.0)
+        return rendezvous_score(OBJECTS[0], mix64(candidates.zlib.crc32(server.encode())), 8.0)
 
     assert list(group.candidates(OBJECTS[0], True)) == sorted(group, key=score, reverse=True)
 
@@ -98,16 +98,16 @@
 
     def counted_mix(value: int) -> int:
         calls["mix"] += 1
-        return mix(value)
+        return mix64(value)
 
     def counted_draws(object_hash: int, count: int) -> list[int]:
         drawn.append(count)
         return list(draw(object_hash, count))
 
     draw = candidates._draw_slots
-    monkeypatch.setattr(candidates, "mix", counted_mix)
+    monkeypatch.setattr(candidates, "mix64", counted_mix)
     monkeypatch.setattr(candidates, "_draw_slots", counted_draws)
-    monkeypatch.setattr(candidates, "rendezvous", None)  # not called at all
+    monkeypatch.setattr(candidates, "rendezvous_score", None)  # not called at all
     for count in (LARGE, 8 * LARGE):
         group = group_of(count)
         calls.clear(), drawn.clear()
@@ -137,14 +137,14 @@
     entries = [edge(f"edge{number}") for number in range(count)]
     bench = Bench(entries=(*entries, parent("parent0"), ORIGIN))
     able = {entry.server for entry in random.Random(1).sample(entries, max(int(count * able_share), 1))}
-    for server in bench.router.places.servers.values():
+    for server in bench.router.placement.servers.values():
         if server.entry.role is api.Role.EDGE and server.id not in able:
             if trouble == "ejected":
-                server.eject(bench.now)
+                server.outliers.eject(bench.now)
             else:
-                server.bucket.cold_since = bench.now
-                server.bucket.turn(bench.now, 1_000.0, bench.router.random.random)
-                server.bucket.spent = 1e9
+                server.slow_start_window.cold_since_ms = bench.now
+                server.slow_start_window.advance(bench.now, 1_000.0, bench.router.random.random)
+                server.slow_start_window.spent_ms = 1e9
     return bench, able
 
 
@@ -174,14 +174,14 @@
         examined.append(entry.server)
         return False
 
-    monkeypatch.setattr(bench.router.places.cold, "within", never_within)
+    monkeypatch.setattr(bench.router.placement.slow_start, "admits", never_within)
     bench.ask()
     assert 0 < len(examined) <= 3 * SERVERS_EXAMINED  # a cache, a source, and whether to wait
 
 
 def test_a_list_moves_servers_between_zones_and_forgets_who_is_not_on_it() -> None:
     bench = Bench(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
-    places = bench.router.places
+    places = bench.router.placement
     bench.give(api.Servers((edge("b", zone="there"), edge("c")), whole=False))
     assert {zone: [server.id for server in group] for zone, group in places.caches.items()} == {
         "here": ["a", "c"],
--- a/tests/test_shelf_endings.py
+++ b/tests/test_shelf_endings.py
@@ -101,7 +101,7 @@
             "hurried": lambda _: self.engine.answer_all_now(),
             "overdue": lambda _: self.engine._backstop_due(next(iter(self.engine.requests))),
         }
-        ran = self.engine.router.effects.ran
+        ran = self.engine.router.executions.by_key
         for how, end in ends.items():
             door = self.rig.deafen("origin")  # where keyed requests go straight
             client = yield self.rig.client(3, FastCgiClient)
