--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -53,8 +53,8 @@
         return told
 reactor._poller = poller = Poller(reactor._poller)
 atexit.register(lambda: print(json.dumps(poller.turns), flush=True))
-from thornjunction.runtime.start import serve_or_demo
-sys.exit(serve_or_demo(os.environ))
+from thornjunction.program import run_program
+sys.exit(run_program(os.environ))
 """
 
 
--- a/packages/standins/tests/test_standins.py
+++ b/packages/standins/tests/test_standins.py
@@ -62,15 +62,15 @@
 ) -> None:
     monkeypatch.setattr(start, "find_spec", lambda _: None)
     monkeypatch.setattr(sys, "path", list(sys.path))
-    start.find_standins()
+    start.make_fakes_importable()
     assert (Path(sys.path[-1]) / "standins" / "plain.py").is_file()
 
 
 def test_a_router_with_a_configuration_knows_no_stand_in(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text("{")
     code = (
-        "import os, sys; from pathlib import Path; from thornjunction.runtime.start import serve_or_demo;"
-        "serve_or_demo(os.environ, Path('none.toml'));"
+        "import os, sys; from pathlib import Path; from thornjunction.program import run_program;"
+        "run_program(os.environ, Path('none.toml'));"
         "import thornjunction.runtime.service;"
         "print(sorted(n for n in sys.modules if n.startswith(('standins', 'fleet_', 'thornjunction.demo'))))"
     )
--- a/tests/errno_launcher.py
+++ b/tests/errno_launcher.py
@@ -33,9 +33,9 @@
 def main() -> int:
     for fault in json.loads(os.environ["SOCKET_FAULTS"]):
         install(fault)
-    from thornjunction.runtime.start import serve_or_demo
+    from thornjunction.program import run_program
 
-    return serve_or_demo(os.environ)
+    return run_program(os.environ)
 
 
 if __name__ == "__main__":
--- a/thornjunction/__init__.py
+++ b/thornjunction/__init__.py
@@ -1,4 +1,4 @@
-"""thornjunction: the decisions of a request router before tiers of caches."""
+"""thornjunction: a request router before tiers of caches with one origin behind them."""
 
 from thornjunction.interface import Settings
 from thornjunction.policy.router import Router
--- a/thornjunction/__main__.py
+++ b/thornjunction/__main__.py
@@ -1,14 +1,22 @@
-"""``python -m thornjunction [COMMAND]``: the command line; with none, one real request router, which pays for
-no command's libraries."""
+"""``python -m thornjunction [COMMAND]``.
+
+Without a command the program serves and loads none of the command line's libraries.
+"""
 
 import os
 import sys
 
-if __name__ == "__main__":
+
+def main() -> None:
+    """Run the program, or the command that the arguments name."""
     if len(sys.argv) == 1:
-        from thornjunction.runtime.start import serve_or_demo
+        from thornjunction.program import run_program
 
-        sys.exit(serve_or_demo(os.environ))
-    from thornjunction.cli import main
+        sys.exit(run_program(os.environ))
+    from thornjunction.cli import main as command_line
 
-    main(prog_name="thornjunction")
+    command_line(prog_name="thornjunction")
+
+
+if __name__ == "__main__":
+    main()
--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -1,6 +1,7 @@
-"""The command line: ``thornjunction [run|sim|check|token|keys]``; with no sub-command it serves, as
-the deploy file's ``python -m thornjunction`` does.  Faults of a file exit 2 and name the key; nothing here
-logs a token or a key."""
+"""The command line: ``thornjunction [run|sim|check|token|keys]``; without a sub-command it serves.
+
+A faulty file exits with 2 and a message that names the key.  Nothing here logs a token or a key.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +10,80 @@
 import os
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import click
 from joserfc.jwk import ECKey, OctKey
 
+from thornjunction.program import EXIT_FAULTY_CONFIGURATION, EXTRAS_PATH, run_program
 from thornjunction.runtime.config import ConfigError, load_config
-from thornjunction.runtime.control_settings import load_relay
+from thornjunction.runtime.control_settings import RelaySettings, load_relay
 from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.extras import SignedFront, load_extras
-from thornjunction.runtime.start import EXTRAS, serve_or_demo
 from thornjunction.signing import keyset, tokens
 from thornjunction.signing.replay import ReplayWindow
 
-EXTRAS_OPTION = click.option("--extras", type=click.Path(path_type=Path), default=EXTRAS, show_default=True)
+EXIT_REFUSED = 1
+MAX_LIFETIME_S = 31 * 86_400
+DEFAULT_LIFETIME_S = 3_600
+JWT_PARTS = 3
+"""Header, claims and signature, divided by dots (RFC 7515)."""
+OCT_KEY_BITS = 256
+KEY_FILE_MODE = 0o600
+"""The key set holds private keys: its owner alone reads it."""
+QUERY_PARAMETER = "URISigningPackage"
+
+Result = TypeVar("Result")
+
+
+class MissingConfigError(click.UsageError):
+    """``check`` without a file, where the operators' file describes no relay."""
+
+    def __init__(self) -> None:
+        super().__init__("Missing argument 'CONFIG': only a relay has none")
+
+
+class NoSignedFrontError(click.ClickException):
+    """The operators' file has no signed-URL front."""
+
+    def __init__(self, extras: Path) -> None:
+        super().__init__(f"no [signed] in {extras}")
+
+
+class NoKeySetError(click.ClickException):
+    """The operators' file lists its keys one file each."""
+
+    def __init__(self) -> None:
+        super().__init__("no signed.keyset in the extras: keys are listed one file each")
+
+
+class KeySetNotWrittenError(click.ClickException):
+    """The key set could not be replaced."""
+
+    def __init__(self, path: Path, error: OSError) -> None:
+        super().__init__(f"{path.name} stays as it was: {error.strerror}")
+
+
+class ForeignUrlError(click.ClickException):
+    """A URL that is not the front's."""
+
+    def __init__(self, base: str) -> None:
+        super().__init__(f"not under {base}")
+
+
+class NotAJwtError(click.ClickException):
+    """A text that is no signed JWT."""
+
+    def __init__(self) -> None:
+        super().__init__("not a signed JWT")
+
+
+EXTRAS_OPTION = click.option(
+    "--extras", type=click.Path(path_type=Path), default=EXTRAS_PATH, show_default=True
+)
+CONFIG_TYPE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.group(invoke_without_command=True)
@@ -37,34 +97,37 @@
 @main.command()
 @EXTRAS_OPTION
 def run(extras: Path) -> None:
-    """Serve until SIGTERM; the configuration is the file that PROXY_CONFIG names, and without it a demo
-    with stand-in shelfs on loopback."""
-    sys.exit(serve_or_demo(os.environ, extras))
+    """Serve until SIGTERM.
+
+    The configuration is the file that PROXY_CONFIG names; without it a demo with fake cache servers on
+    loopback is served.
+    """
+    sys.exit(run_program(os.environ, extras))
 
 
 @main.command()
 def sim() -> None:
     """The same decisions on the simulator's wire, standard input to output."""
-    from thornjunction.adapter import main as adapter
+    from thornjunction.adapter import main as run_adapter
 
-    sys.exit(adapter())
+    sys.exit(run_adapter())
 
 
 @main.command()
-@click.argument("config", required=False, type=click.Path(exists=True, dir_okay=False, path_type=Path))
+@click.argument("config", required=False, type=CONFIG_TYPE)
 @EXTRAS_OPTION
 def check(config: Path | None, extras: Path) -> None:
     """Check a configuration and the operators' extras without starting.  A relay has no CONFIG."""
-    relay = _or_exit(lambda: load_relay(extras, os.environ)) if extras.exists() else None
+    relay = _load_relay_or_exit(extras)
     if relay is not None:
         click.echo(f"{relay.name}: a relay of {len(relay.upstreams)} upstreams; ok")
         return
     if config is None:
-        raise click.UsageError("Missing argument 'CONFIG': only a relay has none")
-    loaded = _or_exit(lambda: load_config(os.environ | {"PROXY_CONFIG": str(config)}))
-    found = _or_exit(lambda: load_extras(extras))
-    fronts = "signed" if found.signed else "platform only"
-    click.echo(f"{config.name}: {len(loaded.settings.classes)} classes, {fronts}; ok")
+        raise MissingConfigError
+    router_config = _exit_if_faulty(lambda: load_config(os.environ | {"PROXY_CONFIG": str(config)}))
+    operators_extras = _exit_if_faulty(lambda: load_extras(extras))
+    fronts = "signed" if operators_extras.signed else "platform only"
+    click.echo(f"{config.name}: {len(router_config.settings.classes)} classes, {fronts}; ok")
 
 
 @main.group()
@@ -75,18 +138,26 @@
 @token.command("issue")
 @click.argument("path")
 @EXTRAS_OPTION
-@click.option("--lifetime", type=click.IntRange(1, 31 * 86_400), default=3600, help="seconds")
+@click.option(
+    "--lifetime", type=click.IntRange(1, MAX_LIFETIME_S), default=DEFAULT_LIFETIME_S, help="seconds"
+)
 @click.option("--renew", type=click.IntRange(0), default=0, help="seconds that each renewed cookie lives")
 @click.option("--jti", default="", help="an id, so that the token is taken once")
 @click.option("--client", default="", help="bind to a client's address (cdniip)")
 def issue(path: str, extras: Path, lifetime: int, renew: int, jti: str, client: str) -> None:
     """Print a signed URL for PATH, as /CLASS/GROUP/OBJECT/PART."""
-    front = _front(extras)
+    front = _load_signed_front(extras)
     uri = front.base + path
-    claims: dict[str, Any] = {"cdniets": renew, "cdnistt": tokens.COOKIE} if renew else {}
-    claims |= ({"jti": jti} if jti else {}) | ({"cdniip": client} if client else {})
-    made = tokens.issue(front.trust, f"hash:{tokens.hash_of(uri)}", time.time(), lifetime, **claims)
-    click.echo(f"{uri}{'&' if '?' in uri else '?'}URISigningPackage={made}")
+    claims: dict[str, Any] = {}
+    if renew:
+        claims |= {"cdniets": renew, "cdnistt": tokens.COOKIE}
+    if jti:
+        claims["jti"] = jti
+    if client:
+        claims["cdniip"] = client
+    signed_token = tokens.issue(front.trust, f"hash:{tokens.hash_of(uri)}", time.time(), lifetime, **claims)
+    separator = "&" if "?" in uri else "?"
+    click.echo(f"{uri}{separator}{QUERY_PARAMETER}={signed_token}")
 
 
 @token.command("verify")
@@ -98,16 +169,17 @@
     from thornjunction.net.wire import http1, signed
     from thornjunction.signing.address import parse
 
-    front = _front(extras)
+    front = _load_signed_front(extras)
     if not url.startswith(front.base):
-        raise click.ClickException(f"not under {front.base}")
+        raise ForeignUrlError(front.base)
     request = http1.HttpRequest("GET", url[len(front.base) :], {}, b"", True)
     try:
-        target, told = signed.split_token(request)
-        tokens.verify(told, front.base + target, front.trust, ReplayWindow(), time.time(), parse(client))
+        target, signed_token = signed.split_token(request)
+        uri = front.base + target
+        tokens.verify(signed_token, uri, front.trust, ReplayWindow(), time.time(), parse(client))
     except (signed.MisuseError, tokens.TokenError) as error:
         click.echo(f"refused {error.status} {error.code}")
-        sys.exit(1)
+        sys.exit(EXIT_REFUSED)
     click.echo("admitted")
 
 
@@ -115,13 +187,14 @@
 @click.argument("text")
 def inspect(text: str) -> None:
     """Print a token's header and claims, unverified, as JSON."""
-    parts = text.rpartition("URISigningPackage=")[2].split("&")[0].split(".")
-    if len(parts) != 3:
-        raise click.ClickException("not a signed JWT")
+    parts = text.rpartition(f"{QUERY_PARAMETER}=")[2].split("&")[0].split(".")
+    if len(parts) != JWT_PARTS:
+        raise NotAJwtError
     try:
-        header, claims = (json.loads(base64.urlsafe_b64decode(p + "=" * (-len(p) % 4))) for p in parts[:2])
+        header = _decode_part(parts[0])
+        claims = _decode_part(parts[1])
     except ValueError as error:
-        raise click.ClickException("not a signed JWT") from error
+        raise NotAJwtError from error
     click.echo(json.dumps({"header": header, "claims": claims}, indent=2, sort_keys=True))
 
 
@@ -134,7 +207,7 @@
 @EXTRAS_OPTION
 def list_keys(extras: Path) -> None:
     """Print each key: kid, algorithm, retirement (Unix seconds) and whether it signs."""
-    front = _front(extras)
+    front = _load_signed_front(extras)
     for kid, key in sorted(front.trust.keys.items()):
         signs = " signs" if kid == front.trust.sign_with else ""
         click.echo(f"{kid} {key.algorithm} until={key.until if key.until else '-'}{signs}")
@@ -146,32 +219,51 @@
 @click.option("--algorithm", type=click.Choice(["ES256", "HS256"]), default="ES256", show_default=True)
 def rotate(extras: Path, kid: str, algorithm: str) -> None:
     """Add a new key to the key set file, written whole; the router takes it within keys_every_s."""
-    front = _front(extras)
+    front = _load_signed_front(extras)
     if front.keyset is None:
-        raise click.ClickException("no signed.keyset in the extras: keys are listed one file each")
+        raise NoKeySetError
     path = front.keyset.path
-    told = json.loads(path.read_bytes())
-    made = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.generate_key(256)
-    told["keys"].append({"kid": kid, "alg": algorithm, "use": "sig", **made.as_dict(private=True)})
-    data = json.dumps(told, indent=2).encode()
-    _or_exit(lambda: keyset.read(data, front.trust.algorithms, {}))
+    key_set = json.loads(path.read_bytes())
+    key_set["keys"].append(_generate_key(kid, algorithm))
+    data = json.dumps(key_set, indent=2).encode()
+    _exit_if_faulty(lambda: keyset.read(data, front.trust.algorithms, {}))
     try:
-        replace_file(path, data, mode=0o600)
+        replace_file(path, data, mode=KEY_FILE_MODE)
     except OSError as error:
-        raise click.ClickException(f"{path.name} stays as it was: {error.strerror}") from error
-    click.echo(f"added {kid} {algorithm} to {path.name}; {len(told['keys'])} keys")
+        raise KeySetNotWrittenError(path, error) from error
+    click.echo(f"added {kid} {algorithm} to {path.name}; {len(key_set['keys'])} keys")
+
+
+def _generate_key(kid: str, algorithm: str) -> dict[str, Any]:
+    """A new private key as a JSON Web Key (RFC 7517)."""
+    key = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.generate_key(OCT_KEY_BITS)
+    return {"kid": kid, "alg": algorithm, "use": "sig", **key.as_dict(private=True)}
+
+
+def _decode_part(text: str) -> Any:
+    """A part of a JWT: JSON in base64url without padding (RFC 7515).  Raises ValueError."""
+    padding = "=" * (-len(text) % 4)
+    return json.loads(base64.urlsafe_b64decode(text + padding))
+
+
+def _load_relay_or_exit(extras: Path) -> RelaySettings | None:
+    if not extras.exists():
+        return None
+    return _exit_if_faulty(lambda: load_relay(extras, os.environ))
 
 
-def _front(extras: Path) -> SignedFront:
-    front: SignedFront | None = _or_exit(lambda: load_extras(extras)).signed
+def _load_signed_front(extras: Path) -> SignedFront:
+    """The signed-URL front of the operators' file, which must have one."""
+    front = _exit_if_faulty(lambda: load_extras(extras)).signed
     if front is None:
-        raise click.ClickException(f"no [signed] in {extras}")
+        raise NoSignedFrontError(extras)
     return front
 
 
-def _or_exit(call: Any) -> Any:
+def _exit_if_faulty(load: Callable[[], Result]) -> Result:
+    """What ``load`` returns; the fault of a file is named on standard error and ends the program."""
     try:
-        return call()
+        return load()
     except (ConfigError, keyset.KeySetError) as error:
         click.echo(f"thornjunction: {error}", err=True)
-        sys.exit(2)
+        sys.exit(EXIT_FAULTY_CONFIGURATION)
--- a/thornjunction/demo/__init__.py
+++ b/thornjunction/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A router that serves on a fresh machine: stand-in shelfs and discovery on loopback, and both fronts."""
+"""A router that serves on a fresh machine: fake cache servers and discovery on loopback, and both fronts."""
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -1,6 +1,8 @@
-"""``thornjunction run`` where no PROXY_CONFIG is set: the demo.  Two stand-in shelfs (an edge and the
-origin) and a discovery stand-in listen on free loopback ports, the router takes an embedded configuration,
-and both fronts serve; what to send them is printed."""
+"""The demo: ``thornjunction run`` where no ``PROXY_CONFIG`` is set.
+
+Two fake cache servers (an edge and the origin) and a fake discovery listen on free loopback ports, the router
+takes an embedded configuration, and both fronts serve.  What to send them is printed.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +10,10 @@
 import secrets
 import sys
 import time
+from dataclasses import dataclass
 from importlib.util import find_spec
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from joserfc.jwk import OctKey
 
@@ -20,63 +23,94 @@
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
-CLIP = "/clips/1/00000000000000ff/0"
-STANDINS = Path(__file__).resolve().parents[2] / "packages" / "standins" / "src"
+if TYPE_CHECKING:
+    from thornjunction.runtime.service import Service
+
+EXAMPLE_PATH = "/clips/1/00000000000000ff/0"
+"""Class, group, object and part of the request that the greeting proposes."""
+
+FAKES_FOLDER = Path(__file__).resolve().parents[2] / "packages" / "standins" / "src"
+SOCKETS = 90
+"""Limit of the demo's router: it serves one newcomer."""
+
+TOKEN_LIFETIME_S = 3600
+SECRET_BYTES = 32
+REPLAY_WINDOW_BYTES = 1 << 20
+
+
+@dataclass(frozen=True, slots=True)
+class Demo:
+    """A router before its fakes, built and not yet started."""
+
+    service: Service
+    greeting: str
+
+    def run(self) -> int:
+        """Print the greeting, serve until SIGTERM and return the exit code."""
+        print(self.greeting, flush=True)
+        return self.service.run()
+
 
+def build_demo(reactor: Any) -> Demo:
+    """Start the fakes and build a router before them."""
+    from thornjunction.runtime.service import Service  # Twisted's parts need the reactor to be installed
 
-def find_standins() -> None:
-    """Guards the demo against a tree built by ``make build``: that installs what the platform runs, and the
-    stand-ins lie beside it."""
+    config = _start_fakes(reactor)
+    front = _signed_front()
+    service = Service(config, Extras(signed=front), reactor, Counters(), lambda: config)
+    return Demo(service, _greeting(config, front))
+
+
+def make_fakes_importable() -> None:
+    """Guards the demo in a tree built by ``make build``, which doesn't install the fakes beside it."""
     if find_spec("standins") is None:
-        sys.path.append(str(STANDINS))
+        sys.path.append(str(FAKES_FOLDER))
 
 
-def demo_config(reactor: Any) -> tuple[Config, Extras]:
-    """Start the stand-ins; the router's configuration and extras that point at them."""
-    find_standins()
+def _start_fakes(reactor: Any) -> Config:
+    """Start the fake cache servers and discovery; the configuration of a router that uses them."""
+    make_fakes_importable()
     from standins.config import SETTINGS, free_port, listed, listen
     from standins.plain import DemoDiscovery, DemoShelf
 
-    edge, origin = listen(reactor, DemoShelf), listen(reactor, DemoShelf)
+    edge_port = listen(reactor, DemoShelf)
+    origin_port = listen(reactor, DemoShelf)
     hosts = [
-        *listed("box", at=f"127.0.0.1:{edge}", site="demo")["cmds"][0]["nodes"]["hosts"],
-        *listed("root", at=f"127.0.0.1:{origin}", site="demo")["cmds"][0]["nodes"]["hosts"],
+        *listed("box", at=f"127.0.0.1:{edge_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
+        *listed("root", at=f"127.0.0.1:{origin_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
     ]
-    discovery = listen(reactor, lambda: DemoDiscovery(hosts, reactor))
-    told: dict[str, Any] = {
+    discovery_port = listen(reactor, lambda: DemoDiscovery(hosts, reactor))
+    configuration: dict[str, Any] = {
         "name": "demo",
         "listen": f"127.0.0.1:{free_port()}",
-        "channel": f"127.0.0.1:{discovery}",
+        "channel": f"127.0.0.1:{discovery_port}",
+        "settings": SETTINGS,
+        "limits": {"sockets": SOCKETS},
+        "known": {"cursor": 0, "cmds": []},
     }
-    told |= {"settings": SETTINGS, "limits": {"sockets": 90}, "known": {"cursor": 0, "cmds": []}}
-    config = parse_config(json.dumps(told).encode(), {})
-    key = tokens.SigningKey("demo", "HS256", OctKey.import_key(secrets.token_bytes(32)))
+    return parse_config(json.dumps(configuration).encode(), {})
+
+
+def _signed_front() -> SignedFront:
+    """A signed-URL front on a free port, with a key that this process alone knows."""
+    from standins.config import free_port
+
+    key = tokens.SigningKey("demo", "HS256", OctKey.import_key(secrets.token_bytes(SECRET_BYTES)))
     trust = tokens.Trust(frozenset({"demo"}), "thornjunction", ("HS256",), {"demo": key}, "demo")
-    listen_at = ("127.0.0.1", free_port())
-    base = f"http://127.0.0.1:{listen_at[1]}"
-    return config, Extras(signed=SignedFront(listen_at, base, trust, ReplayWindow(1 << 20)))
+    port = free_port()
+    base = f"http://127.0.0.1:{port}"
+    return SignedFront(("127.0.0.1", port), base, trust, ReplayWindow(REPLAY_WINDOW_BYTES))
 
 
-def greeting(config: Config, extras: Extras) -> str:
-    """What to tell the newcomer: where each front listens, and a signed URL to try."""
-    front = extras.signed
-    assert front is not None
-    token = tokens.issue(front.trust, "hash:" + tokens.hash_of(front.base + CLIP), time.time(), 3600)
+def _greeting(config: Config, front: SignedFront) -> str:
+    """What the newcomer reads: where each front listens, and a signed URL to try."""
+    container = "hash:" + tokens.hash_of(front.base + EXAMPLE_PATH)
+    token = tokens.issue(front.trust, container, time.time(), TOKEN_LIFETIME_S)
     host, port = config.listen
     return (
         "thornjunction demo: no PROXY_CONFIG, so stand-in shelfs and discovery run on loopback.\n"
         f"  platform front (FastCGI): {host}:{port}\n"
         f"  signed front, a clip: curl -s -o /dev/null -w '%{{http_code}}\\n' \\\n"
-        f"    '{front.base}{CLIP}?URISigningPackage={token}'\n"
+        f"    '{front.base}{EXAMPLE_PATH}?URISigningPackage={token}'\n"
         "  SIGTERM or Ctrl-C ends it."
     )
-
-
-def serve_demo(reactor: Any) -> int:
-    """Run the demo until SIGTERM; the exit code."""
-    from thornjunction.runtime.service import Service
-
-    config, extras = demo_config(reactor)
-    service = Service(config, extras, reactor, Counters(), lambda: config)
-    print(greeting(config, extras), flush=True)
-    return service.run()
--- /dev/null
+++ b/thornjunction/program.py
@@ -0,0 +1,48 @@
+"""What a process is: a relay, a request router or a demo, chosen by its files and environment."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Mapping
+from pathlib import Path
+
+from thornjunction import logs
+from thornjunction.runtime.config import ConfigError
+from thornjunction.runtime.start import Process, build_relay, build_router, run_process
+
+EXTRAS_PATH = Path(__file__).resolve().parent.parent / "deploy" / "extras.toml"
+"""The operators' own file."""
+
+EXIT_FAULTY_CONFIGURATION = 2
+
+
+def run_program(environ: Mapping[str, str], extras_path: Path = EXTRAS_PATH) -> int:
+    """Run until SIGTERM and return the exit code.
+
+    The code is 0, or 1 where a port could not be opened.  A faulty configuration is named on standard error
+    and gives 2.
+    """
+    logs.to_stream(sys.stderr)
+    try:
+        process = _build_process(environ, extras_path)
+    except ConfigError as error:
+        print(f"thornjunction: {error}", file=sys.stderr)
+        return EXIT_FAULTY_CONFIGURATION
+    return run_process(process)
+
+
+def _build_process(environ: Mapping[str, str], extras_path: Path) -> Process:
+    """A relay where the operators' file has its section; without ``PROXY_CONFIG`` a demo."""
+    if extras_path.exists():
+        # Imported only where there is such a file: a router without one loads nothing of a relay.
+        from thornjunction.runtime.control_settings import load_relay
+
+        relay_settings = load_relay(extras_path, environ)
+        if relay_settings is not None:
+            return build_relay(relay_settings)
+    if "PROXY_CONFIG" in environ:
+        return build_router(environ, extras_path)
+    from thornjunction.demo.start import build_demo
+    from thornjunction.net.reactor import install
+
+    return build_demo(install())
--- a/thornjunction/runtime/start.py
+++ b/thornjunction/runtime/start.py
@@ -1,4 +1,4 @@
-"""The start of one real router: logging, configuration, collector, then the service until its exit."""
+"""The start of a process: signals, configuration, reactor and collector, up to its run."""
 
 from __future__ import annotations
 
@@ -7,83 +7,76 @@
 import sys
 from collections.abc import Mapping
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
-from thornjunction import logs
 from thornjunction.core.counters import Counters
-from thornjunction.runtime.config import ConfigError, load_config
+from thornjunction.runtime.config import load_config
 
 if TYPE_CHECKING:
+    from thornjunction.runtime.control_settings import RelaySettings
     from thornjunction.runtime.extras import Extras
 
-GC_THRESHOLDS = 20_000, 50, 100  # few cycles are made; the default looks for them several times a millisecond
+GC_THRESHOLDS = (20_000, 50, 100)
+"""Of the three generations, in objects and collections.
 
+Few cycles are made; the interpreter's defaults would look for them several times a millisecond.
+"""
 
-EXTRAS = Path(__file__).resolve().parent.parent.parent / "deploy" / "extras.toml"  # the operators' own file
 
+class Process(Protocol):
+    """A router, relay or demo that is built and not yet started."""
 
-def serve_or_demo(environ: Mapping[str, str], extras_path: Path = EXTRAS) -> int:
-    """A relay, where the operators' file makes this process one (it reads no PROXY_CONFIG); else ``serve``;
-    where PROXY_CONFIG is not set, a demo on stand-ins."""
-    if extras_path.exists() and (code := _relay(environ, extras_path)) is not None:
-        return code
-    if "PROXY_CONFIG" in environ:
-        return serve(environ, extras_path)
-    from thornjunction.net.reactor import install
+    def run(self) -> int:
+        """Serve until SIGTERM and return the exit code."""
 
-    reactor = install()
-    from thornjunction.demo.start import serve_demo
 
-    logs.to_stream(sys.stderr)
-    return serve_demo(reactor)
+def build_router(environ: Mapping[str, str], extras_path: Path) -> Process:
+    """Build the router that the environment and the operators' file describe.
 
+    Raises ConfigError where one of them is faulty.
+    """
+    _exit_on_sigterm()
+    config = load_config(environ)
+    extras = _load_extras(extras_path)
+    # Imported after the configuration was read: a faulty one is reported without the reactor's start.
+    from thornjunction.net.reactor import install
 
-def serve(environ: Mapping[str, str], extras_path: Path) -> int:
-    """Serve until SIGTERM; the exit code: 0, or 2 for a faulty configuration, named on standard error."""
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))  # until the service takes it: nothing is owed yet
-    logs.to_stream(sys.stderr)
-    try:
-        config = load_config(environ)
-        extras = _extras(extras_path) if extras_path.exists() else None
-        from thornjunction.net.reactor import install
+    reactor = install()
+    from thornjunction.runtime.service import Service
 
-        reactor = install()
-        from thornjunction.runtime.service import Service
+    return Service(config, extras, reactor, Counters(), lambda: load_config(environ))
 
-        service = Service(config, extras, reactor, Counters(), lambda: load_config(environ))
-    except ConfigError as error:
-        print(f"thornjunction: {error}", file=sys.stderr)
-        return 2
-    gc.freeze()
-    gc.set_threshold(*GC_THRESHOLDS)
-    return service.run()
 
+def build_relay(settings: RelaySettings) -> Process:
+    """Build a relay; raises ConfigError where the process may open too few descriptors."""
+    _exit_on_sigterm()
+    from thornjunction.net.reactor import install
+
+    reactor = install()
+    from thornjunction.runtime.relay import RelayProcess
 
-def _relay(environ: Mapping[str, str], path: Path) -> int | None:
-    """The exit code of a relay, 2 where its section is faulty; None where the file has none."""
-    from thornjunction.runtime.control_settings import load_relay
+    return RelayProcess(settings, reactor)
 
-    logs.to_stream(sys.stderr)
-    try:
-        settings = load_relay(path, environ)
-        if settings is None:
-            return None
-        signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))  # until the relay takes it
-        from thornjunction.net.reactor import install
 
-        reactor = install()
-        from thornjunction.runtime.relay import RelayProcess
+def run_process(process: Process) -> int:
+    """Run what was built, and return its exit code.
 
-        relay = RelayProcess(settings, reactor)
-    except ConfigError as error:
-        print(f"thornjunction: {error}", file=sys.stderr)
-        return 2
+    What is loaded by now stays: the collector need not look at it again.
+    """
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
-    return relay.run()
+    return process.run()
+
+
+def _exit_on_sigterm() -> None:
+    """Exit with 0 on SIGTERM until the process handles the signal itself: no client was accepted yet."""
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
 
-def _extras(path: Path) -> Extras:
-    from thornjunction.runtime.extras import load_extras  # its libraries, only where there is such a file
+def _load_extras(path: Path) -> Extras | None:
+    if not path.exists():
+        return None
+    # Imported only where there is such a file: its libraries cost memory.
+    from thornjunction.runtime.extras import load_extras
 
     return load_extras(path)
