--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -189,5 +189,5 @@
     }
     bench.give(api.Servers((edge("c"), ORIGIN)))
     assert list(places.caches) == ["here"]
-    assert [server.id for server in places.by_role[api.Role.EDGE]] == ["c"]
+    assert [server.id for server in places.site_caches] == ["c"]
     assert {fetch_of(bench.ask(key)).server for key in range(5)} == {"c"}
--- /dev/null
+++ b/tests/test_subsetting.py
@@ -0,0 +1,143 @@
+"""Subsetting of large sites: how many caches a router asks, and what reaches all of them."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from tests.helpers import KEYED, ORIGIN, SETTINGS, Bench, edge, fetch_of, finals, only, parent
+from thornjunction import interface as api
+from thornjunction.policy.router import Router
+from thornjunction.policy.subsetting import UNDIVIDED_MOST, block_count, router_hash
+from thornjunction.policy.upstreams import Upstream
+
+REQUESTS = 1_200
+
+
+def site(count: int, routers: int, **more: object) -> Bench:
+    """A router of a site of so many caches and routers."""
+    entries = [edge(f"edge{number}") for number in range(count)]
+    return Bench(entries=(*entries, parent("parent0"), ORIGIN), zone_fronts={"here": routers}, **more)
+
+
+def own_caches(bench: Bench) -> list[Upstream]:
+    """The caches of the router's own block."""
+    placement = bench.router.placement
+    whole = list(placement._ranked_caches(1))
+    return whole[: len(whole) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
+
+
+def asked(bench: Bench, count: int = REQUESTS) -> list[str]:
+    return [fetch_of(bench.ask(key)).server for key in range(count)]
+
+
+@pytest.mark.parametrize(
+    ("caches", "routers", "blocks", "most_asked"),
+    [(60, 67, 1, 60), (200, 200, 1, 200), (50, 4, 1, 50), (400, 67, 8, 90), (960, 67, 8, 190)]
+    + [(2_880, 200, 16, 490), (960, 16, 4, 300), (960, 7, 1, 960)],
+)
+def test_a_router_asks_a_bounded_number_of_caches(
+    caches: int, routers: int, blocks: int, most_asked: int
+) -> None:
+    """At most 2.5 times a sixteenth of the caches, plus 40, where the site has routers for its blocks."""
+    bench = site(caches, routers)
+    assert bench.router.placement.site_caches.block_count == blocks
+    assert len(set(asked(bench))) <= most_asked
+
+
+def test_a_cache_that_leaves_a_divided_site_moves_its_own_objects_only() -> None:
+    bench = site(960, 67)
+    before = asked(bench)
+    left = before[0]
+    bench.give(api.Servers((edge(left, state=api.State.GONE),), whole=False))
+    after = asked(bench)
+    assert left not in after
+    assert all(old == new for old, new in zip(before, after, strict=True) if old != left)
+
+
+def test_a_site_is_divided_late_and_joined_later_still() -> None:
+    sizes = [200, 201, 200, 161, 160, 200, 960, 959, 2_880, 2_300, 0]
+    counts = [1]
+    for servers in sizes:
+        counts.append(block_count(servers, 400, counts[-1]))
+    assert counts[1:] == [1, 4, 4, 4, 1, 1, 8, 8, 16, 16, 1]
+    bench = site(401, 67)
+    for count in (200, 160, 401):
+        bench.give(api.Servers((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
+        assert (
+            len(list(bench.router.placement._ranked_caches(1)))
+            == len(bench.router.placement.site_caches)
+            == count
+        )
+
+
+def test_an_undivided_site_ignores_who_asks() -> None:
+    first, second = (site(UNDIVIDED_MOST, 200) for _ in range(2))
+    second.router = Router(replace(SETTINGS, zone_fronts={"here": 200}), 7, "another name")
+    second.give(api.Servers(tuple(server.entry for server in first.router.placement.servers.values())))
+    assert asked(first, 300) == asked(second, 300)
+
+
+def test_a_name_outlasts_the_seed_and_every_cache_of_a_site_is_some_routers() -> None:
+    assert router_hash("n3", 1) == router_hash("n3", 2) != router_hash("n4", 1)
+    assert router_hash("", 1) != router_hash("", 2)
+    bench = site(960, 67)
+    caches = bench.router.placement.site_caches
+    blocks = [caches._blocks_for(router_hash(f"n{number}", 0)) for number in range(67)]
+    assert {server.id for order in blocks for server in order[0]} == {
+        f"edge{number}" for number in range(960)
+    }
+    assert all(len(set(order)) == caches.block_count for order in blocks)
+    assert len({(id(order[0]), id(order[1])) for order in blocks}) > 2 * caches.block_count  # spill is spread
+
+
+@pytest.mark.parametrize("trouble", ["shut", "ejected", "unreachable", "cold"])
+def test_a_request_goes_to_the_next_block_before_it_is_rejected(trouble: str) -> None:
+    bench = site(960, 67)
+    own = own_caches(bench)
+    for server in own:
+        if trouble == "shut":
+            server.gate.share = 0.0
+            server.gate._updated_at_ms = bench.now
+        elif trouble == "cold":
+            server.slow_start_window.cold_since_ms = bench.now
+            server.slow_start_window.advance(bench.now, 1_000.0, bench.router.random.random)
+            server.slow_start_window.spent_ms = 1e9
+        else:
+            server.outliers.eject(bench.now)
+            server.is_unreachable = trouble == "unreachable"
+    actions = [action for key in range(100) for action in bench.ask(key)]
+    assert not finals(actions)
+    assert {fetch.server for fetch in only(actions, api.Fetch)}.isdisjoint({server.id for server in own})
+
+
+def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_whatever_block() -> None:
+    cells = [edge(f"edge{number}", cell=number // 2) for number in range(960)]
+    kind = replace(KEYED, group=api.Group.CELL, passes=False)
+    bench = Bench(entries=(*cells, ORIGIN), classes=(kind,), zone_fronts={"here": 67})
+    own = {server.id for server in own_caches(bench)}
+    others = []
+    for key in range(20):
+        first = fetch_of(bench.ask(key, "keyed", idempotency_key=f"key{key}"))
+        entry = next(entry for entry in cells if entry.server == first.server)
+        others.append(f"edge{int(first.server[4:]) ^ 1}")
+        bench.give(api.Servers((replace(entry, state=api.State.GONE),), whole=False))
+        assert fetch_of(bench.answer(first, api.Status.RESET)).server == others[-1]
+        bench.give(api.Servers((entry,), whole=False))
+    assert len(set(others) - own) > 10
+
+
+def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
+    bench = site(960, 67, siblings=api.Siblings.LOCATION)
+    own = {server.id for server in own_caches(bench)}
+    placement = bench.router.placement
+    for key in range(50):
+        bench.ask(key)
+        request = bench.router.requests.open[str(bench.asked)]
+        first = placement.choose_cache(request, bench.now)
+        assert first is not None
+        peer = placement.choose_peer(request, first, bench.now)
+        assert peer is not None
+        assert {first.id, peer.id} <= own
+        assert first is not peer
--- a/thornjunction/interface.py
+++ b/thornjunction/interface.py
@@ -3,9 +3,9 @@
 All times are floats in milliseconds: spans, or points of the caller's own monotonic clock, whose zero is
 arbitrary.  All sizes are in KB.
 
-A caller builds one ``Router(settings, seed)`` (``thornjunction.policy.router``) per process start, hands it
-each event together with the time at which it happened, and carries out the returned actions at that same time
-and in their order.  Routers read no clock, do no I/O and share no state.
+A caller builds one ``Router(settings, seed, name)`` (``thornjunction.policy.router``) per process start,
+hands it each event together with the time at which it happened, and carries out the returned actions at that
+same time and in their order.  Routers read no clock, do no I/O and share no state.
 """
 
 from __future__ import annotations
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -15,7 +15,7 @@
 from array import array
 from bisect import bisect_left, insort
 from collections import Counter
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from hashlib import shake_128
 from heapq import nsmallest
@@ -114,6 +114,10 @@
         """All servers, in the order in which they were added."""
         return (member.server for member in self._members.values())
 
+    def members(self) -> Iterable[Member[ServerT]]:
+        """All members, in the order in which they were added."""
+        return self._members.values()
+
     def put(self, server_id: str, server: ServerT, weight: float) -> None:
         """Add a server, or take in its new weight, or its new process."""
         known = self._members.get(server_id)
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -19,6 +19,7 @@
 from thornjunction.limits.slow_start import SlowStart
 from thornjunction.policy.candidates import CANDIDATES_KEPT, CandidateGroup, RankingCache
 from thornjunction.policy.requests import PendingRequest
+from thornjunction.policy.subsetting import SiteCaches
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
 
@@ -47,17 +48,24 @@
     """The list of servers, and who of them may take what."""
 
     def __init__(
-        self, settings: api.Settings, mean_fetch_ms: SmoothedMean, draw: Callable[[], float]
+        self,
+        settings: api.Settings,
+        mean_fetch_ms: SmoothedMean,
+        draw: Callable[[], float],
+        router_hash: int,
     ) -> None:
+        """Start without servers; ``router_hash`` tells this router from the others of its site."""
         self.settings = settings
         self.slow_start = SlowStart(draw)
         self.servers: dict[str, Upstream] = {}
-        self.caches: dict[str, CandidateGroup[Upstream]] = {}  # edges by zone
+        self.caches: dict[str, SiteCaches[Upstream]] = {}  # edges by zone
         self._mean_fetch_ms = mean_fetch_ms  # to the first byte of a fill, of all sources
         self._draw = draw
+        self._router_hash = router_hash
         self._rankings = RankingCache()
-        self.by_role: dict[api.Role, CandidateGroup[Upstream]] = {  # edges: of this zone
-            role: CandidateGroup(self._rankings) for role in api.Role
+        self.site_caches = SiteCaches[Upstream](self._rankings)  # edges of this zone
+        self.sources: dict[api.Role, CandidateGroup[Upstream]] = {
+            role: CandidateGroup(self._rankings) for role in (api.Role.PARENT, api.Role.ORIGIN)
         }
 
     def adopt(self, settings: api.Settings) -> None:
@@ -76,10 +84,17 @@
                 self._put(entry, now_ms)
             else:  # rule 3: at once, well within any grace
                 self._remove(entry.server)
-        self.by_role[api.Role.EDGE] = self._edges(self.settings.zone)
-        for role, group in self.by_role.items():
+        self.site_caches = self._edges(self.settings.zone)
+        self._divide_sites()
+        self.slow_start.note_listed(api.Role.EDGE, len(self.site_caches))
+        for role, group in self.sources.items():
             self.slow_start.note_listed(role, len(group))
 
+    def _divide_sites(self) -> None:
+        """Fit each site's blocks to its size, for the routers that serve it."""
+        for zone, caches in self.caches.items():
+            caches.divide(self.settings.zone_fronts.get(zone, self.settings.instances))
+
     def _put(self, entry: api.ServerEntry, now_ms: float) -> None:
         """Take in the entry of a server that serves."""
         server = self.servers.get(entry.server)
@@ -106,25 +121,36 @@
         if server.entry.role is api.Role.EDGE and not group:
             del self.caches[server.entry.zone]
 
-    def _group(self, entry: api.ServerEntry) -> CandidateGroup[Upstream]:
+    def _group(self, entry: api.ServerEntry) -> CandidateGroup[Upstream] | SiteCaches[Upstream]:
         """The group that a server belongs to."""
-        return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.by_role[entry.role]
+        return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.sources[entry.role]
 
-    def _edges(self, zone: str) -> CandidateGroup[Upstream]:
+    def _edges(self, zone: str) -> SiteCaches[Upstream]:
         """The edge caches of a zone."""
-        group = self.caches.get(zone)
-        if group is None:
-            group = self.caches[zone] = CandidateGroup(self._rankings)
-        return group
+        caches = self.caches.get(zone)
+        if caches is None:
+            caches = self.caches[zone] = SiteCaches(self._rankings)
+        return caches
 
     def count_unavailable(self, listed: Iterable[str], now_ms: float) -> int:
         """How many of these get nothing now: they leave, or are out of service after failures."""
         servers = map(self.servers.get, listed)
         return sum(1 for server in servers if server is None or not server.is_available(now_ms))
 
-    def _candidates(self, object_hash: int, group: CandidateGroup[Upstream]) -> Iterator[Upstream]:
-        """The servers of a group in rendezvous order for an object, by weight where there are weights."""
-        return group.candidates(object_hash, self.settings.weighted)
+    def _ranked_caches(self, object_hash: int, skipped_blocks: int = 0) -> Iterator[Upstream]:
+        """The caches of this zone in the order in which this router asks them for an object."""
+        return self.site_caches.candidates(
+            object_hash, self.settings.weighted, self._router_hash, skipped_blocks
+        )
+
+    def _likely_holders(self, object_hash: int, zone: str) -> Iterator[Upstream]:
+        """The caches of a zone that are likely to hold an object, the likeliest first.
+
+        In each block of another zone one holds it; which block is asked depends on the object.
+        """
+        if zone == self.settings.zone:
+            return self._ranked_caches(object_hash)
+        return self.caches[zone].candidates(object_hash, self.settings.weighted, asker_hash=object_hash)
 
     def _expected_first_byte_ms(self, parent: Upstream) -> float:
         """Smoothed ms to a parent's first byte.
@@ -146,20 +172,20 @@
             usable = server.id not in request.tried_servers and server.is_available(now_ms)
             if usable and self.within_budget(server, request.fill_cost_ms, now_ms):
                 return server
-        return next(iter(self.by_role[api.Role.ORIGIN]), None)
+        return next(iter(self.sources[api.Role.ORIGIN]), None)
 
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
         """All sources for a request, the best first."""
         if not request.request_class.passes:
-            ranked = self._candidates(request.object_hash, self.by_role[api.Role.PARENT])
+            ranked = self.sources[api.Role.PARENT].candidates(request.object_hash, self.settings.weighted)
             parents = islice(ranked, SERVERS_EXAMINED)
             yield from sorted(islice(parents, PARENT_CHOICES), key=self._expected_first_byte_ms)
             yield from parents
-        yield from self.by_role[api.Role.ORIGIN]
+        yield from self.sources[api.Role.ORIGIN]
 
     def fills_from_origin(self, source: Upstream) -> bool:
         """Whether misses are filled from the origin itself; it has all, so ``cached_only`` spares nothing."""
-        return source.entry.role is api.Role.ORIGIN and not self.by_role[api.Role.PARENT]
+        return source.entry.role is api.Role.ORIGIN and not self.sources[api.Role.PARENT]
 
     def choose_peer(self, request: PendingRequest, target: Upstream, now_ms: float) -> Upstream | None:
         """The cache, other than the target, that is likely to hold an object.
@@ -168,7 +194,7 @@
         """
         for zone in self._peer_zones(request):
             choices = CACHE_CHOICES if zone == self.settings.zone else 1
-            for cache in islice(self._candidates(request.object_hash, self.caches[zone]), choices):
+            for cache in islice(self._likely_holders(request.object_hash, zone), choices):
                 if cache is target or cache.id in request.tried_servers:
                     continue
                 is_warm = self.slow_start.rate(cache.entry, cache.slow_start_window, now_ms) == math.inf
@@ -199,29 +225,42 @@
     def choose_cache(self, request: PendingRequest, now_ms: float) -> Upstream | None:
         """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
 
-        Where both gates are shut, a new request is rejected; one that was tried already, or that is passed
-        through, goes to the first.
+        Where both gates are shut, those of the next block count, in a site that has several. Where these are
+        shut too, a new request is rejected; one that was tried already, or that is passed through, goes to
+        the first.
         """
-        able = self._able_caches(request, now_ms)
+        able = self._able_caches(request, self._ranked_caches(request.object_hash), now_ms)
+        chosen = self._first_admitting(request, able, now_ms)
+        if chosen is None and able and self.site_caches.block_count > 1:
+            further = self._able_caches(request, self._ranked_caches(request.object_hash, 1), now_ms)
+            unasked = [server for server in further if server not in able]
+            chosen = self._first_admitting(request, unasked, now_ms)
+        if chosen is not None:
+            return chosen
+        must_go = request.attempts_started > 0 or request.request_class.passes
+        return able[0] if able and must_go else None
+
+    def _first_admitting(
+        self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
+    ) -> Upstream | None:
+        """The first of the servers whose gate lets the request through; each gate is asked."""
         admitted_by = [
             server
-            for server in able
+            for server in servers
             if server.gate.admits(now_ms, self._draw, request.size_weight, request.class_size_weight)
         ]
-        if admitted_by:
-            return admitted_by[0]
-        must_go = request.attempts_started > 0 or request.request_class.passes
-        return able[0] if able and must_go else None
+        return admitted_by[0] if admitted_by else None
 
-    def _able_caches(self, request: PendingRequest, now_ms: float) -> list[Upstream]:
-        """The best caches for the next attempt, two at most, all of the best fitness that any has.
+    def _able_caches(
+        self, request: PendingRequest, ranked: Iterator[Upstream], now_ms: float
+    ) -> list[Upstream]:
+        """The best of these caches for the next attempt, two at most, all of the best fitness that any has.
 
         The first few are examined in any case: so the windows in which cold ones have their budgets go on
         however seldom these are needed.
         """
         untried: list[Upstream] = []
         others: list[tuple[Fitness, Upstream]] = []
-        ranked = self._candidates(request.object_hash, self.by_role[api.Role.EDGE])
         for place, server in enumerate(self._repeatable(request, ranked, now_ms), start=1):
             fitness = self._fitness(request, server, now_ms)
             if fitness is Fitness.UNTRIED:
@@ -275,10 +314,10 @@
 
         So where all that may take it are unreachable, or cold and past a budget that will grow.
         """
-        caches = self.by_role[api.Role.EDGE]
+        caches = self.site_caches
         # A small group is examined whole, in any order; ranking it would take longer.
         is_small = len(caches) <= SERVERS_EXAMINED
-        servers = iter(caches) if is_small else self._candidates(request.object_hash, caches)
+        servers = iter(caches) if is_small else self._ranked_caches(request.object_hash)
         may_take_later = False
         for server in self._repeatable(request, servers, now_ms):
             if self.within_budget(server, request.cache_cost_ms, now_ms) and not server.is_unreachable:
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -30,13 +30,17 @@
 from thornjunction.policy.retry_policy import RetryPolicy
 from thornjunction.policy.shared_gates import SharedGates
 from thornjunction.policy.silence import SilenceDetector
+from thornjunction.policy.subsetting import router_hash
 
 
 class Router:
-    """Decides for one process of a router; call ``handle`` with events in the order of their times."""
+    """Decides for one process of a router; call ``handle`` with events in the order of their times.
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Build the parts. The same seed and events give the same actions."""
+    ``name`` tells the router from the others of its fleet and lasts through restarts; it may be empty.
+    """
+
+    def __init__(self, settings: api.Settings, seed: int, name: str = "") -> None:
+        """Build the parts. The same seed, name and events give the same actions."""
         self.random = random.Random(seed)
         draw = self.random.random
         context = DecisionContext(settings, draw)
@@ -48,7 +52,7 @@
         self.purges = Purges()
         self.gates = SharedGates(context)
         self.ranking = FillRanking(draw)
-        self.placement = Placement(settings, self.ranking.mean_fetch_ms, draw)
+        self.placement = Placement(settings, self.ranking.mean_fetch_ms, draw, router_hash(name, seed))
         slow_start = self.placement.slow_start
         planner = FetchPlanner(context, self.placement, self.gates, self.purges, self.ranking)
         self.attempts = AttemptLifecycle(context, self.placement, planner, self.retry_budget, self.executions)
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -65,7 +65,7 @@
         deadlines = self.alarm.deadlines
         budget = ByteBudget(config.buffer_bytes)
         self.pool = ShelfPool(reactor, config.shelves, deadlines, core_ms, budget)
-        self.router = Router(config.settings, config.seed)
+        self.router = Router(config.settings, config.seed, config.name)
         attempts = config.settings.max_attempts
         self.engine = Engine(self.router, attempts, core_ms, deadlines, self.pool, counters)
         self.counters, self.files = counters, Counter[str]()
