--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -20,12 +20,12 @@
 
 import fleet_figures as figures
 from capacity_fit import fit, row, sized_main, table
-from fleet_membership import MemberView, Mode, View
-from fleet_modes import ShareKeeper, ShareSettings
-from fleet_sim import Quality, World, node_names
-from fleet_sim.membership_checks import view_of
-from fleet_wire import MemberState
+from fleet_membership import MembershipView, MemberView, PartitionMode
+from fleet_sim import LinkQuality, SimulatedCluster, node_names
+from fleet_sim.membership_invariants import view_of
+from gossip_codec import MemberState
 from msgspec import msgpack
+from quota_leases import LeaseExchange, QuotaSettings
 
 from thornjunction.runtime.fleet import Fleet
 
@@ -49,18 +49,18 @@
         return actions
 
 
-def all_met(world: World, count: int) -> bool:
+def all_met(world: SimulatedCluster, count: int) -> bool:
     views = (view_of(world, node) for node in world.nodes.values())
     return all(view is not None and len(view.members) >= count for view in views)
 
 
-def spread_s(world: World, count: int) -> float:
+def spread_s(world: SimulatedCluster, count: int) -> float:
     """Seconds until all know that one has begun a new life: the median of CHANGES."""
     changed = node_names(count)[-CHANGES:]
     return statistics.median(spread_of(world, name, count) for name in changed)
 
 
-def spread_of(world: World, changed: str, count: int) -> float:
+def spread_of(world: SimulatedCluster, changed: str, count: int) -> float:
     watch = figures.Watch(world, changed)
     world.kill(changed)
     world.start(changed)
@@ -75,12 +75,12 @@
     long), and seconds until all know of a new life."""
     if count <= TRACED:
         tracemalloc.start()
-    world = figures.fleet(count, 1, Quality())
+    world = figures.fleet(count, 1, LinkQuality())
     figures.until(world, lambda: all_met(world, count))
     held_kb = tracemalloc.get_traced_memory()[0] / count / 1_024 if count <= TRACED else math.nan
     tracemalloc.stop()
     world.run_until(world.now + 3 * figures.JOIN_MS)
-    before = [(node.sent, node.sent_bytes) for node in world.nodes.values()]
+    before = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
     machines = [Timed(node.machine) for node in world.nodes.values()]
     for node, machine in zip(world.nodes.values(), machines, strict=True):
         node.machine = machine
@@ -88,7 +88,7 @@
     used = [machine.used / STEADY_MS * 1e9 for machine in machines]
     for node, machine in zip(world.nodes.values(), machines, strict=True):
         node.machine = machine.machine
-    after = [(node.sent, node.sent_bytes) for node in world.nodes.values()]
+    after = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
     sent, octets = (
         [(b[i] - a[i]) / STEADY_MS * 1_000 for a, b in zip(before, after, strict=True)] for i in (0, 1)
     )
@@ -122,22 +122,22 @@
 def lease_us(count: int) -> float:
     """A voter is asked by each router in turn, all of them holding leases: us of processor an ask."""
     names = node_names(count)
-    settings = ShareSettings(names, names[:VOTERS])
-    voter = ShareKeeper(settings, names[0], 1, 0.0)
+    settings = QuotaSettings(names, names[:VOTERS])
+    voter = LeaseExchange(settings, names[0], 1, 0.0)
     # As a router's own asks are written: life, number, after the tag of their kind.
     asks = [msgpack.encode((1, 1, number)) for number in range(1, 3)]
-    now = settings.kept_ms + 1.0
+    now = settings.issuer_lease_ms + 1.0
     for name in names:
-        assert voter.heard(now, name, asks[0], names) is not None
+        assert voter.handle_message(now, name, asks[0], names) is not None
     begun = time.process_time()
     for number in range(ASKS):
-        voter.heard(now + number, names[number % count], asks[1], names)
+        voter.handle_message(now + number, names[number % count], asks[1], names)
     return (time.process_time() - begun) / ASKS * 1e6
 
 
 def voter(_: tuple[int, ...]) -> None:
     found = {count: min(lease_us(count) for _ in range(3)) for count in VOTER_MEMBERS}
-    every_s = ShareSettings(("a",), ("a",)).lease_ms / 4_000
+    every_s = QuotaSettings(("a",), ("a",)).lease_ms / 4_000
     rows = [
         row(count, f"{count / every_s:.0f}", f"{us:.0f}", f"{us * count / every_s / 1e6:.1%}")
         for count, us in found.items()
@@ -153,7 +153,7 @@
     for count in VOTER_MEMBERS:
         names = node_names(count)
         members = {name: MemberView(name, ("10.0.0.1", 1), 1 << 40, MemberState.ALIVE) for name in names}
-        told = View(1, members, True, 0.0, Mode.WITH_MAJORITY, 0)
+        told = MembershipView(1, members, True, 0.0, PartitionMode.WITH_MAJORITY, 0)
         asked: Any = SimpleNamespace(machine=SimpleNamespace(view=lambda now, told=told: told))
         begun = time.process_time()
         replies = [Fleet.view(asked) for _ in range(20)]
--- /dev/null
+++ b/packages/gossip-codec/src/gossip_codec/__init__.py
@@ -0,0 +1,67 @@
+"""The datagrams of the fleet: messages, their encoding and authentication, and replay protection."""
+
+from __future__ import annotations
+
+from gossip_codec.codec import (
+    HEADER_BYTES,
+    MAX_DATAGRAM_BYTES,
+    TAG_BYTES,
+    Codec,
+    DatagramRejectedError,
+    EncodedDatagram,
+    MessageTooLargeError,
+    RejectReason,
+    ShortSecretError,
+)
+from gossip_codec.messages import (
+    DIGEST_BUCKETS,
+    DIGEST_BYTES,
+    MAX_UPDATES,
+    Ack,
+    Envelope,
+    IndirectProbe,
+    InvalidPortError,
+    MemberState,
+    Message,
+    Nack,
+    Probe,
+    Superseded,
+    Sync,
+    Update,
+    UpdateBatch,
+    UserMessage,
+    pack_address,
+    unpack_address,
+)
+from gossip_codec.replay_window import ReplayWindow
+
+__all__ = [
+    "DIGEST_BUCKETS",
+    "DIGEST_BYTES",
+    "HEADER_BYTES",
+    "MAX_DATAGRAM_BYTES",
+    "MAX_UPDATES",
+    "TAG_BYTES",
+    "Ack",
+    "Codec",
+    "DatagramRejectedError",
+    "EncodedDatagram",
+    "Envelope",
+    "IndirectProbe",
+    "InvalidPortError",
+    "MemberState",
+    "Message",
+    "MessageTooLargeError",
+    "Nack",
+    "Probe",
+    "RejectReason",
+    "ReplayWindow",
+    "ShortSecretError",
+    "Superseded",
+    "Sync",
+    "Update",
+    "UpdateBatch",
+    "UserMessage",
+    "pack_address",
+    "unpack_address",
+]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 import pytest
+from twisted.internet.task import Clock
 
 from tests.helpers import Bench, fetch_of, finals
 from tests.test_adapter import PARAMS as SETTINGS
@@ -26,6 +27,7 @@
 )
 from thornjunction.memory.deadlines import Deadlines, TooManyDeadlinesError
 from thornjunction.memory.slots import SlotTable, SlotTableFullError
+from thornjunction.net.alarm import Alarm, core_ms
 from thornjunction.net.channel import Channel
 from thornjunction.net.wire.commands import Commands, Purge
 from thornjunction.runtime.config import ConfigError, parse_config
@@ -59,6 +61,17 @@
             deadlines.add(1.0, lambda: None)
 
 
+def test_a_failing_deadline_costs_no_other_its_turn() -> None:
+    reactor, ran = Clock(), list[str]()
+    alarm = Alarm(reactor)
+    for callback in (lambda: 1 / 0, lambda: ran.append("due")):
+        alarm.deadlines.add(core_ms() - 1.0, callback)
+    alarm.deadlines.add(core_ms() + 60_000.0, lambda: ran.append("later"))
+    reactor.advance(0.0)
+    assert ran == ["due"]
+    assert len(reactor.getDelayedCalls()) == 1  # for the later one
+
+
 class Script:
     """A router that does what it is told, and ports that remember."""
 
--- a/thornjunction/memory/deadlines.py
+++ b/thornjunction/memory/deadlines.py
@@ -11,6 +11,14 @@
 MIN_CANCELLED_TO_COMPACT = 256  # fewer cancelled entries are not worth a rebuild of the heap
 
 
+class DeadlineCallbackErrors(ExceptionGroup[Exception]):
+    """What callbacks raised that were due together."""
+
+    def __new__(cls, failures: list[Exception]) -> DeadlineCallbackErrors:
+        """Group these exceptions."""
+        return super().__new__(cls, "deadline callbacks failed", failures)
+
+
 class TooManyDeadlinesError(OverflowError):
     """The queue holds as many deadlines as it may."""
 
@@ -95,14 +103,25 @@
         return self._heap[0].due_ms if self._heap else math.inf
 
     def run_due(self, now_ms: float) -> None:
-        """Run all callbacks that are due; deadlines they add wait for the next call, even if due already."""
+        """Run all callbacks that are due; deadlines they add wait for the next call, even if due already.
+
+        Raises:
+            DeadlineCallbackErrors: some callbacks raised; all others that were due have run.
+        """
         due: list[Deadline] = []
         while self.next_due() <= now_ms:
             deadline = heapq.heappop(self._heap).deadline
             deadline.in_heap = False
             due.append(deadline)
+        failures: list[Exception] = []
         for deadline in due:
             callback = deadline.callback
             deadline.callback = None
-            if callback is not None:  # an earlier callback of this call may have cancelled it
+            if callback is None:  # an earlier callback of this call has cancelled it
+                continue
+            try:
                 callback()
+            except Exception as error:  # a fault in one must not cost the others their deadline
+                failures.append(error)
+        if failures:
+            raise DeadlineCallbackErrors(failures)
