--- a/packages/fleet-scale/src/fleet_scale/hollow.py
+++ b/packages/fleet-scale/src/fleet_scale/hollow.py
@@ -105,7 +105,9 @@
 
     def digest(self) -> str:
         """Of the list as the decisions hold it."""
-        return digest({name: one.entry.weight for name, one in self.router.placement.servers.items()})
+        return digest(
+            {name: one.entry.weight for name, one in self.router.placement.server_list.servers.items()}
+        )
 
     def end(self) -> None:
         """Gone at once, as a process that was killed: nothing is said to anybody."""
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -227,7 +227,7 @@
         bench = Bench(entries=(EDGES[0], ORIGIN))
         for key in range(needed):
             bench.answer(fetch_of(bench.ask(key)), status)
-        server = bench.router.placement.servers["edge0"]
+        server = bench.router.placement.server_list.servers["edge0"]
         assert server.outliers.ejected_for_ms > 0
         bench.ask(50)
         bench.answer((only(bench.wait(600.0), api.Fetch) or bench.sent[str(bench.asked)])[0])
@@ -266,7 +266,7 @@
     fetches = [fetch_of(bench.ask(key)) for key in range(12)]
     for fetch in fetches:
         assert only(bench.answer(fetch, api.Status.RESET), api.Fetch)
-    server = bench.router.placement.servers["edge0"]
+    server = bench.router.placement.server_list.servers["edge0"]
     assert server.outliers.ejected_for_ms == 0 and server.outliers.consecutive_failures == 1
 
 
@@ -278,7 +278,7 @@
             actions = bench.answer(fetch_of(actions), api.Status.ERROR)
         assert len({fetch.server for fetch in bench.sent[str(bench.asked)]}) == 2
         assert len(bench.sent[str(bench.asked)]) == 3
-    outliers = [server.outliers for server in bench.router.placement.servers.values()]
+    outliers = [server.outliers for server in bench.router.placement.server_list.servers.values()]
     assert not any(one.consecutive_failures or one.ejected_for_ms for one in outliers)
 
 
@@ -302,8 +302,8 @@
     entries = (*EDGES, parent("near"), parent("far", zone="other"), ORIGIN)
     bench = Bench(entries=entries, notes=api.Notes.NONE, zone_hub={"here": "hub"})
     assert {fetch_of(bench.ask(key)).source for key in range(20)} == {"near"}
-    bench.router.placement.servers["near"].first_byte_ms.add(900.0)
-    bench.router.placement.servers["far"].first_byte_ms.add(100.0)
+    bench.router.placement.server_list.servers["near"].first_byte_ms.add(900.0)
+    bench.router.placement.server_list.servers["far"].first_byte_ms.add(100.0)
     assert {fetch_of(bench.ask(key)).source for key in range(20)} == {"far"}
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -98,7 +98,7 @@
     names = [entry.server for entry in EDGES]
 
     def avoided(listed: list[str]) -> int:
-        return bench.router.placement.count_unavailable(listed, bench.now)
+        return bench.router.placement.server_list.count_unavailable(listed, bench.now)
 
     assert avoided(names) == 0
     bench.answer(fetch_of(bench.ask()), api.Status.REFUSED)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -137,7 +137,7 @@
     entries = [edge(f"edge{number}") for number in range(count)]
     bench = Bench(entries=(*entries, parent("parent0"), ORIGIN))
     able = {entry.server for entry in random.Random(1).sample(entries, max(int(count * able_share), 1))}
-    for server in bench.router.placement.servers.values():
+    for server in bench.router.placement.server_list.servers.values():
         if server.entry.role is api.Role.EDGE and server.id not in able:
             if trouble == "ejected":
                 server.outliers.eject(bench.now)
@@ -183,11 +183,11 @@
     bench = Bench(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
     places = bench.router.placement
     bench.give(api.Servers((edge("b", zone="there"), edge("c")), whole=False))
-    assert {zone: [server.id for server in group] for zone, group in places.caches.items()} == {
+    assert {zone: [server.id for server in group] for zone, group in places.server_list.caches.items()} == {
         "here": ["a", "c"],
         "there": ["b"],
     }
     bench.give(api.Servers((edge("c"), ORIGIN)))
-    assert list(places.caches) == ["here"]
-    assert [server.id for server in places.site_caches] == ["c"]
+    assert list(places.server_list.caches) == ["here"]
+    assert [server.id for server in places.server_list.site_caches] == ["c"]
     assert {fetch_of(bench.ask(key)).server for key in range(5)} == {"c"}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -262,7 +262,7 @@
     entries = tuple(edge(f"edge{number}", started_ms=500.0) for number in range(3000))
     bench = Bench(entries=(*entries, ORIGIN))
     fetch = fetch_of(bench.ask(size_kb=25.0))
-    assert fetch.server in bench.router.placement.servers and fetch.source == "origin"
+    assert fetch.server in bench.router.placement.server_list.servers and fetch.source == "origin"
 
 
 @pytest.mark.parametrize("zone", ["here", "never heard of"])
@@ -299,7 +299,7 @@
         bench.wait(1000.0)
     cold = edge("edge3", started_ms=bench.now)
     bench.give(api.Servers((*EDGES[away:3], cold, *PARENTS, ORIGIN)))
-    server = bench.router.placement.servers["edge3"]
+    server = bench.router.placement.server_list.servers["edge3"]
     return bench.router.placement.slow_start.rate(server.entry, server.slow_start_window, bench.now)
 
 
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -37,12 +37,12 @@
         fetch = fetch_of(bench.ask(key=1))
         report = api.Report(busy=busy)
         bench.answer(fetch, took_ms=5000.0 if turn else 10.0, note=api.Note.NONE, report=report)
-        server = bench.router.placement.servers[fetch.server]
+        server = bench.router.placement.server_list.servers[fetch.server]
         if min(bench.router.gates.origin.share, server.gate.share) < 0.9:
             break
     shares = {
         "behind": bench.router.gates.origin.share,
-        "cache": min(bench.router.placement.servers[e.server].gate.share for e in EDGES),
+        "cache": min(bench.router.placement.server_list.servers[e.server].gate.share for e in EDGES),
     }
     assert shares.pop(at_fault) < 0.9 and set(shares.values()) == {1.0}
 
--- a/tests/test_slow_start_sizes.py
+++ b/tests/test_slow_start_sizes.py
@@ -31,7 +31,7 @@
 def most_films(bench: Bench, name: str) -> float:
     """How many a window's budget there holds where each counts as its class's aim, and one that its chance
     may add."""
-    server, cold = bench.router.placement.servers[name], bench.router.placement.slow_start
+    server, cold = bench.router.placement.server_list.servers[name], bench.router.placement.slow_start
     return cold.rate(server.entry, server.slow_start_window, bench.now) * cold.window_ms / FILMS.aim_ms + 1.0
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -42,7 +42,7 @@
 ) -> None:
     """At most 2.5 times a sixteenth of the caches, plus 40, where the site has routers for its blocks."""
     bench = site(caches, routers)
-    assert bench.router.placement.site_caches.block_count == blocks
+    assert bench.router.placement.server_list.site_caches.block_count == blocks
     assert len(set(asked(bench))) <= most_asked
 
 
@@ -67,7 +67,7 @@
         bench.give(api.Servers((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
         assert (
             len(list(bench.router.placement._ranked_caches(1)))
-            == len(bench.router.placement.site_caches)
+            == len(bench.router.placement.server_list.site_caches)
             == count
         )
 
@@ -75,7 +75,9 @@
 def test_an_undivided_site_ignores_who_asks() -> None:
     first, second = (site(UNDIVIDED_MOST, 200) for _ in range(2))
     second.router = Router(replace(SETTINGS, zone_fronts={"here": 200}), 7, "another name")
-    second.give(api.Servers(tuple(server.entry for server in first.router.placement.servers.values())))
+    second.give(
+        api.Servers(tuple(server.entry for server in first.router.placement.server_list.servers.values()))
+    )
     assert asked(first, 300) == asked(second, 300)
 
 
@@ -83,7 +85,7 @@
     assert router_hash("n3", 1) == router_hash("n3", 2) != router_hash("n4", 1)
     assert router_hash("", 1) != router_hash("", 2)
     bench = site(960, 67)
-    caches = bench.router.placement.site_caches
+    caches = bench.router.placement.server_list.site_caches
     blocks = [caches._blocks_for(router_hash(f"n{number}", 0)) for number in range(67)]
     assert {server.id for order in blocks for server in order[0]} == {
         f"edge{number}" for number in range(960)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -204,7 +204,7 @@
         with patch("thornjunction.net.alarm.time.time", lambda unix_s=unix_s: unix_s):
             told = commands({"cursor": 1, "nodes": {"hosts": [line("c1", born_ms=born_ms)]}})
             service.take(decode_commands(told).events[0])
-        seen.append(service.router.placement.servers["c1"])
+        seen.append(service.router.placement.server_list.servers["c1"])
     assert seen[0] is seen[1] is seen[2] is not seen[3]
     service.take(ListChange(2, True, ()))
     assert not service.births._known
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -17,9 +17,9 @@
 from thornjunction.estimates import SmoothedMean, mix64
 from thornjunction.limits.idempotency import is_repeat_safe, repeat_window_ms
 from thornjunction.limits.slow_start import SlowStart
-from thornjunction.policy.candidates import CANDIDATES_KEPT, CandidateGroup, RankingCache
+from thornjunction.policy.candidates import CANDIDATES_KEPT
 from thornjunction.policy.requests import PendingRequest
-from thornjunction.policy.subsetting import SiteCaches
+from thornjunction.policy.server_list import ServerList
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
 
@@ -45,7 +45,7 @@
 
 
 class Placement:
-    """The list of servers, and who of them may take what."""
+    """Who of the listed servers may take what."""
 
     def __init__(
         self,
@@ -57,16 +57,10 @@
         """Start without servers; ``router_hash`` tells this router from the others of its site."""
         self.settings = settings
         self.slow_start = SlowStart(draw)
-        self.servers: dict[str, Upstream] = {}
-        self.caches: dict[str, SiteCaches[Upstream]] = {}  # edges by zone
+        self.server_list = ServerList(settings.zone)
         self._mean_fetch_ms = mean_fetch_ms  # to the first byte of a fill, of all sources
         self._draw = draw
         self._router_hash = router_hash
-        self.rankings = RankingCache()
-        self.site_caches = SiteCaches[Upstream](self.rankings)  # edges of this zone
-        self.sources: dict[api.Role, CandidateGroup[Upstream]] = {
-            role: CandidateGroup(self.rankings) for role in (api.Role.PARENT, api.Role.ORIGIN)
-        }
 
     def adopt(self, settings: api.Settings) -> None:
         """Place by these settings from now on."""
@@ -75,71 +69,14 @@
 
     def update(self, event: api.Servers, now_ms: float) -> None:
         """Take in a list of servers, or its changes."""
-        if event.whole:
-            listed = {entry.server for entry in event.entries}
-            for server_id in [known for known in self.servers if known not in listed]:
-                self._remove(server_id)
-        for entry in event.entries:
-            if entry.state is api.State.SERVING:
-                self._put(entry, now_ms)
-            else:  # rule 3: at once, well within any grace
-                self._remove(entry.server)
-        self.site_caches = self._edges(self.settings.zone)
-        self._divide_sites()
-        self.slow_start.note_listed(api.Role.EDGE, len(self.site_caches))
-        for role, group in self.sources.items():
+        self.server_list.update(event, self.settings, now_ms)
+        self.slow_start.note_listed(api.Role.EDGE, len(self.server_list.site_caches))
+        for role, group in self.server_list.sources.items():
             self.slow_start.note_listed(role, len(group))
 
-    def _divide_sites(self) -> None:
-        """Fit each site's blocks to its size, for the routers that serve it."""
-        for zone, caches in self.caches.items():
-            caches.divide(self.settings.zone_fronts.get(zone, self.settings.instances))
-
-    def _put(self, entry: api.ServerEntry, now_ms: float) -> None:
-        """Take in the entry of a server that serves."""
-        server = self.servers.get(entry.server)
-        if server is not None and server.entry == entry:
-            return
-        if server is not None and (server.entry.role, server.entry.zone) != (entry.role, entry.zone):
-            self._remove_from_group(server)
-        if server is None or entry.started_ms != server.entry.started_ms:
-            server = Upstream(entry, now_ms)  # a new process has no history
-            self.servers[entry.server] = server
-        server.entry = entry
-        self._group(entry).put(entry.server, server, entry.weight)
-
-    def _remove(self, server_id: str) -> None:
-        """Forget a server, if it is known."""
-        server = self.servers.pop(server_id, None)
-        if server is not None:
-            self._remove_from_group(server)
-
-    def _remove_from_group(self, server: Upstream) -> None:
-        """Take a server out of its group, and an edge's group away with its last server."""
-        group = self._group(server.entry)
-        group.remove(server.id)
-        if server.entry.role is api.Role.EDGE and not group:
-            del self.caches[server.entry.zone]
-
-    def _group(self, entry: api.ServerEntry) -> CandidateGroup[Upstream] | SiteCaches[Upstream]:
-        """The group that a server belongs to."""
-        return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.sources[entry.role]
-
-    def _edges(self, zone: str) -> SiteCaches[Upstream]:
-        """The edge caches of a zone."""
-        caches = self.caches.get(zone)
-        if caches is None:
-            caches = self.caches[zone] = SiteCaches(self.rankings)
-        return caches
-
-    def count_unavailable(self, listed: Iterable[str], now_ms: float) -> int:
-        """How many of these get nothing now: they leave, or are out of service after failures."""
-        servers = map(self.servers.get, listed)
-        return sum(1 for server in servers if server is None or not server.is_available(now_ms))
-
     def _ranked_caches(self, object_hash: int, skipped_blocks: int = 0) -> Iterator[Upstream]:
         """The caches of this zone in the order in which this router asks them for an object."""
-        return self.site_caches.candidates(
+        return self.server_list.site_caches.candidates(
             object_hash, self.settings.weighted, self._router_hash, skipped_blocks
         )
 
@@ -150,7 +87,9 @@
         """
         if zone == self.settings.zone:
             return self._ranked_caches(object_hash)
-        return self.caches[zone].candidates(object_hash, self.settings.weighted, asker_hash=object_hash)
+        return self.server_list.caches[zone].candidates(
+            object_hash, self.settings.weighted, asker_hash=object_hash
+        )
 
     def _expected_first_byte_ms(self, parent: Upstream) -> float:
         """Smoothed ms to a parent's first byte.
@@ -172,20 +111,22 @@
             usable = server.id not in request.tried_servers and server.is_available(now_ms)
             if usable and self.within_budget(server, request.fill_cost_ms, now_ms):
                 return server
-        return next(iter(self.sources[api.Role.ORIGIN]), None)
+        return next(iter(self.server_list.sources[api.Role.ORIGIN]), None)
 
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
         """All sources for a request, the best first."""
         if not request.request_class.passes:
-            ranked = self.sources[api.Role.PARENT].candidates(request.object_hash, self.settings.weighted)
+            ranked = self.server_list.sources[api.Role.PARENT].candidates(
+                request.object_hash, self.settings.weighted
+            )
             parents = islice(ranked, SERVERS_EXAMINED)
             yield from sorted(islice(parents, PARENT_CHOICES), key=self._expected_first_byte_ms)
             yield from parents
-        yield from self.sources[api.Role.ORIGIN]
+        yield from self.server_list.sources[api.Role.ORIGIN]
 
     def fills_from_origin(self, source: Upstream) -> bool:
         """Whether misses are filled from the origin itself; it has all, so ``cached_only`` spares nothing."""
-        return source.entry.role is api.Role.ORIGIN and not self.sources[api.Role.PARENT]
+        return source.entry.role is api.Role.ORIGIN and not self.server_list.sources[api.Role.PARENT]
 
     def choose_peer(self, request: PendingRequest, target: Upstream, now_ms: float) -> Upstream | None:
         """The cache, other than the target, that is likely to hold an object.
@@ -211,7 +152,7 @@
         hubs = self.settings.zone_hub
         if self.settings.siblings is api.Siblings.NONE:
             return
-        if own_zone in self.caches:
+        if own_zone in self.server_list.caches:
             yield own_zone
         if self.settings.siblings is not api.Siblings.ANY:
             return
@@ -220,7 +161,7 @@
             zone_hash = mix64(request.object_hash ^ zlib.crc32(zone.encode()))
             return hubs.get(zone) != hubs.get(own_zone), zone_hash
 
-        yield from sorted(self.caches.keys() - {own_zone}, key=distance)
+        yield from sorted(self.server_list.caches.keys() - {own_zone}, key=distance)
 
     def choose_cache(self, request: PendingRequest, now_ms: float) -> Upstream | None:
         """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
@@ -231,7 +172,7 @@
         """
         able = self._able_caches(request, self._ranked_caches(request.object_hash), now_ms)
         chosen = self._first_admitting(request, able, now_ms)
-        if chosen is None and able and self.site_caches.block_count > 1:
+        if chosen is None and able and self.server_list.site_caches.block_count > 1:
             further = self._able_caches(request, self._ranked_caches(request.object_hash, 1), now_ms)
             unasked = [server for server in further if server not in able]
             chosen = self._first_admitting(request, unasked, now_ms)
@@ -314,7 +255,7 @@
 
         So where all that may take it are unreachable, or cold and past a budget that will grow.
         """
-        caches = self.site_caches
+        caches = self.server_list.site_caches
         # A small group is examined whole, in any order; ranking it would take longer.
         is_small = len(caches) <= SERVERS_EXAMINED
         servers = iter(caches) if is_small else self._ranked_caches(request.object_hash)
--- a/thornjunction/runtime/figures.py
+++ b/thornjunction/runtime/figures.py
@@ -25,7 +25,9 @@
         "relayed": pool.relayed,
         "open_requests": len(engine.requests),
         "registry_entries": len(pool.shelves),
-        "out_of_rotation": router.placement.count_unavailable(pool.shelves, router.context.now_ms),
+        "out_of_rotation": router.placement.server_list.count_unavailable(
+            pool.shelves, router.context.now_ms
+        ),
         "cfg_accepted": files["accepted"],
         "cfg_invalid": files["invalid"],
     }
