--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -101,7 +101,7 @@
     for server in own:
         if trouble == "shut":
             server.gate.share = 0.0
-            server.gate._updated_at_ms = bench.now
+            server.gate.updated_at_ms = bench.now
         elif trouble == "cold":
             server.slow_start_window.cold_since_ms = bench.now
             server.slow_start_window.advance(bench.now, 1_000.0, bench.router.random.random)
