--- a/thornjunction/runtime/admin_metrics.py
+++ b/thornjunction/runtime/admin_metrics.py
@@ -29,7 +29,9 @@
         "relayed": pool.relayed,
         "open_requests": len(engine.requests),
         "registry_entries": len(pool.shelves),
-        "out_of_rotation": router.placement.count_unavailable(pool.shelves, router.context.now_ms),
+        "out_of_rotation": router.placement.server_list.count_unavailable(
+            pool.shelves, router.context.now_ms
+        ),
         "cfg_accepted": reloads["accepted"],
         "cfg_invalid": reloads["invalid"],
     }
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -55,7 +55,7 @@
     alarm = Alarm(reactor)
     buffer_budget = ByteBudget(config.buffer_bytes)
     pool = ShelfPool(reactor, config.pool_limits, alarm.deadlines, core_ms, buffer_budget)
-    router = Router(config.settings, config.seed)
+    router = Router(config.settings, config.seed, config.name)
     engine = Engine(router, config.settings.max_attempts, core_ms, alarm.deadlines, pool, counters)
     pool.ends = engine
     clients = ClientTable(max(config.sockets // CLIENT_SOCKETS_DIVISOR, 1), buffer_budget)
