--- a/packages/fleet-scale/src/fleet_scale/hollow.py
+++ b/packages/fleet-scale/src/fleet_scale/hollow.py
@@ -79,7 +79,7 @@
             note, self.fleet.port.tell = self.fleet.port.tell, self._told
             self._note = note
 
-    def _begin_serving(self) -> None:
+    def begin_serving(self) -> None:
         """No front, no watch on the event loop; the fleet's port is real."""
         if self.state is Lifecycle.STARTING:
             self.state = Lifecycle.SERVING
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -265,7 +265,7 @@
 
 
 def test_a_router_without_extras_pays_for_none_of_their_libraries() -> None:
-    code = "import sys, thornjunction.runtime.start, thornjunction.runtime.service; print(*sys.modules)"
+    code = "import sys, thornjunction.program, thornjunction.runtime.service; print(*sys.modules)"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True).stdout
     assert "twisted" in loaded.split()
     assert not {"click", "ijson", "joserfc", "msgspec", "re2"} & set(loaded.split())
--- a/tests/test_sigterm.py
+++ b/tests/test_sigterm.py
@@ -84,7 +84,7 @@
     service = Service(config, None, reactor, Counters(), lambda: config)
     service.start()
     service.shut_down()
-    service._begin_serving()  # the command channel's first answer, or half a second without one
+    service.begin_serving()  # the command channel's first answer, or half a second without one
     assert reactor.hasStopped and not reactor.tcpServers
 
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -307,7 +307,7 @@
         service.channel.start()
         yield until(lambda: len(source.polls) == 2)
         self.assertEqual((source.polls[1]["name"], source.polls[1]["epoch"]), ("r7", "A"))
-        self.assertIn(b"router.control_source=0\n", service._admin_calls.metrics())
+        self.assertIn(b"router.control_source=0\n", service.admin_calls.metrics())
         service.reload()
         self.assertEqual(service.channel.address, source.address)
         service.channel.stopped = True
@@ -320,7 +320,7 @@
         self.addCleanup(service.alarm.stop)
         self.assertIs(type(service.channel), Channel)
         self.assertEqual(service.channel.target(1200.0), "/cmd/next?resume=0&block=1200")
-        self.assertNotIn(b"control_", service._admin_calls.metrics())
+        self.assertNotIn(b"control_", service.admin_calls.metrics())
 
     def test_a_name_that_can_not_stand_in_a_poll_is_refused(self) -> None:
         config = parse_config(json.dumps(CONFIG | {"name": "a b"}).encode(), {})
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -92,7 +92,7 @@
         deadlines = self.alarm.deadlines
         name = self.config.name
         self.channel = assembly.build_channel(
-            extras, self.config, self.reactor, deadlines, self.handle_command, self._begin_serving
+            extras, self.config, self.reactor, deadlines, self.handle_command, self.begin_serving
         )
         self._signed_front = assembly.build_signed_front(extras, self._path, self._classes)
         self._metrics = assembly.build_metrics(extras, self.reactor, deadlines, self._counters, name)
@@ -104,10 +104,10 @@
         self._listeners = Listeners(self.reactor, self._fail)
         self._handover = Handover(self.config.handover_folder, self.config.name)
         self._shutdown = Shutdown(path.clients, path.drain, path.engine, deadlines, core_ms, self._stop)
-        self._admin_calls = AdminCalls(
+        self.admin_calls = AdminCalls(
             path.drain, self.is_ready, self._is_shutting_down, self._collect_metrics
         )
-        calls = dict(self._admin_calls.by_name)
+        calls = dict(self.admin_calls.by_name)
         if self.fleet is not None:
             calls["fleet"] = self.fleet.view
         self._admin_endpoint = OperatorsDoor(calls, deadlines, core_ms)
@@ -131,9 +131,9 @@
             self._listeners.listen(*self.config.admin, lambda: OperatorsLink(self._admin_endpoint))
         self.channel.start()
         # Guards a process that replaces another against the list of its start, which may be long out of date.
-        self.alarm.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self._begin_serving)
+        self.alarm.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
 
-    def _begin_serving(self) -> None:
+    def begin_serving(self) -> None:
         """Open the fronts: the list of endpoints is current, or its time is over."""
         if self.state is not Lifecycle.STARTING:  # guards against a port that opens after SIGTERM
             return
