--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import itertools
+import string
 import zlib
 from collections.abc import Iterator
 from typing import Generic, TypeVar
@@ -25,14 +26,28 @@
 # A site that shrinks keeps its blocks until it would have fewer of them at this multiple of its size as well.
 SHRINK_MARGIN = 1.25
 # Routers that ask a block in the mean, at least: of few, some block would have none, and its caches idle.
-ROUTERS_PER_BLOCK_LEAST = 4
+ROUTERS_PER_BLOCK_LEAST = 2
+# Last digits of a router's name that count as its number.
+ORDINAL_DIGITS = 18
+HASH_VALUES = 1 << 64
+# 2**64 over the golden ratio: any run of its multiples, also of every second or third one, is spread evenly.
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15
 
 ServerT = TypeVar("ServerT")
 
 
 def router_hash(name: str, seed: int) -> int:
-    """Return a stable 64-bit hash that tells a router from others: of its name, or else of its seed."""
-    return mix64(zlib.crc32(name.encode()) if name else seed)
+    """Return a stable 64-bit hash that tells a router from others: of its name, or else of its seed.
+
+    Routers whose names differ in a last number only (``edge-7``) are spread evenly over all values, by
+    Fibonacci hashing of that number: so each block is asked by as many routers as any other. Names that
+    differ otherwise are spread at random.
+    """
+    if not name:
+        return mix64(seed)
+    prefix = name.rstrip(string.digits)
+    ordinal = int(name[len(prefix) :][-ORDINAL_DIGITS:] or 0)
+    return (mix64(zlib.crc32(prefix.encode())) + ordinal * GOLDEN_RATIO_64) % HASH_VALUES
 
 
 def block_count(servers: int, routers: int, current: int) -> int:
