--- a/benchmarks/growth_program.py
+++ b/benchmarks/growth_program.py
@@ -32,6 +32,7 @@
 from tests.test_core import CONFIG
 
 SITES = ("z1", "z2", "z3")  # of the caches; the router stands at the first
+SITE_ROUTERS = 67  # of each site, as the settings tell: 201 in all
 PARENT_SHARE = 10  # one server in so many is a parent
 DESCRIPTORS, MEMORY_MB = 544, 96  # the router's limits
 LINKS = 16  # connections of clients
@@ -113,8 +114,9 @@
 def config(listen: str, discovery: str) -> dict[str, Any]:
     """The router's configuration: it starts without a list."""
     settings: dict[str, Any] = CONFIG["settings"]  # type: ignore[assignment]
-    settings = settings | {"zones": ["hub", *SITES]}
-    settings["specifics"] = settings["specifics"] | {"instancesByZone": [0, 2, 2, 2]}
+    settings = settings | {"zones": ["hub", *SITES], "instances": SITE_ROUTERS * len(SITES)}
+    routers = [0, *(SITE_ROUTERS for _ in SITES)]
+    settings["specifics"] = settings["specifics"] | {"instancesByZone": routers}
     limits = {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS}
     return CONFIG | {"listen": listen, "channel": discovery, "limits": limits, "settings": settings}
 
