--- a/benchmarks/capacity_decisions.py
+++ b/benchmarks/capacity_decisions.py
@@ -42,11 +42,11 @@
     """One router under steady load: each request hits at the first try, ANSWER_MS later."""
 
     def __init__(self, entries: tuple[api.ServerEntry, ...], objects: int, seed: int = 7) -> None:
-        settings = replace(SETTINGS, instances=1200, zone_fronts={"here": 21}, may_copy=True)
+        settings = replace(SETTINGS, router_count=1200, routers_by_zone={"here": 21}, may_hedge=True)
         self.router, self.now, self.spent = Router(settings, seed), 1_000.0, 0.0
         self.objects, self.draw, self.number = objects, random.Random(seed), 0
         self.due: list[tuple[float, int, api.Event]] = []
-        self.give(api.Servers(entries))
+        self.give(api.EndpointListUpdate(entries))
 
     def give(self, event: api.Event) -> float:
         """Seconds of processor time; what it asks for is put in line."""
@@ -58,9 +58,11 @@
             if isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
                 heapq.heappush(self.due, (self.now + action.in_ms, self.number, fired))
-            elif isinstance(action, api.Fetch):
-                done, took_ms = api.Status.DONE, ANSWER_MS
-                end = api.Outcome(action.request, 0, action.server, done, took_ms, api.Note.HIT, final=True)
+            elif isinstance(action, api.StartAttempt):
+                done, took_ms = api.AttemptStatus.SUCCEEDED, ANSWER_MS
+                end = api.AttemptEnded(
+                    action.request_id, 0, action.server, done, took_ms, api.FillResult.HIT, final=True
+                )
                 heapq.heappush(self.due, (self.now + ANSWER_MS, self.number, end))
         return took
 
@@ -72,7 +74,7 @@
             while self.due and self.due[0][0] <= self.now:
                 _, _, event = heapq.heappop(self.due)
                 took = self.give(event)
-                spent += took * isinstance(event, api.Outcome)
+                spent += took * isinstance(event, api.AttemptEnded)
             self.number += 1
             key = self.draw.randrange(self.objects)
             spent += self.give(api.Request(f"r{self.number}", "films", key, 5_000.0, size_kb=477.0))
@@ -117,7 +119,11 @@
 def took_list(entries: tuple[api.ServerEntry, ...], change: bool) -> float:
     """Microseconds to take a whole list, or one changed entry of it."""
     load = Load(entries, OBJECTS)
-    event = api.Servers((replace(entries[0], weight=7.0),), whole=False) if change else api.Servers(entries)
+    event = (
+        api.EndpointListUpdate((replace(entries[0], weight=7.0),), complete=False)
+        if change
+        else api.EndpointListUpdate(entries)
+    )
     return min(load.give(event) for _ in range(20)) * 1e6
 
 
@@ -139,8 +145,8 @@
     for known in (100, 500, 1_000, 2_000, 4_000):
         load = Load(listed(SITE), OBJECTS)
         for key in range(known):
-            load.give(api.Purged(0, 0.0, key))
-        rounds = [sum(load.give(api.Purged(0, 0.0, key)) for key in range(50)) for _ in range(20)]
+            load.give(api.PurgeReceived(0, 0.0, key))
+        rounds = [sum(load.give(api.PurgeReceived(0, 0.0, key)) for key in range(50)) for _ in range(20)]
         points.append((known, min(rounds) / 50 * 1e6))
     print(table("purges known | us a purge", [row(known, f"{us:.2f}") for known, us in points]))
     print(f"\nfit: {fit([(known / 1_000, us) for known, us in points]).text('us', 'a thousand')}\n")
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -62,13 +62,15 @@
 
 def connections_of(seed: int, answer_ms: float, routers: int) -> tuple[Pool, int]:
     """One router of a site under its share of the peak; its pool after RUN_MS, and its probes."""
-    settings = replace(SETTINGS, instances=routers, zone_fronts={"here": SITE_ROUTERS}, may_bypass=True)
+    settings = replace(
+        SETTINGS, router_count=routers, routers_by_zone={"here": SITE_ROUTERS}, may_bypass_caches=True
+    )
     router, pool, draw, probes = Router(settings, seed), Pool(), random.Random(seed), 0
     servers = (
         *(edge(f"edge{n}") for n in range(SITE_EDGES)),
         *(parent(f"parent{n}") for n in range(PARENTS)),
     )
-    due: list[tuple[float, int, api.Event]] = [(1_000.0, 0, api.Servers((*servers, ORIGIN)))]
+    due: list[tuple[float, int, api.Event]] = [(1_000.0, 0, api.EndpointListUpdate((*servers, ORIGIN)))]
     number = count = int(RATE * RUN_MS / 1_000)
     for one in range(count):
         kind = "keyed" if draw.random() < KEYED_SHARE else "films"
@@ -79,17 +81,19 @@
     heapq.heapify(due)
     while due and due[0][0] < 1_000.0 + RUN_MS:
         now, _, event = heapq.heappop(due)
-        if isinstance(event, api.Outcome):
-            pool.ended(event.request)
+        if isinstance(event, api.AttemptEnded):
+            pool.ended(event.request_id)
         for action in router.handle(now, event):
             number += 1
-            if isinstance(action, api.Fetch):
-                pool.send(action.request, action.server)
-                done = api.Outcome(action.request, 0, action.server, api.Status.DONE, answer_ms, final=True)
+            if isinstance(action, api.StartAttempt):
+                pool.send(action.request_id, action.server)
+                done = api.AttemptEnded(
+                    action.request_id, 0, action.server, api.AttemptStatus.SUCCEEDED, answer_ms, final=True
+                )
                 heapq.heappush(due, (now + answer_ms, number, done))
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(due, (now + action.in_ms, number, api.TimerFired(action.token)))
-            probes += isinstance(action, api.Probe)
+            probes += isinstance(action, api.CheckHealth)
     return pool, probes
 
 
@@ -120,15 +124,17 @@
 def cold_fleet(routers: int, rate: float, zone_fronts: int) -> dict[str, list[float]]:
     """When each cold server of the model was asked; ``rate``: requests a s a router."""
     draw = random.Random(routers)
-    more = {"instances": routers, "zone_fronts": {"here": zone_fronts}, "may_copy": True}
+    more = {"router_count": routers, "routers_by_zone": {"here": zone_fronts}, "may_hedge": True}
     sent: dict[str, list[float]] = {entry.server: [] for entry in cold_model.COLD}
 
     def play(bench: Bench, actions: list[api.Action]) -> None:
-        for fetch in only(actions, api.Fetch):
+        for fetch in only(actions, api.StartAttempt):
             for name in {fetch.server, fetch.source} & sent.keys():
                 sent[name].append(bench.now)
             if draw.random() < 0.9:
-                status = api.Status.RESET if draw.random() < 0.2 else api.Status.DONE
+                status = (
+                    api.AttemptStatus.CONNECTION_RESET if draw.random() < 0.2 else api.AttemptStatus.SUCCEEDED
+                )
                 play(bench, bench.answer(fetch, status))
 
     for place in range(routers):  # one at a time: none hears another
@@ -199,7 +205,7 @@
 def retries(counts: tuple[int, ...]) -> None:
     rows, points = [], []
     for routers in (4, 20, *counts):
-        saved = routers * Router(replace(SETTINGS, instances=routers), 1).retry_budget.tokens
+        saved = routers * Router(replace(SETTINGS, router_count=routers), 1).retry_budget.tokens
         points.append((routers, saved))
         rows.append(row(routers, f"{saved:.0f}", f"{FLEET_RESERVE:.0f}", f"{saved / FLEET_RESERVE:.1f}"))
     print(table("routers | further attempts saved up by all | meant | times", rows))
@@ -209,16 +215,20 @@
 def keyed_served(rate: float) -> tuple[float, float]:
     """Of keyed requests at a rate a router: the share that gets an attempt in the last KEYED_SPAN_MS, and the
     longest time in ms in which none does."""
-    settings = replace(SETTINGS, instances=1_200, zone_fronts={"here": SITE_ROUTERS}, may_bypass=True)
+    settings = replace(
+        SETTINGS, router_count=1_200, routers_by_zone={"here": SITE_ROUTERS}, may_bypass_caches=True
+    )
     router, now, sent, asked = Router(settings, 1), 0.0, list[float](), 0
-    router.handle(now, api.Servers((edge("edge0"), ORIGIN)))
+    router.handle(now, api.EndpointListUpdate((edge("edge0"), ORIGIN)))
     while now < KEYED_MS:
         now += 1_000.0 / rate
         asked += 1
         event = api.Request(f"{asked}", "keyed", asked, 3_000.0, size_kb=10.0, idempotency_key=f"{asked}")
-        for fetch in only(router.handle(now, event), api.Fetch):
+        for fetch in only(router.handle(now, event), api.StartAttempt):
             sent.append(now)
-            end = api.Outcome(fetch.request, 0, fetch.server, api.Status.DONE, 1.0, final=True)
+            end = api.AttemptEnded(
+                fetch.request_id, 0, fetch.server, api.AttemptStatus.SUCCEEDED, 1.0, final=True
+            )
             router.handle(now, end)
     late = sum(at > KEYED_MS - KEYED_SPAN_MS for at in sent) / (KEYED_SPAN_MS / 1_000.0 * rate)
     return late, max(b - a for a, b in zip(sent, sent[1:], strict=False))
--- a/benchmarks/list_growth.py
+++ b/benchmarks/list_growth.py
@@ -62,10 +62,10 @@
     entries = listed(servers, sites)
     load = Load(entries, OBJECTS)
     changes = [
-        load.give(api.Servers((replace(entries[0], weight=1.0 + number),), whole=False))
+        load.give(api.EndpointListUpdate((replace(entries[0], weight=1.0 + number),), complete=False))
         for number in range(CHANGES)
     ]
-    whole = min(load.give(api.Servers(entries)) for _ in range(ROUNDS))
+    whole = min(load.give(api.EndpointListUpdate(entries)) for _ in range(ROUNDS))
     return sum(changes) / CHANGES * 1e6, whole * 1e6
 
 
--- a/packages/standins/src/standins/rig.py
+++ b/packages/standins/src/standins/rig.py
@@ -105,23 +105,25 @@
     def listen(self, build: Any) -> Any:
         return reactor.listenTCP(0, Building(build), interface="127.0.0.1")
 
-    def list_servers(self, state: api.State = api.State.SERVING, **moved: tuple[str, int]) -> None:
+    def list_servers(
+        self, state: api.ServerState = api.ServerState.SERVING, **moved: tuple[str, int]
+    ) -> None:
         """All of them, the edge in that state; who was moved, at the new address."""
         roles = {"edge1": api.Role.EDGE, "origin": api.Role.ORIGIN}
         hosts, entries = [], []
         for (name, role), port in zip(roles.items(), self.ports[:2], strict=True):
             address = moved.get(name, ("127.0.0.1", port.getHost().port))
-            told = state if name == "edge1" else api.State.SERVING
+            told = state if name == "edge1" else api.ServerState.SERVING
             hosts.append(Host(name, address, "here", "x", 0, told, 8.0, 0.0))
             entries.append(api.ServerEntry(name, role, "here", told, weight=8.0))
         self.pool.update(tuple(hosts), True)
-        self.engine.feed(api.Servers(tuple(entries)))
+        self.engine.feed(api.EndpointListUpdate(tuple(entries)))
 
     def deafen(self, name: str) -> DeafDoor:
         """Move a server to a port at which connects hang."""
         door = DeafDoor(lambda: ShelfStandIn(self))
         self.doors.append(door)
-        self.list_servers(api.State.SERVING, **{name: door.address})
+        self.list_servers(api.ServerState.SERVING, **{name: door.address})
         return door
 
     def later(self, ms: float) -> None:
--- a/packages/standins/src/standins/watch.py
+++ b/packages/standins/src/standins/watch.py
@@ -120,7 +120,7 @@
 def fetched_from(service: Service) -> str:
     """Where the decisions send a request now."""
     request = api.Request(os.urandom(4).hex(), "files", 7, 2000.0, size_kb=10.0)
-    (sent,) = [a for a in service.router.handle(2e9, request) if isinstance(a, api.Fetch)]
+    (sent,) = [a for a in service.router.handle(2e9, request) if isinstance(a, api.StartAttempt)]
     return sent.server
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,30 +10,42 @@
 
 A = TypeVar("A")
 
-FILMS = api.RequestClass("films", 500.0, 5000.0, api.Safety.SAFE, aim_stretch=1.6, late_worth=0.1, worth=2.0)
-PAGES = api.RequestClass("pages", 300.0, 3000.0, api.Safety.SAFE, aim_stretch=2.0, fresh_ms=12_000.0)
-KEYED = api.RequestClass("keyed", 700.0, 3000.0, api.Safety.KEYED, memory_ms=2000.0, passes=True)
-ORDER = api.RequestClass("order", 700.0, 3000.0, api.Safety.UNSAFE, passes=True)
+FILMS = api.RequestClass(
+    "films",
+    500.0,
+    5000.0,
+    api.Idempotency.IDEMPOTENT,
+    objective_transfer_factor=1.6,
+    late_value_share=0.1,
+    priority_weight=2.0,
+)
+PAGES = api.RequestClass(
+    "pages", 300.0, 3000.0, api.Idempotency.IDEMPOTENT, objective_transfer_factor=2.0, freshness_ms=12_000.0
+)
+KEYED = api.RequestClass(
+    "keyed", 700.0, 3000.0, api.Idempotency.KEYED, deduplication_window_ms=2000.0, uncacheable=True
+)
+ORDER = api.RequestClass("order", 700.0, 3000.0, api.Idempotency.NON_IDEMPOTENT, uncacheable=True)
 SETTINGS = api.Settings(
     classes=(FILMS, PAGES, KEYED, ORDER),
     zone="here",
-    instances=4,
-    zone_fronts={"here": 2},
+    router_count=4,
+    routers_by_zone={"here": 2},
     max_attempts=6,
     drain_grace_ms=500.0,
-    cold_share=0.2,
-    cold_ms=15_000.0,
-    fall_multiple=2.0,
-    fall_ms=1000.0,
-    parent_cold_share=0.1,
-    parent_cold_ms=20_000.0,
-    purge_takes_ms=6000.0,
+    initial_capacity_share=0.2,
+    slow_start_ms=15_000.0,
+    overload_multiple=2.0,
+    overload_window_ms=1000.0,
+    parent_initial_capacity_share=0.1,
+    parent_slow_start_ms=20_000.0,
+    purge_propagation_ms=6000.0,
     purge_grace_ms=500.0,
-    flow_kb_per_ms=5.0,
-    weighted=True,
+    transfer_rate_kb_per_ms=5.0,
+    servers_weighted=True,
     may_cancel=True,
-    may_join=True,
-    notes=api.Notes.ALL,
+    may_coalesce=True,
+    fill_reporting=api.FillReporting.ALL,
 )
 
 
@@ -59,9 +71,9 @@
         self.now, self.asked = 1000.0, 0
         self.router = Router(replace(SETTINGS, **more), 7)
         self.timers: list[tuple[float, int]] = []
-        self.sent: dict[str, list[api.Fetch]] = {}
+        self.sent: dict[str, list[api.StartAttempt]] = {}
         self.log: list[tuple[float, api.Action]] = []
-        self.give(api.Servers(entries))
+        self.give(api.EndpointListUpdate(entries))
 
     def give(self, event: api.Event) -> list[api.Action]:
         actions = self.router.handle(self.now, event)
@@ -69,8 +81,8 @@
             self.log.append((self.now, action))
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.in_ms, action.token))
-            elif isinstance(action, api.Fetch):
-                self.sent.setdefault(action.request, []).append(action)
+            elif isinstance(action, api.StartAttempt):
+                self.sent.setdefault(action.request_id, []).append(action)
         return actions
 
     def wait(self, ms: float) -> list[api.Action]:
@@ -88,15 +100,23 @@
         """One request; its name is the number of requests so far."""
         self.asked += 1
         kind = self.router.admission.classes.get(class_name)
-        left = kind.give_up_ms if kind else 3000.0
+        left = kind.client_timeout_ms if kind else 3000.0
         event = api.Request(str(self.asked), class_name, key, left, size_kb=1000.0)
         return self.give(replace(event, **more))
 
-    def answer(self, fetch: api.Fetch, status: api.Status = api.Status.DONE, **more: Any) -> list[api.Action]:
-        number = next(n for n, sent in enumerate(self.sent[fetch.request]) if sent is fetch)
-        note = api.Note.HIT if status is api.Status.DONE else api.Note.NONE
-        event = api.Outcome(
-            fetch.request, number, fetch.server, status, 100.0, note, final=status is api.Status.DONE
+    def answer(
+        self, fetch: api.StartAttempt, status: api.AttemptStatus = api.AttemptStatus.SUCCEEDED, **more: Any
+    ) -> list[api.Action]:
+        number = next(n for n, sent in enumerate(self.sent[fetch.request_id]) if sent is fetch)
+        note = api.FillResult.HIT if status is api.AttemptStatus.SUCCEEDED else api.FillResult.NONE
+        event = api.AttemptEnded(
+            fetch.request_id,
+            number,
+            fetch.server,
+            status,
+            100.0,
+            note,
+            final=status is api.AttemptStatus.SUCCEEDED,
         )
         return self.give(replace(event, **more))
 
@@ -105,10 +125,10 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def fetch_of(actions: list[api.Action]) -> api.Fetch:
-    (fetch,) = only(actions, api.Fetch)
+def fetch_of(actions: list[api.Action]) -> api.StartAttempt:
+    (fetch,) = only(actions, api.StartAttempt)
     return fetch
 
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
-    return [action for action in actions if isinstance(action, api.Refuse | api.Fail)]
+    return [action for action in actions if isinstance(action, api.RejectRequest | api.FailRequest)]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -17,7 +17,7 @@
     for kid, secret, until in (("new", "n", None), ("old", "o", 2e9), ("retired", "r", 10.0))
 }
 TRUST = tokens.Trust(frozenset({"Reefline"}), "tj", ("HS256",), KEYS, "new", 5.0)
-SETTINGS_HERE = replace(SETTINGS, may_bypass=True, may_advise_wait=True, max_wait_advice_ms=500.0)
+SETTINGS_HERE = replace(SETTINGS, may_bypass_caches=True, may_send_retry_after=True, max_retry_after_ms=500.0)
 __all__ = ["Client"]  # for the tests that import it from here
 
 
--- a/tests/test_admission_gates.py
+++ b/tests/test_admission_gates.py
@@ -5,28 +5,28 @@
 from tests.helpers import EDGES, ORIGIN, Bench, fetch_of, finals, only
 from thornjunction import interface as api
 
-FILLED = api.Note.FILLED
+FILLED = api.FillResult.FILLED
 
 
 def test_late_hits_shut_a_caches_gate_and_the_rest_is_refused() -> None:
     """Overload: what cannot be served in time is refused at once, and writes go on."""
     bench = Bench()
     for key in range(400):
-        for fetch in only(bench.ask(key), api.Fetch):
-            bench.answer(fetch, took_ms=4000.0)
+        for fetch in only(bench.ask(key), api.StartAttempt):
+            bench.answer(fetch, elapsed_ms=4000.0)
     actions = [action for key in range(200) for action in bench.ask(key)]
-    out, refused = len(only(actions, api.Fetch)), len(only(actions, api.Refuse))
+    out, refused = len(only(actions, api.StartAttempt)), len(only(actions, api.RejectRequest))
     assert out + refused == 200 and refused > 100 and out >= 4
-    assert only(bench.ask(class_name="keyed"), api.Fetch)  # writes are small and worth most
+    assert only(bench.ask(class_name="keyed"), api.StartAttempt)  # writes are small and worth most
 
 
 def test_gates_open_again_when_answers_come_in_time() -> None:
     bench = Bench()
     for took in (4000.0, 100.0):
         for key in range(600):
-            for fetch in only(bench.ask(key), api.Fetch):
-                bench.answer(fetch, took_ms=took)
-    assert sum(len(only(bench.ask(key), api.Fetch)) for key in range(200)) == 200
+            for fetch in only(bench.ask(key), api.StartAttempt):
+                bench.answer(fetch, elapsed_ms=took)
+    assert sum(len(only(bench.ask(key), api.StartAttempt)) for key in range(200)) == 200
 
 
 def test_late_fills_turn_requests_into_looks_and_shut_no_cache() -> None:
@@ -35,14 +35,16 @@
     for key in range(200):
         fetch = fetch_of(bench.ask(key))
         if fetch.source == fetch.server:
-            bench.answer(fetch, api.Status.MISS)
+            bench.answer(fetch, api.AttemptStatus.CACHE_MISS)
         else:
-            bench.answer(fetch, took_ms=4000.0, note=FILLED, source_wait_ms=3500.0)
+            bench.answer(fetch, elapsed_ms=4000.0, fill_result=FILLED, fill_first_byte_ms=3500.0)
     fetches = [fetch_of(bench.ask(key)) for key in range(1000, 1200)]
     looks = [fetch for fetch in fetches if fetch.source == fetch.server]
     assert 150 < len(looks) < 200
     assert not bench.answer(looks[0])
-    assert finals(bench.answer(looks[1], api.Status.MISS)) == [api.Refuse(looks[1].request)]
+    assert finals(bench.answer(looks[1], api.AttemptStatus.CACHE_MISS)) == [
+        api.RejectRequest(looks[1].request_id)
+    ]
 
 
 def test_a_fill_counts_as_late_as_soon_as_its_aim_has_passed() -> None:
@@ -51,7 +53,7 @@
     for key in range(40):
         bench.ask(key)
     bench.wait(1500.0)
-    looks = [fetch for key in range(1000, 1040) for fetch in only(bench.ask(key), api.Fetch)]
+    looks = [fetch for key in range(1000, 1040) for fetch in only(bench.ask(key), api.StartAttempt)]
     assert sum(fetch.source == fetch.server for fetch in looks) > 30
 
 
@@ -59,8 +61,8 @@
     """An origin that fails behind every parent is asked less, or it never recovers."""
     bench = Bench()
     for key in range(60):
-        for fetch in only(bench.ask(key), api.Fetch):
-            bench.answer(fetch, api.Status.BUSY, note=api.Note.ORIGIN_FAILED)
+        for fetch in only(bench.ask(key), api.StartAttempt):
+            bench.answer(fetch, api.AttemptStatus.OVERLOADED, fill_result=api.FillResult.ORIGIN_FAILED)
     assert bench.router.gates.fills.share < 0.2
 
 
@@ -68,15 +70,15 @@
     """Asked on, it stays jammed after its trouble has passed; what parents hold must not wait for that."""
     bench = Bench()
     for key in range(100):
-        for fetch in only(bench.ask(key), api.Fetch):
-            bench.answer(fetch, note=api.Note.FILLED_FROM_ORIGIN, took_ms=4000.0)
+        for fetch in only(bench.ask(key), api.StartAttempt):
+            bench.answer(fetch, fill_result=api.FillResult.FILLED_FROM_ORIGIN, elapsed_ms=4000.0)
             bench.router.gates.fills.share = 1.0  # only the origin is slow
     fetches = [fetch_of(bench.ask(key)) for key in range(1000, 1100)]
-    assert sum(fetch.held_only for fetch in fetches) > 80
-    assert not any(fetch.held_only for fetch in [fetch_of(bench.ask(7, "keyed")) for _ in range(20)])
-    missed = next(fetch for fetch in fetches if fetch.held_only)
-    actions = bench.answer(missed, api.Status.MISS, note=api.Note.SOURCE_LACKS)
-    assert finals(actions) == [api.Refuse(missed.request)]
+    assert sum(fetch.cached_only for fetch in fetches) > 80
+    assert not any(fetch.cached_only for fetch in [fetch_of(bench.ask(7, "keyed")) for _ in range(20)])
+    missed = next(fetch for fetch in fetches if fetch.cached_only)
+    actions = bench.answer(missed, api.AttemptStatus.CACHE_MISS, fill_result=api.FillResult.SOURCE_LACKS)
+    assert finals(actions) == [api.RejectRequest(missed.request_id)]
 
 
 def test_large_requests_give_way_first_at_a_gate_and_within_a_class_by_little() -> None:
@@ -84,7 +86,7 @@
     bench = Bench(entries=(*EDGES, ORIGIN))
     kinds = (("films", 100.0), ("films", 3000.0), ("pages", 50.0))
 
-    def ask(key: int) -> tuple[tuple[str, float], api.Fetch]:
+    def ask(key: int) -> tuple[tuple[str, float], api.StartAttempt]:
         kind = kinds[key % 3]
         return kind, fetch_of(bench.ask(key, kind[0], size_kb=kind[1]))
 
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -87,7 +87,7 @@
         client.send(asked(1, ttl_ms=3_000))
         await self.until(self.rig.wants)
         shutdown.start(3_000.0, [], accept_new=False)
-        self.rig.list_servers(api.State.DRAINING)
+        self.rig.list_servers(api.ServerState.DRAINING)
         client.send(asked(2, ttl_ms=300))
         await self.until(lambda: client.answers() == 1)
         shelf, ident = self.rig.asked[-1]
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -31,7 +31,7 @@
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
-FILMS = api.RequestClass("films", 500.0, 5000.0, api.Safety.SAFE)
+FILMS = api.RequestClass("films", 500.0, 5000.0, api.Idempotency.IDEMPOTENT)
 
 
 class Transport(StringTransport):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -124,7 +124,7 @@
     true_s, off_s, fed = time.time, [3600.0], list[Any]()
     with patch("time.time", lambda: true_s() + off_s[0]):
         service, off_s[0] = service_of(), 0.0
-    settings = replace(service.config.settings, purge_takes_ms=6000.0)
+    settings = replace(service.config.settings, purge_propagation_ms=6000.0)
     service.config = replace(service.config, settings=settings)
     host = line("c1", born_ms=true_s() * 1000.0)
     (change,) = decode_commands(commands({"cursor": 1, "nodes": {"hosts": [host]}})).events
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -102,7 +102,7 @@
         raise NotImplementedError
 
     def open(self) -> int:
-        self.steps = [[api.Fetch("0", "s", 500.0, "s")]]
+        self.steps = [[api.StartAttempt("0", "s", 500.0, "s")]]
         return self.engine.open(REQUEST, self.answers.append)
 
     def pass_time(self, ms: float) -> None:
@@ -123,20 +123,22 @@
 def test_the_first_answer_is_the_only_one() -> None:
     script = Script()
     number = script.open()
-    script.steps = [[api.Fail(str(number)), api.Refuse(str(number))]]
-    script.engine.attempt_ended(script.sent[0].number, api.Status.DONE, Content(b"x"))
-    script.engine.attempt_ended(script.sent[0].number, api.Status.RESET)
+    script.steps = [[api.FailRequest(str(number)), api.RejectRequest(str(number))]]
+    script.engine.attempt_ended(script.sent[0].number, api.AttemptStatus.SUCCEEDED, Content(b"x"))
+    script.engine.attempt_ended(script.sent[0].number, api.AttemptStatus.CONNECTION_RESET)
     script.pass_time(2000.0)
     assert script.answers == [Served(Content(b"x"))]
-    assert isinstance(script.events[-1], api.Outcome) and script.events[-1].final
+    assert isinstance(script.events[-1], api.AttemptEnded) and script.events[-1].final
 
 
 def test_an_attempt_called_back_while_it_waits_never_ran() -> None:
     script = Script()
-    number, script.waits, script.steps = script.open(), True, [[api.Cancel("0", 0)]]
+    number, script.waits, script.steps = script.open(), True, [[api.CancelAttempt("0", 0)]]
     script.engine.feed(api.TimerFired(1))
     script.pass_time(500.0)
-    assert [e.status for e in script.events if isinstance(e, api.Outcome)] == [api.Status.SKIPPED]
+    assert [e.status for e in script.events if isinstance(e, api.AttemptEnded)] == [
+        api.AttemptStatus.NOT_STARTED
+    ]
     assert number == 0 and script.cancelled == []
 
 
@@ -149,19 +151,19 @@
         attempt = script.engine.attempts.find(str(number), 0)
         assert attempt is not None and attempt.state is state
         for _ in range(2):  # the second report is late, and counts for nothing
-            script.engine.attempt_ended(attempt.number, api.Status.RESET)
+            script.engine.attempt_ended(attempt.number, api.AttemptStatus.CONNECTION_RESET)
         assert attempt.state is AttemptState.ENDED
-        assert [e.final for e in script.events if isinstance(e, api.Outcome)] == [client_leaves]
+        assert [e.final for e in script.events if isinstance(e, api.AttemptEnded)] == [client_leaves]
 
 
 def test_a_time_out_gives_up_and_is_told_once() -> None:
     script = Script()
     number = script.open()
     script.pass_time(500.0)
-    script.engine.attempt_ended(script.sent[0].number, api.Status.DONE, Content(b"late"))
-    assert [e.status for e in script.events if isinstance(e, api.Outcome)] == [api.Status.TIMEOUT]
+    script.engine.attempt_ended(script.sent[0].number, api.AttemptStatus.SUCCEEDED, Content(b"late"))
+    assert [e.status for e in script.events if isinstance(e, api.AttemptEnded)] == [api.AttemptStatus.TIMEOUT]
     assert script.cancelled == [script.sent[0].number] and script.answers == []
-    script.steps = [[api.Refuse(str(number), 40.0)]]
+    script.steps = [[api.RejectRequest(str(number), 40.0)]]
     script.engine.feed(api.TimerFired(1))
     assert script.answers == [Rejected(40.0)]
 
@@ -171,7 +173,7 @@
     script = Script()
     script.engine.shutdown_at_ms = 700.0
     script.open()
-    assert script.events[0].left_ms == 700.0
+    assert script.events[0].remaining_ms == 700.0
     script.pass_time(699.0)
     assert script.answers == []
     script.pass_time(1.0)
@@ -179,15 +181,15 @@
 
 
 def test_who_is_hurried_is_answered_by_what_is_known() -> None:
-    bench = Bench(may_bypass=True)
+    bench = Bench(may_bypass_caches=True)
     film, order = fetch_of(bench.ask()), fetch_of(bench.ask(class_name="order"))
-    assert finals(bench.give(api.TimeUp(film.request))) == [api.Refuse(film.request)]
-    assert finals(bench.give(api.TimeUp(order.request))) == [api.Fail(order.request)]
-    assert bench.give(api.TimeUp(film.request)) == []
+    assert finals(bench.give(api.RequestExpired(film.request_id))) == [api.RejectRequest(film.request_id)]
+    assert finals(bench.give(api.RequestExpired(order.request_id))) == [api.FailRequest(order.request_id)]
+    assert bench.give(api.RequestExpired(film.request_id)) == []
     script = Script()
     number = script.open()
     script.engine.answer_all_now()
-    assert script.events[-1] == api.TimeUp(str(number))
+    assert script.events[-1] == api.RequestExpired(str(number))
 
 
 def test_an_error_in_the_module_still_ends_in_an_answer() -> None:
@@ -195,7 +197,7 @@
     script.open()
     script.steps = [None]  # type: ignore[list-item]
     script.handle = lambda now, event: 1 / 0  # type: ignore[method-assign,assignment,return-value]
-    script.engine.attempt_ended(script.sent[0].number, api.Status.ERROR)
+    script.engine.attempt_ended(script.sent[0].number, api.AttemptStatus.ERROR)
     script.pass_time(1000.0)
     assert script.answers == [Failed(timed_out=True)]
 
@@ -203,12 +205,12 @@
 def test_attempts_past_the_cap_are_skipped() -> None:
     script = Script()
     number = script.open()
-    script.steps = [[api.Fetch(str(number), "s", 1.0, "s")] * 2]
+    script.steps = [[api.StartAttempt(str(number), "s", 1.0, "s")] * 2]
     script.engine.feed(api.TimerFired(1))
-    assert len(script.sent) == 2 and script.events[-1].status is api.Status.SKIPPED
+    assert len(script.sent) == 2 and script.events[-1].status is api.AttemptStatus.NOT_STARTED
     script.engine.abandon(number)
     script.engine.abandon(number)
-    assert script.events[-1] == api.ClientGone(str(number)) and script.answers == []
+    assert script.events[-1] == api.ClientDisconnected(str(number)) and script.answers == []
     assert script.counters.counts["requests.films.abandoned"] == 1
 
 
@@ -269,14 +271,14 @@
 
 
 def test_what_may_have_run_is_known_to_the_next_try() -> None:
-    bench = Bench(may_bypass=True)
+    bench = Bench(may_bypass_caches=True)
     first = fetch_of(bench.ask(class_name="keyed", idempotency_key="k"))
-    bench.answer(first, api.Status.TIMEOUT)
+    bench.answer(first, api.AttemptStatus.TIMEOUT)
     bench.wait(2500.0)
-    assert finals(bench.ask(class_name="keyed", idempotency_key="k")) == [api.Fail(str(bench.asked))]
+    assert finals(bench.ask(class_name="keyed", idempotency_key="k")) == [api.FailRequest(str(bench.asked))]
     actions = bench.ask(class_name="keyed", idempotency_key="other")
     while not finals(actions):
-        actions = bench.answer(fetch_of(actions), api.Status.SKIPPED)
+        actions = bench.answer(fetch_of(actions), api.AttemptStatus.NOT_STARTED)
     assert not finals(bench.ask(class_name="keyed", idempotency_key="other"))
 
 
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -13,7 +13,7 @@
 
 def blind(**more: object) -> Bench:
     """One of two hundred, where answers tell nothing of fills."""
-    more = {"notes": api.Notes.NONE, "may_bypass": True, "instances": 200, **more}
+    more = {"fill_reporting": api.FillReporting.NONE, "may_bypass_caches": True, "router_count": 200, **more}
     return Bench((*EDGES, *PARENTS, ORIGIN), **more)
 
 
@@ -54,9 +54,9 @@
     """Alerts that tried again at once asked the full origin for five times their number."""
     bench = blind(max_attempts=6)
     fetch, times = fetch_of(bench.ask(class_name="keyed")), [bench.now]
-    while not finals(actions := bench.answer(fetch, api.Status.BUSY)):
-        assert not only(actions, api.Fetch)
-        while not (sent := only(actions := bench.wait(10.0), api.Fetch)):
+    while not finals(actions := bench.answer(fetch, api.AttemptStatus.OVERLOADED)):
+        assert not only(actions, api.StartAttempt)
+        while not (sent := only(actions := bench.wait(10.0), api.StartAttempt)):
             if finals(actions):
                 break
         if not sent:
@@ -72,18 +72,18 @@
 def test_refusals_teach_the_origins_gate_where_nothing_is_told(class_name: str) -> None:
     bench = blind()
     for key in range(4):
-        bench.answer(fetch_of(bench.ask(key, class_name)), api.Status.BUSY)
+        bench.answer(fetch_of(bench.ask(key, class_name)), api.AttemptStatus.OVERLOADED)
         bench.wait(300.0)
     assert bench.router.gates.origin.share < 0.5
-    fetches = [fetch for key in range(100, 200) for fetch in only(bench.ask(key), api.Fetch)]
-    assert sum(fetch.held_only for fetch in fetches) > 40
+    fetches = [fetch for key in range(100, 200) for fetch in only(bench.ask(key), api.StartAttempt)]
+    assert sum(fetch.cached_only for fetch in fetches) > 40
 
 
 def test_slow_answers_of_what_runs_at_the_origin_tell_of_its_queue() -> None:
     bench = blind()
-    bench.answer(fetch_of(bench.ask(class_name="keyed")), took_ms=340.0)
+    bench.answer(fetch_of(bench.ask(class_name="keyed")), elapsed_ms=340.0)
     assert bench.router.gates.origin.share == 1.0
-    bench.answer(fetch_of(bench.ask(class_name="keyed")), took_ms=360.0)
+    bench.answer(fetch_of(bench.ask(class_name="keyed")), elapsed_ms=360.0)
     assert bench.router.gates.origin.share < 1.0
 
 
@@ -91,6 +91,6 @@
     bench = blind()
     bench.router.gates.origin.share = bench.router.gates.origin.recovery_per_ms = 0.0
     for key in range(30):
-        for fetch in only(bench.ask(key), api.Fetch):
-            bench.answer(fetch, took_ms=4000.0, note=api.Note.NONE)
+        for fetch in only(bench.ask(key), api.StartAttempt):
+            bench.answer(fetch, elapsed_ms=4000.0, fill_result=api.FillResult.NONE)
     assert bench.router.gates.fills.share < 0.5
--- a/tests/test_fleet_origin.py
+++ b/tests/test_fleet_origin.py
@@ -28,15 +28,17 @@
     def __init__(self) -> None:
         self.now, self.turn, self.draw = 0.0, 0, random.Random(5)
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        settings = replace(SETTINGS, instances=ROUTERS, zone_fronts={"here": 6}, notes=api.Notes.NONE)
-        settings = replace(settings, may_bypass=True, may_join=False, may_copy=True)
+        settings = replace(
+            SETTINGS, router_count=ROUTERS, routers_by_zone={"here": 6}, fill_reporting=api.FillReporting.NONE
+        )
+        settings = replace(settings, may_bypass_caches=True, may_coalesce=False, may_hedge=True)
         self.routers = [Router(settings, seed) for seed in range(ROUTERS)]
         self.asked: dict[str, tuple[float, api.Request]] = {}
         self.attempts, self.due, self.good = Counter[str](), Counter[int](), Counter[int]()
         self.busy_until, self.falls, self.down_until = 0.0, list[float](), 0.0
         self.demand, self.window = Counter[int](), list[float]()
         for number in range(ROUTERS):
-            self.give(number, api.Servers((*EDGES, *PARENTS, ORIGIN)))
+            self.give(number, api.EndpointListUpdate((*EDGES, *PARENTS, ORIGIN)))
             self.next_request(number)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
@@ -53,7 +55,7 @@
         self.turn += 1
         kind = "keyed" if self.draw.random() < 0.04 else "films"
         event = api.Request(f"{self.turn}", kind, self.draw.getrandbits(40), 3000.0, size_kb=500.0)
-        self.asked[event.request] = self.now, event
+        self.asked[event.request_id] = self.now, event
         self.due[int(self.now / 1000)] += 1
         self.give(number, event)
 
@@ -65,51 +67,54 @@
         match action:
             case api.SetTimer(in_ms, token):
                 self.at(self.now + in_ms, lambda: self.give(number, api.TimerFired(token)))
-            case api.Fetch():
+            case api.StartAttempt():
                 self.fetch(number, action)
 
-    def fetch(self, number: int, fetch: api.Fetch) -> None:
-        attempt, sent = self.attempts[fetch.request], self.now
-        self.attempts[fetch.request] += 1
+    def fetch(self, number: int, fetch: api.StartAttempt) -> None:
+        attempt, sent = self.attempts[fetch.request_id], self.now
+        self.attempts[fetch.request_id] += 1
         status, ends_in = self.outcome(number, fetch)
 
         def end() -> None:
-            since, event = self.asked[fetch.request]
-            done = status is api.Status.DONE
+            since, event = self.asked[fetch.request_id]
+            done = status is api.AttemptStatus.SUCCEEDED
             aim = 700.0 if event.class_name == "keyed" else 660.0
             self.good[int(since / 1000)] += done and self.now - since <= aim
             self.give(
-                number, api.Outcome(fetch.request, attempt, fetch.server, status, self.now - sent, final=done)
+                number,
+                api.AttemptEnded(
+                    fetch.request_id, attempt, fetch.server, status, self.now - sent, final=done
+                ),
             )
 
         self.at(self.now + ends_in, end)
 
-    def outcome(self, number: int, fetch: api.Fetch) -> tuple[api.Status, float]:
+    def outcome(self, number: int, fetch: api.StartAttempt) -> tuple[api.AttemptStatus, float]:
         """How this attempt will end, and after how many ms."""
         if fetch.server == "origin":
             return self.origin(1)
         cold = number % 10 == 0 and BURST[0] <= self.now / 1000 < BURST[1]
         if not cold and self.draw.random() < 0.7:
-            return api.Status.DONE, 100.0
+            return api.AttemptStatus.SUCCEEDED, 100.0
         if fetch.source == fetch.server:
-            return api.Status.MISS, 1.0
+            return api.AttemptStatus.CACHE_MISS, 1.0
         if self.draw.random() < 0.7:
-            return api.Status.DONE, 150.0
-        return (api.Status.MISS, 20.0) if fetch.held_only else self.origin(4)
+            return api.AttemptStatus.SUCCEEDED, 150.0
+        return (api.AttemptStatus.CACHE_MISS, 20.0) if fetch.cached_only else self.origin(4)
 
-    def origin(self, tries: int) -> tuple[api.Status, float]:
+    def origin(self, tries: int) -> tuple[api.AttemptStatus, float]:
         """Ask it; where it is full, all further tries of parent and cache are asked too."""
         for _ in range(tries):
             self.demand[int(self.now / 1000)] += 1
             self.window.append(self.now)
             if self.now >= self.down_until and self.busy_until - self.now < FULL_MS:
                 self.busy_until = max(self.busy_until, self.now) + 1000 / BEARS
-                return api.Status.DONE, 120.0 + self.busy_until - self.now
+                return api.AttemptStatus.SUCCEEDED, 120.0 + self.busy_until - self.now
         self.window = [when for when in self.window if when > self.now - OVER_MS]
         if len(self.window) > OVER * BEARS * OVER_MS / 1000 and self.now >= self.down_until:
             self.falls.append(self.now)
             self.down_until = self.now + STOPS_MS
-        return api.Status.BUSY, 30.0 * tries
+        return api.AttemptStatus.OVERLOADED, 30.0 * tries
 
     def play(self) -> None:
         while self.events:
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -8,7 +8,7 @@
 from thornjunction import interface as api
 
 
-def slow_one(bench: Bench) -> api.Fetch:
+def slow_one(bench: Bench) -> api.StartAttempt:
     """One attempt that has waited longer than most of its class, while its cache answers others."""
     for key in range(300):
         bench.wait(5.0)
@@ -20,34 +20,38 @@
 
 
 def test_an_answer_that_is_lost_gets_a_copy_sent_beside_it() -> None:
-    bench = Bench(may_copy=True)
+    bench = Bench(may_hedge=True)
     slow = slow_one(bench)
-    copies = [fetch for fetch in only(bench.wait(700.0), api.Fetch) if fetch.request == slow.request]
+    copies = [
+        fetch for fetch in only(bench.wait(700.0), api.StartAttempt) if fetch.request_id == slow.request_id
+    ]
     assert [copy.server for copy in copies] == [slow.server]  # which still holds what it sent
     actions = bench.answer(copies[0])
-    assert api.Cancel(slow.request, 0) in actions and not bench.router.requests.open
-    assert not bench.answer(slow, api.Status.CANCELLED)
+    assert api.CancelAttempt(slow.request_id, 0) in actions and not bench.router.requests.open
+    assert not bench.answer(slow, api.AttemptStatus.CANCELLED)
 
 
 def test_a_cache_that_answers_nobody_gets_no_copies() -> None:
-    bench = Bench(may_copy=True)
+    bench = Bench(may_hedge=True)
     bench.answer(slow_one(bench))
     bench.wait(100.0)
     silent = fetch_of(bench.ask(5))
-    assert not only(bench.wait(800.0), api.Fetch) and len(bench.sent[silent.request]) == 1
+    assert not only(bench.wait(800.0), api.StartAttempt) and len(bench.sent[silent.request_id]) == 1
 
 
 def test_the_end_of_one_of_two_leaves_the_request_to_the_other() -> None:
-    bench = Bench(may_copy=True)
+    bench = Bench(may_hedge=True)
     slow = slow_one(bench)
-    (copy,) = [fetch for fetch in only(bench.wait(700.0), api.Fetch) if fetch.request == slow.request]
-    assert not bench.answer(copy, api.Status.BUSY)
-    fetch_of(bench.answer(slow, api.Status.RESET))
+    (copy,) = [
+        fetch for fetch in only(bench.wait(700.0), api.StartAttempt) if fetch.request_id == slow.request_id
+    ]
+    assert not bench.answer(copy, api.AttemptStatus.OVERLOADED)
+    fetch_of(bench.answer(slow, api.AttemptStatus.CONNECTION_RESET))
 
 
 @pytest.mark.parametrize("class_name", ["keyed", "order"])
 def test_what_must_not_run_twice_gets_no_copy(class_name: str) -> None:
-    bench = Bench(may_copy=True)
+    bench = Bench(may_hedge=True)
     slow_one(bench)
     bench.ask(class_name=class_name)
     bench.wait(2000.0)
@@ -55,7 +59,7 @@
 
 
 def test_copies_that_lose_to_the_first_answer_become_few() -> None:
-    bench = Bench(may_copy=True)
+    bench = Bench(may_hedge=True)
     for _ in range(20):
         slow = slow_one(bench)
         bench.wait(700.0)
--- a/tests/test_local_errors.py
+++ b/tests/test_local_errors.py
@@ -154,16 +154,20 @@
 
     def test_who_is_blamed_for_dials_that_go_on_failing(self) -> None:
         """No way there is a dial that never came up, once its time is over; our own lack is nobody's."""
-        rig, told = Rig(), list[api.Status]()
+        rig, told = Rig(), list[api.AttemptStatus]()
         self.addCleanup(rig.stop)
         pool = rig.pool
         pool.ends = SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status))
-        ends = {errno.ENETUNREACH: [api.Status.REFUSED], errno.EADDRNOTAVAIL: [], errno.EMFILE: []}
+        ends = {
+            errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
+            errno.EADDRNOTAVAIL: [],
+            errno.EMFILE: [],
+        }
         for number, end in ends.items():
             failed = getConnectError((number, "failed"))
             with patch.object(server_dial, "dial", lambda *_, failed=failed: fail(failed)):
                 call = ClientRequest("t1", "films", "00000000000000ff", 900.0)
-                pool.send(UpstreamRequest(1, call, api.Fetch("r", "edge1", 900.0, "origin")))
+                pool.send(UpstreamRequest(1, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
                 self.assertEqual(told, [])
                 rig.later(400.0)
                 self.assertEqual(told, end)
--- a/tests/test_long_answer.py
+++ b/tests/test_long_answer.py
@@ -23,7 +23,7 @@
 
 def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
     service = service_of()
-    takes_ms, now_ms = service.config.settings.purge_takes_ms, time.time() * 1000.0
+    takes_ms, now_ms = service.config.settings.purge_propagation_ms, time.time() * 1000.0
     with patch.object(service.engine, "feed") as feed:
         for number, age_ms in enumerate((takes_ms + 3_600_000.0, takes_ms + 1000.0, takes_ms - 1000.0), 1):
             service.handle_command(Purge(number, number, 0, now_ms - age_ms))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -12,7 +12,7 @@
 from thornjunction.policy.requests import PendingRequest
 from thornjunction.policy.router import Router
 
-FILLED = api.Note.FILLED
+FILLED = api.FillResult.FILLED
 
 
 def owners(bench: Bench, keys: range) -> dict[int, str]:
@@ -29,7 +29,9 @@
     for _ in range(2):
         bench = Bench()
         for number in range(200):
-            bench.answer(fetch_of(bench.ask(number % 17)), note=FILLED, source_wait_ms=float(number % 9))
+            bench.answer(
+                fetch_of(bench.ask(number % 17)), fill_result=FILLED, fill_first_byte_ms=float(number % 9)
+            )
             bench.wait(30.0)
         logs.append(bench.log)
     assert logs[0] == logs[1]
@@ -43,7 +45,7 @@
 def test_a_cache_that_leaves_moves_its_own_objects_only() -> None:
     bench = Bench()
     before = owners(bench, range(400))
-    bench.give(api.Servers((edge("edge2", state=api.State.GONE),), whole=False))
+    bench.give(api.EndpointListUpdate((edge("edge2", state=api.ServerState.REMOVED),), complete=False))
     after = owners(bench, range(400))
     assert {key for key in before if before[key] != after[key]} == {k for k in before if before[k] == "edge2"}
     assert len(set(before.values())) == 4
@@ -60,7 +62,7 @@
     for key in range(400):
         fetch = fetch_of(bench.ask(key))
         wait = {"parent0": 90.0, "parent1": 30.0, "parent2": 10.0}[fetch.source]
-        bench.answer(fetch, note=FILLED, source_wait_ms=wait)
+        bench.answer(fetch, fill_result=FILLED, fill_first_byte_ms=wait)
     seen: dict[str, int] = {}
     for key in range(400, 700):
         fetch = fetch_of(bench.ask(key))
@@ -80,16 +82,16 @@
         ranks = []
         for _ in range(30):
             fetch = fetch_of(bench.ask(key, **more))
-            ranks.append(fetch.rank)
+            ranks.append(fetch.retention_rank)
             bench.answer(fetch)
         return sum(ranks[-15:]) / 15
 
     bench = Bench()
     for number in range(600):  # many objects of middling rates
-        bench.answer(fetch_of(bench.ask(number % 100)), note=FILLED, source_wait_ms=50.0)
+        bench.answer(fetch_of(bench.ask(number % 100)), fill_result=FILLED, fill_first_byte_ms=50.0)
     assert mean_rank(bench, 0.0, 500) == 3.0  # asked for often
     bench.wait(100.0)
-    assert fetch_of(bench.ask(501)).rank == 1  # asked for once
+    assert fetch_of(bench.ask(501)).retention_rank == 1  # asked for once
     assert mean_rank(bench, 1.0, 502, size_kb=10.0) > mean_rank(bench, 1.0, 503, size_kb=100_000.0)
 
 
@@ -98,10 +100,10 @@
 
     def second(wait: float, link: float | None = None) -> float:
         for _ in range(20):
-            report = None if link is None else api.Report(link=link)
+            report = None if link is None else api.LoadReport(link_utilization=link)
             fetch = fetch_of(bench.ask())
-            note, took = (FILLED, wait) if fetch.source != fetch.server else (api.Note.HIT, 50.0)
-            bench.answer(fetch, note=note, took_ms=took, source_wait_ms=took, report=report)
+            note, took = (FILLED, wait) if fetch.source != fetch.server else (api.FillResult.HIT, 50.0)
+            bench.answer(fetch, fill_result=note, elapsed_ms=took, fill_first_byte_ms=took, report=report)
             bench.wait(50.0)
         return bench.router.ranking.cost_probability
 
@@ -128,9 +130,9 @@
 
 def test_what_is_kept_by_key_holds_no_request() -> None:
     """A key is kept for ten minutes; with its request it took 1.2 KB, which on a long day only grows."""
-    bench = Bench(may_bypass=True)
+    bench = Bench(may_bypass_caches=True)
     fetch = fetch_of(bench.ask(class_name="keyed", idempotency_key="k"))
-    request = weakref.ref(bench.router.requests.open[fetch.request])
+    request = weakref.ref(bench.router.requests.open[fetch.request_id])
     bench.answer(fetch)
     bench.wait(6000.0)
     gc.collect()
@@ -142,7 +144,7 @@
     for key in range(200):
         fetch = fetch_of(bench.ask(key))
         while fetch.server == "edge1":
-            fetch = fetch_of(bench.answer(fetch, api.Status.ERROR))
+            fetch = fetch_of(bench.answer(fetch, api.AttemptStatus.ERROR))
         bench.answer(fetch)
     assert "edge1" not in owners(bench, range(200, 230)).values()
     for _ in range(10):
@@ -156,8 +158,10 @@
     for key in range(200):
         fetch = fetch_of(bench.ask(key))
         while fetch.source == "parent1":
-            fetch = fetch_of(bench.answer(fetch, api.Status.ERROR, note=api.Note.SOURCE_BROKE))
-        bench.answer(fetch, note=FILLED, source_wait_ms=20.0)
+            fetch = fetch_of(
+                bench.answer(fetch, api.AttemptStatus.ERROR, fill_result=api.FillResult.SOURCE_BROKE)
+            )
+        bench.answer(fetch, fill_result=FILLED, fill_first_byte_ms=20.0)
     fetches = [fetch_of(bench.ask(key)) for key in range(300, 340)]
     assert "parent1" not in {fetch.source for fetch in fetches}
 
@@ -172,18 +176,18 @@
         else:
             bench.answer(fetch)
     assert len(stuck) >= 2
-    called = only(bench.wait(1000.0), api.Cancel)
-    assert {cancel.request for cancel in called} == {fetch.request for fetch in stuck}
-    moved = fetch_of(bench.answer(stuck[0], api.Status.CANCELLED))
+    called = only(bench.wait(1000.0), api.CancelAttempt)
+    assert {cancel.request_id for cancel in called} == {fetch.request_id for fetch in stuck}
+    moved = fetch_of(bench.answer(stuck[0], api.AttemptStatus.CANCELLED))
     assert moved.server != "edge3"
 
 
 def test_events_of_finished_or_unknown_requests_are_ignored() -> None:
     router = Router(SETTINGS, 1)
-    router.handle(0.0, api.Servers((*EDGES, ORIGIN)))
-    assert router.handle(1.0, api.ClientGone("never seen")) == []
+    router.handle(0.0, api.EndpointListUpdate((*EDGES, ORIGIN)))
+    assert router.handle(1.0, api.ClientDisconnected("never seen")) == []
     assert router.handle(1.0, api.TimerFired(99)) == []
-    assert router.handle(1.0, api.Outcome("never seen", 0, "edge1", api.Status.DONE)) == []
+    assert router.handle(1.0, api.AttemptEnded("never seen", 0, "edge1", api.AttemptStatus.SUCCEEDED)) == []
 
 
 def test_a_full_cache_is_not_called_ill() -> None:
@@ -191,19 +195,19 @@
     for key in range(100):
         fetch = fetch_of(bench.ask(key))
         while fetch.server == "edge1":
-            fetch = fetch_of(bench.answer(fetch, api.Status.BUSY))
+            fetch = fetch_of(bench.answer(fetch, api.AttemptStatus.OVERLOADED))
         bench.answer(fetch)
     assert "edge1" in owners(bench, range(100, 130)).values()
 
 
 def test_attempts_wait_for_slow_fills_to_the_end() -> None:
     """Early time-outs call fills off, which are then fetched again: a jam that feeds itself."""
-    assert fetch_of(Bench().ask(left_ms=5000.0)).timeout_ms > 4900.0
+    assert fetch_of(Bench().ask(remaining_ms=5000.0)).timeout_ms > 4900.0
 
 
 def test_held_requests_are_not_all_tried_at_every_look() -> None:
     entries = (edge("cold", started_ms=1000.0), ORIGIN)
-    bench = Bench(entries=entries, cold_share=0.001)
+    bench = Bench(entries=entries, initial_capacity_share=0.001)
     for key in range(500):
         bench.ask(key)
     held = len(bench.router.requests.waiting)
@@ -223,21 +227,24 @@
 
 def test_a_cache_that_was_only_slow_is_not_taken_for_a_cold_one() -> None:
     """A jam looks silent too; slow start after it would starve the zone.  A refused connection tells."""
-    for status, needed, cold in ((api.Status.TIMEOUT, 5, False), (api.Status.REFUSED, 1, True)):
+    for status, needed, cold in (
+        (api.AttemptStatus.TIMEOUT, 5, False),
+        (api.AttemptStatus.CONNECTION_REFUSED, 1, True),
+    ):
         bench = Bench(entries=(EDGES[0], ORIGIN))
         for key in range(needed):
             bench.answer(fetch_of(bench.ask(key)), status)
         server = bench.router.placement.server_list.servers["edge0"]
         assert server.outliers.ejected_for_ms > 0
         bench.ask(50)
-        bench.answer((only(bench.wait(600.0), api.Fetch) or bench.sent[str(bench.asked)])[0])
+        bench.answer((only(bench.wait(600.0), api.StartAttempt) or bench.sent[str(bench.asked)])[0])
         assert server.outliers.ejected_for_ms == 0
         rate = bench.router.placement.slow_start.rate(server.entry, server.slow_start_window, bench.now)
         assert (rate < 1e9) is cold
 
 
-@pytest.mark.parametrize("status", [api.Status.RESET, api.Status.ERROR])
-def test_lost_answers_move_no_objects(status: api.Status) -> None:
+@pytest.mark.parametrize("status", [api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR])
+def test_lost_answers_move_no_objects(status: api.AttemptStatus) -> None:
     """One answer was lost, which does not say that the copy is gone: ask the same cache again."""
     bench = Bench()
     before = owners(bench, range(300))
@@ -256,7 +263,7 @@
     fetch = fetch_of(bench.ask())
     for _ in range(5):
         bench.wait(20.0)
-        last, fetch = fetch, fetch_of(bench.answer(fetch, api.Status.RESET))
+        last, fetch = fetch, fetch_of(bench.answer(fetch, api.AttemptStatus.CONNECTION_RESET))
     assert fetch.server != last.server
 
 
@@ -265,7 +272,7 @@
     bench = Bench(entries=(EDGES[0], ORIGIN))
     fetches = [fetch_of(bench.ask(key)) for key in range(12)]
     for fetch in fetches:
-        assert only(bench.answer(fetch, api.Status.RESET), api.Fetch)
+        assert only(bench.answer(fetch, api.AttemptStatus.CONNECTION_RESET), api.StartAttempt)
     server = bench.router.placement.server_list.servers["edge0"]
     assert server.outliers.ejected_for_ms == 0 and server.outliers.consecutive_failures == 1
 
@@ -275,7 +282,7 @@
     for key in range(9):
         actions = bench.ask(key)
         while not finals(actions):
-            actions = bench.answer(fetch_of(actions), api.Status.ERROR)
+            actions = bench.answer(fetch_of(actions), api.AttemptStatus.ERROR)
         assert len({fetch.server for fetch in bench.sent[str(bench.asked)]}) == 2
         assert len(bench.sent[str(bench.asked)]) == 3
     outliers = [server.outliers for server in bench.router.placement.server_list.servers.values()]
@@ -286,21 +293,21 @@
     """Hundreds of fronts that try on push a cache over in the first second of its life."""
     bench = Bench(entries=(EDGES[0], EDGES[1], ORIGIN))
     fetch = fetch_of(bench.ask())
-    while fetches := only(bench.answer(fetch, api.Status.REFUSED), api.Fetch):
+    while fetches := only(bench.answer(fetch, api.AttemptStatus.CONNECTION_REFUSED), api.StartAttempt):
         fetch = fetches[0]
     assert len(bench.sent["1"]) == 2
-    sent = sum(len(only(bench.ask(key), api.Fetch)) for key in range(100))
+    sent = sum(len(only(bench.ask(key), api.StartAttempt)) for key in range(100))
     assert sent == 0
-    trials = only(bench.wait(700.0), api.Fetch)
+    trials = only(bench.wait(700.0), api.StartAttempt)
     assert 1 <= len(trials) <= 2
     served = bench.answer(trials[0]) + bench.wait(1000.0)
-    assert len(only(served, api.Fetch)) < 20  # within a cold cache's budget
+    assert len(only(served, api.StartAttempt)) < 20  # within a cold cache's budget
 
 
 def test_where_nothing_is_told_the_parent_in_the_own_hub_comes_first() -> None:
     """Hits blur first-byte times there; a far parent costs more of the links. A slow one still loses."""
     entries = (*EDGES, parent("near"), parent("far", zone="other"), ORIGIN)
-    bench = Bench(entries=entries, notes=api.Notes.NONE, zone_hub={"here": "hub"})
+    bench = Bench(entries=entries, fill_reporting=api.FillReporting.NONE, hub_by_zone={"here": "hub"})
     assert {fetch_of(bench.ask(key)).source for key in range(20)} == {"near"}
     bench.router.placement.server_list.servers["near"].first_byte_ms.add(900.0)
     bench.router.placement.server_list.servers["far"].first_byte_ms.add(100.0)
@@ -309,7 +316,7 @@
 
 def test_held_requests_do_not_block_one_another() -> None:
     """One that cannot go yet, of a large class, must not keep small ones behind it waiting."""
-    bench = Bench(entries=(edge("cold", started_ms=1000.0), ORIGIN), cold_share=0.001)
+    bench = Bench(entries=(edge("cold", started_ms=1000.0), ORIGIN), initial_capacity_share=0.001)
     for key in range(30):
         bench.ask(key, size_kb=3000.0)
     order = list(bench.router.requests.waiting)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -101,9 +101,13 @@
         return bench.router.placement.server_list.count_unavailable(listed, bench.now)
 
     assert avoided(names) == 0
-    bench.answer(fetch_of(bench.ask()), api.Status.REFUSED)
+    bench.answer(fetch_of(bench.ask()), api.AttemptStatus.CONNECTION_REFUSED)
     assert avoided(names) == 1
-    bench.give(api.Servers((api.ServerEntry(names[0], api.Role.EDGE, "here", api.State.DRAINING),), False))
+    bench.give(
+        api.EndpointListUpdate(
+            (api.ServerEntry(names[0], api.Role.EDGE, "here", api.ServerState.DRAINING),), False
+        )
+    )
     assert avoided(names) in (1, 2) and avoided([names[0]]) == 1
 
 
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -19,11 +19,13 @@
     timeout = 30
 
     def setUp(self) -> None:
-        self.rig, self.told = Rig(), list[tuple[int, api.Status]]()
+        self.rig, self.told = Rig(), list[tuple[int, api.AttemptStatus]]()
         self.addCleanup(self.rig.stop)
         self.pool, self.pool.ends = self.rig.pool, self
 
-    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(
+        self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
+    ) -> None:
         self.told.append((number, status))
 
     @inlineCallbacks
@@ -32,7 +34,7 @@
         start = core_ms()
         self.pool.clock = lambda: start
         call = ClientRequest(f"t{number}", "films", "00000000000000ff", LEFT_MS)
-        self.pool.send(UpstreamRequest(number, call, api.Fetch("r", "edge1", LEFT_MS, "origin")))
+        self.pool.send(UpstreamRequest(number, call, api.StartAttempt("r", "edge1", LEFT_MS, "origin")))
         self.pool.clock = lambda: start + late_ms
         yield self.rig.until(lambda: self.told)
         self.pool.clock = core_ms
@@ -43,11 +45,11 @@
     def test_a_late_dial_passes_what_is_left_then(self) -> Any:
         for number, late_ms in enumerate((0.0, 150.0, 400.0, 890.0)):
             end = yield self.sent_late(number, late_ms)
-            self.assertEqual(end, (number, api.Status.DONE))
+            self.assertEqual(end, (number, api.AttemptStatus.SUCCEEDED))
             fields = dict(pair.split(b"=") for pair in self.rig.wants()[-1][2].split(b","))
             self.assertEqual(fields[b"max"], b"%d" % (LEFT_MS - late_ms), late_ms)
 
     @inlineCallbacks
     def test_with_next_to_nothing_left_it_is_not_begun(self) -> Any:
         end = yield self.sent_late(1, 896.0)
-        self.assertEqual((end, self.rig.wants()), ((1, api.Status.SKIPPED), []))
+        self.assertEqual((end, self.rig.wants()), ((1, api.AttemptStatus.NOT_STARTED), []))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -157,12 +157,12 @@
 
 def test_a_request_that_may_have_run_reaches_the_one_cell_that_discards_it() -> None:
     cells = [edge(f"edge{number}", cell=number // 8) for number in range(LARGE)]
-    kind = replace(KEYED, group=api.Group.CELL, passes=False)
+    kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
     bench = Bench(entries=(*cells, parent("parent0"), ORIGIN), classes=(kind,))
     cell_of = {entry.server: entry.cell for entry in cells}
     for key in range(20):
         first = fetch_of(bench.ask(key, "keyed", idempotency_key=f"key{key}"))
-        second = fetch_of(bench.answer(first, api.Status.ERROR))
+        second = fetch_of(bench.answer(first, api.AttemptStatus.ERROR))
         assert cell_of[second.server] == cell_of[first.server]
 
 
@@ -182,12 +182,12 @@
 def test_a_list_moves_servers_between_zones_and_forgets_who_is_not_on_it() -> None:
     bench = Bench(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
     places = bench.router.placement
-    bench.give(api.Servers((edge("b", zone="there"), edge("c")), whole=False))
+    bench.give(api.EndpointListUpdate((edge("b", zone="there"), edge("c")), complete=False))
     assert {zone: [server.id for server in group] for zone, group in places.server_list.caches.items()} == {
         "here": ["a", "c"],
         "there": ["b"],
     }
-    bench.give(api.Servers((edge("c"), ORIGIN)))
+    bench.give(api.EndpointListUpdate((edge("c"), ORIGIN)))
     assert list(places.server_list.caches) == ["here"]
     assert [server.id for server in places.server_list.site_caches] == ["c"]
     assert {fetch_of(bench.ask(key)).server for key in range(5)} == {"c"}
--- a/tests/test_pool_capacity.py
+++ b/tests/test_pool_capacity.py
@@ -60,23 +60,25 @@
     timeout = 30
 
     def setUp(self) -> None:
-        self.rig, self.told = Rig(), dict[int, api.Status]()
+        self.rig, self.told = Rig(), dict[int, api.AttemptStatus]()
         self.addCleanup(self.rig.stop)
         self.pool, self.pool.ends = self.rig.pool, self
 
-    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(
+        self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
+    ) -> None:
         self.told[number] = status
 
     def list_servers(self, count: int, capacity: int) -> None:
         self.pool.links = ConnectionTable(capacity)
         address = ("127.0.0.1", self.rig.ports[0].getHost().port)
-        state = api.State.SERVING
+        state = api.ServerState.SERVING
         hosts = (Host(f"e{i}", address, "here", "x", 0, state, 8.0, 0.0) for i in range(count))
         self.pool.update(tuple(hosts), True)
 
     def send(self, number: int, server: int) -> None:
         call = ClientRequest(f"t{number}", "films", "00000000000000ff", 900.0)
-        self.pool.send(UpstreamRequest(number, call, api.Fetch("r", f"e{server}", 900.0, "origin")))
+        self.pool.send(UpstreamRequest(number, call, api.StartAttempt("r", f"e{server}", 900.0, "origin")))
 
     @inlineCallbacks
     def test_more_servers_than_places_are_all_asked(self) -> Any:
@@ -87,7 +89,7 @@
             self.send(number, number % 40)
             yield self.rig.until(lambda number=number: number in self.told)
             most = max(most, len(self.pool.links))
-        self.assertEqual(set(self.told.values()), {api.Status.DONE})
+        self.assertEqual(set(self.told.values()), {api.AttemptStatus.SUCCEEDED})
         self.assertLessEqual(most, 16 + 16 // 8)
         yield self.rig.until(lambda: sum(link.ended is not None for link in self.rig.links) == 80 - 16)
         ended = [link.ended for link in self.rig.links if link.ended is not None]
@@ -106,9 +108,9 @@
         self.send(3, 2)
         yield self.rig.until(lambda: len(self.rig.asked) == 4)
         self.send(4, 3)
-        self.assertEqual(self.told.pop(4), api.Status.SKIPPED)  # nothing is idle
+        self.assertEqual(self.told.pop(4), api.AttemptStatus.NOT_STARTED)  # nothing is idle
         self.rig.asked[0][0].say(b"t0", b"DONE", b"x")
         yield self.rig.until(lambda: 0 in self.told)
         self.send(5, 3)
         yield self.rig.until(lambda: 5 in self.told)
-        self.assertEqual(self.told, dict.fromkeys((0, 1, 2, 5), api.Status.DONE))
+        self.assertEqual(self.told, dict.fromkeys((0, 1, 2, 5), api.AttemptStatus.SUCCEEDED))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -41,12 +41,14 @@
         self.rig.pool.ends = self
         self.told: list[Any] = []
 
-    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(
+        self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
+    ) -> None:
         self.told.append((number, status, content.body if content else None))
 
     def send(self, number: int, name: str, **more: Any) -> None:
         call = ClientRequest(name, "films", "00000000000000ff", 900.0, **more)
-        self.rig.pool.send(UpstreamRequest(number, call, api.Fetch("r", "edge1", 900.0, "origin")))
+        self.rig.pool.send(UpstreamRequest(number, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
 
     @inlineCallbacks
     def test_each_word_has_its_end(self) -> Any:
@@ -58,14 +60,21 @@
             (b"PAST", b""),
             (b"KEEP", b""),
         ]
-        ends = ["DONE", "MISS", "BUSY", "ERROR", "SKIPPED", "ERROR"]  # the client of the last one has no copy
+        ends = [
+            "SUCCEEDED",
+            "CACHE_MISS",
+            "OVERLOADED",
+            "ERROR",
+            "NOT_STARTED",
+            "ERROR",
+        ]  # the client of the last one has no copy
         words += [(b"KEEP", b""), (b"KEEP", b"x")]  # naming no copy, and naming the client's own: t1
-        ends += ["ERROR", "DONE"]
+        ends += ["ERROR", "SUCCEEDED"]
         for number, (word, end) in enumerate(zip(words, ends, strict=True)):
             self.rig.script = [word]
             self.send(number, f"t{number}", if_none_match="t1" if number > 5 else "")
             yield self.rig.until(lambda number=number: len(self.told) > number)
-            self.assertEqual(self.told[number][:2], (number, api.Status[end]))
+            self.assertEqual(self.told[number][:2], (number, api.AttemptStatus[end]))
 
     @inlineCallbacks
     def test_a_broken_connection_may_have_run_and_a_refused_one_did_not(self) -> Any:
@@ -77,7 +86,10 @@
         yield self.rig.until(lambda: len(self.told) == 1)
         self.send(2, "b")
         yield self.rig.until(lambda: len(self.told) == 2)
-        self.assertEqual([status for _, status, _ in self.told], [api.Status.RESET, api.Status.REFUSED])
+        self.assertEqual(
+            [status for _, status, _ in self.told],
+            [api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.CONNECTION_REFUSED],
+        )
 
     @inlineCallbacks
     def test_a_late_answer_is_not_taken_for_the_next_attempt_of_its_name(self) -> Any:
@@ -94,7 +106,7 @@
         self.assertIsNot(link, late)
         link.say(ident, b"DONE", b"right")
         yield self.rig.until(lambda: self.told)
-        self.assertEqual(self.told, [(2, api.Status.DONE, b"right")])
+        self.assertEqual(self.told, [(2, api.AttemptStatus.SUCCEEDED, b"right")])
 
     @inlineCallbacks
     def test_garbage_from_a_shelf_ends_its_connection(self) -> Any:
@@ -103,7 +115,7 @@
         yield wanted
         self.rig.links[0].transport.write(b"*9999\r\n")
         yield self.rig.until(lambda: self.told)
-        self.assertEqual(self.told, [(1, api.Status.RESET, None)])
+        self.assertEqual(self.told, [(1, api.AttemptStatus.CONNECTION_RESET, None)])
 
     @inlineCallbacks
     def test_a_length_that_swallows_the_answers_behind_it_ends_the_connection(self) -> Any:
@@ -120,7 +132,7 @@
             self.assertEqual(self.told, [])
             self.rig.alarm.deadlines.run_due(core_ms() + 500.0)
         yield self.rig.until(lambda: len(self.told) == 2)
-        self.assertEqual({end[1:] for end in self.told}, {(api.Status.RESET, None)})
+        self.assertEqual({end[1:] for end in self.told}, {(api.AttemptStatus.CONNECTION_RESET, None)})
 
     @inlineCallbacks
     def test_connections_share_what_is_out(self) -> Any:
@@ -144,7 +156,7 @@
             yield self.rig.until(lambda: self.rig.pool.shelves["edge1"].dial is None)
         self.assertEqual([len(way.out) for way in self.rig.pool.links], [streams] * shelves.NEEDED)
         self.send(room, "past")
-        self.assertEqual(self.told, [(room, api.Status.SKIPPED, None)])
+        self.assertEqual(self.told, [(room, api.AttemptStatus.NOT_STARTED, None)])
 
     @inlineCallbacks
     def test_a_connection_gets_worn_by_what_is_given_up_on_it(self) -> Any:
@@ -168,7 +180,7 @@
     def test_figures_arrive_at_both(self) -> Any:
         rig, lines, packets, counters = Rig(), Deferred(), Deferred(), Counters()
         self.addCleanup(rig.stop)
-        counters.attempt_ended(api.Status.DONE, 12.5)
+        counters.attempt_ended(api.AttemptStatus.SUCCEEDED, 12.5)
 
         class Graphite(Client):
             def dataReceived(self, data: bytes) -> None:  # noqa: N802
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,8 +20,8 @@
     before = fetch_of(bench.ask())
     bench.give(replace(SETTINGS, max_attempts=1))
     after = fetch_of(bench.ask(key=2))
-    assert only(bench.answer(before, api.Status.SKIPPED), api.Fetch)
-    assert finals(bench.answer(after, api.Status.SKIPPED))
+    assert only(bench.answer(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
+    assert finals(bench.answer(after, api.AttemptStatus.NOT_STARTED))
 
 
 def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
@@ -29,11 +29,11 @@
     number = script.open()
     script.engine.max_attempts = 1
     for sent in (2, 2):  # the second attempt, and no third
-        script.steps = [[api.Fetch(str(number), "s", 500.0, "s")]]
+        script.steps = [[api.StartAttempt(str(number), "s", 500.0, "s")]]
         script.engine.feed(api.TimerFired(1))
         assert len(script.sent) == sent
     number = script.open()
-    script.steps = [[api.Fetch(str(number), "s", 500.0, "s")]]
+    script.steps = [[api.StartAttempt(str(number), "s", 500.0, "s")]]
     script.engine.feed(api.TimerFired(1))
     assert len(script.sent) == 3
 
@@ -42,12 +42,17 @@
     bench = Bench(classes=(FILMS, KEYED))
     assert finals(bench.ask(class_name="order"))
     film = fetch_of(bench.ask())
-    bench.give(replace(SETTINGS, classes=(replace(KEYED, safety=api.Safety.UNSAFE, name="keyed"), ORDER)))
+    bench.give(
+        replace(
+            SETTINGS,
+            classes=(replace(KEYED, idempotency=api.Idempotency.NON_IDEMPOTENT, name="keyed"), ORDER),
+        )
+    )
     assert finals(bench.ask()) and fetch_of(bench.ask(class_name="order"))
     unsafe = fetch_of(bench.ask(class_name="keyed", idempotency_key="k"))
-    assert finals(bench.answer(unsafe, api.Status.TIMEOUT)) == [api.Fail(str(bench.asked))]
-    assert not finals(bench.answer(film, api.Status.TIMEOUT))  # open under the class that is gone
-    assert not finals(bench.answer(bench.sent[film.request][-1]))
+    assert finals(bench.answer(unsafe, api.AttemptStatus.TIMEOUT)) == [api.FailRequest(str(bench.asked))]
+    assert not finals(bench.answer(film, api.AttemptStatus.TIMEOUT))  # open under the class that is gone
+    assert not finals(bench.answer(bench.sent[film.request_id][-1]))
     latencies, sizes = bench.router.admission.typical_latencies, bench.router.sizes.class_means
     assert set(latencies) == set(sizes) == {"keyed", "order"}
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,17 @@
 from tests.helpers import EDGES, ORIGIN, PARENTS, Bench, edge, fetch_of, finals, only, parent
 from thornjunction import interface as api
 
-MAY_HAVE_RUN = [api.Status.ERROR, api.Status.TIMEOUT, api.Status.RESET, api.Status.CANCELLED]
-NEVER_EXECUTED = [api.Status.BUSY, api.Status.REFUSED, api.Status.MISS]
+MAY_HAVE_RUN = [
+    api.AttemptStatus.ERROR,
+    api.AttemptStatus.TIMEOUT,
+    api.AttemptStatus.CONNECTION_RESET,
+    api.AttemptStatus.CANCELLED,
+]
+NEVER_EXECUTED = [
+    api.AttemptStatus.OVERLOADED,
+    api.AttemptStatus.CONNECTION_REFUSED,
+    api.AttemptStatus.CACHE_MISS,
+]
 
 
 # Rule 1: one final answer in time.
@@ -18,7 +27,7 @@
 
 def test_a_request_without_outcome_gets_one_answer_before_its_time_is_up() -> None:
     bench = Bench()
-    bench.ask(left_ms=2000.0)
+    bench.ask(remaining_ms=2000.0)
     assert not finals(bench.wait(1900.0))
     assert len(finals(bench.wait(100.0))) == 1
     assert not finals(bench.wait(5000.0))
@@ -27,48 +36,48 @@
 def test_nothing_goes_out_after_the_answer() -> None:
     bench = Bench()
     fetch = fetch_of(bench.ask())
-    assert not only(bench.answer(fetch), api.Fetch)
-    assert not bench.answer(fetch, api.Status.ERROR)
+    assert not only(bench.answer(fetch), api.StartAttempt)
+    assert not bench.answer(fetch, api.AttemptStatus.ERROR)
     later = bench.wait(6000.0)
-    assert not finals(later) and not only(later, api.Fetch)
+    assert not finals(later) and not only(later, api.StartAttempt)
 
 
 def test_a_client_that_left_is_owed_nothing() -> None:
     bench = Bench()
     fetch = fetch_of(bench.ask())
-    bench.give(api.ClientGone(fetch.request))
-    assert not only(bench.answer(fetch, api.Status.CANCELLED), api.Fetch)
+    bench.give(api.ClientDisconnected(fetch.request_id))
+    assert not only(bench.answer(fetch, api.AttemptStatus.CANCELLED), api.StartAttempt)
     assert not finals(bench.wait(6000.0))
 
 
 def test_an_unknown_class_and_an_empty_list_get_one_refusal() -> None:
-    assert finals(Bench().ask(class_name="no such")) == [api.Refuse("1")]
+    assert finals(Bench().ask(class_name="no such")) == [api.RejectRequest("1")]
     bench = Bench(entries=())
-    assert finals(bench.ask() + bench.wait(6000.0)) == [api.Refuse("1")]
+    assert finals(bench.ask() + bench.wait(6000.0)) == [api.RejectRequest("1")]
 
 
 def test_attempts_stay_within_the_cap() -> None:
     bench = Bench()
     actions = bench.ask()
-    while fetches := only(actions, api.Fetch):
-        actions = bench.answer(fetches[0], api.Status.TIMEOUT)
+    while fetches := only(actions, api.StartAttempt):
+        actions = bench.answer(fetches[0], api.AttemptStatus.TIMEOUT)
     assert len(bench.sent["1"]) == 6
-    assert finals(actions) == [api.Refuse("1")]
+    assert finals(actions) == [api.RejectRequest("1")]
 
 
 # Rule 2: no double effect.
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
-def test_unsafe_is_not_resent_or_refused_once_it_may_have_run(status: api.Status) -> None:
+def test_unsafe_is_not_resent_or_refused_once_it_may_have_run(status: api.AttemptStatus) -> None:
     bench = Bench()
     actions = bench.answer(fetch_of(bench.ask(class_name="order")), status)
-    assert not only(actions, api.Fetch)
-    assert finals(actions) == [api.Fail("1")]
+    assert not only(actions, api.StartAttempt)
+    assert finals(actions) == [api.FailRequest("1")]
 
 
 @pytest.mark.parametrize("status", NEVER_EXECUTED)
-def test_unsafe_is_resent_when_it_cannot_have_run(status: api.Status) -> None:
+def test_unsafe_is_resent_when_it_cannot_have_run(status: api.AttemptStatus) -> None:
     bench = Bench()
     first = fetch_of(bench.ask(class_name="order"))
     again = bench.answer(first, status) or bench.wait(300.0)  # what is full is not asked again at once
@@ -78,50 +87,60 @@
 def test_unsafe_that_is_out_at_its_deadline_fails() -> None:
     bench = Bench()
     bench.ask(class_name="order")
-    assert finals(bench.wait(3000.0)) == [api.Fail("1")]
+    assert finals(bench.wait(3000.0)) == [api.FailRequest("1")]
 
 
 def test_keyed_is_resent_only_while_it_is_remembered() -> None:
     bench = Bench()
     first = fetch_of(bench.ask(class_name="keyed"))
     bench.now += 1000.0
-    second = fetch_of(bench.answer(first, api.Status.ERROR))
+    second = fetch_of(bench.answer(first, api.AttemptStatus.ERROR))
     bench.now += 999.0
-    assert finals(bench.answer(second, api.Status.ERROR)) == [api.Fail("1")]
+    assert finals(bench.answer(second, api.AttemptStatus.ERROR)) == [api.FailRequest("1")]
 
 
 def test_an_attempt_has_to_begin_before_what_it_was_decided_by_may_not_hold() -> None:
     """Its connection may come up late: after a drain or a purge binds, or after its repeat window."""
     bench = Bench(drain_grace_ms=400.0, purge_grace_ms=300.0)
-    assert fetch_of(bench.ask()).start_ms == 300.0
+    assert fetch_of(bench.ask()).start_within_ms == 300.0
     first = fetch_of(bench.ask(class_name="keyed"))
-    assert first.start_ms == 300.0
+    assert first.start_within_ms == 300.0
     bench.now += 1900.0
-    assert 0 < fetch_of(bench.answer(first, api.Status.ERROR)).start_ms < 100.0
+    assert 0 < fetch_of(bench.answer(first, api.AttemptStatus.ERROR)).start_within_ms < 100.0
     assert (
-        fetch_of(Bench(drain_grace_ms=200.0, purge_takes_ms=0.0, purge_grace_ms=0.0).ask()).start_ms == 200.0
+        fetch_of(
+            Bench(drain_grace_ms=200.0, purge_propagation_ms=0.0, purge_grace_ms=0.0).ask()
+        ).start_within_ms
+        == 200.0
     )
 
 
 def test_two_tries_of_one_key_share_one_window() -> None:
     """The first try was refused and waited; meanwhile the second ran: it has to follow in that window."""
     bench = Bench()
-    bench.answer(fetch_of(bench.ask(class_name="keyed", idempotency_key="k")), api.Status.BUSY)
+    bench.answer(fetch_of(bench.ask(class_name="keyed", idempotency_key="k")), api.AttemptStatus.OVERLOADED)
     assert fetch_of(bench.ask(class_name="keyed", idempotency_key="k"))
-    assert only(bench.wait(1999.0), api.Fetch)
-    assert finals(bench.answer(bench.sent["1"][-1], api.Status.SKIPPED)) == [api.Fail("1")]
+    assert only(bench.wait(1999.0), api.StartAttempt)
+    assert finals(bench.answer(bench.sent["1"][-1], api.AttemptStatus.NOT_STARTED)) == [api.FailRequest("1")]
 
 
-@pytest.mark.parametrize("group", [api.Group.CELL, api.Group.ZONE])
-def test_keyed_stays_in_its_group(group: api.Group) -> None:
+@pytest.mark.parametrize("group", [api.DeduplicationScope.CELL, api.DeduplicationScope.ZONE])
+def test_keyed_stays_in_its_group(group: api.DeduplicationScope) -> None:
     entries = tuple(edge(f"edge{number}", cell=number % 2) for number in range(4))
     cells = {entry.server: entry.cell for entry in entries}
-    keyed = api.RequestClass("keyed", 700.0, 3000.0, api.Safety.KEYED, group=group, memory_ms=2000.0)
+    keyed = api.RequestClass(
+        "keyed",
+        700.0,
+        3000.0,
+        api.Idempotency.KEYED,
+        deduplication_scope=group,
+        deduplication_window_ms=2000.0,
+    )
     bench = Bench(entries=(*entries, ORIGIN), classes=(keyed,))
     for key in range(20):
         first = fetch_of(bench.ask(key, "keyed"))
-        second = fetch_of(bench.answer(first, api.Status.ERROR))
-        if group is api.Group.CELL:
+        second = fetch_of(bench.answer(first, api.AttemptStatus.ERROR))
+        if group is api.DeduplicationScope.CELL:
             assert cells[first.server] == cells[second.server]
         bench.answer(second)
 
@@ -129,18 +148,22 @@
 def test_writes_name_the_origin_or_a_parent_and_are_not_kept() -> None:
     fetch = fetch_of(Bench().ask(class_name="keyed"))
     assert fetch.source in {"origin", *(entry.server for entry in PARENTS)}
-    assert fetch.rank == 0
-    assert fetch_of(Bench(may_bypass=True).ask(class_name="order")).server == "origin"
+    assert fetch.retention_rank == 0
+    assert fetch_of(Bench(may_bypass_caches=True).ask(class_name="order")).server == "origin"
 
 
 # Rule 3: drains are kept, also as source.
 
 
-@pytest.mark.parametrize("state", [api.State.DRAINING, api.State.GONE])
-def test_nothing_goes_to_what_drains(state: api.State) -> None:
+@pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.REMOVED])
+def test_nothing_goes_to_what_drains(state: api.ServerState) -> None:
     bench = Bench()
     for entry in (EDGES[0], PARENTS[0]):
-        bench.give(api.Servers((api.ServerEntry(entry.server, entry.role, entry.zone, state),), whole=False))
+        bench.give(
+            api.EndpointListUpdate(
+                (api.ServerEntry(entry.server, entry.role, entry.zone, state),), complete=False
+            )
+        )
     for key in range(300):
         fetch = fetch_of(bench.ask(key))
         assert fetch.server != "edge0" and fetch.source != "parent0"
@@ -149,7 +172,7 @@
 
 def test_who_is_not_on_a_whole_list_is_gone() -> None:
     bench = Bench()
-    bench.give(api.Servers((EDGES[1], ORIGIN)))
+    bench.give(api.EndpointListUpdate((EDGES[1], ORIGIN)))
     for key in range(50):
         fetch = fetch_of(bench.ask(key))
         assert (fetch.server, fetch.source) == ("edge1", "origin")
@@ -183,7 +206,7 @@
     """What one front sends, times all that may send, stays under what the server bears in any window."""
     cold, cold_parent = edge("cold", started_ms=1000.0), parent("cold parent", started_ms=1000.0)
     entries = (EDGES[0], PARENTS[0], cold, cold_parent, ORIGIN)
-    bench = Bench(entries=entries, instances=fronts, zone_fronts={"here": fronts})
+    bench = Bench(entries=entries, router_count=fronts, routers_by_zone={"here": fronts})
     sent: dict[str, list[float]] = {"cold": [], "cold parent": []}
     for number in range(2500):
         fetch = fetch_of(bench.ask(number, size_kb=25.0))  # 5 ms of sending time
@@ -201,10 +224,10 @@
 
 def test_without_weights_a_zone_of_cold_caches_is_still_served() -> None:
     entries = tuple(edge(f"cold{number}", started_ms=1000.0, weight=1.0) for number in range(3))
-    bench = Bench(entries=(*entries, *PARENTS, ORIGIN), weighted=False)
+    bench = Bench(entries=(*entries, *PARENTS, ORIGIN), servers_weighted=False)
     served = 0
     for number in range(1000):
-        for fetch in only(bench.ask(number), api.Fetch) + only(bench.wait(20.0), api.Fetch):
+        for fetch in only(bench.ask(number), api.StartAttempt) + only(bench.wait(20.0), api.StartAttempt):
             bench.answer(fetch)
             served += 1
     assert served > 300
@@ -216,7 +239,7 @@
 @pytest.mark.parametrize("key", [5, None])
 def test_requests_for_what_was_purged_exclude_older_copies(key: int | None) -> None:
     bench = Bench()
-    bench.give(api.Purged(group=3, age_ms=200.0, key=key))
+    bench.give(api.PurgeReceived(group=3, age_ms=200.0, key=key))
     purged_at = bench.now - 200.0
     for wait in (0.0, 100.0, 2000.0, 3600.0):
         bench.wait(wait)
@@ -234,7 +257,7 @@
 def test_purges_past_the_table_bind_everything() -> None:
     bench = Bench()
     for key in range(6000):
-        bench.give(api.Purged(group=1, age_ms=0.0, key=key))
+        bench.give(api.PurgeReceived(group=1, age_ms=0.0, key=key))
     assert len(bench.router.purges.purged_at_ms) < 6000
     bench.wait(1000.0)
     assert 0 < fetch_of(bench.ask(0, group=1)).max_age_ms <= 1000.0
@@ -247,7 +270,7 @@
 def test_any_size_gets_a_decision(size: float) -> None:
     bench = Bench()
     bench.answer(fetch_of(bench.ask(1)))
-    assert fetch_of(bench.ask(2, size_kb=size)).rank in (1, 2, 3)
+    assert fetch_of(bench.ask(2, size_kb=size)).retention_rank in (1, 2, 3)
 
 
 def test_a_clock_that_steps_back_stands_still() -> None:
@@ -268,12 +291,15 @@
 @pytest.mark.parametrize("zone", ["here", "never heard of"])
 def test_a_zone_without_caches_refuses(zone: str) -> None:
     entries = (*PARENTS, ORIGIN) if zone == "here" else (*EDGES, *PARENTS, ORIGIN)
-    assert finals(Bench(entries=entries, zone=zone).ask()) == [api.Refuse("1")]
+    assert finals(Bench(entries=entries, zone=zone).ask()) == [api.RejectRequest("1")]
 
 
 def test_counts_of_zero_or_absent_fronts_are_taken_as_one() -> None:
     cold = edge("cold", started_ms=1000.0)
-    for more in ({"instances": 0, "zone_fronts": {}}, {"instances": 0, "zone_fronts": {"here": 0}}):
+    for more in (
+        {"router_count": 0, "routers_by_zone": {}},
+        {"router_count": 0, "routers_by_zone": {"here": 0}},
+    ):
         assert fetch_of(Bench(entries=(cold, ORIGIN), **more).ask(size_kb=25.0)).server == "cold"
 
 
@@ -281,7 +307,7 @@
     bench = Bench()
     for turn in range(40):
         listed = EDGES[turn % 3 :]
-        bench.give(api.Servers((*listed, *PARENTS[turn % 2 :], ORIGIN)))
+        bench.give(api.EndpointListUpdate((*listed, *PARENTS[turn % 2 :], ORIGIN)))
         fetch = fetch_of(bench.ask(turn))
         assert fetch.server in {entry.server for entry in listed}
         assert fetch.source != "parent0" or turn % 2 == 0
@@ -290,15 +316,15 @@
 
 def unweighted_rate(away: int, repeats: int) -> float:
     """The budget of a cold cache while others of its zone are away and clients ask again."""
-    bench = Bench(weighted=False)
+    bench = Bench(servers_weighted=False)
     for second in range(12):
         for number in range(5 * (repeats if second > 5 else 1)):
-            for fetch in only(bench.ask(number), api.Fetch):
+            for fetch in only(bench.ask(number), api.StartAttempt):
                 bench.answer(fetch)
         bench.router.gates.fills.share = 0.5 if second > 4 and repeats > 1 else 1.0
         bench.wait(1000.0)
     cold = edge("edge3", started_ms=bench.now)
-    bench.give(api.Servers((*EDGES[away:3], cold, *PARENTS, ORIGIN)))
+    bench.give(api.EndpointListUpdate((*EDGES[away:3], cold, *PARENTS, ORIGIN)))
     server = bench.router.placement.server_list.servers["edge3"]
     return bench.router.placement.slow_start.rate(server.entry, server.slow_start_window, bench.now)
 
--- a/tests/test_shelf_endings.py
+++ b/tests/test_shelf_endings.py
@@ -22,7 +22,11 @@
 from thornjunction.net.wire.resp import encode_array
 
 LEFT_MS = 30_000.0  # of each attempt's time: past all waits here, so that another bound has to end them
-SKIPPED, REFUSED, RESET = api.Status.SKIPPED, api.Status.REFUSED, api.Status.RESET
+SKIPPED, REFUSED, RESET = (
+    api.AttemptStatus.NOT_STARTED,
+    api.AttemptStatus.CONNECTION_REFUSED,
+    api.AttemptStatus.CONNECTION_RESET,
+)
 
 
 def connecting() -> Any:
@@ -38,13 +42,17 @@
         self.pool, self.engine = self.rig.pool, self.rig.engine
         self.pool.ends = self
 
-    def attempt_ended(self, number: int, status: api.Status, content: Any = None, report: Any = None) -> None:
+    def attempt_ended(
+        self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
+    ) -> None:
         self.told.append((number, status))
 
     def send(self, number: int, name: str = "", start_ms: float = 9e9, body: bytes = b"") -> None:
         call = ClientRequest(name or f"t{number}", "films", "00000000000000ff", LEFT_MS, body=body)
         self.pool.send(
-            UpstreamRequest(number, call, api.Fetch("r", "edge1", LEFT_MS, "origin", start_ms=start_ms))
+            UpstreamRequest(
+                number, call, api.StartAttempt("r", "edge1", LEFT_MS, "origin", start_within_ms=start_ms)
+            )
         )
 
     @inlineCallbacks
@@ -65,8 +73,8 @@
                 None,
             ),
             "withdrawn": (lambda _: self.assertTrue(self.pool.withdraw(1)), True, None),
-            "drained": (lambda at: self.rig.list_servers(api.State.DRAINING, edge1=at), False, SKIPPED),
-            "gone": (lambda _: self.rig.list_servers(api.State.GONE), False, SKIPPED),
+            "drained": (lambda at: self.rig.list_servers(api.ServerState.DRAINING, edge1=at), False, SKIPPED),
+            "gone": (lambda _: self.rig.list_servers(api.ServerState.REMOVED), False, SKIPPED),
             "moved": (lambda _: self.rig.list_servers(), False, SKIPPED),
             "never up": (lambda _: self.rig.later(9000.0), False, REFUSED),
         }
@@ -86,7 +94,7 @@
             if goes_on:
                 yield self.rig.until(lambda: len(self.pool.links))
                 self.send(3, "fence")
-                yield self.rig.until(lambda: (3, api.Status.DONE) in self.told)
+                yield self.rig.until(lambda: (3, api.AttemptStatus.SUCCEEDED) in self.told)
                 yield self.rig.part()
                 self.pool.clock = core_ms
         self.assertEqual([want[1] for want in self.rig.wants()], [b"fence"] * 3)
@@ -130,7 +138,9 @@
             self.send(number + 1)  # waits for a dial
             shelf.say(b"t%d" % number, b"DONE", b"x")
             yield self.rig.until(lambda: len(self.told) == 2)
-            self.assertEqual(self.told, [(number, api.Status.DONE), (number + 1, api.Status.DONE)])
+            self.assertEqual(
+                self.told, [(number, api.AttemptStatus.SUCCEEDED), (number + 1, api.AttemptStatus.SUCCEEDED)]
+            )
             self.rig.later(9000.0)  # the dial, which nobody waits for
             shelf = yield self.out(number + 2)
             self.send(number + 3)
@@ -198,7 +208,7 @@
             self.told = []
             self.send(number)
             yield self.rig.until(lambda: self.told)
-            self.assertEqual(self.told.pop(), (number, api.Status.DONE), how)
+            self.assertEqual(self.told.pop(), (number, api.AttemptStatus.SUCCEEDED), how)
 
     @inlineCallbacks
     def test_a_second_answer_is_not_taken_for_that_to_the_next_attempt(self) -> Any:
@@ -209,7 +219,7 @@
         shelf.say(b"same", b"WAIT")
         second.say(b"same", b"DONE", b"x")
         yield self.rig.until(lambda: len(self.told) > 1)
-        self.assertEqual(self.told, [(1, api.Status.BUSY), (2, api.Status.DONE)])
+        self.assertEqual(self.told, [(1, api.AttemptStatus.OVERLOADED), (2, api.AttemptStatus.SUCCEEDED)])
 
     @inlineCallbacks
     def test_what_crosses_an_idle_close_resets_nothing(self) -> Any:
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -16,10 +16,15 @@
 
 AWAY = tuple(edge(f"{zone}{n}", zone=zone) for zone in ("there", "yonder") for n in range(2))
 COLD = edge("cold", zone="there", started_ms=999.0)
-ALONE = {"notes": api.Notes.NONE, "siblings": api.Siblings.ANY, "may_join": False, "weighted": True}
+ALONE = {
+    "fill_reporting": api.FillReporting.NONE,
+    "peer_fill": api.PeerFill.ANY,
+    "may_coalesce": False,
+    "servers_weighted": True,
+}
 
 
-STATUSES = [status for status in api.Status if status is not api.Status.CANCELLED]
+STATUSES = [status for status in api.AttemptStatus if status is not api.AttemptStatus.CANCELLED]
 
 
 def alone(**more: object) -> Bench:
@@ -35,8 +40,10 @@
     bench = Bench((*EDGES, ORIGIN), **ALONE)
     for turn in range(12):
         fetch = fetch_of(bench.ask(key=1))
-        report = api.Report(busy=busy)
-        bench.answer(fetch, took_ms=5000.0 if turn else 10.0, note=api.Note.NONE, report=report)
+        report = api.LoadReport(cpu_utilization=busy)
+        bench.answer(
+            fetch, elapsed_ms=5000.0 if turn else 10.0, fill_result=api.FillResult.NONE, report=report
+        )
         server = bench.router.placement.server_list.servers[fetch.server]
         if min(bench.router.gates.origin.share, server.gate.share) < 0.9:
             break
@@ -50,34 +57,39 @@
 def test_what_the_origin_cannot_give_now_is_sought_at_two_other_caches() -> None:
     bench = alone()
     first = fetch_of(bench.ask(key=1))
-    second = fetch_of(bench.answer(first, api.Status.MISS))
+    second = fetch_of(bench.answer(first, api.AttemptStatus.CACHE_MISS))
     named = {first.source, second.source}
-    assert first.held_only and second.held_only and len(named) == 2
+    assert first.cached_only and second.cached_only and len(named) == 2
     assert not named & {first.server, "origin"}
-    assert finals(bench.answer(second, api.Status.MISS)) and bench.router.retry_budget.tokens == 15.0
-    gone = api.Servers((replace(AWAY[0], state=api.State.DRAINING), *AWAY[1:]), whole=False)
+    assert (
+        finals(bench.answer(second, api.AttemptStatus.CACHE_MISS))
+        and bench.router.retry_budget.tokens == 15.0
+    )
+    gone = api.EndpointListUpdate(
+        (replace(AWAY[0], state=api.ServerState.DRAINING), *AWAY[1:]), complete=False
+    )
     bench.give(gone)
     firsts = [fetch_of(bench.ask(key=key)) for key in range(40)]
-    sources = [fetch_of(bench.answer(first, api.Status.MISS)).source for first in firsts]
+    sources = [fetch_of(bench.answer(first, api.AttemptStatus.CACHE_MISS)).source for first in firsts]
     assert not {"there0", "cold"} & set(sources) and "there1" in sources and "origin" not in sources
 
 
 @pytest.mark.parametrize(
-    ("siblings", "zones"), [(api.Siblings.NONE, set()), (api.Siblings.LOCATION, {"here"})]
+    ("siblings", "zones"), [(api.PeerFill.NONE, set()), (api.PeerFill.LOCATION, {"here"})]
 )
-def test_only_siblings_that_the_settings_allow_are_named(siblings: api.Siblings, zones: set[str]) -> None:
-    bench = alone(siblings=siblings)
+def test_only_siblings_that_the_settings_allow_are_named(siblings: api.PeerFill, zones: set[str]) -> None:
+    bench = alone(peer_fill=siblings)
     fetches = [fetch_of(bench.ask(key=key)) for key in range(40)]
     where = {entry.server: entry.zone for entry in (*EDGES, *AWAY, COLD, ORIGIN)}
     assert {where[f.source] for f in fetches if f.source != f.server} == zones
 
 
 def test_copies_past_their_fresh_time_do_while_the_origin_is_under_strain() -> None:
-    classes = (replace(PAGES, grace_ms=30_000.0),)
+    classes = (replace(PAGES, stale_grace_ms=30_000.0),)
     assert fetch_of(alone(classes=classes).ask(class_name="pages")).max_age_ms == 42_000.0
     assert fetch_of(Bench(classes=classes).ask(class_name="pages")).max_age_ms == 0.0
     bench = alone(classes=classes)
-    bench.give(api.Purged(0, 100.0, 1))
+    bench.give(api.PurgeReceived(0, 100.0, 1))
     bench.wait(1000.0)
     assert fetch_of(bench.ask(class_name="pages")).max_age_ms <= 1100.0  # rule 5 goes first
 
@@ -87,8 +99,8 @@
         (PARENTS, ()),
         (False, True),  # reports in answers
         (0.0, 30_000.0),  # grace
-        api.Siblings,
-        api.Notes,
+        api.PeerFill,
+        api.FillReporting,
     )
 )
 
@@ -101,49 +113,55 @@
     ):
         self.where = {entry.server: entry for entry in (*EDGES, *AWAY, COLD, *parents, ORIGIN)}
         self.bench = Bench(tuple(self.where.values()), **{**ALONE, "classes": kinds, **more})
-        self.twice, self.siblings, self.seen = more["may_copy"], more["siblings"], 0
+        self.twice, self.siblings, self.seen = more["may_hedge"], more["peer_fill"], 0
         self.may_have_run: dict[str, list[float]] = {}  # when attempts went out that may have run
-        self.out: list[tuple[float, api.Fetch]] = []
+        self.out: list[tuple[float, api.StartAttempt]] = []
         self.kinds: dict[str, api.RequestClass] = {}
         self.ended: list[str] = []
 
     def look(self) -> None:
         for at, action in self.bench.log[self.seen :]:
-            if isinstance(action, api.Refuse | api.Fail):
-                ran = self.may_have_run.get(action.request)
+            if isinstance(action, api.RejectRequest | api.FailRequest):
+                ran = self.may_have_run.get(action.request_id)
                 assert (
-                    isinstance(action, api.Fail)
+                    isinstance(action, api.FailRequest)
                     or not ran
-                    or self.kinds[action.request].safety.value == "safe"
+                    or self.kinds[action.request_id].idempotency.value == "safe"
                 )
-                self.ended.append(action.request)
-            if isinstance(action, api.Fetch):
-                self.sent(at, action, self.kinds[action.request])
+                self.ended.append(action.request_id)
+            if isinstance(action, api.StartAttempt):
+                self.sent(at, action, self.kinds[action.request_id])
         self.seen = len(self.bench.log)
 
-    def sent(self, at: float, fetch: api.Fetch, kind: api.RequestClass) -> None:
-        beside = [other for _, other in self.out if other.request == fetch.request]
-        assert fetch.request not in self.ended and len(beside) <= self.twice
-        ran = self.may_have_run.setdefault(fetch.request, [])
-        window = {api.Safety.SAFE: 1e9, api.Safety.KEYED: kind.memory_ms, api.Safety.UNSAFE: -1.0}[
-            kind.safety
-        ]
+    def sent(self, at: float, fetch: api.StartAttempt, kind: api.RequestClass) -> None:
+        beside = [other for _, other in self.out if other.request_id == fetch.request_id]
+        assert fetch.request_id not in self.ended and len(beside) <= self.twice
+        ran = self.may_have_run.setdefault(fetch.request_id, [])
+        window = {
+            api.Idempotency.IDEMPOTENT: 1e9,
+            api.Idempotency.KEYED: kind.deduplication_window_ms,
+            api.Idempotency.NON_IDEMPOTENT: -1.0,
+        }[kind.idempotency]
         assert not ran or at - ran[0] <= window
         ran.append(at)
         self.out.append((at, fetch))
         source = self.where[fetch.source]
-        assert self.where[fetch.server] in EDGES and fetch.max_age_ms <= kind.fresh_ms + kind.grace_ms
+        assert (
+            self.where[fetch.server] in EDGES and fetch.max_age_ms <= kind.freshness_ms + kind.stale_grace_ms
+        )
         if source.role is api.Role.EDGE and fetch.source != fetch.server:
-            near = self.siblings is api.Siblings.LOCATION and source.zone == "here"
-            assert (near or self.siblings is api.Siblings.ANY) and fetch.held_only and not kind.passes
+            near = self.siblings is api.PeerFill.LOCATION and source.zone == "here"
+            assert (near or self.siblings is api.PeerFill.ANY) and fetch.cached_only and not kind.uncacheable
 
-    def end(self, place: int, status: api.Status, **more: Any) -> None:
+    def end(self, place: int, status: api.AttemptStatus, **more: Any) -> None:
         at, fetch = self.out.pop(place)
         if status in NEVER_EXECUTED:
-            self.may_have_run[fetch.request].remove(at)
-        if status is api.Status.DONE and fetch.request not in self.ended:
-            self.ended.append(fetch.request)
-        self.bench.answer(fetch, status, note=api.Note.NONE, final=fetch.request in self.ended, **more)
+            self.may_have_run[fetch.request_id].remove(at)
+        if status is api.AttemptStatus.SUCCEEDED and fetch.request_id not in self.ended:
+            self.ended.append(fetch.request_id)
+        self.bench.answer(
+            fetch, status, fill_result=api.FillResult.NONE, final=fetch.request_id in self.ended, **more
+        )
         self.look()
 
 
@@ -152,16 +170,25 @@
     """Every action of a router that sees random outcomes, under every combination of settings."""
     for seed, (parents, told, grace, siblings, notes) in enumerate(TABLE):
         chance = random.Random(seed)
-        kinds = (FILMS, replace(PAGES, grace_ms=grace), replace(KEYED, memory_ms=800.0), ORDER)
-        watch = Watch(kinds, parents, may_copy=twice, siblings=siblings, notes=notes)
+        kinds = (
+            FILMS,
+            replace(PAGES, stale_grace_ms=grace),
+            replace(KEYED, deduplication_window_ms=800.0),
+            ORDER,
+        )
+        watch = Watch(kinds, parents, may_hedge=twice, peer_fill=siblings, fill_reporting=notes)
         for turn in range(60):
             kind = watch.kinds[str(turn + 1)] = chance.choice(kinds)
             watch.bench.ask(key=chance.randrange(40), class_name=kind.name)
             watch.look()
             while watch.out and chance.random() < 0.7:
-                report = api.Report(busy=chance.random(), link=chance.random()) if told else None
+                report = (
+                    api.LoadReport(cpu_utilization=chance.random(), link_utilization=chance.random())
+                    if told
+                    else None
+                )
                 took, status = chance.choice((20.0, 3000.0)), chance.choice(STATUSES)
-                watch.end(chance.randrange(len(watch.out)), status, took_ms=took, report=report)
+                watch.end(chance.randrange(len(watch.out)), status, elapsed_ms=took, report=report)
             watch.bench.wait(chance.choice((5.0, 60.0)))
             watch.look()
         watch.bench.wait(6000.0)
@@ -173,4 +200,4 @@
     data = {"name": "a", "aimMs": 1.0, "giveUpMs": 2.0, "idempotency": "safe"}
     for earns, grace in ((0.7, 30.0), (0.0, 0.0)):
         special = SettingsReader({"classFreshMs": [9.0], "staleForMs": [30.0], "staleEarns": [earns]})
-        assert read_class(data, 0, special).grace_ms == grace
+        assert read_class(data, 0, special).stale_grace_ms == grace
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -44,18 +44,20 @@
 @pytest.mark.parametrize("routers", [1, 2, 3, 5, 20, 200, 1200])
 def test_a_fleet_keeps_a_cold_servers_budget_whoever_is_asked(routers: int, work: float) -> None:
     draw = random.Random(routers)
-    more = {"instances": routers, "zone_fronts": {"here": routers}, "may_copy": True}
+    more = {"router_count": routers, "routers_by_zone": {"here": routers}, "may_hedge": True}
     fleet = [Bench(entries=(*WARM, *COLD), **more) for _ in range(routers)]
     for place, bench in enumerate(fleet):
         bench.router.random.seed(place)
     sent: dict[str, list[float]] = {entry.server: [] for entry in COLD}
 
     def play(bench: Bench, actions: list[api.Action]) -> None:
-        for fetch in only(actions, api.Fetch):
+        for fetch in only(actions, api.StartAttempt):
             for name in {fetch.server, fetch.source} & sent.keys():
                 sent[name].append(bench.now)
             if draw.random() < 0.9:  # one in ten waits, and may get a copy; one in five is tried again
-                status = api.Status.RESET if draw.random() < 0.2 else api.Status.DONE
+                status = (
+                    api.AttemptStatus.CONNECTION_RESET if draw.random() < 0.2 else api.AttemptStatus.SUCCEEDED
+                )
                 play(bench, bench.answer(fetch, status))
 
     for at, who in crowd(routers, 4000.0, draw):
--- a/tests/test_slow_start_sizes.py
+++ b/tests/test_slow_start_sizes.py
@@ -22,7 +22,7 @@
     bench = Bench(entries=(*entries, ORIGIN), **more)
     for key in range(pages):
         bench.wait(20.0)
-        for fetch in only(bench.ask(key, "pages", size_kb=0.0), api.Fetch):
+        for fetch in only(bench.ask(key, "pages", size_kb=0.0), api.StartAttempt):
             bench.answer(fetch, size_kb=SMALL)
     bench.wait(1000.0)  # a window in which nothing has been sent yet
     return bench
@@ -32,19 +32,24 @@
     """How many a window's budget there holds where each counts as its class's aim, and one that its chance
     may add."""
     server, cold = bench.router.placement.server_list.servers[name], bench.router.placement.slow_start
-    return cold.rate(server.entry, server.slow_start_window, bench.now) * cold.window_ms / FILMS.aim_ms + 1.0
+    return (
+        cold.rate(server.entry, server.slow_start_window, bench.now)
+        * cold.window_ms
+        / FILMS.latency_objective_ms
+        + 1.0
+    )
 
 
 def films_sent(bench: Bench, server: str, count: int = 60) -> int:
     """Of so many films, none answered yet: how many go there in a window, as a cache or as a source."""
-    sent = [f for key in range(count) for f in only(bench.ask(1000 + key, size_kb=0.0), api.Fetch)]
+    sent = [f for key in range(count) for f in only(bench.ask(1000 + key, size_kb=0.0), api.StartAttempt)]
     return sum(server in (fetch.server, fetch.source) for fetch in sent)
 
 
 @pytest.mark.parametrize("weighted", [True, False])
 @pytest.mark.parametrize("seed", range(5))
 def test_a_cold_cache_gets_no_films_of_unknown_size_beyond_its_budget(weighted: bool, seed: int) -> None:
-    bench = started(WARM, COLD, weighted=weighted)
+    bench = started(WARM, COLD, servers_weighted=weighted)
     bench.router.random.seed(seed)
     assert films_sent(bench, "cold") <= most_films(bench, "cold")
 
@@ -58,18 +63,18 @@
 
 
 def test_where_no_size_is_known_at_all_requests_are_counted_and_the_cold_cache_is_used() -> None:
-    bench = started(WARM, COLD, pages=0, weighted=False)
+    bench = started(WARM, COLD, pages=0, servers_weighted=False)
     used = 0
     for key in range(600):
         bench.wait(20.0)
-        for fetch in only(bench.ask(key, size_kb=0.0), api.Fetch):
+        for fetch in only(bench.ask(key, size_kb=0.0), api.StartAttempt):
             used += fetch.server == "cold"
             bench.answer(fetch)
     assert 0 < used < 300
 
 
 def test_a_class_counts_as_its_mean_once_one_answer_told_its_size() -> None:
-    bench = started(WARM, weighted=True)
+    bench = started(WARM, servers_weighted=True)
     bench.answer(fetch_of(bench.ask(5000, size_kb=0.0)), size_kb=LARGE)
     bench.ask(5001, size_kb=0.0)
     (request,) = bench.router.requests.open.values()
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -19,7 +19,7 @@
 def site(count: int, routers: int, **more: object) -> Bench:
     """A router of a site of so many caches and routers."""
     entries = [edge(f"edge{number}") for number in range(count)]
-    return Bench(entries=(*entries, parent("parent0"), ORIGIN), zone_fronts={"here": routers}, **more)
+    return Bench(entries=(*entries, parent("parent0"), ORIGIN), routers_by_zone={"here": routers}, **more)
 
 
 def own_caches(bench: Bench) -> list[Upstream]:
@@ -51,7 +51,7 @@
     bench = site(960, 67)
     before = asked(bench)
     left = before[0]
-    bench.give(api.Servers((edge(left, state=api.State.GONE),), whole=False))
+    bench.give(api.EndpointListUpdate((edge(left, state=api.ServerState.REMOVED),), complete=False))
     after = asked(bench)
     assert left not in after
     assert all(old == new for old, new in zip(before, after, strict=True) if old != left)
@@ -65,7 +65,7 @@
     assert counts[1:] == [1, 4, 4, 4, 1, 1, 8, 8, 16, 16, 1]
     bench = site(401, 67)
     for count in (200, 160, 401):
-        bench.give(api.Servers((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
+        bench.give(api.EndpointListUpdate((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
         assert (
             len(list(bench.router.placement._ranked_caches(1)))
             == len(bench.router.placement.server_list.site_caches)
@@ -75,9 +75,11 @@
 
 def test_an_undivided_site_ignores_who_asks() -> None:
     first, second = (site(UNDIVIDED_MOST, 200) for _ in range(2))
-    second.router = Router(replace(SETTINGS, zone_fronts={"here": 200}), 7, "another name")
+    second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
     second.give(
-        api.Servers(tuple(server.entry for server in first.router.placement.server_list.servers.values()))
+        api.EndpointListUpdate(
+            tuple(server.entry for server in first.router.placement.server_list.servers.values())
+        )
     )
     assert asked(first, 300) == asked(second, 300)
 
@@ -122,27 +124,29 @@
             server.is_unreachable = trouble == "unreachable"
     actions = [action for key in range(100) for action in bench.ask(key)]
     assert not finals(actions)
-    assert {fetch.server for fetch in only(actions, api.Fetch)}.isdisjoint({server.id for server in own})
+    assert {fetch.server for fetch in only(actions, api.StartAttempt)}.isdisjoint(
+        {server.id for server in own}
+    )
 
 
 def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_whatever_block() -> None:
     cells = [edge(f"edge{number}", cell=number // 2) for number in range(960)]
-    kind = replace(KEYED, group=api.Group.CELL, passes=False)
-    bench = Bench(entries=(*cells, ORIGIN), classes=(kind,), zone_fronts={"here": 67})
+    kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
+    bench = Bench(entries=(*cells, ORIGIN), classes=(kind,), routers_by_zone={"here": 67})
     own = {server.id for server in own_caches(bench)}
     others = []
     for key in range(20):
         first = fetch_of(bench.ask(key, "keyed", idempotency_key=f"key{key}"))
         entry = next(entry for entry in cells if entry.server == first.server)
         others.append(f"edge{int(first.server[4:]) ^ 1}")
-        bench.give(api.Servers((replace(entry, state=api.State.GONE),), whole=False))
-        assert fetch_of(bench.answer(first, api.Status.RESET)).server == others[-1]
-        bench.give(api.Servers((entry,), whole=False))
+        bench.give(api.EndpointListUpdate((replace(entry, state=api.ServerState.REMOVED),), complete=False))
+        assert fetch_of(bench.answer(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
+        bench.give(api.EndpointListUpdate((entry,), complete=False))
     assert len(set(others) - own) > 10
 
 
 def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
-    bench = site(960, 67, siblings=api.Siblings.LOCATION)
+    bench = site(960, 67, peer_fill=api.PeerFill.LOCATION)
     own = {server.id for server in own_caches(bench)}
     placement = bench.router.placement
     for key in range(50):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -215,7 +215,7 @@
     ({"nodes": {"hosts": [line("a"), line("b", health="odd")]}}, "a:SERVING b:DRAINING", "host-health"),
     ({"nodes": {"hosts": [line("a", dial="x"), 3]}}, "a:DRAINING", "host-dial host-name"),
     ({"nodes": {"hosts": [line("a", share=float("nan"))]}}, "a:SERVING", "host-share"),
-    ({"nodes": {"hosts": [line("a", born_ms=1e300, health="left")]}}, "a:GONE", "host-born_ms"),
+    ({"nodes": {"hosts": [line("a", born_ms=1e300, health="left")]}}, "a:REMOVED", "host-born_ms"),
     ({"nodes": {"hosts": [None, 7], "whole": True}}, "", "host-name host-name event-form"),
     ({"news": {"of": "a later version"}}, "", ""),
     ({"drop": {"family": 3, "when": float("nan")}}, "None/3/inf", "drop-when"),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -110,8 +110,10 @@
 
 def order(**more: Any) -> UpstreamRequest:
     call = ClientRequest("id", "readings", "7f3a9c21e0b4d655", 900.0, if_none_match="tag", body=b"b")
-    fetch = api.Fetch("1", "s1", 900.7, "p1", rank=2, max_age_ms=0.4, renew=True, held_only=True)
-    return UpstreamRequest(1, call, fetch if not more else api.Fetch("1", "s1", 900.7, "s1", **more))
+    fetch = api.StartAttempt(
+        "1", "s1", 900.7, "p1", retention_rank=2, max_age_ms=0.4, refresh_in_background=True, cached_only=True
+    )
+    return UpstreamRequest(1, call, fetch if not more else api.StartAttempt("1", "s1", 900.7, "s1", **more))
 
 
 def test_want_has_the_listed_fields_only() -> None:
@@ -122,7 +124,9 @@
 
 
 def test_without_a_source_nothing_is_renewed_or_asked_of_it() -> None:
-    (items,) = resp.ArrayReader().feed(shelf.encode_want(order(renew=True, held_only=True), 900.0))
+    (items,) = resp.ArrayReader().feed(
+        shelf.encode_want(order(refresh_in_background=True, cached_only=True), 900.0)
+    )
     assert b"do=" not in items[2] and b"up=" not in items[2]
 
 
@@ -132,7 +136,7 @@
     told["cmds"].append({"cursor": 3, "drop": {"id": "ff", "when": 5}})  # type: ignore[attr-defined]
     change, purge = commands.decode_commands(json.dumps(told).encode()).events
     assert isinstance(change, commands.ListChange) and change.whole
-    assert (change.hosts[0].address, change.hosts[0].state) == (("10.1.0.9", 80), api.State.DRAINING)
+    assert (change.hosts[0].address, change.hosts[0].state) == (("10.1.0.9", 80), api.ServerState.DRAINING)
     assert purge == commands.Purge(3, 255, 0, 5.0)
 
 
--- a/thornjunction/adapter.py
+++ b/thornjunction/adapter.py
@@ -23,17 +23,21 @@
 )
 
 STATUSES = {
-    "done": api.Status.DONE,
-    "err": api.Status.ERROR,
-    "busy": api.Status.BUSY,
-    "etimedout": api.Status.TIMEOUT,
-    "econnrefused": api.Status.REFUSED,
-    "econnreset": api.Status.RESET,
-    "ecanceled": api.Status.CANCELLED,
-    "skipped": api.Status.SKIPPED,
-    "enoent": api.Status.MISS,
+    "done": api.AttemptStatus.SUCCEEDED,
+    "err": api.AttemptStatus.ERROR,
+    "busy": api.AttemptStatus.OVERLOADED,
+    "etimedout": api.AttemptStatus.TIMEOUT,
+    "econnrefused": api.AttemptStatus.CONNECTION_REFUSED,
+    "econnreset": api.AttemptStatus.CONNECTION_RESET,
+    "ecanceled": api.AttemptStatus.CANCELLED,
+    "skipped": api.AttemptStatus.NOT_STARTED,
+    "enoent": api.AttemptStatus.CACHE_MISS,
+}
+STATES = {
+    "SERVING": api.ServerState.SERVING,
+    "DRAINING": api.ServerState.DRAINING,
+    "DELETED": api.ServerState.REMOVED,
 }
-STATES = {"SERVING": api.State.SERVING, "DRAINING": api.State.DRAINING, "DELETED": api.State.GONE}
 TEXT_FIELDS = ("params", "bodyText")
 """Fields whose value runs to the end of the line."""
 SHOWN_CHARACTERS = 80
@@ -143,9 +147,9 @@
     return {"1": True, "0": False}[text]
 
 
-def parse_note(text: str) -> api.Note:
+def parse_note(text: str) -> api.FillResult:
     """A server's note, by its number.  Raises ValueError for an unknown one."""
-    return api.Note(int(text))
+    return api.FillResult(int(text))
 
 
 def parse_whole_number(text: str) -> int:
@@ -163,7 +167,7 @@
         self.report_columns: list[str] = report.get("columns", list, [])
         self.router = Router(read_settings(params), optional(fields, "randomSeed", int, 0))
 
-    def load_report(self, text: str) -> api.Report:
+    def load_report(self, text: str) -> api.LoadReport:
         """Parse a load report by the settings' columns."""
         try:
             values = dict(zip(self.report_columns, map(float, text.split(",")), strict=False))
@@ -192,7 +196,7 @@
             case "VERDICT":
                 return self._outcome(fields)
             case "TIMED_OUT_CLIENT":
-                return api.ClientGone(required(fields, "requestId", str))
+                return api.ClientDisconnected(required(fields, "requestId", str))
             case "FIRED":
                 return api.TimerFired(required(fields, "cookie", int))
             case "STRUCK_OUT":
@@ -201,42 +205,42 @@
                 return self._probe_result(fields)
         return None
 
-    def _outcome(self, fields: Fields) -> api.Outcome:
-        return api.Outcome(
-            request=required(fields, "requestId", str),
-            attempt=optional(fields, "roundNo", int, 0),
+    def _outcome(self, fields: Fields) -> api.AttemptEnded:
+        return api.AttemptEnded(
+            request_id=required(fields, "requestId", str),
+            attempt_number=optional(fields, "roundNo", int, 0),
             server=optional(fields, "cache", str, ""),
             status=required(fields, "status", STATUSES.__getitem__),
-            took_ms=optional(fields, "waitTimeMs", float, 0.0),
-            note=optional(fields, "detail", parse_note, api.Note.NONE),
-            source_wait_ms=optional(fields, "sourceWaitMs", float, None),
+            elapsed_ms=optional(fields, "waitTimeMs", float, 0.0),
+            fill_result=optional(fields, "detail", parse_note, api.FillResult.NONE),
+            fill_first_byte_ms=optional(fields, "sourceWaitMs", float, None),
             final=optional(fields, "terminal", parse_flag, False),
             report=optional(fields, "report", self.load_report, None),
         )
 
-    def _probe_result(self, fields: Fields) -> api.Probed:
-        return api.Probed(
+    def _probe_result(self, fields: Fields) -> api.HealthCheckEnded:
+        return api.HealthCheckEnded(
             server=required(fields, "cache", str),
             status=required(fields, "status", STATUSES.__getitem__),
-            took_ms=optional(fields, "waitTimeMs", float, 0.0),
+            elapsed_ms=optional(fields, "waitTimeMs", float, 0.0),
             report=optional(fields, "report", self.load_report, None),
         )
 
 
 def _request(fields: Fields) -> api.Request:
     return api.Request(
-        request=required(fields, "requestId", str),
+        request_id=required(fields, "requestId", str),
         class_name=required(fields, "kind", str),
         key=optional(fields, "key", int, 0),
-        left_ms=required(fields, "graceMs", float),
+        remaining_ms=required(fields, "graceMs", float),
         part=optional(fields, "chunk", parse_whole_number, 0),
         group=optional(fields, "batchId", parse_whole_number, 0),
         size_kb=optional(fields, "sizeKb", float, 0.0),
     )
 
 
-def _purge(fields: Fields) -> api.Purged:
-    return api.Purged(
+def _purge(fields: Fields) -> api.PurgeReceived:
+    return api.PurgeReceived(
         group=optional(fields, "bucket", parse_whole_number, 0),
         age_ms=optional(fields, "ageSpanMs", float, 0.0),
         key=optional(fields, "key", int, None),
@@ -246,31 +250,31 @@
 def action_line(who: int, action: api.Action) -> str:
     """The reply for an action of the instance ``who``."""
     match action:
-        case api.Fetch():
+        case api.StartAttempt():
             return (
-                f"OBTAIN who={who} requestId={action.request} cache={action.server} "
-                f"allowForMs={action.timeout_ms:.3f} missFrom={action.source} rank={action.rank} "
+                f"OBTAIN who={who} requestId={action.request_id} cache={action.server} "
+                f"allowForMs={action.timeout_ms:.3f} missFrom={action.source} rank={action.retention_rank} "
                 f"ageSpanMs={action.max_age_ms:.3f} how={_fetch_mode(action)}"
             )
-        case api.Cancel():
-            return f"RECALL who={who} requestId={action.request} roundNo={action.attempt}"
-        case api.Refuse():
-            return f"PUSH_BACK who={who} requestId={action.request} waitMs={action.wait_ms:.3f}"
-        case api.Fail():
-            return f"RESPOND_ERROR who={who} requestId={action.request}"
+        case api.CancelAttempt():
+            return f"RECALL who={who} requestId={action.request_id} roundNo={action.attempt_number}"
+        case api.RejectRequest():
+            return f"PUSH_BACK who={who} requestId={action.request_id} waitMs={action.retry_after_ms:.3f}"
+        case api.FailRequest():
+            return f"RESPOND_ERROR who={who} requestId={action.request_id}"
         case api.SetTimer():
             return f"SCHEDULE who={who} inMs={action.in_ms:.3f} cookie={action.token}"
-        case api.Probe():
+        case api.CheckHealth():
             return f"SAMPLE who={who} cache={action.server}"
 
 
-def _fetch_mode(action: api.Fetch) -> int:
+def _fetch_mode(action: api.StartAttempt) -> int:
     how = 0
-    if action.join:
+    if action.coalesce:
         how |= HOW_JOIN
-    if action.held_only:
+    if action.cached_only:
         how |= HOW_CACHED_ONLY
-    if action.renew:
+    if action.refresh_in_background:
         how |= HOW_RENEW
     return how
 
@@ -376,7 +380,9 @@
         if entries is None:
             raise UnknownListError
         is_whole = message.fields.get("kind") != "D"
-        return api.Servers(tuple(instance.server_entry(entry) for entry in entries), whole=is_whole)
+        return api.EndpointListUpdate(
+            tuple(instance.server_entry(entry) for entry in entries), complete=is_whole
+        )
 
     def _warn(self, text: str) -> None:
         print(text, file=self.warnings)
--- a/thornjunction/core/counters.py
+++ b/thornjunction/core/counters.py
@@ -60,7 +60,7 @@
         known_name = class_name if class_name in self.classes else UNKNOWN_CLASS
         self._add(f"requests.{known_name}.{outcome.value}", took_ms)
 
-    def attempt_ended(self, status: api.Status, took_ms: float) -> None:
+    def attempt_ended(self, status: api.AttemptStatus, took_ms: float) -> None:
         """Count an attempt."""
         self._add(f"attempts.{status.value.replace(' ', '_')}", took_ms)
 
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -91,20 +91,20 @@
         if request is None:
             return
         self._close(request, RequestOutcome.ABANDONED, self.clock())
-        self.feed(api.ClientGone(request.request_id))
+        self.feed(api.ClientDisconnected(request.request_id))
         self._withdraw_attempts(request)
 
     def answer_all_now(self) -> None:
         """Have the router answer all open requests at once, by what it knows by now."""
         for number in self.requests.numbers():
-            self.feed(api.TimeUp(str(number)))
+            self.feed(api.RequestExpired(str(number)))
 
     def attempt_ended(
         self,
         number: int,
-        status: api.Status,
+        status: api.AttemptStatus,
         content: Content | None = None,
-        report: api.Report | None = None,
+        report: api.LoadReport | None = None,
     ) -> None:
         """Take in the end of an attempt; it is ignored if the attempt had ended before.
 
@@ -119,15 +119,15 @@
         took_ms = self.clock() - attempt.sent_ms
         self.observer.attempt_ended(status, took_ms)
         answered = None
-        if status is api.Status.DONE and content is not None:
+        if status is api.AttemptStatus.SUCCEEDED and content is not None:
             answered = self._answer(int(attempt.key.request_id), Served(content))
         self.feed(
-            api.Outcome(
-                request=attempt.key.request_id,
-                attempt=attempt.key.attempt_index,
+            api.AttemptEnded(
+                request_id=attempt.key.request_id,
+                attempt_number=attempt.key.attempt_index,
                 server=attempt.server,
                 status=status,
-                took_ms=took_ms,
+                elapsed_ms=took_ms,
                 final=is_unneeded or answered is not None,
                 report=report,
                 size_kb=len(content.body) * self.kb_per_byte if content is not None else 0.0,
@@ -136,9 +136,11 @@
         if answered is not None:
             self._withdraw_attempts(answered)  # only now: the router learns from this attempt's end first
 
-    def probe_ended(self, server: str, status: api.Status, took_ms: float, report: api.Report | None) -> None:
+    def probe_ended(
+        self, server: str, status: api.AttemptStatus, took_ms: float, report: api.LoadReport | None
+    ) -> None:
         """Take in the result of a health check."""
-        self.feed(api.Probed(server, status, took_ms, report))
+        self.feed(api.HealthCheckEnded(server, status, took_ms, report))
 
     def feed(self, event: api.Event) -> None:
         """Hand the router an event and carry out what it decides, in order."""
@@ -163,25 +165,25 @@
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
-            case api.Fetch():
+            case api.StartAttempt():
                 self._send(action)
-            case api.Cancel():
+            case api.CancelAttempt():
                 self._cancel(action)
-            case api.Refuse():
-                self._answer_and_withdraw(action.request, Rejected(action.wait_ms))
-            case api.Fail():
-                self._answer_and_withdraw(action.request, None)
+            case api.RejectRequest():
+                self._answer_and_withdraw(action.request_id, Rejected(action.retry_after_ms))
+            case api.FailRequest():
+                self._answer_and_withdraw(action.request_id, None)
             case api.SetTimer():
                 self._set_timer(action)
-            case api.Probe():
+            case api.CheckHealth():
                 self.upstreams.probe(action.server)
 
     def _set_timer(self, timer: api.SetTimer) -> None:
         fired = api.TimerFired(timer.token)
         self.deadlines.add(self.clock() + timer.in_ms, lambda: self.feed(fired))
 
-    def _send(self, fetch: api.Fetch) -> None:
-        request = self.requests.get(int(fetch.request))
+    def _send(self, fetch: api.StartAttempt) -> None:
+        request = self.requests.get(int(fetch.request_id))
         if request is None:
             self._skip(fetch, 0, final=True)
             return
@@ -191,26 +193,30 @@
             self._skip(fetch, index, final=False)
             return
         now_ms = self.clock()
-        attempt = Attempt(AttemptKey(fetch.request, index), fetch.server, now_ms)
+        attempt = Attempt(AttemptKey(fetch.request_id, index), fetch.server, now_ms)
         time_limit_at_ms = now_ms + max(fetch.timeout_ms, 0.0)
         attempt.time_limit = self.deadlines.add(
-            time_limit_at_ms, lambda: self._stop(attempt, api.Status.TIMEOUT)
+            time_limit_at_ms, lambda: self._stop(attempt, api.AttemptStatus.TIMEOUT)
         )
         self.attempts.add(attempt)
         self.upstreams.send(UpstreamRequest(attempt.number, request.client_request, fetch))
 
-    def _skip(self, fetch: api.Fetch, index: int, final: bool) -> None:
-        self.feed(api.Outcome(fetch.request, index, fetch.server, api.Status.SKIPPED, final=final))
+    def _skip(self, fetch: api.StartAttempt, index: int, final: bool) -> None:
+        self.feed(
+            api.AttemptEnded(
+                fetch.request_id, index, fetch.server, api.AttemptStatus.NOT_STARTED, final=final
+            )
+        )
 
-    def _cancel(self, cancel: api.Cancel) -> None:
-        attempt = self.attempts.find(cancel.request, cancel.attempt)
+    def _cancel(self, cancel: api.CancelAttempt) -> None:
+        attempt = self.attempts.find(cancel.request_id, cancel.attempt_number)
         if attempt is not None:
-            self._stop(attempt, api.Status.CANCELLED)
+            self._stop(attempt, api.AttemptStatus.CANCELLED)
 
-    def _stop(self, attempt: Attempt, status_if_begun: api.Status) -> None:
+    def _stop(self, attempt: Attempt, status_if_begun: api.AttemptStatus) -> None:
         """Stop waiting for an attempt; one that has not begun never ran, and ends SKIPPED."""
         if self.upstreams.withdraw(attempt.number):
-            self.attempt_ended(attempt.number, api.Status.SKIPPED)
+            self.attempt_ended(attempt.number, api.AttemptStatus.NOT_STARTED)
             return
         self.upstreams.cancel(attempt.number)
         self.attempt_ended(attempt.number, status_if_begun)
@@ -223,12 +229,12 @@
         for index in range(request.attempts_made):
             attempt = self.attempts.find(request.request_id, index)
             if attempt is not None and self.upstreams.withdraw(attempt.number):
-                self.attempt_ended(attempt.number, api.Status.SKIPPED)
+                self.attempt_ended(attempt.number, api.AttemptStatus.NOT_STARTED)
 
     def _backstop_due(self, request: OpenRequest) -> None:
         """The router has not answered by the client's deadline, as after an error in it."""
         self._answer(request.number, None)
-        self.feed(api.ClientGone(request.request_id))
+        self.feed(api.ClientDisconnected(request.request_id))
         self._withdraw_attempts(request)
 
     def _answer_and_withdraw(self, request_id: str, answer: Answer | None) -> None:
--- a/thornjunction/core/open_requests.py
+++ b/thornjunction/core/open_requests.py
@@ -43,10 +43,10 @@
         """Return the router's event for it, with so much of the client's time left."""
         client_request = self.client_request
         return api.Request(
-            request=self.request_id,
+            request_id=self.request_id,
             class_name=client_request.class_name,
             key=int(client_request.object_id, 16),
-            left_ms=left_ms,
+            remaining_ms=left_ms,
             part=client_request.part,
             group=client_request.group,
             size_kb=client_request.size_kb,
--- a/thornjunction/core/ports.py
+++ b/thornjunction/core/ports.py
@@ -118,7 +118,7 @@
 
     number: int
     client_request: ClientRequest
-    fetch: api.Fetch
+    fetch: api.StartAttempt
 
 
 class Router(Protocol):
@@ -153,5 +153,5 @@
     def request_ended(self, class_name: str, outcome: RequestOutcome, took_ms: float) -> None:
         """A request of that class ended."""
 
-    def attempt_ended(self, status: api.Status, took_ms: float) -> None:
+    def attempt_ended(self, status: api.AttemptStatus, took_ms: float) -> None:
         """An attempt ended."""
--- a/thornjunction/interface.py
+++ b/thornjunction/interface.py
@@ -16,21 +16,21 @@
 from enum import Enum, IntEnum
 
 
-class Safety(Enum):
+class Idempotency(Enum):
     """What it does to the system to run a request of a class more than once.
 
     Attributes:
-        SAFE: nothing; the request may be repeated at any time.
+        IDEMPOTENT: nothing; the request may be repeated at any time.
         KEYED: nothing for as long as the servers discard repeats of its idempotency key.
-        UNSAFE: a second effect; the request may be repeated only if no attempt can have run.
+        NON_IDEMPOTENT: a second effect; the request may be repeated only if no attempt can have run.
     """
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which cache servers discard a keyed request that one of them has seen before.
 
     Attributes:
@@ -44,7 +44,7 @@
     CELL = "cell"
 
 
-class Siblings(Enum):
+class PeerFill(Enum):
     """Which edge cache servers may be named as the source from which another fills a miss.
 
     Attributes:
@@ -58,11 +58,11 @@
     ANY = "any"
 
 
-class Notes(Enum):
-    """How much the outcomes of attempts tell about the cache fill behind them (``Outcome.note``).
+class FillReporting(Enum):
+    """How much the outcomes of attempts tell about the cache fill behind them (``AttemptEnded.fill_result``).
 
     Attributes:
-        ALL: every ``Note``, and the time that the source took.
+        ALL: every ``FillResult``, and the time that the source took.
         HIT: only HIT, FILLED, JOINED and STALE; FILLED stands for FILLED_FROM_ORIGIN too.
         NONE: nothing; every note is ``Note.NONE``.
     """
@@ -86,47 +86,47 @@
     ORIGIN = "origin"
 
 
-class State(Enum):
+class ServerState(Enum):
     """The state of a server in the server list.
 
     Attributes:
         SERVING: it takes new work.
         DRAINING: it finishes what it has and must get nothing new.
-        GONE: it has left the list.
+        REMOVED: it has left the list.
     """
 
     SERVING = "serving"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class Status(Enum):
+class AttemptStatus(Enum):
     """How an attempt or a health check ended.
 
     Attributes:
-        DONE: it was answered.
+        SUCCEEDED: it was answered.
         ERROR: the server answered with an error; the request may have run.
-        BUSY: the server was full; the request never ran.
+        OVERLOADED: the server was full; the request never ran.
         TIMEOUT: no answer came within the attempt's time limit; the request may have run.
-        REFUSED: no connection came up; the request never ran.
-        RESET: the connection broke; the request may have run.
+        CONNECTION_REFUSED: no connection came up; the request never ran.
+        CONNECTION_RESET: the connection broke; the request may have run.
         CANCELLED: the router cancelled the attempt; the request may have run.
-        SKIPPED: the attempt was dropped before it was sent; the request never ran.
-        MISS: the server lacks the object and was not to fetch it; the request never ran.
+        NOT_STARTED: the attempt was dropped before it was sent; the request never ran.
+        CACHE_MISS: the server lacks the object and was not to fetch it; the request never ran.
     """
 
-    DONE = "done"
+    SUCCEEDED = "done"
     ERROR = "error"
-    BUSY = "busy"
+    OVERLOADED = "busy"
     TIMEOUT = "timeout"
-    REFUSED = "connection refused"
-    RESET = "connection reset"
+    CONNECTION_REFUSED = "connection refused"
+    CONNECTION_RESET = "connection reset"
     CANCELLED = "cancelled"
-    SKIPPED = "skipped"
-    MISS = "miss"
+    NOT_STARTED = "skipped"
+    CACHE_MISS = "miss"
 
 
-class Note(IntEnum):
+class FillResult(IntEnum):
     """What an outcome tells about the cache fill behind it; the numbers are those of the wire.
 
     Attributes:
@@ -162,32 +162,34 @@
 
     Attributes:
         name: the class's name in requests.
-        aim_ms: latency objective; an answer within it earns the class's whole priority weight.
-        give_up_ms: how long a client waits in total, over all of its own retries.
-        safety: what it does to run a request more than once.
-        aim_stretch: multiple of the request's own transfer time that is added to ``aim_ms``.
-        late_worth: share of the priority weight that an answer past the objective earns, 0 to 1.
-        worth: priority weight of one request, relative to the other classes.
-        group: which servers discard repeats; keyed classes only.
-        memory_ms: how long they discard repeats, counted from the first attempt that may have run; keyed
+        latency_objective_ms: latency objective; an answer within it earns the class's whole priority weight.
+        client_timeout_ms: how long a client waits in total, over all of its own retries.
+        idempotency: what it does to run a request more than once.
+        objective_transfer_factor: multiple of the request's own transfer time that is added to
+            ``latency_objective_ms``.
+        late_value_share: share of the priority weight that an answer past the objective earns, 0 to 1.
+        priority_weight: priority weight of one request, relative to the other classes.
+        deduplication_scope: which servers discard repeats; keyed classes only.
+        deduplication_window_ms: how long they discard repeats, counted from the first attempt that may have
+            run; keyed
             classes only.
-        fresh_ms: how long a copy is fresh; 0: until it is purged.
-        grace_ms: how much older than fresh a copy may be where a request asks for that.
-        passes: whether requests run at the origin and are never cached.
+        freshness_ms: how long a copy is fresh; 0: until it is purged.
+        stale_grace_ms: how much older than fresh a copy may be where a request asks for that.
+        uncacheable: whether requests run at the origin and are never cached.
     """
 
     name: str
-    aim_ms: float
-    give_up_ms: float
-    safety: Safety
-    aim_stretch: float = 0.0
-    late_worth: float = 0.0
-    worth: float = 1.0
-    group: Group = Group.ALL
-    memory_ms: float = 0.0
-    fresh_ms: float = 0.0
-    grace_ms: float = 0.0
-    passes: bool = False
+    latency_objective_ms: float
+    client_timeout_ms: float
+    idempotency: Idempotency
+    objective_transfer_factor: float = 0.0
+    late_value_share: float = 0.0
+    priority_weight: float = 1.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
+    freshness_ms: float = 0.0
+    stale_grace_ms: float = 0.0
+    uncacheable: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,81 +199,84 @@
     Attributes:
         classes: all request classes.
         zone: the zone in which this router stands.
-        instances: number of routers in all zones.
-        zone_fronts: number of routers that serve each zone, by zone.
+        router_count: number of routers in all zones.
+        routers_by_zone: number of routers that serve each zone, by zone.
         max_attempts: attempts of one request at most; further ones end SKIPPED.
         drain_grace_ms: how long after the news of a drain an attempt may still go to the server.
-        cold_share: share of its full capacity that an edge cache server has at its start, 0 to 1.
-        cold_ms: time after its start by which an edge cache server has its full capacity.
-        fall_multiple: an edge cache server that warms up is overloaded when it is sent more than this
+        initial_capacity_share: share of its full capacity that an edge cache server has at its start, 0 to 1.
+        slow_start_ms: time after its start by which an edge cache server has its full capacity.
+        overload_multiple: an edge cache server that warms up is overloaded when it is sent more than this
             multiple of its present capacity ...
-        fall_ms: ... for this long.
-        parent_cold_share: as ``cold_share``, of a parent.
-        parent_cold_ms: as ``cold_ms``, of a parent.
-        parent_fall_multiple: as ``fall_multiple``, of a parent.
-        purge_takes_ms: time after a purge by which all caches have dropped the older copies by themselves.
+        overload_window_ms: ... for this long.
+        parent_initial_capacity_share: as ``initial_capacity_share``, of a parent.
+        parent_slow_start_ms: as ``slow_start_ms``, of a parent.
+        parent_overload_multiple: as ``overload_multiple``, of a parent.
+        purge_propagation_ms: time after a purge by which all caches have dropped the older copies by
+            themselves.
         purge_grace_ms: how long after the news of a purge attempts may still be answered from older copies.
         answer_slack_ms: how long after a client's deadline its final answer still counts.
-        flow_kb_per_ms: transfer rate to one client at most; 0: not given.
-        weighted: whether a server's weight is its capacity, counted in transfers at that rate.
+        transfer_rate_kb_per_ms: transfer rate to one client at most; 0: not given.
+        servers_weighted: whether a server's weight is its capacity, counted in transfers at that rate.
         may_cancel: whether attempts may be cancelled.
-        may_copy: whether two attempts of one request may be in flight together (hedged requests).
-        may_probe: whether the router may send health checks.
-        may_bypass: whether requests may go to a parent or the origin without an edge cache server.
-        may_join: whether a request may wait for a fill that is in progress.
-        may_advise_wait: whether a rejection may carry a Retry-After time.
-        max_wait_advice_ms: longest Retry-After time that clients respect.
-        siblings: which edge cache servers may be sources of a fill.
-        notes: how much outcomes tell about fills.
-        zone_hub: by zone, the zone of its hub, where its nearest parents stand.
-        zone_link_kb_per_ms: by zone, the capacity of its inbound link; zones without a figure are left out.
+        may_hedge: whether two attempts of one request may be in flight together (hedged requests).
+        may_check_health: whether the router may send health checks.
+        may_bypass_caches: whether requests may go to a parent or the origin without an edge cache server.
+        may_coalesce: whether a request may wait for a fill that is in progress.
+        may_send_retry_after: whether a rejection may carry a Retry-After time.
+        max_retry_after_ms: longest Retry-After time that clients respect.
+        peer_fill: which edge cache servers may be sources of a fill.
+        fill_reporting: how much outcomes tell about fills.
+        hub_by_zone: by zone, the zone of its hub, where its nearest parents stand.
+        link_rate_by_zone_kb_per_ms: by zone, the capacity of its inbound link; zones without a figure are
+            left out.
     """
 
     classes: tuple[RequestClass, ...]
     zone: str
-    instances: int
-    zone_fronts: Mapping[str, int]
+    router_count: int
+    routers_by_zone: Mapping[str, int]
     max_attempts: int
     drain_grace_ms: float
-    cold_share: float
-    cold_ms: float
-    fall_multiple: float
-    fall_ms: float
-    parent_cold_share: float = 1.0
-    parent_cold_ms: float = 0.0
-    parent_fall_multiple: float = 2.0
-    purge_takes_ms: float = 0.0
+    initial_capacity_share: float
+    slow_start_ms: float
+    overload_multiple: float
+    overload_window_ms: float
+    parent_initial_capacity_share: float = 1.0
+    parent_slow_start_ms: float = 0.0
+    parent_overload_multiple: float = 2.0
+    purge_propagation_ms: float = 0.0
     purge_grace_ms: float = 0.0
     answer_slack_ms: float = 0.0
-    flow_kb_per_ms: float = 0.0
-    weighted: bool = False
+    transfer_rate_kb_per_ms: float = 0.0
+    servers_weighted: bool = False
     may_cancel: bool = False
-    may_copy: bool = False
-    may_probe: bool = False
-    may_bypass: bool = False
-    may_join: bool = False
-    may_advise_wait: bool = False
-    max_wait_advice_ms: float = 0.0
-    siblings: Siblings = Siblings.NONE
-    notes: Notes = Notes.NONE
-    zone_hub: Mapping[str, str] = field(default_factory=dict)
-    zone_link_kb_per_ms: Mapping[str, float] = field(default_factory=dict)
+    may_hedge: bool = False
+    may_check_health: bool = False
+    may_bypass_caches: bool = False
+    may_coalesce: bool = False
+    may_send_retry_after: bool = False
+    max_retry_after_ms: float = 0.0
+    peer_fill: PeerFill = PeerFill.NONE
+    fill_reporting: FillReporting = FillReporting.NONE
+    hub_by_zone: Mapping[str, str] = field(default_factory=dict)
+    link_rate_by_zone_kb_per_ms: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """A server's load report; a value that was not reported is None.
 
     Attributes:
-        busy: share of its cores in use, 0 to 1.
-        hit_share: share of recent requests that were cache hits, 0 to 1.
-        link: of an edge cache server, the utilization of its zone's inbound link: transfers in progress over
+        cpu_utilization: share of its cores in use, 0 to 1.
+        hit_ratio: share of recent requests that were cache hits, 0 to 1.
+        link_utilization: of an edge cache server, the utilization of its zone's inbound link: transfers in
+            progress over
             those that fit at full rate.
     """
 
-    busy: float | None = None
-    hit_share: float | None = None
-    link: float | None = None
+    cpu_utilization: float | None = None
+    hit_ratio: float | None = None
+    link_utilization: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -283,42 +288,43 @@
         role: its kind.
         zone: the zone in which it stands.
         state: whether it may get new work.
-        weight: its capacity relative to other servers; with ``Settings.weighted``, in concurrent transfers.
-        cell: the cell whose servers discard each other's repeats (``Group.CELL``).
+        weight: its capacity relative to other servers; with ``Settings.servers_weighted``, in concurrent
+            transfers.
+        cell: the cell whose servers discard each other's repeats (``DeduplicationScope.CELL``).
         started_ms: time of its last start on the caller's clock; 0: long ago.
     """
 
     server: str
     role: Role
     zone: str
-    state: State = State.SERVING
+    state: ServerState = ServerState.SERVING
     weight: float = 1.0
     cell: int = 0
     started_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Servers:
+class EndpointListUpdate:
     """The server list or its changes; a router's first event.
 
     Attributes:
         entries: the servers that are listed or have changed.
-        whole: whether this is the complete list, from which every server not named in it is gone.
+        complete: whether this is the complete list, from which every server not named in it is gone.
     """
 
     entries: tuple[ServerEntry, ...]
-    whole: bool = True
+    complete: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; the caller owes exactly one final answer within ``left_ms``.
+    """A client's request; the caller owes exactly one final answer within ``remaining_ms``.
 
     Attributes:
-        request: identifier, unique per router; actions and events carry it back.
+        request_id: identifier, unique per router; actions and events carry it back.
         class_name: the name of its class.
         key: the object that it asks for.
-        left_ms: how much longer the client waits.
+        remaining_ms: how much longer the client waits.
         part: which part of the object, from 0; each part is cached separately.
         group: the group to which the object belongs (for purges).
         size_kb: size of the part; 0: not known.
@@ -326,10 +332,10 @@
             known.
     """
 
-    request: str
+    request_id: str
     class_name: str
     key: int
-    left_ms: float
+    remaining_ms: float
     part: int = 0
     group: int = 0
     size_kb: float = 0.0
@@ -337,55 +343,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """How an attempt ended; reported exactly once per ``Fetch``.
+class AttemptEnded:
+    """How an attempt ended; reported exactly once per ``StartAttempt``.
 
     Attributes:
-        request: the request's identifier.
-        attempt: the attempt's number; 0 is the first of its request.
+        request_id: the request's identifier.
+        attempt_number: the attempt's number; 0 is the first of its request.
         server: the server to which it was sent.
         status: how it ended.
-        took_ms: time from its start to its end.
-        note: what is known of the fill behind it.
-        source_wait_ms: time from the start of the fill's last attempt to its first byte or its failure; None:
+        elapsed_ms: time from its start to its end.
+        fill_result: what is known of the fill behind it.
+        fill_first_byte_ms: time from the start of the fill's last attempt to its first byte or its failure;
+            None:
             not known.
         final: whether the request has its final answer; if not, the caller still owes it.
         report: the server's load report, where one came with the answer.
         size_kb: size of what was served, where it is known from the bytes; 0: not known.
     """
 
-    request: str
-    attempt: int
+    request_id: str
+    attempt_number: int
     server: str
-    status: Status
-    took_ms: float = 0.0
-    note: Note = Note.NONE
-    source_wait_ms: float | None = None
+    status: AttemptStatus
+    elapsed_ms: float = 0.0
+    fill_result: FillResult = FillResult.NONE
+    fill_first_byte_ms: float | None = None
     final: bool = False
-    report: Report | None = None
+    report: LoadReport | None = None
     size_kb: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client left; no answer is owed for the request any more.
 
     Attributes:
-        request: the request's identifier.
+        request_id: the request's identifier.
     """
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class TimeUp:
+class RequestExpired:
     """The caller cannot wait for this request any longer, though its client would: answer it now.
 
     Attributes:
-        request: the request's identifier.
+        request_id: the request's identifier.
     """
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -400,7 +407,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Purged:
+class PurgeReceived:
     """Copies that left the origin before the purge are out of date: those of one object, or of a group.
 
     Attributes:
@@ -415,92 +422,104 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class HealthCheckEnded:
     """The result of a health check.
 
     Attributes:
         server: the server that was checked.
         status: how the check ended; DONE: the server is healthy.
-        took_ms: time from its start to its end.
+        elapsed_ms: time from its start to its end.
         report: the server's load report, where one came with the answer.
     """
 
     server: str
-    status: Status
-    took_ms: float = 0.0
-    report: Report | None = None
+    status: AttemptStatus
+    elapsed_ms: float = 0.0
+    report: LoadReport | None = None
 
 
-Event = Settings | Servers | Request | Outcome | ClientGone | TimeUp | TimerFired | Purged | Probed
+Event = (
+    Settings
+    | EndpointListUpdate
+    | Request
+    | AttemptEnded
+    | ClientDisconnected
+    | RequestExpired
+    | TimerFired
+    | PurgeReceived
+    | HealthCheckEnded
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class StartAttempt:
     """Send the request to a server.  The attempts of one request are numbered from 0 in the order sent.
 
     Attributes:
-        request: the request's identifier.
+        request_id: the request's identifier.
         server: where to send it.
         timeout_ms: time limit of the attempt, from now.
         source: the server from which a miss is filled; ``server`` itself: a miss is not filled.
-        rank: retention priority at which the copy is cached, 1 to 3, where 3 is kept longest; 0: not cached.
+        retention_rank: retention priority at which the copy is cached, 1 to 3, where 3 is kept longest; 0:
+            not cached.
         max_age_ms: greatest age of a copy that may be served, at the server or the source; 0: the class's
             fresh time.
-        join: whether to wait for a fill that is in progress.
-        renew: whether to serve an ageing copy and refresh it in the background.
-        held_only: whether the source may give only what it has in its cache.
-        start_ms: an attempt that has not begun so many ms after the decision ends SKIPPED, having never run.
+        coalesce: whether to wait for a fill that is in progress.
+        refresh_in_background: whether to serve an ageing copy and refresh it in the background.
+        cached_only: whether the source may give only what it has in its cache.
+        start_within_ms: an attempt that has not begun so many ms after the decision ends SKIPPED, having
+            never run.
     """
 
-    request: str
+    request_id: str
     server: str
     timeout_ms: float
     source: str
-    rank: int = 0
+    retention_rank: int = 0
     max_age_ms: float = 0.0
-    join: bool = False
-    renew: bool = False
-    held_only: bool = False
-    start_ms: float = math.inf
+    coalesce: bool = False
+    refresh_in_background: bool = False
+    cached_only: bool = False
+    start_within_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt.
 
     Proves nothing about whether it ran; an attempt that had not begun ends SKIPPED and never ran.
 
     Attributes:
-        request: the request's identifier.
-        attempt: the attempt's number.
+        request_id: the request's identifier.
+        attempt_number: the attempt's number.
     """
 
-    request: str
-    attempt: int
+    request_id: str
+    attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: not served, and safe to retry.
 
     Attributes:
-        request: the request's identifier.
-        wait_ms: Retry-After time for the client; 0: none.
+        request_id: the request's identifier.
+        retry_after_ms: Retry-After time for the client; 0: none.
     """
 
-    request: str
-    wait_ms: float = 0.0
+    request_id: str
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: not served, and the request may have run.
 
     Attributes:
-        request: the request's identifier.
+        request_id: the request's identifier.
     """
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -517,7 +536,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Send a health check to a server.
 
     Attributes:
@@ -527,4 +546,4 @@
     server: str
 
 
-Action = Fetch | Cancel | Refuse | Fail | SetTimer | Probe
+Action = StartAttempt | CancelAttempt | RejectRequest | FailRequest | SetTimer | CheckHealth
--- a/thornjunction/limits/attempt_start.py
+++ b/thornjunction/limits/attempt_start.py
@@ -16,6 +16,6 @@
     Meanwhile a drain or a purge may be announced, which binds after its grace; the attempt must begin
     before that. A repeat must also begin within its window, ``repeat_window_ms``.
     """
-    purge_grace_ms = settings.purge_grace_ms if settings.purge_takes_ms else math.inf
+    purge_grace_ms = settings.purge_grace_ms if settings.purge_propagation_ms else math.inf
     grace_ms = max(min(settings.drain_grace_ms, purge_grace_ms), LEAST_START_MS)
     return min(grace_ms, repeat_window_ms)
--- a/thornjunction/limits/fault_attribution.py
+++ b/thornjunction/limits/fault_attribution.py
@@ -5,7 +5,9 @@
 from thornjunction import interface as api
 
 # Notes that tell that the source of a fill failed, not the cache that asked for it.
-SOURCE_FAULTS = frozenset({api.Note.SOURCE_REFUSED, api.Note.SOURCE_BROKE, api.Note.ORIGIN_FAILED})
+SOURCE_FAULTS = frozenset(
+    {api.FillResult.SOURCE_REFUSED, api.FillResult.SOURCE_BROKE, api.FillResult.ORIGIN_FAILED}
+)
 
 # Load reports count up to this: all of a cache's cores in use, or all of its zone's link.
 FULL_LOAD = 1.0
--- a/thornjunction/limits/idempotency.py
+++ b/thornjunction/limits/idempotency.py
@@ -13,7 +13,14 @@
 KEY_LIFETIME_MS = 600_000.0
 
 # Ends of an attempt that prove that the request was not executed.
-NEVER_EXECUTED = frozenset({api.Status.BUSY, api.Status.REFUSED, api.Status.SKIPPED, api.Status.MISS})
+NEVER_EXECUTED = frozenset(
+    {
+        api.AttemptStatus.OVERLOADED,
+        api.AttemptStatus.CONNECTION_REFUSED,
+        api.AttemptStatus.NOT_STARTED,
+        api.AttemptStatus.CACHE_MISS,
+    }
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +38,10 @@
     request_class: api.RequestClass, execution: PossibleExecution | None, now_ms: float
 ) -> float:
     """Return for how long a repeat is still discarded by the servers that may have executed the request."""
-    if execution is None or request_class.safety is api.Safety.SAFE:
+    if execution is None or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return math.inf
-    if request_class.safety is api.Safety.KEYED:
-        return execution.sent_at_ms + request_class.memory_ms - now_ms
+    if request_class.idempotency is api.Idempotency.KEYED:
+        return execution.sent_at_ms + request_class.deduplication_window_ms - now_ms
     return -math.inf
 
 
@@ -49,16 +56,16 @@
     Either nothing was executed yet, or this server discards the repeat and does so for the next
     ``window_ms`` (see ``repeat_window_ms``).
     """
-    if execution is None or request_class.safety is api.Safety.SAFE:
+    if execution is None or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return True
     if window_ms <= 0:
         return False
-    match request_class.group:
-        case api.Group.ALL:
+    match request_class.deduplication_scope:
+        case api.DeduplicationScope.ALL:
             return True
-        case api.Group.ZONE:
+        case api.DeduplicationScope.ZONE:
             return execution.server.zone == entry.zone
-        case api.Group.CELL:
+        case api.DeduplicationScope.CELL:
             return execution.server.cell == entry.cell
 
 
--- a/thornjunction/limits/purges.py
+++ b/thornjunction/limits/purges.py
@@ -26,7 +26,7 @@
         self.propagation_ms = 0.0
         self._everything_purged_at_ms = -math.inf
 
-    def add(self, event: api.Purged, now_ms: float) -> None:
+    def add(self, event: api.PurgeReceived, now_ms: float) -> None:
         """Take in a purge of one object or of a group."""
         purged_at_ms = now_ms - max(event.age_ms, 0.0)
         target: PurgeTarget = ("group", event.group) if event.key is None else ("key", event.key)
--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -91,25 +91,25 @@
 
     def adopt(self, settings: api.Settings) -> None:
         """Share by these settings from now on."""
-        zone_routers = settings.zone_fronts.get(settings.zone, settings.instances)
+        zone_routers = settings.routers_by_zone.get(settings.zone, settings.router_count)
         edge = RoleTerms(
-            start_share=settings.cold_share,
-            warm_up_ms=settings.cold_ms,
-            surge_multiple=settings.fall_multiple,
+            start_share=settings.initial_capacity_share,
+            warm_up_ms=settings.slow_start_ms,
+            surge_multiple=settings.overload_multiple,
             routers=max(zone_routers, 1),
             load_share=1.0,
         )
         parent = RoleTerms(
-            start_share=settings.parent_cold_share,
-            warm_up_ms=settings.parent_cold_ms,
-            surge_multiple=settings.parent_fall_multiple,
-            routers=max(settings.instances, 1),
+            start_share=settings.parent_initial_capacity_share,
+            warm_up_ms=settings.parent_slow_start_ms,
+            surge_multiple=settings.parent_overload_multiple,
+            routers=max(settings.router_count, 1),
             load_share=PARENT_LOAD_SHARE,
         )
         origin = RoleTerms(start_share=1.0, warm_up_ms=0.0, surge_multiple=0.0, routers=1, load_share=0.0)
         self._terms = {api.Role.EDGE: edge, api.Role.PARENT: parent, api.Role.ORIGIN: origin}
-        self._has_weights = settings.weighted
-        self.window_ms = max(settings.fall_ms, 1.0)
+        self._has_weights = settings.servers_weighted
+        self.window_ms = max(settings.overload_window_ms, 1.0)
 
     def note_listed(self, role: api.Role, count: int) -> None:
         """Note how many servers of a role a new list names."""
--- a/thornjunction/net/new_numbers.py
+++ b/thornjunction/net/new_numbers.py
@@ -63,7 +63,7 @@
             for name in [name for name in self._active if name not in listed]:
                 self._left[name] = self._active.pop(name)
         for host in change.hosts:
-            serves = host.state is api.State.SERVING
+            serves = host.state is api.ServerState.SERVING
             here, there = (self._active, self._left) if serves else (self._left, self._active)
             there.pop(host.name, None)
             here[host.name] = host.born_ms
@@ -74,8 +74,8 @@
     def kept_out(self, change: ListChange) -> ListChange:
         """The change with each active shelf that had left as leaving, unless it was born later."""
         hosts = tuple(
-            replace(host, state=api.State.DRAINING)
-            if host.state is api.State.SERVING and host.born_ms <= self._left.get(host.name, -1e300)
+            replace(host, state=api.ServerState.DRAINING)
+            if host.state is api.ServerState.SERVING and host.born_ms <= self._left.get(host.name, -1e300)
             else host
             for host in change.hosts
         )
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -34,12 +34,12 @@
 __all__ = ["Limits", "ShelfPool"]
 
 STATUSES = {
-    shelf.Word.DONE: api.Status.DONE,
-    shelf.Word.KEEP: api.Status.DONE,
-    shelf.Word.LACK: api.Status.MISS,
-    shelf.Word.WAIT: api.Status.BUSY,
-    shelf.Word.BROKE: api.Status.ERROR,
-    shelf.Word.PAST: api.Status.SKIPPED,
+    shelf.Word.DONE: api.AttemptStatus.SUCCEEDED,
+    shelf.Word.KEEP: api.AttemptStatus.SUCCEEDED,
+    shelf.Word.LACK: api.AttemptStatus.CACHE_MISS,
+    shelf.Word.WAIT: api.AttemptStatus.OVERLOADED,
+    shelf.Word.BROKE: api.AttemptStatus.ERROR,
+    shelf.Word.PAST: api.AttemptStatus.NOT_STARTED,
 }
 
 
@@ -49,13 +49,13 @@
     def attempt_ended(
         self,
         number: int,
-        status: api.Status,
+        status: api.AttemptStatus,
         content: Content | None = None,
-        report: api.Report | None = None,
+        report: api.LoadReport | None = None,
     ) -> None: ...
 
     def probe_ended(
-        self, server: str, status: api.Status, took_ms: float, report: api.Report | None
+        self, server: str, status: api.AttemptStatus, took_ms: float, report: api.LoadReport | None
     ) -> None: ...
 
 
@@ -127,20 +127,20 @@
                 over += self.shelves.pop(name).retire()
         for host in hosts:
             known = self.shelves.get(host.name)
-            if host.state is api.State.GONE:
+            if host.state is api.ServerState.REMOVED:
                 over += self.shelves.pop(host.name).retire() if known is not None else []
             elif known is None:
                 self.shelves[host.name] = Shelf(host, self.links.release)
             else:
                 over += self._change(known, host)
         for name, sent in over:  # when all is taken in: who waited may go to another of these hosts
-            self._end(name, sent, api.Status.SKIPPED)
+            self._end(name, sent, api.AttemptStatus.NOT_STARTED)
 
     def _change(self, known: Shelf, host: Host) -> list[tuple[str, Sent]]:
         moved = host.address not in (None, known.host.address)
         over = known.retire() if moved else []
         known.host = host if host.address is not None else replace(host, address=known.host.address)
-        if host.state is api.State.DRAINING:
+        if host.state is api.ServerState.DRAINING:
             over += known.call_off()
             for link in known.links:
                 link.hurry()
@@ -148,7 +148,7 @@
 
     def send(self, order: UpstreamRequest) -> None:
         now = self.clock()
-        sent = Sent(order, now, now + order.fetch.start_ms)
+        sent = Sent(order, now, now + order.fetch.start_within_ms)
         self._send(order.fetch.server, order.client_request.transaction_id, sent)
 
     def withdraw(self, number: int) -> bool:
@@ -185,14 +185,14 @@
             for link in found.links:
                 if tag in link.out:
                     link.drop(tag)
-        self._end(server, sent, api.Status.TIMEOUT)
+        self._end(server, sent, api.AttemptStatus.TIMEOUT)
 
     def _send(self, server: str, ident: str, sent: Sent) -> None:
         found = self.shelves.get(server)
         if found is None or found.host.address is None:
-            return self._end(server, sent, api.Status.REFUSED)
-        if found.host.state is api.State.DRAINING or sent.start_by < sent.at:
-            return self._end(server, sent, api.Status.SKIPPED)
+            return self._end(server, sent, api.AttemptStatus.CONNECTION_REFUSED)
+        if found.host.state is api.ServerState.DRAINING or sent.start_by < sent.at:
+            return self._end(server, sent, api.AttemptStatus.NOT_STARTED)
         if sent.order is not None:
             self._where[sent.order.number] = (found, ident)
         link = found.way(ident)
@@ -203,11 +203,11 @@
             return
         if sent.at - found.untold <= self.limits.dial_ms:
             found.untold = -math.inf
-            return self._end(server, sent, api.Status.REFUSED)
+            return self._end(server, sent, api.AttemptStatus.CONNECTION_REFUSED)
         may_dial = found.dial is not None or self._may_dial(found, NEEDED)
         if ident in found.waiting or len(found.waiting) >= WAITING or not may_dial:
             # Guards against blame: BUSY would count against the shelf's source, which this pool never asked.
-            return self._end(server, sent, api.Status.SKIPPED)
+            return self._end(server, sent, api.AttemptStatus.NOT_STARTED)
         found.waiting[ident] = sent
         if sent.start_by < math.inf:
             sent.bound = self.deadlines.add(sent.start_by, lambda: self._overdue(found, ident, sent))
@@ -219,14 +219,14 @@
             return link.put(ident, sent, shelf.encode_busy(ident))
         left_ms = sent.left_ms(self.clock())
         if left_ms < LEAST_LEFT_MS:
-            return self._end(link.name, sent, api.Status.SKIPPED)
+            return self._end(link.name, sent, api.AttemptStatus.NOT_STARTED)
         self.relayed += 1
         link.put(ident, sent, shelf.encode_want(sent.order, left_ms))
 
     def _overdue(self, found: Shelf, ident: str, sent: Sent) -> None:
         """It should have begun by now, and waits for a dial still."""
         del found.waiting[ident]
-        self._end(found.host.name, sent, api.Status.SKIPPED)
+        self._end(found.host.name, sent, api.AttemptStatus.NOT_STARTED)
 
     def _may_dial(self, found: Shelf, most: int) -> bool:
         return len(found.trusted()) < most and len(found.links) < AT_MOST and self.links.can_reserve()
@@ -263,7 +263,7 @@
         link.rest()
         if found.waiting and self._may_dial(found, NEEDED):
             return self._dial(found)
-        self._fail_waiting(found, api.Status.SKIPPED)
+        self._fail_waiting(found, api.AttemptStatus.NOT_STARTED)
 
     def _undialled(self, found: Shelf, since: float, failure: DialFailure) -> None:
         """A dial failed.  Where the shelf was heard from meanwhile, one that did not come up in time speaks
@@ -274,10 +274,10 @@
         if heard and failure is not DialFailure.REFUSED:
             for link in found.links:
                 self.roomy(link)
-            return self._fail_waiting(found, api.Status.SKIPPED)
+            return self._fail_waiting(found, api.AttemptStatus.NOT_STARTED)
         # Guards against a dead shelf that nobody learns of, where all have given up before the dial's end.
         found.untold = -math.inf if found.waiting else self.clock()
-        self._fail_waiting(found, api.Status.REFUSED)
+        self._fail_waiting(found, api.AttemptStatus.CONNECTION_REFUSED)
 
     def roomy(self, link: ShelfLink) -> None:
         """A connection may take more: what waits for a dial goes there, as far as it may still begin."""
@@ -297,7 +297,7 @@
                 self.deadlines.cancel(sent.bound)
                 self._put(link, ident, sent)
 
-    def _fail_waiting(self, found: Shelf, status: api.Status) -> None:
+    def _fail_waiting(self, found: Shelf, status: api.AttemptStatus) -> None:
         for name, sent in found.clear():
             self._end(name, sent, status)
 
@@ -309,16 +309,21 @@
             found.links.remove(link)
         out, link.out = link.out, {}
         for sent in out.values():
-            self._end(link.name, sent, api.Status.RESET)
+            self._end(link.name, sent, api.AttemptStatus.CONNECTION_RESET)
 
     def answered(self, link: ShelfLink, sent: Sent, answer: shelf.ShelfAnswer) -> None:
         told = answer.fields.get("report")
         report = read_report(shelf.decode_report(told)) if told else None
         if sent.order is None:
             fit = answer.word is shelf.Word.FIT
-            return self._end(link.name, sent, api.Status.DONE if fit else api.Status.ERROR, report=report)
-        status, content = STATUSES.get(answer.word, api.Status.ERROR), None
-        if status is api.Status.DONE:
+            return self._end(
+                link.name,
+                sent,
+                api.AttemptStatus.SUCCEEDED if fit else api.AttemptStatus.ERROR,
+                report=report,
+            )
+        status, content = STATUSES.get(answer.word, api.AttemptStatus.ERROR), None
+        if status is api.AttemptStatus.SUCCEEDED:
             same = answer.word is shelf.Word.KEEP
             content = Content(answer.body, answer.fields.get("rev", ""), same)
             # Guards against "your copy holds" to a client that has none, or has another than the one named.
@@ -326,16 +331,16 @@
                 not sent.order.client_request.if_none_match
                 or content.etag != sent.order.client_request.if_none_match
             ):
-                status, content = api.Status.ERROR, None
+                status, content = api.AttemptStatus.ERROR, None
         self._end(link.name, sent, status, content, report)
 
     def _end(
         self,
         name: str,
         sent: Sent,
-        status: api.Status,
+        status: api.AttemptStatus,
         content: Content | None = None,
-        report: api.Report | None = None,
+        report: api.LoadReport | None = None,
     ) -> None:
         self.deadlines.cancel(sent.bound)
         if sent.order is not None:
--- a/thornjunction/net/sourced_channel.py
+++ b/thornjunction/net/sourced_channel.py
@@ -49,7 +49,7 @@
 def event_of(command: Command, unix_ms: float) -> StateEvent:
     """A command in the machine's form, itself within it."""
     if isinstance(command, ListChange):
-        gone = api.State.GONE
+        gone = api.ServerState.REMOVED
         lines = {host.name: host if host.state is not gone else None for host in command.hosts}
         return EndpointListEvent(command.cursor, command.seq, command.whole, lines, command)
     return PurgeEvent(command.cursor, (command.key, command.group), min(command.when_ms, unix_ms), command)
--- a/thornjunction/net/wire/commands.py
+++ b/thornjunction/net/wire/commands.py
@@ -16,7 +16,11 @@
 from thornjunction import interface as api
 from thornjunction.net.wire import ProtocolError
 
-STATES = {"active": api.State.SERVING, "leaving": api.State.DRAINING, "left": api.State.GONE}
+STATES = {
+    "active": api.ServerState.SERVING,
+    "leaving": api.ServerState.DRAINING,
+    "left": api.ServerState.REMOVED,
+}
 HEALTH = {state: word for word, state in STATES.items()}
 LARGEST = 1 << 53  # of a number: past it JSON's readers differ
 TOLD_FAULTS, MOST_FAULTS = 8, 1000  # of one answer: for the log; past these it is none, for each takes time
@@ -34,7 +38,7 @@
     site: str
     kind: str
     cell: int
-    state: api.State
+    state: api.ServerState
     weight: float
     born_ms: float
 
@@ -215,13 +219,13 @@
         faults.add("host-name")
         return None
     weight, found = read("share", _number, 1.0), len(faults.codes)
-    state = read("health", STATES.__getitem__, api.State.DRAINING)
+    state = read("health", STATES.__getitem__, api.ServerState.DRAINING)
     address = read("dial", lambda text: parse_address(text) if text else None, None)
     born_ms, cell = read("born_ms", _signed, 0.0), read("block", _signed, 0)
     if "health" not in line:
         faults.add("host-health")
-    if state is api.State.SERVING and len(faults.codes) > found:
-        state = api.State.DRAINING
+    if state is api.ServerState.SERVING and len(faults.codes) > found:
+        state = api.ServerState.DRAINING
     place = str(line.get("site", "")), str(line.get("class", ""))
     return Host(line["host"], address, *place, int(cell), state, float(weight), float(born_ms))
 
--- a/thornjunction/net/wire/shelf.py
+++ b/thornjunction/net/wire/shelf.py
@@ -44,9 +44,9 @@
     filled = fetch.source != fetch.server
     # Guards against a shelf told to renew a copy from nowhere: without a source nothing can be fetched.
     words = (
-        ("collapse", fetch.join),
-        ("only-if-cached", fetch.held_only and filled),
-        ("refresh", fetch.renew and filled),
+        ("collapse", fetch.coalesce),
+        ("only-if-cached", fetch.cached_only and filled),
+        ("refresh", fetch.refresh_in_background and filled),
     )
     fields = {
         "profile": call.class_name,
@@ -55,7 +55,7 @@
         "max": str(max(math.floor(left_ms), 1)),
         "replay": call.idempotency_key,
         "up": fetch.source if filled else "",
-        "store": str(fetch.rank) if fetch.rank else "",
+        "store": str(fetch.retention_rank) if fetch.retention_rank else "",
         "cap": str(max(math.floor(fetch.max_age_ms), 1)) if fetch.max_age_ms > 0 else "",
         "do": "+".join(word for word, said in words if said),
         "inm": call.if_none_match,
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -60,13 +60,15 @@
     kind = classes.get(found[1]) if found else None
     if found is None or kind is None or int(found[2]) > MAX_GROUP or int(found[4]) > MAX_PART:
         raise MisuseError(404, "no-such-path")
-    if request.method not in (("GET", "HEAD") if kind.safety is api.Safety.SAFE else ("POST",)):
+    if request.method not in (
+        ("GET", "HEAD") if kind.idempotency is api.Idempotency.IDEMPOTENT else ("POST",)
+    ):
         raise MisuseError(405, "method")
     key = request.headers.get("idempotency-key", "").strip('"')
-    if (kind.safety is api.Safety.KEYED or key) and not WORD.fullmatch(key):
+    if (kind.idempotency is api.Idempotency.KEYED or key) and not WORD.fullmatch(key):
         raise MisuseError(400, "idempotency-key")
     try:
-        asked = number(request.headers.get("x-ttl-ms", str(kind.give_up_ms)), 1e9, "ttl")
+        asked = number(request.headers.get("x-ttl-ms", str(kind.client_timeout_ms)), 1e9, "ttl")
         size = number(request.headers.get("x-working-set-kb", "0"), 1e9, "size")
     except ProtocolError as error:
         raise MisuseError(400, str(error)) from error
@@ -75,11 +77,11 @@
         transaction_id=name,
         class_name=kind.name,
         object_id=found[3],
-        left_ms=min(asked, kind.give_up_ms),
+        left_ms=min(asked, kind.client_timeout_ms),
         part=int(found[4]),
         group=int(found[2]),
         size_kb=size,
-        idempotency_key=key if kind.safety is not api.Safety.SAFE else "",
+        idempotency_key=key if kind.idempotency is not api.Idempotency.IDEMPOTENT else "",
         if_none_match=have if WORD.fullmatch(have) else "",
         body=request.body,
     )
--- a/thornjunction/policy/admission.py
+++ b/thornjunction/policy/admission.py
@@ -49,7 +49,7 @@
 
     def adopt(self, settings: api.Settings) -> None:
         """Take in requests by these settings; an open request keeps those that it came under."""
-        self._flow_kb_per_ms = settings.flow_kb_per_ms or DEFAULT_FLOW_KB_PER_MS
+        self._flow_kb_per_ms = settings.transfer_rate_kb_per_ms or DEFAULT_FLOW_KB_PER_MS
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.typical_latencies = {
             name: self.typical_latencies.get(name, TypicalLatency()) for name in self.classes
@@ -60,9 +60,9 @@
         """Take in a request; one of an unknown class is rejected, one whose name is open is ignored."""
         request_class = self.classes.get(event.class_name)
         if request_class is None:
-            self._completion.reject(event.request)
+            self._completion.reject(event.request_id)
             return
-        if event.request in self._requests.open:
+        if event.request_id in self._requests.open:
             return
         size_kb = self._sizes.learn_announced(request_class.name, event.size_kb)
         mean_kb = self._sizes.class_mean_kb(request_class.name)
@@ -89,13 +89,13 @@
         transfer_ms = size_kb / self._flow_kb_per_ms
         # At cold servers, what has no known size counts as its objective: it must not pass for nothing.
         floor_ms = self._sizes.unknown_size_floor(
-            request_class.name, request_class.aim_ms, has_capacities=settings.weighted
+            request_class.name, request_class.latency_objective_ms, has_capacities=settings.servers_weighted
         )
         earlier_requests = self._ranking.count_request(object_hash, now_ms)
-        deadline_ms = now_ms + event.left_ms - ANSWER_MARGIN_MS
-        is_keyed = request_class.safety is api.Safety.KEYED
+        deadline_ms = now_ms + event.remaining_ms - ANSWER_MARGIN_MS
+        is_keyed = request_class.idempotency is api.Idempotency.KEYED
         return PendingRequest(
-            id=event.request,
+            id=event.request_id,
             event=event,
             request_class=request_class,
             object_hash=object_hash,
@@ -105,10 +105,13 @@
             fill_cost_ms=max(transfer_ms, floor_ms),
             size_weight=self._sizes.relative_to_mean(size_kb),
             class_size_weight=self._sizes.relative_to_mean(mean_kb),
-            is_likely_miss=earlier_requests < LIKELY_CACHED_COUNT and not request_class.passes,
-            objective_ms=request_class.aim_ms + request_class.aim_stretch * transfer_ms,
+            is_likely_miss=earlier_requests < LIKELY_CACHED_COUNT and not request_class.uncacheable,
+            objective_ms=request_class.latency_objective_ms
+            + request_class.objective_transfer_factor * transfer_ms,
             deadline_ms=deadline_ms,
-            useful_until_ms=deadline_ms if request_class.late_worth else now_ms + request_class.aim_ms,
+            useful_until_ms=deadline_ms
+            if request_class.late_value_share
+            else now_ms + request_class.latency_objective_ms,
             typical_latency=self.typical_latencies[request_class.name],
             attempt_limit=settings.max_attempts,
         )
--- a/thornjunction/policy/attempts.py
+++ b/thornjunction/policy/attempts.py
@@ -54,15 +54,15 @@
             self._placement.charge(fill.source, request.fill_cost_ms, now_ms)
         self._context.actions.append(self._planner.fetch_action(attempt))
 
-    def end(self, event: api.Outcome) -> Attempt | None:
+    def end(self, event: api.AttemptEnded) -> Attempt | None:
         """Return the attempt that ended; None if it is not known."""
-        key = (event.request, event.attempt)
+        key = (event.request_id, event.attempt_number)
         attempt = self.in_flight.pop(key, None)
         if attempt is not None:
             attempt.server.in_flight.pop(key, None)
         return attempt
 
-    def withdraw_execution(self, attempt: Attempt, status: api.Status) -> None:
+    def withdraw_execution(self, attempt: Attempt, status: api.AttemptStatus) -> None:
         """Forget that an ended attempt may have been executed, where its end proves that it was not.
 
         Another attempt under the same idempotency key that is in flight takes its place.
--- a/thornjunction/policy/completion.py
+++ b/thornjunction/policy/completion.py
@@ -20,17 +20,17 @@
         if not self._context.settings.may_cancel:
             return
         for attempt in request.in_flight:
-            self._context.actions.append(api.Cancel(request.id, attempt.number))
+            self._context.actions.append(api.CancelAttempt(request.id, attempt.number))
 
     def give_up(self, request: PendingRequest) -> None:
         """Close a request that nothing served; it is rejected only if a repeat can do no harm."""
         never_executed = not request.in_flight and request.possible_execution is None
-        is_repeat_harmless = request.request_class.safety is api.Safety.SAFE or never_executed
+        is_repeat_harmless = request.request_class.idempotency is api.Idempotency.IDEMPOTENT or never_executed
         self.close(request)
         if is_repeat_harmless:
             self.reject(request.id)
         else:
-            self._context.actions.append(api.Fail(request.id))
+            self._context.actions.append(api.FailRequest(request.id))
 
     def reject(self, request_id: str) -> None:
         """Answer that the request was not served and may be repeated.
@@ -39,5 +39,5 @@
         long as the settings allow.
         """
         settings = self._context.settings
-        wait_ms = settings.max_wait_advice_ms if settings.may_advise_wait else 0.0
-        self._context.actions.append(api.Refuse(request_id, wait_ms))
+        wait_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
+        self._context.actions.append(api.RejectRequest(request_id, wait_ms))
--- a/thornjunction/policy/context.py
+++ b/thornjunction/policy/context.py
@@ -24,7 +24,7 @@
         """Decide by these settings from now on."""
         self.settings = settings
         # Whether outcomes tell nothing of hits, fills and sources.
-        self.fills_unreported = settings.notes is api.Notes.NONE
+        self.fills_unreported = settings.fill_reporting is api.FillReporting.NONE
 
     def begin_event(self, now_ms: float) -> None:
         """Begin a new list of actions; a clock that steps back counts as standing still."""
--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -17,7 +17,7 @@
 # Errors after which the request itself is at fault: one bad request must not spend all its attempts.
 MOST_ERRORS = 3
 # Ends that say little of the server: one answer was lost, and what it holds is not.
-LOST_ANSWERS = (api.Status.RESET, api.Status.ERROR)
+LOST_ANSWERS = (api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR)
 
 
 class Dispatcher:
@@ -49,7 +49,7 @@
             case NoAttempt.GIVE_UP:
                 self._completion.give_up(request)
 
-    def attempt_ended(self, event: api.Outcome, attempt: Attempt) -> None:
+    def attempt_ended(self, event: api.AttemptEnded, attempt: Attempt) -> None:
         """Go on with a request after one of its attempts."""
         request = attempt.request
         if request.state is RequestState.CLOSED:
@@ -57,12 +57,12 @@
         request.in_flight.remove(attempt)
         if request.in_flight and event.final:
             self._hedging.record_race(winner=attempt, loser=request.in_flight[0])
-        if event.final or event.status is api.Status.DONE:
+        if event.final or event.status is api.AttemptStatus.SUCCEEDED:
             self._completion.close(request)
             return
         if request.in_flight:  # the end of the other attempt decides
             return
-        if event.status is api.Status.MISS and not request.request_class.passes:
+        if event.status is api.AttemptStatus.CACHE_MISS and not request.request_class.uncacheable:
             self._after_cached_only_miss(request, attempt)
         else:
             self._after_failure(event, attempt)
@@ -83,7 +83,7 @@
         request.tried_servers.add(source.id)
         self.dispatch(request)
 
-    def _after_failure(self, event: api.Outcome, attempt: Attempt) -> None:
+    def _after_failure(self, event: api.AttemptEnded, attempt: Attempt) -> None:
         """Retry a request, elsewhere if its server or source is at fault, and later if that is overloaded."""
         request = attempt.request
         if request.possible_execution is None and event.status not in NEVER_EXECUTED:
@@ -92,17 +92,19 @@
         if len(request.faulty_servers) >= MOST_ERRORS:
             self._completion.give_up(request)
             return
-        is_origin_full = self._context.fills_unreported or request.request_class.passes
-        if event.status is api.Status.BUSY and is_origin_full:
-            wait_ms = backoff_ms(request.request_class.aim_ms, request.attempts_started, self._context.draw)
+        is_origin_full = self._context.fills_unreported or request.request_class.uncacheable
+        if event.status is api.AttemptStatus.OVERLOADED and is_origin_full:
+            wait_ms = backoff_ms(
+                request.request_class.latency_objective_ms, request.attempts_started, self._context.draw
+            )
             request.retry_at_ms = self._context.now_ms + wait_ms
         self.dispatch(request)
 
-    def _note_tried(self, event: api.Outcome, attempt: Attempt) -> None:
+    def _note_tried(self, event: api.AttemptEnded, attempt: Attempt) -> None:
         """Note which servers the request is not to be sent to again."""
         request = attempt.request
         server = attempt.server
-        source_failed = event.note in SOURCE_FAULTS
+        source_failed = event.fill_result in SOURCE_FAULTS
         answer_lost = event.status in LOST_ANSWERS
         if attempt.source is not None and (
             source_failed or not answer_lost or self._context.fills_unreported
--- a/thornjunction/policy/fetch_plan.py
+++ b/thornjunction/policy/fetch_plan.py
@@ -55,7 +55,7 @@
         know what one of many routers cannot. Misses are rejected, needlessly so where the cause has just
         passed.
         """
-        if request.request_class.passes:
+        if request.request_class.uncacheable:
             return FillPlan(source, cached_only=False)
         now_ms = self._context.now_ms
         draw = self._context.draw
@@ -83,7 +83,7 @@
         request.peer_lookups += 1
         return FillPlan(peer, cached_only=True)
 
-    def fetch_action(self, attempt: Attempt) -> api.Fetch:
+    def fetch_action(self, attempt: Attempt) -> api.StartAttempt:
         """Return the action that sends an attempt.
 
         Its time-out is the request's own: fills that are called off early are fetched again and feed a
@@ -93,23 +93,23 @@
         request_class = request.request_class
         settings = self._context.settings
         now_ms = self._context.now_ms
-        passes = request_class.passes
+        passes = request_class.uncacheable
         rank = NO_RANK
         if not passes:
             rank = self._ranking.rank(request.object_hash, request.transfer_ms)
         may_be_stale = not passes and (attempt.cached_only or attempt.source is None)
-        grace_ms = request_class.grace_ms if may_be_stale else 0.0
+        grace_ms = request_class.stale_grace_ms if may_be_stale else 0.0
         window_ms = repeat_window_ms(request_class, request.possible_execution, now_ms)
         source = attempt.source or attempt.server
-        return api.Fetch(
-            request=request.id,
+        return api.StartAttempt(
+            request_id=request.id,
             server=attempt.server.id,
             timeout_ms=request.deadline_ms - now_ms,
             source=source.id,
-            rank=rank,
-            max_age_ms=self._purges.max_age_ms(request.event, request_class.fresh_ms, now_ms, grace_ms),
-            join=settings.may_join and not passes,
-            renew=request_class.fresh_ms > 0,
-            held_only=attempt.cached_only,
-            start_ms=start_limit_ms(settings, window_ms - ANSWER_MARGIN_MS),
+            retention_rank=rank,
+            max_age_ms=self._purges.max_age_ms(request.event, request_class.freshness_ms, now_ms, grace_ms),
+            coalesce=settings.may_coalesce and not passes,
+            refresh_in_background=request_class.freshness_ms > 0,
+            cached_only=attempt.cached_only,
+            start_within_ms=start_limit_ms(settings, window_ms - ANSWER_MARGIN_MS),
         )
--- a/thornjunction/policy/hedging.py
+++ b/thornjunction/policy/hedging.py
@@ -73,10 +73,10 @@
         """Tell whether an attempt is the first and only one of a request that may be executed twice."""
         request = attempt.request
         return (
-            self._context.settings.may_copy
+            self._context.settings.may_hedge
             and request.state is not RequestState.CLOSED
             and request.attempts_started == 1
             and request.in_flight == [attempt]
-            and request.request_class.safety is api.Safety.SAFE
+            and request.request_class.idempotency is api.Idempotency.IDEMPOTENT
             and self._retry_budget.has_token
         )
--- a/thornjunction/policy/outcomes.py
+++ b/thornjunction/policy/outcomes.py
@@ -13,12 +13,12 @@
 from thornjunction.policy.shared_gates import SharedGates
 
 # Ends that say nothing of who was asked: this router ended the attempt itself.
-ENDED_BY_ROUTER = (api.Status.CANCELLED, api.Status.SKIPPED)
+ENDED_BY_ROUTER = (api.AttemptStatus.CANCELLED, api.AttemptStatus.NOT_STARTED)
 # Ends that show a cache in order: it served, or said that it does not have the object.
-IN_ORDER = (api.Status.DONE, api.Status.MISS)
+IN_ORDER = (api.AttemptStatus.SUCCEEDED, api.AttemptStatus.CACHE_MISS)
 # Notes of a fill that succeeded, and of an outcome that speaks of the origin.
-FILLED = frozenset({api.Note.FILLED, api.Note.FILLED_FROM_ORIGIN})
-FROM_ORIGIN = frozenset({api.Note.FILLED_FROM_ORIGIN, api.Note.ORIGIN_FAILED})
+FILLED = frozenset({api.FillResult.FILLED, api.FillResult.FILLED_FROM_ORIGIN})
+FROM_ORIGIN = frozenset({api.FillResult.FILLED_FROM_ORIGIN, api.FillResult.ORIGIN_FAILED})
 
 
 class OutcomeLearning:
@@ -36,42 +36,42 @@
         self._ranking = ranking
         self._sizes = sizes
 
-    def learn(self, event: api.Outcome, attempt: Attempt) -> None:
+    def learn(self, event: api.AttemptEnded, attempt: Attempt) -> None:
         """Learn from the end of an attempt."""
         self._learn_load(event, attempt)
         if event.status in ENDED_BY_ROUTER:
             return
-        source_failed = event.note in SOURCE_FAULTS
-        if self._context.fills_unreported and event.status is api.Status.BUSY:
+        source_failed = event.fill_result in SOURCE_FAULTS
+        if self._context.fills_unreported and event.status is api.AttemptStatus.OVERLOADED:
             source_failed = True
         self._learn_server(event, attempt, source_failed=source_failed)
         if event.size_kb > 0 and not attempt.request.event.size_kb > 0:
             self._sizes.add(attempt.request_class.name, event.size_kb)
-        if event.status is api.Status.DONE:
+        if event.status is api.AttemptStatus.SUCCEEDED:
             self._learn_success(attempt)
         self._learn_timeliness(event, attempt, source_failed=source_failed)
         self._learn_source(event, attempt, source_failed=source_failed)
 
-    def _learn_load(self, event: api.Outcome, attempt: Attempt) -> None:
+    def _learn_load(self, event: api.AttemptEnded, attempt: Attempt) -> None:
         report = event.report
         if report is None:
             return
-        if attempt.server.entry.role is api.Role.EDGE and report.link is not None:
-            self._ranking.link_load.add(report.link)
+        if attempt.server.entry.role is api.Role.EDGE and report.link_utilization is not None:
+            self._ranking.link_load.add(report.link_utilization)
         attempt.server.record_report(report)
 
-    def _learn_server(self, event: api.Outcome, attempt: Attempt, *, source_failed: bool) -> None:
+    def _learn_server(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
         """Learn whether the server is in order; one that rejects for overload only is."""
         server = attempt.server
         status = event.status
         now_ms = self._context.now_ms
-        timed_out = status is api.Status.TIMEOUT
-        unreachable = status is api.Status.REFUSED or (server.is_unreachable and timed_out)
-        if status is api.Status.ERROR and not source_failed:
+        timed_out = status is api.AttemptStatus.TIMEOUT
+        unreachable = status is api.AttemptStatus.CONNECTION_REFUSED or (server.is_unreachable and timed_out)
+        if status is api.AttemptStatus.ERROR and not source_failed:
             attempt.request.faulty_servers.append(server)  # or the request is at fault: see its other ends
-        elif status is api.Status.RESET and not source_failed:
+        elif status is api.AttemptStatus.CONNECTION_RESET and not source_failed:
             server.outliers.record_reset(now_ms)
-        elif status is api.Status.BUSY:
+        elif status is api.AttemptStatus.OVERLOADED:
             pass
         elif source_failed or status in IN_ORDER:
             server.record_success(now_ms)
@@ -93,33 +93,33 @@
         if not attempt.exceeded_typical_latency:
             request.typical_latency.record(exceeded=False)
 
-    def _learn_timeliness(self, event: api.Outcome, attempt: Attempt, *, source_failed: bool) -> None:
-        served = event.status is api.Status.DONE
-        if event.note in FROM_ORIGIN:
-            late = not served or event.took_ms > attempt.request.objective_ms
+    def _learn_timeliness(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
+        served = event.status is api.AttemptStatus.SUCCEEDED
+        if event.fill_result in FROM_ORIGIN:
+            late = not served or event.elapsed_ms > attempt.request.objective_ms
             self._gates.origin.record(self._context.now_ms, late=late)
         if served:
-            self._gates.record_end(attempt, event.took_ms, event.note)
+            self._gates.record_end(attempt, event.elapsed_ms, event.fill_result)
         elif source_failed:
-            self._gates.record_end(attempt, math.inf, event.note)
+            self._gates.record_end(attempt, math.inf, event.fill_result)
 
-    def _learn_source(self, event: api.Outcome, attempt: Attempt, *, source_failed: bool) -> None:
+    def _learn_source(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
         """Learn how the source of a fill did, where the outcome tells of one."""
         source = attempt.source
         request = attempt.request
         if source is None or source is attempt.server:
             return
-        served = event.status is api.Status.DONE
+        served = event.status is api.AttemptStatus.SUCCEEDED
         likely_filled = self._context.fills_unreported and served and request.is_likely_miss
-        if not (source_failed or likely_filled or event.note in FILLED):
+        if not (source_failed or likely_filled or event.fill_result in FILLED):
             return
         now_ms = self._context.now_ms
         if served:
             source.record_success(now_ms)
-            first_byte_ms = event.source_wait_ms or max(event.took_ms - request.transfer_ms, 0.0)
+            first_byte_ms = event.fill_first_byte_ms or max(event.elapsed_ms - request.transfer_ms, 0.0)
             source.first_byte_ms.add(first_byte_ms)
             self._ranking.record_fill(request.object_hash, first_byte_ms)
         else:  # a quick failure must not look like a quick source
             source.outliers.record_failure(now_ms)
-            failed_after_ms = event.source_wait_ms or max(event.took_ms, 0.0)
+            failed_after_ms = event.fill_first_byte_ms or max(event.elapsed_ms, 0.0)
             source.first_byte_ms.add(max(failed_after_ms, source.first_byte_ms.get(0.0)))
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -67,7 +67,7 @@
         self.settings = settings
         self.slow_start.adopt(settings)
 
-    def update(self, event: api.Servers, now_ms: float) -> None:
+    def update(self, event: api.EndpointListUpdate, now_ms: float) -> None:
         """Take in a list of servers, or its changes."""
         self.server_list.update(event, self.settings, now_ms)
         self.slow_start.note_listed(api.Role.EDGE, len(self.server_list.site_caches))
@@ -77,7 +77,7 @@
     def _ranked_caches(self, object_hash: int, skipped_blocks: int = 0) -> Iterator[Upstream]:
         """The caches of this zone in the order in which this router asks them for an object."""
         return self.server_list.site_caches.candidates(
-            object_hash, self.settings.weighted, self._router_hash, skipped_blocks
+            object_hash, self.settings.servers_weighted, self._router_hash, skipped_blocks
         )
 
     def _likely_holders(self, object_hash: int, zone: str) -> Iterator[Upstream]:
@@ -88,7 +88,7 @@
         if zone == self.settings.zone:
             return self._ranked_caches(object_hash)
         return self.server_list.caches[zone].candidates(
-            object_hash, self.settings.weighted, asker_hash=object_hash
+            object_hash, self.settings.servers_weighted, asker_hash=object_hash
         )
 
     def _expected_first_byte_ms(self, parent: Upstream) -> float:
@@ -97,8 +97,8 @@
         Where outcomes do not tell it, hits blur it, so distance counts too.
         """
         measured = parent.first_byte_ms.get(self._mean_fetch_ms.get(DEFAULT_FIRST_BYTE_MS))
-        is_far = self.settings.zone_hub.get(self.settings.zone) != parent.entry.zone
-        if is_far and self.settings.notes is api.Notes.NONE:
+        is_far = self.settings.hub_by_zone.get(self.settings.zone) != parent.entry.zone
+        if is_far and self.settings.fill_reporting is api.FillReporting.NONE:
             return measured * FAR_FACTOR
         return measured
 
@@ -115,9 +115,9 @@
 
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
         """All sources for a request, the best first."""
-        if not request.request_class.passes:
+        if not request.request_class.uncacheable:
             ranked = self.server_list.sources[api.Role.PARENT].candidates(
-                request.object_hash, self.settings.weighted
+                request.object_hash, self.settings.servers_weighted
             )
             parents = islice(ranked, SERVERS_EXAMINED)
             yield from sorted(islice(parents, PARENT_CHOICES), key=self._expected_first_byte_ms)
@@ -149,12 +149,12 @@
         Among these they are ordered by hash, or one zone would be asked by all.
         """
         own_zone = self.settings.zone
-        hubs = self.settings.zone_hub
-        if self.settings.siblings is api.Siblings.NONE:
+        hubs = self.settings.hub_by_zone
+        if self.settings.peer_fill is api.PeerFill.NONE:
             return
         if own_zone in self.server_list.caches:
             yield own_zone
-        if self.settings.siblings is not api.Siblings.ANY:
+        if self.settings.peer_fill is not api.PeerFill.ANY:
             return
 
         def distance(zone: str) -> tuple[bool, int]:
@@ -178,7 +178,7 @@
             chosen = self._first_admitting(request, unasked, now_ms)
         if chosen is not None:
             return chosen
-        must_go = request.attempts_started > 0 or request.request_class.passes
+        must_go = request.attempts_started > 0 or request.request_class.uncacheable
         return able[0] if able and must_go else None
 
     def _first_admitting(
--- a/thornjunction/policy/retry_policy.py
+++ b/thornjunction/policy/retry_policy.py
@@ -73,7 +73,7 @@
         """Choose the server and source of an attempt."""
         now_ms = self._context.now_ms
         source = self._placement.choose_source(request, now_ms)
-        bypasses_caches = request.request_class.passes and self._context.settings.may_bypass
+        bypasses_caches = request.request_class.uncacheable and self._context.settings.may_bypass_caches
         if bypasses_caches and source is not None:
             server: Upstream | None = source
         else:
