--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -47,7 +47,7 @@
         self.context = context
         self.requests = RequestTable()
         self.sizes = RequestSizes()
-        self.retry_budget = RetryBudget(settings.instances)
+        self.retry_budget = RetryBudget(settings.router_count)
         self.executions = ExecutionTable()
         self.purges = Purges()
         self.gates = SharedGates(context)
@@ -92,23 +92,23 @@
         match event:
             case api.Request():
                 self.admission.admit(event)
-            case api.Outcome():
+            case api.AttemptEnded():
                 self._attempt_ended(event)
             case api.TimerFired():
                 self._timer_fired(event.token)
-            case api.Servers():
+            case api.EndpointListUpdate():
                 self.placement.update(event, self.context.now_ms)
-            case api.Purged():
+            case api.PurgeReceived():
                 self.purges.add(event, self.context.now_ms)
             case api.Settings():
                 self._adopt(event)
-            case api.TimeUp() if event.request in self.requests.open:
-                self.completion.give_up(self.requests.open[event.request])
-            case api.ClientGone() if event.request in self.requests.open:
-                self.completion.close(self.requests.open[event.request])
+            case api.RequestExpired() if event.request_id in self.requests.open:
+                self.completion.give_up(self.requests.open[event.request_id])
+            case api.ClientDisconnected() if event.request_id in self.requests.open:
+                self.completion.close(self.requests.open[event.request_id])
         return self.context.actions
 
-    def _attempt_ended(self, event: api.Outcome) -> None:
+    def _attempt_ended(self, event: api.AttemptEnded) -> None:
         attempt = self.attempts.end(event)
         if attempt is None:
             return
@@ -125,7 +125,7 @@
     def _adopt(self, settings: api.Settings) -> None:
         """Hand the settings to the parts that decide by them; open requests keep those they came under."""
         self.context.adopt(settings)
-        self.purges.propagation_ms = settings.purge_takes_ms
-        self.retry_budget.adopt(settings.instances)
+        self.purges.propagation_ms = settings.purge_propagation_ms
+        self.retry_budget.adopt(settings.router_count)
         self.placement.adopt(settings)
         self.admission.adopt(settings)
--- a/thornjunction/policy/server_list.py
+++ b/thornjunction/policy/server_list.py
@@ -23,20 +23,20 @@
             role: CandidateGroup(self.rankings) for role in (api.Role.PARENT, api.Role.ORIGIN)
         }
 
-    def update(self, event: api.Servers, settings: api.Settings, now_ms: float) -> None:
+    def update(self, event: api.EndpointListUpdate, settings: api.Settings, now_ms: float) -> None:
         """Take in a list of servers, or its changes, under these settings."""
-        if event.whole:
+        if event.complete:
             listed = {entry.server for entry in event.entries}
             for server_id in [known for known in self.servers if known not in listed]:
                 self._remove(server_id)
         for entry in event.entries:
-            if entry.state is api.State.SERVING:
+            if entry.state is api.ServerState.SERVING:
                 self._put(entry, now_ms)
             else:  # rule 3: at once, well within any grace
                 self._remove(entry.server)
         self.site_caches = self._edges(settings.zone)
         for zone, caches in self.caches.items():
-            caches.divide(settings.zone_fronts.get(zone, settings.instances))
+            caches.divide(settings.routers_by_zone.get(zone, settings.router_count))
 
     def _put(self, entry: api.ServerEntry, now_ms: float) -> None:
         """Take in the entry of a server that serves."""
--- a/thornjunction/policy/silence.py
+++ b/thornjunction/policy/silence.py
@@ -40,6 +40,6 @@
         if not self._context.settings.may_cancel or not self._retry_budget.has_token:
             return
         for (request_id, number), attempt in server.in_flight.items():
-            is_safe = attempt.request_class.safety is api.Safety.SAFE
+            is_safe = attempt.request_class.idempotency is api.Idempotency.IDEMPOTENT
             if is_safe and request_id in self._requests.open:
-                self._context.actions.append(api.Cancel(request_id, number))
+                self._context.actions.append(api.CancelAttempt(request_id, number))
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -73,10 +73,10 @@
                 silent += 1
         return silent >= SILENT_ATTEMPTS
 
-    def record_report(self, report: api.Report | None) -> None:
+    def record_report(self, report: api.LoadReport | None) -> None:
         """Take in the load report of an answer, if it came with one."""
-        if report is not None and report.busy is not None:
-            self.load = report.busy
+        if report is not None and report.cpu_utilization is not None:
+            self.load = report.cpu_utilization
 
     def record_success(self, now_ms: float) -> None:
         """Record an answer that shows it in order; an ejected server is back in service.
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -133,7 +133,7 @@
         reactor,
         SourceSelector(extras.control.sources, random.SystemRandom().random),
         # Relays repeat a purge for as long as they retain it.
-        max(config.settings.purge_takes_ms, PURGE_RETENTION_MS),
+        max(config.settings.purge_propagation_ms, PURGE_RETENTION_MS),
         deadlines,
         core_ms,
         handle_command,
--- a/thornjunction/runtime/command_events.py
+++ b/thornjunction/runtime/command_events.py
@@ -46,20 +46,20 @@
         recent_ms = math.inf if change.whole else self._longest_warm_up_ms()
         entries = tuple(self._entry(host, recent_ms) for host in change.hosts)
         self.process_starts.forget_unlisted(change.hosts, change.whole)
-        self._engine.feed(api.Servers(entries, change.whole))
+        self._engine.feed(api.EndpointListUpdate(entries, change.whole))
         self._pool.update(change.hosts, change.whole)  # what waited there is decided again by this list
 
     def _purge(self, purge: Purge) -> None:
-        retention_ms = self._settings().purge_takes_ms
+        retention_ms = self._settings().purge_propagation_ms
         age_ms = max(self._clock() - self._unix.to_core(purge.when_ms, retention_ms), 0.0)
         # Past this time all caches have dropped what it names, and no decision depends on it.
         if age_ms <= retention_ms:
-            self._engine.feed(api.Purged(purge.group, age_ms, purge.key))
+            self._engine.feed(api.PurgeReceived(purge.group, age_ms, purge.key))
 
     def _longest_warm_up_ms(self) -> float:
         """Of a change, no start that lies further back matters."""
         settings = self._settings()
-        return max(settings.cold_ms, settings.parent_cold_ms)
+        return max(settings.slow_start_ms, settings.parent_slow_start_ms)
 
     def _entry(self, host: Host, recent_ms: float) -> api.ServerEntry:
         return api.ServerEntry(
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -144,7 +144,7 @@
         settings=settings,
         roles=read_roles(params),
         pool_limits=_pool_limits(params.section("allowed"), sockets, flow_bytes_per_s),
-        longest_wait_ms=max(request_class.give_up_ms for request_class in settings.classes),
+        longest_wait_ms=max(request_class.client_timeout_ms for request_class in settings.classes),
         flow_bytes_per_ms=flow_bytes_per_s / 1000.0,
         admin=_admin_address(top, environ),
         listening_descriptor=_descriptor("PROXY_SOCKET_FD", environ),
--- a/thornjunction/runtime/front_admission.py
+++ b/thornjunction/runtime/front_admission.py
@@ -23,7 +23,7 @@
 
     def apply(self, settings: api.Settings) -> None:
         """Take the settings of the refusal's Retry-After."""
-        wait_ms = settings.max_wait_advice_ms if settings.may_advise_wait else 0.0
+        wait_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
         self._refusal = platform.encode_cgi(Rejected(wait_ms))
 
     def refusal(self) -> bytes:
--- a/thornjunction/runtime/process_starts.py
+++ b/thornjunction/runtime/process_starts.py
@@ -51,5 +51,5 @@
             listed = {host.name for host in hosts}
             self._by_server = {name: start for name, start in self._by_server.items() if name in listed}
         for host in hosts:
-            if host.state is api.State.GONE:
+            if host.state is api.ServerState.REMOVED:
                 self._by_server.pop(host.name, None)
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -220,7 +220,7 @@
         flow_bytes_per_ms = self.config.flow_bytes_per_ms
         self.engine.max_attempts = settings.max_attempts
         self.engine.kb_per_byte = (
-            settings.flow_kb_per_ms / flow_bytes_per_ms if flow_bytes_per_ms > 0 else 0.0
+            settings.transfer_rate_kb_per_ms / flow_bytes_per_ms if flow_bytes_per_ms > 0 else 0.0
         )
         self._classes.clear()  # the signed front holds this mapping
         self._classes |= {request_class.name: request_class for request_class in settings.classes}
--- a/thornjunction/settings.py
+++ b/thornjunction/settings.py
@@ -127,7 +127,7 @@
 def read_class(data: Any, index: int, special: SettingsReader) -> api.RequestClass:
     """Return one request class; ``special`` holds lists with a value for each class, by its index."""
     params = SettingsReader(data, f"classes[{index}].")
-    safety = params.choice("idempotency", api.Safety)
+    safety = params.choice("idempotency", api.Idempotency)
     passes = special.values("passOn", bool)
 
     def by_class(name: str) -> float:
@@ -136,17 +136,19 @@
 
     return api.RequestClass(
         name=params.get("name", str),
-        aim_ms=params.number("aimMs"),
-        give_up_ms=params.positive("giveUpMs"),
-        safety=safety,
-        aim_stretch=params.number("aimStretch", 0.0),
-        late_worth=params.number("lateWorth", 0.0),
-        worth=params.number("worth", 1.0),
-        group=params.choice("group", api.Group, "all"),
-        memory_ms=params.number("memorySpanMs", None if safety is api.Safety.KEYED else 0.0),
-        fresh_ms=by_class("classFreshMs"),
-        grace_ms=by_class("staleForMs") if by_class("staleEarns") > 0 else 0.0,
-        passes=index < len(passes) and passes[index],
+        latency_objective_ms=params.number("aimMs"),
+        client_timeout_ms=params.positive("giveUpMs"),
+        idempotency=safety,
+        objective_transfer_factor=params.number("aimStretch", 0.0),
+        late_value_share=params.number("lateWorth", 0.0),
+        priority_weight=params.number("worth", 1.0),
+        deduplication_scope=params.choice("group", api.DeduplicationScope, "all"),
+        deduplication_window_ms=params.number(
+            "memorySpanMs", None if safety is api.Idempotency.KEYED else 0.0
+        ),
+        freshness_ms=by_class("classFreshMs"),
+        stale_grace_ms=by_class("staleForMs") if by_class("staleEarns") > 0 else 0.0,
+        uncacheable=index < len(passes) and passes[index],
     )
 
 
@@ -168,21 +170,21 @@
     common = api.Settings(
         classes=tuple(read_class(data, index, special) for index, data in enumerate(classes)),
         zone=params.get("myZone", str),
-        instances=int(params.number("instances")),
-        zone_fronts={},
+        router_count=int(params.number("instances")),
+        routers_by_zone={},
         max_attempts=math.ceil(allowed.positive("attemptsCap")),
         drain_grace_ms=safety.number("drainGraceMs"),
-        cold_share=safety.number("startCapacity"),
-        cold_ms=safety.number("coldMs"),
-        fall_multiple=safety.number("fallMultiple"),
-        fall_ms=safety.number("fallMs"),
+        initial_capacity_share=safety.number("startCapacity"),
+        slow_start_ms=safety.number("coldMs"),
+        overload_multiple=safety.number("fallMultiple"),
+        overload_window_ms=safety.number("fallMs"),
         answer_slack_ms=safety.number("answerSlackMs", 0.0),
-        weighted=params.get("weights", str, "none") in ("nominal", "rough"),
+        servers_weighted=params.get("weights", str, "none") in ("nominal", "rough"),
         may_cancel=allowed.get("cancel", bool, False),
-        may_copy=allowed.get("secondCopies", bool, False),
-        may_probe=allowed.get("probing", bool, False),
-        may_advise_wait=allowed.get("retryAfter", bool, False),
-        max_wait_advice_ms=allowed.number("maxRetryAfterMs", 0.0),
+        may_hedge=allowed.get("secondCopies", bool, False),
+        may_check_health=allowed.get("probing", bool, False),
+        may_send_retry_after=allowed.get("retryAfter", bool, False),
+        max_retry_after_ms=allowed.number("maxRetryAfterMs", 0.0),
     )
     return _with_specifics(common, special, zones)
 
@@ -199,19 +201,19 @@
     links_kb_per_s = by_zone("pipeKbPerS")
     return replace(
         settings,
-        zone_fronts={zone: int(count) for zone, count in by_zone("instancesByZone").items()},
-        parent_cold_share=special.number("parentFloor", 1.0),
-        parent_cold_ms=special.number("parentWarmsInMs", 0.0),
-        parent_fall_multiple=special.number("upperFallMultiple", 2.0),
-        purge_takes_ms=special.number("purgeTakesMs", 0.0),
+        routers_by_zone={zone: int(count) for zone, count in by_zone("instancesByZone").items()},
+        parent_initial_capacity_share=special.number("parentFloor", 1.0),
+        parent_slow_start_ms=special.number("parentWarmsInMs", 0.0),
+        parent_overload_multiple=special.number("upperFallMultiple", 2.0),
+        purge_propagation_ms=special.number("purgeTakesMs", 0.0),
         purge_grace_ms=special.number("obeyAfterMs", 0.0),
-        flow_kb_per_ms=special.number("oneFlowKbPerS", 0.0) / MS_PER_S,
-        may_bypass=special.get("mayPassBy", bool, False),
-        may_join=special.get("collapses", bool, False),
-        siblings=special.choice("siblings", api.Siblings, "none"),
-        notes=special.choice("says", api.Notes, "none"),
-        zone_hub={zone: zones[hub] for zone, hub in hubs.items()},
-        zone_link_kb_per_ms={
+        transfer_rate_kb_per_ms=special.number("oneFlowKbPerS", 0.0) / MS_PER_S,
+        may_bypass_caches=special.get("mayPassBy", bool, False),
+        may_coalesce=special.get("collapses", bool, False),
+        peer_fill=special.choice("siblings", api.PeerFill, "none"),
+        fill_reporting=special.choice("says", api.FillReporting, "none"),
+        hub_by_zone={zone: zones[hub] for zone, hub in hubs.items()},
+        link_rate_by_zone_kb_per_ms={
             zone: kb_per_s / MS_PER_S for zone, kb_per_s in links_kb_per_s.items() if kb_per_s > 0
         },
     )
@@ -229,6 +231,8 @@
     return roles
 
 
-def read_report(values: Mapping[str, float]) -> api.Report:
+def read_report(values: Mapping[str, float]) -> api.LoadReport:
     """Return a load report from its named values; those that are not there are unknown."""
-    return api.Report(busy=values.get("util"), hit_share=values.get("x0"), link=values.get("x1"))
+    return api.LoadReport(
+        cpu_utilization=values.get("util"), hit_ratio=values.get("x0"), link_utilization=values.get("x1")
+    )
