--- a/benchmarks/signed_front.py
+++ b/benchmarks/signed_front.py
@@ -13,7 +13,7 @@
 from joserfc.jwk import ECKey, OctKey
 
 from thornjunction.signing import tokens
-from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, key_of
+from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, replay_key
 
 URI = "https://cams.example/films/17/7f3a9c21e0b4d655/0"
 NOW = 1_000_000.0
@@ -47,7 +47,7 @@
     before = tracemalloc.get_traced_memory()[0]
     window = ReplayWindow(cap_bytes=cap_bytes, slot_s=10.0, horizon_s=86_400.0)
     n = 0
-    while window.take(key_of("R", str(n)), NOW + (n % 8640) * 10, NOW).taken:
+    while window.accept(replay_key("R", str(n)), NOW + (n % 8640) * 10, NOW).accepted:
         n += 1
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -56,7 +56,7 @@
 
 def main() -> None:
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 3.0
-    hashed, pattern = "hash:" + tokens.hash_of(URI), r"regex:https://cams\.example/films/[0-9]+/.*"
+    hashed, pattern = "hash:" + tokens.uri_hash(URI), r"regex:https://cams\.example/films/[0-9]+/.*"
     print("| algorithm | container | jti | tokens/s, one core | p99 µs |\n|---|---|---|---|---|")
     for algorithm in ("HS256", "ES256"):
         for name, container in (("hash", hashed), ("regex", pattern)):
--- a/packages/standins/src/standins/rig.py
+++ b/packages/standins/src/standins/rig.py
@@ -161,7 +161,7 @@
 
     def token(self, target: str, lifetime_s: int = 60, **claims: Any) -> str:
         return tokens.issue(
-            self.trust, "hash:" + tokens.hash_of(self.base + target), self.now, lifetime_s, **claims
+            self.trust, "hash:" + tokens.uri_hash(self.base + target), self.now, lifetime_s, **claims
         )
 
     def signed(self, target: str, **claims: Any) -> str:
--- a/tests/conformance/test_rfc9246.py
+++ b/tests/conformance/test_rfc9246.py
@@ -17,10 +17,10 @@
 from tests.standins import BASE, KEYS, TRUST
 from thornjunction.net.wire import http1, signed
 from thornjunction.signing import address, keyset, tokens
-from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, key_of
+from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, replay_key
 
 URI = BASE + "/films/17/7f3a9c21e0b4d655/0"
-HASH = "hash:" + tokens.hash_of(URI)
+HASH = "hash:" + tokens.uri_hash(URI)
 NOW = 1000.0
 BASIC = {"iss": "Reefline", "aud": "tj", "exp": 1060, "iat": 1000, "cdniv": 1, "cdniuc": HASH}
 JWE = "eyJhbGciOiJSU0EtT0FFUCJ9.a2V5.aXY.Y2lwaGVy.dGFn"
@@ -38,7 +38,7 @@
 def code(text: str, now: float = NOW, client: str = V4, window: ReplayWindow | None = None) -> str:
     window = ReplayWindow() if window is None else window  # an empty window is falsy
     try:
-        tokens.verify(text, URI, TRUST, window, now, address.parse(client))
+        tokens.verify(text, URI, TRUST, window, now, address.parse_address(client))
     except tokens.TokenError as error:
         # hypothesis also draws constants of the code, "token-forged" too: a fixed error code leaks nothing
         assert len(text) < 8 or text not in repr(error).replace(error.code, "")
@@ -105,7 +105,7 @@
     (
         "2.1.15.1",
         "the hash of another URI",
-        with_(cdniuc="hash:" + tokens.hash_of(URI + "x")),
+        with_(cdniuc="hash:" + tokens.uri_hash(URI + "x")),
         0,
         V4,
         "token-path",
@@ -191,21 +191,25 @@
 @pytest.mark.parametrize(("peer", "told", "client"), FORWARDS)
 def test_the_client_behind_trusted_proxies(peer: str, told: str, client: str | None) -> None:
     """§2.1.10: a forwarded header counts only from a trusted peer, and only its last untrusted hop."""
-    found = address.client_of(peer, {"x-forwarded-for": told} if told else {}, TRUSTED)
-    assert found == (address.parse(client) if client else None)
+    found = address.client_address(peer, {"x-forwarded-for": told} if told else {}, TRUSTED)
+    assert found == (address.parse_address(client) if client else None)
     rfc7239, told = (
         address.Forwarding("forwarded", ("127.0.0.0/8",)),
         {"forwarded": 'for="[::1]";proto=https'},
     )
-    assert address.client_of("127.0.0.1", told, rfc7239) == address.parse("::1")
+    assert address.client_address("127.0.0.1", told, rfc7239) == address.parse_address("::1")
 
 
 def test_key_sets_are_taken_whole_or_not_at_all() -> None:
     """RFC 7517 §5: one set; a key without alg, of another kind or twice refuses the set, by its place."""
     good = {"kid": "k1", "alg": "HS256", **OctKey.import_key("s" * 40).as_dict()}
     ec = {"kid": "k2", "alg": "ES256", **EC.as_dict(private=False)}
-    found = keyset.read(jwks(good, ec), ("ES256", "HS256"), {"k1": 5.0})
-    assert (set(found.keys), found.keys["k1"].until, found.keys["k2"].until) == ({"k1", "k2"}, 5.0, None)
+    found = keyset.parse_key_set(jwks(good, ec), ("ES256", "HS256"), {"k1": 5.0})
+    assert (set(found.keys), found.keys["k1"].retired_after_s, found.keys["k2"].retired_after_s) == (
+        {"k1", "k2"},
+        5.0,
+        None,
+    )
     bad = [
         (b"{", "not JSON"),
         (jwks(), "1 to 64"),
@@ -217,8 +221,8 @@
     ]
     for data, reason in bad:
         with pytest.raises(keyset.KeySetError, match=re.escape(reason)):
-            keyset.read(data, ("ES256", "HS256"), {})
-    assert keyset.changes(found.keys, {"k3": found.keys["k1"]}) == "+k3 -k1 -k2"
+            keyset.parse_key_set(data, ("ES256", "HS256"), {})
+    assert keyset.describe_changes(found.keys, {"k3": found.keys["k1"]}) == "+k3 -k1 -k2"
 
 
 def jwks(*keys: dict[str, Any]) -> bytes:
@@ -254,10 +258,10 @@
     window, live, now = ReplayWindow(cap_bytes=16 * ENTRY_BYTES, slot_s=7, horizon_s=150), {}, 0.0
     for ident, lifetime, later in steps:
         now += later
-        verdict = window.take(key_of("i", str(ident)), now + lifetime, now)
+        verdict = window.accept(replay_key("i", str(ident)), now + lifetime, now)
         if live.get(ident, -1.0) >= now:
             assert verdict.code == "token-replayed"
-        elif verdict.taken:
+        elif verdict.accepted:
             live[ident] = now + lifetime
         assert len(window) <= window.capacity
         assert verdict.code != "token-replay-full" or verdict.retry_after_s > 0
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -88,7 +88,7 @@
 
 
 def http_request() -> bytes:
-    token = tokens.issue(TRUST, "hash:" + tokens.hash_of(BASE + CLIP), 5.0, 60)
+    token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(BASE + CLIP), 5.0, 60)
     return f"GET {CLIP}?URISigningPackage={token} HTTP/1.1\r\nHost: h\r\n\r\n".encode()
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -20,7 +20,7 @@
 from thornjunction.runtime.extras import GossipPeers, SignedFront
 from thornjunction.runtime.second_front import SecondFront
 from thornjunction.signing import tokens
-from thornjunction.signing.replay import ReplayWindow
+from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
 SECRET, URI, NOW = b"s" * 32, BASE + "/films/17/7f3a9c21e0b4d655/0", 1_000_000.0
 
@@ -42,13 +42,13 @@
         return told, port
 
     def take(self, at: Gossip, jti: str) -> str:
-        token = tokens.issue(TRUST, "hash:" + tokens.hash_of(URI), NOW, 60, jti=jti)
+        token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(URI), NOW, 60, jti=jti)
         try:
             grant = tokens.verify(token, URI, TRUST, at.window, NOW)
         except tokens.TokenError as error:
             return error.code
-        assert grant.taken is not None
-        at.tell(*grant.taken)
+        assert grant.replay_entry is not None
+        at.tell(grant.replay_entry)
         return ""
 
     @inlineCallbacks
@@ -60,7 +60,7 @@
         yield until(lambda: a.counts["learnt"] == 1)
         self.assertEqual(self.take(a, "three"), "token-replayed")
         a.transport.write(
-            gossip.encode([(b"k" * 16, NOW + 9)], b"t" * 32), ("127.0.0.1", port_b.getHost().port)
+            gossip.encode([ReplayEntry(b"k" * 16, NOW + 9)], b"t" * 32), ("127.0.0.1", port_b.getHost().port)
         )
         a.transport.write(b"junk", ("127.0.0.1", port_b.getHost().port))
         yield until(lambda: b.counts["gossip-forged"] == 1 and b.counts["gossip-size"] == 1)
@@ -74,8 +74,10 @@
 def test_datagrams_decode_to_what_was_sent_or_are_refused(
     junk: bytes, entries: list[tuple[bytes, int]]
 ) -> None:
-    sent = [(key, float(at)) for key, at in entries[: gossip.MAX_ENTRIES]]
-    assert gossip.decode(gossip.encode(sent, SECRET), SECRET) == [(k, at + 1) for k, at in sent]
+    sent = [ReplayEntry(key, float(at)) for key, at in entries[: gossip.MAX_ENTRIES]]
+    assert gossip.decode(gossip.encode(sent, SECRET), SECRET) == [
+        ReplayEntry(entry.key, entry.expires_s + 1) for entry in sent
+    ]
     whole = gossip.encode(sent, SECRET)
     for spoilt in (junk, whole[:-1] + bytes([whole[-1] ^ 1])):
         with pytest.raises(ProtocolError):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -73,12 +73,12 @@
         {"b": tokens.SigningKey("b", "HS256", OctKey.import_key("y" * 40))},
         "b",
     )
-    token = tokens.issue(signer, "hash:" + tokens.hash_of(URI), 1000.0, 60)
+    token = tokens.issue(signer, "hash:" + tokens.uri_hash(URI), 1000.0, 60)
     with pytest.raises(tokens.TokenError, match="token-key"):
         tokens.verify(token, URI, door.trust, door.replays, 1000.0)
     watch.look()
     assert tokens.verify(token, URI, door.trust, door.replays, 1000.0)
-    assert door.trust.keys["b"].until == 1798675200.0
+    assert door.trust.keys["b"].retired_after_s == 1798675200.0
     with caplog.at_level(logging.INFO):
         (tmp_path / "keys.json").write_text("{")
         watch.look()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -18,7 +18,7 @@
 from thornjunction.net import operators
 from thornjunction.net.operators import OperatorsDoor, OperatorsLink
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.operators import MAX_LINE, LineReader, encode_figures, encode_word
+from thornjunction.net.wire.admin import MAX_LINE_BYTES, LineReader, encode_counters, encode_reply
 from thornjunction.runtime.drain import HURRY_MS, REFUSE_MS, SWEEP_MS, Drain
 from thornjunction.runtime.figures import figures_of
 
@@ -33,7 +33,7 @@
     try:
         LineReader().feed(junk)
     except ProtocolError as error:
-        assert str(error) and len(junk) > MAX_LINE
+        assert str(error) and len(junk) > MAX_LINE_BYTES
 
 
 class Callers:
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         self.hall = Hall()
-        calls = {"check": lambda: encode_word(True)}
+        calls = {"check": lambda: encode_reply(True)}
         self.door = OperatorsDoor(calls, self.hall.deadlines, lambda: self.hall.now)
 
     def connect(self, data: bytes = b"") -> Any:
@@ -72,7 +72,7 @@
 
 
 def test_figures_are_lines_between_a_yes_and_the_end() -> None:
-    assert encode_figures({"relayed": 3, "open_requests": 0}) == (
+    assert encode_counters({"relayed": 3, "open_requests": 0}) == (
         b"ACK\nrouter.relayed=3\nrouter.open_requests=0\n--\n"
     )
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -146,7 +146,7 @@
     lines = graphite.encode_lines("tj.n1", samples, 99.9).decode().splitlines()
     assert lines == ["tj.n1.requests.a_b.count 7 99", "tj.n1.x.mean_ms 2.5 99"]
     packets = collectd.encode_packets("n1", samples * 40, 10.5, 10.0)
-    assert len(packets) > 1 and all(len(packet) <= collectd.MAX_PACKET for packet in packets)
+    assert len(packets) > 1 and all(len(packet) <= collectd.MAX_PACKET_BYTES for packet in packets)
     assert sum((collectd_values(packet) for packet in packets), []) == [7, 2.5] * 40
 
 
@@ -158,11 +158,11 @@
     at = 0
     while at < len(packet):
         part, size = struct.unpack_from(">HH", packet, at)
-        if part == collectd.VALUES:
+        if part == collectd.PartType.VALUES:
             (code,) = struct.unpack_from("B", packet, at + 6)
-            form = ">q" if code == collectd.DERIVE else "<d"
+            form = ">q" if code == collectd.DataSourceType.DERIVE else "<d"
             values.append(struct.unpack_from(form, packet, at + 7)[0])
-        elif part == collectd.TIME_HR:
+        elif part == collectd.PartType.TIME_HR:
             assert struct.unpack_from(">Q", packet, at + 4)[0] == int(10.5 * 2**30)
         at += size
     return values
--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -85,7 +85,7 @@
     uri = front.base + path
     claims: dict[str, Any] = {"cdniets": renew, "cdnistt": tokens.COOKIE} if renew else {}
     claims |= ({"jti": jti} if jti else {}) | ({"cdniip": client} if client else {})
-    made = tokens.issue(front.trust, f"hash:{tokens.hash_of(uri)}", time.time(), lifetime, **claims)
+    made = tokens.issue(front.trust, f"hash:{tokens.uri_hash(uri)}", time.time(), lifetime, **claims)
     click.echo(f"{uri}{'&' if '?' in uri else '?'}URISigningPackage={made}")
 
 
@@ -96,7 +96,7 @@
 def verify(url: str, extras: Path, client: str) -> None:
     """Say whether the front would admit a signed URL, and why not."""
     from thornjunction.net.wire import http1, signed
-    from thornjunction.signing.address import parse
+    from thornjunction.signing.address import parse_address
 
     front = _front(extras)
     if not url.startswith(front.base):
@@ -104,7 +104,9 @@
     request = http1.HttpRequest("GET", url[len(front.base) :], {}, b"", True)
     try:
         target, told = signed.split_token(request)
-        tokens.verify(told, front.base + target, front.trust, ReplayWindow(), time.time(), parse(client))
+        tokens.verify(
+            told, front.base + target, front.trust, ReplayWindow(), time.time(), parse_address(client)
+        )
     except (signed.MisuseError, tokens.TokenError) as error:
         click.echo(f"refused {error.status} {error.code}")
         sys.exit(1)
@@ -137,7 +139,9 @@
     front = _front(extras)
     for kid, key in sorted(front.trust.keys.items()):
         signs = " signs" if kid == front.trust.sign_with else ""
-        click.echo(f"{kid} {key.algorithm} until={key.until if key.until else '-'}{signs}")
+        click.echo(
+            f"{kid} {key.algorithm} until={key.retired_after_s if key.retired_after_s else '-'}{signs}"
+        )
 
 
 @keys.command("rotate")
@@ -154,7 +158,7 @@
     made = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.generate_key(256)
     told["keys"].append({"kid": kid, "alg": algorithm, "use": "sig", **made.as_dict(private=True)})
     data = json.dumps(told, indent=2).encode()
-    _or_exit(lambda: keyset.read(data, front.trust.algorithms, {}))
+    _or_exit(lambda: keyset.parse_key_set(data, front.trust.algorithms, {}))
     try:
         replace_file(path, data, mode=0o600)
     except OSError as error:
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -61,7 +61,7 @@
     """What to tell the newcomer: where each front listens, and a signed URL to try."""
     front = extras.signed
     assert front is not None
-    token = tokens.issue(front.trust, "hash:" + tokens.hash_of(front.base + CLIP), time.time(), 3600)
+    token = tokens.issue(front.trust, "hash:" + tokens.uri_hash(front.base + CLIP), time.time(), 3600)
     host, port = config.listen
     return (
         "thornjunction demo: no PROXY_CONFIG, so stand-in shelfs and discovery run on loopback.\n"
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/front_signed.py
@@ -17,7 +17,7 @@
 from thornjunction.net.gossip import Gossip
 from thornjunction.net.wire import ProtocolError, http1, signed
 from thornjunction.signing import tokens
-from thornjunction.signing.address import Forwarding, client_of
+from thornjunction.signing.address import Forwarding, client_address
 from thornjunction.signing.replay import ReplayWindow
 
 MAX_BODY, MAX_WAITING = 65_536, 8  # bytes of a request; requests behind the one that is being answered
@@ -137,7 +137,7 @@
         try:
             target, token = signed.split_token(request)
             door, now = self.door, self.door.unix_s()
-            client = client_of(self.peer, request.headers, door.forwarding)
+            client = client_address(self.peer, request.headers, door.forwarding)
             grant = tokens.verify(token, door.base + target, door.trust, door.replays, now, client)
             call = signed.decode_call(request, target, secrets.token_hex(8), door.classes)
         except signed.MisuseError as error:
@@ -146,8 +146,8 @@
         except tokens.TokenError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
             return self._write(signed.encode_misused(error.status, request.keep, error.retry_after_s))
-        if grant.taken is not None and self.door.gossip is not None:
-            self.door.gossip.tell(*grant.taken)
+        if grant.replay_entry is not None and self.door.gossip is not None:
+            self.door.gossip.tell(grant.replay_entry)
         self.serving, answered = request, self.answered
         try:
             number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
@@ -167,10 +167,10 @@
         self._next()
 
     def _renewal(self, target: str, grant: tokens.Grant) -> dict[str, str]:
-        if not grant.renew_s:
+        if not grant.renewal_s:
             return {}
         token = tokens.renew(self.door.trust, grant, self.door.unix_s())
-        return {"Set-Cookie": signed.cookie_for(token, target, grant.depth, grant.renew_s)}
+        return {"Set-Cookie": signed.cookie_for(token, target, grant.renewal_depth, grant.renewal_s)}
 
     def _write(self, response: http1.HttpResponse) -> None:
         self.write(http1.encode_response(response))
--- a/thornjunction/net/gossip.py
+++ b/thornjunction/net/gossip.py
@@ -16,7 +16,7 @@
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.wire import ProtocolError, gossip
-from thornjunction.signing.replay import ReplayWindow
+from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
 FLUSH_MS, MAX_QUEUED = 10.0, 4096  # how often taken keys are sent; how many wait at most
 
@@ -39,15 +39,15 @@
     ) -> None:
         self.window, self.peers, self.secret = window, peers, secret
         self.deadlines, self.clock_ms, self.unix_s = deadlines, clock_ms, unix_s
-        self.queue: deque[gossip.Taken] = deque(maxlen=MAX_QUEUED)
+        self.queue: deque[ReplayEntry] = deque(maxlen=MAX_QUEUED)
         self.counts = Counter[str]()
         self.flushing = False
 
-    def tell(self, key: bytes, expires: float) -> None:
+    def tell(self, entry: ReplayEntry) -> None:
         """A token taken here; sent with the next flush."""
         if len(self.queue) == MAX_QUEUED:
             self.counts["dropped"] += 1
-        self.queue.append((key, expires))
+        self.queue.append(entry)
         if not self.flushing:
             self.flushing = True
             self.deadlines.add(self.clock_ms() + FLUSH_MS, self._flush)
@@ -71,5 +71,5 @@
                 log.info("gossip refused", peer=addr[0], code=str(error), times=self.counts[str(error)])
             return
         now = self.unix_s()
-        for key, expires in entries:
-            self.counts["learnt" if self.window.learn(key, expires, now) else "known"] += 1
+        for entry in entries:
+            self.counts["learnt" if self.window.learn(entry.key, entry.expires_s, now) else "known"] += 1
--- a/thornjunction/net/operators.py
+++ b/thornjunction/net/operators.py
@@ -11,7 +11,7 @@
 from thornjunction.net.endings import code_of, log_end
 from thornjunction.net.transport import Transport
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.operators import LineReader, encode_word
+from thornjunction.net.wire.admin import LineReader, encode_reply
 
 MOST_OPEN, SILENT_MS = 16, 3_000.0  # callers at once; for a whole call to come and its reply to be read
 
@@ -42,7 +42,7 @@
         word, _, rest = line.partition(" ")
         if rest and (named := self.named.get(word)) is not None:
             return named(rest)
-        return encode_word(False, "no such call")
+        return encode_reply(False, "no such call")
 
 
 class OperatorsLink(protocol.Protocol):
--- a/thornjunction/net/wire/__init__.py
+++ b/thornjunction/net/wire/__init__.py
@@ -2,4 +2,4 @@
 
 
 class ProtocolError(ValueError):
-    """Bytes that break a protocol; the text is a short code for the log."""
+    """Bytes that violate a protocol; the text is a short code for the log."""
--- a/thornjunction/net/wire/collectd.py
+++ b/thornjunction/net/wire/collectd.py
@@ -1,44 +1,106 @@
-"""collectd's binary network protocol: parts of a type, a length and a value, in datagrams."""
+"""collectd's binary network protocol: datagrams of parts, each a type, a length and a value."""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterable
+from enum import IntEnum
 
 from thornjunction.net.wire.graphite import Sample
 
-HOST, PLUGIN, TYPE, TYPE_INSTANCE, VALUES, TIME_HR, INTERVAL_HR = 0x0, 0x2, 0x4, 0x5, 0x6, 0x8, 0x9
-DERIVE, GAUGE = 2, 1
-MAX_PACKET, MAX_TEXT = 1452, 63  # bytes: the protocol's packet size; its names
+MAX_PACKET_BYTES = 1452
+"""Size of a datagram, by the protocol: no Ethernet network fragments it."""
+
+MAX_TEXT_BYTES = 63
+"""Length of a name, by the protocol: 64 bytes with the terminating zero."""
+
+PLUGIN_NAME = "thornjunction"
+"""The plugin that all values belong to."""
+
+TICKS_PER_S = 1 << 30
+"""Units of a high-resolution time."""
+
+PART_HEADER = struct.Struct(">HH")
+"""Type and length of a part; the length includes this header."""
+
+TIME_PART = struct.Struct(">HHQ")
+"""Header and ticks."""
+
+VALUES_HEADER = struct.Struct(">HHHB")
+"""Header, number of values and data source type of a part with one value."""
+
+VALUE_BYTES = 8
+"""Size of a value of each type."""
+
+
+class PartType(IntEnum):
+    """Types of a part."""
+
+    HOST = 0x0
+    PLUGIN = 0x2
+    TYPE = 0x4
+    TYPE_INSTANCE = 0x5
+    VALUES = 0x6
+    TIME_HR = 0x8
+    INTERVAL_HR = 0x9
+
+
+class DataSourceType(IntEnum):
+    """Types of a value: a gauge is a little-endian double, a derive a big-endian signed integer."""
+
+    GAUGE = 1
+    DERIVE = 2
 
 
 def encode_packets(host: str, samples: Iterable[Sample], unix_s: float, interval_s: float) -> list[bytes]:
-    """Each datagram is whole in itself: it begins with the host, the time and the plugin."""
-    head = _text(HOST, host) + _time(TIME_HR, unix_s) + _time(INTERVAL_HR, interval_s)
-    head += _text(PLUGIN, "thornjunction")
-    packets, packet = [], head
+    """Encode samples into datagrams.
+
+    Each datagram is complete in itself: it begins with the host, the time and the plugin.
+
+    Args:
+        host: name of this host.
+        samples: values to encode.
+        unix_s: time of the samples in Unix seconds.
+        interval_s: seconds from one collection to the next.
+    """
+    header = (
+        _encode_text(PartType.HOST, host)
+        + _encode_time(PartType.TIME_HR, unix_s)
+        + _encode_time(PartType.INTERVAL_HR, interval_s)
+        + _encode_text(PartType.PLUGIN, PLUGIN_NAME)
+    )
+    packets: list[bytes] = []
+    packet = header
     for sample in samples:
-        parts = _sample(sample)
-        if len(packet) + len(parts) > MAX_PACKET:
+        parts = _encode_sample(sample)
+        if len(packet) + len(parts) > MAX_PACKET_BYTES:
             packets.append(packet)
-            packet = head
+            packet = header
         packet += parts
-    return [*packets, packet] if packet != head else packets
+    if packet != header:
+        packets.append(packet)
+    return packets
 
 
-def _sample(sample: Sample) -> bytes:
-    kind = "derive" if sample.counter else "gauge"
-    value = struct.pack(">q", int(sample.value)) if sample.counter else struct.pack("<d", sample.value)
-    code = DERIVE if sample.counter else GAUGE
-    values = struct.pack(">HHHB", VALUES, 4 + 2 + 1 + 8, 1, code) + value
-    return _text(TYPE, kind) + _text(TYPE_INSTANCE, sample.name) + values
+def _encode_sample(sample: Sample) -> bytes:
+    if sample.counter:
+        type_name = "derive"
+        source_type = DataSourceType.DERIVE
+        value = struct.pack(">q", int(sample.value))
+    else:
+        type_name = "gauge"
+        source_type = DataSourceType.GAUGE
+        value = struct.pack("<d", sample.value)
+    length = VALUES_HEADER.size + VALUE_BYTES
+    values = VALUES_HEADER.pack(PartType.VALUES, length, 1, source_type) + value
+    names = _encode_text(PartType.TYPE, type_name) + _encode_text(PartType.TYPE_INSTANCE, sample.name)
+    return names + values
 
 
-def _text(part: int, text: str) -> bytes:
-    data = text.encode("ascii", "replace")[:MAX_TEXT] + b"\0"
-    return struct.pack(">HH", part, 4 + len(data)) + data
+def _encode_text(part_type: PartType, text: str) -> bytes:
+    data = text.encode("ascii", "replace")[:MAX_TEXT_BYTES] + b"\0"
+    return PART_HEADER.pack(part_type, PART_HEADER.size + len(data)) + data
 
 
-def _time(part: int, seconds: float) -> bytes:
-    """In units of 2**-30 seconds."""
-    return struct.pack(">HHQ", part, 12, int(seconds * (1 << 30)))
+def _encode_time(part_type: PartType, seconds: float) -> bytes:
+    return TIME_PART.pack(part_type, TIME_PART.size, int(seconds * TICKS_PER_S))
--- a/thornjunction/net/wire/gossip.py
+++ b/thornjunction/net/wire/gossip.py
@@ -1,8 +1,9 @@
-"""Taken tokens told to peers: one UDP datagram of keys and expiries, authenticated by HMAC-SHA256.
+"""Gossip of accepted tokens to peers: one UDP datagram of replay entries, authenticated by HMAC-SHA256.
 
     b"TJG1" | count (u16) | count x (key: 16 bytes, expiry: u32 Unix seconds) | HMAC-SHA256 (32 bytes)
 
-The HMAC covers all bytes before it, under a secret that every instance of a fleet shares.  No I/O."""
+The HMAC covers all bytes before it, under a secret that every instance of a fleet shares.  No I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,35 +13,73 @@
 from collections.abc import Sequence
 
 from thornjunction.net.wire import ProtocolError
-from thornjunction.signing.replay import KEY_BYTES
+from thornjunction.signing.replay import KEY_BYTES, ReplayEntry
+
+MAGIC = b"TJG1"
+"""The format and its version."""
+
+MAC_BYTES = 32
+"""Length of HMAC-SHA256."""
+
+COUNT = struct.Struct(">H")
+"""Number of entries."""
 
-MAGIC, MAC_BYTES = b"TJG1", 32
 ENTRY = struct.Struct(f">{KEY_BYTES}sI")
-MAX_ENTRIES = 64  # 1,318 bytes at most: one datagram below the usual MTU
-Taken = tuple[bytes, float]  # a key and its expiry, Unix seconds
+"""Key and expiry in Unix seconds."""
+
+HEADER_BYTES = len(MAGIC) + COUNT.size
+"""Bytes before the entries."""
+
+MAX_ENTRIES = 64
+"""Entries of a datagram: 1,318 bytes at most, below the usual MTU."""
+
+MIN_DATAGRAM_BYTES = HEADER_BYTES + MAC_BYTES
+"""A datagram without entries."""
+
+MAX_DATAGRAM_BYTES = MIN_DATAGRAM_BYTES + MAX_ENTRIES * ENTRY.size
+"""A datagram of ``MAX_ENTRIES``."""
+
+LAST_EXPIRY_S = 0xFFFFFFFF
+"""The largest expiry that the wire holds."""
+
 
+class TooManyEntriesError(ValueError):
+    """More entries than one datagram holds."""
 
-def encode(entries: Sequence[Taken], secret: bytes) -> bytes:
-    """One datagram of at most MAX_ENTRIES entries; ValueError for more."""
+    def __init__(self) -> None:
+        super().__init__(f"gossip: over {MAX_ENTRIES} entries in one datagram")
+
+
+def encode(entries: Sequence[ReplayEntry], secret: bytes) -> bytes:
+    """Encode one datagram; expiries are rounded up to whole seconds.
+
+    Raises:
+        TooManyEntriesError: there are more than ``MAX_ENTRIES``.
+    """
     if len(entries) > MAX_ENTRIES:
-        raise ValueError("gossip: over 64 entries in one datagram")
-    body = MAGIC + struct.pack(">H", len(entries))
-    body += b"".join(ENTRY.pack(key, min(int(expires) + 1, 0xFFFFFFFF)) for key, expires in entries)
-    return body + hmac.new(secret, body, hashlib.sha256).digest()
-
-
-def decode(data: bytes, secret: bytes) -> list[Taken]:
-    """The entries of a datagram; ProtocolError for one that is cut, of another kind, or not signed by the
-    fleet's secret (checked before anything else is read)."""
-    if (
-        len(data) < len(MAGIC) + 2 + MAC_BYTES
-        or len(data) > len(MAGIC) + 2 + MAX_ENTRIES * ENTRY.size + MAC_BYTES
-    ):
+        raise TooManyEntriesError
+    body = MAGIC + COUNT.pack(len(entries))
+    body += b"".join(ENTRY.pack(entry.key, min(int(entry.expires_s) + 1, LAST_EXPIRY_S)) for entry in entries)
+    return body + _authentication_code(body, secret)
+
+
+def decode(data: bytes, secret: bytes) -> list[ReplayEntry]:
+    """Decode one datagram; its authentication code is checked before anything else is read.
+
+    Raises:
+        ProtocolError: ``gossip-size`` for an impossible length, ``gossip-forged`` for another secret,
+            ``gossip-frame`` for another format.
+    """
+    if not MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         raise ProtocolError("gossip-size")
-    body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-    if not hmac.compare_digest(mac, hmac.new(secret, body, hashlib.sha256).digest()):
+    body = data[:-MAC_BYTES]
+    if not hmac.compare_digest(data[-MAC_BYTES:], _authentication_code(body, secret)):
         raise ProtocolError("gossip-forged")
-    (count,) = struct.unpack_from(">H", body, len(MAGIC))
-    if body[: len(MAGIC)] != MAGIC or len(body) != len(MAGIC) + 2 + count * ENTRY.size:
+    (count,) = COUNT.unpack_from(body, len(MAGIC))
+    if not body.startswith(MAGIC) or len(body) != HEADER_BYTES + count * ENTRY.size:
         raise ProtocolError("gossip-frame")
-    return [(key, float(expires)) for key, expires in ENTRY.iter_unpack(body[len(MAGIC) + 2 :])]
+    return [ReplayEntry(key, float(expires_s)) for key, expires_s in ENTRY.iter_unpack(body[HEADER_BYTES:])]
+
+
+def _authentication_code(body: bytes, secret: bytes) -> bytes:
+    return hmac.new(secret, body, hashlib.sha256).digest()
--- a/thornjunction/net/wire/resp.py
+++ b/thornjunction/net/wire/resp.py
@@ -1,72 +1,129 @@
-"""RESP arrays of bulk strings."""
+"""RESP, the protocol of Redis, as far as cache servers use it: arrays of bulk strings."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from enum import Enum, auto
 
 from thornjunction.net.wire import ProtocolError
 
-MAX_ITEMS, MAX_BULK, MAX_LINE = 8, 240_000, 32
+MAX_ITEMS = 8
+"""Items of an array: a cache server's longest message has four."""
+
+MAX_BULK = 240_000
+"""Length of a bulk string, the body of a response among them, where the caller names no other."""
+
+MAX_LINE_BYTES = 32
+"""Length of a line with a count, its end included."""
+
+ARRAY_MARK = b"*"
+"""First byte of the line that opens an array."""
+
+BULK_MARK = b"$"
+"""First byte of the line that opens a bulk string."""
+
+LINE_END = b"\r\n"
+"""End of each line and of each bulk string."""
+
+ARRAY_OVERHEAD_BYTES = 64
+"""Memory counted for an open array beside its items."""
+
+
+class _State(Enum):
+    """What the next bytes are."""
+
+    ARRAY_HEADER = auto()
+    BULK_HEADER = auto()
+    BULK = auto()
 
 
 class ArrayReader:
-    """Cuts a byte stream into arrays; keeps its place, so a large bulk is not read over and over."""
+    """Splits a byte stream into arrays; keeps its position, so that a large bulk is not read repeatedly.
+
+    Args:
+        max_bulk: bytes that a bulk string may have.
+    """
 
     def __init__(self, max_bulk: int = MAX_BULK) -> None:
         self._buffer = bytearray()
-        self._max_bulk = max_bulk
+        self._max_bulk_bytes = max_bulk
+        self._state = _State.ARRAY_HEADER
         self._items: list[bytes] = []
-        self._left = 0  # items still to come of the open array; 0: none is open
-        self._size = -1  # of the open bulk; -1: its line has not come
+        self._missing_items = 0  # of the open array
+        self._bulk_bytes = 0  # length of the open bulk string
 
     def feed(self, data: bytes) -> list[tuple[bytes, ...]]:
+        """Return all arrays that are complete now.
+
+        Raises:
+            ProtocolError: ``resp-line``, ``resp-empty`` or ``resp-bulk-end``.
+        """
         self._buffer += data
         arrays: list[tuple[bytes, ...]] = []
-        while self._step():
-            if self._left == 0:
+        while self._advance():
+            if self._state is _State.ARRAY_HEADER:
                 arrays.append(tuple(self._items))
                 self._items = []
         return arrays
 
     @property
     def held(self) -> int:
-        """Bytes of an array that has begun and not come whole, with something for its start."""
-        return len(self._buffer) + sum(map(len, self._items)) + 64 * (self._left > 0)
-
-    def _step(self) -> bool:
-        """Read one line or bulk; False if it has not come whole."""
-        if self._left == 0:
-            count = self._line(b"*", MAX_ITEMS)
-            self._left = max(count, 0)
-            if count == 0:
-                raise ProtocolError("resp-empty")
-            return count > 0
-        if self._size < 0:
-            self._size = self._line(b"$", self._max_bulk)
-            return self._size >= 0
-        end = self._size + 2
+        """Bytes of an incomplete array, with an overhead for the open array itself."""
+        overhead = 0 if self._state is _State.ARRAY_HEADER else ARRAY_OVERHEAD_BYTES
+        return len(self._buffer) + sum(map(len, self._items)) + overhead
+
+    def _advance(self) -> bool:
+        """Read one header or bulk string; False if it is incomplete."""
+        if self._state is _State.BULK:
+            return self._read_bulk()
+        if self._state is _State.BULK_HEADER:
+            return self._read_bulk_header()
+        return self._read_array_header()
+
+    def _read_array_header(self) -> bool:
+        count = self._read_number(ARRAY_MARK, MAX_ITEMS)
+        if count is None:
+            return False
+        if count == 0:
+            raise ProtocolError("resp-empty")
+        self._missing_items = count
+        self._state = _State.BULK_HEADER
+        return True
+
+    def _read_bulk_header(self) -> bool:
+        length = self._read_number(BULK_MARK, self._max_bulk_bytes)
+        if length is None:
+            return False
+        self._bulk_bytes = length
+        self._state = _State.BULK
+        return True
+
+    def _read_bulk(self) -> bool:
+        end = self._bulk_bytes + len(LINE_END)
         if len(self._buffer) < end:
             return False
-        if self._buffer[self._size : end] != b"\r\n":
+        if self._buffer[self._bulk_bytes : end] != LINE_END:
             raise ProtocolError("resp-bulk-end")
-        self._items.append(bytes(self._buffer[: self._size]))
+        self._items.append(bytes(self._buffer[: self._bulk_bytes]))
         del self._buffer[:end]
-        self._left, self._size = self._left - 1, -1
+        self._missing_items -= 1
+        self._state = _State.BULK_HEADER if self._missing_items else _State.ARRAY_HEADER
         return True
 
-    def _line(self, mark: bytes, most: int) -> int:
-        """The number of a line; -1 if the line has not come whole."""
-        end = self._buffer.find(b"\r\n", 0, MAX_LINE)
+    def _read_number(self, mark: bytes, largest: int) -> int | None:
+        """Read a line of a mark and a number; None if it is incomplete."""
+        end = self._buffer.find(LINE_END, 0, MAX_LINE_BYTES)
         if end < 0:
-            if len(self._buffer) >= MAX_LINE or (self._buffer and self._buffer[:1] != mark):
+            if len(self._buffer) >= MAX_LINE_BYTES or (self._buffer and self._buffer[:1] != mark):
                 raise ProtocolError("resp-line")
-            return -1
+            return None
         digits = bytes(self._buffer[1:end])
-        if self._buffer[:1] != mark or not digits.isdigit() or int(digits) > most:
+        if self._buffer[:1] != mark or not digits.isdigit() or int(digits) > largest:
             raise ProtocolError("resp-line")
-        del self._buffer[: end + 2]
+        del self._buffer[: end + len(LINE_END)]
         return int(digits)
 
 
 def encode_array(items: Sequence[bytes]) -> bytes:
+    """Encode an array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in items)
--- a/thornjunction/runtime/extras.py
+++ b/thornjunction/runtime/extras.py
@@ -37,7 +37,7 @@
     def read(self, algorithms: tuple[str, ...]) -> keyset.KeySet:
         """The file's keys; ConfigError, naming the file and the first fault, otherwise."""
         try:
-            return keyset.read(self.path.read_bytes(), algorithms, self.retire)
+            return keyset.parse_key_set(self.path.read_bytes(), algorithms, self.retire)
         except OSError as error:
             raise ConfigError(f"signed.keyset: {self.path.name}: {error.strerror}") from error
         except keyset.KeySetError as error:
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -16,7 +16,7 @@
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.alarm import core_ms
-from thornjunction.net.wire.operators import encode_lines
+from thornjunction.net.wire.admin import encode_lines
 from thornjunction.runtime.addresses import check_name
 from thornjunction.runtime.config import ConfigError
 from thornjunction.runtime.fleet_settings import FleetSettings
--- a/thornjunction/runtime/keys.py
+++ b/thornjunction/runtime/keys.py
@@ -51,5 +51,5 @@
             return
         self.digest = found.digest
         self.counts["accepted"] += 1
-        log.info("keys", version=found.digest, changes=keyset.changes(trust.keys, found.keys))
+        log.info("keys", version=found.digest, changes=keyset.describe_changes(trust.keys, found.keys))
         self.door.trust = replace(trust, keys=found.keys)
--- a/thornjunction/runtime/relay_view.py
+++ b/thornjunction/runtime/relay_view.py
@@ -8,7 +8,7 @@
 from control_relay import MemberStatus, PurgeStatus, Relay
 
 from thornjunction.net.relay import Pollers
-from thornjunction.net.wire.operators import encode_lines, encode_word
+from thornjunction.net.wire.admin import encode_lines, encode_reply
 from thornjunction.net.wire.polls import NAME
 
 STATUS_FIELDS = {
@@ -46,7 +46,7 @@
 
     def _check(self) -> bytes:
         ready = self.machine.status(self.clock()).ready
-        return encode_word(ready, "" if ready else "no-state")
+        return encode_reply(ready, "" if ready else "no-state")
 
     def _relay(self) -> bytes:
         now = self.clock()
@@ -78,9 +78,9 @@
 
     def _dismissed(self, name: str) -> bytes:
         if not NAME.fullmatch(name):
-            return encode_word(False, "not a name")
+            return encode_reply(False, "not a name")
         self._dismiss(name)
-        return encode_word(True)
+        return encode_reply(True)
 
     def _unix(self, at: float, now: float) -> int:
         """By what both clocks read now."""
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -30,8 +30,8 @@
 from thornjunction.net.transport import Building, server_endpoint
 from thornjunction.net.unix_clock import UnixClock
 from thornjunction.net.wire import platform
+from thornjunction.net.wire.admin import encode_counters, encode_reply
 from thornjunction.net.wire.commands import Command, Host, ListChange
-from thornjunction.net.wire.operators import encode_figures, encode_word
 from thornjunction.policy.router import Router
 from thornjunction.runtime import parts
 from thornjunction.runtime.births import Births
@@ -182,24 +182,24 @@
         return self.ready and (self.succeeded or not self.drain.active)
 
     def _check(self) -> bytes:
-        return encode_word(self.is_ready())
+        return encode_reply(self.is_ready())
 
     def _figures(self) -> bytes:
         told = figures_of(self.counters, self.engine, self.pool, self.router, self.files)
-        return encode_figures(told | self.channel.figures())
+        return encode_counters(told | self.channel.figures())
 
     def _drain_on(self) -> bytes:
         if not self.drain.active:
             log.info("drain-on")
             self.drain.start(AWAY_MS)
-        return encode_word(True)
+        return encode_reply(True)
 
     def _drain_off(self) -> bytes:
         if self.ending:
-            return encode_word(False, "ending")
+            return encode_reply(False, "ending")
         log.info("drain-off")
         self.drain.stop()
-        return encode_word(True)
+        return encode_reply(True)
 
     def take(self, command: Command) -> None:
         """An event of the command channel, on the core's clock."""
--- a/thornjunction/signing/__init__.py
+++ b/thornjunction/signing/__init__.py
@@ -1,1 +1,4 @@
-"""Signed URLs and tokens by RFC 9246 (URI Signing): verify, issue, renew.  Knows no wire and no clock."""
+"""Signed URIs by RFC 9246 (URI Signing): tokens, their keys, replays and the client's address.
+
+No I/O, no clock and no wire.
+"""
--- a/thornjunction/signing/address.py
+++ b/thornjunction/signing/address.py
@@ -1,74 +1,120 @@
-"""The client's address for ``cdniip`` (RFC 9246 §2.1.10): from the connection, or from a forwarded header
-that only trusted proxies may set (RFC 7239 ``Forwarded``, or ``X-Forwarded-For``).  No I/O."""
+"""The client's address, against which a token's ``cdniip`` claim is checked (RFC 9246 §2.1.10).
+
+It is the peer of the connection, or what trusted proxies report in ``Forwarded`` (RFC 7239) or in
+``X-Forwarded-For``.  No I/O.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from ipaddress import IPv4Address, IPv6Address, ip_address, ip_network
 
 Address = IPv4Address | IPv6Address
 
+FORWARDED = "forwarded"
+"""Header of RFC 7239, in lower case."""
+
+X_FORWARDED_FOR = "x-forwarded-for"
+"""The header that proxies set before RFC 7239, in lower case."""
+
+HEADERS = ("", FORWARDED, X_FORWARDED_FOR)
+"""Headers that can be configured; empty: none is read."""
+
+
+class ForwardingHeaderError(ValueError):
+    """The configured header is none that reports addresses."""
+
+    def __init__(self) -> None:
+        super().__init__("forwarding: header is forwarded or x-forwarded-for")
+
 
 @dataclass(frozen=True, slots=True)
 class Forwarding:
-    """Which peers may say who the client is, and in which header (lower case); none: the connection's peer
-    is the client."""
+    """Which peers may report the client's address, and in which header.
+
+    Attributes:
+        header: name in lower case; empty: the connection's peer is the client.
+        trusted: networks of the trusted proxies, as ``127.0.0.0/8``.
+
+    Raises:
+        ForwardingHeaderError: the header is not among ``HEADERS``.
+        ValueError: an entry of ``trusted`` is not a network.
+    """
 
     header: str = ""
-    trusted: tuple[str, ...] = ()  # networks, as "127.0.0.0/8"
+    trusted: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
-        if self.header not in ("", "forwarded", "x-forwarded-for"):
-            raise ValueError("forwarding: header is forwarded or x-forwarded-for")
+        if self.header not in HEADERS:
+            raise ForwardingHeaderError
         for network in self.trusted:
-            ip_network(network)  # ValueError for one that is not
+            ip_network(network)
 
 
-def parse(text: str) -> Address | None:
-    """An address, v4 or v6 (a v4 address mapped into v6 is the v4 one); None for what is not one."""
+def parse_address(text: str) -> Address | None:
+    """Parse an IPv4 or IPv6 address, with or without port, brackets and quotes.
+
+    An IPv4 address that is mapped into IPv6 is returned as IPv4, so that both forms are equal.  None
+    where the text is not an address.
+    """
     text = text.strip().strip('"')
     if text.startswith("["):
         text = text[1 : text.find("]")] if "]" in text else ""
-    elif text.count(":") == 1:  # v4 with a port
+    elif text.count(":") == 1:  # IPv4 with a port
         text = text.partition(":")[0]
     try:
-        found = ip_address(text)
+        address = ip_address(text)
     except ValueError:
         return None
-    mapped = found.ipv4_mapped if isinstance(found, IPv6Address) else None
-    return mapped or found
+    mapped = address.ipv4_mapped if isinstance(address, IPv6Address) else None
+    return mapped or address
+
 
+def client_address(peer: str, headers: Mapping[str, str], forwarding: Forwarding) -> Address | None:
+    """Return the address of the client behind a connection.
 
-def client_of(peer: str, headers: Mapping[str, str], forwarding: Forwarding) -> Address | None:
-    """The client: the nearest address in the forwarded chain that is not a trusted proxy, if the peer is
-    one; else the peer.  None where a trusted peer sends a chain that can't be read."""
-    nearest = parse(peer)
-    if nearest is None or not forwarding.header or not _trusted(nearest, forwarding.trusted):
+    If the peer is a trusted proxy, this is the nearest address of the forwarded chain that is not a
+    trusted proxy itself; otherwise it is the peer.  None where a trusted peer reports a chain that
+    cannot be parsed.
+
+    Args:
+        peer: address of the connection's other end.
+        headers: the request's headers, names in lower case.
+        forwarding: which peers are trusted proxies, and which header they set.
+    """
+    nearest = parse_address(peer)
+    if nearest is None or not forwarding.header or not _is_trusted(nearest, forwarding.trusted):
         return nearest
-    chain = list(_chain(headers.get(forwarding.header, ""), forwarding.header))
+    chain = list(_forwarded_chain(headers.get(forwarding.header, ""), forwarding.header))
     for hop in reversed(chain):
         if hop is None:
             return None
-        if not _trusted(hop, forwarding.trusted):
+        if not _is_trusted(hop, forwarding.trusted):
             return hop
     return chain[0] if chain else nearest
 
 
-def _chain(value: str, header: str) -> Iterable[Address | None]:
-    for element in filter(None, (part.strip() for part in value.split(","))):
-        if header == "x-forwarded-for":
-            yield parse(element)
+def _forwarded_chain(value: str, header: str) -> Iterator[Address | None]:
+    """Addresses in a forwarding header, client first; None for one that cannot be parsed."""
+    for element in _list_elements(value):
+        if header == X_FORWARDED_FOR:
+            yield parse_address(element)
             continue
         pairs = [pair.strip().partition("=") for pair in element.split(";")]
-        told = [value for name, _, value in pairs if name.lower() == "for"]
-        yield parse(told[0]) if told else None
+        addresses = [value for name, _, value in pairs if name.lower() == "for"]
+        yield parse_address(addresses[0]) if addresses else None
+
+
+def _list_elements(value: str) -> Iterable[str]:
+    """Elements of a comma-separated header (RFC 9110 §5.6.1); empty ones are skipped."""
+    return filter(None, (part.strip() for part in value.split(",")))
 
 
-def _trusted(address: Address, networks: tuple[str, ...]) -> bool:
+def _is_trusted(address: Address, networks: tuple[str, ...]) -> bool:
     return any(address in ip_network(network) for network in networks)
 
 
-def holds(claimed: object, client: Address | None) -> bool:
-    """Whether the claim names the client."""
-    return isinstance(claimed, str) and client is not None and parse(claimed) == client
+def matches_claim(claimed: object, client: Address | None) -> bool:
+    """Whether the value of ``cdniip`` is the client's address."""
+    return isinstance(claimed, str) and client is not None and parse_address(claimed) == client
--- a/thornjunction/signing/replay.py
+++ b/thornjunction/signing/replay.py
@@ -1,11 +1,12 @@
-"""Tokens with a ``jti`` are taken once (RFC 9246 §2.1.7): a replay window in bounded memory.
+"""A replay window: each token with a ``jti`` is accepted once (RFC 9246 §2.1.7), in bounded memory.
 
-A time wheel: each taken token is kept under the slot of its expiry, and a whole slot is forgotten at once
-when its time has passed.  No clock and no I/O: every call is told the Unix time in seconds.  What a peer says
-it has taken is learnt the same way (``learn``), so that a token is taken once per fleet in intent; see
-``docs/design/second-front.md``.
+A timing wheel: an accepted token is kept under the slot of its expiry, and a whole slot is removed at once
+when its time has passed.  No clock and no I/O: every call is given the Unix time in seconds.  What peers
+accepted is recorded the same way (``learn``), so that a token is accepted once per fleet, as far as gossip
+reaches; see ``docs/design/second-front.md``.
 
-Memory is stated in bytes: ``ENTRY_BYTES`` each, measured at the cap (``docs/SIGNED-FRONT-FIGURES.md``).
+The bound on memory is given in bytes: ``ENTRY_BYTES`` each, measured at the bound
+(``docs/SIGNED-FRONT-FIGURES.md``).
 """
 
 from __future__ import annotations
@@ -14,91 +15,148 @@
 import math
 from dataclasses import dataclass
 
-ENTRY_BYTES = 320  # a key of 16 bytes in a dict and a slot's list, the worst measured with tracemalloc
+ENTRY_BYTES = 320
+"""Memory of one entry, a key in a dict and in a slot's list: the most that was measured with tracemalloc."""
+
 KEY_BYTES = 16
+"""Length of a replay key: by chance, no two tokens of a fleet's whole life have the same one."""
+
+DEFAULT_CAPACITY_BYTES = 8 << 20
+"""Memory for about 26,000 tokens."""
+
+DEFAULT_SLOT_S = 10.0
+"""Seconds by which an expired entry may be removed late."""
+
+DEFAULT_HORIZON_S = 86_400.0
+"""Longest lifetime of a token, in seconds: one day."""
+
+
+class ReplayWindowSizeError(ValueError):
+    """The sizes of a replay window leave no room for one entry or one slot."""
+
+    def __init__(self) -> None:
+        super().__init__("replay window: a cap of one entry, a slot above 0 s and a horizon of one slot")
+
+
+@dataclass(frozen=True, slots=True)
+class ReplayEntry:
+    """An accepted token, as the window keeps it and as it is gossiped to peers.
+
+    Attributes:
+        key: from ``replay_key``.
+        expires_s: Unix second until which a second use is a replay.
+    """
+
+    key: bytes
+    expires_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a token: ``code`` is empty where it was taken; else a reason for the log, and, where
-    the window is full, in how many seconds to come back."""
+    """Whether a token was accepted.
+
+    Attributes:
+        code: reason of the rejection, for the log; empty: accepted.
+        retry_after_s: with a full window, seconds until it has room again; otherwise 0.
+    """
 
     code: str = ""
     retry_after_s: float = 0.0
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
+        """Whether this was the token's first use."""
         return not self.code
 
 
-TAKEN = Verdict()
+ACCEPTED = Verdict()
+"""The token's first use."""
 
+REPLAYED = Verdict("token-replayed")
+"""The token was used before, here or at a peer."""
 
-def key_of(issuer: str, jti: str) -> bytes:
-    """The 16 bytes that stand for a token in the window and on the wire: no jti is kept in clear."""
-    return hashlib.blake2b(f"{issuer}\x00{jti}".encode(), digest_size=KEY_BYTES).digest()
+BEYOND_HORIZON = Verdict("token-replay-horizon")
+"""The token lives longer than the window remembers."""
 
 
-class ReplayWindow:
-    """Tokens by key until their expiry, in at most ``cap_bytes`` of memory.
+def replay_key(issuer: str, jti: str) -> bytes:
+    """Hash that identifies a token in the window and on the wire, so that no ``jti`` is kept in clear."""
+    return hashlib.blake2b(f"{issuer}\x00{jti}".encode(), digest_size=KEY_BYTES).digest()
 
-    ``slot_s`` is the width of one slot of the wheel in seconds and ``horizon_s`` the longest lifetime that it
-    keeps: a token that lives longer than that can't be remembered to its end and is refused.  Errors: none;
-    every outcome is a ``Verdict``."""
 
-    def __init__(self, cap_bytes: int = 8 << 20, slot_s: float = 10.0, horizon_s: float = 86_400.0) -> None:
+class ReplayWindow:
+    """Accepted tokens by key until their expiry.
+
+    Args:
+        cap_bytes: bound on the memory of all entries.
+        slot_s: seconds of one slot of the wheel.
+        horizon_s: longest lifetime in seconds; a token that lives longer could not be remembered to its
+            end, and is rejected.
+
+    Raises:
+        ReplayWindowSizeError: there would be no room for one entry or one slot.
+    """
+
+    def __init__(
+        self,
+        cap_bytes: int = DEFAULT_CAPACITY_BYTES,
+        slot_s: float = DEFAULT_SLOT_S,
+        horizon_s: float = DEFAULT_HORIZON_S,
+    ) -> None:
         if cap_bytes < ENTRY_BYTES or slot_s <= 0 or horizon_s < slot_s:
-            raise ValueError("replay window: a cap of one entry, a slot above 0 s and a horizon of one slot")
+            raise ReplayWindowSizeError
         self.capacity = cap_bytes // ENTRY_BYTES
-        self.slot_s, self.horizon_s = slot_s, horizon_s
-        self._until: dict[bytes, float] = {}  # key: its expiry, Unix seconds
-        self._slots: dict[int, list[bytes]] = {}  # slot number: keys that expire in it
-        self._swept = -1  # every slot up to this one is forgotten
+        self.slot_s = slot_s
+        self.horizon_s = horizon_s
+        self._expiry_s: dict[bytes, float] = {}  # by key
+        self._slots: dict[int, list[bytes]] = {}  # keys that expire in it, by number
+        self._last_removed_slot = -1  # this one and all before it are removed
 
     def __len__(self) -> int:
-        return len(self._until)
-
-    def take(self, key: bytes, expires: float, now: float) -> Verdict:
-        """Take a token once; a second time within its life is a replay."""
-        self._sweep(now)
-        if self._until.get(key, -math.inf) >= now:
-            return Verdict("token-replayed")
-        if expires - now > self.horizon_s:
-            return Verdict("token-replay-horizon")
-        if len(self._until) >= self.capacity:
-            return Verdict("token-replay-full", self._next_free_s(now))
-        self._keep(key, expires)
-        return TAKEN
-
-    def learn(self, key: bytes, expires: float, now: float) -> bool:
-        """A token that a peer took: kept like one taken here, where there is room; whether it was new."""
-        self._sweep(now)
-        if key in self._until or expires < now or expires - now > self.horizon_s:
+        return len(self._expiry_s)
+
+    def accept(self, key: bytes, expires_s: float, now_s: float) -> Verdict:
+        """Accept a token's first use, and reject a second one until it expires."""
+        self._remove_expired(now_s)
+        if self._expiry_s.get(key, -math.inf) >= now_s:
+            return REPLAYED
+        if expires_s - now_s > self.horizon_s:
+            return BEYOND_HORIZON
+        if len(self._expiry_s) >= self.capacity:
+            return Verdict("token-replay-full", self._room_after_s(now_s))
+        self._insert(key, expires_s)
+        return ACCEPTED
+
+    def learn(self, key: bytes, expires_s: float, now_s: float) -> bool:
+        """Record a token that a peer accepted, where there is room; returns whether it was inserted."""
+        self._remove_expired(now_s)
+        if key in self._expiry_s or expires_s < now_s or expires_s - now_s > self.horizon_s:
             return False
-        if len(self._until) >= self.capacity:
+        if len(self._expiry_s) >= self.capacity:
             return False
-        self._keep(key, expires)
+        self._insert(key, expires_s)
         return True
 
-    def _keep(self, key: bytes, expires: float) -> None:
-        self._until[key] = expires
-        self._slots.setdefault(self._slot(expires), []).append(key)
+    def _insert(self, key: bytes, expires_s: float) -> None:
+        self._expiry_s[key] = expires_s
+        self._slots.setdefault(self._slot_number(expires_s), []).append(key)
 
-    def _slot(self, at: float) -> int:
-        return math.floor(at / self.slot_s)
+    def _slot_number(self, at_s: float) -> int:
+        return math.floor(at_s / self.slot_s)
 
-    def _sweep(self, now: float) -> None:
-        """Forget each slot whose every token has expired: those before the slot of ``now``."""
-        last = self._slot(now) - 1
-        if last <= self._swept:
+    def _remove_expired(self, now_s: float) -> None:
+        """Remove each slot before that of ``now_s``: all of its tokens have expired."""
+        last = self._slot_number(now_s) - 1
+        if last <= self._last_removed_slot:
             return
-        for number in [n for n in self._slots if n <= last]:
+        for number in [number for number in self._slots if number <= last]:
             for key in self._slots.pop(number):
-                if self._slot(self._until.get(key, math.inf)) == number:  # not taken anew since
-                    del self._until[key]
-        self._swept = last
-
-    def _next_free_s(self, now: float) -> float:
-        """Seconds until the oldest slot is forgotten, which makes room."""
-        oldest = min(self._slots, default=self._slot(now))
-        return max((oldest + 1) * self.slot_s - now, 0.0) + self.slot_s
+                # A key that was accepted anew since then stands in a later slot too, and stays.
+                if self._slot_number(self._expiry_s.get(key, math.inf)) == number:
+                    del self._expiry_s[key]
+        self._last_removed_slot = last
+
+    def _room_after_s(self, now_s: float) -> float:
+        """Seconds until the oldest slot is removed."""
+        oldest = min(self._slots, default=self._slot_number(now_s))
+        return max((oldest + 1) * self.slot_s - now_s, 0.0) + self.slot_s
