--- a/tests/conformance/test_rfc9246.py
+++ b/tests/conformance/test_rfc9246.py
@@ -154,6 +154,15 @@
     assert code(with_(exp=1e6, jti="d"), 1070.0, window=window) == "token-replay-horizon"
 
 
+def test_an_id_that_is_used_again_after_its_expiry_is_removed_once() -> None:
+    """§2.1.7: a key may stand in two slots of the wheel, of which the later may have been opened first."""
+    window = ReplayWindow(slot_s=10)
+    window.learn(b"other", 155.0, 100.0)
+    for key, expires_s, now_s in ((b"key", 121.0, 100.0), (b"key", 157.0, 125.0), (b"last", 200.0, 190.0)):
+        assert window.accept(key, expires_s, now_s).accepted
+    assert len(window) == 1
+
+
 PACKAGES = [  # section, target, cookie, token found or the code, target left to match
     ("4.1", "/f/1?URISigningPackage=T", "", "T", "/f/1"),
     ("4.1", "/f/1?a=1&URISigningPackage=T&b=2", "", "T", "/f/1?a=1&b=2"),
--- a/thornjunction/signing/replay.py
+++ b/thornjunction/signing/replay.py
@@ -151,8 +151,9 @@
             return
         for number in [number for number in self._slots if number <= last]:
             for key in self._slots.pop(number):
-                # A key that was accepted anew since then stands in a later slot too, and stays.
-                if self._slot_number(self._expiry_s.get(key, math.inf)) == number:
+                # A key that was accepted again after its expiry stands in two slots: the later one counts.
+                expires_s = self._expiry_s.get(key)
+                if expires_s is not None and self._slot_number(expires_s) == number:
                     del self._expiry_s[key]
         self._last_removed_slot = last
 
