--- a/packages/control-rig/src/control_rig/rig.py
+++ b/packages/control-rig/src/control_rig/rig.py
@@ -123,8 +123,8 @@
             ended = False
             while not ended and (data := await reader.read(65_536)):
                 for record in records.feed(data):
-                    body += record.content if record.kind == fastcgi.STDOUT else b""
-                    ended |= record.kind == fastcgi.END
+                    body += record.content if record.kind == fastcgi.RecordType.STDOUT else b""
+                    ended |= record.kind == fastcgi.RecordType.END
             writer.close()
         head, _, told = body.partition(b"\r\n\r\n")
         return told.decode() if head.startswith(b"Status: 200") else head.decode().partition("\r\n")[0]
--- a/packages/fleet-scale/src/fleet_scale/load.py
+++ b/packages/fleet-scale/src/fleet_scale/load.py
@@ -43,9 +43,9 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         for record in self.cutter.feed(data):
             since, begun = self.out.get(record.request_id, (0.0, b""))
-            if record.kind == fastcgi.STDOUT and len(begun) < 16:
+            if record.kind == fastcgi.RecordType.STDOUT and len(begun) < 16:
                 self.out[record.request_id] = since, begun + record.content[:16]
-            elif record.kind == fastcgi.END:
+            elif record.kind == fastcgi.RecordType.END:
                 del self.out[record.request_id]
                 self.load.answered(since, begun)
 
--- a/packages/standins/src/standins/bare.py
+++ b/packages/standins/src/standins/bare.py
@@ -27,7 +27,7 @@
 
 
 def aborted(ident: int) -> bytes:
-    return fastcgi.encode_record(fastcgi.ABORT, ident, b"")
+    return fastcgi.encode_record(fastcgi.RecordType.ABORT, ident, b"")
 
 
 def address(of: socket.socket) -> str:
@@ -84,7 +84,9 @@
     def answers(self) -> int:
         """Whole answers of the platform's front, so far."""
         self.ended()
-        return sum(record.kind == fastcgi.END for record in fastcgi.RecordReader().feed(bytes(self.got)))
+        return sum(
+            record.kind == fastcgi.RecordType.END for record in fastcgi.RecordReader().feed(bytes(self.got))
+        )
 
     def wait(self) -> tuple[str, int]:
         """Block until the router ends the connection: how, and after how many answers."""
--- a/packages/standins/src/standins/clients.py
+++ b/packages/standins/src/standins/clients.py
@@ -73,11 +73,13 @@
         self._tell(len(self.ends()), self.records)
 
     def ends(self) -> list[fastcgi.Record]:
-        return [record for record in self.records if record.kind == fastcgi.END]
+        return [record for record in self.records if record.kind == fastcgi.RecordType.END]
 
     def output(self, ident: int) -> bytes:
         """What one request was answered, whole."""
-        told = [r.content for r in self.records if r.kind == fastcgi.STDOUT and r.request_id == ident]
+        told = [
+            r.content for r in self.records if r.kind == fastcgi.RecordType.STDOUT and r.request_id == ident
+        ]
         return b"".join(told)
 
 
@@ -85,6 +87,13 @@
     """A whole FastCGI request (responder role), its parameters cut across two records as a server may."""
     content = fastcgi.encode_pairs(params.items())
     stdin: Iterable[bytes] = [body, b""] if body else [b""]
-    records = [(fastcgi.BEGIN, bytes([0, 1, keep, 0, 0, 0, 0, 0])), (fastcgi.PARAMS, content[:9])]
-    records += [(fastcgi.PARAMS, content[9:]), (fastcgi.PARAMS, b""), *((fastcgi.STDIN, p) for p in stdin)]
+    records = [
+        (fastcgi.RecordType.BEGIN, bytes([0, 1, keep, 0, 0, 0, 0, 0])),
+        (fastcgi.RecordType.PARAMS, content[:9]),
+    ]
+    records += [
+        (fastcgi.RecordType.PARAMS, content[9:]),
+        (fastcgi.RecordType.PARAMS, b""),
+        *((fastcgi.RecordType.STDIN, p) for p in stdin),
+    ]
     return b"".join(fastcgi.encode_record(kind, ident, data) for kind, data in records)
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -231,7 +231,7 @@
             client.send(data)
             client.leave(how)
         hog, held = await self.clients.rested()
-        hog.send(fastcgi.HEADER.pack(1, fastcgi.STDIN, 1, 65_535, 0) + bytes(6_000))
+        hog.send(fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0) + bytes(6_000))
         await self.until(lambda: held.code == "memory")
         for number in range(10, 22):
             (idle := self.clients.connect()).send(asked(number))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -93,9 +93,12 @@
 
 
 REQUESTS: dict[str, Callable[[], bytes]] = {"fastcgi": asked, "signed": http_request}
-REFUSED = {"fastcgi": fastcgi.encode_end(7, fastcgi.OVERLOADED), "signed": b"HTTP/1.1 503"}
+REFUSED = {"fastcgi": fastcgi.encode_end(7, fastcgi.ProtocolStatus.OVERLOADED), "signed": b"HTTP/1.1 503"}
 FAILED = {"fastcgi": b"Status: 502", "signed": b"HTTP/1.1 502"}
-PART = {"fastcgi": fastcgi.HEADER.pack(1, fastcgi.STDIN, 1, 65_535, 0), "signed": http_request()[:30]}
+PART = {
+    "fastcgi": fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0),
+    "signed": http_request()[:30],
+}
 both = pytest.mark.parametrize("kind", list(REQUESTS))
 
 
@@ -120,7 +123,10 @@
     hall.full = True
     link = hall.connect(kind)
     link.dataReceived(REQUESTS[kind]())
-    rejected = {"fastcgi": fastcgi.encode_end(7, fastcgi.OVERLOADED), "signed": b"HTTP/1.1 503 "}
+    rejected = {
+        "fastcgi": fastcgi.encode_end(7, fastcgi.ProtocolStatus.OVERLOADED),
+        "signed": b"HTTP/1.1 503 ",
+    }
     assert rejected[kind] in link.transport.value() and not link.is_open() and link.code == ""  # type: ignore[attr-defined]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -56,7 +56,7 @@
     """What /check says on this connection."""
     client.sendall(asked(1, {"SCRIPT_NAME": "/check"}, b""))
     records, reader = [], fastcgi.RecordReader()
-    while not records or records[-1].kind != fastcgi.END:
+    while not records or records[-1].kind != fastcgi.RecordType.END:
         records += reader.feed(client.recv(4096))
     return records[0].content
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -222,7 +222,7 @@
             client = connect(listen)
             client.sendall(asked(1, {"SCRIPT_NAME": "/check"}, b""))
             records, reader = [], fastcgi.RecordReader()
-            while not records or records[-1].kind != fastcgi.END:
+            while not records or records[-1].kind != fastcgi.RecordType.END:
                 records += reader.feed(client.recv(4096))
             assert records[0].content == b"Status: 200\r\n\r\n"
             assert call(door, "check") == "ACK\n" and call(door, "drain-on") == "ACK\n"
--- a/tests/test_shelf_endings.py
+++ b/tests/test_shelf_endings.py
@@ -95,7 +95,7 @@
         self.pool.ends, self.pool.limits = self.engine, replace(self.pool.limits, dial_ms=9000.0)
         self.engine.feed(replace(SETTINGS_HERE, may_cancel=False))
         ends = {
-            "abort": lambda at: at.write(fastcgi.encode_record(fastcgi.ABORT, 7, b"")),
+            "abort": lambda at: at.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 7, b"")),
             "closed": lambda at: at.loseConnection(),
             "hurried": lambda _: self.engine.answer_all_now(),
             "overdue": lambda _: self.engine._backstop_due(next(iter(self.engine.requests))),
--- a/tests/test_signed_front.py
+++ b/tests/test_signed_front.py
@@ -193,7 +193,7 @@
         self.rig.script, wanted = [None], self.rig.next_want()
         client.transport.write(asked(11, params, b""))
         yield wanted
-        client.transport.write(fastcgi.encode_record(fastcgi.ABORT, 11, b""))
+        client.transport.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 11, b""))
         yield self.rig.until(lambda: any(heard[0] == "never_mind" for heard in self.rig.heard))
         self.assertEqual(len(client.ends()), 2)
         client.transport.write(b"junk that is no record")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -40,7 +40,7 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n"
 PLAIN = b"POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
 READERS: list[tuple[Callable[[], Any], bytes]] = [
-    (fastcgi.RequestReader, asked() + fastcgi.encode_record(fastcgi.ABORT, 7, b"") + asked(8)),
+    (fastcgi.RequestReader, asked() + fastcgi.encode_record(fastcgi.RecordType.ABORT, 7, b"") + asked(8)),
     (resp.ArrayReader, resp.encode_array((b"id", b"DONE", b"-", b"\r\n$9*")) * 2),
     (lambda: http1.RequestReader(10), PLAIN * 2),
     (lambda: http1.ResponseReader(10), CHUNKED + b"HTTP/1.1 204 X\r\n\r\n"),
@@ -76,7 +76,7 @@
         lambda: commands.decode_commands(junk),
         lambda: shelf.decode_answer((b"id", b"DONE", junk, b"")),
         lambda: platform.decode_call(PARAMS | texts, b""),
-        lambda: fastcgi.parse_pairs(junk),
+        lambda: fastcgi.decode_pairs(junk),
     ):
         try:
             parse()
@@ -87,7 +87,7 @@
 
 def test_request_is_read() -> None:
     (message,) = fastcgi.RequestReader().feed(asked(keep=0))
-    assert message == fastcgi.Asked(7, PARAMS, b"body", False)
+    assert message == fastcgi.Request(7, PARAMS, b"body", False)
     call = platform.decode_call(PARAMS, b"body")
     assert (call.class_name, call.left_ms, call.size_kb, call.group) == ("clips", 1500.0, 412.5, 0)
 
@@ -104,8 +104,8 @@
     assert platform.encode_cgi(Rejected(499.2)) == b"Status: 503\r\nX-Throttle-Ms: 500\r\n\r\n"
     assert platform.encode_cgi(Failed(True)).startswith(b"Status: 504")
     records = fastcgi.RecordReader().feed(fastcgi.encode_answer(3, b"x" * 70_000))
-    assert b"".join(r.content for r in records if r.kind == fastcgi.STDOUT) == b"x" * 70_000
-    assert [r.kind for r in records][-2:] == [fastcgi.STDOUT, fastcgi.END]
+    assert b"".join(r.content for r in records if r.kind == fastcgi.RecordType.STDOUT) == b"x" * 70_000
+    assert [r.kind for r in records][-2:] == [fastcgi.RecordType.STDOUT, fastcgi.RecordType.END]
 
 
 def order(**more: Any) -> UpstreamRequest:
--- a/thornjunction/net/front_fastcgi.py
+++ b/thornjunction/net/front_fastcgi.py
@@ -19,7 +19,7 @@
 from thornjunction.net.client_link import ClientLink, ClientTable
 from thornjunction.net.wire import ProtocolError, fastcgi, platform
 
-MAX_OPEN = fastcgi.MAX_OPEN  # requests on one connection: as many as the platform's fronts have
+MAX_OPEN = fastcgi.MAX_OPEN_REQUESTS  # requests on one connection: as many as the platform's fronts have
 MISUSES = 16  # requests in a row that can't be used, after which their connection is closed
 
 
@@ -60,7 +60,7 @@
         self.turned_away = turned_away
         self.reader = fastcgi.RequestReader()
         self.pending: dict[int, Pending] = {}
-        self.waiting: deque[tuple[fastcgi.Asked, float]] = deque()  # for the core, and since when
+        self.waiting: deque[tuple[fastcgi.Request, float]] = deque()  # for the core, and since when
         self.misuses = 0
         self._batch = False  # requests that came together: the connection ends behind all of them
 
@@ -118,7 +118,7 @@
                 data = b""
                 for message in messages:
                     self._take(message)
-                    whole = whole or isinstance(message, fastcgi.Asked | fastcgi.Declined)
+                    whole = whole or isinstance(message, fastcgi.Request | fastcgi.RequestDeclined)
         except ProtocolError as error:
             fault = str(error)
         self._batch = False
@@ -128,44 +128,44 @@
 
     def _take(self, message: fastcgi.Message) -> None:
         match message:
-            case fastcgi.Asked() if self.refuses or len(self.pending) + len(self.waiting) >= MAX_OPEN:
+            case fastcgi.Request() if self.refuses or len(self.pending) + len(self.waiting) >= MAX_OPEN:
                 self._overloaded(message)
-            case fastcgi.Asked():
+            case fastcgi.Request():
                 self.waiting.append((message, self.clock()))
-            case fastcgi.Aborted(request_id):
+            case fastcgi.RequestAborted(request_id):
                 kept = [entry for entry in self.waiting if entry[0].request_id != request_id]
                 self.waiting = deque(kept)
                 gone = self.pending.pop(request_id, None)
                 if gone is not None and gone.number is not None:
                     self.core.abandon(gone.number)
-            case fastcgi.Declined(request_id, protocol_status, keep):
+            case fastcgi.RequestDeclined(request_id, protocol_status, keep):
                 self._write(request_id, fastcgi.encode_end(request_id, protocol_status), keep)
-            case fastcgi.Management(reply):
+            case fastcgi.ManagementReply(reply):
                 self.transport.write(reply)
 
-    def _overloaded(self, asked: fastcgi.Asked) -> None:
+    def _overloaded(self, asked: fastcgi.Request) -> None:
         self._count(asked, Rejected(0.0))
-        end = fastcgi.encode_end(asked.request_id, fastcgi.OVERLOADED)
-        self._write(asked.request_id, end, asked.keep)
+        end = fastcgi.encode_end(asked.request_id, fastcgi.ProtocolStatus.OVERLOADED)
+        self._write(asked.request_id, end, asked.keep_alive)
 
-    def _ask(self, asked: fastcgi.Asked, waited_ms: float) -> None:
+    def _ask(self, asked: fastcgi.Request, waited_ms: float) -> None:
         ident = asked.request_id
         if ident in self.pending:
             return self.stop_reading("fastcgi-id-twice")  # and not answerable beside the first
         if asked.params.get("SCRIPT_NAME") == platform.CHECK:
             said = platform.READY if self.ready() else platform.NOT_READY
-            return self._write(ident, fastcgi.encode_answer(ident, said), asked.keep)
+            return self._write(ident, fastcgi.encode_answer(ident, said), asked.keep_alive)
         busy = self.busy()
         if busy:
             self._count(asked, Rejected(0.0))
-            return self._write(ident, fastcgi.encode_answer(ident, busy), asked.keep)
+            return self._write(ident, fastcgi.encode_answer(ident, busy), asked.keep_alive)
         try:
             call = platform.decode_call(asked.params, asked.body, max(self.spent_ms(), waited_ms))
         except ProtocolError:
             self._count(asked, Failed(timed_out=False))
-            return self._misused(ident, asked.keep)
+            return self._misused(ident, asked.keep_alive)
         self.misuses = 0
-        pending = self.pending[ident] = Pending(asked.keep)
+        pending = self.pending[ident] = Pending(asked.keep_alive)
         try:
             number = self.core.open(call, lambda answer: self._reply(ident, pending, answer))
         except RequestTableFullError:
@@ -177,7 +177,7 @@
         else:  # answered, or its connection ended while the core decided
             self.core.abandon(number)
 
-    def _count(self, asked: fastcgi.Asked, answer: Answer) -> None:
+    def _count(self, asked: fastcgi.Request, answer: Answer) -> None:
         """A request that never reached the core, which counts the others."""
         self.turned_away(asked.params.get("SCRIPT_NAME", "").removeprefix(platform.ROOT), answer)
 
