--- a/thornjunction/logs.py
+++ b/thornjunction/logs.py
@@ -1,7 +1,9 @@
-"""Structured logging on structlog: one JSON object a line on standard error, with time (UTC), level, logger,
-process id, an event word and its fields (reason codes kept as fields).  The standard library's records, the
-reactor's among them, go the same way.  A value that looks like a signed JWT is never written: it is replaced
-by ``[token]`` whoever logs it, so that no token reaches a log even by mistake."""
+"""Structured logging on structlog: one JSON object a line on standard error.
+
+A line has the time (UTC), level, logger, process id, an event and its fields, reason codes among them.
+Records of the standard library's loggers, the reactor's too, take the same form.  A value that looks like a
+signed JWT is never written: it is replaced by ``[token]``, whoever logs it.
+"""
 
 from __future__ import annotations
 
@@ -14,36 +16,47 @@
 
 import structlog
 
-JWT = re.compile(r"eyJ[0-9A-Za-z_-]{4,}\.[0-9A-Za-z_-]+\.[0-9A-Za-z_-]*")
+JWT_MARK = "eyJ"
+"""How each JWT begins: base64url of ``{"``."""
+
+JWT = re.compile(JWT_MARK + r"[0-9A-Za-z_-]{4,}\.[0-9A-Za-z_-]+\.[0-9A-Za-z_-]*")
+"""A JWT in compact serialization (RFC 7519 §3)."""
+
+REDACTED = "[token]"
+"""What is written in place of a JWT."""
+
 EventDict = MutableMapping[str, Any]
 
 
-def _pid(_: Any, __: str, event: EventDict) -> EventDict:
-    event["pid"] = os.getpid()  # two processes may write to one log during a replacement
+def _add_process_id(_logger: Any, _method: str, event: EventDict) -> EventDict:
+    """Processor that adds ``pid``: two processes may write to one log during a handover."""
+    event["pid"] = os.getpid()
     return event
 
 
-def _redact(_: Any, __: str, event: EventDict) -> EventDict:
+def _redact_tokens(_logger: Any, _method: str, event: EventDict) -> EventDict:
+    """Processor that replaces tokens in all text values."""
     for name, value in event.items():
-        if isinstance(value, str) and "eyJ" in value:
-            event[name] = JWT.sub("[token]", value)
+        if isinstance(value, str) and JWT_MARK in value:
+            event[name] = JWT.sub(REDACTED, value)
     return event
 
 
-SHARED: list[Any] = [
+PROCESSORS: list[Any] = [
     structlog.stdlib.add_log_level,
     structlog.stdlib.add_logger_name,
     structlog.processors.TimeStamper(fmt="iso", utc=True, key="ts"),
-    _pid,
+    _add_process_id,
     structlog.stdlib.PositionalArgumentsFormatter(),
     structlog.processors.format_exc_info,
-    _redact,
+    _redact_tokens,
 ]
+"""Processors of every record, in their order; redaction comes last, so that it sees all text."""
 
 structlog.configure(
     processors=[
         structlog.stdlib.filter_by_level,
-        *SHARED,
+        *PROCESSORS,
         structlog.stdlib.ProcessorFormatter.wrap_for_formatter,
     ],
     logger_factory=structlog.stdlib.LoggerFactory(),
@@ -53,15 +66,16 @@
 
 
 def get_logger(name: str) -> Any:
-    """A logger whose calls take an event word and fields: ``log.info("rejected", status=401, code=...)``."""
+    """Return a logger whose calls take an event and its fields: ``log.info("rejected", status=401)``."""
     return structlog.stdlib.get_logger(name)
 
 
 def to_stream(stream: IO[str] = sys.stderr, level: int = logging.INFO) -> None:
-    """Every record of the process, as JSON lines, to a stream."""
-    handler = logging.StreamHandler(stream)
+    """Write every record of the process, from a level on, to a stream as JSON lines."""
     renderer = structlog.processors.JSONRenderer(sort_keys=False)
-    handler.setFormatter(structlog.stdlib.ProcessorFormatter(processor=renderer, foreign_pre_chain=SHARED))
+    formatter = structlog.stdlib.ProcessorFormatter(processor=renderer, foreign_pre_chain=PROCESSORS)
+    handler = logging.StreamHandler(stream)
+    handler.setFormatter(formatter)
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
