--- a/thornjunction/net/channel_link.py
+++ b/thornjunction/net/channel_link.py
@@ -83,11 +83,11 @@
             if not self.asked:
                 raise ProtocolError("unasked")
             response = self.reader.next(data)
-            told = self.reader.told if response is None else len(response.body)
+            told = self.reader.announced_bytes if response is None else len(response.body)
             if self.long is None and told > SHORT:
                 self._begin_long(response or self.reader.head())
             if self.long is not None:
-                body = self.reader.parts() if response is None else response.body
+                body = self.reader.take_body() if response is None else response.body
                 self.long.put(body, response is not None)
                 self._piece()
             elif response is not None:
@@ -98,13 +98,13 @@
     def _answer(self, response: http1.HttpResponse) -> None:
         if response.status != 200:
             raise ProtocolError(f"status-{response.status}")
-        self.keep = response.keep
+        self.keep = response.keep_alive
         self._answered(decode_commands(response.body))
 
     def _begin_long(self, head: http1.HttpResponse) -> None:
         if head.status != 200:
             raise ProtocolError(f"status-{head.status}")
-        channel, self.keep = self.channel, head.keep
+        channel, self.keep = self.channel, head.keep_alive
         self.long = CatchUp(channel.clock, channel.clock() + LONG_MS, channel.apply_piece)
 
     def _piece(self) -> None:
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/front_signed.py
@@ -107,7 +107,7 @@
         if request is not None:
             self._abandon()
             failed = signed.encode_answer(Failed(timed_out=False), request, {})
-            self._write(replace(failed, keep=bool(self.waiting)))
+            self._write(replace(failed, keep_alive=bool(self.waiting)))
         while self.waiting:
             self.waiting.popleft()
             self._write(signed.refused(0.0, keep=bool(self.waiting)))
@@ -142,10 +142,10 @@
             call = signed.decode_call(request, target, secrets.token_hex(8), door.classes)
         except signed.MisuseError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_misused(error.status, request.keep))
+            return self._write(signed.encode_misused(error.status, request.keep_alive))
         except tokens.TokenError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_misused(error.status, request.keep, error.retry_after_s))
+            return self._write(signed.encode_misused(error.status, request.keep_alive, error.retry_after_s))
         if grant.replay_entry is not None and self.door.gossip is not None:
             self.door.gossip.tell(grant.replay_entry)
         self.serving, answered = request, self.answered
@@ -153,7 +153,7 @@
             number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
         except RequestTableFullError:
             self.serving = None
-            return self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep))
+            return self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep_alive))
         if self.code:  # its connection ended while the core decided
             self.door.core.abandon(number)
         elif self.answered == answered:  # else it was answered at once, and the next one may be in the core
@@ -174,7 +174,7 @@
 
     def _write(self, response: http1.HttpResponse) -> None:
         self.write(http1.encode_response(response))
-        if response.keep:
+        if response.keep_alive:
             self.turned()
         else:
             self.finish(self.ending or "no-keep-alive")
--- a/thornjunction/net/relay.py
+++ b/thornjunction/net/relay.py
@@ -145,9 +145,9 @@
             poll = decode_poll(request.target)
         except ProtocolError as error:
             return self._reject(404 if str(error) == "poll-path" else 400, str(error))
-        if self.pollers.ending or not request.keep:
+        if self.pollers.ending or not request.keep_alive:
             poll = poll.at_once()
-        self.poll, self.since, self.keeps = poll, self.pollers.clock(), request.keep
+        self.poll, self.since, self.keeps = poll, self.pollers.clock(), request.keep_alive
         assert self.number is not None
         self.pollers.ask(self.number, poll)
 
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -88,7 +88,7 @@
 def encode_answer(answer: Answer, request: HttpRequest, extra: Mapping[str, str]) -> HttpResponse:
     """``extra`` holds headers that only a served answer gets, as a renewed token's cookie.  A served body
     is whole, so a range of it (RFC 9110 §14) is cut here; HEAD is told all but the body."""
-    keep, head = request.keep, request.method == "HEAD"
+    keep, head = request.keep_alive, request.method == "HEAD"
     match answer:
         case Served(content):
             headers = {"Cache-Control": "private, no-store"} | dict(extra)
