--- a/packages/fleet-scale/src/fleet_scale/links.py
+++ b/packages/fleet-scale/src/fleet_scale/links.py
@@ -18,7 +18,7 @@
 from thornjunction.net.transport import Building
 
 IN_FLIGHT = 1_000_000  # bytes of one way of one connection that are held for the delay
-MOST_PAIRS = 8192  # connections of one process
+MAX_PAIRS = 8192  # connections of one process
 DIAL_S = 5
 
 
@@ -157,7 +157,7 @@
         return self.port
 
     def _accept(self) -> End | None:
-        if len(self.pairs) >= MOST_PAIRS:
+        if len(self.pairs) >= MAX_PAIRS:
             return None
         self.counts["connections"] += 1
         return Pair(self).near
--- a/tests/conformance/test_http.py
+++ b/tests/conformance/test_http.py
@@ -31,7 +31,9 @@
     section: str, told: str, if_range: str | None, status: int, start: int, end: int, content_range: str
 ) -> None:
     headers = {"range": told} | ({"if-range": if_range} if if_range else {})
-    assert ranges.choose(headers, "t1", 100) == ranges.Part(status, start, end, content_range), f"§{section}"
+    assert ranges.select_part(headers, "t1", 100) == ranges.Part(status, start, end, content_range), (
+        f"§{section}"
+    )
 
 
 LIMITS = [  # section, bytes sent, the error and its status
@@ -60,6 +62,6 @@
 def test_head_tells_the_length_and_sends_no_body() -> None:
     """RFC 9110 §9.3.2: HEAD of a class safe to repeat is taken, and answered without the body."""
     request = http1.HttpRequest("HEAD", CLIP, {}, b"", True)
-    assert signed.decode_call(request, CLIP, "n", {"films": FILMS}).class_name == "films"
+    assert signed.decode_request(request, CLIP, "n", {"films": FILMS}).class_name == "films"
     answer = signed.encode_answer(Served(Content(b"abc", "t1", False)), request, {})
     assert http1.encode_response(answer).endswith(b"Content-Length: 3\r\n\r\n")
--- a/tests/conformance/test_rfc9246.py
+++ b/tests/conformance/test_rfc9246.py
@@ -182,7 +182,7 @@
     request = http1.HttpRequest("GET", target, {"cookie": cookie} if cookie else {}, b"", True)
     try:
         assert signed.split_token(request) == (left, found), f"§{section}"
-    except signed.MisuseError as error:
+    except signed.RequestError as error:
         assert error.code == found, f"§{section}"
 
 
@@ -254,7 +254,7 @@
     try:
         left, found = signed.split_token(request)
         assert found and signed.PACKAGE + "=" + found not in left
-    except signed.MisuseError as error:
+    except signed.RequestError as error:
         assert error.status == 401
 
 
--- a/tests/test_relay_endpoint.py
+++ b/tests/test_relay_endpoint.py
@@ -17,7 +17,7 @@
 from thornjunction.net.transport import Building
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import line_of, read_commands
-from thornjunction.net.wire.polls import MOST_PAIRS, Poll, decode_poll
+from thornjunction.net.wire.polls import MAX_PAIRS, Poll, decode_poll
 
 reactor: Any = _reactor
 POLL = b"GET /cmd/next?resume=3&block=1200 HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -30,7 +30,7 @@
         "/cmd/next?resume=3&block=5&epoch=e-1.x&as=relay&name=r_1&done=2&behind=7&names=a%2Cb,c"
     )
     assert told == Poll(3, 5, "e-1.x", "relay", "r_1", 2, 7, ("a", "b", "c"))
-    assert told.at_once().block_ms == 0
+    assert told.without_waiting().block_ms == 0
 
 
 BAD = {
@@ -50,7 +50,7 @@
     "resume=1&names=" + ",".join("abcdefghi"): "poll-names",
     "resume=1&names=a,,b": "poll-names",
     "resume=1&x=" + "x" * 1024: "poll-size",
-    "&".join(["resume=1", *(f"k{number}=1" for number in range(MOST_PAIRS))]): "poll-pairs",
+    "&".join(["resume=1", *(f"k{number}=1" for number in range(MAX_PAIRS))]): "poll-pairs",
 }
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,12 +15,12 @@
 from thornjunction.core.ports import ClientRequest, Content, Failed, Rejected, Served, UpstreamRequest
 from thornjunction.net.wire import (
     ProtocolError,
+    cgi,
     collectd,
     commands,
     fastcgi,
     graphite,
     http1,
-    platform,
     resp,
     shelf,
 )
@@ -75,7 +75,7 @@
     for parse in (
         lambda: commands.decode_commands(junk),
         lambda: shelf.decode_answer((b"id", b"DONE", junk, b"")),
-        lambda: platform.decode_call(PARAMS | texts, b""),
+        lambda: cgi.decode_request(PARAMS | texts, b""),
         lambda: fastcgi.decode_pairs(junk),
     ):
         try:
@@ -88,21 +88,21 @@
 def test_request_is_read() -> None:
     (message,) = fastcgi.RequestReader().feed(asked(keep=0))
     assert message == fastcgi.Request(7, PARAMS, b"body", False)
-    call = platform.decode_call(PARAMS, b"body")
+    call = cgi.decode_request(PARAMS, b"body")
     assert (call.class_name, call.left_ms, call.size_kb, call.group) == ("clips", 1500.0, 412.5, 0)
 
 
 @pytest.mark.parametrize("field", ["HTTP_X_TXN", "HTTP_X_ROW", "HTTP_X_TTL_MS", "SCRIPT_NAME"])
 def test_a_missing_field_is_named(field: str) -> None:
     with pytest.raises(ProtocolError):
-        platform.decode_call({name: value for name, value in PARAMS.items() if name != field}, b"")
+        cgi.decode_request({name: value for name, value in PARAMS.items() if name != field}, b"")
 
 
 def test_answers_on_fastcgi() -> None:
-    assert platform.encode_cgi(Served(Content(b"abc"))) == b"Status: 200\r\n\r\nabc"
-    assert platform.encode_cgi(Served(Content(b"", not_modified=True))) == b"Status: 200\r\nX-Same: 1\r\n\r\n"
-    assert platform.encode_cgi(Rejected(499.2)) == b"Status: 503\r\nX-Throttle-Ms: 500\r\n\r\n"
-    assert platform.encode_cgi(Failed(True)).startswith(b"Status: 504")
+    assert cgi.encode_response(Served(Content(b"abc"))) == b"Status: 200\r\n\r\nabc"
+    assert cgi.encode_response(Served(Content(b"", not_modified=True))) == b"Status: 200\r\nX-Same: 1\r\n\r\n"
+    assert cgi.encode_response(Rejected(499.2)) == b"Status: 503\r\nX-Throttle-Ms: 500\r\n\r\n"
+    assert cgi.encode_response(Failed(True)).startswith(b"Status: 504")
     records = fastcgi.RecordReader().feed(fastcgi.encode_answer(3, b"x" * 70_000))
     assert b"".join(r.content for r in records if r.kind == fastcgi.RecordType.STDOUT) == b"x" * 70_000
     assert [r.kind for r in records][-2:] == [fastcgi.RecordType.STDOUT, fastcgi.RecordType.END]
--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -107,7 +107,7 @@
         tokens.verify(
             told, front.base + target, front.trust, ReplayWindow(), time.time(), parse_address(client)
         )
-    except (signed.MisuseError, tokens.TokenError) as error:
+    except (signed.RequestError, tokens.TokenError) as error:
         click.echo(f"refused {error.status} {error.code}")
         sys.exit(1)
     click.echo("admitted")
--- a/thornjunction/net/front_fastcgi.py
+++ b/thornjunction/net/front_fastcgi.py
@@ -17,7 +17,7 @@
 )
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.client_link import ClientLink, ClientTable
-from thornjunction.net.wire import ProtocolError, fastcgi, platform
+from thornjunction.net.wire import ProtocolError, cgi, fastcgi
 
 MAX_OPEN = fastcgi.MAX_OPEN_REQUESTS  # requests on one connection: as many as the platform's fronts have
 MISUSES = 16  # requests in a row that can't be used, after which their connection is closed
@@ -92,7 +92,7 @@
         self.reader = fastcgi.RequestReader()
 
     def answer_open(self) -> None:
-        failed = platform.encode_cgi(Failed(timed_out=False))
+        failed = cgi.encode_response(Failed(timed_out=False))
         while self.waiting:
             asked, _ = self.waiting.popleft()
             self._overloaded(asked)
@@ -152,15 +152,15 @@
         ident = asked.request_id
         if ident in self.pending:
             return self.stop_reading("fastcgi-id-twice")  # and not answerable beside the first
-        if asked.params.get("SCRIPT_NAME") == platform.CHECK:
-            said = platform.READY if self.ready() else platform.NOT_READY
+        if asked.params.get("SCRIPT_NAME") == cgi.HEALTH_CHECK_PATH:
+            said = cgi.READY if self.ready() else cgi.NOT_READY
             return self._write(ident, fastcgi.encode_answer(ident, said), asked.keep_alive)
         busy = self.busy()
         if busy:
             self._count(asked, Rejected(0.0))
             return self._write(ident, fastcgi.encode_answer(ident, busy), asked.keep_alive)
         try:
-            call = platform.decode_call(asked.params, asked.body, max(self.spent_ms(), waited_ms))
+            call = cgi.decode_request(asked.params, asked.body, max(self.spent_ms(), waited_ms))
         except ProtocolError:
             self._count(asked, Failed(timed_out=False))
             return self._misused(ident, asked.keep_alive)
@@ -179,19 +179,19 @@
 
     def _count(self, asked: fastcgi.Request, answer: Answer) -> None:
         """A request that never reached the core, which counts the others."""
-        self.turned_away(asked.params.get("SCRIPT_NAME", "").removeprefix(platform.ROOT), answer)
+        self.turned_away(asked.params.get("SCRIPT_NAME", "").removeprefix(cgi.REQUEST_PREFIX), answer)
 
     def _misused(self, ident: int, keep: bool) -> None:
         """Guards the core's time against a client that sends the same again as soon as it is turned away."""
         self.misuses += 1
-        self._write(ident, fastcgi.encode_answer(ident, platform.BAD_REQUEST), keep)
+        self._write(ident, fastcgi.encode_answer(ident, cgi.BAD_REQUEST), keep)
         if self.misuses >= MISUSES and not self.is_open() and not self.code:
             self.finish("misuse")
 
     def _reply(self, ident: int, pending: Pending, answer: Answer) -> None:
         if self.pending.get(ident) is pending:
             del self.pending[ident]
-            self._write(ident, fastcgi.encode_answer(ident, platform.encode_cgi(answer)), pending.keep)
+            self._write(ident, fastcgi.encode_answer(ident, cgi.encode_response(answer)), pending.keep)
 
     def _write(self, ident: int, data: bytes, keep: bool) -> None:
         self.write(data)
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/front_signed.py
@@ -91,7 +91,7 @@
         if len(self.waiting) > MAX_WAITING:
             while len(self.waiting) > MAX_WAITING:
                 self.waiting.pop()
-            self._end_behind(signed.refused(0.0, keep=False), "pipeline")
+            self._end_behind(signed.encode_unavailable(0.0, keep_alive=False), "pipeline")
 
     def _end_behind(self, last_words: http1.HttpResponse, code: str) -> None:
         """The first thing that is wrong ends the connection, with an answer of its own behind those that are
@@ -110,7 +110,7 @@
             self._write(replace(failed, keep_alive=bool(self.waiting)))
         while self.waiting:
             self.waiting.popleft()
-            self._write(signed.refused(0.0, keep=bool(self.waiting)))
+            self._write(signed.encode_unavailable(0.0, keep_alive=bool(self.waiting)))
 
     def forget(self) -> None:
         self.waiting.clear()
@@ -133,19 +133,19 @@
 
     def _ask(self, request: http1.HttpRequest) -> None:
         if self.refuses:
-            return self._write(signed.refused(0.0, keep=False))
+            return self._write(signed.encode_unavailable(0.0, keep_alive=False))
         try:
             target, token = signed.split_token(request)
             door, now = self.door, self.door.unix_s()
             client = client_address(self.peer, request.headers, door.forwarding)
             grant = tokens.verify(token, door.base + target, door.trust, door.replays, now, client)
-            call = signed.decode_call(request, target, secrets.token_hex(8), door.classes)
-        except signed.MisuseError as error:
+            call = signed.decode_request(request, target, secrets.token_hex(8), door.classes)
+        except signed.RequestError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_misused(error.status, request.keep_alive))
+            return self._write(signed.encode_rejection(error.status, request.keep_alive))
         except tokens.TokenError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_misused(error.status, request.keep_alive, error.retry_after_s))
+            return self._write(signed.encode_rejection(error.status, request.keep_alive, error.retry_after_s))
         if grant.replay_entry is not None and self.door.gossip is not None:
             self.door.gossip.tell(grant.replay_entry)
         self.serving, answered = request, self.answered
@@ -170,7 +170,7 @@
         if not grant.renewal_s:
             return {}
         token = tokens.renew(self.door.trust, grant, self.door.unix_s())
-        return {"Set-Cookie": signed.cookie_for(token, target, grant.renewal_depth, grant.renewal_s)}
+        return {"Set-Cookie": signed.renewal_cookie(token, target, grant.renewal_depth, grant.renewal_s)}
 
     def _write(self, response: http1.HttpResponse) -> None:
         self.write(http1.encode_response(response))
--- a/thornjunction/net/relay.py
+++ b/thornjunction/net/relay.py
@@ -86,7 +86,7 @@
             if link.poll is None:
                 link.leave("ending")
             else:
-                self.ask(number, link.poll.at_once())
+                self.ask(number, link.poll.without_waiting())
 
     def noted(self, code: str) -> None:
         """Guards the log against a flood of ends: of each code the 1st, 2nd, 4th, 8th... is written."""
@@ -146,7 +146,7 @@
         except ProtocolError as error:
             return self._reject(404 if str(error) == "poll-path" else 400, str(error))
         if self.pollers.ending or not request.keep_alive:
-            poll = poll.at_once()
+            poll = poll.without_waiting()
         self.poll, self.since, self.keeps = poll, self.pollers.clock(), request.keep_alive
         assert self.number is not None
         self.pollers.ask(self.number, poll)
--- /dev/null
+++ b/thornjunction/net/wire/cgi.py
@@ -0,0 +1,131 @@
+"""The platform's requests as CGI parameters, and responses in CGI's form (RFC 3875 §6)."""
+
+from __future__ import annotations
+
+import math
+import re
+from collections.abc import Mapping
+
+from thornjunction.core.ports import Answer, ClientRequest, Failed, Rejected, Served
+from thornjunction.net.wire import ProtocolError
+
+HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII)
+"""Transaction and object ids."""
+
+WORD = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)
+"""What may stand in a field of a request to a cache server."""
+
+REQUEST_PREFIX = "/do/"
+"""Path of requests, before the name of their class."""
+
+HEALTH_CHECK_PATH = "/check"
+"""Path of the platform's health check."""
+
+READY = b"Status: 200\r\n\r\n"
+"""Response to a health check of a ready router."""
+
+NOT_READY = b"Status: 503\r\n\r\n"
+"""Response to a health check of a router that is not ready, or drains."""
+
+BAD_REQUEST = b"Status: 400\r\n\r\n"
+"""Response to a request that cannot be decoded."""
+
+MAX_PART = 1 << 20
+"""Largest part of an object."""
+
+MAX_GROUP = 255
+"""Largest group: it is one byte."""
+
+MAX_LEFT_MS = 600_000.0
+"""Longest time that a client waits, in milliseconds."""
+
+MAX_SIZE_KB = 1e9
+"""Largest size of a part, in kilobytes."""
+
+MIN_LEFT_MS = 1.0
+"""Time left of a request whose time is over: it is decided like any other."""
+
+HEADER_PREFIX = "HTTP_"
+"""What a parameter's name has before the name of an HTTP header (RFC 3875 §4.1.18)."""
+
+
+def decode_request(params: Mapping[str, str], body: bytes, spent_ms: float = 0.0) -> ClientRequest:
+    """Decode a request.
+
+    Args:
+        params: CGI parameters by name.
+        body: the request's body.
+        spent_ms: milliseconds of the client's time that have passed already.
+
+    Raises:
+        ProtocolError: the path or a field is malformed.
+    """
+    path = params.get("SCRIPT_NAME", "")
+    if not path.startswith(REQUEST_PREFIX):
+        raise ProtocolError("path")
+    return ClientRequest(
+        transaction_id=_required_field(HEX16, params, "HTTP_X_TXN"),
+        class_name=_decode_class_name(path[len(REQUEST_PREFIX) :]),
+        object_id=_required_field(HEX16, params, "HTTP_X_ROW"),
+        left_ms=_decode_left_ms(params, spent_ms),
+        part=int(parse_number(params.get("HTTP_X_PART", "0"), MAX_PART, "part")),
+        group=int(parse_number(params.get("HTTP_X_GROUP", "0"), MAX_GROUP, "group")),
+        size_kb=parse_number(params.get("HTTP_X_WORKING_SET_KB", "0"), MAX_SIZE_KB, "size"),
+        idempotency_key=_optional_field(params, "HTTP_X_TXN_KEY"),
+        if_none_match=_optional_field(params, "HTTP_X_HAVE"),
+        body=body,
+    )
+
+
+def parse_number(text: str, largest: float, code: str) -> float:
+    """Parse a number from 0 to a limit.
+
+    Raises:
+        ProtocolError: ``field-CODE``, it is none, or out of range.
+    """
+    try:
+        value = float(text)
+    except ValueError as error:
+        raise ProtocolError(f"field-{code}") from error
+    if not 0 <= value <= largest or math.isnan(value):
+        raise ProtocolError(f"field-{code}")
+    return value
+
+
+def _decode_left_ms(params: Mapping[str, str], spent_ms: float) -> float:
+    left_ms = parse_number(params.get("HTTP_X_TTL_MS", ""), MAX_LEFT_MS, "ttl")
+    return max(left_ms - spent_ms, MIN_LEFT_MS)
+
+
+def _decode_class_name(text: str) -> str:
+    if not WORD.fullmatch(text):
+        raise ProtocolError("field-path")
+    return text
+
+
+def _required_field(pattern: re.Pattern[str], params: Mapping[str, str], name: str) -> str:
+    text = params.get(name, "")
+    if not pattern.fullmatch(text):
+        raise ProtocolError(f"field-{name.removeprefix(HEADER_PREFIX).lower()}")
+    return text
+
+
+def _optional_field(params: Mapping[str, str], name: str) -> str:
+    if not params.get(name):
+        return ""
+    return _required_field(WORD, params, name)
+
+
+def encode_response(answer: Answer) -> bytes:
+    """Encode a final answer; the time to stay away is rounded up to whole milliseconds."""
+    match answer:
+        case Served(content) if content.not_modified:
+            return b"Status: 200\r\nX-Same: 1\r\n\r\n"
+        case Served(content):
+            return b"Status: 200\r\n\r\n" + content.body
+        case Rejected(retry_after_ms):
+            return b"Status: 503\r\nX-Throttle-Ms: %d\r\n\r\n" % max(math.ceil(retry_after_ms), 0)
+        case Failed(timed_out=True):
+            return b"Status: 504\r\n\r\n"
+        case Failed():
+            return b"Status: 502\r\n\r\n"
--- a/thornjunction/net/wire/polls.py
+++ b/thornjunction/net/wire/polls.py
@@ -1,80 +1,127 @@
-"""A poll of the command channel as a relay is asked it (docs/design/control.md, "The wire"): bounded, and
-read without a library, for a relay is asked thousands of times a second."""
+"""A poll of the command channel as a relay receives it (docs/design/control.md, "The wire").
+
+Bounded, and parsed without a library, because a relay receives thousands of polls a second.
+"""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
 from thornjunction.net.wire import ProtocolError
 
 PATH = "/cmd/next"
-MAX_TARGET, MOST_PAIRS, MOST_NAMES = 1024, 16, 8
-MOST_BLOCK_MS = 5_000  # the protocol's
-ROLES = "router", "relay", "sibling", "probe"
-NAME, NUMBER = re.compile(r"[A-Za-z0-9._-]{1,32}"), re.compile(r"[0-9]{1,16}")
-LARGEST = 1 << 53
+"""Path of a poll."""
+
+MAX_TARGET_CHARACTERS = 1024
+"""Path and query of a poll: some times what a relay sends with all its lagging routers."""
+
+MAX_PAIRS = 16
+"""Parameters of a poll: twice those that are known, because the protocol may grow."""
+
+MAX_NAMES = 8
+"""Lagging routers that a relay names."""
+
+MAX_BLOCK_MS = 5_000
+"""Longest time that a poll may wait, by the protocol."""
+
+ROLES = ("router", "relay", "sibling", "probe")
+"""Values of ``as``."""
+
+NAME = re.compile(r"[A-Za-z0-9._-]{1,32}")
+"""Name of a router, a relay or an epoch."""
+
+NUMBER = re.compile(r"[0-9]{1,16}")
+"""A number's digits."""
+
+MAX_NUMBER = 1 << 53
+"""The largest integer that all JSON readers agree on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What is asked.  ``done``, ``behind`` and ``names`` come from a relay: what all of its routers have
-    confirmed, how many have not confirmed more, and some of these; None or empty where it told nothing."""
+    """A poll.  The last three fields come from relays alone.
+
+    Attributes:
+        resume: number of the last event that the poller has.
+        block_ms: how long the poll may wait for an event, in milliseconds.
+        epoch: whose numbers these are; empty: not named.
+        role: one of ``ROLES``.
+        name: the poller's name; empty: not named.
+        acknowledged: number of the last event that all routers below the relay have; None: not reported.
+        lagging_count: number of routers below that do not have more.
+        lagging_names: names of some of these.
+    """
 
     resume: int
     block_ms: int
     epoch: str = ""
     role: str = "router"
     name: str = ""
-    done: int | None = None
-    behind: int = 0
-    names: tuple[str, ...] = ()
+    acknowledged: int | None = None
+    lagging_count: int = 0
+    lagging_names: tuple[str, ...] = ()
 
-    def at_once(self) -> Poll:
-        """The same, to be answered with what there is now."""
+    def without_waiting(self) -> Poll:
+        """Return the same poll, to be answered with what there is now."""
         return replace(self, block_ms=0)
 
 
 def decode_poll(target: str) -> Poll:
-    """The poll of a request's target; ProtocolError, with a code for the log, for what is none.  Keys that
-    are not known are passed over, for the protocol may grow."""
+    """Decode the target of a request; unknown parameters are ignored, because the protocol may grow.
+
+    Raises:
+        ProtocolError: it is no poll, or one that exceeds a limit.
+    """
     path, _, query = target.partition("?")
     if path != PATH:
         raise ProtocolError("poll-path")
-    if len(target) > MAX_TARGET:
+    if len(target) > MAX_TARGET_CHARACTERS:
         raise ProtocolError("poll-size")
-    pairs = [pair.partition("=") for pair in query.split("&")]
-    told = {key: value for key, _, value in pairs}
-    if len(pairs) > MOST_PAIRS or len(told) < len(pairs):
-        raise ProtocolError("poll-pairs")
-    role = told.get("as", "router")
+    params = _decode_params(query)
+    role = params.get("as", "router")
     if role not in ROLES:
         raise ProtocolError("poll-as")
-    listed = told.get("names", "").replace("%2C", ",").replace("%2c", ",")
-    names = tuple(listed.split(",")) if listed else ()
-    if len(names) > MOST_NAMES or not all(map(NAME.fullmatch, names)):
-        raise ProtocolError("poll-names")
+    lagging_names = _decode_names(params)
     return Poll(
-        resume=_number(told, "resume"),
-        block_ms=min(_number(told, "block", "0"), MOST_BLOCK_MS),
-        epoch=_name(told, "epoch"),
+        resume=_decode_number(params, "resume"),
+        block_ms=min(_decode_number(params, "block", "0"), MAX_BLOCK_MS),
+        epoch=_decode_name(params, "epoch"),
         role=role,
-        name=_name(told, "name"),
-        done=_number(told, "done") if "done" in told else None,
-        behind=_number(told, "behind", "0"),
-        names=names,
+        name=_decode_name(params, "name"),
+        acknowledged=_decode_number(params, "done") if "done" in params else None,
+        lagging_count=_decode_number(params, "behind", "0"),
+        lagging_names=lagging_names,
     )
 
 
-def _number(told: dict[str, str], key: str, default: str = "") -> int:
-    text = told.get(key, default)
-    if not NUMBER.fullmatch(text) or (number := int(text)) > LARGEST:
+def _decode_params(query: str) -> Mapping[str, str]:
+    pairs = [pair.partition("=") for pair in query.split("&")]
+    params = {key: value for key, _, value in pairs}
+    if len(pairs) > MAX_PAIRS or len(params) < len(pairs):
+        raise ProtocolError("poll-pairs")
+    return params
+
+
+def _decode_names(params: Mapping[str, str]) -> tuple[str, ...]:
+    """Names separated by commas, which may be percent-encoded."""
+    text = params.get("names", "").replace("%2C", ",").replace("%2c", ",")
+    names = tuple(text.split(",")) if text else ()
+    if len(names) > MAX_NAMES or not all(map(NAME.fullmatch, names)):
+        raise ProtocolError("poll-names")
+    return names
+
+
+def _decode_number(params: Mapping[str, str], key: str, default: str = "") -> int:
+    text = params.get(key, default)
+    if not NUMBER.fullmatch(text) or int(text) > MAX_NUMBER:
         raise ProtocolError(f"poll-{key}")
-    return number
+    return int(text)
 
 
-def _name(told: dict[str, str], key: str) -> str:
-    text = told.get(key, "")
+def _decode_name(params: Mapping[str, str], key: str) -> str:
+    text = params.get(key, "")
     if text and not NAME.fullmatch(text):
         raise ProtocolError(f"poll-{key}")
     return text
--- a/thornjunction/net/wire/ranges.py
+++ b/thornjunction/net/wire/ranges.py
@@ -1,5 +1,8 @@
-"""Byte ranges of a whole answer (RFC 9110 §14): one range is served as 206, one that can't be is 416, and
-several are served whole, as §14.2 allows.  ``If-Range`` (§13.1.5) with another tag also serves it whole."""
+"""Byte ranges of a complete response (RFC 9110 §14).
+
+One range is served as 206, and one beyond the end is rejected with 416.  Several ranges are served as the
+complete response, which §14.2 allows.  ``If-Range`` (§13.1.5) with another entity tag has the same effect.
+"""
 
 from __future__ import annotations
 
@@ -7,41 +10,64 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-ONE = re.compile(r"bytes=(\d{0,15})-(\d{0,15})", re.ASCII)
+SINGLE_RANGE = re.compile(r"bytes=(\d{0,15})-(\d{0,15})", re.ASCII)
+"""One range with its first and last byte (§14.1.2); either may be missing."""
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """What to send of a body of ``length`` bytes: a status, its slice and the Content-Range, if any."""
+    """What is to be sent of a body.
+
+    Attributes:
+        status: 200, 206 or 416.
+        start: its first byte.
+        end: one past its last byte.
+        content_range: value of ``Content-Range``; empty: the header is left out.
+    """
 
     status: int
     start: int = 0
-    end: int = 0  # one past the last byte
+    end: int = 0
     content_range: str = ""
 
 
-def choose(headers: Mapping[str, str], tag: str, length: int) -> Part:
-    """The part that a request's ``range`` and ``if-range`` (lower-case names) ask of an answer."""
-    told = headers.get("range", "").replace(" ", "")
-    if not told or not _current(headers.get("if-range"), tag):
-        return Part(200, 0, length)
-    found = ONE.fullmatch(told)
-    if found is None:
-        return Part(200, 0, length)  # several ranges, or another unit: whole
-    first, last = found[1], found[2]
+def select_part(headers: Mapping[str, str], etag: str, length: int) -> Part:
+    """Select the part that a request asks for.
+
+    Args:
+        headers: the request's headers, names in lower case.
+        etag: entity tag of the response; empty: it has none.
+        length: bytes of its body.
+    """
+    complete = Part(200, 0, length)
+    text = headers.get("range", "").replace(" ", "")
+    if not text or not _is_current(headers.get("if-range"), etag):
+        return complete
+    match = SINGLE_RANGE.fullmatch(text)
+    if match is None:  # several ranges, or another unit
+        return complete
+    first = match[1]
+    last = match[2]
     if not first and not last:
-        return Part(200, 0, length)
-    if not first:  # the last N bytes
-        start, end = max(length - int(last), 0), length
-    elif last and int(last) < int(first):
-        return Part(200, 0, length)  # §14.1.1: an invalid range is ignored
-    else:
-        start, end = int(first), min(int(last) + 1, length) if last else length
+        return complete
+    if not first:
+        return _partial(max(length - int(last), 0), length, length)
+    if not last:
+        return _partial(int(first), length, length)
+    if int(last) < int(first):  # §14.1.1: an invalid range is ignored
+        return complete
+    return _partial(int(first), min(int(last) + 1, length), length)
+
+
+def _partial(start: int, end: int, length: int) -> Part:
+    """Return the bytes from ``start`` up to ``end``, or 416 where there are none."""
     if start >= length or start >= end:
         return Part(416, content_range=f"bytes */{length}")
     return Part(206, start, end, f"bytes {start}-{end - 1}/{length}")
 
 
-def _current(if_range: str | None, tag: str) -> bool:
-    """§13.1.5: a range is served only where the client's validator is the answer's strong tag."""
-    return if_range is None or (bool(tag) and if_range.strip() == f'"{tag}"')
+def _is_current(if_range: str | None, etag: str) -> bool:
+    """Whether the client's validator, if it sent one, is the response's strong entity tag (§13.1.5)."""
+    if if_range is None:
+        return True
+    return bool(etag) and if_range.strip() == f'"{etag}"'
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -1,128 +1,216 @@
-"""The second front's URLs: /CLASS/GROUP/OBJECT/PART and a token, to a call; an answer to a response."""
+"""Requests for signed URLs, ``/CLASS/GROUP/OBJECT/PART`` with a token (RFC 9246), and their responses."""
 
 from __future__ import annotations
 
 import math
 import re
 from collections.abc import Mapping
+from typing import NamedTuple
 from urllib.parse import unquote
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer, ClientRequest, Failed, Rejected, Served
+from thornjunction.core.ports import Answer, ClientRequest, Content, Failed, Rejected, Served
 from thornjunction.net.wire import ProtocolError, ranges
+from thornjunction.net.wire.cgi import MAX_GROUP, MAX_PART, MAX_SIZE_KB, WORD, parse_number
 from thornjunction.net.wire.http1 import HttpRequest, HttpResponse
-from thornjunction.net.wire.platform import MAX_GROUP, MAX_PART, WORD, number
 
-PACKAGE = "URISigningPackage"  # RFC 9246's name of the attribute and of the cookie
+PACKAGE = "URISigningPackage"
+"""Name of the URI attribute and of the cookie that carry a token (RFC 9246 §2.1.14)."""
+
 PATH = re.compile(r"/([0-9A-Za-z_-]{1,64})/(0|[1-9]\d{0,2})/([0-9a-f]{16})/(0|[1-9]\d{0,6})", re.ASCII)
+"""Class, group, object and part."""
+
+MAX_CLIENT_TIME_MS = 1e9
+"""Largest time that a client may say it waits; its class bounds it further."""
+
+MIN_RETRY_AFTER_S = 1
+"""``Retry-After`` is in whole seconds (RFC 9110 §10.2.3), and 0 would bring the client back at once."""
+
+READ_METHODS = ("GET", "HEAD")
+"""Methods of a class whose requests are idempotent."""
 
+WRITE_METHODS = ("POST",)
+"""Methods of the other classes."""
 
-class MisuseError(Exception):
-    """A request that never reaches the core: its status and a code for the log."""
+MS_PER_S = 1000
+"""Milliseconds of a second."""
+
+
+class RequestError(Exception):
+    """A request was rejected before it reached the core.
+
+    Attributes:
+        status: status of the response.
+        code: reason for the log.
+    """
 
     def __init__(self, status: int, code: str) -> None:
         super().__init__(code)
-        self.status, self.code = status, code
+        self.status = status
+        self.code = code
+
 
+class SignedTarget(NamedTuple):
+    """A request's target, and the token that was in it or came with it.
 
-def split_token(request: HttpRequest) -> tuple[str, str]:
-    """The target without its token, and the token (RFC 9246 §2.1.15: the package is taken out before the
-    URI is matched).  The URI carries it as a query attribute or as a path segment ``URISigningPackage=...``
-    (path style, as §2.1.14's depth counts segments); a cookie serves where the URI has none, so that the
-    URI decides where the two disagree.  Twice in the URI, or twice in the cookies, is refused, since two
-    readers could take one each."""
+    Attributes:
+        target: path and query without the token, as it was signed.
+        token: the token.
+    """
+
+    target: str
+    token: str
+
+
+def split_token(request: HttpRequest) -> SignedTarget:
+    """Separate the token from the target (RFC 9246 §2.1.15: it is removed before the URI is matched).
+
+    The URI carries it as a query attribute or as a path segment ``URISigningPackage=...``; path style, as
+    the depth in §2.1.14 counts segments.  A cookie is used where the URI has none, so that the URI decides
+    where the two differ.
+
+    Raises:
+        RequestError: ``token-missing``, or ``token-twice``: with two in the URI, or two cookies, two readers
+            could each use another one.
+    """
     path, _, query = request.target.partition("?")
     pairs = [pair for pair in query.split("&") if pair]
-    tokens = [pair.partition("=")[2] for pair in pairs if _is_package(pair)]
-    kept = [pair for pair in pairs if not _is_package(pair)]
     segments = path.split("/")
-    tokens += [segment.partition("=")[2] for segment in segments if _is_package(segment)]
-    path = "/".join(segment for segment in segments if not _is_package(segment))
+    uri_tokens = [_value(item) for item in (*pairs, *segments) if _is_package(item)]
+    cookie_tokens = _cookie_tokens(request)
+    if len(uri_tokens) > 1 or len(cookie_tokens) > 1:
+        raise RequestError(401, "token-twice")
+    tokens = uri_tokens or cookie_tokens
+    if not tokens or not tokens[0]:
+        raise RequestError(401, "token-missing")
+    target = "/".join(segment for segment in segments if not _is_package(segment))
+    remaining_pairs = [pair for pair in pairs if not _is_package(pair)]
+    if remaining_pairs:
+        target += "?" + "&".join(remaining_pairs)
+    return SignedTarget(target, tokens[0])
+
+
+def _cookie_tokens(request: HttpRequest) -> list[str]:
     cookies = [cookie.strip().partition("=") for cookie in request.headers.get("cookie", "").split(";")]
-    carried = [value for name, _, value in cookies if name == PACKAGE]
-    if len(tokens) > 1 or len(carried) > 1:
-        raise MisuseError(401, "token-twice")
-    found = tokens or carried
-    if not found or not found[0]:
-        raise MisuseError(401, "token-missing")
-    return path + ("?" + "&".join(kept) if kept else ""), found[0]
+    return [value for name, _, value in cookies if name == PACKAGE]
 
 
 def _is_package(pair: str) -> bool:
     return unquote(pair.partition("=")[0]) == PACKAGE
 
 
-def decode_call(
-    request: HttpRequest, target: str, name: str, classes: Mapping[str, api.RequestClass]
+def _value(pair: str) -> str:
+    return pair.partition("=")[2]
+
+
+def decode_request(
+    request: HttpRequest, target: str, transaction_id: str, classes: Mapping[str, api.RequestClass]
 ) -> ClientRequest:
-    """The call; MisuseError for a request that fits no class."""
-    found = PATH.fullmatch(target)
-    kind = classes.get(found[1]) if found else None
-    if found is None or kind is None or int(found[2]) > MAX_GROUP or int(found[4]) > MAX_PART:
-        raise MisuseError(404, "no-such-path")
-    if request.method not in (("GET", "HEAD") if kind.safety is api.Safety.SAFE else ("POST",)):
-        raise MisuseError(405, "method")
-    key = request.headers.get("idempotency-key", "").strip('"')
-    if (kind.safety is api.Safety.KEYED or key) and not WORD.fullmatch(key):
-        raise MisuseError(400, "idempotency-key")
-    try:
-        asked = number(request.headers.get("x-ttl-ms", str(kind.give_up_ms)), 1e9, "ttl")
-        size = number(request.headers.get("x-working-set-kb", "0"), 1e9, "size")
-    except ProtocolError as error:
-        raise MisuseError(400, str(error)) from error
-    have = request.headers.get("if-none-match", "").strip('"')
+    """Decode a request.
+
+    Args:
+        request: the request itself.
+        target: its target without the token.
+        transaction_id: unique to this request.
+        classes: request classes by name.
+
+    Raises:
+        RequestError: it fits no class, or a header is malformed.
+    """
+    match = PATH.fullmatch(target)
+    request_class = classes.get(match[1]) if match else None
+    if match is None or request_class is None or int(match[2]) > MAX_GROUP or int(match[4]) > MAX_PART:
+        raise RequestError(404, "no-such-path")
+    methods = READ_METHODS if request_class.safety is api.Safety.SAFE else WRITE_METHODS
+    if request.method not in methods:
+        raise RequestError(405, "method")
+    idempotency_key = _idempotency_key(request, request_class)
+    left_ms = _number_header(request, "x-ttl-ms", str(request_class.give_up_ms), MAX_CLIENT_TIME_MS, "ttl")
+    size_kb = _number_header(request, "x-working-set-kb", "0", MAX_SIZE_KB, "size")
+    if_none_match = request.headers.get("if-none-match", "").strip('"')
     return ClientRequest(
-        transaction_id=name,
-        class_name=kind.name,
-        object_id=found[3],
-        left_ms=min(asked, kind.give_up_ms),
-        part=int(found[4]),
-        group=int(found[2]),
-        size_kb=size,
-        idempotency_key=key if kind.safety is not api.Safety.SAFE else "",
-        if_none_match=have if WORD.fullmatch(have) else "",
+        transaction_id=transaction_id,
+        class_name=request_class.name,
+        object_id=match[3],
+        left_ms=min(left_ms, request_class.give_up_ms),
+        part=int(match[4]),
+        group=int(match[2]),
+        size_kb=size_kb,
+        idempotency_key=idempotency_key,
+        if_none_match=if_none_match if WORD.fullmatch(if_none_match) else "",
         body=request.body,
     )
 
 
-def encode_answer(answer: Answer, request: HttpRequest, extra: Mapping[str, str]) -> HttpResponse:
-    """``extra`` holds headers that only a served answer gets, as a renewed token's cookie.  A served body
-    is whole, so a range of it (RFC 9110 §14) is cut here; HEAD is told all but the body."""
-    keep, head = request.keep_alive, request.method == "HEAD"
+def _idempotency_key(request: HttpRequest, request_class: api.RequestClass) -> str:
+    """Value of ``Idempotency-Key``; empty for a class whose requests need none."""
+    key = request.headers.get("idempotency-key", "").strip('"')
+    is_required = request_class.safety is api.Safety.KEYED
+    if (is_required or key) and not WORD.fullmatch(key):
+        raise RequestError(400, "idempotency-key")
+    return "" if request_class.safety is api.Safety.SAFE else key
+
+
+def _number_header(request: HttpRequest, name: str, default: str, largest: float, code: str) -> float:
+    try:
+        return parse_number(request.headers.get(name, default), largest, code)
+    except ProtocolError as error:
+        raise RequestError(400, str(error)) from error
+
+
+def encode_answer(answer: Answer, request: HttpRequest, served_headers: Mapping[str, str]) -> HttpResponse:
+    """Return the response with a final answer.
+
+    Args:
+        answer: the answer.
+        request: the request that it answers.
+        served_headers: headers of a served answer alone, as a renewed token's cookie.
+    """
     match answer:
         case Served(content):
-            headers = {"Cache-Control": "private, no-store"} | dict(extra)
-            if content.etag:
-                headers["ETag"] = f'"{content.etag}"'
-            if content.not_modified:
-                return HttpResponse(304, headers, b"", keep)
-            part = ranges.choose(request.headers, content.etag, len(content.body))
-            headers |= {"Content-Type": "application/octet-stream", "Accept-Ranges": "bytes"}
-            if part.content_range:
-                headers["Content-Range"] = part.content_range
-            return HttpResponse(part.status, headers, content.body[part.start : part.end], keep, head)
-        case Rejected(wait_ms):
-            return refused(wait_ms / 1000, keep)
+            return _served(content, request, served_headers)
+        case Rejected(retry_after_ms):
+            return encode_unavailable(retry_after_ms / MS_PER_S, request.keep_alive)
         case Failed(timed_out):
-            return HttpResponse(504 if timed_out else 502, {}, b"", keep)
+            return HttpResponse(504 if timed_out else 502, {}, b"", request.keep_alive)
+
+
+def _served(content: Content, request: HttpRequest, served_headers: Mapping[str, str]) -> HttpResponse:
+    """Return a complete body or a range of it (RFC 9110 §14), or 304."""
+    headers = {"Cache-Control": "private, no-store"} | dict(served_headers)
+    if content.etag:
+        headers["ETag"] = f'"{content.etag}"'
+    if content.not_modified:
+        return HttpResponse(304, headers, b"", request.keep_alive)
+    part = ranges.select_part(request.headers, content.etag, len(content.body))
+    headers["Content-Type"] = "application/octet-stream"
+    headers["Accept-Ranges"] = "bytes"
+    if part.content_range:
+        headers["Content-Range"] = part.content_range
+    body = content.body[part.start : part.end]
+    return HttpResponse(part.status, headers, body, request.keep_alive, head=request.method == "HEAD")
+
 
+def encode_unavailable(retry_after_s: float, keep_alive: bool) -> HttpResponse:
+    """Return 503: nothing ran, and the client may retry after some seconds, rounded up."""
+    retry_after = max(math.ceil(retry_after_s), MIN_RETRY_AFTER_S)
+    return HttpResponse(503, {"Retry-After": str(retry_after)}, b"", keep_alive)
 
-def refused(wait_s: float, keep: bool) -> HttpResponse:
-    """503: nothing ran; when to come back, in whole seconds, at least one."""
-    return HttpResponse(503, {"Retry-After": str(max(math.ceil(wait_s), 1))}, b"", keep)
 
+def encode_rejection(status: int, keep_alive: bool, retry_after_s: float = 0.0) -> HttpResponse:
+    """Return the response to a request that never reached the core.
 
-def encode_misused(status: int, keep: bool, wait_s: float = 0.0) -> HttpResponse:
-    """No word here says that trying again is harmless: nothing is known of an earlier try, except where a
-    full replay window refused (503) before anything ran."""
+    It does not say that a retry is harmless, because nothing is known of an earlier attempt; except 503,
+    with which a full replay window rejects a request before anything ran.
+    """
     if status == 503:
-        return refused(wait_s, keep)
+        return encode_unavailable(retry_after_s, keep_alive)
     headers = {"WWW-Authenticate": "URISigning"} if status == 401 else {}
-    return HttpResponse(status, headers, b"", keep)
+    return HttpResponse(status, headers, b"", keep_alive)
 
 
-def cookie_for(token: str, target: str, depth: int, lifetime_s: int) -> str:
-    """A renewed token as a cookie, for the path's first segments (none: for all paths)."""
+def renewal_cookie(token: str, target: str, depth: int, lifetime_s: int) -> str:
+    """Return ``Set-Cookie`` for a renewed token, limited to the first ``depth`` segments of the path."""
     segments = target.partition("?")[0].split("/")[1 : 1 + depth]
     path = "/" + "/".join(segments)
     return f"{PACKAGE}={token}; Path={path}; Max-Age={lifetime_s}; Secure; HttpOnly"
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -140,9 +140,9 @@
             poll.epoch,
             poll.role,
             poll.name,
-            acknowledged=poll.done or 0,
-            lagging_count=poll.behind,
-            lagging_names=poll.names,
+            acknowledged=poll.acknowledged or 0,
+            lagging_count=poll.lagging_count,
+            lagging_names=poll.lagging_names,
         )
         self.feed(PollReceived(poller, request))
 
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -29,7 +29,7 @@
 from thornjunction.net.shelves import ShelfPool
 from thornjunction.net.transport import Building, server_endpoint
 from thornjunction.net.unix_clock import UnixClock
-from thornjunction.net.wire import platform
+from thornjunction.net.wire import cgi
 from thornjunction.net.wire.admin import encode_counters, encode_reply
 from thornjunction.net.wire.commands import Command, Host, ListChange
 from thornjunction.policy.router import Router
@@ -265,7 +265,7 @@
         self.classes |= {kind.name: kind for kind in settings.classes}
         self.counters.classes |= self.classes.keys()
         wait_ms = settings.max_wait_advice_ms if settings.may_advise_wait else 0.0
-        self._refusal = platform.encode_cgi(Rejected(wait_ms))
+        self._refusal = cgi.encode_response(Rejected(wait_ms))
 
     def end(self) -> None:
         """SIGTERM: accept through the stated window, answer all that was taken, then exit 0."""
