--- a/packages/fleet-scale/src/fleet_scale/hollow.py
+++ b/packages/fleet-scale/src/fleet_scale/hollow.py
@@ -90,7 +90,7 @@
         if isinstance(command, Purge):
             if command.key is not None and self.seen.add(command.key):
                 self.tally.taken(self.tally.purges, command.key, now)
-        elif not command.whole:
+        elif not command.is_complete:
             for host in command.hosts:
                 self.tally.taken(self.tally.changes, change_of(host.weight), now)
 
--- a/packages/fleet-scale/tests/test_scale_parts.py
+++ b/packages/fleet-scale/tests/test_scale_parts.py
@@ -57,13 +57,13 @@
     log = log_of(5)
     first = read(log.answer(0))
     (change,) = first.events
-    assert isinstance(change, ListChange) and change.whole and len(change.hosts) == 6
+    assert isinstance(change, ListChange) and change.is_complete and len(change.hosts) == 6
     log.purge(7, 1e12)
     log.change("s-0001", health="leaving", share=share_of(1))
     told = read(log.answer(first.cursor))
     purge, change = told.events
-    assert isinstance(purge, Purge) and (purge.key, purge.when_ms, purge.cursor) == (7, 1e12, 2)
-    assert isinstance(change, ListChange) and not change.whole and change.cursor == 3 == told.cursor
+    assert isinstance(purge, Purge) and (purge.key, purge.issued_unix_ms, purge.cursor) == (7, 1e12, 2)
+    assert isinstance(change, ListChange) and not change.is_complete and change.cursor == 3 == told.cursor
     assert [(host.name, change_of(host.weight)) for host in change.hosts] == [("s-0001", 1)]
     assert read(log.answer(3)).events == () and read(log.answer(9)).cursor == 3
 
--- a/packages/standins/src/standins/watch.py
+++ b/packages/standins/src/standins/watch.py
@@ -113,7 +113,7 @@
 def in_short(taken: Command) -> str:
     """What an event says: shelfs and their states, or a purge's object, group and time."""
     if isinstance(taken, Purge):
-        return f"{taken.key}/{taken.group}/{taken.when_ms}"
+        return f"{taken.key}/{taken.group}/{taken.issued_unix_ms}"
     return " ".join(f"{host.name}:{host.state.name}" for host in taken.hosts)
 
 
--- a/tests/sources_rig.py
+++ b/tests/sources_rig.py
@@ -231,7 +231,7 @@
         held: dict[str, str] = {}
         for command in self.taken:
             if isinstance(command, ListChange):
-                held = {} if command.whole else held
+                held = {} if command.is_complete else held
                 held |= {host.name: host.state.name for host in command.hosts}
         return held
 
--- a/tests/test_long_answer.py
+++ b/tests/test_command_stream.py
@@ -13,8 +13,8 @@
 
 from tests.test_watch import service_of
 from thornjunction.net.wire import ProtocolError
+from thornjunction.net.wire.command_stream import CommandStreamParser
 from thornjunction.net.wire.commands import Commands, Purge, decode_commands
-from thornjunction.net.wire.long_answer import LongAnswer
 
 ODD = [b"9" * 19, b"9" * 5000, b"1e400", b"-", b"1.", b"NaN", b"nul", b"0" * 50, b"/*", b"\x00", b"[" * 40]
 ODD += [b"\xff", b"\xed\xa0\x80", b"\xef\xbb\xbf", b"\xf0\x9f", b"\\ud800", b"\\u00", b"\\"]
@@ -52,21 +52,21 @@
     listed = {"cursor": 2, "nodes": {"hosts": [line("a", share=0.5, born_ms=5)]}}
     events = [purge(1), listed, 7, "x", [], None, {}]
     beside = {"more": {"cursor": 3, "cmds": [4]}, "age": 0.5, "cursor": 9}
-    long, taken = LongAnswer(), list[Any]()
+    long, taken = CommandStreamParser(), list[Any]()
     for byte in json.dumps({"epoch": "e1", "cmds": events} | beside).encode():
         taken += long.feed(bytes([byte]))
     assert taken == events and long.fault == ""
-    assert long.end() == Commands(9, (), epoch="e1", age_ms=0.5)
+    assert long.finish() == Commands(9, (), epoch="e1", age_ms=0.5)
 
 
 @pytest.mark.parametrize(
     "text", ["[1]", "7", '{"cmds": {}, "cursor": 1}', '{"cmds": []}', '{"cursor": 1, "cmds": [1']
 )
 def test_what_is_no_answer_is_none_in_pieces(text: str) -> None:
-    long = LongAnswer()
+    long = CommandStreamParser()
     long.feed(text.encode())
     with pytest.raises(ProtocolError, match="commands-form"):
-        long.end()
+        long.finish()
 
 
 def spoilt(body: bytes, draw: random.Random) -> bytes:
@@ -89,12 +89,12 @@
     }
     body = told([*purges(1, 7), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}], 9)
     for _ in range(3000):
-        long, text, size = LongAnswer(), spoilt(body, draw), draw.choice((1, 7, 100, 8192))
+        long, text, size = CommandStreamParser(), spoilt(body, draw), draw.choice((1, 7, 100, 8192))
         for start in range(0, len(text), size):
             if not long.fault:
                 long.feed(text[start : start + size])
         try:
-            ends.add(long.fault or str(long.end().cursor))
+            ends.add(long.fault or str(long.finish().cursor))
         except ProtocolError as error:
             ends.add(str(error))
     assert {"9", "commands-form", "commands-depth"} <= ends
--- a/tests/test_relay_endpoint.py
+++ b/tests/test_relay_endpoint.py
@@ -16,7 +16,7 @@
 from thornjunction.net.relay import LOOK_MS, MAX_HEAD, PIECE, SILENT_MS, UNREAD_MS, Pollers
 from thornjunction.net.transport import Building
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.commands import line_of, read_commands
+from thornjunction.net.wire.commands import encode_host, parse_commands
 from thornjunction.net.wire.polls import MAX_PAIRS, Poll, decode_poll
 
 reactor: Any = _reactor
@@ -64,7 +64,7 @@
 
 def heard(line: dict[str, Any]) -> Any:
     told = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"seq": 1, "whole": True, "hosts": [line]}}]}
-    return read_commands(told)
+    return parse_commands(told)
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     """One with faults too: who reads it next finds the same shelf, and no fault."""
     line = {"host": "s1", "dial": "127.0.0.1:9", "site": "z", "class": "box", "health": "active", "block": 2}
     (change,) = heard(line | more).events
-    told = heard(line_of(change.hosts[0]))
+    told = heard(encode_host(change.hosts[0]))
     assert told.events == (change,) and not told.faults
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -22,7 +22,7 @@
     graphite,
     http1,
     resp,
-    shelf,
+    upstream,
 )
 
 fixed = settings(derandomize=True, max_examples=60, deadline=None)
@@ -74,7 +74,7 @@
     texts = dict.fromkeys((*PARAMS, "HTTP_X_PART"), junk.decode("latin-1"))
     for parse in (
         lambda: commands.decode_commands(junk),
-        lambda: shelf.decode_answer((b"id", b"DONE", junk, b"")),
+        lambda: upstream.decode_response((b"id", b"DONE", junk, b"")),
         lambda: cgi.decode_request(PARAMS | texts, b""),
         lambda: fastcgi.decode_pairs(junk),
     ):
@@ -82,7 +82,7 @@
             parse()
         except ProtocolError as error:
             assert str(error)
-    shelf.decode_report(junk.decode("latin-1"))
+    upstream.decode_report(junk.decode("latin-1"))
 
 
 def test_request_is_read() -> None:
@@ -115,14 +115,14 @@
 
 
 def test_want_has_the_listed_fields_only() -> None:
-    (items,) = resp.ArrayReader().feed(shelf.encode_want(order()))
+    (items,) = resp.ArrayReader().feed(upstream.encode_request(order()))
     assert items[:2] == (b"want", b"id") and items[3] == b"b"
     told = b"profile=readings,thing=7f3a9c21e0b4d655,nth=0,max=900,up=p1,store=2,cap=1"
     assert items[2] == told + b",do=only-if-cached+refresh,inm=tag"
 
 
 def test_without_a_source_nothing_is_renewed_or_asked_of_it() -> None:
-    (items,) = resp.ArrayReader().feed(shelf.encode_want(order(renew=True, held_only=True)))
+    (items,) = resp.ArrayReader().feed(upstream.encode_request(order(renew=True, held_only=True)))
     assert b"do=" not in items[2] and b"up=" not in items[2]
 
 
@@ -131,7 +131,7 @@
     told = {"cursor": 3, "cmds": [{"cursor": 2, "nodes": {"whole": True, "hosts": [host]}}]}
     told["cmds"].append({"cursor": 3, "drop": {"id": "ff", "when": 5}})  # type: ignore[attr-defined]
     change, purge = commands.decode_commands(json.dumps(told).encode()).events
-    assert isinstance(change, commands.ListChange) and change.whole
+    assert isinstance(change, commands.ListChange) and change.is_complete
     assert (change.hosts[0].address, change.hosts[0].state) == (("10.1.0.9", 80), api.State.DRAINING)
     assert purge == commands.Purge(3, 255, 0, 5.0)
 
--- a/thornjunction/net/catch_up.py
+++ b/thornjunction/net/catch_up.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.commands import TOLD_FAULTS, Commands, read_head
-from thornjunction.net.wire.long_answer import LongAnswer
+from thornjunction.net.wire.command_stream import CommandStreamParser
+from thornjunction.net.wire.commands import MAX_REPORTED_FAULTS, Commands, parse_head
 
 SHORT = 65_536  # bytes of body: what is no longer is read whole, at once
 LONGEST = 64_000_000  # bytes of body: an hour behind, 122,400 purges, is 10 MB
@@ -28,7 +28,7 @@
         self.clock, self.until, self.apply = clock, until, apply
         self.ended = False  # the last byte of the answer has been put
         self.wasted = 0  # bytes since the last new event
-        self._answer, self._waiting, self._faults = LongAnswer(), bytearray(), list[str]()
+        self._answer, self._waiting, self._faults = CommandStreamParser(), bytearray(), list[str]()
         self._still = 0  # bytes since the last progress
 
     @property
@@ -48,7 +48,7 @@
         progress = bool(listed) or self._still >= PIECE
         if listed:
             taken = self.apply(self._head(), listed)
-            self._faults += taken.faults[: TOLD_FAULTS - len(self._faults)]
+            self._faults += taken.faults[: MAX_REPORTED_FAULTS - len(self._faults)]
             self.wasted = 0 if taken.events else self.wasted
         if self._answer.fault:
             raise ProtocolError(self._answer.fault)
@@ -58,11 +58,11 @@
     def end(self) -> Commands:
         """What the answer said beside its events, and the faults in these; ProtocolError where it was not
         whole."""
-        head = self._answer.end()
+        head = self._answer.finish()
         return Commands(head.cursor, (), tuple(self._faults), head.epoch, head.age_ms)
 
     def drop(self) -> None:
-        self._answer.drop()
+        self._answer.discard()
         self._waiting.clear()
 
     def _parse(self) -> tuple[list[Any], int]:
@@ -80,6 +80,6 @@
 
     def _head(self) -> Commands | None:
         try:
-            return read_head(self._answer.told)
+            return parse_head(self._answer.head)
         except ProtocolError:
             return None
--- a/thornjunction/net/channel.py
+++ b/thornjunction/net/channel.py
@@ -21,7 +21,7 @@
 from thornjunction.net.endings import log_end
 from thornjunction.net.new_numbers import Departed, NewNumbers, is_new_start
 from thornjunction.net.transport import dial
-from thornjunction.net.wire.commands import Command, Commands, ListChange, read_piece
+from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
 DIAL_MS, MOST_DIAL_MS = 400.0, 1600.0  # for a connection; as that grows with dials that were not answered
 AGAIN_MS, MOST_AGAIN_MS = 50.0, 400.0  # before the next try; as that grows: under a drain's grace
@@ -124,8 +124,8 @@
         """Take in what is new of a long answer's piece, the drains before the purges; the cursor moves past
         all of it, or none.  ``head`` is what the answer says beside its events, where that has come."""
         if self._numbers.asking:
-            self._settle(head.cursor if head else None, read_piece(listed, 0))
-        piece = read_piece(listed, self.cursor)
+            self._settle(head.cursor if head else None, parse_partial(listed, 0))
+        piece = parse_partial(listed, self.cursor)
         for event in piece.events:
             self._feed(event)
         self.cursor = piece.cursor
--- a/thornjunction/net/new_numbers.py
+++ b/thornjunction/net/new_numbers.py
@@ -46,7 +46,7 @@
     if told is None or told >= known or not begun.events:
         return False
     first = min(begun.events, key=lambda event: event.cursor)
-    return isinstance(first, ListChange) and first.whole
+    return isinstance(first, ListChange) and first.is_complete
 
 
 class Departed:
@@ -58,7 +58,7 @@
 
     def note(self, change: ListChange) -> None:
         """Keep what a change says."""
-        if change.whole:
+        if change.is_complete:
             listed = {host.name for host in change.hosts}
             for name in [name for name in self._active if name not in listed]:
                 self._left[name] = self._active.pop(name)
@@ -66,7 +66,7 @@
             serves = host.state is api.State.SERVING
             here, there = (self._active, self._left) if serves else (self._left, self._active)
             there.pop(host.name, None)
-            here[host.name] = host.born_ms
+            here[host.name] = host.started_unix_ms
         for names in (self._active, self._left):
             while len(names) > MOST_NAMES:
                 del names[next(iter(names))]
@@ -75,7 +75,7 @@
         """The change with each active shelf that had left as leaving, unless it was born later."""
         hosts = tuple(
             replace(host, state=api.State.DRAINING)
-            if host.state is api.State.SERVING and host.born_ms <= self._left.get(host.name, -1e300)
+            if host.state is api.State.SERVING and host.started_unix_ms <= self._left.get(host.name, -1e300)
             else host
             for host in change.hosts
         )
--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/shelf_link.py
@@ -22,7 +22,7 @@
 from thornjunction.net.connection_table import ConnectionTable
 from thornjunction.net.endings import code_of, log_end
 from thornjunction.net.transport import Transport
-from thornjunction.net.wire import ProtocolError, shelf
+from thornjunction.net.wire import ProtocolError, upstream
 from thornjunction.net.wire.resp import MAX_BULK, ArrayReader
 
 WORN = 256  # idents given up on a connection, past which it gets no more
@@ -68,7 +68,7 @@
     def roomy(self, link: ShelfLink) -> None:
         """It may take more."""
 
-    def answered(self, link: ShelfLink, sent: Sent, answer: shelf.ShelfAnswer) -> None: ...
+    def answered(self, link: ShelfLink, sent: Sent, answer: upstream.UpstreamResponse) -> None: ...
 
     def lost(self, link: ShelfLink) -> None:
         """It ended; what is out on it may have run."""
@@ -109,7 +109,7 @@
         try:
             for items in self.reader.feed(data):
                 self._whole()
-                self._answer(shelf.decode_answer(items))
+                self._answer(upstream.decode_response(items))
                 if self.code:
                     return
         except ProtocolError as error:
@@ -189,7 +189,7 @@
         sent, now = self.out.pop(ident), self.pool.clock()
         if not self.code:
             self.dropped[ident] = True
-            self._write(shelf.encode_never_mind(ident))
+            self._write(upstream.encode_cancel(ident))
             self.hurry()
         # Guards against a machine that vanished: its connections stay open and silent.
         if now - max(sent.at, self.heard) >= self.pool.limits.dial_ms:
@@ -243,13 +243,15 @@
         self.pool.links.used(self)  # what is reset already can't be evicted
         self.transport.abortConnection()
 
-    def _answer(self, answer: shelf.ShelfAnswer) -> None:
-        sent = self.out.pop(answer.ident, None)
+    def _answer(self, answer: upstream.UpstreamResponse) -> None:
+        sent = self.out.pop(answer.request_id, None)
         if sent is None:
-            return self._stray(answer.ident)
+            return self._stray(answer.request_id)
         self.served, self.strays = self.served + 1, 0
-        if answer.word is not shelf.Word.DONE:  # which ends its request; others may be followed by a try
-            self._remember(answer.ident)
+        if (
+            answer.code is not upstream.ResponseCode.DONE
+        ):  # which ends its request; others may be followed by a try
+            self._remember(answer.request_id)
         self.rest()
         self.pool.roomy(self)
         self.pool.answered(self, sent, answer)
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -24,7 +24,7 @@
 from thornjunction.net.endings import log_end
 from thornjunction.net.shelf_link import Limits, Sent, ShelfLink
 from thornjunction.net.transport import dial
-from thornjunction.net.wire import shelf
+from thornjunction.net.wire import upstream
 from thornjunction.net.wire.commands import Host
 from thornjunction.settings import read_report
 
@@ -36,12 +36,12 @@
 __all__ = ["Limits", "ShelfPool"]
 
 STATUSES = {
-    shelf.Word.DONE: api.Status.DONE,
-    shelf.Word.KEEP: api.Status.DONE,
-    shelf.Word.LACK: api.Status.MISS,
-    shelf.Word.WAIT: api.Status.BUSY,
-    shelf.Word.BROKE: api.Status.ERROR,
-    shelf.Word.PAST: api.Status.SKIPPED,
+    upstream.ResponseCode.DONE: api.Status.DONE,
+    upstream.ResponseCode.KEEP: api.Status.DONE,
+    upstream.ResponseCode.LACK: api.Status.MISS,
+    upstream.ResponseCode.WAIT: api.Status.BUSY,
+    upstream.ResponseCode.BROKE: api.Status.ERROR,
+    upstream.ResponseCode.PAST: api.Status.SKIPPED,
 }
 
 
@@ -149,7 +149,9 @@
     def send(self, order: UpstreamRequest) -> None:
         now = self.clock()
         sent = Sent(order, now, now + order.fetch.start_ms)
-        self._send(order.fetch.server, order.client_request.transaction_id, sent, shelf.encode_want(order))
+        self._send(
+            order.fetch.server, order.client_request.transaction_id, sent, upstream.encode_request(order)
+        )
 
     def withdraw(self, number: int) -> bool:
         """Take back an attempt that has not begun; False: it may have."""
@@ -176,7 +178,7 @@
         sent.timer = self.deadlines.add(
             sent.at + self.limits.dial_ms, lambda: self._probe_over(server, tag, sent)
         )
-        self._send(server, tag, sent, shelf.encode_busy(tag))
+        self._send(server, tag, sent, upstream.encode_health_check(tag))
 
     def _probe_over(self, server: str, tag: str, sent: Sent) -> None:
         found = self.shelves.get(server)
@@ -306,15 +308,15 @@
         for sent in out.values():
             self._end(link.name, sent, api.Status.RESET)
 
-    def answered(self, link: ShelfLink, sent: Sent, answer: shelf.ShelfAnswer) -> None:
+    def answered(self, link: ShelfLink, sent: Sent, answer: upstream.UpstreamResponse) -> None:
         told = answer.fields.get("report")
-        report = read_report(shelf.decode_report(told)) if told else None
+        report = read_report(upstream.decode_report(told)) if told else None
         if sent.order is None:
-            fit = answer.word is shelf.Word.FIT
+            fit = answer.code is upstream.ResponseCode.FIT
             return self._end(link.name, sent, api.Status.DONE if fit else api.Status.ERROR, report=report)
-        status, content = STATUSES.get(answer.word, api.Status.ERROR), None
+        status, content = STATUSES.get(answer.code, api.Status.ERROR), None
         if status is api.Status.DONE:
-            same = answer.word is shelf.Word.KEEP
+            same = answer.code is upstream.ResponseCode.KEEP
             content = Content(answer.body, answer.fields.get("rev", ""), same)
             # Guards against "your copy holds" to a client that has none, or has another than the one named.
             if same and (
--- a/thornjunction/net/sourced_channel.py
+++ b/thornjunction/net/sourced_channel.py
@@ -38,7 +38,7 @@
 from thornjunction.net.probe import Done, probe
 from thornjunction.net.unix_clock import UnixClock
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.commands import Command, Commands, ListChange, read_piece
+from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
 POLL_MS, PATIENCE_MS = 800.0, 500.0  # of one poll; how much later its answer may come
 FAREWELL_MS, MOST_FAREWELL_MS = 2000.0, 60_000.0  # between tries to tell a source that it was left
@@ -51,8 +51,10 @@
     if isinstance(command, ListChange):
         gone = api.State.GONE
         lines = {host.name: host if host.state is not gone else None for host in command.hosts}
-        return EndpointListEvent(command.cursor, command.seq, command.whole, lines, command)
-    return PurgeEvent(command.cursor, (command.key, command.group), min(command.when_ms, unix_ms), command)
+        return EndpointListEvent(command.cursor, command.seq, command.is_complete, lines, command)
+    return PurgeEvent(
+        command.cursor, (command.key, command.group), min(command.issued_unix_ms, unix_ms), command
+    )
 
 
 def command_of(event: StateEvent) -> Command:
@@ -159,7 +161,7 @@
         if not self._begun:
             self._begin(head or Commands(-1, ()))
             self._begun = True
-        piece = read_piece(listed, self.follower.cursor)
+        piece = parse_partial(listed, self.follower.cursor)
         self._take(piece.events, None)
         return piece
 
--- a/thornjunction/net/wire/commands.py
+++ b/thornjunction/net/wire/commands.py
@@ -1,58 +1,141 @@
-"""The command channel's events: changes to the list of shelfs, and purges.
+"""Events of the command channel: changes of the endpoint list, and purges.
 
-Keys and events that are not known here are passed over, for the protocol may grow.  Of an event that is known
-but can't be read whole, all is taken that can be, on the side that breaks no rule, and the fault is told: a
-shelf with an unreadable line is taken as leaving, a purge with an unreadable time as one of now.  So one bad
-event holds up none after it, and no drain is passed over where it can be known whom it means."""
+Unknown keys and events are ignored, because the protocol may grow.  Of a known event that is partly
+malformed, all that is readable is used, on the side that breaks no rule, and the fault is reported: an
+endpoint with a malformed line counts as leaving, a purge with a malformed time as one of now.  So one bad
+event holds up none after it, and no drain is lost if it is known whom it concerns.
+"""
 
 from __future__ import annotations
 
 import json
 import math
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field, replace
-from typing import Any
+from dataclasses import dataclass, replace
+from typing import Any, NamedTuple, TypeVar
 
 from thornjunction import interface as api
 from thornjunction.net.wire import ProtocolError
 
 STATES = {"active": api.State.SERVING, "leaving": api.State.DRAINING, "left": api.State.GONE}
-HEALTH = {state: word for word, state in STATES.items()}
-LARGEST = 1 << 53  # of a number: past it JSON's readers differ
-TOLD_FAULTS, MOST_FAULTS = 8, 1000  # of one answer: for the log; past these it is none, for each takes time
-EPOCH = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-")
-MOST_EPOCH = 32  # characters
-UNREADABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
+"""States by the value of ``health``."""
+
+HEALTH_VALUES = {state: value for value, state in STATES.items()}
+"""Values of ``health`` by state."""
+
+MAX_NUMBER = 1 << 53
+"""Largest absolute value of a number: beyond it, JSON readers differ."""
+
+MAX_FAULTS = 1000
+"""Faults in one response, beyond which it is rejected: each takes time."""
+
+MAX_REPORTED_FAULTS = 8
+"""Faults of one response that are reported for the log."""
+
+EPOCH_CHARACTERS = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-")
+"""Characters of an epoch."""
+
+MAX_EPOCH_CHARACTERS = 32
+"""Length of an epoch."""
+
+MAX_OBJECT_ID = 1 << 64
+"""Object ids are below it: they have 64 bits."""
+
+HEX = 16
+"""Base of an object id's digits."""
+
+MAX_PORT = 65_535
+"""Largest TCP port."""
+
+MAX_PORT_DIGITS = 5
+"""Digits of a port."""
+
+MAX_SHOWN_CHARACTERS = 80
+"""Characters of a malformed address that its error shows."""
+
+UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+"""What reading a malformed value raises."""
+
+T = TypeVar("T")
+Address = tuple[str, int]
+"""Host and port."""
+
+
+class AddressError(ValueError):
+    """A text is no address of host and port."""
+
+    def __init__(self, text: str) -> None:
+        super().__init__(f"bad address {text[:MAX_SHOWN_CHARACTERS]!r}")
+
+
+class MalformedValueError(ValueError):
+    """A value is not what its key holds; it is reported as a fault, by the key."""
+
+
+class TooManyFaultsError(Exception):
+    """A response has over ``MAX_FAULTS``.
+
+    No ``ValueError``, so that the readers of single values, which catch those, let it through.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One line of the list; its times are Unix milliseconds."""
+    """One line of the endpoint list.
+
+    Attributes:
+        name: unique in the list.
+        address: where it listens; None: nowhere that is known.
+        site: the site that it is in.
+        kind: its kind of endpoint, the wire's ``class``.
+        cell: its part of the site, the wire's ``block``.
+        state: whether it serves, drains or is gone.
+        weight: its share of the load among endpoints of its kind.
+        started_unix_ms: when its process started, in Unix milliseconds; 0: not known.
+    """
 
     name: str
-    address: tuple[str, int] | None
+    address: Address | None
     site: str
     kind: str
     cell: int
     state: api.State
     weight: float
-    born_ms: float
+    started_unix_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
+    """A change of the endpoint list.
+
+    Attributes:
+        cursor: number of the event.
+        is_complete: whether the list replaces the one known so far; otherwise its lines are updates.
+        hosts: its lines.
+        seq: the discovery service's version of the list; None: not reported.
+    """
+
     cursor: int
-    whole: bool
+    is_complete: bool
     hosts: tuple[Host, ...]
-    seq: int | None = None  # discovery's version of the list, where it tells one
+    seq: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
+    """An order to serve no older copy of an object or a group.
+
+    Attributes:
+        cursor: number of the event.
+        key: id of the object; None: the purge is of a group.
+        group: the group.
+        issued_unix_ms: when it was issued, in Unix milliseconds; infinite: now.
+    """
+
     cursor: int
     key: int | None
     group: int
-    when_ms: float  # Unix milliseconds; infinite: now
+    issued_unix_ms: float
 
 
 Command = ListChange | Purge
@@ -60,197 +143,281 @@
 
 @dataclass(frozen=True, slots=True)
 class Commands:
-    cursor: int
-    events: tuple[Command, ...]  # by their numbers
-    faults: tuple[str, ...] = field(default=())  # what could not be read: codes, for the log
-    epoch: str | None = None  # whose numbers these are; none: discovery's own
-    age_ms: float | None = None  # how long ago discovery itself confirmed that this stood so
+    """A response of the command channel.
 
+    Attributes:
+        cursor: number of the last event that exists.
+        events: the events, by their numbers.
+        faults: codes of what could not be read, for the log.
+        epoch: whose numbers these are; None: the discovery service's own.
+        age_ms: how long ago the discovery service confirmed this state; None: not reported.
+    """
 
-class TooManyFaultsError(Exception):
-    """So that the readers of single fields, which pass over errors of values, let it through."""
+    cursor: int
+    events: tuple[Command, ...]
+    faults: tuple[str, ...] = ()
+    epoch: str | None = None
+    age_ms: float | None = None
 
 
 class Faults:
-    """What could not be read in one answer."""
+    """Codes of what could not be read in one response."""
 
     def __init__(self) -> None:
         self.codes: list[str] = []
 
     def add(self, code: str) -> None:
+        """Add one fault.
+
+        Raises:
+            TooManyFaultsError: there are over ``MAX_FAULTS``.
+        """
         self.codes.append(code)
-        if len(self.codes) > MOST_FAULTS:
+        if len(self.codes) > MAX_FAULTS:
             raise TooManyFaultsError
 
 
-def parse_address(text: str) -> tuple[str, int]:
+class _NumberedEvent(NamedTuple):
+    """An event as parsed JSON, and its number; None where that cannot be read."""
+
+    number: int | None
+    event: Any
+
+
+class _EventsRead(NamedTuple):
+    """The events that could be read, and the first codes of what could not."""
+
+    events: list[Command]
+    faults: tuple[str, ...]
+
+
+def parse_address(text: str) -> Address:
+    """Parse ``HOST:PORT``.
+
+    Raises:
+        AddressError: it is no address.
+    """
     host, _, port = text.rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or len(port) > 5 or not 0 < int(port) < 65536:
-        raise ValueError(f"bad address {text[:80]!r}")
+    is_number = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
+    if not host or not is_number or not 0 < int(port) <= MAX_PORT:
+        raise AddressError(text)
     return host, int(port)
 
 
 def decode_commands(data: bytes) -> Commands:
+    """Decode a response.
+
+    Raises:
+        ProtocolError: ``commands-form``, it is none, or ``commands-faults``.
+    """
     try:
-        told = json.loads(data)
+        document = json.loads(data)
     except (ValueError, RecursionError) as error:
         raise ProtocolError("commands-form") from error
-    return read_commands(told)
+    return parse_commands(document)
+
 
+def parse_commands(document: Any) -> Commands:
+    """Read a response from parsed JSON, as the configuration holds it too.
 
-def read_commands(told: Any) -> Commands:
-    """Commands from parsed JSON, as the channel and the configuration hold them."""
-    head = read_head(told)
-    listed = told.get("cmds")
+    Raises:
+        ProtocolError: ``commands-form``, it is none, or ``commands-faults``.
+    """
+    head = parse_head(document)
+    listed = document.get("cmds")
     if not isinstance(listed, list):
         raise ProtocolError("commands-form")
-    events, faults = _read_events([(_placed(event), event) for event in listed], head.cursor)
-    return replace(head, events=tuple(sorted(events, key=lambda command: command.cursor)), faults=faults)
+    found = _read_events([_numbered(event) for event in listed], head.cursor)
+    events = sorted(found.events, key=lambda command: command.cursor)
+    return replace(head, events=tuple(events), faults=found.faults)
 
 
-def read_head(told: Any) -> Commands:
-    """What an answer says beside its events; ProtocolError where it doesn't say its cursor."""
+def parse_head(document: Any) -> Commands:
+    """Read what a response says beside its events.
+
+    Raises:
+        ProtocolError: ``commands-form``, it has no cursor.
+    """
     try:
-        cursor, epoch = int(_number(told["cursor"])), told.get("epoch")
+        cursor = int(_unsigned(document["cursor"]))
+        epoch = document.get("epoch")
     except UNREADABLE as error:
         raise ProtocolError("commands-form") from error
-    named = isinstance(epoch, str) and 0 < len(epoch) <= MOST_EPOCH and EPOCH.issuperset(epoch)
-    return Commands(cursor, (), epoch=epoch if named else None, age_ms=_optional(told, "age"))
+    is_named = isinstance(epoch, str) and _is_epoch(epoch)
+    return Commands(cursor, (), epoch=epoch if is_named else None, age_ms=_optional(document, "age"))
+
+
+def parse_partial(listed: list[Any], known: int) -> Commands:
+    """Read events of a response that arrives in parts, as one response of their own.
+
+    Drains come before purges in it.  An event whose number cannot be read counts as the last one.
 
+    Args:
+        listed: complete events as parsed JSON.
+        known: number of the last event that is known; the events up to it are left out.
 
-def read_piece(listed: list[Any], known: int) -> Commands:
-    """Whole events of an answer that comes in pieces, from parsed JSON, as one answer of their own: those
-    behind ``known``, the drains in them before the purges.  What can't be placed counts as its last one."""
-    placed = [(_placed(event), event) for event in listed]
-    last = max((number for number, _ in placed if number is not None), default=known)
-    new = [(number, event) for number, event in placed if number is None or number > known]
-    events, faults = _read_events(new, max(last, known))
+    Raises:
+        ProtocolError: ``commands-faults``.
+    """
+    numbered = [_numbered(event) for event in listed]
+    last = max((number for number, _ in numbered if number is not None), default=known)
+    unknown = [entry for entry in numbered if entry.number is None or entry.number > known]
+    events, faults = _read_events(unknown, max(last, known))
     events.sort(key=lambda command: (isinstance(command, Purge), command.cursor))
-    return Commands(max((command.cursor for command in events), default=known), tuple(events), faults)
+    cursor = max((command.cursor for command in events), default=known)
+    return Commands(cursor, tuple(events), faults)
 
 
-def _read_events(placed: list[tuple[int | None, Any]], last: int) -> tuple[list[Command], tuple[str, ...]]:
-    """What can be read of them, and the first codes of what can't.  An event that can't be placed counts as
-    the last one, so that it is taken."""
-    faults, events = Faults(), list[Command]()
+def encode_host(host: Host) -> dict[str, Any]:
+    """Return the line of the endpoint list that is read as this host."""
+    return {
+        "host": host.name,
+        "dial": "" if host.address is None else f"{host.address[0]}:{host.address[1]}",
+        "site": host.site,
+        "class": host.kind,
+        "block": host.cell,
+        "health": HEALTH_VALUES[host.state],
+        "share": host.weight,
+        "born_ms": host.started_unix_ms,
+    }
+
+
+def _read_events(numbered: list[_NumberedEvent], last: int) -> _EventsRead:
+    """Read events; one without a readable number counts as the last one, so that it is used."""
+    faults = Faults()
+    events: list[Command] = []
     try:
-        for number, event in placed:
+        for number, event in numbered:
             if number is None:
                 faults.add("event-cursor")
-            command = _command(event, last if number is None else number, faults)
+            command = _read_event(event, last if number is None else number, faults)
             if command is not None:
                 events.append(command)
     except TooManyFaultsError as error:
         raise ProtocolError("commands-faults") from error
-    return events, tuple(faults.codes[:TOLD_FAULTS])
+    return _EventsRead(events, tuple(faults.codes[:MAX_REPORTED_FAULTS]))
 
 
-def _placed(event: Any) -> int | None:
-    """An event's number; None where it can't be read."""
+def _numbered(event: Any) -> _NumberedEvent:
     try:
-        return int(_number(event["cursor"]))
+        return _NumberedEvent(int(_unsigned(event["cursor"])), event)
     except UNREADABLE:
-        return None
+        return _NumberedEvent(None, event)
+
+
+def _is_epoch(text: str) -> bool:
+    return 0 < len(text) <= MAX_EPOCH_CHARACTERS and EPOCH_CHARACTERS.issuperset(text)
 
 
-def _optional(told: Mapping[str, Any], key: str) -> float | None:
-    """A number that need not be there; what is none is passed over, for the plain protocol has none."""
+def _optional(document: Mapping[str, Any], key: str) -> float | None:
+    """A number that may be missing; anything else is ignored, for the plain protocol has no such key."""
     try:
-        return float(_number(told[key]))
+        return float(_unsigned(document[key]))
     except UNREADABLE:
         return None
 
 
 def _signed(value: Any) -> float:
-    """A number of a size that JSON's readers agree on; ValueError otherwise."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not -LARGEST <= value <= LARGEST:
-        raise ValueError("not a number in range")
+    """Return a number on whose value all JSON readers agree; MalformedValueError for anything else."""
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not -MAX_NUMBER <= value <= MAX_NUMBER
+    ):
+        raise MalformedValueError
     return value
 
 
-def _number(value: Any) -> float:
-    """The same, and not negative."""
+def _unsigned(value: Any) -> float:
+    """Return such a number that is not negative."""
     number = _signed(value)
     if number < 0:
-        raise ValueError("negative")
+        raise MalformedValueError
     return number
 
 
-def _command(event: Any, cursor: int, faults: Faults) -> Command | None:
-    """One that is known here; None for one that isn't, or can't be read."""
+def _read_event(event: Any, cursor: int, faults: Faults) -> Command | None:
+    """Read an event; None for one that is unknown, or cannot be read."""
     try:
         if "nodes" in event:
-            return _change(cursor, event["nodes"], faults)
-        return _purge(cursor, event["drop"], faults) if "drop" in event else None
+            return _read_list_change(cursor, event["nodes"], faults)
+        if "drop" in event:
+            return _read_purge(cursor, event["drop"], faults)
     except UNREADABLE:
         faults.add("event-form")
-        return None
+    return None
 
 
-def _change(cursor: int, nodes: Mapping[str, Any], faults: Faults) -> ListChange:
-    listed = nodes["hosts"]
-    if not isinstance(listed, list):
-        raise ValueError("not a list")
-    hosts = [host for line in listed if (host := _host(line, faults)) is not None]
-    if listed and not hosts:
-        # Guards what is known against a whole list of nothing but unreadable lines, which would end all.
-        raise ValueError("no line can be read")
+def _read_list_change(cursor: int, nodes: Mapping[str, Any], faults: Faults) -> ListChange:
+    lines = nodes["hosts"]
+    if not isinstance(lines, list):
+        raise MalformedValueError
+    hosts = [host for line in lines if (host := _read_host(line, faults)) is not None]
+    if lines and not hosts:
+        # A complete list of nothing but malformed lines would otherwise end all endpoints.
+        raise MalformedValueError
     seq = _optional(nodes, "seq")
-    whole = bool(nodes.get("whole", False))
-    return ListChange(cursor, whole, tuple(hosts), None if seq is None else int(seq))
+    is_complete = bool(nodes.get("whole", False))
+    return ListChange(cursor, is_complete, tuple(hosts), None if seq is None else int(seq))
 
 
-def _host(line: Any, faults: Faults) -> Host | None:
-    """A line that doesn't name its shelf is passed over; one with another fault says that the shelf leaves,
-    unless it is only the weight, which no rule hangs on."""
-
-    def read(key: str, kind: Callable[[Any], Any], default: Any) -> Any:
-        try:
-            return kind(line[key]) if key in line else default
-        except UNREADABLE:
-            faults.add(f"host-{key}")
-            return default
+def _read_host(line: Any, faults: Faults) -> Host | None:
+    """Read a line of the list; None for one without a name.
 
+    A host with any other malformed value is leaving, except for the weight, on which no rule depends.
+    """
     if not isinstance(line, Mapping) or not isinstance(line.get("host"), str):
         faults.add("host-name")
         return None
-    weight, found = read("share", _number, 1.0), len(faults.codes)
-    state = read("health", STATES.__getitem__, api.State.DRAINING)
-    address = read("dial", lambda text: parse_address(text) if text else None, None)
-    born_ms, cell = read("born_ms", _signed, 0.0), read("block", _signed, 0)
+    weight = _read_value(line, "share", _unsigned, 1.0, faults)
+    harmless_faults = len(faults.codes)
+    state = _read_value(line, "health", STATES.__getitem__, api.State.DRAINING, faults)
+    address = _read_value(line, "dial", _optional_address, None, faults)
+    started_unix_ms = _read_value(line, "born_ms", _signed, 0.0, faults)
+    cell = _read_value(line, "block", _signed, 0.0, faults)
     if "health" not in line:
         faults.add("host-health")
-    if state is api.State.SERVING and len(faults.codes) > found:
+    if state is api.State.SERVING and len(faults.codes) > harmless_faults:
         state = api.State.DRAINING
-    place = str(line.get("site", "")), str(line.get("class", ""))
-    return Host(line["host"], address, *place, int(cell), state, float(weight), float(born_ms))
+    return Host(
+        name=line["host"],
+        address=address,
+        site=str(line.get("site", "")),
+        kind=str(line.get("class", "")),
+        cell=int(cell),
+        state=state,
+        weight=float(weight),
+        started_unix_ms=float(started_unix_ms),
+    )
+
+
+def _read_value(
+    line: Mapping[str, Any], key: str, convert: Callable[[Any], T], default: T, faults: Faults
+) -> T:
+    """Read one value of a line; the default where it is missing or malformed."""
+    try:
+        return convert(line[key]) if key in line else default
+    except UNREADABLE:
+        faults.add(f"host-{key}")
+        return default
 
 
-def line_of(host: Host) -> dict[str, Any]:
-    """A line of the list as the channel tells it: what ``_host`` reads as this host."""
-    return {
-        "host": host.name,
-        "dial": f"{host.address[0]}:{host.address[1]}" if host.address is not None else "",
-        "site": host.site,
-        "class": host.kind,
-        "block": host.cell,
-        "health": HEALTH[host.state],
-        "share": host.weight,
-        "born_ms": host.born_ms,
-    }
+def _optional_address(text: Any) -> Address | None:
+    return parse_address(text) if text else None
 
 
-def _purge(cursor: int, drop: Mapping[str, Any], faults: Faults) -> Purge:
-    key, group = None, 0
+def _read_purge(cursor: int, drop: Mapping[str, Any], faults: Faults) -> Purge:
+    key: int | None = None
+    group = 0
     if "id" in drop:
-        key = int(drop["id"], 16)
-        if not 0 <= key < 1 << 64:
-            raise ValueError("not an object")
+        key = int(drop["id"], HEX)
+        if not 0 <= key < MAX_OBJECT_ID:
+            raise MalformedValueError
     else:
-        group = int(_number(drop["family"]))
+        group = int(_unsigned(drop["family"]))
     try:
-        when_ms = float(_number(drop["when"]))
+        issued_unix_ms = float(_unsigned(drop["when"]))
     except UNREADABLE:
         faults.add("drop-when")
-        when_ms = math.inf
-    return Purge(cursor, key, group, when_ms)
+        issued_unix_ms = math.inf
+    return Purge(cursor, key, group, issued_unix_ms)
--- a/thornjunction/runtime/births.py
+++ b/thornjunction/runtime/births.py
@@ -19,11 +19,14 @@
 
     def started_ms(self, host: Host, recent_ms: float) -> float:
         """0: long ago.  ``recent_ms``: no start that is told now lies further back."""
-        if host.born_ms <= 0:
+        if host.started_unix_ms <= 0:
             return 0.0
         known = self._known.get(host.name)
-        if known is None or known[0] != host.born_ms:
-            known = self._known[host.name] = host.born_ms, self._unix.to_core(host.born_ms, recent_ms)
+        if known is None or known[0] != host.started_unix_ms:
+            known = self._known[host.name] = (
+                host.started_unix_ms,
+                self._unix.to_core(host.started_unix_ms, recent_ms),
+            )
         return known[1]
 
     def keep(self, hosts: Iterable[Host], whole: bool) -> None:
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -11,7 +11,7 @@
 from thornjunction import interface as api
 from thornjunction.net.shelf_link import PART_MS, Limits
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.commands import Commands, parse_address, read_commands
+from thornjunction.net.wire.commands import Commands, parse_address, parse_commands
 from thornjunction.net.wire.resp import MAX_BULK
 from thornjunction.settings import Params, WireError, parse_json, read_roles, read_settings
 
@@ -153,7 +153,7 @@
 
 def _known(told: Any) -> Commands:
     try:
-        commands = read_commands(told)
+        commands = parse_commands(told)
     except ProtocolError as error:
         raise ConfigError("known: not a list of commands") from error
     if commands.faults:  # here, unlike in the channel, somebody can mend it
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -41,7 +41,7 @@
 from thornjunction.net.sourced_channel import SourcedChannel
 from thornjunction.net.transport import Building, server_endpoint
 from thornjunction.net.unix_clock import UnixClock
-from thornjunction.net.wire.commands import Command, ListChange, line_of
+from thornjunction.net.wire.commands import Command, ListChange, encode_host
 from thornjunction.net.wire.polls import Poll
 from thornjunction.runtime.config import ConfigError
 from thornjunction.runtime.control_settings import RelaySettings
@@ -157,17 +157,17 @@
     def take(self, command: Command) -> None:
         """An event of the upstream, as it was understood."""
         if isinstance(command, ListChange):
-            hosts = tuple(line_of(host) for host in command.hosts)
-            return self.feed(EndpointListUpdate(command.cursor, command.seq, command.whole, hosts))
+            hosts = tuple(encode_host(host) for host in command.hosts)
+            return self.feed(EndpointListUpdate(command.cursor, command.seq, command.is_complete, hosts))
         # Guards routers against an hour of purges that no cache holds any more, and the bound on those kept;
         # their numbers count with the answer's end.
         hold_ms = self.settings.hold_ms
-        age_ms = max(core_ms() - self.unix.to_core(command.when_ms, hold_ms + SKEW_MS) - SKEW_MS, 0.0)
+        age_ms = max(core_ms() - self.unix.to_core(command.issued_unix_ms, hold_ms + SKEW_MS) - SKEW_MS, 0.0)
         if age_ms > hold_ms:
             return
         key = f"{command.key:016x}" if command.key is not None else None
         family = command.group if key is None else -1
-        self.feed(PurgeReceived(command.cursor, key, family, command.when_ms, age_ms))
+        self.feed(PurgeReceived(command.cursor, key, family, command.issued_unix_ms, age_ms))
 
     def _confirmed(self, age_ms: float, number: int) -> None:
         """All that was told so far, up to this number of the upstream, stood so, so long ago."""
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -204,14 +204,16 @@
     def take(self, command: Command) -> None:
         """An event of the command channel, on the core's clock."""
         if isinstance(command, ListChange):
-            recent_ms = math.inf if command.whole else self._longest_cold_ms()
+            recent_ms = math.inf if command.is_complete else self._longest_cold_ms()
             entries = tuple(self._entry(host, recent_ms) for host in command.hosts)
-            self.births.keep(command.hosts, command.whole)
-            self.engine.feed(api.Servers(entries, command.whole))
-            self.pool.update(command.hosts, command.whole)  # what waited there is decided again by this list
+            self.births.keep(command.hosts, command.is_complete)
+            self.engine.feed(api.Servers(entries, command.is_complete))
+            self.pool.update(
+                command.hosts, command.is_complete
+            )  # what waited there is decided again by this list
         else:
             hold_ms = self.config.settings.purge_takes_ms
-            age = max(core_ms() - self.unix.to_core(command.when_ms, hold_ms), 0.0)
+            age = max(core_ms() - self.unix.to_core(command.issued_unix_ms, hold_ms), 0.0)
             # Past its hold all caches have dropped what it names, and no decision hangs on it.
             if age <= hold_ms:
                 self.engine.feed(api.Purged(command.group, age, command.key))
