--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/shelf_link.py
@@ -55,6 +55,10 @@
     timer: Deadline | None = None  # a probe's end
     bound: Deadline | None = None  # while it waits
 
+    def left_ms(self, now: float) -> float:
+        """Of the time that the decision gave it."""
+        return self.order.fetch.timeout_ms - (now - self.at) if self.order is not None else math.inf
+
 
 class Pool(Port):
     """Who owns the connections, and is told what comes of them."""
@@ -248,9 +252,7 @@
         if sent is None:
             return self._stray(answer.request_id)
         self.served, self.strays = self.served + 1, 0
-        if (
-            answer.code is not upstream.ResponseCode.DONE
-        ):  # which ends its request; others may be followed by a try
+        if answer.code is not upstream.ResponseCode.DONE:  # others may be followed by a try
             self._remember(answer.request_id)
         self.rest()
         self.pool.roomy(self)
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -76,8 +76,13 @@
     """The fields of a response cannot be read."""
 
 
-def encode_request(request: UpstreamRequest) -> bytes:
-    """Encode an attempt; unbounded ages and absent values are left out, times are rounded down."""
+def encode_request(request: UpstreamRequest, left_ms: float) -> bytes:
+    """Encode an attempt; unbounded ages and absent values are left out, times are rounded down.
+
+    Args:
+        request: the attempt.
+        left_ms: milliseconds left for it as it is written.
+    """
     client_request = request.client_request
     fetch = request.fetch
     has_source = fetch.source != fetch.server
@@ -85,7 +90,7 @@
         "profile": client_request.class_name,
         "thing": client_request.object_id,
         "nth": str(client_request.part),
-        "max": _whole_ms(fetch.timeout_ms),
+        "max": _whole_ms(left_ms),
         "replay": client_request.idempotency_key,
         "up": fetch.source if has_source else "",
         "store": str(fetch.rank) if fetch.rank else "",
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -15,13 +15,13 @@
 from array import array
 from bisect import bisect_left, insort
 from collections import Counter
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from hashlib import shake_128
 from heapq import nsmallest
 from typing import Generic, TypeVar
 
-from thornjunction.estimates import mix, rendezvous
+from thornjunction.estimates import mix64, rendezvous_score
 
 # Candidates of each object that are computed at once.  Where a quarter of the servers is out of service,
 # fewer than two of eight are usable in 1 decision of 2,600.
@@ -58,14 +58,15 @@
 
     def slots(self) -> set[int]:
         """Its places in the table."""
-        return {mix(self.salt ^ ordinal) % TABLE_SLOTS for ordinal in range(1, SLOTS_PER_SERVER + 1)}
+        return {mix64(self.salt ^ ordinal) % TABLE_SLOTS for ordinal in range(1, SLOTS_PER_SERVER + 1)}
 
 
 class RankingCache:
     """The best candidates of the objects that were asked for last, of all groups.
 
     Bounded in objects and in candidates of each; the oldest goes first.  Servers are kept by their ids, so
-    that one that has left is not kept alive here."""
+    that one that has left is not kept alive here.
+    """
 
     def __init__(self, capacity: int = RANKINGS_KEPT) -> None:
         self.capacity = capacity
@@ -94,7 +95,8 @@
     """Servers of one role and place, ranked for each object.
 
     A change of one server computes nothing for the others; all that grows with the group is a move within one
-    sorted array, and where all weights differ, the search for the heaviest."""
+    sorted array, and where all weights differ, the search for the heaviest.
+    """
 
     def __init__(self, cache: RankingCache) -> None:
         self._cache = cache
@@ -112,6 +114,10 @@
         """All servers, in the order in which they were added."""
         return (member.server for member in self._members.values())
 
+    def members(self) -> Iterable[Member[ServerT]]:
+        """All members, in the order in which they were added."""
+        return self._members.values()
+
     def put(self, server_id: str, server: ServerT, weight: float) -> None:
         """Add a server, or take in its new weight, or its new process."""
         known = self._members.get(server_id)
@@ -120,7 +126,7 @@
             return
         if known is not None:
             self._unindex(known)
-        member = Member(server_id, server, weight, mix(zlib.crc32(server_id.encode())))
+        member = Member(server_id, server, weight, mix64(zlib.crc32(server_id.encode())))
         self._members[server_id] = member
         insort(self._by_salt, member, key=_order_by_salt)
         for slot in member.slots():
@@ -154,7 +160,8 @@
         """All servers of the group, the best candidate for the object first.
 
         The first ones are computed at once and kept.  The others follow only where they are asked for.  Don't
-        change the group while it is being iterated over."""
+        change the group while it is being iterated over.
+        """
         key = (self._version, weighted, object_hash)
         best = self._cache.get(key)
         if best is None:
@@ -174,7 +181,8 @@
 
         Of a group that grows past ``EXACT_MOST`` servers, each further server hands one part in
         ``TABLE_BLEND`` of the objects over to the table.  If all were handed over at one size, each restart
-        of a server at that size would move all objects twice."""
+        of a server at that size would move all objects twice.
+        """
         return object_hash % TABLE_BLEND < len(self._members) - EXACT_MOST
 
     def _rank(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
@@ -187,7 +195,7 @@
         """All members in the order of exact rendezvous hashing: the highest score first."""
 
         def score(member: Member[ServerT]) -> float:
-            return rendezvous(object_hash, member.salt, member.weight if weighted else 1.0)
+            return rendezvous_score(object_hash, member.salt, member.weight if weighted else 1.0)
 
         return sorted(self._members.values(), key=score, reverse=True)
 
@@ -195,7 +203,8 @@
         """The candidates after those seen: needed only where all of these are unusable.
 
         In a large group they follow in the order of their salts, from a place that the object's hash gives:
-        each object has others first, and none is computed before it is asked for."""
+        each object has others first, and none is computed before it is asked for.
+        """
         if len(seen) == len(self._members):
             return
         if not self._uses_table(object_hash):
@@ -213,7 +222,8 @@
         The object's hash seeds an endless row of slots.  The place of a server's slot in that row, the first
         time it comes up, is distributed as the exponential variable of weighted rendezvous; divided by the
         server's weight, the least is the best candidate.  It depends on the object and that server alone.  No
-        server that comes up later than the heaviest one's weight allows can be among the best any more."""
+        server that comes up later than the heaviest one's weight allows can be among the best any more.
+        """
         heaviest = max(self._heaviest, LEAST_WEIGHT) if weighted else 1.0
         needed = CANDIDATES_KEPT * TABLE_SLOTS / (SLOTS_PER_SERVER * len(self._members))
         count = int(needed * DRAW_MARGIN)
@@ -234,7 +244,7 @@
             for member in table[slot]:
                 if member.server_id not in arrivals:
                     weight = max(member.weight, LEAST_WEIGHT) if weighted else 1.0
-                    tie = mix(object_hash ^ member.salt)
+                    tie = mix64(object_hash ^ member.salt)
                     arrivals[member.server_id] = _Arrival((at + 1) / weight, tie, member)
         return arrivals
 
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -14,17 +14,25 @@
 from itertools import islice
 
 from thornjunction import interface as api
-from thornjunction.estimates import Mean, mix
-from thornjunction.limits.cold import ColdBudgets
-from thornjunction.limits.effects import discarded, window_left
-from thornjunction.policy.attempts import MARGIN, Job, Server
-from thornjunction.policy.candidates import CANDIDATES_KEPT, CandidateGroup, RankingCache
-
-CACHE_CHOICES = 2  # caches a new request may go to: hot objects get a second copy (paper, section 3)
-PARENT_CHOICES = 2  # parents of which the faster one is the source (paper, section 3)
-SERVERS_EXAMINED = 256  # for a decision at most: where a tenth is usable, all but 1 in 10**11 find one
-FAR_FACTOR = 2.0  # a far parent's first byte over a near one's, where answers do not tell it
-FIRST_BYTE_MS = 1.0  # of a source, until one was measured
+from thornjunction.estimates import SmoothedMean, mix64
+from thornjunction.limits.idempotency import is_repeat_safe, repeat_window_ms
+from thornjunction.limits.slow_start import SlowStart
+from thornjunction.policy.candidates import CANDIDATES_KEPT
+from thornjunction.policy.requests import PendingRequest
+from thornjunction.policy.server_list import ServerList
+from thornjunction.policy.timing import ANSWER_MARGIN_MS
+from thornjunction.policy.upstreams import Upstream
+
+# Caches that a new request may go to: hot objects get a second copy (paper, section 3).
+CACHE_CHOICES = 2
+# Parents of which the faster one is the source (paper, section 3).
+PARENT_CHOICES = 2
+# Servers that a decision examines at most: where a tenth is usable, all but 1 decision in 10**11 find one.
+SERVERS_EXAMINED = 256
+# A far parent's first byte over a near one's, where outcomes do not tell it.
+FAR_FACTOR = 2.0
+# Time to the first byte of any source, until one was measured; only its being the same matters.
+DEFAULT_FIRST_BYTE_MS = 1.0
 
 
 class Fitness(IntEnum):
@@ -37,162 +45,165 @@
 
 
 class Placement:
-    """The list of servers, and who of them may take what."""
-
-    def __init__(self, settings: api.Settings, fetch: Mean, draw: Callable[[], float]) -> None:
+    """Who of the listed servers may take what."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        mean_fetch_ms: SmoothedMean,
+        draw: Callable[[], float],
+        router_hash: int,
+    ) -> None:
+        """Start without servers; ``router_hash`` tells this router from the others of its site."""
+        self.settings = settings
+        self.slow_start = SlowStart(draw)
+        self.server_list = ServerList(settings.zone)
+        self._mean_fetch_ms = mean_fetch_ms  # to the first byte of a fill, of all sources
+        self._draw = draw
+        self._router_hash = router_hash
+
+    def adopt(self, settings: api.Settings) -> None:
+        """Place by these settings from now on."""
         self.settings = settings
-        self.fetch = fetch  # ms to the first byte of a fill, of all sources
-        self.draw = draw
-        self.cold = ColdBudgets(draw)
-        self.servers: dict[str, Server] = {}
-        self.rankings = RankingCache()
-        self.caches: dict[str, CandidateGroup[Server]] = {}  # edges by zone
-        self.by_role: dict[api.Role, CandidateGroup[Server]] = {  # edges: of this zone
-            role: CandidateGroup(self.rankings) for role in api.Role
-        }
-
-    def take(self, event: api.Servers, now: float) -> None:
+        self.slow_start.adopt(settings)
+
+    def update(self, event: api.Servers, now_ms: float) -> None:
         """Take in a list of servers, or its changes."""
-        if event.whole:
-            listed = {entry.server for entry in event.entries}
-            for server_id in [known for known in self.servers if known not in listed]:
-                self._remove(server_id)
-        for entry in event.entries:
-            if entry.state is api.State.SERVING:
-                self._put(entry, now)
-            else:  # rule 3: at once, well within any grace
-                self._remove(entry.server)
-        self.by_role[api.Role.EDGE] = self._edges(self.settings.zone)
-        for role, most in self.cold.most.items():
-            self.cold.most[role] = max(most, len(self.by_role[role]))
-
-    def _put(self, entry: api.ServerEntry, now: float) -> None:
-        """Take in the entry of a server that serves."""
-        server = self.servers.get(entry.server)
-        if server is not None and server.entry == entry:
-            return
-        if server is not None and (server.entry.role, server.entry.zone) != (entry.role, entry.zone):
-            self._remove_from_group(server)
-        if server is None or entry.started_ms != server.entry.started_ms:
-            server = self.servers[entry.server] = Server(entry, now)  # a new process has no history
-        server.entry = entry
-        self._group(entry).put(entry.server, server, entry.weight)
-
-    def _remove(self, server_id: str) -> None:
-        """Forget a server, if it is known."""
-        server = self.servers.pop(server_id, None)
-        if server is not None:
-            self._remove_from_group(server)
-
-    def _remove_from_group(self, server: Server) -> None:
-        """Take a server out of its group, and an edge's group away with its last server."""
-        group = self._group(server.entry)
-        group.remove(server.id)
-        if server.entry.role is api.Role.EDGE and not group:
-            del self.caches[server.entry.zone]
-
-    def _group(self, entry: api.ServerEntry) -> CandidateGroup[Server]:
-        """The group that a server belongs to."""
-        return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.by_role[entry.role]
-
-    def _edges(self, zone: str) -> CandidateGroup[Server]:
-        """The edge caches of a zone."""
-        group = self.caches.get(zone)
-        if group is None:
-            group = self.caches[zone] = CandidateGroup(self.rankings)
-        return group
-
-    def avoided(self, listed: Iterable[str], now: float) -> int:
-        """How many of these get nothing now: they leave, or are out of service after failures."""
-        servers = map(self.servers.get, listed)
-        return sum(1 for server in servers if server is None or not server.open_to(now))
-
-    def preference(self, copy: int, group: CandidateGroup[Server]) -> Iterator[Server]:
-        """The servers of a group in rendezvous order for a copy, by weight where weights are told."""
-        return group.candidates(copy, self.settings.weighted)
-
-    def first_byte(self, parent: Server) -> float:
-        """Smoothed ms to a parent's first byte.  Where answers do not tell it, hits blur it: distance counts
-        too."""
-        measured = parent.first_byte.get(self.fetch.get(FIRST_BYTE_MS))
+        self.server_list.update(event, self.settings, now_ms)
+        self.slow_start.note_listed(api.Role.EDGE, len(self.server_list.site_caches))
+        for role, group in self.server_list.sources.items():
+            self.slow_start.note_listed(role, len(group))
+
+    def _ranked_caches(self, object_hash: int, skipped_blocks: int = 0) -> Iterator[Upstream]:
+        """The caches of this zone in the order in which this router asks them for an object."""
+        return self.server_list.site_caches.candidates(
+            object_hash, self.settings.weighted, self._router_hash, skipped_blocks
+        )
+
+    def _likely_holders(self, object_hash: int, zone: str) -> Iterator[Upstream]:
+        """The caches of a zone that are likely to hold an object, the likeliest first.
+
+        In each block of another zone one holds it; which block is asked depends on the object.
+        """
+        if zone == self.settings.zone:
+            return self._ranked_caches(object_hash)
+        return self.server_list.caches[zone].candidates(
+            object_hash, self.settings.weighted, asker_hash=object_hash
+        )
+
+    def _expected_first_byte_ms(self, parent: Upstream) -> float:
+        """Smoothed ms to a parent's first byte.
+
+        Where outcomes do not tell it, hits blur it, so distance counts too.
+        """
+        measured = parent.first_byte_ms.get(self._mean_fetch_ms.get(DEFAULT_FIRST_BYTE_MS))
         is_far = self.settings.zone_hub.get(self.settings.zone) != parent.entry.zone
         if is_far and self.settings.notes is api.Notes.NONE:
             return measured * FAR_FACTOR
         return measured
 
-    def source(self, job: Job, now: float) -> Server | None:
-        """Where a miss is filled from: of two parents the one with the lower first-byte time; where neither
-        can, another parent, or an origin."""
-        for server in self._sources(job):
-            usable = server.id not in job.tried and server.open_to(now)
-            if usable and self.within_budget(server, job.fill, now):
+    def choose_source(self, request: PendingRequest, now_ms: float) -> Upstream | None:
+        """Where a miss is filled from: of two parents the one with the lower first-byte time.
+
+        Where neither can, another parent, or an origin.
+        """
+        for server in self._sources(request):
+            usable = server.id not in request.tried_servers and server.is_available(now_ms)
+            if usable and self.within_budget(server, request.fill_cost_ms, now_ms):
                 return server
-        return next(iter(self.by_role[api.Role.ORIGIN]), None)
+        return next(iter(self.server_list.sources[api.Role.ORIGIN]), None)
 
-    def _sources(self, job: Job) -> Iterator[Server]:
+    def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
         """All sources for a request, the best first."""
-        if not job.kind.passes:
-            ranked = self.preference(job.copy, self.by_role[api.Role.PARENT])
+        if not request.request_class.passes:
+            ranked = self.server_list.sources[api.Role.PARENT].candidates(
+                request.object_hash, self.settings.weighted
+            )
             parents = islice(ranked, SERVERS_EXAMINED)
-            yield from sorted(islice(parents, PARENT_CHOICES), key=self.first_byte)
+            yield from sorted(islice(parents, PARENT_CHOICES), key=self._expected_first_byte_ms)
             yield from parents
-        yield from self.by_role[api.Role.ORIGIN]
+        yield from self.server_list.sources[api.Role.ORIGIN]
 
-    def no_parents(self, source: Server) -> bool:
-        """Whether misses are filled from the origin itself; it has all, so ``held_only`` spares nothing."""
-        return source.entry.role is api.Role.ORIGIN and not self.by_role[api.Role.PARENT]
+    def fills_from_origin(self, source: Upstream) -> bool:
+        """Whether misses are filled from the origin itself; it has all, so ``cached_only`` spares nothing."""
+        return source.entry.role is api.Role.ORIGIN and not self.server_list.sources[api.Role.PARENT]
 
-    def sibling(self, job: Job, target: Server, now: float) -> Server | None:
-        """The cache that is likely to hold an object beside the target: of each zone the first by hash, of
-        the own one the first two."""
-        for zone in self._sibling_zones(job):
+    def choose_peer(self, request: PendingRequest, target: Upstream, now_ms: float) -> Upstream | None:
+        """The cache, other than the target, that is likely to hold an object.
+
+        Of each zone the first by hash counts, of this router's zone the first two. Cold caches hold little.
+        """
+        for zone in self._peer_zones(request):
             choices = CACHE_CHOICES if zone == self.settings.zone else 1
-            for cache in islice(self.preference(job.copy, self.caches[zone]), choices):
-                usable = cache is not target and cache.id not in job.tried and cache.open_to(now)
-                is_warm = self.cold.rate(cache.entry, cache.bucket, now) == math.inf  # cold ones hold little
-                if usable and is_warm:
+            for cache in islice(self._likely_holders(request.object_hash, zone), choices):
+                if cache is target or cache.id in request.tried_servers:
+                    continue
+                is_warm = self.slow_start.rate(cache.entry, cache.slow_start_window, now_ms) == math.inf
+                if is_warm and cache.is_available(now_ms):
                     return cache
         return None
 
-    def _sibling_zones(self, job: Job) -> Iterator[str]:
-        """Zones whose caches may be asked, the own one first, then those of the same hub; among these by
-        hash, or one zone would be asked by all."""
+    def _peer_zones(self, request: PendingRequest) -> Iterator[str]:
+        """Zones whose caches may be asked: this router's first, then those of the same hub.
+
+        Among these they are ordered by hash, or one zone would be asked by all.
+        """
         own_zone = self.settings.zone
         hubs = self.settings.zone_hub
         if self.settings.siblings is api.Siblings.NONE:
             return
-        if own_zone in self.caches:
+        if own_zone in self.server_list.caches:
             yield own_zone
         if self.settings.siblings is not api.Siblings.ANY:
             return
 
         def distance(zone: str) -> tuple[bool, int]:
-            return hubs.get(zone) != hubs.get(own_zone), mix(job.copy ^ zlib.crc32(zone.encode()))
+            zone_hash = mix64(request.object_hash ^ zlib.crc32(zone.encode()))
+            return hubs.get(zone) != hubs.get(own_zone), zone_hash
 
-        yield from sorted(self.caches.keys() - {own_zone}, key=distance)
+        yield from sorted(self.server_list.caches.keys() - {own_zone}, key=distance)
 
-    def cache(self, job: Job, now: float) -> Server | None:
+    def choose_cache(self, request: PendingRequest, now_ms: float) -> Upstream | None:
         """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
 
-        Where both gates are shut, a new request is refused; one that was tried already, or that is passed
-        through, goes to the first."""
-        able = self._able_caches(job, now)
-        let_through = [server for server in able if server.gate.lets(now, self.draw, *job.weights)]
-        if let_through:
-            return let_through[0]
-        must_go = job.attempts > 0 or job.kind.passes
+        Where both gates are shut, those of the next block count, in a site that has several. Where these are
+        shut too, a new request is rejected; one that was tried already, or that is passed through, goes to
+        the first.
+        """
+        able = self._able_caches(request, self._ranked_caches(request.object_hash), now_ms)
+        chosen = self._first_admitting(request, able, now_ms)
+        if chosen is None and able and self.server_list.site_caches.block_count > 1:
+            further = self._able_caches(request, self._ranked_caches(request.object_hash, 1), now_ms)
+            unasked = [server for server in further if server not in able]
+            chosen = self._first_admitting(request, unasked, now_ms)
+        if chosen is not None:
+            return chosen
+        must_go = request.attempts_started > 0 or request.request_class.passes
         return able[0] if able and must_go else None
 
-    def _able_caches(self, job: Job, now: float) -> list[Server]:
-        """The best caches for the next attempt, two at most, all of the best fitness that any has.
+    def _first_admitting(
+        self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
+    ) -> Upstream | None:
+        """The first of the servers whose gate lets the request through; each gate is asked."""
+        admitted_by = [
+            server
+            for server in servers
+            if server.gate.admits(now_ms, self._draw, request.size_weight, request.class_size_weight)
+        ]
+        return admitted_by[0] if admitted_by else None
+
+    def _able_caches(
+        self, request: PendingRequest, ranked: Iterator[Upstream], now_ms: float
+    ) -> list[Upstream]:
+        """The best of these caches for the next attempt, two at most, all of the best fitness that any has.
 
         The first few are examined in any case: so the windows in which cold ones have their budgets go on
-        however seldom these are needed."""
-        untried: list[Server] = []
-        others: list[tuple[Fitness, Server]] = []
-        ranked = self.preference(job.copy, self.by_role[api.Role.EDGE])
-        for place, server in enumerate(self._resendable(job, ranked, now), start=1):
-            fitness = self._fitness(job, server, now)
+        however seldom these are needed.
+        """
+        untried: list[Upstream] = []
+        others: list[tuple[Fitness, Upstream]] = []
+        for place, server in enumerate(self._repeatable(request, ranked, now_ms), start=1):
+            fitness = self._fitness(request, server, now_ms)
             if fitness is Fitness.UNTRIED:
                 untried.append(server)
             elif fitness is not None:
@@ -204,41 +215,53 @@
         best = min(fitness for fitness, _ in others)
         return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
 
-    def _fitness(self, job: Job, server: Server, now: float) -> Fitness | None:
+    def _fitness(self, request: PendingRequest, server: Upstream, now_ms: float) -> Fitness | None:
         """How fit a cache is for the next attempt of this request; None: it must not get it."""
-        if not self.within_budget(server, job.mean, now):
+        if not self.within_budget(server, request.cache_cost_ms, now_ms):
             return None
-        is_tried = server.id in job.tried
-        if server.open_to(now):
+        is_tried = server.id in request.tried_servers
+        if server.is_available(now_ms):
             return Fitness.TRIED if is_tried else Fitness.UNTRIED
-        if server.down:
+        if server.is_unreachable:
             return None
         return Fitness.EJECTED_TRIED if is_tried else Fitness.EJECTED_UNTRIED
 
-    def _resendable(self, job: Job, servers: Iterable[Server], now: float) -> Iterator[Server]:
+    def _repeatable(
+        self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
+    ) -> Iterator[Upstream]:
         """Those of the servers that the request may be sent to by rule 2, ``SERVERS_EXAMINED`` at most."""
-        if job.maybe is None:
+        if request.possible_execution is None:
             return islice(servers, SERVERS_EXAMINED)
-        return islice((server for server in servers if self.may_resend(job, server, now)), SERVERS_EXAMINED)
-
-    def may_resend(self, job: Job, server: Server, now: float) -> bool:
-        """Rule 2: what may have run is resent only where and while its repeat is discarded."""
-        return discarded(job.kind, job.maybe, server.entry, window_left(job.kind, job.maybe, now) - MARGIN)
-
-    def within_budget(self, server: Server, work: float, now: float, take: bool = False) -> bool:
-        """Rule 4: whether a server that started lately bears so much more work (ms); ``take``: it is sent."""
-        return self.cold.within(server.entry, server.bucket, work, now, take)
-
-    def worth_waiting(self, job: Job, now: float) -> bool:
-        """Whether some cache may take the request later: all that may take it are down, or cold and past a
-        budget that will grow."""
-        caches = self.by_role[api.Role.EDGE]
+        allowed = (server for server in servers if self.may_repeat_at(request, server, now_ms))
+        return islice(allowed, SERVERS_EXAMINED)
+
+    def may_repeat_at(self, request: PendingRequest, server: Upstream, now_ms: float) -> bool:
+        """Rule 2: what may have been executed is sent again only where and while its repeat is discarded."""
+        request_class = request.request_class
+        execution = request.possible_execution
+        window_ms = repeat_window_ms(request_class, execution, now_ms) - ANSWER_MARGIN_MS
+        return is_repeat_safe(request_class, execution, server.entry, window_ms)
+
+    def within_budget(self, server: Upstream, transfer_ms: float, now_ms: float) -> bool:
+        """Rule 4: whether a server that started lately bears so much more transfer time."""
+        return self.slow_start.admits(server.entry, server.slow_start_window, transfer_ms, now_ms)
+
+    def charge(self, server: Upstream, transfer_ms: float, now_ms: float) -> None:
+        """Rule 4: count what is sent to a server that started lately."""
+        self.slow_start.charge(server.entry, server.slow_start_window, transfer_ms, now_ms)
+
+    def is_worth_waiting(self, request: PendingRequest, now_ms: float) -> bool:
+        """Whether some cache may take the request later.
+
+        So where all that may take it are unreachable, or cold and past a budget that will grow.
+        """
+        caches = self.server_list.site_caches
         # A small group is examined whole, in any order; ranking it would take longer.
         is_small = len(caches) <= SERVERS_EXAMINED
-        servers = iter(caches) if is_small else self.preference(job.copy, caches)
+        servers = iter(caches) if is_small else self._ranked_caches(request.object_hash)
         may_take_later = False
-        for server in self._resendable(job, servers, now):
-            if self.within_budget(server, job.mean, now) and not server.down:
+        for server in self._repeatable(request, servers, now_ms):
+            if self.within_budget(server, request.cache_cost_ms, now_ms) and not server.is_unreachable:
                 return False
             may_take_later = True
         return may_take_later
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -10,7 +10,6 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
-from socket import AF_INET
 from typing import TYPE_CHECKING, Any
 
 from twisted.internet import protocol
@@ -25,6 +24,7 @@
 from thornjunction.net.alarm import Alarm, core_ms
 from thornjunction.net.client_link import ClientTable
 from thornjunction.net.front_fastcgi import FastCgiLink
+from thornjunction.net.listener import adopt
 from thornjunction.net.operators import OperatorsDoor, OperatorsLink
 from thornjunction.net.shelves import ShelfPool
 from thornjunction.net.transport import Building, server_endpoint
@@ -67,7 +67,7 @@
         deadlines = self.alarm.deadlines
         budget = ByteBudget(config.buffer_bytes)
         self.pool = ShelfPool(reactor, config.shelves, deadlines, core_ms, budget)
-        self.router = Router(config.settings, config.seed)
+        self.router = Router(config.settings, config.seed, config.name)
         attempts = config.settings.max_attempts
         self.engine = Engine(self.router, attempts, core_ms, deadlines, self.pool, counters)
         self.counters, self.files = counters, Counter[str]()
@@ -151,7 +151,7 @@
         """Accept on the platform's own listening socket, which other processes hold too."""
         try:
             os.set_blocking(fd, False)  # else the accept behind the last connection would stop the process
-            self._ports.append(self.reactor.adoptStreamPort(fd, AF_INET, Building(self._platform_link)))
+            self._ports.append(adopt(self.reactor, fd, Building(self._platform_link)))
             os.close(fd)  # the port has one of its own
         except OSError as error:
             self._no_port(error)
@@ -208,9 +208,8 @@
             entries = tuple(self._entry(host, recent_ms) for host in command.hosts)
             self.births.keep(command.hosts, command.is_complete)
             self.engine.feed(api.Servers(entries, command.is_complete))
-            self.pool.update(
-                command.hosts, command.is_complete
-            )  # what waited there is decided again by this list
+            # What waited in the pool is decided again by this list.
+            self.pool.update(command.hosts, command.is_complete)
         else:
             hold_ms = self.config.settings.purge_takes_ms
             age = max(core_ms() - self.unix.to_core(command.issued_unix_ms, hold_ms), 0.0)
