--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -157,7 +157,7 @@
         claims["jti"] = jti
     if client:
         claims["cdniip"] = client
-    signed_token = tokens.issue(front.trust, f"hash:{tokens.hash_of(uri)}", time.time(), lifetime, **claims)
+    signed_token = tokens.issue(front.trust, f"hash:{tokens.uri_hash(uri)}", time.time(), lifetime, **claims)
     separator = "&" if "?" in uri else "?"
     click.echo(f"{uri}{separator}{QUERY_PARAMETER}={signed_token}")
 
@@ -169,7 +169,7 @@
 def verify(url: str, extras: Path, client: str) -> None:
     """Say whether the front would admit a signed URL, and why not."""
     from thornjunction.net.wire import http1, signed
-    from thornjunction.signing.address import parse
+    from thornjunction.signing.address import parse_address
 
     front = _load_signed_front(extras)
     if not url.startswith(front.base):
@@ -178,8 +178,8 @@
     try:
         target, signed_token = signed.split_token(request)
         uri = front.base + target
-        tokens.verify(signed_token, uri, front.trust, ReplayWindow(), time.time(), parse(client))
-    except (signed.MisuseError, tokens.TokenError) as error:
+        tokens.verify(signed_token, uri, front.trust, ReplayWindow(), time.time(), parse_address(client))
+    except (signed.RequestError, tokens.TokenError) as error:
         click.echo(f"refused {error.status} {error.code}")
         sys.exit(EXIT_REFUSED)
     click.echo("admitted")
@@ -212,7 +212,9 @@
     front = _load_signed_front(extras)
     for kid, key in sorted(front.trust.keys.items()):
         signs = " signs" if kid == front.trust.sign_with else ""
-        click.echo(f"{kid} {key.algorithm} until={key.until if key.until else '-'}{signs}")
+        click.echo(
+            f"{kid} {key.algorithm} until={key.retired_after_s if key.retired_after_s else '-'}{signs}"
+        )
 
 
 @keys.command("rotate")
@@ -228,7 +230,7 @@
     key_set = json.loads(path.read_bytes())
     key_set["keys"].append(_generate_key(kid, algorithm))
     data = json.dumps(key_set, indent=2).encode()
-    _exit_if_faulty(lambda: keyset.read(data, front.trust.algorithms, {}))
+    _exit_if_faulty(lambda: keyset.parse_key_set(data, front.trust.algorithms, {}))
     try:
         replace_file(path, data, mode=KEY_FILE_MODE)
     except OSError as error:
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -106,7 +106,7 @@
 
 def _greeting(config: Config, front: SignedFrontSettings) -> str:
     """What the newcomer reads: where each front listens, and a signed URL to try."""
-    container = "hash:" + tokens.hash_of(front.base + EXAMPLE_PATH)
+    container = "hash:" + tokens.uri_hash(front.base + EXAMPLE_PATH)
     token = tokens.issue(front.trust, container, time.time(), TOKEN_LIFETIME_S)
     host, port = config.listen
     return (
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/shelves.py
@@ -21,7 +21,7 @@
 from thornjunction.net.endings import log_end
 from thornjunction.net.server_dial import DialTarget, ServerDial
 from thornjunction.net.shelf_link import Limits, Sent, ShelfLink
-from thornjunction.net.wire import shelf
+from thornjunction.net.wire import upstream
 from thornjunction.net.wire.commands import Host
 from thornjunction.settings import read_report
 
@@ -34,12 +34,12 @@
 __all__ = ["Limits", "ShelfPool"]
 
 STATUSES = {
-    shelf.Word.DONE: api.AttemptStatus.SUCCEEDED,
-    shelf.Word.KEEP: api.AttemptStatus.SUCCEEDED,
-    shelf.Word.LACK: api.AttemptStatus.CACHE_MISS,
-    shelf.Word.WAIT: api.AttemptStatus.OVERLOADED,
-    shelf.Word.BROKE: api.AttemptStatus.ERROR,
-    shelf.Word.PAST: api.AttemptStatus.NOT_STARTED,
+    upstream.ResponseCode.DONE: api.AttemptStatus.SUCCEEDED,
+    upstream.ResponseCode.KEEP: api.AttemptStatus.SUCCEEDED,
+    upstream.ResponseCode.LACK: api.AttemptStatus.CACHE_MISS,
+    upstream.ResponseCode.WAIT: api.AttemptStatus.OVERLOADED,
+    upstream.ResponseCode.BROKE: api.AttemptStatus.ERROR,
+    upstream.ResponseCode.PAST: api.AttemptStatus.NOT_STARTED,
 }
 
 
@@ -216,12 +216,12 @@
     def _put(self, link: ShelfLink, ident: str, sent: Sent) -> None:
         """Write it, with the time that is left by now: it may have waited for a dial."""
         if sent.order is None:
-            return link.put(ident, sent, shelf.encode_busy(ident))
+            return link.put(ident, sent, upstream.encode_health_check(ident))
         left_ms = sent.left_ms(self.clock())
         if left_ms < LEAST_LEFT_MS:
             return self._end(link.name, sent, api.AttemptStatus.NOT_STARTED)
         self.relayed += 1
-        link.put(ident, sent, shelf.encode_want(sent.order, left_ms))
+        link.put(ident, sent, upstream.encode_request(sent.order, left_ms))
 
     def _overdue(self, found: Shelf, ident: str, sent: Sent) -> None:
         """It should have begun by now, and waits for a dial still."""
@@ -311,20 +311,20 @@
         for sent in out.values():
             self._end(link.name, sent, api.AttemptStatus.CONNECTION_RESET)
 
-    def answered(self, link: ShelfLink, sent: Sent, answer: shelf.ShelfAnswer) -> None:
+    def answered(self, link: ShelfLink, sent: Sent, answer: upstream.UpstreamResponse) -> None:
         told = answer.fields.get("report")
-        report = read_report(shelf.decode_report(told)) if told else None
+        report = read_report(upstream.decode_report(told)) if told else None
         if sent.order is None:
-            fit = answer.word is shelf.Word.FIT
+            fit = answer.code is upstream.ResponseCode.FIT
             return self._end(
                 link.name,
                 sent,
                 api.AttemptStatus.SUCCEEDED if fit else api.AttemptStatus.ERROR,
                 report=report,
             )
-        status, content = STATUSES.get(answer.word, api.AttemptStatus.ERROR), None
+        status, content = STATUSES.get(answer.code, api.AttemptStatus.ERROR), None
         if status is api.AttemptStatus.SUCCEEDED:
-            same = answer.word is shelf.Word.KEEP
+            same = answer.code is upstream.ResponseCode.KEEP
             content = Content(answer.body, answer.fields.get("rev", ""), same)
             # Guards against "your copy holds" to a client that has none, or has another than the one named.
             if same and (
--- a/thornjunction/runtime/admin_calls.py
+++ b/thornjunction/runtime/admin_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from thornjunction.logs import get_logger
-from thornjunction.net.wire.operators import encode_figures, encode_word
+from thornjunction.net.wire.admin import encode_counters, encode_reply
 from thornjunction.runtime.drain import Drain
 
 DRAIN_WAIT_MS = 600.0
@@ -37,23 +37,23 @@
 
     def check(self) -> bytes:
         """Whether this router takes clients."""
-        return encode_word(self._is_ready())
+        return encode_reply(self._is_ready())
 
     def metrics(self) -> bytes:
         """All metrics, one a line."""
-        return encode_figures(self._collect_metrics())
+        return encode_counters(self._collect_metrics())
 
     def start_drain(self) -> bytes:
         """Send clients away until ``drain-off``."""
         if not self._drain.is_active:
             log.info("drain-on")
             self._drain.start(DRAIN_WAIT_MS)
-        return encode_word(True)
+        return encode_reply(True)
 
     def stop_drain(self) -> bytes:
         """Take clients again; refused once the process shuts down."""
         if self._is_shutting_down():
-            return encode_word(False, "ending")
+            return encode_reply(False, "ending")
         log.info("drain-off")
         self._drain.stop()
-        return encode_word(True)
+        return encode_reply(True)
--- a/thornjunction/runtime/command_events.py
+++ b/thornjunction/runtime/command_events.py
@@ -43,15 +43,15 @@
             self._purge(command)
 
     def _change_list(self, change: ListChange) -> None:
-        recent_ms = math.inf if change.whole else self._longest_warm_up_ms()
+        recent_ms = math.inf if change.is_complete else self._longest_warm_up_ms()
         entries = tuple(self._entry(host, recent_ms) for host in change.hosts)
-        self.process_starts.forget_unlisted(change.hosts, change.whole)
-        self._engine.feed(api.EndpointListUpdate(entries, change.whole))
-        self._pool.update(change.hosts, change.whole)  # what waited there is decided again by this list
+        self.process_starts.forget_unlisted(change.hosts, change.is_complete)
+        self._engine.feed(api.EndpointListUpdate(entries, change.is_complete))
+        self._pool.update(change.hosts, change.is_complete)  # what waited there is decided again by this list
 
     def _purge(self, purge: Purge) -> None:
         retention_ms = self._settings().purge_propagation_ms
-        age_ms = max(self._clock() - self._unix.to_core(purge.when_ms, retention_ms), 0.0)
+        age_ms = max(self._clock() - self._unix.to_core(purge.issued_unix_ms, retention_ms), 0.0)
         # Past this time all caches have dropped what it names, and no decision depends on it.
         if age_ms <= retention_ms:
             self._engine.feed(api.PurgeReceived(purge.group, age_ms, purge.key))
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -13,7 +13,7 @@
 from thornjunction import interface as api
 from thornjunction.net.shelf_link import PART_MS, Limits
 from thornjunction.net.wire import ProtocolError
-from thornjunction.net.wire.commands import Commands, read_commands
+from thornjunction.net.wire.commands import Commands, parse_commands
 from thornjunction.net.wire.resp import MAX_BULK
 from thornjunction.runtime.addresses import Address, read_address
 from thornjunction.runtime.errors import (
@@ -217,7 +217,7 @@
 
 def _initial_commands(data: Any) -> Commands:
     try:
-        commands = read_commands(data)
+        commands = parse_commands(data)
     except ProtocolError as error:
         raise FaultyKeyError("known", "not a list of commands") from error
     if commands.faults:  # unlike an event of the command channel, a file can be mended by who reads this
--- a/thornjunction/runtime/front_admission.py
+++ b/thornjunction/runtime/front_admission.py
@@ -7,7 +7,7 @@
 from thornjunction.core.engine import Engine
 from thornjunction.core.load_shedding import LoadShedder
 from thornjunction.core.ports import Answer, Rejected
-from thornjunction.net.wire import platform
+from thornjunction.net.wire import cgi
 from thornjunction.runtime.drain import Drain
 
 
@@ -24,7 +24,7 @@
     def apply(self, settings: api.Settings) -> None:
         """Take the settings of the refusal's Retry-After."""
         wait_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
-        self._refusal = platform.encode_cgi(Rejected(wait_ms))
+        self._refusal = cgi.encode_response(Rejected(wait_ms))
 
     def refusal(self) -> bytes:
         """The response for a request that is refused now; empty where it is admitted."""
--- a/thornjunction/runtime/key_set.py
+++ b/thornjunction/runtime/key_set.py
@@ -54,7 +54,7 @@
             return
         self._digest = key_set.digest
         self.counts["accepted"] += 1
-        log.info("keys", version=key_set.digest, changes=keyset.changes(trust.keys, key_set.keys))
+        log.info("keys", version=key_set.digest, changes=keyset.describe_changes(trust.keys, key_set.keys))
         self._front.trust = replace(trust, keys=key_set.keys)
 
     def _refuse(self, reason: str) -> None:
--- a/thornjunction/runtime/process_starts.py
+++ b/thornjunction/runtime/process_starts.py
@@ -37,11 +37,11 @@
 
         No start that is listed now lies further back than ``recent_ms``.
         """
-        if host.born_ms <= 0:
+        if host.started_unix_ms <= 0:
             return 0.0
         start = self._by_server.get(host.name)
-        if start is None or start.listed_unix_ms != host.born_ms:
-            start = ProcessStart(host.born_ms, self._unix.to_core(host.born_ms, recent_ms))
+        if start is None or start.listed_unix_ms != host.started_unix_ms:
+            start = ProcessStart(host.started_unix_ms, self._unix.to_core(host.started_unix_ms, recent_ms))
             self._by_server[host.name] = start
         return start.core_ms
 
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -41,7 +41,7 @@
 from thornjunction.net.relay import Pollers
 from thornjunction.net.sourced_channel import SourcedChannel
 from thornjunction.net.unix_clock import UnixClock
-from thornjunction.net.wire.commands import Command, ListChange, Purge, line_of
+from thornjunction.net.wire.commands import Command, ListChange, Purge, encode_host
 from thornjunction.net.wire.polls import Poll
 from thornjunction.runtime.control_settings import RelaySettings
 from thornjunction.runtime.errors import FaultyKeyError
@@ -178,9 +178,9 @@
             poll.epoch,
             poll.role,
             poll.name,
-            acknowledged=poll.done or 0,
-            lagging_count=poll.behind,
-            lagging_names=poll.names,
+            acknowledged=poll.acknowledged or 0,
+            lagging_count=poll.lagging_count,
+            lagging_names=poll.lagging_names,
         )
         self.feed(PollReceived(poller, request))
 
@@ -195,8 +195,8 @@
     def handle_command(self, command: Command) -> None:
         """Take in an event of the upstream."""
         if isinstance(command, ListChange):
-            hosts = tuple(line_of(host) for host in command.hosts)
-            self.feed(EndpointListUpdate(command.cursor, command.seq, command.whole, hosts))
+            hosts = tuple(encode_host(host) for host in command.hosts)
+            self.feed(EndpointListUpdate(command.cursor, command.seq, command.is_complete, hosts))
         else:
             self._handle_purge(command)
 
@@ -206,13 +206,13 @@
         The numbers of those that are dropped count with the response's end.
         """
         retention_ms = self._settings.purge_retention_ms
-        issued_ms = self._unix.to_core(purge.when_ms, retention_ms + MAX_CLOCK_SKEW_MS)
+        issued_ms = self._unix.to_core(purge.issued_unix_ms, retention_ms + MAX_CLOCK_SKEW_MS)
         age_ms = max(core_ms() - issued_ms - MAX_CLOCK_SKEW_MS, 0.0)
         if age_ms > retention_ms:
             return
         key = f"{purge.key:016x}" if purge.key is not None else None
         group = purge.group if key is None else -1
-        self.feed(PurgeReceived(purge.cursor, key, group, purge.when_ms, age_ms))
+        self.feed(PurgeReceived(purge.cursor, key, group, purge.issued_unix_ms, age_ms))
 
     def _handle_confirmation(self, age_ms: float, number: int) -> None:
         """All up to this number of the upstream was in force, so long ago."""
--- a/thornjunction/runtime/relay_status.py
+++ b/thornjunction/runtime/relay_status.py
@@ -8,7 +8,7 @@
 from control_relay import MemberStatus, PurgeStatus, Relay
 
 from thornjunction.net.relay import Pollers
-from thornjunction.net.wire.operators import encode_lines, encode_word
+from thornjunction.net.wire.admin import encode_lines, encode_reply
 from thornjunction.net.wire.polls import NAME
 
 STATUS_FIELDS = {
@@ -56,7 +56,7 @@
 
     def _check(self) -> bytes:
         is_ready = self._relay.status(self._clock()).ready
-        return encode_word(is_ready, "" if is_ready else "no-state")
+        return encode_reply(is_ready, "" if is_ready else "no-state")
 
     def _show_status(self) -> bytes:
         now_ms = self._clock()
@@ -79,9 +79,9 @@
 
     def _dismiss(self, name: str) -> bytes:
         if not NAME.fullmatch(name):
-            return encode_word(False, "not a name")
+            return encode_reply(False, "not a name")
         self._deregister(name)
-        return encode_word(True)
+        return encode_reply(True)
 
 
 def _member_line(member: MemberStatus, now_ms: float) -> str:
--- a/thornjunction/runtime/signed_settings.py
+++ b/thornjunction/runtime/signed_settings.py
@@ -60,7 +60,7 @@
         """Read the file's keys.  Raises ConfigError, naming the file and the first fault."""
         key = f"signed.keyset: {self.path.name}"
         try:
-            return keyset.read(self.path.read_bytes(), algorithms, dict(self.retire))
+            return keyset.parse_key_set(self.path.read_bytes(), algorithms, dict(self.retire))
         except OSError as error:
             raise FaultyKeyError(key, error.strerror) from error
         except keyset.KeySetError as error:
