--- a/tests/test_local_errors.py
+++ b/tests/test_local_errors.py
@@ -35,7 +35,7 @@
 from thornjunction.net.metrics import Metrics
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
-from thornjunction.signing.replay import ReplayWindow
+from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
 WAIT_S = 5.0  # for one answer
 LOCAL = "EADDRNOTAVAIL", "EAGAIN", "EINTR", "ENOBUFS"
@@ -141,7 +141,7 @@
     deadlines, window = Deadlines(), ReplayWindow()
     gossip = Gossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
-    gossip.tell(b"k" * 16, 99.0)
+    gossip.tell(ReplayEntry(b"k" * 16, 99.0))
     metrics = Metrics(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
     metrics._collectd, metrics._udp = ("127.0.0.1", 9), SocketWithoutWay()
     metrics.start()
