--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -39,7 +39,8 @@
 
 LAUNCH = """
 import atexit, json, os, sys, time
-from twisted.internet import reactor
+from thornjunction.net.reactor import install
+reactor = install()
 class Poller:
     def __init__(self, inner): self.inner, self.since, self.turns = inner, None, []
     def __getattr__(self, name): return getattr(self.inner, name)
