--- a/packages/fleet-membership/tests/test_membership_scenarios.py
+++ b/packages/fleet-membership/tests/test_membership_scenarios.py
@@ -7,12 +7,12 @@
 import pytest
 from fleet_membership import LinkState, MembershipSettings, MemberState, PartitionMode
 from gossip_codec import (
-    MAX_DATAGRAM_BYTES,
     Codec,
     Probe,
     UserMessage,
 )
 from membership_cluster import SECRET, STRANGER, MembershipCluster
+from sansio_core import MAX_DATAGRAM_BYTES
 
 FAILED = MemberState.FAILED
 LEFT = MemberState.LEFT
--- a/packages/fleet-scale/src/fleet_scale/hollow.py
+++ b/packages/fleet-scale/src/fleet_scale/hollow.py
@@ -74,7 +74,7 @@
         self.members: dict[str, tuple[str, float]] = {}  # last told of each: its state, when (s)
         self.verdicts: list[tuple[float, str]] = []  # who was told failed, when
         if self.fleet is not None:
-            note, self.fleet.port.tell = self.fleet.port.tell, self._told
+            note, self.fleet.port.on_notice = self.fleet.port.on_notice, self._told
             self._note = note
 
     def _serve(self) -> None:
@@ -113,7 +113,7 @@
         if self.channel.link is not None:
             self.channel.link.transport.abortConnection()
         if self.fleet is not None:
-            self.fleet.port.ended = True
+            self.fleet.port.closed = True
             if self.fleet._bound is not None:
                 self.fleet._bound.stopListening()
         self.alarm.stop()
--- a/packages/fleet-scale/src/fleet_scale/hollows.py
+++ b/packages/fleet-scale/src/fleet_scale/hollows.py
@@ -111,6 +111,6 @@
         return {"states": states, "verdicts": verdicts, "last": last}
 
     def figures(self) -> dict[str, Any]:
-        ports = [router.fleet.port.counts for router in self.running.values() if router.fleet is not None]
-        told = {"datagrams_in": sum(p["in"] for p in ports), "datagrams_out": sum(p["out"] for p in ports)}
+        ports = [router.fleet.port.counters for router in self.running.values() if router.fleet is not None]
+        told = {"datagrams_in": sum(p.received for p in ports), "datagrams_out": sum(p.sent for p in ports)}
         return dict(self.counts) | told | {"routers": len(self.running)}
--- a/packages/fleet-sim/src/fleet_sim/cluster.py
+++ b/packages/fleet-sim/src/fleet_sim/cluster.py
@@ -13,6 +13,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from sansio_core import (
+    MAX_DATAGRAM_BYTES,
     Address,
     DatagramReceived,
     Notice,
@@ -28,9 +29,6 @@
 from .trace import EntryKind, TraceEntry, notice_text
 from .violations import InvariantViolationError
 
-MAX_DATAGRAM_BYTES = 256
-"""The largest datagram of the fleet's format."""
-
 MAX_STEPS_PER_MS = 100_000
 """Steps within a simulated ms that no sound state machine makes."""
 
--- a/packages/fleet-sim/src/fleet_sim/faults.py
+++ b/packages/fleet-sim/src/fleet_sim/faults.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from itertools import permutations
 
-from sansio_core import Address
+from sansio_core import MAX_DATAGRAM_BYTES, Address
 
-from .cluster import MAX_DATAGRAM_BYTES, SimulatedCluster
+from .cluster import SimulatedCluster
 from .network import Link, LinkQuality
 from .trace import EntryKind
 
--- a/packages/fleet-sim/tests/counter_gossip.py
+++ b/packages/fleet-sim/tests/counter_gossip.py
@@ -8,8 +8,9 @@
 from typing import Any
 
 from fleet_sim import Disk, Node, SimulatedCluster, Subject
-from fleet_sim.cluster import MAX_DATAGRAM_BYTES, address_of
+from fleet_sim.cluster import address_of
 from sansio_core import (
+    MAX_DATAGRAM_BYTES,
     Action,
     Address,
     DatagramReceived,
--- a/packages/gossip-codec/src/gossip_codec/__init__.py
+++ b/packages/gossip-codec/src/gossip_codec/__init__.py
@@ -4,7 +4,6 @@
 
 from gossip_codec.codec import (
     HEADER_BYTES,
-    MAX_DATAGRAM_BYTES,
     TAG_BYTES,
     Codec,
     DatagramRejectedError,
@@ -39,7 +38,6 @@
     "DIGEST_BUCKETS",
     "DIGEST_BYTES",
     "HEADER_BYTES",
-    "MAX_DATAGRAM_BYTES",
     "MAX_UPDATES",
     "TAG_BYTES",
     "Ack",
--- a/packages/gossip-codec/src/gossip_codec/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -13,13 +13,11 @@
 from hashlib import blake2b
 
 from msgspec import DecodeError, msgpack
+from sansio_core import MAX_DATAGRAM_BYTES
 
 from gossip_codec.messages import MAX_UPDATES, Envelope, Message, Update
 from gossip_codec.replay_window import ReplayWindow
 
-MAX_DATAGRAM_BYTES = 256
-"""Bytes of a datagram: no network fragments it, and a forged one amplifies nothing."""
-
 FORMAT_VERSION = 1
 """The first byte of each datagram."""
 
--- a/packages/gossip-codec/tests/test_gossip_codec.py
+++ b/packages/gossip-codec/tests/test_gossip_codec.py
@@ -4,7 +4,6 @@
 
 import pytest
 from gossip_codec import (
-    MAX_DATAGRAM_BYTES,
     MAX_UPDATES,
     Ack,
     Codec,
@@ -23,6 +22,7 @@
 )
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from sansio_core import MAX_DATAGRAM_BYTES
 
 SECRET = b"a secret of the fleet"
 member_names = st.text("abcXYZ019._-", min_size=1, max_size=32)
--- a/packages/gossip-transport/src/gossip_transport/__init__.py
+++ b/packages/gossip-transport/src/gossip_transport/__init__.py
@@ -1,5 +1,17 @@
-"""A fleet machine on one UDP socket."""
+"""Drives a sans-I/O state machine of the fleet from one UDP socket on Twisted."""
 
-from gossip_transport.endpoint import AGAIN_MS, LOOKED, MAX_DATAGRAM, TURN, FleetPort
+from gossip_transport.endpoint import (
+    MAX_HANDLED_PER_TURN,
+    MAX_READ_PER_TURN,
+    TIMER_RETRY_MS,
+    DatagramEndpoint,
+    EndpointCounters,
+)
 
-__all__ = ["AGAIN_MS", "LOOKED", "MAX_DATAGRAM", "TURN", "FleetPort"]
+__all__ = [
+    "MAX_HANDLED_PER_TURN",
+    "MAX_READ_PER_TURN",
+    "TIMER_RETRY_MS",
+    "DatagramEndpoint",
+    "EndpointCounters",
+]
--- a/packages/gossip-transport/src/gossip_transport/endpoint.py
+++ b/packages/gossip-transport/src/gossip_transport/endpoint.py
@@ -1,18 +1,21 @@
-"""Drives one sans-I/O machine from one UDP socket: datagrams in, actions out, in order.
+"""The UDP endpoint of one state machine: passes datagrams in and carries out actions in order.
 
-What a peer sends costs it alone.  At most TURN datagrams are handed to the machine in one turn of the
-reactor, and at most LOOKED are read from the socket; those between the two are dropped and counted, and what
-comes after them waits in the kernel's buffer, which drops what it can't hold."""
+The cost of a flood is bounded in each turn of the reactor: at most ``MAX_HANDLED_PER_TURN`` datagrams reach
+the state machine and at most ``MAX_READ_PER_TURN`` are read from the socket.  Those between the two are
+dropped and counted; the rest wait in the kernel's buffer, which drops what it cannot hold.
+"""
 
 from __future__ import annotations
 
 import logging
-from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, cast
 
 from sansio_core import (
+    MAX_DATAGRAM_BYTES,
     Action,
+    Address,
     DatagramReceived,
     Event,
     Notice,
@@ -25,123 +28,165 @@
 )
 from twisted.internet import protocol
 
-MAX_DATAGRAM = 256  # bytes, in and out
-AGAIN_MS = 1_000.0  # until a timer in which the machine failed is due once more
-TURN, LOOKED = 32, 512  # datagrams of one turn: handed to the machine; read at all
+TIMER_RETRY_MS = 1_000.0
+"""Milliseconds until a timer whose handling failed fires again; short beside the fleet's own periods."""
 
-log = logging.getLogger(__name__)
+MAX_HANDLED_PER_TURN = 32
+"""Datagrams handed to the state machine in one turn of the reactor; a flood leaves time for requests."""
 
+MAX_READ_PER_TURN = 512
+"""Datagrams read from the socket in one turn of the reactor, handled or dropped."""
 
-class FleetPort(protocol.DatagramProtocol):
-    """One machine and its socket.  ``clock`` gives monotonic ms; ``schedule(in_ms, call)`` calls once, later,
-    never from within; ``tell`` gets each ``Notice``.
+_log = logging.getLogger(__name__)
 
-    ``counts``: ``in`` and ``out`` (datagrams), ``oversize-in``, ``oversize-out``, ``flood`` (read and
-    dropped), ``unsent`` (the socket refused it), ``fault`` (an exception of the machine or of a callable)."""
+
+@dataclass(slots=True)
+class EndpointCounters:
+    """What an endpoint has done so far.
+
+    ``oversize_received`` and ``oversize_unsent`` are datagrams over the size limit, ``flood_dropped`` those
+    over the limit of one turn, ``send_failures`` those that the socket refused, and ``faults`` exceptions
+    raised by the state machine or by a callback.
+    """
+
+    received: int = 0
+    sent: int = 0
+    oversize_received: int = 0
+    oversize_unsent: int = 0
+    flood_dropped: int = 0
+    send_failures: int = 0
+    faults: int = 0
+
+
+class DatagramEndpoint(protocol.DatagramProtocol):
+    """One state machine and its socket.
+
+    ``clock_ms`` returns the time on a monotonic clock.  ``schedule(in_ms, callback)`` calls back once,
+    later and never from within the call itself.  ``on_notice`` receives each ``Notice`` of the state
+    machine.
+    """
 
     def __init__(
         self,
         machine: StateMachine[Event, Action],
-        clock: Callable[[], float],
+        clock_ms: Callable[[], float],
         schedule: Callable[[float, Callable[[], None]], object],
-        tell: Callable[[Notice], None],
+        on_notice: Callable[[Notice], None],
     ) -> None:
-        self.machine, self.clock, self.schedule, self.tell = machine, clock, schedule, tell
-        self.counts = Counter[str]()
-        self.ended = False
-        self._looked = 0
-        self._throughput = 0
-
-    def listen(self, reactor: Any, address: tuple[str, int]) -> Any:
-        """Bind and start; the port, for its own address and its end.  CannotListenError where it is taken."""
+        self.machine = machine
+        self.clock_ms = clock_ms
+        self.schedule = schedule
+        self.on_notice = on_notice
+        self.counters = EndpointCounters()
+        self.closed = False
+        self._read_in_turn = 0
+        self._max_throughput_bytes = 0
+
+    def listen(self, reactor: Any, address: Address) -> Any:
+        """Bind the socket and start; return Twisted's port, which knows its own address and can be closed.
+
+        Raises ``CannotListenError`` if the address is in use.
+        """
         host, port = address
-        return reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM + 1)
+        # One byte more than is allowed: a longer datagram would arrive truncated to a valid size.
+        return reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
 
     def startProtocol(self) -> None:  # noqa: N802
-        self._throughput = getattr(self.transport, "maxThroughput", 0)
-        self.feed(Started())
+        """Start the state machine once the socket is bound (called by Twisted)."""
+        self._max_throughput_bytes = getattr(self.transport, "maxThroughput", 0)
+        self.deliver(Started())
 
     def stopProtocol(self) -> None:  # noqa: N802
-        self.ended = True
+        """Deliver nothing more once the socket is closed (called by Twisted)."""
+        self.closed = True
+
+    def shut_down(self) -> None:
+        """Let the state machine announce a graceful shutdown, once; no event reaches it afterwards.
 
-    def leave(self) -> None:
-        """Tell the machine that this process ends in order, once; nothing reaches it after that.  One that
-        never listened knows nobody to tell."""
+        An endpoint that never listened has no peers to notify.
+        """
         if self.transport is not None:
-            self.feed(ShutdownRequested())
-        self.ended = True
+            self.deliver(ShutdownRequested())
+        self.closed = True
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        self._count_turn()
-        if len(datagram) > MAX_DATAGRAM:
-            self.counts["oversize-in"] += 1
-        elif self._looked > TURN:
-            self.counts["flood"] += 1
+        """Hand a datagram to the state machine, within the limits of size and rate (called by Twisted)."""
+        self._count_read()
+        if len(datagram) > MAX_DATAGRAM_BYTES:
+            self.counters.oversize_received += 1
+        elif self._read_in_turn > MAX_HANDLED_PER_TURN:
+            self.counters.flood_dropped += 1
         else:
-            self.counts["in"] += 1
-            self.feed(DatagramReceived((addr[0], addr[1]), datagram))
-
-    def _count_turn(self) -> None:
-        self._looked += 1
-        if self._looked == 1:
-            self._guarded("schedule", lambda: self.schedule(0.0, self._next_turn))
-        elif self._looked == LOOKED:
-            self._read_on(0)
-
-    def _next_turn(self) -> None:
-        self._looked = 0
-        self._read_on(self._throughput)
-
-    def _read_on(self, throughput: int) -> None:
-        """Twisted reads a socket until it is empty or so many bytes have come; datagrams without a byte would
-        hold it for ever, so the bound itself is lowered once enough were read in one turn."""
-        if self._throughput:
-            cast(Any, self.transport).maxThroughput = throughput
-
-    def feed(self, event: Event) -> None:
-        """Hand the machine one event and carry out its answer; nothing after the end."""
-        if self.ended:
+            self.counters.received += 1
+            host, port = addr[:2]
+            self.deliver(DatagramReceived((host, port), datagram))
+
+    def deliver(self, event: Event) -> None:
+        """Hand one event to the state machine and carry out its actions; a closed endpoint does nothing."""
+        if self.closed:
             return
-        now = self.clock()
+        now = self.clock_ms()
         actions: list[Action] = []
         if not self._guarded("handle", lambda: actions.extend(self.machine.handle(now, event))):
-            self._again(event)
+            self._retry_timer(event)
         for action in actions:
             self._guarded("action", lambda action=action: self._carry_out(action))  # type: ignore[misc]
 
-    def _again(self, event: Event) -> None:
-        """A timer in which the machine failed may have been its last: it must not stand still for good."""
+    def _count_read(self) -> None:
+        self._read_in_turn += 1
+        if self._read_in_turn == 1:
+            self._guarded("schedule", lambda: self.schedule(0.0, self._start_next_turn))
+        elif self._read_in_turn == MAX_READ_PER_TURN:
+            self._limit_throughput(0)
+
+    def _start_next_turn(self) -> None:
+        self._read_in_turn = 0
+        self._limit_throughput(self._max_throughput_bytes)
+
+    def _limit_throughput(self, max_bytes: int) -> None:
+        """Set how many bytes Twisted reads from the socket before it returns to the reactor.
+
+        Empty datagrams never reach a limit in bytes, so the limit itself is set to 0 once enough datagrams
+        have been read in one turn.
+        """
+        if self._max_throughput_bytes:
+            cast(Any, self.transport).maxThroughput = max_bytes
+
+    def _retry_timer(self, event: Event) -> None:
+        """Fire a timer again whose handling failed: it may have been the only one that was set."""
         if isinstance(event, TimerFired):
-            self._guarded("schedule", lambda: self.schedule(AGAIN_MS, lambda: self.feed(event)))
+            self._guarded("schedule", lambda: self.schedule(TIMER_RETRY_MS, lambda: self.deliver(event)))
 
     def _carry_out(self, action: Action) -> None:
         match action:
             case SendDatagram(to, data):
                 self._send(to, data)
             case SetTimer(in_ms, token):
-                self.schedule(in_ms, lambda: self.feed(TimerFired(token)))
+                self.schedule(in_ms, lambda: self.deliver(TimerFired(token)))
             case Notice():
-                self.tell(action)
+                self.on_notice(action)
 
-    def _send(self, to: tuple[str, int], data: bytes) -> None:
-        if len(data) > MAX_DATAGRAM:
-            self.counts["oversize-out"] += 1
-            log.error("fleet datagram of %d bytes is not sent: over %d", len(data), MAX_DATAGRAM)
+    def _send(self, to: Address, data: bytes) -> None:
+        if len(data) > MAX_DATAGRAM_BYTES:
+            self.counters.oversize_unsent += 1
+            _log.error("fleet datagram of %d bytes is not sent: over %d", len(data), MAX_DATAGRAM_BYTES)
             return
         try:
             cast(Any, self.transport).write(data, to)
-            self.counts["out"] += 1
-        except OSError:  # a full buffer or no route: for the machine no more than a loss
-            self.counts["unsent"] += 1
+            self.counters.sent += 1
+        except OSError:  # a full buffer or no route: to the state machine it is one lost datagram
+            self.counters.send_failures += 1
+
+    def _guarded(self, step: str, call: Callable[[], object]) -> bool:
+        """Call, and return whether no exception was raised.
 
-    def _guarded(self, what: str, call: Callable[[], object]) -> bool:
-        """Whether it went well.  A fault must neither end the process nor fill its log: the 1st, 2nd, 4th,
-        8th... are written."""
+        A fault must neither end the process nor fill its log: the 1st, 2nd, 4th, 8th and so on are logged.
+        """
         try:
             call()
-            return True
         except Exception:
-            self.counts["fault"] += 1
-            if self.counts["fault"].bit_count() == 1:
-                log.exception("fleet fault in %s, %d so far", what, self.counts["fault"])
+            self.counters.faults += 1
+            if self.counters.faults.bit_count() == 1:
+                _log.exception("fleet fault in %s, %d so far", step, self.counters.faults)
             return False
+        return True
--- a/packages/gossip-transport/tests/test_datagram_endpoint.py
+++ b/packages/gossip-transport/tests/test_datagram_endpoint.py
@@ -7,8 +7,15 @@
 from typing import Any
 
 import pytest
-from gossip_transport import AGAIN_MS, LOOKED, MAX_DATAGRAM, TURN, FleetPort
+from gossip_transport import (
+    MAX_HANDLED_PER_TURN,
+    MAX_READ_PER_TURN,
+    TIMER_RETRY_MS,
+    DatagramEndpoint,
+    EndpointCounters,
+)
 from sansio_core import (
+    MAX_DATAGRAM_BYTES,
     Action,
     DatagramReceived,
     Event,
@@ -26,7 +33,7 @@
 PEER = ("127.0.0.1", 9)
 
 
-class Scripted:
+class ScriptedMachine:
     """Answers each event by what is scripted for its kind; keeps all events with their times."""
 
     def __init__(self, script: dict[type, Any]) -> None:
@@ -35,16 +42,19 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append((now, event))
-        told = self.script.get(type(event), [])
-        if isinstance(told, Exception):
-            raise told
-        return told(event) if callable(told) else list(told)
+        answer = self.script.get(type(event), [])
+        if isinstance(answer, Exception):
+            raise answer
+        if callable(answer):
+            answer = answer(event)
+        return list(answer)
 
 
-class Transport:
+class FakeTransport:
     """Keeps what is written; ``fails`` makes the socket refuse."""
 
-    maxThroughput, fails = 4096, False  # noqa: N815
+    maxThroughput = 4096  # noqa: N815
+    fails = False
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, Any]] = []
@@ -55,103 +65,114 @@
         self.sent.append((data, to))
 
 
-class Hall:
+class EndpointHarness:
     """One endpoint on a fake clock."""
 
     def __init__(self, script: dict[type, Any]) -> None:
-        self.now, self.told = 5.0, list[Notice]()
-        self.later: list[tuple[float, Callable[[], None]]] = []
-        self.machine, self.transport = Scripted(script), Transport()
-        self.port = FleetPort(self.machine, lambda: self.now, self.schedule, self.told.append)
-        self.connect()
-
-    def schedule(self, in_ms: float, call: Callable[[], None]) -> None:
-        self.later.append((self.now + in_ms, call))
-
-    def connect(self) -> None:
+        self.now = 5.0
+        self.notices: list[Notice] = []
+        self.timers: list[tuple[float, Callable[[], None]]] = []
+        self.machine = ScriptedMachine(script)
+        self.transport = FakeTransport()
+        self.endpoint = DatagramEndpoint(self.machine, lambda: self.now, self.schedule, self.notices.append)
         transport: Any = self.transport
-        self.port.makeConnection(transport)
+        self.endpoint.makeConnection(transport)
 
-    def turn(self, now: float = 5.0) -> None:
+    def schedule(self, in_ms: float, callback: Callable[[], None]) -> None:
+        self.timers.append((self.now + in_ms, callback))
+
+    def advance(self, now: float = 5.0) -> None:
         self.now = now
-        due, self.later = [e for e in self.later if e[0] <= now], [e for e in self.later if e[0] > now]
-        for _, call in due:
-            call()
+        due = [timer for timer in self.timers if timer[0] <= now]
+        self.timers = [timer for timer in self.timers if timer[0] > now]
+        for _, callback in due:
+            callback()
 
 
 def test_actions_are_carried_out_in_order_and_timers_come_back() -> None:
     order: list[str] = []
-    hall = Hall({Started: [Notice("a"), SendDatagram(PEER, b"x"), SetTimer(7.0, 3), Notice("b")]})
-    hall.port.tell = lambda told: order.append(told.name)
-    hall.transport.write = lambda data, to: order.append(data.decode())  # type: ignore[method-assign]
-    hall.port.feed(Started())
+    harness = EndpointHarness(
+        {Started: [Notice("a"), SendDatagram(PEER, b"x"), SetTimer(7.0, 3), Notice("b")]}
+    )
+    harness.endpoint.on_notice = lambda notice: order.append(notice.name)
+    harness.transport.write = lambda data, to: order.append(data.decode())  # type: ignore[method-assign]
+    harness.endpoint.deliver(Started())
     assert order == ["a", "x", "b"]
-    hall.turn(11.0)
-    assert hall.machine.events == [(5.0, Started()), (5.0, Started())]
-    hall.turn(12.5)
-    assert hall.machine.events[2:] == [(12.5, TimerFired(3))] * 2
+    harness.advance(11.0)
+    assert harness.machine.events == [(5.0, Started()), (5.0, Started())]
+    harness.advance(12.5)
+    assert harness.machine.events[2:] == [(12.5, TimerFired(3))] * 2
 
 
-@pytest.mark.parametrize(("size", "taken"), [(0, True), (MAX_DATAGRAM, True), (MAX_DATAGRAM + 1, False)])
-def test_datagrams_over_the_bound_pass_neither_way(
+@pytest.mark.parametrize(
+    ("size", "taken"), [(0, True), (MAX_DATAGRAM_BYTES, True), (MAX_DATAGRAM_BYTES + 1, False)]
+)
+def test_oversize_datagrams_pass_neither_way(
     size: int, taken: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    hall = Hall({DatagramReceived: [SendDatagram(PEER, b"y" * size), Notice("after")]})
-    hall.port.datagramReceived(b"z" * size, PEER)
-    assert ((5.0, DatagramReceived(PEER, b"z" * size)) in hall.machine.events) is taken
-    assert hall.port.counts["oversize-in"] == (not taken)
-    hall.port.datagramReceived(b"small", PEER)
-    assert (len(hall.transport.sent) > 0) is taken
-    assert hall.port.counts["oversize-out"] == (not taken) and hall.told[-1] == Notice("after")
+    harness = EndpointHarness({DatagramReceived: [SendDatagram(PEER, b"y" * size), Notice("after")]})
+    harness.endpoint.datagramReceived(b"z" * size, PEER)
+    assert ((5.0, DatagramReceived(PEER, b"z" * size)) in harness.machine.events) is taken
+    assert harness.endpoint.counters.oversize_received == (not taken)
+    harness.endpoint.datagramReceived(b"small", PEER)
+    assert (len(harness.transport.sent) > 0) is taken
+    assert harness.endpoint.counters.oversize_unsent == (not taken)
+    assert harness.notices[-1] == Notice("after")
     assert bool(caplog.records) is not taken
 
 
 def test_a_flood_is_bounded_in_each_turn() -> None:
-    hall = Hall({})
+    harness = EndpointHarness({})
     for turn in (1, 2):
-        for _ in range(LOOKED):
-            assert hall.transport.maxThroughput > 0
-            hall.port.datagramReceived(b"", PEER)
-        assert hall.port.counts["in"] == turn * TURN
-        assert hall.port.counts["flood"] == turn * (LOOKED - TURN)
-        assert hall.transport.maxThroughput == 0  # the socket is read no further
-        hall.turn()
-        assert hall.transport.maxThroughput == 4096
+        for _ in range(MAX_READ_PER_TURN):
+            assert harness.transport.maxThroughput > 0
+            harness.endpoint.datagramReceived(b"", PEER)
+        assert harness.endpoint.counters.received == turn * MAX_HANDLED_PER_TURN
+        assert harness.endpoint.counters.flood_dropped == turn * (MAX_READ_PER_TURN - MAX_HANDLED_PER_TURN)
+        assert harness.transport.maxThroughput == 0  # the socket is read no further
+        harness.advance()
+        assert harness.transport.maxThroughput == 4096
 
 
 def test_faults_are_logged_sparsely_and_end_nothing(caplog: pytest.LogCaptureFixture) -> None:
-    hall = Hall({DatagramReceived: RuntimeError("machine"), Started: [Notice("a"), SetTimer(1.0, 1)]})
+    harness = EndpointHarness(
+        {DatagramReceived: RuntimeError("machine"), Started: [Notice("a"), SetTimer(1.0, 1)]}
+    )
     with caplog.at_level(logging.ERROR):
         for _ in range(9):
-            hall.port.datagramReceived(b"x", PEER)
-            hall.turn()
-    assert hall.port.counts["fault"] == 9 and len(caplog.records) == 4  # 1st, 2nd, 4th, 8th
-    hall.port.tell = lambda told: 1 / 0  # type: ignore[assignment]
-    hall.port.feed(Started())
-    assert hall.port.counts["fault"] == 10 and hall.later  # the timer behind it is set all the same
-    hall.transport.fails = True
-    hall.machine.script[DatagramReceived] = [SendDatagram(PEER, b"x")]
-    hall.port.datagramReceived(b"x", PEER)
-    assert hall.port.counts["unsent"] == 1 and hall.port.counts["fault"] == 10
-    hall.machine.script[TimerFired] = RuntimeError("once")
-    hall.turn(6.0)
-    hall.machine.script[TimerFired] = []
-    hall.turn(6.0 + AGAIN_MS)
-    fired = [at for at, event in hall.machine.events if event == TimerFired(1)]
-    assert fired == [6.0, 6.0, 6.0 + AGAIN_MS, 6.0 + AGAIN_MS]
-
-
-def test_leaving_is_the_last_event() -> None:
-    hall = Hall({ShutdownRequested: [SendDatagram(PEER, b"bye")], Started: [SetTimer(1.0, 1)]})
-    hall.port.leave()
-    hall.port.leave()
-    hall.port.datagramReceived(b"x", PEER)
-    hall.turn(10.0)
-    assert [event for _, event in hall.machine.events] == [Started(), ShutdownRequested()]
-    assert hall.transport.sent == [(b"bye", PEER)]
-    silent = FleetPort(hall.machine, lambda: 0.0, hall.schedule, print)
-    silent.leave()
-    assert silent.ended and not silent.counts
+            harness.endpoint.datagramReceived(b"x", PEER)
+            harness.advance()
+    assert harness.endpoint.counters.faults == 9
+    assert len(caplog.records) == 4  # 1st, 2nd, 4th, 8th
+    harness.endpoint.on_notice = lambda notice: 1 / 0  # type: ignore[assignment]
+    harness.endpoint.deliver(Started())
+    assert harness.endpoint.counters.faults == 10
+    assert harness.timers  # the action after the one that failed is carried out all the same
+    harness.transport.fails = True
+    harness.machine.script[DatagramReceived] = [SendDatagram(PEER, b"x")]
+    harness.endpoint.datagramReceived(b"x", PEER)
+    assert harness.endpoint.counters.send_failures == 1
+    assert harness.endpoint.counters.faults == 10
+    harness.machine.script[TimerFired] = RuntimeError("once")
+    harness.advance(6.0)
+    harness.machine.script[TimerFired] = []
+    harness.advance(6.0 + TIMER_RETRY_MS)
+    fired = [at for at, event in harness.machine.events if event == TimerFired(1)]
+    assert fired == [6.0, 6.0, 6.0 + TIMER_RETRY_MS, 6.0 + TIMER_RETRY_MS]
+
+
+def test_shutdown_is_the_last_event() -> None:
+    harness = EndpointHarness({ShutdownRequested: [SendDatagram(PEER, b"bye")], Started: [SetTimer(1.0, 1)]})
+    harness.endpoint.shut_down()
+    harness.endpoint.shut_down()
+    harness.endpoint.datagramReceived(b"x", PEER)
+    harness.advance(10.0)
+    assert [event for _, event in harness.machine.events] == [Started(), ShutdownRequested()]
+    assert harness.transport.sent == [(b"bye", PEER)]
+    silent = DatagramEndpoint(harness.machine, lambda: 0.0, harness.schedule, print)
+    silent.shut_down()
+    assert silent.closed
+    assert silent.counters == EndpointCounters()
 
 
 class PairTest(TestCase):
@@ -159,23 +180,25 @@
 
     timeout = 20
 
-    def port(self, script: dict[type, Any]) -> tuple[FleetPort, Any]:
+    def listening_endpoint(self, script: dict[type, Any]) -> tuple[DatagramEndpoint, Any]:
         clock: Any = reactor
-        made = FleetPort(
-            Scripted(script), clock.seconds, lambda ms, call: clock.callLater(ms / 1000, call), print
+        endpoint = DatagramEndpoint(
+            ScriptedMachine(script), clock.seconds, lambda ms, call: clock.callLater(ms / 1000, call), print
         )
-        bound = made.listen(reactor, ("127.0.0.1", 0))
+        bound = endpoint.listen(reactor, ("127.0.0.1", 0))
         self.addCleanup(bound.stopListening)
-        return made, bound.getHost()
+        return endpoint, bound.getHost()
 
     @inlineCallbacks
     def test_a_datagram_goes_there_and_back(self) -> Any:
         back: Deferred[DatagramReceived] = Deferred()
-        _, at = self.port({DatagramReceived: lambda heard: [SendDatagram(heard.source, heard.data + b"!")]})
-        one, _ = self.port({DatagramReceived: [Notice("back")]})
-        one.tell = lambda told: back.callback(one.machine.events[-1][1])  # type: ignore[attr-defined]
-        one.feed(Started())
-        one._carry_out(SendDatagram((at.host, at.port), b"hail"))
-        heard = yield back
-        assert heard == DatagramReceived((at.host, at.port), b"hail!")
-        assert one.counts == {"out": 1, "in": 1}
+        _, address = self.listening_endpoint(
+            {DatagramReceived: lambda event: [SendDatagram(event.source, event.data + b"!")]}
+        )
+        sender, _ = self.listening_endpoint({DatagramReceived: [Notice("back")]})
+        sender.on_notice = lambda notice: back.callback(sender.machine.events[-1][1])  # type: ignore[attr-defined]
+        sender.deliver(Started())
+        sender._carry_out(SendDatagram((address.host, address.port), b"hello"))
+        received = yield back
+        assert received == DatagramReceived((address.host, address.port), b"hello!")
+        assert sender.counters == EndpointCounters(sent=1, received=1)
--- a/packages/sansio-core/src/sansio_core/__init__.py
+++ b/packages/sansio-core/src/sansio_core/__init__.py
@@ -14,6 +14,9 @@
 Address = tuple[str, int]
 """IPv4 address in dotted form, and port."""
 
+MAX_DATAGRAM_BYTES = 256
+"""Bytes of a datagram: no network fragments it, and a forged one amplifies nothing."""
+
 RandomSource = Callable[[], float]
 """Returns the next random number, uniform in [0, 1)."""
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,6 +8,7 @@
 from unittest.mock import Mock
 
 import pytest
+from gossip_transport import EndpointCounters
 from sansio_core import Notice
 from twisted.internet.address import IPv4Address
 from twisted.internet.error import CannotListenError
@@ -183,14 +184,14 @@
     gone = Member(tmp_path, monkeypatch, refusals=9)
     gone.fleet.leave()
     gone.deadlines.run_due(core_ms() + fleet.AGAIN_MS)
-    assert gone.reactor.asked == 1 and not gone.fleet.port.counts
+    assert gone.reactor.asked == 1 and gone.fleet.port.counters == EndpointCounters()
 
 
 def test_what_is_refused_is_logged_sparsely(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     member = Member(tmp_path, monkeypatch)
     for _ in range(9):
         member.fleet.port.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
-    member.fleet.port.tell(Notice("unknown", {}))
+    member.fleet.port.on_notice(Notice("unknown", {}))
     assert [noted["times"] for noted in member.noted("refused")] == [1, 2, 4, 8]
     assert not member.noted("unknown")
 
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from fleet_membership import Membership, MembershipSettings
-from gossip_transport import FleetPort
+from gossip_transport import DatagramEndpoint
 from sansio_core import Notice
 from twisted.internet.error import CannotListenError
 
@@ -50,13 +50,13 @@
         except (TypeError, ValueError) as error:
             raise ConfigError(f"fleet, fleet.timings: {error}") from error
         self.machine = Membership(settings, random.SystemRandom().random)
-        self.port = FleetPort(self.machine, core_ms, self._schedule, self._note)
+        self.port = DatagramEndpoint(self.machine, core_ms, self._schedule, self._note)
         self.refused, self.waits = Counter[str](), 0
         self._bound: Any = None
 
     def listen(self, reactor: Any) -> None:
         """Bind and join; where the port is taken, try again until it is free or this process leaves."""
-        if self.port.ended:
+        if self.port.closed:
             return
         try:
             self._bound = self.port.listen(reactor, self.told.listen)
@@ -71,7 +71,7 @@
 
     def leave(self) -> None:
         """Say so to the others and free the port, for the process that comes next."""
-        self.port.leave()
+        self.port.shut_down()
         if self._bound is not None:
             self._bound.stopListening()
 
