--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -17,8 +17,8 @@
 import tempfile
 from pathlib import Path
 
-from control_rig.discovery import Discovery
-from control_rig.rig import free_addresses
+from control_harness.fake_discovery import Discovery
+from control_harness.participants import free_addresses
 from standins.config import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/benchmarks/relay_behind.py
+++ b/benchmarks/relay_behind.py
@@ -16,8 +16,8 @@
 import time
 from pathlib import Path
 
-from control_rig.poller import Poller
-from control_rig.rig import Relay, Rig
+from control_harness.participants import Relay, Rig
+from control_harness.poller import Poller
 
 from benchmarks.catch_up import BEHIND, LAUNCH, LONG_TURN_S
 from benchmarks.relay_load import memory_mb, ready, used_ms
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -14,8 +14,8 @@
 import time
 from pathlib import Path
 
-from control_rig.poller import Poller
-from control_rig.rig import Relay, Rig
+from control_harness.participants import Relay, Rig
+from control_harness.poller import Poller
 
 SIZES = 100, 200, 400, 600
 SHELFS, PURGES_A_S = 440, 34
--- a/packages/control-rig/src/control_rig/shelf.py
+++ b/packages/control-harness/src/control_harness/fake_cache_server.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from control_rig.server import Server
+from control_harness.loopback_server import Server
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 
 
--- a/packages/control-rig/src/control_rig/discovery.py
+++ b/packages/control-harness/src/control_harness/fake_discovery.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from control_rig.server import Server
+from control_harness.loopback_server import Server
 
 Line = Mapping[str, Any]
 MOST_BLOCK_S = 5.0
--- a/packages/control-rig/src/control_rig/link.py
+++ b/packages/control-harness/src/control_harness/fault_proxy.py
@@ -5,7 +5,7 @@
 import asyncio
 import re
 
-from control_rig.server import Server
+from control_harness.loopback_server import Server
 
 PIECE = 65_536
 EVENTS = re.compile(rb'"cmds": ?\[(?=\{)')
--- a/packages/control-rig/src/control_rig/rig.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -15,10 +15,10 @@
 from standins.clients import fastcgi_request
 from standins.config import SETTINGS
 
-from control_rig.discovery import Discovery
-from control_rig.link import Link
-from control_rig.process import Process
-from control_rig.shelf import Shelf
+from control_harness.fake_cache_server import Shelf
+from control_harness.fake_discovery import Discovery
+from control_harness.fault_proxy import Link
+from control_harness.process import Process
 from thornjunction.net.wire import fastcgi
 
 WITHIN_S = 30.0  # for a thing that has to happen; on an idle machine most take well under one
--- a/packages/control-rig/src/control_rig/stage.py
+++ b/packages/control-harness/src/control_harness/relay_environment.py
@@ -7,8 +7,8 @@
 from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
 
-from control_rig.rig import Relay, Rig, Router
-from control_rig.shelf import Shelf
+from control_harness.fake_cache_server import Shelf
+from control_harness.participants import Relay, Rig, Router
 
 Scene = Callable[["Stage"], Awaitable[None]]
 Play = Callable[[Scene], None]
--- a/packages/control-rig/tests/conftest.py
+++ b/packages/control-harness/tests/conftest.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 import pytest
-from control_rig import stage
+from control_harness import relay_environment
 
 
 @pytest.fixture
-def play(tmp_path: Path) -> stage.Play:
+def play(tmp_path: Path) -> relay_environment.Play:
     """Plays a scene, and ends its processes whatever happens."""
-    return partial(stage.play, tmp_path)
+    return partial(relay_environment.play, tmp_path)
--- a/packages/control-rig/tests/test_control_faults.py
+++ b/packages/control-harness/tests/test_control_faults.py
@@ -5,7 +5,7 @@
 import signal
 
 import pytest
-from control_rig.stage import Play, Stage
+from control_harness.relay_environment import Play, Stage
 
 
 def test_a_relay_is_killed_and_starts_empty(play: Play) -> None:
--- a/packages/control-rig/tests/test_control_behind.py
+++ b/packages/control-harness/tests/test_control_lagging_relay.py
@@ -6,8 +6,8 @@
 import signal
 
 import pytest
-from control_rig.poller import Poller
-from control_rig.stage import Play, Stage
+from control_harness.poller import Poller
+from control_harness.relay_environment import Play, Stage
 
 CHANGES = 1_100  # of the list: more than a relay's log keeps
 POLLERS = 100
--- a/packages/control-rig/tests/test_control_done.py
+++ b/packages/control-harness/tests/test_control_propagation.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-from control_rig.stage import Play, Stage
+from control_harness.relay_environment import Play, Stage
 
 
 def test_the_root_names_who_has_not_confirmed(play: Play) -> None:
--- a/packages/fleet-rig/src/fleet_rig/__main__.py
+++ b/packages/fleet-harness/src/fleet_harness/__main__.py
@@ -1,5 +1,5 @@
-"""``python -m fleet_rig`` starts routers that know each other until SIGTERM; ``python -m fleet_rig play
-FILE..`` plays scenarios and exits with 1 where one was not seen through."""
+"""``python -m fleet_harness`` starts routers that know each other until SIGTERM; ``... play FILE..`` plays
+scenarios and exits with 1 where one was not seen through."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ReactorNotRunning
 
-from fleet_rig.demo import Demo
-from fleet_rig.play import Troupe
+from fleet_harness.demo import Demo
+from fleet_harness.scenario_batch import Troupe
 from thornjunction.net.reactor import install
 
 reactor = install()
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m fleet_rig", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m fleet_harness", description=__doc__)
     parser.add_argument("--routers", type=int, default=3, choices=range(3, 10), help="of the fleet, 3 to 9")
     play = parser.add_subparsers(dest="command").add_parser("play", help="play scenario files")
     play.add_argument("--jobs", type=int, default=4, help="scenarios at once")
--- a/packages/fleet-rig/src/fleet_rig/demo.py
+++ b/packages/fleet-harness/src/fleet_harness/demo.py
@@ -7,8 +7,8 @@
 
 from twisted.internet.defer import Deferred
 
-from fleet_rig.cast import Cast
-from fleet_rig.rig import Rig
+from fleet_harness.environment import Rig
+from fleet_harness.participants import Cast
 
 WITHIN_MS = 30_000.0
 
--- a/packages/fleet-rig/src/fleet_rig/rig.py
+++ b/packages/fleet-harness/src/fleet_harness/environment.py
@@ -12,11 +12,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.threads import deferToThread
 
-from fleet_rig.cast import Cast
-from fleet_rig.files import start_standins, write_config, write_extras
-from fleet_rig.node import Node
-from fleet_rig.record import Record
-from fleet_rig.relay import Address, Relay
+from fleet_harness.event_record import Record
+from fleet_harness.participants import Cast
+from fleet_harness.router_files import start_standins, write_config, write_extras
+from fleet_harness.router_process import Node
+from fleet_harness.udp_relay import Address, Relay
 
 END_MS = 10_000.0  # from a signal to the exit, a drain between them
 MOST_STARTS = 5  # of one life, where a port was taken between its draw and its use
@@ -31,7 +31,7 @@
 
     def __init__(self, reactor: Any, cast: Cast, seed: int = 1) -> None:
         self.reactor, self.cast, self.names = reactor, cast, cast.names
-        self.folder = Path(tempfile.mkdtemp(prefix="fleet-rig-"))
+        self.folder = Path(tempfile.mkdtemp(prefix="fleet-harness-"))
         since = reactor.seconds()
         self.record = Record(lambda: float(reactor.seconds() - since) * 1000.0)
         self.relay = Relay(reactor, seed)
--- a/packages/fleet-rig/src/fleet_rig/files.py
+++ b/packages/fleet-harness/src/fleet_harness/router_files.py
@@ -13,7 +13,7 @@
 from standins.config import SETTINGS, listen
 from standins.plain import DemoDiscovery, DemoShelf
 
-from fleet_rig.relay import Address
+from fleet_harness.udp_relay import Address
 
 
 def start_standins(reactor: Any) -> int:
--- a/packages/fleet-rig/src/fleet_rig/play.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_batch.py
@@ -10,7 +10,7 @@
 from fleet_sim.scenario import ScenarioSyntaxError, load
 from twisted.internet.defer import Deferred, DeferredSemaphore, gatherResults
 
-from fleet_rig.stage import Stage, Verdict
+from fleet_harness.scenario_run import Stage, Verdict
 
 
 class Troupe:
--- a/packages/fleet-rig/src/fleet_rig/stage.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_run.py
@@ -11,10 +11,10 @@
 from fleet_sim.scenario import Expectation, Scenario, ScenarioSyntaxError, Step
 from twisted.internet.error import ConnectError
 
-from fleet_rig.acts import Acts
-from fleet_rig.cast import Cast
-from fleet_rig.door import ask
-from fleet_rig.rig import NeverSeenError, Rig
+from fleet_harness.admin_client import ask
+from fleet_harness.environment import NeverSeenError, Rig
+from fleet_harness.participants import Cast
+from fleet_harness.steps import Acts
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fleet-rig/src/fleet_rig/acts.py
+++ b/packages/fleet-harness/src/fleet_harness/steps.py
@@ -9,7 +9,7 @@
 from fleet_sim.faults import links_across
 from fleet_sim.scenario_actions import parse_arrow, parse_quality
 
-from fleet_rig.rig import Rig
+from fleet_harness.environment import Rig
 
 Words = Sequence[str]
 SIGNALS = {
--- a/packages/fleet-rig/tests/test_scenes.py
+++ b/packages/fleet-harness/tests/test_fleet_scenarios.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from fleet_rig.stage import Stage
+from fleet_harness.scenario_run import Stage
 from fleet_sim.scenario import ScenarioSyntaxError, parse
 
 SCENES = sorted((Path(__file__).parent / "timelines").glob("*.timeline"))
@@ -24,7 +24,7 @@
 @pytest.fixture(scope="session")
 def verdicts() -> Iterator[dict[str, Any]]:
     """The verdict of each file by its name; the rig ends its processes also where this is cut short."""
-    command = [sys.executable, "-m", "fleet_rig", "play", "--jobs", str(JOBS), *map(str, SCENES)]
+    command = [sys.executable, "-m", "fleet_harness", "play", "--jobs", str(JOBS), *map(str, SCENES)]
     rig = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT)
     try:
         told, faults = rig.communicate(timeout=WITHIN_S)
@@ -64,7 +64,7 @@
     scenes = {"none": "boil a", "wrong": "wait | a: exit 0"}
     for name, act in scenes.items():
         (tmp_path / name).write_text(HEAD + f"for: 6000\nthen {act}\n")
-    command = [sys.executable, "-m", "fleet_rig", "play", *(str(tmp_path / name) for name in scenes)]
+    command = [sys.executable, "-m", "fleet_harness", "play", *(str(tmp_path / name) for name in scenes)]
     ended = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
     told = {line["name"]: line for line in map(json.loads, ended.stdout.splitlines())}
     assert ended.returncode == 1 and told["none"]["why"] == "line 4: not an act: boil a (no such act)"
@@ -74,7 +74,8 @@
 
 
 def test_the_demo_tells_of_its_routers_and_ends_them() -> None:
-    demo = subprocess.Popen([sys.executable, "-m", "fleet_rig"], stdout=subprocess.PIPE, text=True, cwd=ROOT)
+    command = [sys.executable, "-m", "fleet_harness"]
+    demo = subprocess.Popen(command, stdout=subprocess.PIPE, text=True, cwd=ROOT)
     try:
         assert demo.stdout is not None
         lines = [next(demo.stdout) for _ in range(5)]
--- a/packages/fleet-rig/tests/test_relay.py
+++ b/packages/fleet-harness/tests/test_udp_relay.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from fleet_rig.relay import CLEAR, MAX_HELD, Relay
+from fleet_harness.udp_relay import CLEAR, MAX_HELD, Relay
 from fleet_sim import LinkQuality
 
 A, B = ("127.0.0.1", 11), ("127.0.0.1", 12)  # where the routers really listen
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -20,10 +20,10 @@
 from unittest.mock import patch
 
 import pytest
-from control_rig.poller import Poller
-from control_rig.rig import Member, Relay, Rig, Router, free_addresses
-from control_rig.server import Server
-from control_rig.shelf import Shelf
+from control_harness.fake_cache_server import Shelf
+from control_harness.loopback_server import Server
+from control_harness.participants import Member, Relay, Rig, Router, free_addresses
+from control_harness.poller import Poller
 from standins.bare import BareClient, BareShelf, address, asked, connect
 from standins.config import config_at
 from standins.watch import line
