--- a/packages/fleet-harness/src/fleet_harness/__main__.py
+++ b/packages/fleet-harness/src/fleet_harness/__main__.py
@@ -1,68 +1,112 @@
-"""``python -m fleet_harness`` starts routers that know each other until SIGTERM; ``... play FILE..`` plays
-scenarios and exits with 1 where one was not seen through."""
+"""Command line: ``python -m fleet_harness`` runs a demo fleet, ``... play FILE..`` runs scenarios.
+
+The demo runs until SIGTERM.  ``play`` exits with 1 if an expectation of any scenario was not met.
+"""
 
 from __future__ import annotations
 
 import argparse
 import signal
 import sys
+from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ReactorNotRunning
+from twisted.python.failure import Failure
 
 from fleet_harness.demo import Demo
-from fleet_harness.scenario_batch import Troupe
+from fleet_harness.scenario_batch import ScenarioBatch
 from thornjunction.net.reactor import install
 
+MIN_ROUTERS = 3
+"""Routers of the smallest demo: fewer have no majority without one of them."""
+
+MAX_ROUTERS = 9
+"""Routers of the largest demo."""
+
+DEFAULT_JOBS = 4
+"""Scenarios that run at once unless the command line says otherwise."""
+
 reactor = install()
 
 
+class Stoppable(Protocol):
+    """Something that started processes and can end them."""
+
+    def stop(self) -> Deferred[Any]:
+        """End all processes; fires once they have ended."""
+        ...
+
+
 def main() -> int:
+    """Run the command line; return the exit code."""
+    arguments = _parse_arguments()
+    if arguments.command == "play":
+        return _run_scenarios(arguments.files, arguments.jobs)
+    demo = Demo(reactor, [f"router-{number + 1}" for number in range(arguments.routers)])
+    return _run_reactor(demo, lambda: Deferred.fromCoroutine(demo.run()))
+
+
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m fleet_harness", description=__doc__)
-    parser.add_argument("--routers", type=int, default=3, choices=range(3, 10), help="of the fleet, 3 to 9")
-    play = parser.add_subparsers(dest="command").add_parser("play", help="play scenario files")
-    play.add_argument("--jobs", type=int, default=4, help="scenarios at once")
+    parser.add_argument(
+        "--routers",
+        type=int,
+        default=MIN_ROUTERS,
+        choices=range(MIN_ROUTERS, MAX_ROUTERS + 1),
+        help=f"routers of the fleet, {MIN_ROUTERS} to {MAX_ROUTERS}",
+    )
+    play = parser.add_subparsers(dest="command").add_parser("play", help="run scenario files")
+    play.add_argument("--jobs", type=int, default=DEFAULT_JOBS, help="scenarios at once")
     play.add_argument("files", nargs="+", type=Path)
-    told = parser.parse_args()
-    if told.command == "play":
-        troupe = Troupe(reactor, told.jobs)
-        return _run(troupe, lambda: troupe.play(told.files).addCallback(lambda _: _end())) or (
-            troupe.missed > 0
-        )
-    demo = Demo(reactor, [f"router-{number + 1}" for number in range(told.routers)])
-    return _run(demo, lambda: Deferred.fromCoroutine(demo.play()))
-
-
-def _end() -> None:
-    """Stop the reactor, unless it is stopping."""
+    return parser.parse_args()
+
+
+def _run_scenarios(files: list[Path], jobs: int) -> int:
+    batch = ScenarioBatch(reactor, jobs)
+
+    def begin() -> Deferred[Any]:
+        return batch.run(files).addCallback(lambda _: _stop_reactor())
+
+    exit_code = _run_reactor(batch, begin)
+    if exit_code == 0 and batch.failed > 0:
+        return 1
+    return exit_code
+
+
+def _stop_reactor() -> None:
+    """Stop the reactor, unless it is stopping already."""
     with suppress(ReactorNotRunning):
         reactor.stop()
 
 
-def _end_at_the_first_signal() -> None:
-    """Those that follow change nothing: ending the processes takes a moment."""
+def _stop_on_signals() -> None:
+    """Stop at the first signal; later ones change nothing, because ending the processes takes a moment."""
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(_end))
+        signal.signal(number, lambda *_: reactor.callFromThread(_stop_reactor))
+
 
+def _run_reactor(target: Stoppable, begin: Callable[[], Deferred[Any]]) -> int:
+    """Run until the target's work or a signal stops the reactor; return the exit code.
 
-def _run(acted: Troupe | Demo, begin: Any) -> int:
-    """Until it ends, or a signal does; whatever happens, the processes it started end before this one."""
-    faults: list[Any] = []
+    Whatever happens, the processes that the target started end before this one does.
+    """
+    failures: list[Failure] = []
 
-    def fault(failure: Any) -> None:
-        faults.append(failure)
+    def record_failure(failure: Failure) -> None:
+        failures.append(failure)
         print(failure.getTraceback(), file=sys.stderr)
-        _end()
+        _stop_reactor()
 
-    reactor.callWhenRunning(_end_at_the_first_signal)
-    reactor.callWhenRunning(lambda: begin().addErrback(fault))
-    reactor.addSystemEventTrigger("before", "shutdown", acted.stop)
+    reactor.callWhenRunning(_stop_on_signals)
+    reactor.callWhenRunning(lambda: begin().addErrback(record_failure))
+    reactor.addSystemEventTrigger("before", "shutdown", target.stop)
     reactor.run()
-    return 1 if faults else 0
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
-    sys.exit(int(main()))
+    sys.exit(main())
--- a/packages/fleet-harness/src/fleet_harness/admin_client.py
+++ b/packages/fleet-harness/src/fleet_harness/admin_client.py
@@ -1,35 +1,40 @@
-"""One call at a router's operators' door."""
+"""A client of a router's admin endpoint: one call on a connection of its own."""
 
 from __future__ import annotations
 
 from typing import Any
 
+from sansio_core import Address
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-DIAL_S = 5
+CONNECT_TIMEOUT_S = 5
+"""Seconds that a connection on loopback may take, on a busy machine too."""
 
 
-class _Caller(Protocol):
-    """Sends one line, and keeps the reply until the door closes."""
+class _AdminCall(Protocol):
+    """Sends one line and collects the reply until the router closes the connection."""
 
     def __init__(self, line: str) -> None:
-        self.line, self.reply, self.whole = line, b"", Deferred[str]()
+        self.reply: Deferred[str] = Deferred()
+        self._line = line
+        self._received = b""
 
     def connectionMade(self) -> None:  # noqa: N802
         transport: Any = self.transport
-        transport.write(self.line.encode() + b"\n")
+        transport.write(self._line.encode() + b"\n")
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.reply += data
+        self._received += data
 
-    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        self.whole.callback(self.reply.decode("utf-8", "replace"))
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002, N802
+        self.reply.callback(self._received.decode("utf-8", "replace"))
 
 
-async def ask(reactor: Any, door: tuple[str, int], line: str) -> str:
-    """The whole reply; ConnectError where nobody listens."""
-    endpoint: Any = TCP4ClientEndpoint(reactor, door[0], door[1], timeout=DIAL_S)
-    caller = await endpoint.connect(Factory.forProtocol(lambda: _Caller(line)))
-    return str(await caller.whole)
+async def call_admin(reactor: Any, address: Address, line: str) -> str:
+    """Send a line and return the complete reply; raises ConnectError if nobody listens."""
+    host, port = address
+    endpoint: Any = TCP4ClientEndpoint(reactor, host, port, timeout=CONNECT_TIMEOUT_S)
+    call = await endpoint.connect(Factory.forProtocol(lambda: _AdminCall(line)))
+    return str(await call.reply)
--- a/packages/fleet-harness/src/fleet_harness/demo.py
+++ b/packages/fleet-harness/src/fleet_harness/demo.py
@@ -1,4 +1,4 @@
-"""Three routers that know each other, for a newcomer: started, described, and ended with this program."""
+"""A demo fleet for a newcomer: routers that know each other, until this program ends."""
 
 from __future__ import annotations
 
@@ -7,59 +7,57 @@
 
 from twisted.internet.defer import Deferred
 
-from fleet_harness.environment import Rig
-from fleet_harness.participants import Cast
+from fleet_harness.environment import Environment
+from fleet_harness.participants import Participants
 
-WITHIN_MS = 30_000.0
+START_TIMEOUT_MS = 30_000.0
+"""Milliseconds until all routers must know each other; seconds on an idle machine."""
 
 
 class Demo:
-    """A rig that runs until it is told to stop."""
+    """A fleet that runs until it is stopped."""
 
     def __init__(self, reactor: Any, names: Sequence[str]) -> None:
-        self.rig = Rig(reactor, Cast(tuple(names)))
-        self.shown = 0
+        self._environment = Environment(reactor, Participants(tuple(names)))
+        self._entries_printed = 0
+
+    async def run(self) -> None:
+        """Start all routers, wait until each knows the others, and print what can be tried."""
+        environment = self._environment
+        for name in environment.names:
+            await environment.start(name)
+        print("starting", *environment.names, flush=True)
+        await environment.waiter.wait_until(self._all_known, START_TIMEOUT_MS, "all routers know each other")
+        print(self._greeting(), flush=True)
+        self._entries_printed = len(environment.events.entries)
+        environment.on_event = self._print_new_entries
 
-    async def play(self) -> None:
-        """Start all, wait until each knows the others, and say what can be tried."""
-        for name in self.rig.names:
-            await self.rig.start(name)
-        print("starting", *self.rig.names, flush=True)
-        await self.rig.until(self._all_known, WITHIN_MS, "all routers know each other")
-        print(self.greeting(), flush=True)
-        self.shown = len(self.rig.record.entries)
-        self.rig.on_event = self._show
+    def stop(self) -> Deferred[None]:
+        """End all routers; fires once they have ended."""
+        return Deferred.fromCoroutine(self._environment.stop())
 
-    def _show(self) -> None:
-        """Print what was not printed yet of what routers said and of their ends."""
-        entries = self.rig.record.entries
-        for entry in entries[self.shown :]:
+    def _print_new_entries(self) -> None:
+        entries = self._environment.events.entries
+        for entry in entries[self._entries_printed :]:
             print(f"{entry.at_ms / 1000.0:9.3f} s  {entry.node}: {entry.text}", flush=True)
-        self.shown = len(entries)
+        self._entries_printed = len(entries)
 
     def _all_known(self) -> bool:
-        known = self.rig.record.known
-        names = set(self.rig.names)
-        return all(
-            {other for other, state in known[name].states.items() if state == "alive"} >= names - {name}
-            for name in names
-        )
-
-    def greeting(self) -> str:
-        """Each router's process and door, and what to do with them."""
-        lines = [f"{len(self.rig.names)} routers of one fleet run on loopback and know each other:"]
-        for name in self.rig.names:
-            host, port = self.rig.doors[name]
-            lines.append(f"  {name}: process {self.rig.nodes[name].pid}, operators' door {host}:{port}")
-        host, port = self.rig.doors[self.rig.names[0]]
-        return "\n".join(
-            [
-                *lines,
-                f"Ask one what it knows:  printf 'fleet\\n' | nc {host} {port}",
-                "End one in order with SIGTERM, at once with SIGKILL, or hold it with SIGSTOP and SIGCONT,",
-                "and see here what the others say.  SIGTERM or Ctrl-C here ends them all.",
-            ]
-        )
-
-    def stop(self) -> Deferred[None]:
-        return Deferred.fromCoroutine(self.rig.stop())
+        names = set(self._environment.names)
+        views = self._environment.events.views
+        return all(views[name].alive_members() >= names - {name} for name in names)
+
+    def _greeting(self) -> str:
+        """Return each router's process and admin endpoint, and what to do with them."""
+        environment = self._environment
+        lines = [f"{len(environment.names)} routers of one fleet run on loopback and know each other:"]
+        for name in environment.names:
+            host, port = environment.admin_addresses[name]
+            lines.append(f"  {name}: process {environment.processes[name].pid}, admin endpoint {host}:{port}")
+        host, port = environment.admin_addresses[environment.names[0]]
+        lines += [
+            f"Ask one for its members:  printf 'fleet\\n' | nc {host} {port}",
+            "End one gracefully with SIGTERM, at once with SIGKILL, or pause it with SIGSTOP and SIGCONT,",
+            "and read here what the others log.  SIGTERM or Ctrl-C here ends them all.",
+        ]
+        return "\n".join(lines)
--- a/packages/fleet-harness/src/fleet_harness/environment.py
+++ b/packages/fleet-harness/src/fleet_harness/environment.py
@@ -1,4 +1,4 @@
-"""A fleet on one machine: stand-ins, relays and router processes, and what can be done to them."""
+"""The environment of a run: fake servers, the relay and the router processes, and the faults of each."""
 
 from __future__ import annotations
 
@@ -9,190 +9,180 @@
 from pathlib import Path
 from typing import Any
 
-from twisted.internet.defer import Deferred
+from sansio_core import Address
 from twisted.internet.threads import deferToThread
 
-from fleet_harness.event_record import Record
-from fleet_harness.participants import Cast
-from fleet_harness.router_files import start_standins, write_config, write_extras
-from fleet_harness.router_process import Node
-from fleet_harness.udp_relay import Address, Relay
-
-END_MS = 10_000.0  # from a signal to the exit, a drain between them
-MOST_STARTS = 5  # of one life, where a port was taken between its draw and its use
-
-
-class NeverSeenError(Exception):
-    """What was waited for did not come in time."""
-
-
-class Rig:
-    """The routers of a cast.  Made with the reactor that is to run; ``stop`` ends all."""
-
-    def __init__(self, reactor: Any, cast: Cast, seed: int = 1) -> None:
-        self.reactor, self.cast, self.names = reactor, cast, cast.names
-        self.folder = Path(tempfile.mkdtemp(prefix="fleet-harness-"))
-        since = reactor.seconds()
-        self.record = Record(lambda: float(reactor.seconds() - since) * 1000.0)
-        self.relay = Relay(reactor, seed)
-        self.nodes: dict[str, Node] = {}
-        self.doors: dict[str, Address] = {}
-        self.starts: dict[str, int] = {}
-        self.running: set[str] = set()  # those that are to run, paused ones too
-        self.calls: list[Any] = []
+from fleet_harness.event_record import EventRecord
+from fleet_harness.participants import Participants
+from fleet_harness.router_files import start_fake_servers, write_operators_file, write_platform_config
+from fleet_harness.router_process import EXIT_EVENT, RouterProcess
+from fleet_harness.udp_relay import UdpRelay
+from fleet_harness.waiting import ConditionWaiter
+
+EXIT_TIMEOUT_MS = 10_000.0
+"""Milliseconds from a signal to the exit, a graceful shutdown between them."""
+
+MAX_START_ATTEMPTS = 5
+"""Starts of one router until its ports are free: another process may take one after it was drawn."""
+
+PROCESS_CHANGES: Mapping[int, str] = {
+    signal.SIGKILL: "killed",
+    signal.SIGSTOP: "paused",
+    signal.SIGCONT: "continued",
+}
+"""What the timeline says of a process that receives a signal; other signals are shown as faults."""
+
+FINAL_SIGNALS = (signal.SIGKILL, signal.SIGTERM)
+"""Signals after which a process is expected to end."""
+
+
+class Environment:
+    """The routers of a run, by name; ``stop`` ends everything that was started.
+
+    ``expected_running`` are the routers that have been started and not ended, also while they are paused.
+    ``on_event`` is called after each entry of a router's log.
+    """
+
+    def __init__(self, reactor: Any, participants: Participants, seed: int = 1) -> None:
+        self.participants = participants
+        self.names = participants.names
+        self.waiter = ConditionWaiter(reactor)
+        started_at_s = reactor.seconds()
+        self.events = EventRecord(lambda: float(reactor.seconds() - started_at_s) * 1000.0)
+        self.relay = UdpRelay(reactor, seed)
+        self.processes: dict[str, RouterProcess] = {}
+        self.admin_addresses: dict[str, Address] = {}
+        self.expected_running: set[str] = set()
         self.on_event: Callable[[], None] = lambda: None
-        self.broken = ""
-        self.waiters: list[tuple[Callable[[], bool], Deferred[None]]] = []
+        self._reactor = reactor
+        self._folder = Path(tempfile.mkdtemp(prefix="fleet-harness-"))
+        self._start_attempts: dict[str, int] = {}
+        self._repeated_calls: list[Any] = []
+        self._stopping = False
         for name in self.names:
-            self.relay.add(name)
-        self.channel = start_standins(reactor)
-
-    # -- lives --
+            self.relay.add_router(name)
+        self._discovery_port = start_fake_servers(reactor)
 
     async def start(self, name: str) -> None:
-        """A new life, with what the folder holds of those before it."""
-        await self.ended(name)
-        self.starts[name] = 0
-        self.running.add(name)
+        """Start a new process, with the data that earlier ones left, once the last one has ended."""
+        await self.wait_for_exit(name)
+        self._start_attempts[name] = 0
+        self.expected_running.add(name)
         self._spawn(name)
 
-    def _spawn(self, name: str) -> None:
-        self.starts[name] += 1
-        folder = self.folder / name
-        folder.mkdir(exist_ok=True)
-        self.doors[name] = write_config(folder, name, self.channel)
-        public, cast = self.relay.public, self.cast
-        seeds = [public[seed] for seed in cast.seeds(name)]
-        write_extras(folder, public[name], seeds, cast.secret(name), cast.settings(name))
-        self.record.begin(name)
-        self.nodes[name] = node = Node(name, self._heard)
-        node.start(self.reactor, folder / "config.json", folder / "extras.toml")
-
-    async def ended(self, name: str) -> None:
-        """Until the last life is over, if there was one; NeverSeenError past a bound."""
-        node = self.nodes.get(name)
-        if node is not None:
-            await self.until(lambda: node.ended.called, END_MS, f"the end of {name}")
-
-    def forget(self, name: str) -> None:
-        """Remove a router's data, as a lost disk would."""
-        shutil.rmtree(self.folder / name / "data", ignore_errors=True)
-
-    def tear(self, name: str) -> None:
-        """Cut each file of a router's data in half, as a disk that lied about an fsync might."""
-        for path in (self.folder / name / "data").iterdir():
+    async def wait_for_exit(self, name: str) -> None:
+        """Wait until a router's last process, if any, has ended; raises NotObservedError."""
+        process = self.processes.get(name)
+        if process is not None:
+            await self.waiter.wait_until(
+                lambda: bool(process.ended.called), EXIT_TIMEOUT_MS, f"the end of {name}"
+            )
+
+    def remove_data(self, name: str) -> None:
+        """Remove a router's data, as the loss of its disk would."""
+        shutil.rmtree(self._data_folder(name), ignore_errors=True)
+
+    def truncate_data(self, name: str) -> None:
+        """Truncate each file of a router's data to half, as a disk that ignored an fsync might."""
+        for path in self._data_folder(name).iterdir():
             path.write_bytes(path.read_bytes()[: path.stat().st_size // 2])
 
-    def signal(self, name: str, number: int) -> None:
-        said = {signal.SIGKILL: "killed", signal.SIGSTOP: "paused", signal.SIGCONT: "continued"}
-        if number in said:
-            self.record.life(name, said[signal.Signals(number)])
+    def send_signal(self, name: str, number: int) -> None:
+        """Send a signal to a router's process."""
+        if number in PROCESS_CHANGES:
+            self.events.add_process_change(name, PROCESS_CHANGES[number])
         else:
-            self.record.fault(f"{signal.Signals(number).name} to {name}")
-        if number in (signal.SIGKILL, signal.SIGTERM):
-            self.running.discard(name)
-        self.nodes[name].signal(number)
-
-    def _heard(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
-        self.record.heard(name, event, fields)
-        self.on_event()
-        if event == "fleet-listening":
-            self.relay.register(name, ("127.0.0.1", int(fields["port"])))
-        elif event == "exit":
-            self._exited(name)
-        self._look()
-
-    def _exited(self, name: str) -> None:
-        self.relay.real.pop(name, None)
-        self.record.life(name, "ended")
-        if "cannot-listen" in self.record.known[name].events and self.starts[name] < MOST_STARTS:
-            self._spawn(name)
-        elif name in self.running:
-            self.running.discard(name)
-            self.give_up(f"{name} ended by itself")
-
-    # -- waiting --
-
-    def give_up(self, why: str) -> None:
-        """End all waiting, and what is still to be waited for."""
-        self.broken = self.broken or why
-        waiters, self.waiters = self.waiters, []
-        for _, fired in waiters:
-            fired.errback(NeverSeenError(why))
-
-    def _look(self) -> None:
-        for waiter in list(self.waiters):
-            holds, fired = waiter
-            if holds():
-                self.waiters.remove(waiter)
-                fired.callback(None)
-
-    async def until(self, holds: Callable[[], bool], within_ms: float, what: str) -> None:
-        """Until something holds that an event or a passed datagram brings about.  NeverSeenError past the
-        bound, and where a router ended that was to run."""
-        if self.broken:
-            raise NeverSeenError(self.broken)
-        if holds():
-            return
-        fired: Deferred[None] = Deferred()
-        waiter = holds, fired
-        self.waiters.append(waiter)
-        late = self.reactor.callLater(within_ms / 1000.0, self._late, waiter, what)
-        try:
-            await fired
-        finally:
-            if late.active():
-                late.cancel()
-
-    def _late(self, waiter: tuple[Callable[[], bool], Deferred[None]], what: str) -> None:
-        if waiter in self.waiters:
-            self.waiters.remove(waiter)
-            waiter[1].errback(NeverSeenError(f"not seen in time: {what}"))
-
-    async def traffic(self, datagrams: int, within_ms: float) -> None:
-        """Until so many more datagrams have passed the relays: time as the fleet itself counts it."""
-        wanted = self.relay.counts["passed"] + datagrams
-        self.relay.on_pass = self._look
-        await self.until(lambda: self.relay.counts["passed"] >= wanted, within_ms, f"{datagrams} datagrams")
-        self.relay.on_pass = None
-
-    def cut(self, links: Sequence[tuple[str, str]], cut: bool) -> None:
-        """Cut or heal; only what changes is drawn."""
+            self.events.add_fault(f"{signal.Signals(number).name} to {name}")
+        if number in FINAL_SIGNALS:
+            self.expected_running.discard(name)
+        self.processes[name].send_signal(number)
+
+    async def wait_for_datagrams(self, count: int, timeout_ms: float) -> None:
+        """Wait until so many more datagrams were forwarded: time as the fleet itself counts it."""
+        target = self.relay.counters.forwarded + count
+        self.relay.on_forwarded = self.waiter.check
+        await self.waiter.wait_until(
+            lambda: self.relay.counters.forwarded >= target, timeout_ms, f"{count} datagrams"
+        )
+        self.relay.on_forwarded = None
+
+    def set_links_cut(self, links: Sequence[tuple[str, str]], cut: bool) -> None:
+        """Cut or heal links; only those that change are recorded."""
         for source, target in links:
             link = self.relay.links[source, target]
             if link.cut is not cut:
                 link.cut = cut
-                self.record.link(source, target, cut)
-
-    def every(self, ms: float, call: Callable[[], None]) -> None:
-        """Call at once and then again and again, until ``quiet``."""
-        call()
-        self.calls.append(self.reactor.callLater(ms / 1000.0, self._again, ms, call))
-
-    def _again(self, ms: float, call: Callable[[], None]) -> None:
-        self.calls = [later for later in self.calls if later.active()]
-        self.every(ms, call)
-
-    def quiet(self) -> None:
-        """End what ``every`` began."""
-        for later in self.calls:
-            if later.active():
-                later.cancel()
-        self.calls = []
-
-    # -- the end --
+                self.events.add_link_change(source, target, cut)
+
+    def call_repeatedly(self, interval_ms: float, callback: Callable[[], None]) -> None:
+        """Call at once and then after each interval, until ``stop_repeated_calls``."""
+        callback()
+        self._repeated_calls = [call for call in self._repeated_calls if call.active()]
+        next_call = self._reactor.callLater(interval_ms / 1000.0, self.call_repeatedly, interval_ms, callback)
+        self._repeated_calls.append(next_call)
+
+    def stop_repeated_calls(self) -> None:
+        """End all that ``call_repeatedly`` began."""
+        for call in self._repeated_calls:
+            if call.active():
+                call.cancel()
+        self._repeated_calls = []
 
     async def stop(self) -> None:
-        """End every process by its id, wait for each, and remove all files."""
-        self.quiet()
-        self.running.clear()
-        self.starts = dict.fromkeys(self.starts, MOST_STARTS)
-        self.give_up("stopped")
-        for node in self.nodes.values():
-            node.signal(signal.SIGKILL)
-        for node in self.nodes.values():
-            if node.pid is not None:
-                await node.ended
+        """Kill every process by its id, wait for each, and remove all files."""
+        self._stopping = True
+        self.stop_repeated_calls()
+        self.expected_running.clear()
+        self.waiter.abort("stopped")
+        for process in self.processes.values():
+            process.send_signal(signal.SIGKILL)
+        for process in self.processes.values():
+            if process.pid is not None:
+                await process.ended
         await self.relay.stop()
-        # Beside the reactor: a slow disk would hold up the relays of all other scenarios.
-        await deferToThread(shutil.rmtree, self.folder, True)
+        # In a thread: a slow disk would hold up the relays of all other scenarios.
+        await deferToThread(shutil.rmtree, self._folder, True)
+
+    def _data_folder(self, name: str) -> Path:
+        return self._folder / name / "data"
+
+    def _spawn(self, name: str) -> None:
+        self._start_attempts[name] += 1
+        folder = self._folder / name
+        folder.mkdir(exist_ok=True)
+        self.admin_addresses[name] = write_platform_config(folder, name, self._discovery_port)
+        addresses = self.relay.public_addresses
+        write_operators_file(
+            folder,
+            addresses[name],
+            [addresses[seed] for seed in self.participants.seeds(name)],
+            self.participants.secret(name),
+            self.participants.fleet_settings(name),
+        )
+        self.events.add_start(name)
+        process = RouterProcess(name, self._on_log)
+        self.processes[name] = process
+        process.start(self._reactor, folder / "config.json", folder / "extras.toml")
+
+    def _on_log(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
+        self.events.add_log_entry(name, event, fields)
+        self.on_event()
+        if event == "fleet-listening":
+            self.relay.set_router_address(name, ("127.0.0.1", int(fields["port"])))
+        elif event == EXIT_EVENT:
+            self._on_exit(name)
+        self.waiter.check()
+
+    def _on_exit(self, name: str) -> None:
+        self.relay.remove_router_address(name)
+        self.events.add_process_change(name, "ended")
+        if self._can_start_again(name):
+            self._spawn(name)
+        elif name in self.expected_running:
+            self.expected_running.discard(name)
+            self.waiter.abort(f"{name} ended by itself")
+
+    def _can_start_again(self, name: str) -> bool:
+        """Return whether a router ended because one of its ports was taken, and may draw new ones."""
+        port_taken = "cannot-listen" in self.events.views[name].events
+        return port_taken and self._start_attempts[name] < MAX_START_ATTEMPTS and not self._stopping
--- a/packages/fleet-harness/src/fleet_harness/event_record.py
+++ b/packages/fleet-harness/src/fleet_harness/event_record.py
@@ -1,4 +1,4 @@
-"""What a run of the rig leaves behind: all events in order, and what each router last said of the others."""
+"""What a run leaves behind: all events in order, and what each router last logged about the others."""
 
 from __future__ import annotations
 
@@ -9,68 +9,106 @@
 from fleet_sim import EntryKind, TraceEntry, notice_text, render_trace
 from sansio_core import Notice
 
-OF_THE_LOG = "level", "logger", "ts", "pid"  # what each line has beside the event's own fields
-NOTED = {"member", "link", "majority", "mode", "paused", "refused", "exit", "fleet-waits", "cannot-listen"}
-NOTED |= {"incarnation-unknown", "incarnation-not-kept"}
-LAST_TEXTS = 8  # lines of a traceback that are shown
+from fleet_harness.router_process import EXIT_EVENT, TEXT_EVENT
+
+LOG_FIELDS = frozenset({"level", "logger", "ts", "pid"})
+"""Fields that each line of the log has beside the event's own."""
+
+TRACED_EVENTS = frozenset(
+    {
+        "cannot-listen",
+        "fleet-waits",
+        "incarnation-not-kept",
+        "incarnation-unknown",
+        "link",
+        "majority",
+        "member",
+        "mode",
+        "paused",
+        "refused",
+        EXIT_EVENT,
+    }
+)
+"""Events of the log that a timeline shows and that a scenario may expect."""
+
+MAX_TEXT_LINES = 8
+"""Lines of a router's tracebacks that the timeline shows, the last ones."""
 
 
 @dataclass(slots=True)
-class Known:
-    """What one router said of the others since it started."""
+class RouterView:
+    """What one router has logged about the fleet since its process was started."""
 
     states: dict[str, str] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)
     events: set[str] = field(default_factory=set)
-    majority: bool = False
+    has_majority: bool = False
 
+    def alive_members(self) -> set[str]:
+        """Return the members that the router last called alive."""
+        return {name for name, state in self.states.items() if state == "alive"}
 
-class Record:
-    """Entries for a timeline; ``known`` by router; ``clock`` in ms from the run's start."""
 
-    def __init__(self, clock: Callable[[], float]) -> None:
-        self.clock, self.entries = clock, list[TraceEntry]()
-        self.known: dict[str, Known] = {}
-        self.begun: dict[str, int] = {}  # the entry at which each router's life began
-        self.texts: dict[str, list[str]] = {}  # lines that were no events: a fault's traceback
+class EventRecord:
+    """The entries of a timeline, and the ``views`` of the routers by name.
 
-    def begin(self, name: str) -> None:
-        """A new life knows nothing of what the one before it said."""
-        self.known[name] = Known()
-        self.begun[name] = len(self.entries)
-        self.life(name, "started")
+    ``clock_ms`` returns the milliseconds since the run started.
+    """
 
-    def life(self, name: str, text: str) -> None:
-        self.entries.append(TraceEntry(self.clock(), EntryKind.PROCESS, name, text))
+    def __init__(self, clock_ms: Callable[[], float]) -> None:
+        self.clock_ms = clock_ms
+        self.entries: list[TraceEntry] = []
+        self.views: dict[str, RouterView] = {}
+        self.first_entries: dict[str, int] = {}  # index of the first entry of each router's process
+        self._texts: dict[str, list[str]] = {}  # lines that are no events: tracebacks
 
-    def fault(self, text: str) -> None:
-        self.entries.append(TraceEntry(self.clock(), EntryKind.FAULT, "", text))
+    def add_start(self, name: str) -> None:
+        """Record that a new process was started: nothing that an earlier one logged holds for it."""
+        self.views[name] = RouterView()
+        self.first_entries[name] = len(self.entries)
+        self.add_process_change(name, "started")
 
-    def link(self, source: str, target: str, cut: bool) -> None:
+    def add_process_change(self, name: str, text: str) -> None:
+        """Record that a router's process was started, paused, continued or ended."""
+        self.entries.append(TraceEntry(self.clock_ms(), EntryKind.PROCESS, name, text))
+
+    def add_fault(self, text: str) -> None:
+        """Record a fault that was injected."""
+        self.entries.append(TraceEntry(self.clock_ms(), EntryKind.FAULT, "", text))
+
+    def add_link_change(self, source: str, target: str, cut: bool) -> None:
+        """Record that a link was cut or healed."""
         kind = EntryKind.LINK_CUT if cut else EntryKind.LINK_HEALED
-        self.entries.append(TraceEntry(self.clock(), kind, source, "", target))
-
-    def heard(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
-        """One line of a router's log."""
-        known = self.known[name]
-        known.events.add(event)
-        if event == "text" or "exception" in fields:
-            self.texts.setdefault(name, []).append(str(fields.get("line", fields.get("exception"))))
+        self.entries.append(TraceEntry(self.clock_ms(), kind, source, "", target))
+
+    def add_log_entry(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
+        """Record one entry of a router's log."""
+        view = self.views[name]
+        view.events.add(event)
+        if event == TEXT_EVENT or "exception" in fields:
+            text = str(fields.get("line", fields.get("exception")))
+            self._texts.setdefault(name, []).append(text)
         if event == "member":
-            known.states[str(fields["name"])] = str(fields["state"])
-            known.incarnations[str(fields["name"])] = int(fields["incarnation"])
+            member = str(fields["name"])
+            view.states[member] = str(fields["state"])
+            view.incarnations[member] = int(fields["incarnation"])
         if event == "majority":
-            known.majority = bool(fields["held"])
-        if event in NOTED:
-            told = Notice(event, {key: value for key, value in fields.items() if key not in OF_THE_LOG})
-            self.entries.append(TraceEntry(self.clock(), EntryKind.NOTICE, name, notice_text(told)))
-
-    def told(self, name: str, since: int) -> Iterator[str]:
-        """What one router said, from an entry on."""
-        return (e.text for e in self.entries[since:] if e.kind is EntryKind.NOTICE and e.node == name)
+            view.has_majority = bool(fields["held"])
+        if event in TRACED_EVENTS:
+            own_fields = {key: value for key, value in fields.items() if key not in LOG_FIELDS}
+            text = notice_text(Notice(event, own_fields))
+            self.entries.append(TraceEntry(self.clock_ms(), EntryKind.NOTICE, name, text))
+
+    def notices(self, name: str, first_entry: int) -> Iterator[str]:
+        """Return the texts of what a router logged, from the entry of that index on."""
+        for entry in self.entries[first_entry:]:
+            if entry.kind is EntryKind.NOTICE and entry.node == name:
+                yield entry.text
 
     def timeline(self) -> str:
-        """All of it as text, and below it what was no event."""
-        drawn = render_trace(self.entries, sorted(self.known))
-        said = [f"-- {name} --\n" + "\n".join(lines[-LAST_TEXTS:]) for name, lines in self.texts.items()]
-        return "\n".join([drawn, *said])
+        """Return the timeline as text, followed by the tracebacks."""
+        drawn = render_trace(self.entries, sorted(self.views))
+        texts = [
+            f"-- {name} --\n" + "\n".join(lines[-MAX_TEXT_LINES:]) for name, lines in self._texts.items()
+        ]
+        return "\n".join([drawn, *texts])
--- a/packages/fleet-harness/src/fleet_harness/participants.py
+++ b/packages/fleet-harness/src/fleet_harness/participants.py
@@ -1,4 +1,4 @@
-"""Who plays: the routers of a rig, and what is odd about some of them."""
+"""The routers of a scenario, and how some of them differ from the others."""
 
 from __future__ import annotations
 
@@ -7,56 +7,88 @@
 
 from fleet_sim.scenario import Scenario, ScenarioSyntaxError
 
-TIMINGS: Mapping[str, float] = {
+TIMINGS_MS: Mapping[str, float] = {
     "probe_every_ms": 200,
     "probe_timeout_ms": 80,
     "suspicion_least_ms": 600,
     "suspicion_most_ms": 2400,
     "sync_every_ms": 500,
     "rejoin_ms": 1000,
-}  # a failure is found in one to three seconds, and a busy machine does not look like one
-GROUPS = "voters", "foreign", "strangers", "asks"
+}
+"""Timings of every router: a failure is found in one to three seconds, and a busy machine is no failure."""
+
+FLEET = "harness"
+"""The name of the fleet."""
+
+OTHER_FLEET = "other"
+"""The name of the fleet to which routers of ``other_fleet`` belong."""
+
+SECRET = b"r" * 32
+"""The secret of the fleet."""
+
+OTHER_SECRET = b"o" * 32
+"""The secret of routers of ``other_secret``."""
+
+HEADER_GROUPS: Mapping[str, str] = {
+    "voters": "voters",
+    "foreign": "other_secret",
+    "strangers": "other_fleet",
+    "asks": "contacts",
+}
+"""The field of ``Participants`` for each header line of a scenario that names routers."""
 
 
 @dataclass(frozen=True)
-class Cast:
-    """``foreign`` routers have another secret, ``strangers`` another fleet's name; all others are the
-    fleet.  Each asks those of ``asks`` first, all others where none are named."""
+class Participants:
+    """The routers by name, and the groups that a scenario makes of them.
+
+    Routers of ``other_secret`` and ``other_fleet`` are not members of the fleet; all others are.  Each router
+    first contacts those of ``contacts``, or all others if it is empty.  All members vote if ``voters`` is
+    empty.  ``timings_ms`` override ``TIMINGS_MS``.
+    """
 
     names: tuple[str, ...]
     voters: tuple[str, ...] = ()
-    foreign: tuple[str, ...] = ()
-    strangers: tuple[str, ...] = ()
-    asks: tuple[str, ...] = ()
-    timings: Mapping[str, float] = field(default_factory=dict)
+    other_secret: tuple[str, ...] = ()
+    other_fleet: tuple[str, ...] = ()
+    contacts: tuple[str, ...] = ()
+    timings_ms: Mapping[str, float] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, scenario: Scenario) -> Cast:
-        """By the head's lines of these names and ``timings: NAME=MS ..``; ScenarioSyntaxError for others."""
-        told = dict(scenario.options)
-        pairs = [word.partition("=") for word in told.pop("timings", ())]
-        if unknown := told.keys() - set(GROUPS):
-            raise ScenarioSyntaxError(f"a rig knows no {', '.join(sorted(unknown))}")
-        if unknown := {name for group in told.values() for name in group} - set(scenario.names):
-            raise ScenarioSyntaxError(f"no node {', '.join(sorted(unknown))}")
-        return cls(scenario.names, **told, timings={name: float(ms) for name, _, ms in pairs})
+    def from_scenario(cls, scenario: Scenario) -> Participants:
+        """Read the header of a scenario; raises ScenarioSyntaxError for other lines or unknown names."""
+        groups = dict(scenario.options)
+        timings = [word.partition("=") for word in groups.pop("timings", ())]
+        if unknown := groups.keys() - HEADER_GROUPS.keys():
+            message = f"the harness knows no {', '.join(sorted(unknown))}"
+            raise ScenarioSyntaxError(message)
+        if unknown := {name for group in groups.values() for name in group} - set(scenario.names):
+            message = f"no node {', '.join(sorted(unknown))}"
+            raise ScenarioSyntaxError(message)
+        return cls(
+            scenario.names,
+            **{HEADER_GROUPS[key]: names for key, names in groups.items()},
+            timings_ms={name: float(value) for name, _, value in timings},
+        )
 
     @property
-    def outside(self) -> frozenset[str]:
-        """Those that are not of the fleet."""
-        return frozenset(self.foreign + self.strangers)
+    def outsiders(self) -> frozenset[str]:
+        """The routers that are not members of the fleet."""
+        return frozenset(self.other_secret + self.other_fleet)
 
-    def settings(self, name: str) -> dict[str, object]:
-        """What a router's ``[fleet]`` section says of the fleet."""
-        voters = self.voters or tuple(other for other in self.names if other not in self.outside)
+    def fleet_settings(self, name: str) -> dict[str, object]:
+        """Return what the ``[fleet]`` section of a router's operators' file says of the fleet."""
+        members = [other for other in self.names if other not in self.outsiders]
         return {
-            "fleet": "strange" if name in self.strangers else "rig",
-            "voters": list(voters),
-            "timings": {**TIMINGS, **self.timings},
+            "fleet": OTHER_FLEET if name in self.other_fleet else FLEET,
+            "voters": list(self.voters) or members,
+            "timings": {**TIMINGS_MS, **self.timings_ms},
         }
 
     def seeds(self, name: str) -> list[str]:
-        return [seed for seed in self.asks or self.names if seed != name]
+        """Return the routers that a router contacts first."""
+        return [seed for seed in self.contacts or self.names if seed != name]
 
     def secret(self, name: str) -> bytes:
-        return (b"o" if name in self.foreign else b"r") * 32
+        """Return the secret that a router authenticates its datagrams with."""
+        return OTHER_SECRET if name in self.other_secret else SECRET
--- a/packages/fleet-harness/src/fleet_harness/router_files.py
+++ b/packages/fleet-harness/src/fleet_harness/router_files.py
@@ -1,5 +1,4 @@
-"""What a router of the rig reads: the platform's configuration on the demo's stand-ins, and an operators'
-file with its ``[fleet]`` section."""
+"""The files of a router: the platform's configuration on fake servers, and an operators' file."""
 
 from __future__ import annotations
 
@@ -10,60 +9,81 @@
 from socket import socket
 from typing import Any
 
+from sansio_core import Address
 from standins.config import SETTINGS, listen
 from standins.plain import DemoDiscovery, DemoShelf
 
-from fleet_harness.udp_relay import Address
+MAX_SOCKETS = 90
+"""Sockets of each router: few, because a whole fleet shares the limit of one user."""
 
 
-def start_standins(reactor: Any) -> int:
-    """An edge, an origin and a discovery service that lists them, on free ports; the port of the last."""
+def start_fake_servers(reactor: Any) -> int:
+    """Start an edge, an origin and a discovery that lists them, on free ports; return discovery's port."""
     hosts = [
-        {"host": name, "dial": f"127.0.0.1:{listen(reactor, DemoShelf)}", "site": "demo"}
-        | {"class": kind, "health": "active"}
+        {
+            "host": name,
+            "dial": f"127.0.0.1:{listen(reactor, DemoShelf)}",
+            "site": "demo",
+            "class": kind,
+            "health": "active",
+        }
         for name, kind in (("edge1", "box"), ("origin", "root"))
     ]
     return listen(reactor, lambda: DemoDiscovery(hosts, reactor))
 
 
-def write_config(folder: Path, name: str, channel: int) -> Address:
-    """The platform's file; where the operators' door will be.  Both ports are on a loopback address drawn for
-    this life, where nothing else is likely to take them; a router that can't have one is started again."""
+def write_platform_config(folder: Path, name: str, discovery_port: int) -> Address:
+    """Write the platform's file ``config.json``; return the address of the router's admin endpoint.
+
+    Both ports are on a loopback address drawn for this process, where nothing else is likely to take them; a
+    router that finds one taken is started again.
+    """
     host = ".".join(["127", *(str(randint(1, 254)) for _ in range(3))])
-    with socket() as front, socket() as door:
+    with socket() as front, socket() as admin:
         front.bind((host, 0))
-        door.bind((host, 0))
-        ports = front.getsockname()[1], door.getsockname()[1]
-    told = {
+        admin.bind((host, 0))
+        front_port = int(front.getsockname()[1])
+        admin_port = int(admin.getsockname()[1])
+    config = {
         "name": name,
-        "listen": f"{host}:{ports[0]}",
-        "admin_addr": f"{host}:{ports[1]}",
-        "channel": f"127.0.0.1:{channel}",
+        "listen": f"{host}:{front_port}",
+        "admin_addr": f"{host}:{admin_port}",
+        "channel": f"127.0.0.1:{discovery_port}",
         "settings": SETTINGS,
-        "limits": {"sockets": 90},
+        "limits": {"sockets": MAX_SOCKETS},
         "known": {"cursor": 0, "cmds": []},
     }
-    (folder / "config.json").write_text(json.dumps(told))
-    return host, ports[1]
+    (folder / "config.json").write_text(json.dumps(config))
+    return host, admin_port
 
 
-def write_extras(
-    folder: Path, public: Address, seeds: Sequence[Address], secret: bytes, settings: Mapping[str, object]
+def write_operators_file(
+    folder: Path,
+    public_address: Address,
+    seeds: Sequence[Address],
+    secret: bytes,
+    fleet_settings: Mapping[str, object],
 ) -> None:
-    """The operators' file.  The router's own port is any: the others know its public address."""
+    """Write ``extras.toml`` with its ``[fleet]`` section, and the secret beside it.
+
+    The router binds any free port: the others know its public address, which the relay holds.
+    """
     (folder / "fleet.key").write_bytes(secret)
-    told = {
+    host, port = public_address
+    section = {
         "listen": "127.0.0.1:0",
-        "advertise": f"{public[0]}:{public[1]}",
+        "advertise": f"{host}:{port}",
         "secret_file": "fleet.key",
-        "seeds": [f"{host}:{port}" for host, port in seeds],
+        "seeds": [f"{seed_host}:{seed_port}" for seed_host, seed_port in seeds],
         "data": "data",
+        **fleet_settings,
     }
-    lines = [f"{key} = {_toml(value)}" for key, value in (told | dict(settings)).items()]
+    lines = [f"{key} = {_toml(value)}" for key, value in section.items()]
     (folder / "extras.toml").write_text("\n".join(["[fleet]", *lines, ""]))
 
 
 def _toml(value: object) -> str:
     if isinstance(value, Mapping):
-        return "{" + ", ".join(f"{key} = {_toml(below)}" for key, below in value.items()) + "}"
+        entries = (f"{key} = {_toml(entry)}" for key, entry in value.items())
+        return "{" + ", ".join(entries) + "}"
     return json.dumps(value)
--- a/packages/fleet-harness/src/fleet_harness/router_process.py
+++ b/packages/fleet-harness/src/fleet_harness/router_process.py
@@ -1,4 +1,4 @@
-"""One router's process: started, signalled by its own id, its log read as events."""
+"""One router's process: started, signalled by its own id, and its log read as events."""
 
 from __future__ import annotations
 
@@ -13,55 +13,72 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-MAX_LINE = 100_000  # bytes of one log line; more is cut into lines
+MAX_LINE_BYTES = 100_000
+"""Bytes of one line of the log; a longer one is split."""
 
-Hear = Callable[[str, str, Mapping[str, Any]], None]  # router, event, fields
+TEXT_EVENT = "text"
+"""The event of a line that is not a log entry, such as a line of a traceback."""
 
+EXIT_EVENT = "exit"
+"""The event of the process's end; its field ``code`` is an exit code or ``signal N``."""
 
-class Node(protocol.ProcessProtocol):
-    """A router by name; ``hear`` gets each line of its log, and ``exit`` with its code or signal."""
+INHERITED_SETTINGS = ("PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR", "PROXY_SOCKET_FD")
+"""Environment variables that would override the router's own files."""
 
-    def __init__(self, name: str, hear: Hear) -> None:
-        self.name, self.hear = name, hear
+LogHandler = Callable[[str, str, Mapping[str, Any]], None]
+"""Receives a router's name, an event and its fields."""
+
+
+class RouterProcess(protocol.ProcessProtocol):
+    """A router by name; ``on_log`` receives each entry of its log, and ``exit`` at its end."""
+
+    def __init__(self, name: str, on_log: LogHandler) -> None:
+        self.name = name
+        self.on_log = on_log
         self.pid: int | None = None
         self.ended: Deferred[None] = Deferred()
-        self._rest = b""
-
-    def start(self, reactor: Any, config: Path, extras: Path) -> None:
-        command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(extras)]
-        paths = os.pathsep.join(path or os.getcwd() for path in sys.path)
-        env = dict(os.environ) | {"PROXY_CONFIG": str(config), "PYTHONPATH": paths}
-        for given in ("PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR", "PROXY_SOCKET_FD"):
-            env.pop(given, None)
-        fds: Any = {0: "w", 1: "r", 2: "r"}
+        self._partial_line = b""
+
+    def start(self, reactor: Any, config: Path, operators_file: Path) -> None:
+        """Start the process in the folder of its configuration."""
+        command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(operators_file)]
+        python_path = os.pathsep.join(path or os.getcwd() for path in sys.path)
+        environment = {key: value for key, value in os.environ.items() if key not in INHERITED_SETTINGS}
+        environment["PROXY_CONFIG"] = str(config)
+        environment["PYTHONPATH"] = python_path
+        descriptors: Any = {0: "w", 1: "r", 2: "r"}
         transport: Any = reactor.spawnProcess(
-            self, command[0], command, env, str(config.parent), childFDs=fds
+            self, command[0], command, environment, str(config.parent), childFDs=descriptors
         )
         self.pid = transport.pid
 
+    def send_signal(self, number: int) -> None:
+        """Signal this process alone, while it lives: its id is not reused before it has been waited for."""
+        if self.pid is not None:
+            os.kill(self.pid, number)
+
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > MAX_LINE:
-            lines, self._rest = [*lines, self._rest], b""
+        """Read the log (called by Twisted)."""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            lines.append(self._partial_line)
+            self._partial_line = b""
         for line in lines:
-            self._read(line)
-
-    def _read(self, line: bytes) -> None:
-        try:
-            told = json.loads(line)
-            event = str(told.pop("event"))
-        except (ValueError, KeyError, AttributeError):
-            event, told = "text", {"line": line.decode("utf-8", "replace")}
-        self.hear(self.name, event, told)
+            self._read_line(line)
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
-        value: Any = reason.value
+        """Report the exit (called by Twisted)."""
         self.pid = None
-        code = f"signal {value.signal}" if value.signal else str(value.exitCode)
+        status: Any = reason.value
+        code = f"signal {status.signal}" if status.signal else str(status.exitCode)
         self.ended.callback(None)
-        self.hear(self.name, "exit", {"code": code})
+        self.on_log(self.name, EXIT_EVENT, {"code": code})
 
-    def signal(self, number: int) -> None:
-        """To this process alone, while it lives: its id can't be another's before it was waited for."""
-        if self.pid is not None:
-            os.kill(self.pid, number)
+    def _read_line(self, line: bytes) -> None:
+        try:
+            fields = json.loads(line)
+            event = str(fields.pop("event"))
+        except (ValueError, KeyError, AttributeError):
+            event = TEXT_EVENT
+            fields = {"line": line.decode("utf-8", "replace")}
+        self.on_log(self.name, event, fields)
--- a/packages/fleet-harness/src/fleet_harness/scenario_run.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_run.py
@@ -1,5 +1,8 @@
-"""Plays one scenario of the form of ``fleet_sim.scenario`` on a rig.  A step is done once all was seen that
-stands beside the one before it; nothing waits for a time.  README.md says what differs from a simulation."""
+"""Runs one scenario, in the format of ``fleet_sim.scenario``, on real routers.
+
+A step is done once everything that stands beside the one before it was observed; nothing waits for a time.
+README.md says what differs from a simulation.
+"""
 
 from __future__ import annotations
 
@@ -11,112 +14,168 @@
 from fleet_sim.scenario import Expectation, Scenario, ScenarioSyntaxError, Step
 from twisted.internet.error import ConnectError
 
-from fleet_harness.admin_client import ask
-from fleet_harness.environment import NeverSeenError, Rig
-from fleet_harness.participants import Cast
-from fleet_harness.steps import Acts
+from fleet_harness.admin_client import call_admin
+from fleet_harness.environment import Environment
+from fleet_harness.participants import Participants
+from fleet_harness.steps import StepActions
+from fleet_harness.waiting import Condition, NotObservedError
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """How a scenario ended; ``why`` is empty where all was seen."""
+    """How a scenario ended; ``failure`` is empty if everything was observed."""
 
-    why: str
+    failure: str
     seconds: float
     timeline: str
 
 
-class Stage:
-    """One scenario on one rig.  ScenarioSyntaxError for what a rig can't do."""
+@dataclass(frozen=True, slots=True)
+class ForbiddenExpectation:
+    """What must not be observed in the entries of the record from ``first_entry`` on."""
+
+    expectation: Expectation
+    first_entry: int
+
+
+class ScenarioRun:
+    """One scenario in its environment; raises ScenarioSyntaxError for what the harness cannot do."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int = 1) -> None:
-        self.reactor, self.scenario = reactor, scenario
-        if timed := [step for step in scenario.steps if step.at_ms or step.pause_ms]:
-            raise ScenarioSyntaxError(f"line {timed[0].line}: a rig knows no times")
-        lines = [line for step in scenario.steps for line in step.expectations]
-        if ordered := [line for line in lines if line.ordered]:
-            raise ScenarioSyntaxError(f"{ordered[0]}: a rig holds no order")
-        self.rig = Rig(reactor, Cast.of(scenario), seed)
-        self.acts = Acts(self.rig, scenario.timeout_ms)
-        self.rig.on_event = self._forbid
-        self.since, self.before = 0, dict[str, Mapping[str, int]]()
-        self.forbidden: list[tuple[Expectation, int]] = [(line, 0) for line in scenario.forbidden]
-
-    async def play(self) -> Verdict:
-        """All steps, in order, to the first line that is not seen; every process is ended in the end."""
-        why, since = "", self.reactor.seconds()
+        _check_supported(scenario)
+        self._reactor = reactor
+        self._scenario = scenario
+        self._environment = Environment(reactor, Participants.from_scenario(scenario), seed)
+        self._environment.on_event = self._check_forbidden
+        self._events = self._environment.events
+        self._actions = StepActions(self._environment, scenario.timeout_ms)
+        self._step_first_entry = 0
+        self._incarnations_before: dict[str, Mapping[str, int]] = {}
+        self._forbidden = self._forbidden_always()
+
+    async def run(self) -> Verdict:
+        """Carry out the steps, to the first expectation that is not met; end every process."""
+        started_at_s = self._reactor.seconds()
         try:
-            for name in self.scenario.names:
-                if name not in self.scenario.started_later:
-                    await self.rig.start(name)
-            await self.rig.until(self._settled, self.scenario.timeout_ms, "settled, before the first step")
-            for step in self.scenario.steps:
-                await self._play(step)
-        except (NeverSeenError, ConnectError) as never:
-            why = str(never)
-        except (ValueError, LookupError) as error:
-            why = f"line {step.line}: not an act: {' '.join(step.action)} ({error})"
+            failure = await self._run_steps()
         finally:
-            seconds = self.reactor.seconds() - since
-            await self.rig.stop()
-        return Verdict(why, seconds, self.rig.record.timeline())
-
-    async def _play(self, step: Step) -> None:
-        record = self.rig.record
-        self.since = len(record.entries)
-        self.before = {name: dict(known.incarnations) for name, known in record.known.items()}
-        never = [(line, self.since) for line in step.expectations if line.forbidden]
-        self.forbidden = [(line, 0) for line in self.scenario.forbidden] + never
-        await self.acts.do(step.action)
-        for line in sorted(step.expectations, key=lambda line: line.words[0] == "door"):
-            if line.words[0] == "door":
-                await self._see_door(line)
-            elif not line.forbidden:
-                await self.rig.until(partial(self._seen, line), self.scenario.timeout_ms, str(line))
-        await self.rig.until(lambda: True, 0.0, "what must not be seen")
-
-    def _forbid(self) -> None:
-        record = self.rig.record
-        for line, since in self.forbidden:
-            for name in line.nodes:
-                if any(line.matches(name, text) for text in record.told(name, since)):
-                    self.rig.give_up(f"seen at {name}: {line}")
-
-    def _seen(self, line: Expectation) -> bool:
-        record = self.rig.record
-        if not line.nodes:
+            seconds = self._reactor.seconds() - started_at_s
+            await self.stop()
+        return Verdict(failure, seconds, self._events.timeline())
+
+    async def stop(self) -> None:
+        """End every process."""
+        await self._environment.stop()
+
+    async def _run_steps(self) -> str:
+        """Return why the scenario failed, or an empty text."""
+        try:
+            for name in self._scenario.names:
+                if name not in self._scenario.started_later:
+                    await self._environment.start(name)
+            await self._wait_until(self._settled, "settled, before the first step")
+            for step in self._scenario.steps:
+                await self._run_step(step)
+        except (NotObservedError, ConnectError) as error:
+            return str(error)
+        except (ValueError, LookupError) as error:
+            return f"line {step.line}: not an action: {' '.join(step.action)} ({error})"
+        return ""
+
+    async def _run_step(self, step: Step) -> None:
+        self._step_first_entry = len(self._events.entries)
+        self._incarnations_before = {
+            name: dict(view.incarnations) for name, view in self._events.views.items()
+        }
+        self._forbidden = self._forbidden_always() + [
+            ForbiddenExpectation(expectation, self._step_first_entry)
+            for expectation in step.expectations
+            if expectation.forbidden
+        ]
+        await self._actions.perform(step.action)
+        # The admin endpoints are asked last: their replies must agree with what was logged.
+        for expectation in sorted(step.expectations, key=_asks_admin_endpoint):
+            if _asks_admin_endpoint(expectation):
+                await self._check_admin_reply(expectation)
+            elif not expectation.forbidden:
+                await self._wait_until(partial(self._observed, expectation), str(expectation))
+        self._environment.waiter.raise_if_aborted()
+
+    async def _wait_until(self, condition: Condition, description: str) -> None:
+        await self._environment.waiter.wait_until(condition, self._scenario.timeout_ms, description)
+
+    def _forbidden_always(self) -> list[ForbiddenExpectation]:
+        return [ForbiddenExpectation(expectation, 0) for expectation in self._scenario.forbidden]
+
+    def _check_forbidden(self) -> None:
+        for forbidden in self._forbidden:
+            expectation = forbidden.expectation
+            for name in expectation.nodes:
+                if self._logged(name, expectation, forbidden.first_entry):
+                    self._environment.waiter.abort(f"seen at {name}: {expectation}")
+
+    def _logged(self, name: str, expectation: Expectation, first_entry: int) -> bool:
+        return any(expectation.matches(name, text) for text in self._events.notices(name, first_entry))
+
+    def _observed(self, expectation: Expectation) -> bool:
+        if not expectation.nodes:
             return self._settled()
-        if line.words[0] == "anew":
-            return all(self._anew(name, line.words[1]) for name in line.nodes)
-        if line.words[0] == "now":
-            return all(self._stands(name, line) for name in line.nodes)
+        kind, *arguments = expectation.words
+        if kind == "anew":
+            return all(self._restarted(name, arguments[0]) for name in expectation.nodes)
+        if kind == "now":
+            return all(self._last_logged(name, expectation) for name in expectation.nodes)
+        return all(self._logged(name, expectation, self._step_first_entry) for name in expectation.nodes)
+
+    def _settled(self) -> bool:
+        """Return whether each running member last logged a majority, and all other running ones as alive."""
+        running = self._environment.expected_running - self._environment.participants.outsiders
+        views = self._events.views
         return all(
-            any(line.matches(name, text) for text in record.told(name, self.since)) for name in line.nodes
+            views[name].has_majority and views[name].alive_members() >= running - {name} for name in running
         )
 
-    def _settled(self) -> bool:
-        """Each router of the fleet that runs last said that it is with the majority, and all others alive."""
-        running = self.rig.running - self.rig.cast.outside
-        known = self.rig.record.known
-        met = all(known[a].states.get(b) == "alive" for a in running for b in running - {a})
-        return met and all(known[name].majority for name in running)
-
-    def _stands(self, name: str, line: Expectation) -> bool:
-        """The last that a router said on a matter since it started (``majority``, ``mode``, ``member N``)."""
-        words = line.words[1:]
-        matter = words[: 2 if words[0] == "member" else 1]
-        said = [text.split() for text in self.rig.record.told(name, self.rig.record.begun[name])]
-        last = [text for text in said if tuple(text[: len(matter)]) == matter][-1:]
-        return any(replace(line, words=words).matches(name, " ".join(text)) for text in last)
-
-    def _anew(self, name: str, other: str) -> bool:
-        known, old = self.rig.record.known[name], self.before.get(name, {}).get(other, -1)
-        return known.states.get(other) == "alive" and known.incarnations[other] > old
-
-    async def _see_door(self, line: Expectation) -> None:
-        """Asked once: what the door says must agree with what was logged."""
-        text = " ".join(line.words[1:])
-        for name in line.nodes:
-            reply = await ask(self.reactor, self.rig.doors[name], "fleet")
-            if not (reply.startswith("ACK\n") and reply.endswith("\n--\n") and text in reply):
-                raise NeverSeenError(f"{line}: {reply!r}")
+    def _last_logged(self, name: str, expectation: Expectation) -> bool:
+        """Return whether the last that a router's process logged on a subject matches.
+
+        The subject is ``majority``, ``mode`` or ``member NAME``.
+        """
+        words = expectation.words[1:]
+        subject_length = 2 if words[0] == "member" else 1
+        subject = list(words[:subject_length])
+        texts = [text.split() for text in self._events.notices(name, self._events.first_entries[name])]
+        texts_on_subject = [text for text in texts if text[:subject_length] == subject]
+        if not texts_on_subject:
+            return False
+        return replace(expectation, words=words).matches(name, " ".join(texts_on_subject[-1]))
+
+    def _restarted(self, name: str, member: str) -> bool:
+        """Return whether a router calls a member alive in a higher incarnation than before the step."""
+        view = self._events.views[name]
+        incarnation_before = self._incarnations_before.get(name, {}).get(member, -1)
+        return view.states.get(member) == "alive" and view.incarnations[member] > incarnation_before
+
+    async def _check_admin_reply(self, expectation: Expectation) -> None:
+        """Ask the admin endpoints once; raises NotObservedError if a reply lacks the text."""
+        text = " ".join(expectation.words[1:])
+        for name in expectation.nodes:
+            reply = await call_admin(self._reactor, self._environment.admin_addresses[name], "fleet")
+            complete = reply.startswith("ACK\n") and reply.endswith("\n--\n")
+            if not complete or text not in reply:
+                message = f"{expectation}: {reply!r}"
+                raise NotObservedError(message)
+
+
+def _asks_admin_endpoint(expectation: Expectation) -> bool:
+    return expectation.words[0] == "door"
+
+
+def _check_supported(scenario: Scenario) -> None:
+    for step in scenario.steps:
+        if step.at_ms or step.pause_ms:
+            raise ScenarioSyntaxError.at_line(step.line, "the harness knows no times")
+    for step in scenario.steps:
+        for expectation in step.expectations:
+            if expectation.ordered:
+                message = f"{expectation}: the harness checks no order"
+                raise ScenarioSyntaxError(message)
--- a/packages/fleet-harness/src/fleet_harness/steps.py
+++ b/packages/fleet-harness/src/fleet_harness/steps.py
@@ -1,84 +1,113 @@
-"""The acts of a scenario's steps, done to real processes and to the relays between them."""
+"""The actions of a scenario's steps, carried out on real processes and on the relay between them."""
 
 from __future__ import annotations
 
 import signal
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
 from fleet_sim.faults import links_across
 from fleet_sim.scenario_actions import parse_arrow, parse_quality
 
-from fleet_harness.environment import Rig
+from fleet_harness.environment import Environment
 
 Words = Sequence[str]
-SIGNALS = {
+"""The words of an action, or those after its verb."""
+
+SIGNALS: Mapping[str, signal.Signals] = {
     "kill": signal.SIGKILL,
     "pause": signal.SIGSTOP,
     "continue": signal.SIGCONT,
     "leave": signal.SIGTERM,
 }
+"""The signal that each of these actions sends."""
+
+
+class UnknownActionError(ValueError):
+    """An action that the harness does not know."""
+
+    def __init__(self) -> None:
+        super().__init__("no such action")
 
 
-class Acts:
-    """Carries out one step at a time; ValueError for words that are no act."""
+class StepActions:
+    """Carries out one action at a time; ``timeout_ms`` limits those that wait."""
 
-    def __init__(self, rig: Rig, within_ms: float) -> None:
-        self.rig, self.within_ms = rig, within_ms
+    def __init__(self, environment: Environment, timeout_ms: float) -> None:
+        self._environment = environment
+        self._timeout_ms = timeout_ms
 
-    async def do(self, words: Words) -> None:
-        verb, rest = words[0], words[1:]
+    async def perform(self, words: Words) -> None:
+        """Carry out an action; raises ValueError or LookupError if it is unknown or malformed."""
+        environment = self._environment
+        verb, *arguments = words
         match verb:
             case "start" | "restart":
-                for name in rest:
-                    await self.rig.start(name)
+                for name in arguments:
+                    await environment.start(name)
             case "kill" | "pause" | "continue" | "leave":
-                await self._signal(verb, rest)
+                await self._send_signals(verb, arguments)
             case "tear":
-                for name in rest:
-                    await self.rig.ended(name)
-                    self.rig.tear(name)
+                for name in arguments:
+                    await environment.wait_for_exit(name)
+                    environment.truncate_data(name)
             case "traffic":
-                await self.rig.traffic(int(rest[0]), self.within_ms)
+                await environment.wait_for_datagrams(int(arguments[0]), self._timeout_ms)
             case "wait":
                 pass
             case _:
-                self.rig.record.fault(" ".join(words))
-                self._spoil(verb, rest)
+                environment.events.add_fault(" ".join(words))
+                self._inject_link_fault(verb, arguments)
 
-    async def _signal(self, verb: str, words: Words) -> None:
-        bare = tuple(words[-2:]) == ("without", "disk")
-        names = words[:-2] if bare else words
+    async def _send_signals(self, verb: str, arguments: Words) -> None:
+        without_disk = list(arguments[-2:]) == ["without", "disk"]
+        names = arguments[:-2] if without_disk else arguments
         for name in names:
-            self.rig.signal(name, SIGNALS[verb])
-        for name in names if bare else ():
-            await self.rig.ended(name)
-            self.rig.forget(name)
-
-    def _spoil(self, verb: str, words: Words) -> None:
-        rig = self.rig
-        match verb, *words:
-            case "cut", *link:
-                rig.cut(parse_arrow(link), True)
+            self._environment.send_signal(name, SIGNALS[verb])
+        if without_disk:
+            for name in names:
+                await self._environment.wait_for_exit(name)
+                self._environment.remove_data(name)
+
+    def _inject_link_fault(self, verb: str, arguments: Words) -> None:
+        environment = self._environment
+        match verb, *arguments:
+            case "cut", *arrow:
+                environment.set_links_cut(parse_arrow(arrow), cut=True)
             case "split", *_:
-                rig.cut(links_across(tuple(tuple(side.split()) for side in " ".join(words).split("/"))), True)
-            case "flap", *link, "every", ms:
-                links = parse_arrow(link)
-                rig.every(float(ms), lambda: rig.cut(links, not rig.relay.links[links[0]].cut))
-            case "heal", *link:
-                rig.quiet()
-                rig.cut(parse_arrow(link) if link else list(rig.relay.links), False)
-                if not link:
-                    rig.relay.clear()
-            case "noise", *pairs:
-                self._noise(pairs)
-            case "replay", *link, count:
-                ((source, target),) = parse_arrow(link)
-                rig.relay.replay(source, target, int(count))
+                groups = tuple(tuple(group.split()) for group in " ".join(arguments).split("/"))
+                environment.set_links_cut(links_across(groups), cut=True)
+            case "flap", *arrow, "every", interval_ms:
+                self._flap(arrow, float(interval_ms))
+            case "heal", *arrow:
+                self._heal(arrow)
+            case "noise", *qualities:
+                self._set_quality(qualities)
+            case "replay", *arrow, count:
+                ((source, target),) = parse_arrow(arrow)
+                environment.relay.replay(source, target, int(count))
             case _:
-                raise ValueError("no such act")
+                raise UnknownActionError
+
+    def _flap(self, arrow: Words, interval_ms: float) -> None:
+        """Cut and heal links in turn."""
+        links = parse_arrow(arrow)
+        first_link = self._environment.relay.links[links[0]]
+        self._environment.call_repeatedly(
+            interval_ms, lambda: self._environment.set_links_cut(links, not first_link.cut)
+        )
+
+    def _heal(self, arrow: Words) -> None:
+        """End all flapping and heal the given links; without any, heal all and reset their quality."""
+        environment = self._environment
+        environment.stop_repeated_calls()
+        if arrow:
+            environment.set_links_cut(parse_arrow(arrow), cut=False)
+        else:
+            environment.set_links_cut(list(environment.relay.links), cut=False)
+            environment.relay.reset_quality()
 
-    def _noise(self, words: Words) -> None:
-        told = parse_quality(words)
-        for link in self.rig.relay.links.values():
-            link.quality = replace(link.quality, **told)
+    def _set_quality(self, qualities: Words) -> None:
+        changes = parse_quality(qualities)
+        for link in self._environment.relay.links.values():
+            link.quality = replace(link.quality, **changes)
--- a/packages/fleet-harness/src/fleet_harness/udp_relay.py
+++ b/packages/fleet-harness/src/fleet_harness/udp_relay.py
@@ -1,119 +1,177 @@
-"""All traffic between the routers: each has one public address, held by the relay, and every datagram to it
-passes the link from its sender, which may drop, delay, double, reorder or cut it.  The receiver sees the
-sender's public address as the source, so that no router ever learns another's real one."""
+"""A UDP relay between the routers, with faults on each link.
+
+Each router has one public address, which the relay binds.  A datagram to it passes the link from its sender,
+which may drop, delay, duplicate, reorder or cut.  The receiver sees the sender's public address as the
+source, so that no router learns the address on which another one really listens.
+"""
 
 from __future__ import annotations
 
-from collections import Counter, deque
+from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any, cast
 
 from fleet_sim import LinkQuality
+from sansio_core import Address
 from twisted.internet import protocol
 
-Address = tuple[str, int]
-MAX_HELD, MAX_KEPT = 64, 64  # datagrams of senders not yet known; of each link, for replays
-CLEAR = LinkQuality(min_delay_ms=0.0, max_delay_ms=0.0)
+MAX_UNCLAIMED = 64
+"""Datagrams kept whose source is not yet known to be a router's: it logs its port after it has sent some."""
+
+MAX_REPLAYABLE = 64
+"""Datagrams of each link that can be replayed, the last ones."""
+
+PERFECT_QUALITY = LinkQuality(min_delay_ms=0.0, max_delay_ms=0.0)
+"""The quality of a link unless a scenario changes it: nothing is lost or delayed."""
 
 
 @dataclass(slots=True)
-class Link:
-    """One direction between two routers; one that is not cut carries by its quality."""
+class RelayedLink:
+    """One direction between two routers; ``sent`` are the last datagrams, also those that were dropped."""
 
     cut: bool = False
-    quality: LinkQuality = CLEAR
-    kept: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_KEPT))
+    quality: LinkQuality = PERFECT_QUALITY
+    sent: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_REPLAYABLE))
+
+
+@dataclass(slots=True)
+class RelayCounters:
+    """Datagrams that were forwarded, dropped by a fault, and refused by the socket."""
 
+    forwarded: int = 0
+    dropped: int = 0
+    send_failures: int = 0
 
-class Gate(protocol.DatagramProtocol):
+
+@dataclass(frozen=True, slots=True)
+class UnclaimedDatagram:
+    """A datagram from an address that is not yet known to be a router's."""
+
+    source: Address
+    target: str
+    data: bytes
+
+
+class PublicSocket(protocol.DatagramProtocol):
     """The public address of one router."""
 
-    def __init__(self, relay: Relay, name: str) -> None:
-        self.relay, self.name = relay, name
+    def __init__(self, relay: UdpRelay, name: str) -> None:
+        self._relay = relay
+        self._name = name
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        self.relay.arrived(addr, self.name, datagram)
+        """Relay a datagram to this router (called by Twisted)."""
+        self._relay.route(addr, self._name, datagram)
 
     def send(self, datagram: bytes, to: Address) -> None:
-        """From the public address; a full buffer is one more loss."""
+        """Send from the public address; a full buffer is one more loss."""
         try:
             cast(Any, self.transport).write(datagram, to)
         except OSError:
-            self.relay.counts["unsent"] += 1
+            self._relay.counters.send_failures += 1
 
 
-class Relay:
-    """The gates by name and the links between them.  ``counts``: ``passed``, ``dropped``, ``unsent``."""
+class UdpRelay:
+    """The public sockets by router, and the links between the routers.
 
-    def __init__(self, reactor: Any, seed: int) -> None:
-        self.reactor, self.random = reactor, Random(seed)
-        self.gates: dict[str, Gate] = {}
-        self.ports: list[Any] = []
-        self.public: dict[str, Address] = {}
-        self.real: dict[str, Address] = {}
-        self.links: dict[tuple[str, str], Link] = {}
-        self.held: deque[tuple[Address, str, bytes]] = deque(maxlen=MAX_HELD)
-        self.counts = Counter[str]()
-        self.on_pass: Callable[[], None] | None = None  # called with each datagram that passed
-
-    def add(self, name: str) -> None:
-        """A public address for a router, on a free port, and links from and to all others."""
-        gate = Gate(self, name)
-        port = self.reactor.listenUDP(0, gate, interface="127.0.0.1")
-        for other in self.gates:
-            self.links[name, other], self.links[other, name] = Link(), Link()
-        self.gates[name], self.public[name] = gate, ("127.0.0.1", port.getHost().port)
-        self.ports.append(port)
-
-    def register(self, name: str, real: Address) -> None:
-        """Where a router's life really listens; what came from there too early passes now."""
-        self.real[name] = real
-        held, self.held = self.held, deque(maxlen=MAX_HELD)
-        for source, to, datagram in held:
-            self.arrived(source, to, datagram)
-
-    def arrived(self, source: Address, to: str, datagram: bytes) -> None:
-        name = next((name for name, real in self.real.items() if real == source), None)
-        if name is None:
-            self.held.append((source, to, datagram))
-        elif name != to:
-            self._pass(name, to, datagram)
-
-    def _pass(self, name: str, to: str, datagram: bytes) -> None:
-        link, draw = self.links[name, to], self.random.random
-        quality = link.quality
-        link.kept.append(datagram)
-        if link.cut or draw() < quality.loss:
-            self.counts["dropped"] += 1
-            return
-        for _ in range(1 + (draw() < quality.duplicated)):
-            wait_ms = quality.min_delay_ms + draw() * (quality.max_delay_ms - quality.min_delay_ms)
-            wait_ms += draw() * quality.reorder_delay_ms if draw() < quality.reordered else 0.0
-            if wait_ms:
-                self.reactor.callLater(wait_ms / 1000.0, self._deliver, name, to, datagram)
-            else:
-                self._deliver(name, to, datagram)
-
-    def _deliver(self, name: str, to: str, datagram: bytes) -> None:
-        if to in self.real:
-            self.counts["passed"] += 1
-            self.gates[name].send(datagram, self.real[to])
-            if self.on_pass is not None:
-                self.on_pass()
+    ``router_addresses`` are those on which the running routers listen; ``on_forwarded`` is called after each
+    datagram that was forwarded.
+    """
 
-    def clear(self) -> None:
-        """All links carry as they did at first; those that are cut stay so."""
+    def __init__(self, reactor: Any, seed: int) -> None:
+        self.public_sockets: dict[str, PublicSocket] = {}
+        self.public_addresses: dict[str, Address] = {}
+        self.router_addresses: dict[str, Address] = {}
+        self.links: dict[tuple[str, str], RelayedLink] = {}
+        self.counters = RelayCounters()
+        self.on_forwarded: Callable[[], None] | None = None
+        self._reactor = reactor
+        self._random = Random(seed)
+        self._ports: list[Any] = []
+        self._unclaimed: deque[UnclaimedDatagram] = deque(maxlen=MAX_UNCLAIMED)
+
+    def add_router(self, name: str) -> None:
+        """Bind a public address for a router on a free port; link it with all others."""
+        public_socket = PublicSocket(self, name)
+        port = self._reactor.listenUDP(0, public_socket, interface="127.0.0.1")
+        for other in self.public_sockets:
+            self.links[name, other] = RelayedLink()
+            self.links[other, name] = RelayedLink()
+        self.public_sockets[name] = public_socket
+        self.public_addresses[name] = ("127.0.0.1", port.getHost().port)
+        self._ports.append(port)
+
+    def set_router_address(self, name: str, address: Address) -> None:
+        """Set where a router's process listens; datagrams that it sent earlier are relayed now."""
+        self.router_addresses[name] = address
+        unclaimed = list(self._unclaimed)
+        self._unclaimed.clear()
+        for datagram in unclaimed:
+            self.route(datagram.source, datagram.target, datagram.data)
+
+    def remove_router_address(self, name: str) -> None:
+        """Forget the address of a process that ended; nothing is forwarded to it any more."""
+        self.router_addresses.pop(name, None)
+
+    def route(self, source: Address, target: str, data: bytes) -> None:
+        """Relay a datagram that arrived at a router's public address."""
+        sender = self._router_at(source)
+        if sender is None:
+            self._unclaimed.append(UnclaimedDatagram(source, target, data))
+        elif sender != target:
+            self._transmit(sender, target, data)
+
+    def reset_quality(self) -> None:
+        """Make all links perfect; those that are cut stay cut."""
         for link in self.links.values():
-            link.quality = CLEAR
+            link.quality = PERFECT_QUALITY
 
-    def replay(self, name: str, to: str, count: int) -> None:
-        """Send again, unchanged, the last so many datagrams of a link (MAX_KEPT at most)."""
-        for datagram in list(self.links[name, to].kept)[-count:]:
-            self._deliver(name, to, datagram)
+    def replay(self, source: str, target: str, count: int) -> None:
+        """Send again, unchanged, the last datagrams of a link, ``MAX_REPLAYABLE`` at most."""
+        for data in list(self.links[source, target].sent)[-count:]:
+            self._forward(source, target, data)
 
     async def stop(self) -> None:
-        ports, self.ports = self.ports, []
+        """Close all sockets."""
+        ports = self._ports
+        self._ports = []
         for port in ports:
             await port.stopListening()
+
+    def _router_at(self, address: Address) -> str | None:
+        for name, router_address in self.router_addresses.items():
+            if router_address == address:
+                return name
+        return None
+
+    def _transmit(self, source: str, target: str, data: bytes) -> None:
+        """Apply the faults of a link to one datagram."""
+        link = self.links[source, target]
+        link.sent.append(data)
+        if link.cut or self._random.random() < link.quality.loss:
+            self.counters.dropped += 1
+            return
+        copies = 2 if self._random.random() < link.quality.duplicated else 1
+        for _ in range(copies):
+            delay_ms = self._draw_delay_ms(link.quality)
+            if delay_ms:
+                self._reactor.callLater(delay_ms / 1000.0, self._forward, source, target, data)
+            else:
+                self._forward(source, target, data)
+
+    def _draw_delay_ms(self, quality: LinkQuality) -> float:
+        span_ms = quality.max_delay_ms - quality.min_delay_ms
+        delay_ms = quality.min_delay_ms + self._random.random() * span_ms
+        if self._random.random() < quality.reordered:
+            delay_ms += self._random.random() * quality.reorder_delay_ms
+        return delay_ms
+
+    def _forward(self, source: str, target: str, data: bytes) -> None:
+        if target not in self.router_addresses:
+            return
+        self.counters.forwarded += 1
+        self.public_sockets[source].send(data, self.router_addresses[target])
+        if self.on_forwarded is not None:
+            self.on_forwarded()
--- a/packages/fleet-harness/tests/test_fleet_scenarios.py
+++ b/packages/fleet-harness/tests/test_fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario file, played side by side by one process of the rig; and what a file may not hold."""
+"""Every scenario file, run side by side by one process of the harness; and what a file may not contain."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 import signal
 import subprocess
 import sys
-from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
 import pytest
-from fleet_harness.scenario_run import Stage
+from fleet_harness.scenario_run import ScenarioRun
 from fleet_sim.scenario import ScenarioSyntaxError, parse
 
-SCENES = sorted((Path(__file__).parent / "timelines").glob("*.timeline"))
-JOBS, WITHIN_S = 4, 180.0
-ROOT = Path(__file__).parents[3]  # from where the router is run
+SCENARIOS = sorted((Path(__file__).parent / "timelines").glob("*.timeline"))
+JOBS = 4
+TIMEOUT_S = 180.0  # for all scenarios; a busy machine takes a minute
+ROOT = Path(__file__).parents[3]  # the folder that the router is run from
 
 
 @pytest.fixture(scope="session")
-def verdicts() -> Iterator[dict[str, Any]]:
-    """The verdict of each file by its name; the rig ends its processes also where this is cut short."""
-    command = [sys.executable, "-m", "fleet_harness", "play", "--jobs", str(JOBS), *map(str, SCENES)]
-    rig = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT)
+def verdicts() -> dict[str, Any]:
+    """The verdict of each file by its name; the harness ends its processes also if this is interrupted."""
+    command = [sys.executable, "-m", "fleet_harness", "play", "--jobs", str(JOBS), *map(str, SCENARIOS)]
+    harness = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT)
     try:
-        told, faults = rig.communicate(timeout=WITHIN_S)
+        output, errors = harness.communicate(timeout=TIMEOUT_S)
     finally:
-        rig.terminate()
-        rig.communicate()
-    assert not faults, faults
-    lines = [json.loads(line) for line in told.splitlines()]
-    yield {line["name"]: line for line in lines}
+        harness.terminate()
+        harness.communicate()
+    assert not errors, errors
+    lines = [json.loads(line) for line in output.splitlines()]
+    return {line["name"]: line for line in lines}
 
 
-@pytest.mark.parametrize("name", [path.stem for path in SCENES])
-def test_all_is_seen_that_the_file_names(name: str, verdicts: dict[str, Any]) -> None:
+@pytest.mark.parametrize("name", [path.stem for path in SCENARIOS])
+def test_every_expectation_of_the_file_is_met(name: str, verdicts: dict[str, Any]) -> None:
     verdict = verdicts[name]
     assert not verdict["why"], f"{verdict['why']}\n{verdict['timeline']}"
 
@@ -46,36 +46,38 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "names"),
+    ("text", "message"),
     [
         (HEAD + "at 5 wait", "no times"),
         (HEAD + "voters: c\nthen wait", "no node c"),
         (HEAD + "then 5 wait", "no times"),
         (HEAD + "votes: a\nthen wait", "votes"),
-        (HEAD + "then wait | a: x\n | then b: x", "line 4: then b: x: a rig holds no order"),
+        (HEAD + "then wait | a: x\n | then b: x", "line 4: then b: x: the harness checks no order"),
     ],
 )
-def test_what_a_rig_can_not_do_is_refused(text: str, names: str) -> None:
-    with pytest.raises(ScenarioSyntaxError, match=names):
-        Stage(None, parse(text))
+def test_unsupported_scenarios_are_rejected(text: str, message: str) -> None:
+    with pytest.raises(ScenarioSyntaxError, match=message):
+        ScenarioRun(None, parse(text))
 
 
-def test_what_is_not_seen_is_told_with_its_timeline(tmp_path: Path) -> None:
-    scenes = {"none": "boil a", "wrong": "wait | a: exit 0"}
-    for name, act in scenes.items():
-        (tmp_path / name).write_text(HEAD + f"for: 6000\nthen {act}\n")
-    command = [sys.executable, "-m", "fleet_harness", "play", *(str(tmp_path / name) for name in scenes)]
+def test_a_failed_scenario_is_reported_with_its_timeline(tmp_path: Path) -> None:
+    actions = {"none": "boil a", "wrong": "wait | a: exit 0"}
+    for name, action in actions.items():
+        (tmp_path / name).write_text(HEAD + f"for: 6000\nthen {action}\n")
+    command = [sys.executable, "-m", "fleet_harness", "play", *(str(tmp_path / name) for name in actions)]
     ended = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
-    told = {line["name"]: line for line in map(json.loads, ended.stdout.splitlines())}
-    assert ended.returncode == 1 and told["none"]["why"] == "line 4: not an act: boil a (no such act)"
-    assert told["wrong"]["why"] == "not seen in time: line 4: a: exit 0"
-    assert told["wrong"]["timeline"].count("* started") == 2
-    assert told["wrong"]["timeline"].count("exit signal_9") == 2
-
-
-def test_the_demo_tells_of_its_routers_and_ends_them() -> None:
-    command = [sys.executable, "-m", "fleet_harness"]
-    demo = subprocess.Popen(command, stdout=subprocess.PIPE, text=True, cwd=ROOT)
+    verdicts = {line["name"]: line for line in map(json.loads, ended.stdout.splitlines())}
+    assert ended.returncode == 1
+    assert verdicts["none"]["why"] == "line 4: not an action: boil a (no such action)"
+    assert verdicts["wrong"]["why"] == "not seen in time: line 4: a: exit 0"
+    assert verdicts["wrong"]["timeline"].count("* started") == 2
+    assert verdicts["wrong"]["timeline"].count("exit signal_9") == 2
+
+
+def test_the_demo_lists_its_routers_and_ends_them() -> None:
+    demo = subprocess.Popen(
+        [sys.executable, "-m", "fleet_harness"], stdout=subprocess.PIPE, text=True, cwd=ROOT
+    )
     try:
         assert demo.stdout is not None
         lines = [next(demo.stdout) for _ in range(5)]
@@ -83,7 +85,7 @@
         assert len(pids) == 3
         os.kill(pids[2], signal.SIGKILL)
         while "member router-3 failed" not in next(demo.stdout):
-            pass  # it ends with the pipe, where this is never said
+            pass  # the pipe ends if this is never printed
     finally:
         demo.terminate()
         demo.communicate()
--- a/packages/fleet-harness/tests/test_udp_relay.py
+++ b/packages/fleet-harness/tests/test_udp_relay.py
@@ -1,4 +1,4 @@
-"""The relays with a fake reactor: what a link does to the datagrams on it."""
+"""The relay with a fake reactor: what a link does to the datagrams on it."""
 
 from __future__ import annotations
 
@@ -7,98 +7,110 @@
 from typing import Any
 
 import pytest
-from fleet_harness.udp_relay import CLEAR, MAX_HELD, Relay
+from fleet_harness.udp_relay import MAX_UNCLAIMED, PERFECT_QUALITY, UdpRelay
 from fleet_sim import LinkQuality
 
-A, B = ("127.0.0.1", 11), ("127.0.0.1", 12)  # where the routers really listen
+ADDRESS_A = ("127.0.0.1", 11)  # where the routers really listen
+ADDRESS_B = ("127.0.0.1", 12)
 
 
-class Reactor:
-    """Binds ports from 100 up; what is to be done later waits for ``wait``."""
+class FakeReactor:
+    """Binds ports from 100 up; delayed calls wait for ``run_delayed``."""
 
     def __init__(self) -> None:
-        self.bound, self.later = 0, list[tuple[float, Callable[[], None]]]()
+        self.bound = 0
+        self.delayed: list[tuple[float, Callable[[], None]]] = []
         self.sent: list[tuple[int, bytes, Any]] = []
 
-    def listenUDP(self, port: int, gate: Any, interface: str) -> Any:  # noqa: N802
+    def listenUDP(self, port: int, public_socket: Any, interface: str) -> Any:  # noqa: N802
         self.bound += 1
         number = 100 + self.bound
-        gate.transport = SimpleNamespace(write=lambda data, to: self.sent.append((number, data, to)))
+        public_socket.transport = SimpleNamespace(write=lambda data, to: self.sent.append((number, data, to)))
         return SimpleNamespace(getHost=lambda: SimpleNamespace(port=number))
 
     def callLater(self, seconds: float, call: Callable[..., None], *args: Any) -> None:  # noqa: N802
-        self.later.append((seconds, lambda: call(*args)))
+        self.delayed.append((seconds, lambda: call(*args)))
 
-    def wait(self) -> None:
-        for _, call in sorted(self.later, key=lambda entry: entry[0]):
+    def run_delayed(self) -> None:
+        for _, call in sorted(self.delayed, key=lambda entry: entry[0]):
             call()
 
 
-class Pair:
+class RelayedPair:
     """Routers ``a`` and ``b`` behind a relay."""
 
     def __init__(self, **quality: float) -> None:
-        self.reactor = Reactor()
-        self.relay = Relay(self.reactor, seed=3)
-        for name, real in (("a", A), ("b", B)):
-            self.relay.add(name)
-            self.relay.register(name, real)
+        self.reactor = FakeReactor()
+        self.relay = UdpRelay(self.reactor, seed=3)
+        for name, address in (("a", ADDRESS_A), ("b", ADDRESS_B)):
+            self.relay.add_router(name)
+            self.relay.set_router_address(name, address)
         self.link = self.relay.links["a", "b"]
         self.link.quality = LinkQuality(**{"min_delay_ms": 0.0, "max_delay_ms": 0.0, **quality})
 
     def send(self, count: int) -> list[int]:
-        """So many from ``a`` to ``b``; those that came, by their numbers."""
+        """Send numbered datagrams from ``a`` to ``b``; return the numbers that arrived."""
         for number in range(count):
-            self.relay.gates["b"].datagramReceived(bytes([number]), A)
-        self.reactor.wait()
-        assert {(port, to) for port, _, to in self.reactor.sent} <= {(101, B)}  # from a's public address
+            self.relay.public_sockets["b"].datagramReceived(bytes([number]), ADDRESS_A)
+        self.reactor.run_delayed()
+        assert {(port, to) for port, _, to in self.reactor.sent} <= {
+            (101, ADDRESS_B)
+        }  # from a's public address
         return [data[0] for _, data, _ in self.reactor.sent]
 
 
 @pytest.mark.parametrize(
-    ("quality", "holds"),
+    ("quality", "expected"),
     [
-        ({}, lambda came: came == list(range(100))),
-        ({"loss": 0.2}, lambda came: 70 <= len(came) <= 90 and came == sorted(came)),
-        ({"duplicated": 0.2}, lambda came: 110 <= len(came) <= 130 and set(came) == set(range(100))),
-        ({"reordered": 0.2}, lambda came: came != sorted(came) and sorted(came) == list(range(100))),
-        ({"min_delay_ms": 5.0, "max_delay_ms": 9.0}, lambda came: sorted(came) == list(range(100)) != came),
+        ({}, lambda numbers: numbers == list(range(100))),
+        ({"loss": 0.2}, lambda numbers: 70 <= len(numbers) <= 90 and numbers == sorted(numbers)),
+        ({"duplicated": 0.2}, lambda numbers: 110 <= len(numbers) <= 130 and set(numbers) == set(range(100))),
+        (
+            {"reordered": 0.2},
+            lambda numbers: numbers != sorted(numbers) and sorted(numbers) == list(range(100)),
+        ),
+        (
+            {"min_delay_ms": 5.0, "max_delay_ms": 9.0},
+            lambda numbers: sorted(numbers) == list(range(100)) != numbers,
+        ),
     ],
 )
-def test_a_link_spoils_what_it_carries_by_its_quality(quality: dict[str, float], holds: Any) -> None:
-    pair = Pair(**quality)
-    assert holds(pair.send(100))
-    assert all(quality.get("min_delay_ms", 0.0) <= at * 1000.0 <= 59.0 for at, _ in pair.reactor.later)
+def test_a_link_applies_the_faults_of_its_quality(quality: dict[str, float], expected: Any) -> None:
+    pair = RelayedPair(**quality)
+    assert expected(pair.send(100))
+    assert all(quality.get("min_delay_ms", 0.0) <= at * 1000.0 <= 59.0 for at, _ in pair.reactor.delayed)
 
 
-def test_a_cut_is_one_way_and_ends() -> None:
-    pair = Pair()
+def test_a_cut_is_one_way_until_it_is_healed() -> None:
+    pair = RelayedPair()
     pair.link.cut = True
-    assert pair.send(3) == [] and pair.relay.counts["dropped"] == 3
-    pair.relay.gates["a"].datagramReceived(b"x", B)
-    assert pair.reactor.sent == [(102, b"x", A)]
+    assert pair.send(3) == []
+    assert pair.relay.counters.dropped == 3
+    pair.relay.public_sockets["a"].datagramReceived(b"x", ADDRESS_B)
+    assert pair.reactor.sent == [(102, b"x", ADDRESS_A)]
     pair.reactor.sent.clear()
     pair.link.cut = False
     assert pair.send(2) == [0, 1]
 
 
-def test_what_was_sent_is_replayed_unchanged() -> None:
-    pair = Pair()
+def test_datagrams_are_replayed_unchanged() -> None:
+    pair = RelayedPair()
     pair.link.cut = True
     pair.send(9)
     pair.relay.replay("a", "b", 2)
     assert [data[0] for _, data, _ in pair.reactor.sent] == [7, 8]
 
 
-def test_a_router_is_heard_once_it_is_known_and_no_longer_than_it_lives() -> None:
-    pair = Pair()
-    fresh = ("127.0.0.1", 13)
-    for number in range(MAX_HELD + 5):
-        pair.relay.gates["b"].datagramReceived(bytes([number]), fresh)
+def test_datagrams_pass_once_the_sender_is_known_and_while_the_receiver_runs() -> None:
+    pair = RelayedPair()
+    new_address = ("127.0.0.1", 13)
+    for number in range(MAX_UNCLAIMED + 5):
+        pair.relay.public_sockets["b"].datagramReceived(bytes([number]), new_address)
     assert not pair.reactor.sent
-    pair.relay.register("a", fresh)
-    assert [data[0] for _, data, _ in pair.reactor.sent] == list(range(5, MAX_HELD + 5))
-    del pair.relay.real["b"]
+    pair.relay.set_router_address("a", new_address)
+    assert [data[0] for _, data, _ in pair.reactor.sent] == list(range(5, MAX_UNCLAIMED + 5))
+    pair.relay.remove_router_address("b")
     pair.reactor.sent.clear()
-    pair.relay.gates["b"].datagramReceived(b"x", fresh)
-    assert not pair.reactor.sent and CLEAR.loss == 0.0
+    pair.relay.public_sockets["b"].datagramReceived(b"x", new_address)
+    assert not pair.reactor.sent
+    assert PERFECT_QUALITY.loss == 0.0
