--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -17,7 +17,7 @@
 import tempfile
 from pathlib import Path
 
-from control_harness.fake_discovery import Discovery
+from control_harness.fake_discovery import FakeDiscovery
 from control_harness.participants import free_addresses
 from standins.config import SETTINGS
 
@@ -61,18 +61,20 @@
 
 async def one_round(trees: list[Path], folder: Path, seconds: float) -> list[tuple[float, float]]:
     """Memory in MB and processor time in ms of each."""
-    discoveries = [Discovery() for _ in trees]
+    discoveries = [FakeDiscovery() for _ in trees]
     running: list[subprocess.Popen[bytes]] = []
     line = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
     try:
         for tree, discovery in zip(trees, discoveries, strict=True):
-            await discovery.tell_list([line | {"host": f"s{number}"} for number in range(SHELFS)], whole=True)
-            await discovery.up()
+            await discovery.publish_hosts(
+                [line | {"host": f"s{number}"} for number in range(SHELFS)], complete=True
+            )
+            await discovery.start()
             running.append(start(tree, folder, discovery.address))
         await asyncio.sleep(SETTLE_S)
         before = [used_ms(one.pid) for one in running]
         await asyncio.sleep(seconds)
-        polls = [discovery.polls for discovery in discoveries]
+        polls = [discovery.poll_count for discovery in discoveries]
         assert min(polls) > seconds / 2, f"no idle polls: {polls}"
         return [(memory_mb(one.pid), used_ms(one.pid) - ms) for one, ms in zip(running, before, strict=True)]
     finally:
@@ -80,7 +82,7 @@
             one.kill()
             one.wait()
         for discovery in discoveries:
-            await discovery.down()
+            await discovery.stop()
 
 
 async def main(commit: str, rounds: int, seconds: float) -> None:
--- a/benchmarks/relay_behind.py
+++ b/benchmarks/relay_behind.py
@@ -16,7 +16,8 @@
 import time
 from pathlib import Path
 
-from control_harness.participants import Relay, Rig
+from control_harness.environment import Environment
+from control_harness.participants import RelayParticipant
 from control_harness.poller import Poller
 
 from benchmarks.catch_up import BEHIND, LAUNCH, LONG_TURN_S
@@ -25,7 +26,7 @@
 SHELFS, FIRST = 440, 1000
 
 
-class TimedRelay(Relay):
+class TimedRelay(RelayParticipant):
     """Keeps the turns of its reactor, which it prints at its end."""
 
     def start(self) -> None:
@@ -50,25 +51,25 @@
 async def one_round(folder: Path) -> str:
     """A row of the table."""
     line = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
-    async with Rig(folder) as rig:
-        await rig.discovery.tell_list([line | {"host": f"s{number}"} for number in range(SHELFS)], True)
-        way = await rig.link(rig.discovery.address)
+    async with Environment(folder) as rig:
+        await rig.discovery.publish_hosts([line | {"host": f"s{number}"} for number in range(SHELFS)], True)
+        way = await rig.start_proxy(rig.discovery.address)
         relay = TimedRelay(folder, "relay")
-        relay.settle([way.address], join_ms=150)
+        relay.configure([way.address], join_ms=150)
         relay.start()
         try:
-            await rig.until(lambda: ready(relay), "the relay is ready")
-            poller = Poller(relay.listen, "router")
+            await rig.wait_until(lambda: ready(relay), "the relay is ready")
+            poller = Poller(relay.listen_address, "router")
             polling = asyncio.create_task(poller.run())
-            await rig.discovery.purge(1)
-            while 1 not in poller.purges:
+            await rig.discovery.publish_purges(1)
+            while 1 not in poller.purged_objects:
                 await asyncio.sleep(0.01)
-            way.cut()
-            ago_ms = [3_600_000.0 * (BEHIND - number) / BEHIND for number in range(1, BEHIND + 1)]
-            await rig.discovery.purge(*range(FIRST, FIRST + BEHIND), ago_ms=ago_ms)
+            way.block()
+            ages_ms = [3_600_000.0 * (BEHIND - number) / BEHIND for number in range(1, BEHIND + 1)]
+            await rig.discovery.publish_purges(*range(FIRST, FIRST + BEHIND), ages_ms=ages_ms)
             before, used, start = memory_mb(relay.pid), used_ms(relay.pid), time.monotonic()
-            way.heal()
-            while poller.purges[-1] != FIRST + BEHIND - 1:
+            way.unblock()
+            while poller.purged_objects[-1] != FIRST + BEHIND - 1:
                 assert time.monotonic() < start + 60.0, "not in step"
                 await asyncio.sleep(0.005)
             end, after = time.monotonic(), memory_mb(relay.pid)
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -14,7 +14,8 @@
 import time
 from pathlib import Path
 
-from control_harness.participants import Relay, Rig
+from control_harness.environment import Environment
+from control_harness.participants import RelayParticipant
 from control_harness.poller import Poller
 
 SIZES = 100, 200, 400, 600
@@ -33,26 +34,28 @@
     return int(line.split()[1]) / 1024.0
 
 
-async def purge_for(rig: Rig, seconds: float) -> int:
+async def purge_for(rig: Environment, seconds: float) -> int:
     """At an even rate; how many."""
     start, count = time.monotonic(), 0
     while time.monotonic() - start < seconds:
         count += 1
-        await rig.discovery.purge(count)
+        await rig.discovery.publish_purges(count)
         await asyncio.sleep(max(0.0, start + count / PURGES_A_S - time.monotonic()))
     return count
 
 
-async def one_size(rig: Rig, relay: Relay, pid: int, size: int, seconds: float) -> tuple[float, ...]:
+async def one_size(
+    rig: Environment, relay: RelayParticipant, pid: int, size: int, seconds: float
+) -> tuple[float, ...]:
     """Processor time in ms a second, memory in MB, connections."""
-    pollers = [Poller(relay.listen, f"poller-{number}") for number in range(size)]
+    pollers = [Poller(relay.listen_address, f"poller-{number}") for number in range(size)]
     tasks = [asyncio.create_task(poller.run()) for poller in pollers]
     await asyncio.sleep(SETTLE_S)
     start, before = time.monotonic(), used_ms(pid)
     count = await purge_for(rig, seconds)
     used, took = used_ms(pid) - before, time.monotonic() - start
     connections = int((await relay.status())["connections"])
-    least = min(len(poller.purges) for poller in pollers)
+    least = min(len(poller.purged_objects) for poller in pollers)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -65,12 +68,14 @@
     line = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
     points: list[tuple[int, float]] = []
     with tempfile.TemporaryDirectory() as name:
-        async with Rig(Path(name)) as rig:
-            await rig.discovery.tell_list([line | {"host": f"s{number}"} for number in range(SHELFS)], True)
-            relay = rig.relay("relay")
-            relay.settle([rig.discovery.address], join_ms=150)
+        async with Environment(Path(name)) as rig:
+            await rig.discovery.publish_hosts(
+                [line | {"host": f"s{number}"} for number in range(SHELFS)], True
+            )
+            relay = rig.add_relay("relay")
+            relay.configure([rig.discovery.address], join_ms=150)
             relay.start()
-            await rig.until(lambda: ready(relay), "the relay is ready")
+            await rig.wait_until(lambda: ready(relay), "the relay is ready")
             for size in SIZES:
                 used, memory, connections = await one_size(rig, relay, relay.pid, size, seconds)
                 points.append((size, used))
@@ -79,8 +84,8 @@
     print(f"\nprocessor: {base:.1f} ms a second and {slope:.3f} (standard error {error:.3f}) for each router")
 
 
-async def ready(relay: Relay) -> bool:
-    return await relay.call("check") == ["ACK"]
+async def ready(relay: RelayParticipant) -> bool:
+    return await relay.call_admin("check") == ["ACK"]
 
 
 def fit(points: list[tuple[int, float]]) -> tuple[float, float, float]:
--- a/packages/control-harness/src/control_harness/fake_discovery.py
+++ b/packages/control-harness/src/control_harness/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery: numbered events by long poll, and its faults."""
+"""A fake of discovery: numbered events by long poll, and its faults."""
 
 from __future__ import annotations
 
@@ -6,68 +6,82 @@
 import json
 import time
 from collections.abc import Mapping, Sequence
+from contextlib import suppress
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from control_harness.loopback_server import Server
+from control_harness.loopback_server import LoopbackServer
 
-Line = Mapping[str, Any]
-MOST_BLOCK_S = 5.0
+HostEntry = Mapping[str, Any]
+"""One cache server, as discovery lists it."""
 
+MAX_BLOCK_S = 5.0
+"""Seconds that a poll is held at most, whatever it asks for: a test ends soon after its last event."""
 
-class Discovery(Server):
-    """Tells a list and what follows.  ``polls`` counts; ``down`` and ``up`` keep address and events."""
+
+class FakeDiscovery(LoopbackServer):
+    """Publishes a list of cache servers and its changes; ``poll_count`` counts the polls received.
+
+    ``stop`` and ``start`` keep the address and the events.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.events: list[Line] = []
-        self.polls = 0
-        self._seq = 0
-        self._news = asyncio.Condition()
+        self.events: list[Mapping[str, Any]] = []
+        self.poll_count = 0
+        self._list_version = 0
+        self._published = asyncio.Condition()
 
     @property
     def cursor(self) -> int:
+        """The number of the last event."""
         return len(self.events)
 
-    async def tell_list(self, lines: Sequence[Line], whole: bool = False) -> None:
-        """A list event: whole, or what has changed."""
-        self._seq += 1
-        await self._tell([{"nodes": {"seq": self._seq, "whole": whole, "hosts": list(lines)}}])
-
-    async def purge(self, *names: int, ago_ms: Sequence[float] = ()) -> None:
-        """A purge of each object, issued now, or so long ago each."""
-        now, agos = time.time() * 1000, ago_ms or [0.0] * len(names)
-        told = zip(names, agos, strict=True)
-        await self._tell([{"drop": {"id": f"{name:016x}", "when": int(now - ago)}} for name, ago in told])
-
-    async def restart(self, lines: Sequence[Line]) -> None:
-        """New numbers from 1, and a new version of the list: what was told before is forgotten."""
-        await self.down()
-        self.events, self._seq = [], 0
-        await self.tell_list(lines, whole=True)
-        await self.up()
-
-    async def _tell(self, events: Sequence[Line]) -> None:
-        async with self._news:
-            for event in events:
-                self.events.append({"cursor": len(self.events) + 1, **event})
-            self._news.notify_all()
+    async def publish_hosts(self, hosts: Sequence[HostEntry], complete: bool = False) -> None:
+        """Publish a list event: the complete list, or the entries that have changed."""
+        self._list_version += 1
+        nodes = {"seq": self._list_version, "whole": complete, "hosts": list(hosts)}
+        await self._publish([{"nodes": nodes}])
+
+    async def publish_purges(self, *objects: int, ages_ms: Sequence[float] = ()) -> None:
+        """Publish a purge of each object, issued now, or as long ago as ``ages_ms`` says for each."""
+        now_ms = time.time() * 1000
+        ages = ages_ms or [0.0] * len(objects)
+        purges = [
+            {"drop": {"id": f"{number:016x}", "when": int(now_ms - age_ms)}}
+            for number, age_ms in zip(objects, ages, strict=True)
+        ]
+        await self._publish(purges)
+
+    async def restart_numbering(self, hosts: Sequence[HostEntry]) -> None:
+        """Restart without any earlier event: numbers begin at 1, with a new version of the list."""
+        await self.stop()
+        self.events = []
+        self._list_version = 0
+        await self.publish_hosts(hosts, complete=True)
+        await self.start()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer polls until the client closes the connection."""
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
-            self.polls += 1
+            self.poll_count += 1
             query = parse_qs(urlsplit(head.split(" ")[1]).query)
             resume = int(query["resume"][0])
-            await self._news_after(resume, float(query["block"][0]) / 1000.0)
+            await self._wait_for_events(resume, float(query["block"][0]) / 1000.0)
             body = json.dumps({"cursor": self.cursor, "cmds": self.events[resume:]}).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await writer.drain()
 
-    async def _news_after(self, resume: int, block_s: float) -> None:
-        async with self._news:
-            try:
-                waiting = self._news.wait_for(lambda: self.cursor > resume)
-                await asyncio.wait_for(waiting, min(block_s, MOST_BLOCK_S))
-            except TimeoutError:
-                pass
+    async def _publish(self, events: Sequence[Mapping[str, Any]]) -> None:
+        async with self._published:
+            for event in events:
+                self.events.append({"cursor": len(self.events) + 1, **event})
+            self._published.notify_all()
+
+    async def _wait_for_events(self, resume: int, block_s: float) -> None:
+        """Wait until there are events after ``resume``, for the time that the poll blocks."""
+        async with self._published:
+            has_events = self._published.wait_for(lambda: self.cursor > resume)
+            with suppress(TimeoutError):
+                await asyncio.wait_for(has_events, min(block_s, MAX_BLOCK_S))
--- a/packages/control-harness/src/control_harness/fault_proxy.py
+++ b/packages/control-harness/src/control_harness/fault_proxy.py
@@ -1,67 +1,99 @@
-"""A way between two processes: what it holds back comes when it opens again, as on a network that repeats."""
+"""A TCP proxy between two processes that injects faults.
+
+What a blocked direction holds back is delivered once it is unblocked, as on a network that retransmits.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import re
 
-from control_harness.loopback_server import Server
+from control_harness.loopback_server import LoopbackServer
+
+READ_BYTES = 65_536
+"""Bytes read at a time."""
+
+EVENTS_START = re.compile(rb'"cmds": ?\[(?=\{)')
+"""Where the first event of an answer begins; an answer without events does not match."""
 
-PIECE = 65_536
-EVENTS = re.compile(rb'"cmds": ?\[(?=\{)')
 
+class FaultProxy(LoopbackServer):
+    """Forwards connections to ``target``.
 
-class Link(Server):
-    """Passes on to ``target``.  ``forth`` is the way to the target, ``back`` the one from it; ``delay_s``
-    holds for both.  ``cut_events``: the next answer with events comes back up to so many bytes of the first,
-    then its connection ends; None again once that has happened."""
+    ``delay_s`` delays each piece in both directions.  ``truncate_events_bytes``: the next answer that has
+    events is truncated after so many bytes of them and its connection is closed; None again once that has
+    happened.  ``connection_count`` counts the connections accepted.
+    """
 
     def __init__(self, target: str) -> None:
         super().__init__()
+        self.delay_s = 0.0
+        self.connection_count = 0
+        self.truncate_events_bytes: int | None = None
         host, _, port = target.rpartition(":")
-        self.target = host, int(port)
-        self.delay_s, self.dials = 0.0, 0
-        self.cut_events: int | None = None
-        self.forth, self.back = asyncio.Event(), asyncio.Event()
-        self.heal()
-
-    def cut(self, forth: bool = True, back: bool = True) -> None:
-        """Hold back what goes these ways; connections stay, and new ones come up."""
-        if forth:
-            self.forth.clear()
-        if back:
-            self.back.clear()
-
-    def heal(self) -> None:
-        self.forth.set()
-        self.back.set()
+        self._target_host = host
+        self._target_port = int(port)
+        self._to_target_open = asyncio.Event()
+        self._from_target_open = asyncio.Event()
+        self.unblock()
+
+    def block(self, to_target: bool = True, from_target: bool = True) -> None:
+        """Hold back what is sent in these directions; connections stay, and new ones are accepted."""
+        if to_target:
+            self._to_target_open.clear()
+        if from_target:
+            self._from_target_open.clear()
+
+    def unblock(self) -> None:
+        """Deliver what was held back, and everything that follows."""
+        self._to_target_open.set()
+        self._from_target_open.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.dials += 1
-        far_reader, far_writer = await asyncio.open_connection(*self.target)
-        ways = [
-            asyncio.ensure_future(self._pass(reader, far_writer, self.forth)),
-            asyncio.ensure_future(self._pass(far_reader, writer, self.back)),
+        """Forward one connection in both directions until either side ends it."""
+        self.connection_count += 1
+        target_reader, target_writer = await asyncio.open_connection(self._target_host, self._target_port)
+        directions = [
+            asyncio.ensure_future(self._forward_to_target(reader, target_writer)),
+            asyncio.ensure_future(self._forward_from_target(target_reader, writer)),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
-            far_writer.close()
-
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: asyncio.Event
-    ) -> None:
-        while data := await reader.read(PIECE):
-            await way.wait()
-            if self.delay_s:
-                await asyncio.sleep(self.delay_s)
-            if way is self.back and self.cut_events is not None and (begun := EVENTS.search(data)):
-                writer.write(data[: begun.end() + self.cut_events])
-                self.cut_events = None
-                return await writer.drain()
+            for direction in directions:
+                direction.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
+            target_writer.close()
+
+    async def _forward_to_target(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while data := await reader.read(READ_BYTES):
+            await self._hold_back(self._to_target_open)
             writer.write(data)
             await writer.drain()
-        await way.wait()
+        await self._to_target_open.wait()
+
+    async def _forward_from_target(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while data := await reader.read(READ_BYTES):
+            await self._hold_back(self._from_target_open)
+            truncated = self._truncate_events(data)
+            writer.write(data if truncated is None else truncated)
+            await writer.drain()
+            if truncated is not None:
+                return
+        await self._from_target_open.wait()
+
+    def _truncate_events(self, data: bytes) -> bytes | None:
+        """Return the truncated data if it begins the answer that is to be truncated."""
+        if self.truncate_events_bytes is None:
+            return None
+        events_start = EVENTS_START.search(data)
+        if events_start is None:
+            return None
+        truncated = data[: events_start.end() + self.truncate_events_bytes]
+        self.truncate_events_bytes = None
+        return truncated
+
+    async def _hold_back(self, direction_open: asyncio.Event) -> None:
+        await direction_open.wait()
+        if self.delay_s:
+            await asyncio.sleep(self.delay_s)
--- a/packages/control-harness/src/control_harness/loopback_server.py
+++ b/packages/control-harness/src/control_harness/loopback_server.py
@@ -1,49 +1,56 @@
-"""What the rig's own listeners share: a port that stays the same, and connections that end with it."""
+"""What the harness's own servers share: a port that stays the same, and connections that end with them."""
 
 from __future__ import annotations
 
 import asyncio
+from abc import ABC, abstractmethod
+from contextlib import suppress
 from typing import Any
 
+HOST = "127.0.0.1"
+"""The address that every server of the harness listens on."""
 
-class Server:
-    """Listens on a free loopback port.  ``serve`` is a kind's own; its connection ends as it returns."""
+
+class LoopbackServer(ABC):
+    """A server on a free loopback port, which it keeps when it is started again."""
 
     def __init__(self) -> None:
-        self.port = 0
+        self._port = 0
         self._server: asyncio.Server | None = None
-        self._serving: dict[asyncio.Task[Any], asyncio.StreamWriter] = {}
+        self._connections: dict[asyncio.Task[Any], asyncio.StreamWriter] = {}
 
     @property
     def address(self) -> str:
-        return f"127.0.0.1:{self.port}"
+        """Host and port; the port is known once the server has been started."""
+        return f"{HOST}:{self._port}"
 
-    async def up(self) -> None:
-        """Listen, at the same port as before."""
-        self._server = await asyncio.start_server(self._accept, "127.0.0.1", self.port)
-        self.port = self._server.sockets[0].getsockname()[1]
+    async def start(self) -> None:
+        """Listen, on the same port as before."""
+        self._server = await asyncio.start_server(self._accept, HOST, self._port)
+        self._port = self._server.sockets[0].getsockname()[1]
 
-    async def down(self) -> None:
-        """Refuse, and reset all that is connected."""
+    async def stop(self) -> None:
+        """Refuse new connections and reset those that are open."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for task, writer in list(self._serving.items()):
+        for task, writer in list(self._connections.items()):
             writer.transport.abort()
             task.cancel()
-        await asyncio.gather(*self._serving, return_exceptions=True)
+        await asyncio.gather(*self._connections, return_exceptions=True)
 
+    @abstractmethod
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        raise NotImplementedError
+        """Serve one connection, which is closed when this returns."""
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._serving[task] = writer
+        self._connections[task] = writer
         try:
-            await self.serve(reader, writer)
-        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the connection's end; one that was cancelled ends like the others
+            # These end the connection; one that was cancelled ends like the others.
+            with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+                await self.serve(reader, writer)
         finally:
-            del self._serving[task]
+            del self._connections[task]
             writer.close()
--- a/packages/control-harness/src/control_harness/participants.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -1,217 +1,185 @@
-"""Puts processes, shelfs, links and a discovery together, and takes them down."""
+"""The processes of a test: relays and request routers, their files, and calls to their endpoints."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import signal
 import time
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Mapping, Sequence
+from contextlib import ExitStack
 from pathlib import Path
 from random import Random
 from socket import socket
-from typing import Any, Self, TypeVar
+from typing import Any
 
 from standins.clients import fastcgi_request
 from standins.config import SETTINGS
 
-from control_harness.fake_cache_server import Shelf
-from control_harness.fake_discovery import Discovery
-from control_harness.fault_proxy import Link
-from control_harness.process import Process
+from control_harness.process import OPERATORS_FILE, ProgramProcess
 from thornjunction.net.wire import fastcgi
 
-WITHIN_S = 30.0  # for a thing that has to happen; on an idle machine most take well under one
-AGAIN_S = 0.02
-CALL_S = 5.0
-TTL_MS = 1500  # of a request that names none
-PARAMS = {"SCRIPT_NAME": "/do/clips", "HTTP_X_WORKING_SET_KB": "412.5"}
+CALL_TIMEOUT_S = 5.0
+"""Seconds that a call to an endpoint may take on a busy machine."""
+
+REQUEST_TTL_MS = 1500
+"""Milliseconds that a request may take unless the test says otherwise."""
+
+MAX_SOCKETS = 90
+"""Sockets of each router: few, because all processes of a test share the limit of one user."""
+
+RELAY_JOIN_MS = 20
+"""Milliseconds that a relay waits for more events before it answers a poll: few, so that tests are fast."""
+
+READ_BYTES = 65_536
+"""Bytes read at a time."""
+
+REQUEST_PARAMS = {"SCRIPT_NAME": "/do/clips", "HTTP_X_WORKING_SET_KB": "412.5"}
+"""The parameters that all requests share."""
 
 
 def free_addresses(count: int) -> list[str]:
-    """Addresses with a free port each, on a loopback host drawn for this call, where nothing else is likely
-    to take them."""
-    draw = Random()
-    host = ".".join(["127", *(str(draw.randint(1, 254)) for _ in range(3))])
-    probes = [socket() for _ in range(count)]
-    for probe in probes:
-        probe.bind((host, 0))
-    found = [f"{host}:{probe.getsockname()[1]}" for probe in probes]
-    for probe in probes:
-        probe.close()
-    return found
-
-
-class Member(Process):
-    """A process with an operators' door."""
-
-    def __init__(self, folder: Path, name: str, door: str, config: Path | None = None) -> None:
+    """Return addresses with a free port each.
+
+    They are on a loopback host drawn for this call, where nothing else is likely to take them.
+    """
+    random = Random()
+    host = ".".join(["127", *(str(random.randint(1, 254)) for _ in range(3))])
+    with ExitStack() as stack:
+        sockets = [stack.enter_context(socket()) for _ in range(count)]
+        for free_socket in sockets:
+            free_socket.bind((host, 0))
+        return [f"{host}:{free_socket.getsockname()[1]}" for free_socket in sockets]
+
+
+class Participant(ProgramProcess):
+    """A process with an admin endpoint."""
+
+    def __init__(self, folder: Path, name: str, admin_address: str, config: Path | None = None) -> None:
         super().__init__(folder, config)
-        self.name, self.door = name, door
+        self.name = name
+        self.admin_address = admin_address
 
-    async def call(self, line: str) -> list[str]:
-        """The lines of the door's reply; none while nobody answers there."""
-        host, _, port = self.door.rpartition(":")
+    async def call_admin(self, line: str) -> list[str]:
+        """Return the lines of the admin endpoint's reply; none while nobody answers there."""
+        host, _, port = self.admin_address.rpartition(":")
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(line.encode() + b"\n")
-                told = await reader.read(-1)
+                reply = await reader.read(-1)
                 writer.close()
         except (OSError, TimeoutError):
             return []
-        return told.decode().splitlines()
-
+        return reply.decode().splitlines()
 
-M = TypeVar("M", bound=Member)
+    def _write_operators_file(self, section: str, values: Mapping[str, object]) -> None:
+        lines = [f"{key} = {json.dumps(value)}" for key, value in values.items()]
+        (self.folder / OPERATORS_FILE).write_text("\n".join([f"[{section}]", *lines, ""]))
 
 
-class Relay(Member):
-    """``listen``: where it is polled."""
+class RelayParticipant(Participant):
+    """A relay; ``listen_address`` is where it is polled."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        self.listen, door = free_addresses(2)
-        super().__init__(folder, name, door)
+        self.listen_address, admin_address = free_addresses(2)
+        super().__init__(folder, name, admin_address)
 
-    def settle(self, upstreams: Sequence[str], **more: object) -> None:
+    def configure(self, upstreams: Sequence[str], **settings: object) -> None:
         """Write its operators' file."""
-        told = {"listen": self.listen, "admin_addr": self.door, "name": self.name, "join_ms": 20}
-        _write_toml(self.folder, "relay", told | {"upstreams": list(upstreams)} | more)
+        values = {
+            "listen": self.listen_address,
+            "admin_addr": self.admin_address,
+            "name": self.name,
+            "join_ms": RELAY_JOIN_MS,
+            "upstreams": list(upstreams),
+            **settings,
+        }
+        self._write_operators_file("relay", values)
 
     async def status(self) -> dict[str, str]:
-        """``relay``, by name."""
-        told = _pairs(await self.call("relay"))
-        return {key.removeprefix("relay."): value for key, value in told.items()}
+        """Return the values of the call ``relay`` by name."""
+        values = _parse_values(await self.call_admin("relay"))
+        return {key.removeprefix("relay."): value for key, value in values.items()}
 
-    async def purges(self) -> list[str]:
-        """``purges``, a line each."""
-        return [line for line in await self.call("purges") if line.startswith("purge ")]
+    async def purge_lines(self) -> list[str]:
+        """Return the lines of the call ``purges``, one for each purge."""
+        return [line for line in await self.call_admin("purges") if line.startswith("purge ")]
 
 
-class Router(Member):
-    """A request router with ``[control]``."""
+class RouterParticipant(Participant):
+    """A request router; ``front_address`` is where it takes requests."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        self.front, door, channel = free_addresses(3)
-        super().__init__(folder, name, door, folder / "config.json")
-        told: dict[str, Any] = {"name": name, "listen": self.front, "admin_addr": door, "channel": channel}
-        told |= {"settings": SETTINGS, "limits": {"sockets": 90}, "known": {"cursor": 0, "cmds": []}}
-        (folder / "config.json").write_text(json.dumps(told))
-
-    def settle_plain(self, channel: str) -> None:
-        """Nothing of the operators': it polls what the platform's file names."""
-        told = json.loads((self.folder / "config.json").read_text())
-        (self.folder / "config.json").write_text(json.dumps(told | {"channel": channel}))
-        (self.folder / "extras.toml").write_text("")
-
-    def settle(self, sources: Sequence[str]) -> None:
-        """Write its operators' file."""
-        _write_toml(self.folder, "control", {"name": self.name, "sources": list(sources)})
+        self.front_address, admin_address, self._unused_channel = free_addresses(3)
+        super().__init__(folder, name, admin_address, folder / "config.json")
+        self._write_platform_config(self._unused_channel)
+
+    def configure_without_relays(self, channel: str) -> None:
+        """Write an empty operators' file: the router polls the channel of the platform's configuration."""
+        self._write_platform_config(channel)
+        (self.folder / OPERATORS_FILE).write_text("")
+
+    def configure(self, sources: Sequence[str]) -> None:
+        """Write its operators' file with these sources."""
+        self._write_operators_file("control", {"name": self.name, "sources": list(sources)})
 
     async def figures(self) -> dict[str, int]:
-        """``vars``, by name."""
-        told = _pairs(await self.call("vars"))
-        return {key.removeprefix("router."): int(value) for key, value in told.items()}
-
-    async def get(self, name: int = 1, timeout_s: float = CALL_S, ttl_ms: int = TTL_MS) -> str:
-        """One request for an object through the front: the shelf that served it; else the answer's status."""
-        host, _, port = self.front.rpartition(":")
-        body, told, records = b"", b"", fastcgi.RecordReader()
+        """Return the values of the call ``vars`` by name."""
+        values = _parse_values(await self.call_admin("vars"))
+        return {key.removeprefix("router."): int(value) for key, value in values.items()}
+
+    async def request(
+        self, object_number: int = 1, timeout_s: float = CALL_TIMEOUT_S, ttl_ms: int = REQUEST_TTL_MS
+    ) -> str:
+        """Request an object; return the name of the cache server that served it, or the status line."""
+        host, _, port = self.front_address.rpartition(":")
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(_request(name, ttl_ms))
-            ended = False
-            while not ended and (data := await reader.read(65_536)):
-                for record in records.feed(data):
-                    body += record.content if record.kind == fastcgi.STDOUT else b""
-                    ended |= record.kind == fastcgi.END
+            writer.write(_encode_request(object_number, ttl_ms))
+            output = await _read_output(reader)
             writer.close()
-        head, _, told = body.partition(b"\r\n\r\n")
-        return told.decode() if head.startswith(b"Status: 200") else head.decode().partition("\r\n")[0]
-
-
-class Rig:
-    """All of a test's processes.  ``async with``: what was started ends, also where the test fails."""
-
-    def __init__(self, folder: Path) -> None:
-        self.folder, self.discovery = folder, Discovery()
-        self.members: list[Member] = []
-        self.shelves: list[Shelf] = []
-        self.links: list[Link] = []
-
-    async def __aenter__(self) -> Self:
-        await self.discovery.up()
-        return self
-
-    async def __aexit__(self, *_: object) -> None:
-        for member in self.members:
-            member.kill()
-        for part in (*self.links, *self.shelves, self.discovery):
-            await part.down()
-
-    async def shelf(self, name: str, kind: str = "box") -> Shelf:
-        shelf = Shelf(name, kind)
-        self.shelves.append(shelf)
-        await shelf.up()
-        return shelf
-
-    async def link(self, target: str) -> Link:
-        link = Link(target)
-        self.links.append(link)
-        await link.up()
-        return link
-
-    def relay(self, name: str) -> Relay:
-        """To be settled and started."""
-        return self._added(Relay(self._folder(name), name))
-
-    def router(self, name: str) -> Router:
-        """To be settled and started."""
-        return self._added(Router(self._folder(name), name))
-
-    def _folder(self, name: str) -> Path:
-        folder = self.folder / name
-        folder.mkdir()
-        return folder
-
-    def _added(self, member: M) -> M:
-        self.members.append(member)
-        return member
-
-    async def until(
-        self, holds: Callable[[], bool | Awaitable[bool]], what: str, within_s: float = WITHIN_S
-    ) -> None:
-        """Wait for something that a process knows; AssertionError, with all logs, past the bound."""
-        end = time.monotonic() + within_s
-        while True:
-            held = holds()
-            if held if isinstance(held, bool) else await held:
-                return
-            if time.monotonic() > end:
-                raise AssertionError(f"never: {what}\n{self.logs()}")
-            await asyncio.sleep(AGAIN_S)
-
-    def logs(self) -> str:
-        return "\n".join(f"== {member.name}\n{member.log()[-6000:]}" for member in self.members)
-
-    async def ended(self, *members: Member) -> None:
-        await self.until(lambda: all(member.code is not None for member in members), "processes end")
-
-    def signal(self, number: signal.Signals, *members: Member) -> None:
-        for member in members:
-            member.signal(number)
-
-
-def _request(name: int, ttl_ms: int) -> bytes:
-    more = {"HTTP_X_TXN": f"{time.monotonic_ns():016x}", "HTTP_X_ROW": f"{name:016x}"}
-    return fastcgi_request(1, PARAMS | more | {"HTTP_X_TTL_MS": str(ttl_ms)})
-
-
-def _pairs(lines: Sequence[str]) -> dict[str, str]:
-    """``NAME=VALUE`` lines."""
-    return {name: value for name, mark, value in (line.partition("=") for line in lines) if mark}
-
-
-def _write_toml(folder: Path, section: str, told: dict[str, Any]) -> None:
-    lines = [f"{key} = {json.dumps(value)}" for key, value in told.items()]
-    (folder / "extras.toml").write_text("\n".join([f"[{section}]", *lines, ""]))
+        head, _, body = output.partition(b"\r\n\r\n")
+        if head.startswith(b"Status: 200"):
+            return body.decode()
+        return head.decode().partition("\r\n")[0]
+
+    def _write_platform_config(self, channel: str) -> None:
+        config: dict[str, Any] = {
+            "name": self.name,
+            "listen": self.front_address,
+            "admin_addr": self.admin_address,
+            "channel": channel,
+            "settings": SETTINGS,
+            "limits": {"sockets": MAX_SOCKETS},
+            "known": {"cursor": 0, "cmds": []},
+        }
+        (self.folder / "config.json").write_text(json.dumps(config))
+
+
+def _encode_request(object_number: int, ttl_ms: int) -> bytes:
+    headers = {
+        "HTTP_X_TXN": f"{time.monotonic_ns():016x}",
+        "HTTP_X_ROW": f"{object_number:016x}",
+        "HTTP_X_TTL_MS": str(ttl_ms),
+    }
+    return fastcgi_request(1, REQUEST_PARAMS | headers)
+
+
+async def _read_output(reader: asyncio.StreamReader) -> bytes:
+    """Return the output of one FastCGI request, up to its end or that of the connection."""
+    output = b""
+    records = fastcgi.RecordReader()
+    ended = False
+    while not ended and (data := await reader.read(READ_BYTES)):
+        for record in records.feed(data):
+            if record.kind == fastcgi.STDOUT:
+                output += record.content
+            elif record.kind == fastcgi.END:
+                ended = True
+    return output
+
+
+def _parse_values(lines: Sequence[str]) -> dict[str, str]:
+    """Parse ``NAME=VALUE`` lines; others are ignored."""
+    pairs = (line.partition("=") for line in lines)
+    return {name: value for name, separator, value in pairs if separator}
--- a/packages/control-harness/src/control_harness/poller.py
+++ b/packages/control-harness/src/control_harness/poller.py
@@ -1,56 +1,70 @@
-"""A router's side of the channel and nothing else: many of them cost one process little."""
+"""A client that polls as a router does and does nothing else: many of them cost one process little."""
 
 from __future__ import annotations
 
 import asyncio
 import json
+from collections.abc import Mapping
+from typing import Any
 
 BLOCK_MS = 1200
-AGAIN_S = 0.05
+"""Milliseconds that each poll asks to be held."""
+
+RECONNECT_S = 0.05
+"""Seconds from the end of a connection to the next one."""
 
 
 class Poller:
-    """Keeps polling.  ``purges`` are the objects in the order in which they were told; ``disorder`` counts
-    events whose number was not above the last one's within an epoch."""
+    """Polls a relay or discovery until it is cancelled.
+
+    ``purged_objects`` are in the order in which they were received; ``out_of_order_count`` counts events
+    whose number was not above the last one of the same epoch.
+    """
 
     def __init__(self, source: str, name: str) -> None:
         host, _, port = source.rpartition(":")
-        self.source, self.name = (host, int(port)), name
-        self.epoch, self.cursor = "", 0
-        self.purges: list[int] = []
-        self.disorder = 0
+        self.name = name
+        self.epoch = ""
+        self.cursor = 0
+        self.purged_objects: list[int] = []
+        self.out_of_order_count = 0
+        self._host = host
+        self._port = int(port)
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Poll on one connection after the other."""
         while True:
             try:
-                await self._poll()
+                await self._poll_on_connection()
             except (OSError, asyncio.IncompleteReadError):
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_S)
 
-    async def _poll(self) -> None:
-        reader, writer = await asyncio.open_connection(*self.source)
+    async def _poll_on_connection(self) -> None:
+        reader, writer = await asyncio.open_connection(self._host, self._port)
         try:
             while True:
-                query = f"resume={self.cursor}&block={BLOCK_MS}&epoch={self.epoch}&as=router&name={self.name}"
-                writer.write(f"GET /cmd/next?{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-                head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-                length = int(head.partition("content-length: ")[2].partition("\r\n")[0])
-                body = await reader.readexactly(length)
-                if " 200 " in head.partition("\r\n")[0]:
-                    self._take(json.loads(body))
-                else:
-                    raise ConnectionAbortedError
+                await self._poll(reader, writer)
         finally:
             writer.close()
 
-    def _take(self, told: dict[str, object]) -> None:
-        if told["epoch"] != self.epoch:
-            self.epoch, self.cursor = str(told["epoch"]), 0
-        events = told["cmds"]
-        assert isinstance(events, list)
-        for event in events:
-            self.disorder += event["cursor"] <= self.cursor
+    async def _poll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        query = f"resume={self.cursor}&block={BLOCK_MS}&epoch={self.epoch}&as=router&name={self.name}"
+        writer.write(f"GET /cmd/next?{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
+        length = int(head.partition("content-length: ")[2].partition("\r\n")[0])
+        body = await reader.readexactly(length)
+        status_line = head.partition("\r\n")[0]
+        if " 200 " not in status_line:
+            raise ConnectionAbortedError(status_line)
+        self._apply(json.loads(body))
+
+    def _apply(self, answer: Mapping[str, Any]) -> None:
+        if answer["epoch"] != self.epoch:
+            self.epoch = str(answer["epoch"])
+            self.cursor = 0
+        for event in answer["cmds"]:
+            if event["cursor"] <= self.cursor:
+                self.out_of_order_count += 1
             self.cursor = event["cursor"]
             if "id" in event.get("drop", ()):
-                self.purges.append(int(event["drop"]["id"], 16))
+                self.purged_objects.append(int(event["drop"]["id"], 16))
--- a/packages/control-harness/src/control_harness/process.py
+++ b/packages/control-harness/src/control_harness/process.py
@@ -1,4 +1,4 @@
-"""One program of the rig: started, signalled by its own id, and ended with the rig."""
+"""One process of the program: started, signalled by its own id, and ended with the harness."""
 
 from __future__ import annotations
 
@@ -8,50 +8,69 @@
 import sys
 from pathlib import Path
 
-SECTIONS_OFF = "PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR", "PROXY_SOCKET_FD", "PROXY_CONFIG"
+INHERITED_SETTINGS = (
+    "PROXY_NAME",
+    "PROXY_LISTEN",
+    "PROXY_ADMIN_ADDR",
+    "PROXY_SOCKET_FD",
+    "PROXY_CONFIG",
+)
+"""Environment variables that would override the process's own files."""
 
+OPERATORS_FILE = "extras.toml"
+"""The name of the operators' file in the folder of a process."""
 
-class Process:
-    """``thornjunction run --extras FILE`` in a folder of its own; its log is the file ``log`` there."""
+
+class ProgramProcess:
+    """``thornjunction run --extras FILE`` in a folder of its own, where the file ``log`` is its log."""
 
     def __init__(self, folder: Path, config: Path | None = None) -> None:
-        self.folder, self.config = folder, config
+        self.folder = folder
+        self.config = config
         self._popen: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Once it has ended, again; the log goes on."""
-        assert self.code is not None or self._popen is None
-        command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(self.folder / "extras.toml")]
-        env = {key: value for key, value in os.environ.items() if key not in SECTIONS_OFF}
-        env["PYTHONPATH"] = os.pathsep.join(path or os.getcwd() for path in sys.path)
+        """Start it, again if it has ended; the log is continued."""
+        assert self.exit_code is not None or self._popen is None
+        operators_file = self.folder / OPERATORS_FILE
+        command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(operators_file)]
+        environment = {key: value for key, value in os.environ.items() if key not in INHERITED_SETTINGS}
+        environment["PYTHONPATH"] = os.pathsep.join(path or os.getcwd() for path in sys.path)
         if self.config is not None:
-            env["PROXY_CONFIG"] = str(self.config)
-        with (self.folder / "log").open("ab") as log:
-            self._popen = subprocess.Popen(command, env=env, cwd=self.folder, stdout=log, stderr=log)
+            environment["PROXY_CONFIG"] = str(self.config)
+        with self._log_path.open("ab") as log:
+            self._popen = subprocess.Popen(command, env=environment, cwd=self.folder, stdout=log, stderr=log)
 
     @property
     def pid(self) -> int:
-        """Of the process that was started last."""
+        """The id of the process that was started last."""
         assert self._popen is not None
         return self._popen.pid
 
     @property
-    def code(self) -> int | None:
-        """The exit code, negative for a signal; None while it runs."""
-        return self._popen.poll() if self._popen is not None else None
+    def exit_code(self) -> int | None:
+        """The exit code, negative for a signal; None while it runs and before it was started."""
+        if self._popen is None:
+            return None
+        return self._popen.poll()
 
-    def signal(self, number: signal.Signals) -> None:
-        """To this process alone, while it lives."""
-        if self._popen is not None and self.code is None:
+    def send_signal(self, number: signal.Signals) -> None:
+        """Signal this process alone, while it lives."""
+        if self._popen is not None and self.exit_code is None:
             self._popen.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once, also where it is stopped, and wait until it has ended."""
-        self.signal(signal.SIGKILL)
+        """End it at once, also if it is stopped, and wait until it has ended."""
+        self.send_signal(signal.SIGKILL)
         if self._popen is not None:
             self._popen.wait()
 
-    def log(self) -> str:
-        """All that it has said."""
-        path = self.folder / "log"
-        return path.read_text(encoding="utf-8", errors="replace") if path.exists() else ""
+    def log_text(self) -> str:
+        """Return all that it has logged."""
+        if not self._log_path.exists():
+            return ""
+        return self._log_path.read_text(encoding="utf-8", errors="replace")
+
+    @property
+    def _log_path(self) -> Path:
+        return self.folder / "log"
--- a/packages/control-harness/src/control_harness/relay_environment.py
+++ b/packages/control-harness/src/control_harness/relay_environment.py
@@ -1,4 +1,4 @@
-"""The common scene: a discovery, two relays, and routers that have both as their sources, in this order."""
+"""The environment that most tests share: a discovery, two relays, and routers with both as their sources."""
 
 from __future__ import annotations
 
@@ -7,141 +7,172 @@
 from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
 
-from control_harness.fake_cache_server import Shelf
-from control_harness.participants import Relay, Rig, Router
+from control_harness.environment import Environment
+from control_harness.fake_cache_server import FakeCacheServer
+from control_harness.fault_proxy import FaultProxy
+from control_harness.participants import RelayParticipant, RouterParticipant
 
-Scene = Callable[["Stage"], Awaitable[None]]
-Play = Callable[[Scene], None]
-WITHIN_S = 60.0  # for a scene
-OBJECTS = 12  # that are asked for in a look at who serves
+Scenario = Callable[["RelayEnvironment"], Awaitable[None]]
+"""A test's steps in the environment."""
 
+ScenarioRunner = Callable[[Scenario], None]
+"""Runs a scenario, and ends its processes whatever happens."""
 
-class Stage(Rig):
-    """Relay N hears discovery, or the root, through ``ups[N]``, and routers reach it through ``downs[N]``.
+SCENARIO_TIMEOUT_S = 60.0
+"""Seconds that a scenario may take on a busy machine."""
 
-    ``shelfs`` is how many are listed, as routers show at their doors; ``purged`` the last object purged."""
+SAMPLED_OBJECTS = 12
+"""Objects that each router is asked for to see which cache servers serve: enough that each has some."""
+
+
+class RelayEnvironment(Environment):
+    """Two relays between discovery and two routers, with a proxy on each connection.
+
+    Relay N polls discovery, or the root relay, through ``upstream_proxies[N]``, and routers poll it through
+    ``downstream_proxies[N]``.  ``listed_servers`` is how many cache servers are listed, ``last_purged`` the
+    object that was purged last, and ``extra_clients`` counts pollers beside the routers.
+    """
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self.relays: list[Relay] = []
-        self.routers: list[Router] = []
-        self._names = itertools.count(1)
-        self.shelfs = self.purged = 0
-        self.extra = 0  # pollers beside the routers
-
-    async def open(self, root: bool = False, **more: object) -> None:
-        """Start all, and wait until the routers know the list by the first relay.  ``root``: one relay more,
-        above the others.  ``more`` goes into the relays' settings."""
-        self.edges = [await self.shelf(f"edge{number}") for number in (1, 2)]
-        self.origin = await self.shelf("origin", "root")
-        await self.discovery.tell_list([one.line() for one in (*self.edges, self.origin)], whole=True)
-        self.shelfs = 3
-        above = self.discovery.address
-        if root:
-            self.root = self.relay("root")
-            self.root.settle([above])
-            self.root.start()
-            above = self.root.listen
-        self.relays = [self.relay(f"relay-{number}") for number in range(2)]
-        self.ups = [await self.link(above) for _ in self.relays]
-        self.downs = [await self.link(relay.listen) for relay in self.relays]
-        for place, relay in enumerate(self.relays):
-            siblings = [other.listen for other in self.relays if other is not relay]
-            relay.settle([self.ups[place].address], siblings=siblings, **more)
-            relay.start()
-        self.routers = [self.router(f"router-{number}") for number in range(2)]
-        await self.ready(*self.relays)
+        self.edges: list[FakeCacheServer] = []
+        self.relays: list[RelayParticipant] = []
+        self.routers: list[RouterParticipant] = []
+        self.upstream_proxies: list[FaultProxy] = []
+        self.downstream_proxies: list[FaultProxy] = []
+        self.listed_servers = 0
+        self.last_purged = 0
+        self.extra_clients = 0
+        self._object_numbers = itertools.count(1)
+
+    async def start_all(self, with_root: bool = False, **relay_settings: object) -> None:
+        """Start everything, and wait until the routers know the list from the first relay.
+
+        ``with_root`` puts one more relay, ``root_relay``, above the others.
+        """
+        await self._start_cache_servers()
+        upstream = self.discovery.address
+        if with_root:
+            self.root_relay = self.add_relay("root")
+            self.root_relay.configure([upstream])
+            self.root_relay.start()
+            upstream = self.root_relay.listen_address
+        await self._start_relays(upstream, relay_settings)
+        self.routers = [self.add_router(f"router-{number}") for number in range(2)]
+        await self.wait_until_ready(*self.relays)
         for router in self.routers:
-            router.settle([link.address for link in self.downs])
+            router.configure([proxy.address for proxy in self.downstream_proxies])
             router.start()
-        await self.listed(self.routers)
-        await self.moved(self.relays[0])
+        await self.wait_until_listed(self.routers)
+        await self.wait_until_polled_by_all(self.relays[0])
+
+    async def wait_until_ready(self, *relays: RelayParticipant) -> None:
+        """Wait until these relays have a state."""
 
-    async def ready(self, *relays: Relay) -> None:
-        """They have a state."""
+        async def ready() -> bool:
+            return all([await relay.call_admin("check") == ["ACK"] for relay in relays])
 
-        async def holds() -> bool:
-            return all([await relay.call("check") == ["ACK"] for relay in relays])
+        await self.wait_until(ready, "relays are ready")
 
-        await self.until(holds, "relays are ready")
+    async def wait_until_listed(self, routers: Sequence[RouterParticipant]) -> None:
+        """Wait until these routers have as many cache servers as are listed."""
 
-    async def listed(self, routers: Sequence[Router]) -> None:
-        """They have as many shelfs as are listed."""
+        async def listed() -> bool:
+            all_figures = await asyncio.gather(*(router.figures() for router in routers))
+            return all(figures.get("registry_entries") == self.listed_servers for figures in all_figures)
 
-        async def holds() -> bool:
-            told = await asyncio.gather(*(router.figures() for router in routers))
-            return all(figures.get("registry_entries") == self.shelfs for figures in told)
+        names = [router.name for router in routers]
+        await self.wait_until(listed, f"{names} know {self.listed_servers} cache servers")
 
-        await self.until(holds, f"{[router.name for router in routers]} know {self.shelfs} shelfs")
+    async def publish_change(self) -> None:
+        """Publish one more cache server, which serves nothing, and a purge."""
+        self.listed_servers += 1
+        self.last_purged = next(self._object_numbers)
+        leaving = self.origin.host_entry("leaving")
+        entry = leaving | {"host": f"more-{self.listed_servers}", "class": "box"}
+        await self.discovery.publish_hosts([entry])
+        await self.discovery.publish_purges(self.last_purged)
 
-    async def news(self) -> None:
-        """One shelf more, which serves nothing, and a purge."""
-        self.shelfs += 1
-        self.purged = next(self._names)
-        line = self.origin.line("leaving") | {"host": f"more-{self.shelfs}", "class": "box"}
-        await self.discovery.tell_list([line])
-        await self.discovery.purge(self.purged)
+    async def wait_until_propagated(self, *relays: RelayParticipant) -> None:
+        """Wait until the last change is known to all routers, by themselves and by these relays.
 
-    async def known(self, *relays: Relay) -> None:
-        """The last news at all routers: by their own doors; and by these relays', which serve all of them."""
-        await self.listed(self.routers)
+        The relays together serve all routers.
+        """
+        await self.wait_until_listed(self.routers)
 
-        async def holds() -> bool:
-            present = 0
+        async def propagated() -> bool:
+            clients = 0
             for relay in relays:
-                if " done " not in await self.standing(relay):
+                if " done " not in await self.last_purge_line(relay):
                     return False
-                present += int((await relay.status())["present"])
-            return present == len(self.routers) + self.extra
+                clients += int((await relay.status())["present"])
+            return clients == len(self.routers) + self.extra_clients
 
-        await self.until(holds, f"purge {self.purged} is done at {[relay.name for relay in relays]}")
+        names = [relay.name for relay in relays]
+        await self.wait_until(propagated, f"purge {self.last_purged} is done at {names}")
 
-    async def standing(self, relay: Relay) -> str:
-        """How the last purge stands at this relay, as its door words it; empty: it is not known there."""
-        told = f" {self.purged:016x} "
-        return next((line for line in await relay.purges() if told in line), "")
+    async def last_purge_line(self, relay: RelayParticipant) -> str:
+        """Return how a relay reports the last purge; empty if it is not known there."""
+        object_id = f" {self.last_purged:016x} "
+        return next((line for line in await relay.purge_lines() if object_id in line), "")
 
-    async def moved(self, relay: Relay) -> None:
-        """All routers poll this relay."""
+    async def wait_until_polled_by_all(self, relay: RelayParticipant) -> None:
+        """Wait until all routers poll this relay."""
 
-        async def holds() -> bool:
+        async def polled_by_all() -> bool:
             return (await relay.status()).get("present") == str(len(self.routers))
 
-        await self.until(holds, f"all routers poll {relay.name}")
-
-    async def drain(self) -> None:
-        """The first edge is told as leaving; all routers, which used both, use the other one."""
-        self.drained, other = self.edges
-        await self.served_by(*self.edges)
-        await self.discovery.tell_list([self.drained.line("leaving")])
-        await self.served_by(other)
-
-    async def served_by(self, *shelves: Shelf) -> None:
-        """All routers' requests go to these, each of which has some."""
-
-        async def holds() -> bool:
-            return await self.servers() == {shelf.name for shelf in shelves}
-
-        await self.until(holds, f"requests go to {[shelf.name for shelf in shelves]}")
-
-    async def servers(self) -> set[str]:
-        """Who serves requests now, of all routers together."""
-        asking = [router.get(name) for router in self.routers for name in range(OBJECTS)]
-        return set(await asyncio.gather(*asking))
-
-    async def obeyed(self) -> None:
-        """No request goes to the drained edge; every one is served."""
-        wants = self.drained.wants
-        served = await self.servers()
-        assert served == {edge.name for edge in self.edges if edge is not self.drained}, served
-        assert self.drained.wants == wants
+        await self.wait_until(polled_by_all, f"all routers poll {relay.name}")
+
+    async def drain_first_edge(self) -> None:
+        """List the first edge as leaving; wait until all routers, which used both, use the other one."""
+        self.drained_edge, other_edge = self.edges
+        await self.wait_until_served_by(*self.edges)
+        await self.discovery.publish_hosts([self.drained_edge.host_entry("leaving")])
+        await self.wait_until_served_by(other_edge)
+
+    async def wait_until_served_by(self, *servers: FakeCacheServer) -> None:
+        """Wait until the routers' requests go to these cache servers, and to each of them."""
+
+        async def served_by_these() -> bool:
+            return await self.serving_names() == {server.name for server in servers}
+
+        await self.wait_until(served_by_these, f"requests go to {[server.name for server in servers]}")
+
+    async def serving_names(self) -> set[str]:
+        """Return the names of the cache servers that serve requests now, of all routers together."""
+        requests = [router.request(number) for router in self.routers for number in range(SAMPLED_OBJECTS)]
+        return set(await asyncio.gather(*requests))
+
+    async def check_drained_edge_unused(self) -> None:
+        """Check that every request is served, and none by the drained edge."""
+        request_count = self.drained_edge.request_count
+        names = await self.serving_names()
+        assert names == {edge.name for edge in self.edges if edge is not self.drained_edge}, names
+        assert self.drained_edge.request_count == request_count
+
+    async def _start_cache_servers(self) -> None:
+        self.edges = [await self.start_cache_server(f"edge{number}") for number in (1, 2)]
+        self.origin = await self.start_cache_server("origin", "root")
+        servers = (*self.edges, self.origin)
+        await self.discovery.publish_hosts([server.host_entry() for server in servers], complete=True)
+        self.listed_servers = len(servers)
+
+    async def _start_relays(self, upstream: str, settings: dict[str, object]) -> None:
+        self.relays = [self.add_relay(f"relay-{number}") for number in range(2)]
+        self.upstream_proxies = [await self.start_proxy(upstream) for _ in self.relays]
+        self.downstream_proxies = [await self.start_proxy(relay.listen_address) for relay in self.relays]
+        for relay, proxy in zip(self.relays, self.upstream_proxies, strict=True):
+            siblings = [other.listen_address for other in self.relays if other is not relay]
+            relay.configure([proxy.address], siblings=siblings, **settings)
+            relay.start()
 
 
-def play(folder: Path, scene: Scene) -> None:
-    """Plays a scene, and ends its processes whatever happens."""
+def run_scenario(folder: Path, scenario: Scenario) -> None:
+    """Run a scenario, and end its processes whatever happens."""
 
-    async def whole() -> None:
-        async with asyncio.timeout(WITHIN_S), Stage(folder) as stage:
-            await scene(stage)
+    async def run() -> None:
+        async with asyncio.timeout(SCENARIO_TIMEOUT_S), RelayEnvironment(folder) as environment:
+            await scenario(environment)
 
-    asyncio.run(whole())
+    asyncio.run(run())
--- a/packages/control-harness/tests/conftest.py
+++ b/packages/control-harness/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Each scene in a folder of its own."""
+"""Each scenario runs in a folder of its own."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 @pytest.fixture
-def play(tmp_path: Path) -> relay_environment.Play:
-    """Plays a scene, and ends its processes whatever happens."""
-    return partial(relay_environment.play, tmp_path)
+def run_scenario(tmp_path: Path) -> relay_environment.ScenarioRunner:
+    """Runs a scenario, and ends its processes whatever happens."""
+    return partial(relay_environment.run_scenario, tmp_path)
--- a/packages/control-harness/tests/test_control_faults.py
+++ b/packages/control-harness/tests/test_control_faults.py
@@ -1,175 +1,176 @@
-"""Faults of relays and of discovery, with real processes.  Verdicts are by what routers and relays know."""
+"""Faults of relays and of discovery, with real processes, judged by what routers and relays know."""
 
 from __future__ import annotations
 
 import signal
 
 import pytest
-from control_harness.relay_environment import Play, Stage
+from control_harness.relay_environment import RelayEnvironment, ScenarioRunner
 
 
-def test_a_relay_is_killed_and_starts_empty(play: Play) -> None:
-    """Routers go to the other one, and still know a drain; the one that starts anew serves again."""
+def test_a_killed_relay_starts_empty(run_scenario: ScenarioRunner) -> None:
+    """Routers poll the other one and still respect a drain; the relay that starts again serves again."""
 
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
-        await stage.drain()
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
+        await environment.drain_first_edge()
         first.kill()
-        await stage.news()
-        await stage.known(second)
-        await stage.obeyed()
+        await environment.publish_change()
+        await environment.wait_until_propagated(second)
+        await environment.check_drained_edge_unused()
         first.start()
-        await stage.ready(first)
-        await stage.news()
-        await stage.known(first, second)
-        await stage.obeyed()
-
-    play(scene)
-
-
-def test_a_relay_stands_still_and_goes_on(play: Play) -> None:
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
-        first.signal(signal.SIGSTOP)
-        await stage.drain()
-        await stage.news()
-        await stage.known(second)
-        first.signal(signal.SIGCONT)
-        assert all('"why": "silent"' in router.log() for router in stage.routers)
-        await stage.news()
-        await stage.known(first, second)
-        await stage.obeyed()
-
-    play(scene)
-
-
-@pytest.mark.parametrize("forth", [True, False])
-def test_the_way_to_a_relay_is_cut_one_way(forth: bool, play: Play) -> None:
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
-        stage.downs[0].cut(forth=forth, back=not forth)
-        await stage.news()
-        await stage.known(second)
-        assert all('"why": "silent"' in router.log() for router in stage.routers)
-        stage.downs[0].heal()
-        await stage.news()
-        await stage.known(first, second)
-
-    play(scene)
-
-
-def test_an_older_state_drains_nothing_back(play: Play) -> None:
-    """The other relay has not heard of a drain: routers that come to it keep what they hold."""
-
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
-        stage.ups[1].cut()
-        stage.downs[1].cut()  # nor is it asked who is younger
-        await stage.drain()
-        await stage.news()
-        await stage.listed(stage.routers)
+        await environment.wait_until_ready(first)
+        await environment.publish_change()
+        await environment.wait_until_propagated(first, second)
+        await environment.check_drained_edge_unused()
+
+    run_scenario(scenario)
+
+
+def test_a_paused_relay_continues(run_scenario: ScenarioRunner) -> None:
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
+        first.send_signal(signal.SIGSTOP)
+        await environment.drain_first_edge()
+        await environment.publish_change()
+        await environment.wait_until_propagated(second)
+        first.send_signal(signal.SIGCONT)
+        assert all('"why": "silent"' in router.log_text() for router in environment.routers)
+        await environment.publish_change()
+        await environment.wait_until_propagated(first, second)
+        await environment.check_drained_edge_unused()
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("to_target", [True, False])
+def test_the_connection_to_a_relay_is_blocked_one_way(to_target: bool, run_scenario: ScenarioRunner) -> None:
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
+        environment.downstream_proxies[0].block(to_target=to_target, from_target=not to_target)
+        await environment.publish_change()
+        await environment.wait_until_propagated(second)
+        assert all('"why": "silent"' in router.log_text() for router in environment.routers)
+        environment.downstream_proxies[0].unblock()
+        await environment.publish_change()
+        await environment.wait_until_propagated(first, second)
+
+    run_scenario(scenario)
+
+
+def test_an_older_state_undoes_no_drain(run_scenario: ScenarioRunner) -> None:
+    """The other relay has not received a drain: routers that change to it keep what they know."""
+
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
+        environment.upstream_proxies[1].block()
+        environment.downstream_proxies[1].block()  # nor can it be asked whose state is newer
+        await environment.drain_first_edge()
+        await environment.publish_change()
+        await environment.wait_until_listed(environment.routers)
         first.kill()
-        stage.downs[1].heal()
-        await stage.moved(second)
-        await stage.obeyed()
-        await stage.listed(stage.routers)
-        stage.ups[1].heal()
-        await stage.news()
-        await stage.known(second)
-        await stage.obeyed()
-
-    play(scene)
-
-
-def test_a_relay_that_starts_while_discovery_is_down_asks_its_sibling(play: Play) -> None:
-    """And its routers take nothing back by that.  Without a sibling it serves nothing, and says so."""
-
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
-        await stage.drain()
-        await stage.discovery.down()
+        environment.downstream_proxies[1].unblock()
+        await environment.wait_until_polled_by_all(second)
+        await environment.check_drained_edge_unused()
+        await environment.wait_until_listed(environment.routers)
+        environment.upstream_proxies[1].unblock()
+        await environment.publish_change()
+        await environment.wait_until_propagated(second)
+        await environment.check_drained_edge_unused()
+
+    run_scenario(scenario)
+
+
+def test_a_relay_that_starts_while_discovery_is_down_asks_its_sibling(run_scenario: ScenarioRunner) -> None:
+    """Its routers undo nothing by that.  Without a sibling it serves nothing and reports so."""
+
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
+        await environment.drain_first_edge()
+        await environment.discovery.stop()
         first.kill()
         first.start()
-        await stage.ready(first)
+        await environment.wait_until_ready(first)
         status = await first.status()
-        assert (status["shelfs"], status["seq"]) == ("3", "2") and int(status["age_ms"]) > 0
-        await stage.obeyed()
+        assert (status["shelfs"], status["seq"]) == ("3", "2")
+        assert int(status["age_ms"]) > 0
+        await environment.check_drained_edge_unused()
         first.kill()
         second.kill()
         first.start()
 
-        async def refuses() -> bool:
+        async def refuses_polls() -> bool:
             status = await first.status()
-            return await first.call("check") == ["NAK no-state"] and "ends.refused-no-state" in status
+            return await first.call_admin("check") == ["NAK no-state"] and "ends.refused-no-state" in status
 
-        await stage.until(refuses, "an empty relay refuses")
-        await stage.obeyed()
-        await stage.discovery.up()
+        await environment.wait_until(refuses_polls, "an empty relay refuses")
+        await environment.check_drained_edge_unused()
+        await environment.discovery.start()
         second.start()
-        await stage.news()
-        await stage.known(first, second)
-        await stage.obeyed()
+        await environment.publish_change()
+        await environment.wait_until_propagated(first, second)
+        await environment.check_drained_edge_unused()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_all_relays_restart_at_once(play: Play) -> None:
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        await stage.drain()
-        for relay in stage.relays:
+def test_all_relays_restart_at_once(run_scenario: ScenarioRunner) -> None:
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        await environment.drain_first_edge()
+        for relay in environment.relays:
             relay.kill()
-        await stage.news()
-        await stage.obeyed()
-        for relay in stage.relays:
+        await environment.publish_change()
+        await environment.check_drained_edge_unused()
+        for relay in environment.relays:
             relay.start()
-        await stage.known(*stage.relays)
-        await stage.obeyed()
+        await environment.wait_until_propagated(*environment.relays)
+        await environment.check_drained_edge_unused()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_routers_restart_while_discovery_is_down(play: Play) -> None:
-    """Down until relays hold nothing younger than what counts as behind; routers take what there is."""
+def test_routers_restart_while_discovery_is_down(run_scenario: ScenarioRunner) -> None:
+    """Discovery is down until the relays' state counts as lagging; routers accept it."""
 
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        await stage.drain()
-        await stage.discovery.down()
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        await environment.drain_first_edge()
+        await environment.discovery.stop()
 
-        async def old() -> bool:
-            ages = [int((await relay.status())["age_ms"]) for relay in stage.relays]
+        async def state_is_old() -> bool:
+            ages = [int((await relay.status())["age_ms"]) for relay in environment.relays]
             return min(ages) > 2500
 
-        await stage.until(old, "relays know that their state is old")
-        for router in stage.routers:
+        await environment.wait_until(state_is_old, "relays know that their state is old")
+        for router in environment.routers:
             router.kill()
             router.start()
-        await stage.listed(stage.routers)
-        await stage.obeyed()
-        await stage.discovery.up()
-        await stage.news()
-        await stage.known(*stage.relays)
+        await environment.wait_until_listed(environment.routers)
+        await environment.check_drained_edge_unused()
+        await environment.discovery.start()
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_discovery_starts_its_numbers_anew(play: Play) -> None:
-    async def scene(stage: Stage) -> None:
-        await stage.open()
+def test_discovery_restarts_its_numbering(run_scenario: ScenarioRunner) -> None:
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
         for _ in range(3):
-            await stage.news()
-        await stage.known(*stage.relays)
-        lines = [one.line() for one in (*stage.edges, stage.origin)]
-        await stage.discovery.restart(lines)
-        stage.shelfs = 3
-        await stage.listed(stage.routers)
-        await stage.news()
-        await stage.known(*stage.relays)
-
-    play(scene)
+            await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+        hosts = [server.host_entry() for server in (*environment.edges, environment.origin)]
+        await environment.discovery.restart_numbering(hosts)
+        environment.listed_servers = 3
+        await environment.wait_until_listed(environment.routers)
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+
+    run_scenario(scenario)
--- a/packages/control-harness/tests/test_control_lagging_relay.py
+++ b/packages/control-harness/tests/test_control_lagging_relay.py
@@ -7,105 +7,120 @@
 
 import pytest
 from control_harness.poller import Poller
-from control_harness.relay_environment import Play, Stage
+from control_harness.relay_environment import RelayEnvironment, ScenarioRunner
 
 CHANGES = 1_100  # of the list: more than a relay's log keeps
 POLLERS = 100
-FIRST, BURST = 1_000, 1_500  # purges of one moment: more than 64 KB of events
-HOUR = 20_000  # purges of one: fewer than there are, and more than a relay keeps
-CUT_AT = 40_010  # bytes of them: within one
-
-
-def test_a_router_is_paused_for_longer_than_the_log(play: Play) -> None:
-    """It gets the whole state, with the drain that it did not hear of, and confirms what it holds then."""
-
-    async def scene(stage: Stage) -> None:
-        await stage.open(hold_ms=1000)
-        paused, other = stage.routers
-        paused.signal(signal.SIGSTOP)
-        stage.routers = [other]
-        await stage.drain()
-        await stage.news()  # what the log has lost, later
-        line = stage.origin.line("leaving") | {"host": "more", "class": "box"}
+FIRST_OBJECT = 1_000
+BURST_PURGES = 1_500  # purges of one moment: more than 64 KB of events
+HOUR_PURGES = 20_000  # purges of one hour: fewer than there are, and more than a relay keeps
+TRUNCATED_BYTES = 40_010  # bytes of a burst: within one event
+
+
+def test_a_router_is_paused_for_longer_than_the_log(run_scenario: ScenarioRunner) -> None:
+    """It receives the complete state, with the drain that it missed, and acknowledges it."""
+
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all(hold_ms=1000)
+        paused, other = environment.routers
+        paused.send_signal(signal.SIGSTOP)
+        environment.routers = [other]
+        await environment.drain_first_edge()
+        await environment.publish_change()  # what the log has lost, later
+        entry = environment.origin.host_entry("leaving") | {"host": "more", "class": "box"}
         for share in range(CHANGES):
-            await stage.discovery.tell_list([line | {"share": share}])
-        stage.shelfs += 1
-        await stage.news()
-        await stage.listed([other])
-        paused.signal(signal.SIGCONT)
-        stage.routers = [paused, other]
-        await stage.news()
-        await stage.known(*stage.relays)
-        await stage.obeyed()
-
-    play(scene)
-
-
-def test_a_relay_is_an_hour_behind(play: Play) -> None:
-    """Purges that no cache holds any more are not told on: else they would be too many to be told one by one,
-    and whole groups, or all, would be purged instead."""
-
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        for link in stage.ups:
-            link.cut()
-        ago_ms = [3_600_000.0 * (HOUR - number) / HOUR for number in range(HOUR)]
-        await stage.discovery.purge(*range(FIRST, FIRST + HOUR), ago_ms=ago_ms)
-        await stage.news()
-        for link in stage.ups:
-            link.heal()
-        await stage.known(*stage.relays)
-        for relay in stage.relays:
-            assert "purges-joined" not in relay.log()
-            assert 0 < int((await relay.status())["purges"]) < HOUR / 10
-
-    play(scene)
-
-
-def test_many_routers_come_back_at_once(play: Play) -> None:
-    """All connections of a relay are reset in one moment; each router hears each event once, in order, and
-    discovery notices nothing."""
-
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        pollers = [Poller(stage.downs[0].address, f"poller-{number}") for number in range(POLLERS)]
-        stage.extra = POLLERS
+            await environment.discovery.publish_hosts([entry | {"share": share}])
+        environment.listed_servers += 1
+        await environment.publish_change()
+        await environment.wait_until_listed([other])
+        paused.send_signal(signal.SIGCONT)
+        environment.routers = [paused, other]
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+        await environment.check_drained_edge_unused()
+
+    run_scenario(scenario)
+
+
+def test_a_relay_lags_by_an_hour(run_scenario: ScenarioRunner) -> None:
+    """Purges that no cache can still need are not passed on.
+
+    Otherwise they would be too many to be sent one by one, and groups or everything would be purged instead.
+    """
+
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        for proxy in environment.upstream_proxies:
+            proxy.block()
+        ages_ms = [3_600_000.0 * (HOUR_PURGES - number) / HOUR_PURGES for number in range(HOUR_PURGES)]
+        await environment.discovery.publish_purges(
+            *range(FIRST_OBJECT, FIRST_OBJECT + HOUR_PURGES), ages_ms=ages_ms
+        )
+        await environment.publish_change()
+        for proxy in environment.upstream_proxies:
+            proxy.unblock()
+        await environment.wait_until_propagated(*environment.relays)
+        for relay in environment.relays:
+            assert "purges-joined" not in relay.log_text()
+            assert 0 < int((await relay.status())["purges"]) < HOUR_PURGES / 10
+
+    run_scenario(scenario)
+
+
+def test_many_routers_reconnect_at_once(run_scenario: ScenarioRunner) -> None:
+    """All connections of a relay are reset at once.
+
+    Each router receives each event once and in order, and discovery notices nothing.
+    """
+
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        pollers = [
+            Poller(environment.downstream_proxies[0].address, f"poller-{number}") for number in range(POLLERS)
+        ]
+        environment.extra_clients = POLLERS
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(poller.run()) for poller in pollers]
-            await stage.news()
-            await stage.known(*stage.relays)
-            dials, polls = stage.downs[0].dials, stage.discovery.polls
-            await stage.downs[0].down()
-            await stage.news()
-            await stage.downs[0].up()
-            await stage.known(*stage.relays)
-            assert stage.discovery.polls - polls < POLLERS, "reconnecting routers reached discovery"
-            assert stage.downs[0].dials - dials >= POLLERS
+            await environment.publish_change()
+            await environment.wait_until_propagated(*environment.relays)
+            connections_before = environment.downstream_proxies[0].connection_count
+            polls_before = environment.discovery.poll_count
+            await environment.downstream_proxies[0].stop()
+            await environment.publish_change()
+            await environment.downstream_proxies[0].start()
+            await environment.wait_until_propagated(*environment.relays)
+            assert environment.discovery.poll_count - polls_before < POLLERS, (
+                "reconnecting routers reached discovery"
+            )
+            assert environment.downstream_proxies[0].connection_count - connections_before >= POLLERS
             for poller in pollers:
-                assert poller.purges == [1, 2] and poller.disorder == 0, (poller.purges, poller.disorder)
+                assert poller.purged_objects == [1, 2]
+                assert poller.out_of_order_count == 0
             for task in tasks:
                 task.cancel()
 
-    play(scene)
-
-
-@pytest.mark.parametrize("below", [True, False], ids=["of a relay", "of discovery"])
-def test_an_answer_is_cut_in_the_middle_of_an_event(below: bool, play: Play) -> None:
-    """What came whole counts, and what did not is asked for: nobody goes on from a number in between.  The
-    answer of discovery is one that is taken in pieces."""
-
-    async def scene(stage: Stage) -> None:
-        await stage.open(hold_ms=60_000)
-        links = stage.downs if below else stage.ups
-        for link in links:
-            link.cut_events = CUT_AT
-        await stage.discovery.purge(*range(FIRST, FIRST + BURST))
-        await stage.news()
-        await stage.known(*stage.relays)
-        assert any(link.cut_events is None for link in links)
-        for relay in stage.relays:
-            assert int((await relay.status())["purges"]) == BURST + 1
-        await stage.drain()
-        await stage.obeyed()
-
-    play(scene)
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("of_relay", [True, False], ids=["of a relay", "of discovery"])
+def test_an_answer_is_truncated_within_an_event(of_relay: bool, run_scenario: ScenarioRunner) -> None:
+    """Complete events count and the rest is polled again: nobody resumes from a number in between.
+
+    The answer of discovery is one that is decoded in pieces.
+    """
+
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all(hold_ms=60_000)
+        proxies = environment.downstream_proxies if of_relay else environment.upstream_proxies
+        for proxy in proxies:
+            proxy.truncate_events_bytes = TRUNCATED_BYTES
+        await environment.discovery.publish_purges(*range(FIRST_OBJECT, FIRST_OBJECT + BURST_PURGES))
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+        assert any(proxy.truncate_events_bytes is None for proxy in proxies)
+        for relay in environment.relays:
+            assert int((await relay.status())["purges"]) == BURST_PURGES + 1
+        await environment.drain_first_edge()
+        await environment.check_drained_edge_unused()
+
+    run_scenario(scenario)
--- a/packages/control-harness/tests/test_control_propagation.py
+++ b/packages/control-harness/tests/test_control_propagation.py
@@ -1,107 +1,113 @@
-"""What is done everywhere, as the doors tell it, and a relay's own end, with real processes."""
+"""Propagation of purges as admin endpoints report it, and a relay's shutdown, with real processes."""
 
 from __future__ import annotations
 
 import asyncio
 import signal
 
-from control_harness.relay_environment import Play, Stage
+from control_harness.relay_environment import RelayEnvironment, ScenarioRunner
 
 
-def test_the_root_names_who_has_not_confirmed(play: Play) -> None:
-    """Through two relays: a router that is paused is not counted as done, and is named; then all is done."""
+def test_the_root_names_routers_that_have_not_confirmed(run_scenario: ScenarioRunner) -> None:
+    """Through two relays: a paused router is named as not having confirmed; then the purge is propagated."""
 
-    async def scene(stage: Stage) -> None:
-        await stage.open(root=True)
-        await stage.news()
-        await stage.known(*stage.relays)
-        paused = stage.routers[1]
-        paused.signal(signal.SIGSTOP)
-        await stage.news()
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all(with_root=True)
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+        paused = environment.routers[1]
+        paused.send_signal(signal.SIGSTOP)
+        await environment.publish_change()
 
-        async def named() -> bool:
-            return (await stage.standing(stage.root)).endswith(f" waits 1 {paused.name}")
+        async def reported() -> bool:
+            return (await environment.last_purge_line(environment.root_relay)).endswith(
+                f" waits 1 {paused.name}"
+            )
 
-        await stage.until(named, f"the root names {paused.name}")
-        told = "\n".join(await stage.root.call("relay"))
-        assert f" 1 {paused.name}" in told and "behind relay-" in told, told
-        paused.signal(signal.SIGCONT)
+        await environment.wait_until(reported, f"the root names {paused.name}")
+        text = "\n".join(await environment.root_relay.call_admin("relay"))
+        assert f" 1 {paused.name}" in text, text
+        assert "behind relay-" in text, text
+        paused.send_signal(signal.SIGCONT)
 
-        async def done() -> bool:
-            return " done " in await stage.standing(stage.root)
+        async def propagated() -> bool:
+            return " done " in await environment.last_purge_line(environment.root_relay)
 
-        await stage.until(done, "the root says that it is done")
-        await stage.known(*stage.relays)
+        await environment.wait_until(propagated, "the root says that it is done")
+        await environment.wait_until_propagated(*environment.relays)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_router_out_of_service_is_dismissed(play: Play) -> None:
-    """A killed one is waited for until the operators say otherwise."""
+def test_a_router_out_of_service_is_dismissed(run_scenario: ScenarioRunner) -> None:
+    """A killed router is waited for until the operators dismiss it."""
 
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
-        gone = stage.routers.pop()
-        gone.kill()
-        await stage.news()
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
+        killed = environment.routers.pop()
+        killed.kill()
+        await environment.publish_change()
 
-        async def named() -> bool:
-            return (await stage.standing(first)).endswith(f" waits 1 {gone.name}")
+        async def reported() -> bool:
+            return (await environment.last_purge_line(first)).endswith(f" waits 1 {killed.name}")
 
-        await stage.until(named, f"{gone.name} is waited for")
-        assert await first.call(f"dismiss {gone.name}") == ["ACK"]
-        assert await first.call("dismiss two words") == ["NAK not a name"]
-        await stage.known(first, second)
+        await environment.wait_until(reported, f"{killed.name} is waited for")
+        assert await first.call_admin(f"dismiss {killed.name}") == ["ACK"]
+        assert await first.call_admin("dismiss two words") == ["NAK not a name"]
+        await environment.wait_until_propagated(first, second)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_router_that_knows_nothing_of_relays_works_before_one(play: Play) -> None:
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        plain = stage.router("plain")
-        plain.settle_plain(stage.downs[0].address)
+def test_a_router_without_control_settings_polls_a_relay(run_scenario: ScenarioRunner) -> None:
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        plain = environment.add_router("plain")
+        plain.configure_without_relays(environment.downstream_proxies[0].address)
         plain.start()
-        stage.routers.append(plain)
-        await stage.news()
-        await stage.known(*stage.relays)
-        await stage.drain()
-        await stage.downs[0].down()
-        await stage.downs[0].up()
-        await stage.news()
-        await stage.known(*stage.relays)
-        await stage.obeyed()
+        environment.routers.append(plain)
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+        await environment.drain_first_edge()
+        await environment.downstream_proxies[0].stop()
+        await environment.downstream_proxies[0].start()
+        await environment.publish_change()
+        await environment.wait_until_propagated(*environment.relays)
+        await environment.check_drained_edge_unused()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_relay_ends_in_order(play: Play) -> None:
-    """Exit 0; who waits is answered; its routers go to the other one, and are not waited for here later."""
+def test_a_relay_shuts_down_gracefully(run_scenario: ScenarioRunner) -> None:
+    """Exit 0; held polls are answered; its routers poll the other one and are not waited for here."""
 
-    async def scene(stage: Stage) -> None:
-        await stage.open()
-        first, second = stage.relays
+    async def scenario(environment: RelayEnvironment) -> None:
+        await environment.start_all()
+        first, second = environment.relays
         head = (await first.status())["head"]
-        host, _, port = first.listen.rpartition(":")
+        host, _, port = first.listen_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(f"GET /cmd/next?resume={head}&block=5000 HTTP/1.1\r\nHost: x\r\n\r\n".encode())
 
-        async def waits() -> bool:
+        async def three_polls_wait() -> bool:
             return (await first.status())["waiting"] == "3"
 
-        await stage.until(waits, "three polls wait")
-        first.signal(signal.SIGTERM)
-        told = (await reader.read(-1)).decode()
-        assert told.startswith("HTTP/1.1 200 ") and "Connection: close" in told and head in told, told
-        await stage.ended(first)
-        assert first.code == 0 and '"relay-ended"' in first.log()
-        assert '"unread": 0' in first.log(), first.log()
-        await stage.news()
-        await stage.known(second)
+        await environment.wait_until(three_polls_wait, "three polls wait")
+        first.send_signal(signal.SIGTERM)
+        reply = (await reader.read(-1)).decode()
+        assert reply.startswith("HTTP/1.1 200 ")
+        assert "Connection: close" in reply
+        assert head in reply
+        await environment.wait_for_exit(first)
+        assert first.exit_code == 0
+        assert '"relay-ended"' in first.log_text()
+        assert '"unread": 0' in first.log_text(), first.log_text()
+        await environment.publish_change()
+        await environment.wait_until_propagated(second)
         first.start()
-        await stage.ready(first)
-        await stage.news()
-        await stage.known(first, second)
+        await environment.wait_until_ready(first)
+        await environment.publish_change()
+        await environment.wait_until_propagated(first, second)
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -20,9 +20,10 @@
 from unittest.mock import patch
 
 import pytest
-from control_harness.fake_cache_server import Shelf
-from control_harness.loopback_server import Server
-from control_harness.participants import Member, Relay, Rig, Router, free_addresses
+from control_harness.environment import Environment
+from control_harness.fake_cache_server import FakeCacheServer
+from control_harness.loopback_server import LoopbackServer
+from control_harness.participants import Participant, RelayParticipant, RouterParticipant, free_addresses
 from control_harness.poller import Poller
 from standins.bare import BareClient, BareShelf, address, asked, connect
 from standins.config import config_at
@@ -75,7 +76,7 @@
         part.write_text(str(self.off_s))
         part.rename(self.path)
 
-    def is_seen_by(self, member: Member) -> bool:
+    def is_seen_by(self, member: Participant) -> bool:
         return str(member.pid) in self.path.with_suffix(".pids").read_text().split()
 
 
@@ -136,7 +137,7 @@
     service.alarm.stop()
 
 
-class Cache(Shelf):
+class Cache(FakeCacheServer):
     """``asked``: the fields of each want; while it hangs, it answers none."""
 
     def __init__(self, name: str, kind: str = "box") -> None:
@@ -153,7 +154,7 @@
                         writer.write(encode_array((ident, b"DONE", b"rev=1", self.name.encode())))
 
 
-class SilentDiscovery(Server):
+class SilentDiscovery(LoopbackServer):
     """Reads polls and answers none."""
 
     def __init__(self) -> None:
@@ -168,17 +169,19 @@
 class World:
     """A router at discovery, an edge and the origin, whose clock is stepped by so much at a time."""
 
-    def __init__(self, rig: Rig, clock: Clock, step_s: float) -> None:
+    def __init__(self, rig: Environment, clock: Clock, step_s: float) -> None:
         self.rig, self.clock, self.step_s = rig, clock, step_s
         self.edge, self.origin = Cache("edge"), Cache("origin", "root")
-        self.router = rig.router("router")
+        self.router = rig.add_router("router")
 
     async def start(self, channel: str) -> None:
         for cache in (self.edge, self.origin):
-            self.rig.shelves.append(cache)
-            await cache.up()
-        await self.rig.discovery.tell_list([self.edge.line(), self.origin.line()], whole=True)
-        self.router.settle_plain(channel)
+            self.rig.cache_servers.append(cache)
+            await cache.start()
+        await self.rig.discovery.publish_hosts(
+            [self.edge.host_entry(), self.origin.host_entry()], complete=True
+        )
+        self.router.configure_without_relays(channel)
         path = self.router.folder / "config.json"
         config = json.loads(path.read_text())
         settings = config["settings"]
@@ -198,8 +201,8 @@
         """A request that has come to a cache that hangs.  What is returned waits for its answer."""
         self.edge.hangs = self.origin.hangs = True
         before, since = len(self.edge.asked), time.monotonic()
-        answer = asyncio.create_task(self.router.get(ttl_ms=int(ttl_s * 1000)))
-        await self.rig.until(lambda: len(self.edge.asked) > before, "the edge is asked")
+        answer = asyncio.create_task(self.router.request(ttl_ms=int(ttl_s * 1000)))
+        await self.rig.wait_until(lambda: len(self.edge.asked) > before, "the edge is asked")
 
         async def answered_in_time() -> None:
             assert (await answer).startswith("Status: 50")
@@ -213,33 +216,33 @@
     assert due_s - SLACK_S <= took_s <= due_s + SLACK_S, f"{took_s:.3f} s in place of {due_s:.3f} s"
 
 
-async def until_told(rig: Rig, member: Member, call: str, line: str, within_s: float) -> None:
+async def until_told(rig: Environment, member: Participant, call: str, line: str, within_s: float) -> None:
     async def holds() -> bool:
-        return line in await member.call(call)
+        return line in await member.call_admin(call)
 
-    await rig.until(holds, f"{member.name} tells {line}", within_s)
+    await rig.wait_until(holds, f"{member.name} tells {line}", within_s)
 
 
-async def exits(rig: Rig, member: Member, within_s: float) -> None:
-    await rig.until(lambda: member.code is not None, f"{member.name} exits", within_s + SLACK_S)
-    assert member.code == 0
+async def exits(rig: Environment, member: Participant, within_s: float) -> None:
+    await rig.wait_until(lambda: member.exit_code is not None, f"{member.name} exits", within_s + SLACK_S)
+    assert member.exit_code == 0
 
 
 async def before_the_first_answer(world: World) -> None:
     """Discovery never answers: the router serves what it knows after 0.5 s, and polls again after 0.8 s."""
     silent = SilentDiscovery()
-    await silent.up()
+    await silent.start()
     try:
         await world.start(silent.address)
-        await world.rig.until(lambda: silent.polls == 1, "the first poll")
+        await world.rig.wait_until(lambda: silent.polls == 1, "the first poll")
         since = time.monotonic()
         world.step()
         await world.ready(CATCH_UP_MS / 1000.0 + SLACK_S)
         most_s = (AT_ONCE_MS + SILENT_MS + AGAIN_MS) / 1000.0
         left_s = since + most_s + SLACK_S - time.monotonic()
-        await world.rig.until(lambda: silent.polls == 2, "the next poll", left_s)
+        await world.rig.wait_until(lambda: silent.polls == 2, "the next poll", left_s)
     finally:
-        await silent.down()
+        await silent.stop()
 
 
 async def under_an_open_request(world: World) -> None:
@@ -251,24 +254,26 @@
 async def in_a_cold_window(world: World) -> None:
     """A cache that has just started gets little, and all once it is warm."""
     born_s, fresh, ttl_ms = time.time(), Cache("fresh"), int(COLD_TTL_S * 1000)
-    world.rig.shelves.append(fresh)
-    await fresh.up()
+    world.rig.cache_servers.append(fresh)
+    await fresh.start()
     world.step()
     born = {"born_ms": born_s * 1000.0}
-    await world.rig.discovery.tell_list([world.edge.line("left"), fresh.line() | born])
+    await world.rig.discovery.publish_hosts([world.edge.host_entry("left"), fresh.host_entry() | born])
 
     async def is_listed() -> bool:
-        return await world.router.get(1, ttl_ms=ttl_ms) != "edge"
+        return await world.router.request(1, ttl_ms=ttl_ms) != "edge"
 
     async def all_served() -> bool:
-        asking = (world.router.get(name, ttl_ms=ttl_ms) for name in range(20))
+        asking = (world.router.request(name, ttl_ms=ttl_ms) for name in range(20))
         return set(await asyncio.gather(*asking)) == {"fresh"}
 
-    await world.rig.until(is_listed, "the fresh cache is known")
+    await world.rig.wait_until(is_listed, "the fresh cache is known")
     assert not await all_served()
     world.step()
     left_s = born_s + COLD_S - time.time()
-    await world.rig.until(all_served, "all is served by a cache that is warm", left_s + COLD_TTL_S + SLACK_S)
+    await world.rig.wait_until(
+        all_served, "all is served by a cache that is warm", left_s + COLD_TTL_S + SLACK_S
+    )
     world.edge = fresh
 
 
@@ -276,35 +281,37 @@
     """A copy's age is bounded from the moment when the purge is heard until its hold is over."""
     world.step()
     since = time.monotonic()
-    await world.rig.discovery.purge(1)
+    await world.rig.discovery.publish_purges(1)
 
     async def is_bounded() -> bool:
-        await world.router.get(1)
+        await world.router.request(1)
         return "cap=" in world.edge.asked[-1]
 
     async def is_over() -> bool:
         return not await is_bounded()
 
-    await world.rig.until(is_bounded, "the purge is in force", HOLD_S / 2)
+    await world.rig.wait_until(is_bounded, "the purge is in force", HOLD_S / 2)
     world.step()
-    await world.rig.until(is_over, "the purge's hold is over")
+    await world.rig.wait_until(is_over, "the purge's hold is over")
     assert_near(time.monotonic() - since, HOLD_S)
 
 
 async def in_a_backoff_of_the_dial(world: World) -> None:
     discovery, failed = world.rig.discovery, "dial-failed"
-    await discovery.down()
-    await world.rig.until(lambda: failed in world.router.log(), "a dial fails")
+    await discovery.stop()
+    await world.rig.wait_until(lambda: failed in world.router.log_text(), "a dial fails")
     world.step()
-    polls = discovery.polls
-    await discovery.up()
-    await world.rig.until(lambda: discovery.polls > polls, "a poll", MOST_AGAIN_MS / 1000.0 + SLACK_S)
+    polls = discovery.poll_count
+    await discovery.start()
+    await world.rig.wait_until(
+        lambda: discovery.poll_count > polls, "a poll", MOST_AGAIN_MS / 1000.0 + SLACK_S
+    )
 
 
 async def in_a_drain(world: World) -> None:
     answered_in_time = await world.hung_request(0.9)
-    world.router.signal(signal.SIGTERM)
-    await world.rig.until(lambda: '"draining"' in world.router.log(), "the drain")
+    world.router.send_signal(signal.SIGTERM)
+    await world.rig.wait_until(lambda: '"draining"' in world.router.log_text(), "the drain")
     world.step()
     await answered_in_time()
     await exits(world.rig, world.router, 2 * LOOK_MS / 1000.0)
@@ -318,7 +325,7 @@
 def test_a_router(
     life: tuple[Callable[[World], Awaitable[None]], ...], step_s: float, tmp_path: Path, clock: Clock
 ) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scene(rig: Environment) -> None:
         world = World(rig, clock, step_s)
         if life is LIFE:
             await world.start(rig.discovery.address)
@@ -329,9 +336,9 @@
     play(tmp_path, scene)
 
 
-def play(folder: Path, scene: Callable[[Rig], Awaitable[None]]) -> None:
+def play(folder: Path, scene: Callable[[Environment], Awaitable[None]]) -> None:
     async def whole() -> None:
-        async with asyncio.timeout(60.0), Rig(folder) as rig:
+        async with asyncio.timeout(60.0), Environment(folder) as rig:
             await scene(rig)
 
     asyncio.run(whole())
@@ -374,9 +381,9 @@
                 program.process.wait()
 
 
-async def held_poll(relay: Relay, query: str, clock: Clock, step_s: float) -> None:
+async def held_poll(relay: RelayParticipant, query: str, clock: Clock, step_s: float) -> None:
     """The clock is stepped while the relay holds a poll, whose answer comes in its time."""
-    host, _, port = relay.listen.rpartition(":")
+    host, _, port = relay.listen_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     since = time.monotonic()
     writer.write(f"GET /cmd/next?{query}&block={HELD_S * 1000:.0f} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -392,32 +399,32 @@
 def test_a_relay(step_s: float, tmp_path: Path, clock: Clock) -> None:
     """Purges that are issued after a step are passed on, also of the same object again; polls go on."""
 
-    async def scene(rig: Rig) -> None:
-        relay, discovery = rig.relay("relay"), rig.discovery
-        relay.settle([discovery.address])
-        await discovery.tell_list([Cache("edge").line()], whole=True)
+    async def scene(rig: Environment) -> None:
+        relay, discovery = rig.add_relay("relay"), rig.discovery
+        relay.configure([discovery.address])
+        await discovery.publish_hosts([Cache("edge").host_entry()], complete=True)
         relay.start()
         await until_told(rig, relay, "check", "ACK", 30.0)
-        poller = Poller(relay.listen, "router")
+        poller = Poller(relay.listen_address, "router")
         polling = asyncio.create_task(poller.run())
         for count in range(1, 4):
-            await discovery.purge(1)
-            told = partial(lambda count: len(poller.purges) == count, count)
-            await rig.until(told, f"purge {count}", 10.0 if count == 1 else SLACK_S)
+            await discovery.publish_purges(1)
+            told = partial(lambda count: len(poller.purged_objects) == count, count)
+            await rig.wait_until(told, f"purge {count}", 10.0 if count == 1 else SLACK_S)
             clock.step(step_s)
         polling.cancel()
-        before, polls = time.monotonic(), discovery.polls
+        before, polls = time.monotonic(), discovery.poll_count
         await held_poll(relay, f"resume={poller.cursor}&epoch={poller.epoch}", clock, step_s)
         left_s = before + POLL_MS / 1000.0 + SLACK_S - time.monotonic()
-        await rig.until(lambda: discovery.polls > polls, "a poll", left_s)
-        relay.signal(signal.SIGTERM)
+        await rig.wait_until(lambda: discovery.poll_count > polls, "a poll", left_s)
+        relay.send_signal(signal.SIGTERM)
         await exits(rig, relay, END_MS / 1000.0)
         assert clock.is_seen_by(relay)
 
     play(tmp_path, scene)
 
 
-def settle_member(member: Router, own: str, other: str) -> None:
+def settle_member(member: RouterParticipant, own: str, other: str) -> None:
     """Write its operators' file."""
     told = {"listen": own, "fleet": "north", "secret_file": "key", "data": "data"}
     told |= {"seeds": [other], "voters": ["a", "b"]}  # type: ignore[dict-item]
@@ -428,29 +435,29 @@
     (member.folder / "extras.toml").write_text(text)
 
 
-async def sees(member: Router, other: Router, state: str) -> bool:
-    return any(line.startswith(f"member {other.name} {state} ") for line in await member.call("fleet"))
+async def sees(member: RouterParticipant, other: RouterParticipant, state: str) -> bool:
+    return any(line.startswith(f"member {other.name} {state} ") for line in await member.call_admin("fleet"))
 
 
 @pytest.mark.parametrize("step_s", STEPS)
 def test_a_fleet(step_s: float, tmp_path: Path, clock: Clock) -> None:
     """Nobody is suspected for a step, and probes go on: a member that dies is suspected in its time."""
 
-    async def scene(rig: Rig) -> None:
-        first, second = (rig.router(name) for name in "ab")
+    async def scene(rig: Environment) -> None:
+        first, second = (rig.add_router(name) for name in "ab")
         ports = free_addresses(2)
         for member, (own, other) in ((first, ports), (second, ports[::-1])):
-            member.settle_plain(rig.discovery.address)
+            member.configure_without_relays(rig.discovery.address)
             settle_member(member, own, other)
             member.start()
-        await rig.until(partial(sees, first, second, "alive"), "a sees b")
-        await rig.until(partial(sees, second, first, "alive"), "b sees a")
+        await rig.wait_until(partial(sees, first, second, "alive"), "a sees b")
+        await rig.wait_until(partial(sees, second, first, "alive"), "b sees a")
         clock.step(step_s)
         end = time.monotonic() + 2 * PROBE_S
-        await rig.until(lambda: time.monotonic() > end, "some probes")
-        assert not [member.log() for member in (first, second) if '"suspect"' in member.log()]
+        await rig.wait_until(lambda: time.monotonic() > end, "some probes")
+        assert not [member.log_text() for member in (first, second) if '"suspect"' in member.log_text()]
         second.kill()
-        await rig.until(partial(sees, first, second, "suspect"), "a suspects b", 2 * PROBE_S + SLACK_S)
+        await rig.wait_until(partial(sees, first, second, "suspect"), "a suspects b", 2 * PROBE_S + SLACK_S)
         assert clock.is_seen_by(first) and clock.is_seen_by(second)
 
     play(tmp_path, scene)
