--- /dev/null
+++ b/packages/fleet-harness/src/fleet_harness/parent_death.py
@@ -0,0 +1,37 @@
+"""Ends a process with its parent, however the parent ends, by the kernel's parent-death signal.
+
+``python -m fleet_harness.parent_death PARENT_PID COMMAND..`` requests the signal and becomes the command.
+"""
+
+from __future__ import annotations
+
+import ctypes
+import os
+import signal
+import sys
+from collections.abc import Sequence
+
+PR_SET_PDEATHSIG = 1
+"""The option of prctl(2); the setting is kept across execve(2)."""
+
+
+def die_with_parent(parent_pid: int) -> None:
+    """Have the kernel kill this process once the thread that started it ends.
+
+    ``parent_pid`` is the id of the parent.  Raises OSError if the system does not support it.
+    """
+    libc = ctypes.CDLL(None, use_errno=True)
+    if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0) != 0:
+        raise OSError(ctypes.get_errno(), "prctl")
+    if os.getppid() != parent_pid:  # the parent ended before the call
+        os.kill(os.getpid(), signal.SIGKILL)
+
+
+def wrapped_command(command: Sequence[str]) -> list[str]:
+    """Return a command that runs the given one and ends with this process."""
+    return [sys.executable, "-m", "fleet_harness.parent_death", str(os.getpid()), *command]
+
+
+if __name__ == "__main__":
+    die_with_parent(int(sys.argv[1]))
+    os.execv(sys.argv[2], sys.argv[2:])
--- a/packages/fleet-harness/src/fleet_harness/router_process.py
+++ b/packages/fleet-harness/src/fleet_harness/router_process.py
@@ -13,6 +13,8 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
+from fleet_harness.parent_death import wrapped_command
+
 MAX_LINE_BYTES = 100_000
 """Bytes of one line of the log; a longer one is split."""
 
@@ -41,7 +43,9 @@
 
     def start(self, reactor: Any, config: Path, operators_file: Path) -> None:
         """Start the process in the folder of its configuration."""
-        command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(operators_file)]
+        command = wrapped_command(
+            [sys.executable, "-m", "thornjunction", "run", "--extras", str(operators_file)]
+        )
         python_path = os.pathsep.join(path or os.getcwd() for path in sys.path)
         environment = {key: value for key, value in os.environ.items() if key not in INHERITED_SETTINGS}
         environment["PROXY_CONFIG"] = str(config)
--- a/packages/fleet-harness/tests/test_fleet_scenarios.py
+++ b/packages/fleet-harness/tests/test_fleet_scenarios.py
@@ -5,9 +5,11 @@
 import json
 import os
 import re
+import select
 import signal
 import subprocess
 import sys
+from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -18,6 +20,7 @@
 SCENARIOS = sorted((Path(__file__).parent / "timelines").glob("*.timeline"))
 JOBS = 4
 TIMEOUT_S = 180.0  # for all scenarios; a busy machine takes a minute
+EXIT_TIMEOUT_S = 10.0  # a killed process ends at once; a busy machine takes a moment
 ROOT = Path(__file__).parents[3]  # the folder that the router is run from
 
 
@@ -74,14 +77,35 @@
     assert verdicts["wrong"]["timeline"].count("exit signal_9") == 2
 
 
+def start_demo() -> tuple[subprocess.Popen[str], list[int]]:
+    """Start the demo; return it and the ids of its routers' processes, as it prints them."""
+    command = [sys.executable, "-m", "fleet_harness"]
+    demo = subprocess.Popen(command, stdout=subprocess.PIPE, text=True, cwd=ROOT)
+    assert demo.stdout is not None
+    lines = [next(demo.stdout) for _ in range(5)]
+    return demo, [int(found[1]) for line in lines if (found := re.search(r"process (\d+)", line))]
+
+
+def test_routers_end_with_a_harness_that_is_killed() -> None:
+    demo, pids = start_demo()
+    processes = [os.pidfd_open(pid) for pid in pids]
+    try:
+        demo.kill()
+        demo.communicate()
+        ended = [select.select([process], [], [], EXIT_TIMEOUT_S)[0] for process in processes]
+        assert ended == [[process] for process in processes]
+        assert len(pids) == 3
+    finally:
+        for process in processes:
+            with suppress(ProcessLookupError):
+                signal.pidfd_send_signal(process, signal.SIGKILL)
+            os.close(process)
+
+
 def test_the_demo_lists_its_routers_and_ends_them() -> None:
-    demo = subprocess.Popen(
-        [sys.executable, "-m", "fleet_harness"], stdout=subprocess.PIPE, text=True, cwd=ROOT
-    )
+    demo, pids = start_demo()
     try:
         assert demo.stdout is not None
-        lines = [next(demo.stdout) for _ in range(5)]
-        pids = [int(found[1]) for line in lines if (found := re.search(r"process (\d+)", line))]
         assert len(pids) == 3
         os.kill(pids[2], signal.SIGKILL)
         while "member router-3 failed" not in next(demo.stdout):
