--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from fleet_membership import Membership, MembershipSettings
-from gossip_transport import FleetPort
+from gossip_transport import DatagramEndpoint
 from sansio_core import Notice
 from twisted.internet.error import CannotListenError
 
@@ -43,7 +43,7 @@
         self.name = settings.name or router_name
         check_name("fleet", self.name)
         self.membership = Membership(_membership_settings(settings, self.name), random.SystemRandom().random)
-        self.port = FleetPort(self.membership, core_ms, self._schedule, self._note)
+        self.port = DatagramEndpoint(self.membership, core_ms, self._schedule, self._note)
         self._settings = settings
         self._deadlines = deadlines
         self._rejected = Counter[str]()
@@ -52,7 +52,7 @@
 
     def listen(self, reactor: Any) -> None:
         """Bind and join; where the port is taken, retry until it is free or this process leaves."""
-        if self.port.ended:
+        if self.port.closed:
             return
         try:
             self._bound = self.port.listen(reactor, self._settings.listen)
@@ -69,7 +69,7 @@
 
     def leave(self) -> None:
         """Leave the fleet and free the port, for the process that comes next."""
-        self.port.leave()
+        self.port.shut_down()
         self.close()
 
     def close(self) -> None:
