--- a/packages/control-harness/src/control_harness/environment.py
+++ b/packages/control-harness/src/control_harness/environment.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import signal
 import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -91,11 +90,6 @@
             lambda: all(participant.exit_code is not None for participant in participants), "processes end"
         )
 
-    def send_signal(self, number: signal.Signals, *participants: Participant) -> None:
-        """Signal each of these processes."""
-        for participant in participants:
-            participant.send_signal(number)
-
     def logs(self) -> str:
         """Return the end of each process's log."""
         return "\n".join(
--- a/packages/control-harness/src/control_harness/fault_proxy.py
+++ b/packages/control-harness/src/control_harness/fault_proxy.py
@@ -20,14 +20,13 @@
 class FaultProxy(LoopbackServer):
     """Forwards connections to ``target``.
 
-    ``delay_s`` delays each piece in both directions.  ``truncate_events_bytes``: the next answer that has
+    ``truncate_events_bytes``: the next answer that has
     events is truncated after so many bytes of them and its connection is closed; None again once that has
     happened.  ``connection_count`` counts the connections accepted.
     """
 
     def __init__(self, target: str) -> None:
         super().__init__()
-        self.delay_s = 0.0
         self.connection_count = 0
         self.truncate_events_bytes: int | None = None
         host, _, port = target.rpartition(":")
@@ -67,14 +66,14 @@
 
     async def _forward_to_target(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(READ_BYTES):
-            await self._hold_back(self._to_target_open)
+            await self._to_target_open.wait()
             writer.write(data)
             await writer.drain()
         await self._to_target_open.wait()
 
     async def _forward_from_target(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(READ_BYTES):
-            await self._hold_back(self._from_target_open)
+            await self._from_target_open.wait()
             truncated = self._truncate_events(data)
             writer.write(data if truncated is None else truncated)
             await writer.drain()
@@ -92,8 +91,3 @@
         truncated = data[: events_start.end() + self.truncate_events_bytes]
         self.truncate_events_bytes = None
         return truncated
-
-    async def _hold_back(self, direction_open: asyncio.Event) -> None:
-        await direction_open.wait()
-        if self.delay_s:
-            await asyncio.sleep(self.delay_s)
--- a/packages/control-harness/src/control_harness/participants.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -110,9 +110,9 @@
     """A request router; ``front_address`` is where it takes requests."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        self.front_address, admin_address, self._unused_channel = free_addresses(3)
+        self.front_address, admin_address, closed_channel = free_addresses(3)
         super().__init__(folder, name, admin_address, folder / "config.json")
-        self._write_platform_config(self._unused_channel)
+        self._write_platform_config(closed_channel)
 
     def configure_without_relays(self, channel: str) -> None:
         """Write an empty operators' file: the router polls the channel of the platform's configuration."""
