--- /dev/null
+++ b/packages/fleet-harness/src/fleet_harness/participants.py
@@ -0,0 +1,94 @@
+"""The routers of a scenario, and how some of them differ from the others."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from fleet_sim.scenario import Scenario, ScenarioSyntaxError
+
+TIMINGS_MS: Mapping[str, float] = {
+    "probe_every_ms": 200,
+    "probe_timeout_ms": 80,
+    "suspicion_least_ms": 600,
+    "suspicion_most_ms": 2400,
+    "sync_every_ms": 500,
+    "rejoin_ms": 1000,
+}
+"""Timings of every router: a failure is found in one to three seconds, and a busy machine is no failure."""
+
+FLEET = "harness"
+"""The name of the fleet."""
+
+OTHER_FLEET = "other"
+"""The name of the fleet to which routers of ``other_fleet`` belong."""
+
+SECRET = b"r" * 32
+"""The secret of the fleet."""
+
+OTHER_SECRET = b"o" * 32
+"""The secret of routers of ``other_secret``."""
+
+HEADER_GROUPS: Mapping[str, str] = {
+    "voters": "voters",
+    "foreign": "other_secret",
+    "strangers": "other_fleet",
+    "asks": "contacts",
+}
+"""The field of ``Participants`` for each header line of a scenario that names routers."""
+
+
+@dataclass(frozen=True)
+class Participants:
+    """The routers by name, and the groups that a scenario makes of them.
+
+    Routers of ``other_secret`` and ``other_fleet`` are not members of the fleet; all others are.  Each router
+    first contacts those of ``contacts``, or all others if it is empty.  All members vote if ``voters`` is
+    empty.  ``timings_ms`` override ``TIMINGS_MS``.
+    """
+
+    names: tuple[str, ...]
+    voters: tuple[str, ...] = ()
+    other_secret: tuple[str, ...] = ()
+    other_fleet: tuple[str, ...] = ()
+    contacts: tuple[str, ...] = ()
+    timings_ms: Mapping[str, float] = field(default_factory=dict)
+
+    @classmethod
+    def from_scenario(cls, scenario: Scenario) -> Participants:
+        """Read the header of a scenario; raises ScenarioSyntaxError for other lines or unknown names."""
+        groups = dict(scenario.options)
+        timings = [word.partition("=") for word in groups.pop("timings", ())]
+        if unknown := groups.keys() - HEADER_GROUPS.keys():
+            message = f"the harness knows no {', '.join(sorted(unknown))}"
+            raise ScenarioSyntaxError(message)
+        if unknown := {name for group in groups.values() for name in group} - set(scenario.names):
+            message = f"no node {', '.join(sorted(unknown))}"
+            raise ScenarioSyntaxError(message)
+        return cls(
+            scenario.names,
+            **{HEADER_GROUPS[key]: names for key, names in groups.items()},
+            timings_ms={name: float(value) for name, _, value in timings},
+        )
+
+    @property
+    def outsiders(self) -> frozenset[str]:
+        """The routers that are not members of the fleet."""
+        return frozenset(self.other_secret + self.other_fleet)
+
+    def fleet_settings(self, name: str) -> dict[str, object]:
+        """Return what the ``[fleet]`` section of a router's operators' file says of the fleet."""
+        members = [other for other in self.names if other not in self.outsiders]
+        return {
+            "fleet": OTHER_FLEET if name in self.other_fleet else FLEET,
+            "voters": list(self.voters) or members,
+            "timings": {**TIMINGS_MS, **self.timings_ms},
+        }
+
+    def seeds(self, name: str) -> list[str]:
+        """Return the routers that a router contacts first."""
+        return [seed for seed in self.contacts or self.names if seed != name]
+
+    def secret(self, name: str) -> bytes:
+        """Return the secret that a router authenticates its datagrams with."""
+        return OTHER_SECRET if name in self.other_secret else SECRET
--- a/packages/fleet-scale/src/fleet_scale/hollow.py
+++ b/packages/fleet-scale/src/fleet_scale/hollow.py
@@ -76,7 +76,7 @@
         self.members: dict[str, tuple[str, float]] = {}  # last told of each: its state, when (s)
         self.verdicts: list[tuple[float, str]] = []  # who was told failed, when
         if self.fleet is not None:
-            note, self.fleet.port.tell = self.fleet.port.tell, self._told
+            note, self.fleet.port.on_notice = self.fleet.port.on_notice, self._told
             self._note = note
 
     def begin_serving(self) -> None:
@@ -118,7 +118,7 @@
         if self.channel.link is not None:
             self.channel.link.transport.abortConnection()
         if self.fleet is not None:
-            self.fleet.port.ended = True
+            self.fleet.port.closed = True
             self.fleet.close()
         self.alarm.stop()
 
