--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -20,7 +20,7 @@
 from tests import test_slow_start_fleet as cold_model
 from tests.helpers import ORIGIN, SETTINGS, Bench, edge, only, parent
 from thornjunction import interface as api
-from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MOST_KEYS
+from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import FLEET_RESERVE
 from thornjunction.net.shelves import AT_MOST, CROWDED, NEEDED, PREFERRED
 from thornjunction.policy.router import Router
@@ -241,7 +241,7 @@
         rows.append(row(rate, f"{share:.3f}", f"{gap_ms / 1_000:.1f}"))
     print(table("keyed requests a s a router | share sent, of 10 minutes | longest s without one", rows))
     span_s = KEY_LIFETIME_MS / 1_000
-    print(f"\nbound: {MOST_KEYS} keys for {span_s:.0f} s: {MOST_KEYS / span_s:.2f} a s\n")
+    print(f"\nbound: {MAX_KEYS} keys for {span_s:.0f} s: {MAX_KEYS / span_s:.2f} a s\n")
 
 
 PARTS: dict[str, Callable[[tuple[int, ...]], None]] = {
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,14 +15,18 @@
 from thornjunction.policy import candidates
 from thornjunction.policy.candidates import (
     CANDIDATES_KEPT,
-    EXACT_MOST,
+    MAX_SCORED_SERVERS,
     TABLE_BLEND,
     CandidateGroup,
     RankingCache,
 )
 from thornjunction.policy.placement import SERVERS_EXAMINED
 
-SMALL, BLENDED, LARGE = EXACT_MOST, EXACT_MOST + TABLE_BLEND // 2, EXACT_MOST + 2 * TABLE_BLEND
+SMALL, BLENDED, LARGE = (
+    MAX_SCORED_SERVERS,
+    MAX_SCORED_SERVERS + TABLE_BLEND // 2,
+    MAX_SCORED_SERVERS + 2 * TABLE_BLEND,
+)
 OBJECTS = [mix64(number) for number in range(2_000)]
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -10,7 +10,7 @@
 from tests.helpers import KEYED, ORIGIN, SETTINGS, Bench, edge, fetch_of, finals, only, parent
 from thornjunction import interface as api
 from thornjunction.policy.router import Router
-from thornjunction.policy.subsetting import UNDIVIDED_MOST, block_count, router_hash
+from thornjunction.policy.subsetting import MAX_UNDIVIDED, block_count, router_hash
 from thornjunction.policy.upstreams import Upstream
 
 REQUESTS = 1_200
@@ -74,7 +74,7 @@
 
 
 def test_an_undivided_site_ignores_who_asks() -> None:
-    first, second = (site(UNDIVIDED_MOST, 200) for _ in range(2))
+    first, second = (site(MAX_UNDIVIDED, 200) for _ in range(2))
     second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
     second.give(
         api.EndpointListUpdate(
--- a/thornjunction/limits/admission_gates.py
+++ b/thornjunction/limits/admission_gates.py
@@ -20,7 +20,7 @@
 LARGE_REQUEST_FACTOR = 0.7
 # A late answer speaks for the time since the answer before it: one more for each span, up to a limit.
 ANSWER_SPAN_MS = 50.0
-MOST_ANSWERS_FOR_ONE = 9.0
+MAX_ANSWERS_FOR_ONE = 9.0
 
 
 class AdmissionGate:
@@ -43,7 +43,7 @@
     def record(self, now_ms: float, *, late: bool) -> None:
         """Learn from an answer, in time or late; a rejection for overload counts as late."""
         since_last_ms = max(now_ms - self._last_answer_at_ms, 0.0)
-        weight = min(1.0 + since_last_ms / ANSWER_SPAN_MS, MOST_ANSWERS_FOR_ONE)
+        weight = min(1.0 + since_last_ms / ANSWER_SPAN_MS, MAX_ANSWERS_FOR_ONE)
         share = self.current_share(now_ms)
         self._last_answer_at_ms = now_ms
         if late:
--- a/thornjunction/limits/attempt_start.py
+++ b/thornjunction/limits/attempt_start.py
@@ -7,7 +7,7 @@
 from thornjunction import interface as api
 
 # ms that every attempt gets to connect; each limit of the settings has 50 ms of slack on sockets.
-LEAST_START_MS = 25.0
+MIN_START_MS = 25.0
 
 
 def start_limit_ms(settings: api.Settings, repeat_window_ms: float) -> float:
@@ -17,5 +17,5 @@
     before that. A repeat must also begin within its window, ``repeat_window_ms``.
     """
     purge_grace_ms = settings.purge_grace_ms if settings.purge_propagation_ms else math.inf
-    grace_ms = max(min(settings.drain_grace_ms, purge_grace_ms), LEAST_START_MS)
+    grace_ms = max(min(settings.drain_grace_ms, purge_grace_ms), MIN_START_MS)
     return min(grace_ms, repeat_window_ms)
--- a/thornjunction/limits/idempotency.py
+++ b/thornjunction/limits/idempotency.py
@@ -8,7 +8,7 @@
 from thornjunction import interface as api
 
 # Keys of requests that may have been executed; where the table is full, no new key is sent.
-MOST_KEYS = 8192
+MAX_KEYS = 8192
 # How long a key is known: a client's later attempts come within ten minutes.
 KEY_LIFETIME_MS = 600_000.0
 
@@ -89,7 +89,7 @@
             if now_ms - self.by_key[oldest].sent_at_ms <= KEY_LIFETIME_MS:
                 break
             del self.by_key[oldest]
-        return not key or key in self.by_key or len(self.by_key) < MOST_KEYS
+        return not key or key in self.by_key or len(self.by_key) < MAX_KEYS
 
     def note(self, key: str, execution: PossibleExecution) -> None:
         """Note an attempt that is sent, unless an earlier one stands under the key."""
--- a/thornjunction/limits/outlier_detection.py
+++ b/thornjunction/limits/outlier_detection.py
@@ -8,7 +8,7 @@
 EJECT_AFTER_FAILURES = 5
 # ms of a first ejection; each further one lasts twice as long, up to the longest.
 FIRST_EJECTION_MS = 500.0
-LONGEST_EJECTION_MS = 4_000.0
+MAX_EJECTION_MS = 4_000.0
 # ms between resets within which they count as one broken connection.
 SAME_RESET_MS = 10.0
 
@@ -37,7 +37,7 @@
 
     def eject(self, now_ms: float) -> None:
         """Take the server out of service, for twice as long as the last time."""
-        self.ejected_for_ms = min(max(FIRST_EJECTION_MS, 2 * self.ejected_for_ms), LONGEST_EJECTION_MS)
+        self.ejected_for_ms = min(max(FIRST_EJECTION_MS, 2 * self.ejected_for_ms), MAX_EJECTION_MS)
         self._ejected_until_ms = now_ms + self.ejected_for_ms
 
     def record_success(self) -> bool:
--- a/thornjunction/limits/purges.py
+++ b/thornjunction/limits/purges.py
@@ -8,7 +8,7 @@
 from thornjunction import interface as api
 
 # Purges that are remembered; past that, everything counts as purged at the time of the oldest forgotten.
-MOST_PURGES = 4096
+MAX_PURGES = 4096
 # ms that the wire and the caches may lose in rounding a copy's age.
 ROUNDING_MS = 1.0
 # Lowest age that is asked for: 0 would stand for the class's fresh time.
@@ -32,7 +32,7 @@
         target: PurgeTarget = ("group", event.group) if event.key is None else ("key", event.key)
         earlier_ms = self.purged_at_ms.pop(target, purged_at_ms)
         self.purged_at_ms[target] = max(purged_at_ms, earlier_ms)
-        if len(self.purged_at_ms) > MOST_PURGES:
+        if len(self.purged_at_ms) > MAX_PURGES:
             oldest = next(iter(self.purged_at_ms))
             forgotten_ms = self.purged_at_ms.pop(oldest)
             self._everything_purged_at_ms = max(self._everything_purged_at_ms, forgotten_ms)
--- a/thornjunction/limits/retry_budget.py
+++ b/thornjunction/limits/retry_budget.py
@@ -13,7 +13,7 @@
 # Retries that all routers together may have saved up.
 FLEET_RESERVE = 60.0
 # Retries that one router may have saved up at least, or it could never retry.
-LEAST_RESERVE = 2.0
+MIN_RESERVE = 2.0
 # The first backoff, as a share of the latency objective; it doubles with each attempt.
 FIRST_BACKOFF_SHARE = 0.125
 
@@ -27,7 +27,7 @@
 
     def adopt(self, routers: int) -> None:
         """Take this router's part of a reserve that so many routers share."""
-        self.capacity = max(FLEET_RESERVE / max(routers, 1), LEAST_RESERVE)
+        self.capacity = max(FLEET_RESERVE / max(routers, 1), MIN_RESERVE)
 
     @property
     def has_token(self) -> bool:
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -29,19 +29,19 @@
 # Objects in the ranking cache: under 2 MB, however many servers there are.
 RANKINGS_KEPT = 8192
 # Servers of a group that are all scored.  At 0.5 us a score, drawing from the table is cheaper beyond.
-EXACT_MOST = 224
-# Servers beyond ``EXACT_MOST`` over which the objects go over to the table, an equal part by each.
+MAX_SCORED_SERVERS = 224
+# Servers beyond ``MAX_SCORED_SERVERS`` over which the objects go over to the table, an equal part by each.
 TABLE_BLEND = 64
 # One slot for each 16-bit number that is drawn.
 TABLE_SLOTS = 1 << 16
 # Two slots a server halve the draws.  Servers on one slot share it: 1 slot in 10 at 3,200 servers in a group.
 SLOTS_PER_SERVER = 2
 # Slots drawn for an object at most.  It is reached only where few servers outweigh all others by far.
-SLOTS_DRAWN_MOST = 1 << 16
+MAX_SLOTS_DRAWN = 1 << 16
 # Slots drawn over those that hold the candidates in the mean: mostly, the first pass finds them all.
 DRAW_MARGIN = 1.5
 # In place of a weight of zero.
-LEAST_WEIGHT = 1e-9
+MIN_WEIGHT = 1e-9
 
 ServerT = TypeVar("ServerT")
 RankingKey = tuple[int, bool, int]  # a group's version, whether weights count, the object's hash
@@ -179,11 +179,11 @@
     def _uses_table(self, object_hash: int) -> bool:
         """Whether the table ranks this object.
 
-        Of a group that grows past ``EXACT_MOST`` servers, each further server hands one part in
+        Of a group that grows past ``MAX_SCORED_SERVERS`` servers, each further server hands one part in
         ``TABLE_BLEND`` of the objects over to the table.  If all were handed over at one size, each restart
         of a server at that size would move all objects twice.
         """
-        return object_hash % TABLE_BLEND < len(self._members) - EXACT_MOST
+        return object_hash % TABLE_BLEND < len(self._members) - MAX_SCORED_SERVERS
 
     def _rank(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
         """The best members first: all of a small group, and the first few of a large one."""
@@ -224,16 +224,16 @@
         server's weight, the least is the best candidate.  It depends on the object and that server alone.  No
         server that comes up later than the heaviest one's weight allows can be among the best any more.
         """
-        heaviest = max(self._heaviest, LEAST_WEIGHT) if weighted else 1.0
+        heaviest = max(self._heaviest, MIN_WEIGHT) if weighted else 1.0
         needed = CANDIDATES_KEPT * TABLE_SLOTS / (SLOTS_PER_SERVER * len(self._members))
         count = int(needed * DRAW_MARGIN)
         while True:
             arrivals = self._arrivals(object_hash, count, weighted)
             best = nsmallest(CANDIDATES_KEPT, arrivals.values(), key=_order_by_arrival)
             complete = len(best) == CANDIDATES_KEPT and best[-1].time <= count / heaviest
-            if complete or count >= SLOTS_DRAWN_MOST:
+            if complete or count >= MAX_SLOTS_DRAWN:
                 return [arrival.member for arrival in best]
-            count = min(2 * count, SLOTS_DRAWN_MOST)
+            count = min(2 * count, MAX_SLOTS_DRAWN)
 
     def _arrivals(self, object_hash: int, count: int, weighted: bool) -> dict[str, _Arrival[ServerT]]:
         """The first arrival of each server that comes up in so many draws, by server."""
@@ -243,7 +243,7 @@
         for at, slot in hits:
             for member in table[slot]:
                 if member.server_id not in arrivals:
-                    weight = max(member.weight, LEAST_WEIGHT) if weighted else 1.0
+                    weight = max(member.weight, MIN_WEIGHT) if weighted else 1.0
                     tie = mix64(object_hash ^ member.salt)
                     arrivals[member.server_id] = _Arrival((at + 1) / weight, tie, member)
         return arrivals
--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -9,13 +9,13 @@
 from thornjunction.policy.attempts import AttemptLifecycle
 from thornjunction.policy.completion import Completion
 from thornjunction.policy.context import DecisionContext
-from thornjunction.policy.fetch_plan import MOST_PEER_LOOKUPS
+from thornjunction.policy.fetch_plan import MAX_PEER_LOOKUPS
 from thornjunction.policy.hedging import Hedging
 from thornjunction.policy.requests import Attempt, PendingRequest, RequestState, RequestTable
 from thornjunction.policy.retry_policy import NoAttempt, RetryPolicy, Send
 
 # Errors after which the request itself is at fault: one bad request must not spend all its attempts.
-MOST_ERRORS = 3
+MAX_ERRORS = 3
 # Ends that say little of the server: one answer was lost, and what it holds is not.
 LOST_ANSWERS = (api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR)
 
@@ -76,7 +76,7 @@
         if (
             source is None
             or source.entry.role is not api.Role.EDGE
-            or request.peer_lookups >= MOST_PEER_LOOKUPS
+            or request.peer_lookups >= MAX_PEER_LOOKUPS
         ):
             self._completion.give_up(request)
             return
@@ -89,7 +89,7 @@
         if request.possible_execution is None and event.status not in NEVER_EXECUTED:
             request.possible_execution = attempt.execution
         self._note_tried(event, attempt)
-        if len(request.faulty_servers) >= MOST_ERRORS:
+        if len(request.faulty_servers) >= MAX_ERRORS:
             self._completion.give_up(request)
             return
         is_origin_full = self._context.fills_unreported or request.request_class.uncacheable
--- a/thornjunction/policy/fetch_plan.py
+++ b/thornjunction/policy/fetch_plan.py
@@ -18,7 +18,7 @@
 from thornjunction.policy.upstreams import Upstream
 
 # Other caches that one request asks for a copy: a third finds little that two did not.
-MOST_PEER_LOOKUPS = 2
+MAX_PEER_LOOKUPS = 2
 # Rank of what passes through a cache and is not kept.
 NO_RANK = 0
 
@@ -72,7 +72,7 @@
     ) -> FillPlan:
         """Choose another cache in place of an origin that must be spared, if one is likely to help."""
         peer = None
-        if request.peer_lookups < MOST_PEER_LOOKUPS:
+        if request.peer_lookups < MAX_PEER_LOOKUPS:
             link_load = self._ranking.link_load.value
             if may_fill or has_capacity_for_lookup(server.load, link_load):
                 peer = self._placement.choose_peer(request, server, self._context.now_ms)
--- a/thornjunction/policy/fill_ranking.py
+++ b/thornjunction/policy/fill_ranking.py
@@ -15,7 +15,7 @@
 # ms in which a count of requests decays to its half (the paper's).
 COUNT_HALF_LIFE_MS = 10_000.0
 # Objects whose requests are counted.
-MOST_COUNTED = 8192
+MAX_COUNTED = 8192
 # Percentiles that part the ranks: three equal shares.
 HIGH_RANK_ABOVE = 2 / 3
 MIDDLE_RANK_ABOVE = 1 / 3
@@ -85,7 +85,7 @@
         entry.count = earlier + 1.0
         entry.at_ms = now_ms
         self.counts[object_hash] = entry
-        if len(self.counts) > MOST_COUNTED:
+        if len(self.counts) > MAX_COUNTED:
             del self.counts[next(iter(self.counts))]
         return earlier
 
--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -19,14 +19,14 @@
 from thornjunction.policy.candidates import CandidateGroup, RankingCache
 
 # Caches of a site that is not divided. Above it, a router's table of connections would not hold all of them.
-UNDIVIDED_MOST = 200
+MAX_UNDIVIDED = 200
 # Caches of a block at most: so many, and one more for so many of the site, but never over the first figure.
 BLOCK_BASE = 40
 SITE_SERVERS_PER_BLOCK_SERVER = 8
 # A site that shrinks keeps its blocks until it would have fewer of them at this multiple of its size as well.
 SHRINK_MARGIN = 1.25
 # Routers that ask a block in the mean, at least: of few, some block would have none, and its caches idle.
-ROUTERS_PER_BLOCK_LEAST = 2
+MIN_ROUTERS_PER_BLOCK = 2
 # Last digits of a router's name that count as its number.
 ORDINAL_DIGITS = 18
 HASH_VALUES = 1 << 64
@@ -59,16 +59,16 @@
     wanted = _fewest_blocks(servers)
     if wanted < current:
         wanted = min(_fewest_blocks(servers * SHRINK_MARGIN), current)
-    while wanted > 1 and routers < ROUTERS_PER_BLOCK_LEAST * wanted:
+    while wanted > 1 and routers < MIN_ROUTERS_PER_BLOCK * wanted:
         wanted //= 2
     return wanted
 
 
 def _fewest_blocks(servers: float) -> int:
     """Return the least power of two that divides so many caches into blocks that are not too large."""
-    if servers <= UNDIVIDED_MOST:
+    if servers <= MAX_UNDIVIDED:
         return 1
-    block_most = min(BLOCK_BASE + servers / SITE_SERVERS_PER_BLOCK_SERVER, UNDIVIDED_MOST)
+    block_most = min(BLOCK_BASE + servers / SITE_SERVERS_PER_BLOCK_SERVER, MAX_UNDIVIDED)
     blocks = 1
     while servers > block_most * blocks:
         blocks *= 2
