--- a/packages/standins/src/standins/watch.py
+++ b/packages/standins/src/standins/watch.py
@@ -113,14 +113,14 @@
 def in_short(taken: Command) -> str:
     """What an event says: shelfs and their states, or a purge's object, group and time."""
     if isinstance(taken, Purge):
-        return f"{taken.key}/{taken.group}/{taken.when_ms}"
+        return f"{taken.key}/{taken.group}/{taken.issued_unix_ms}"
     return " ".join(f"{host.name}:{host.state.name}" for host in taken.hosts)
 
 
 def fetched_from(service: Service) -> str:
     """Where the decisions send a request now."""
     request = api.Request(os.urandom(4).hex(), "files", 7, 2000.0, size_kb=10.0)
-    (sent,) = [a for a in service.router.handle(2e9, request) if isinstance(a, api.Fetch)]
+    (sent,) = [a for a in service.router.handle(2e9, request) if isinstance(a, api.StartAttempt)]
     return sent.server
 
 
--- a/tests/test_local_errors.py
+++ b/tests/test_local_errors.py
@@ -35,7 +35,7 @@
 from thornjunction.net.metrics import Metrics
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
-from thornjunction.signing.replay import ReplayWindow
+from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
 WAIT_S = 5.0  # for one answer
 LOCAL = "EADDRNOTAVAIL", "EAGAIN", "EINTR", "ENOBUFS"
@@ -141,7 +141,7 @@
     deadlines, window = Deadlines(), ReplayWindow()
     gossip = Gossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
-    gossip.tell(b"k" * 16, 99.0)
+    gossip.tell(ReplayEntry(b"k" * 16, 99.0))
     metrics = Metrics(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
     metrics._collectd, metrics._udp = ("127.0.0.1", 9), SocketWithoutWay()
     metrics.start()
@@ -154,16 +154,20 @@
 
     def test_who_is_blamed_for_dials_that_go_on_failing(self) -> None:
         """No way there is a dial that never came up, once its time is over; our own lack is nobody's."""
-        rig, told = Rig(), list[api.Status]()
+        rig, told = Rig(), list[api.AttemptStatus]()
         self.addCleanup(rig.stop)
         pool = rig.pool
         pool.ends = SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status))
-        ends = {errno.ENETUNREACH: [api.Status.REFUSED], errno.EADDRNOTAVAIL: [], errno.EMFILE: []}
+        ends = {
+            errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
+            errno.EADDRNOTAVAIL: [],
+            errno.EMFILE: [],
+        }
         for number, end in ends.items():
             failed = getConnectError((number, "failed"))
             with patch.object(server_dial, "dial", lambda *_, failed=failed: fail(failed)):
                 call = ClientRequest("t1", "films", "00000000000000ff", 900.0)
-                pool.send(UpstreamRequest(1, call, api.Fetch("r", "edge1", 900.0, "origin")))
+                pool.send(UpstreamRequest(1, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
                 self.assertEqual(told, [])
                 rig.later(400.0)
                 self.assertEqual(told, end)
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/front_signed.py
@@ -17,7 +17,7 @@
 from thornjunction.net.gossip import Gossip
 from thornjunction.net.wire import ProtocolError, http1, signed
 from thornjunction.signing import tokens
-from thornjunction.signing.address import Forwarding, client_of
+from thornjunction.signing.address import Forwarding, client_address
 from thornjunction.signing.replay import ReplayWindow
 
 MAX_BODY, MAX_WAITING = 65_536, 8  # bytes of a request; requests behind the one that is being answered
@@ -91,7 +91,7 @@
         if len(self.waiting) > MAX_WAITING:
             while len(self.waiting) > MAX_WAITING:
                 self.waiting.pop()
-            self._end_behind(signed.refused(0.0, keep=False), "pipeline")
+            self._end_behind(signed.encode_unavailable(0.0, keep_alive=False), "pipeline")
 
     def _end_behind(self, last_words: http1.HttpResponse, code: str) -> None:
         """The first thing that is wrong ends the connection, with an answer of its own behind those that are
@@ -107,10 +107,10 @@
         if request is not None:
             self._abandon()
             failed = signed.encode_answer(Failed(timed_out=False), request, {})
-            self._write(replace(failed, keep=bool(self.waiting)))
+            self._write(replace(failed, keep_alive=bool(self.waiting)))
         while self.waiting:
             self.waiting.popleft()
-            self._write(signed.refused(0.0, keep=bool(self.waiting)))
+            self._write(signed.encode_unavailable(0.0, keep_alive=bool(self.waiting)))
 
     def forget(self) -> None:
         self.waiting.clear()
@@ -133,27 +133,27 @@
 
     def _ask(self, request: http1.HttpRequest) -> None:
         if self.refuses:
-            return self._write(signed.refused(0.0, keep=False))
+            return self._write(signed.encode_unavailable(0.0, keep_alive=False))
         try:
             target, token = signed.split_token(request)
             door, now = self.door, self.door.unix_s()
-            client = client_of(self.peer, request.headers, door.forwarding)
+            client = client_address(self.peer, request.headers, door.forwarding)
             grant = tokens.verify(token, door.base + target, door.trust, door.replays, now, client)
-            call = signed.decode_call(request, target, secrets.token_hex(8), door.classes)
-        except signed.MisuseError as error:
+            call = signed.decode_request(request, target, secrets.token_hex(8), door.classes)
+        except signed.RequestError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_misused(error.status, request.keep))
+            return self._write(signed.encode_rejection(error.status, request.keep_alive))
         except tokens.TokenError as error:
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_misused(error.status, request.keep, error.retry_after_s))
-        if grant.taken is not None and self.door.gossip is not None:
-            self.door.gossip.tell(*grant.taken)
+            return self._write(signed.encode_rejection(error.status, request.keep_alive, error.retry_after_s))
+        if grant.replay_entry is not None and self.door.gossip is not None:
+            self.door.gossip.tell(grant.replay_entry)
         self.serving, answered = request, self.answered
         try:
             number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
         except RequestTableFullError:
             self.serving = None
-            return self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep))
+            return self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep_alive))
         if self.code:  # its connection ended while the core decided
             self.door.core.abandon(number)
         elif self.answered == answered:  # else it was answered at once, and the next one may be in the core
@@ -167,14 +167,14 @@
         self._next()
 
     def _renewal(self, target: str, grant: tokens.Grant) -> dict[str, str]:
-        if not grant.renew_s:
+        if not grant.renewal_s:
             return {}
         token = tokens.renew(self.door.trust, grant, self.door.unix_s())
-        return {"Set-Cookie": signed.cookie_for(token, target, grant.depth, grant.renew_s)}
+        return {"Set-Cookie": signed.renewal_cookie(token, target, grant.renewal_depth, grant.renewal_s)}
 
     def _write(self, response: http1.HttpResponse) -> None:
         self.write(http1.encode_response(response))
-        if response.keep:
+        if response.keep_alive:
             self.turned()
         else:
             self.finish(self.ending or "no-keep-alive")
