--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -22,7 +22,7 @@
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import FLEET_RESERVE
-from thornjunction.net.shelves import AT_MOST, CROWDED, NEEDED, PREFERRED
+from thornjunction.net.upstream.connection_pool import AT_MOST, CROWDED, NEEDED, PREFERRED
 from thornjunction.policy.router import Router
 
 ROUTERS = (50, 200, 600, 1_200)
@@ -37,8 +37,9 @@
 
 
 class Pool:
-    """Connections to each server by the rules of ``ShelfPool``: one more beside those that are crowded, up to
-    PREFERRED, and where none has room, up to NEEDED.  None closes: a run is shorter than their idle time."""
+    """Connections to each server by the rules of ``ConnectionPool``: one more beside those that are crowded,
+    up to PREFERRED, and where none has room, up to NEEDED.  None closes: a run is shorter than their idle
+    time."""
 
     def __init__(self) -> None:
         self.links: dict[str, list[int]] = {}  # by server: what is out on each
@@ -193,8 +194,8 @@
 
 
 def origin(counts: tuple[int, ...]) -> None:
-    """The model of ``tests/test_fleet_origin.py``: as many requests in all, of more routers; and six times
-    the fleet before an origin that bears six times as much."""
+    """The model of ``tests/policy/test_fleet_origin.py``: as many requests in all, of more routers; and
+    six times the fleet before an origin that bears six times as much."""
     total, bears = 200 * 6.0, 170.0
     rows = [origin_play(routers, total / routers, bears) for routers in counts]
     rows.append(origin_play(1_200, 6.0, 6 * bears))
--- a/benchmarks/capacity_stage.py
+++ b/benchmarks/capacity_stage.py
@@ -15,9 +15,9 @@
 from dataclasses import astuple, dataclass
 from pathlib import Path
 
-from standins.clients import fastcgi_request
+from fakes.clients import fastcgi_request
 
-from tests.test_core import CONFIG
+from tests.core.test_engine import CONFIG
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -20,17 +20,17 @@
 from pathlib import Path
 from typing import Any
 
-from standins.clients import FastCgiClient, fastcgi_request
-from standins.config import config_at, free_port
-from standins.config import listen as listen_at
-from standins.plain import DemoShelf
-from standins.rig import until
-from standins.watch import ScriptedDiscovery, WatchStandIn, answer, hold
+from fakes.clients import FastCgiClient, fastcgi_request
+from fakes.config import config_at, free_port
+from fakes.config import listen as listen_at
+from fakes.fake_discovery import ScriptedDiscovery, WatchStandIn, answer, hold
+from fakes.loopback_environment import until
+from fakes.scripted import DemoShelf
 from twisted.internet import reactor, task
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from thornjunction.net.transport import Building
+from thornjunction.net.event_loop.transport import Building
 
 ROOT = Path(__file__).resolve().parent.parent
 BEHIND, SHELVES, CHANGES = 122_400, 440, 28  # an hour's purges, the fleet, an hour's changes of the list
@@ -39,7 +39,7 @@
 
 LAUNCH = """
 import atexit, json, os, sys, time
-from thornjunction.net.reactor import install
+from thornjunction.net.event_loop.reactor import install
 reactor = install()
 class Poller:
     def __init__(self, inner): self.inner, self.since, self.turns = inner, None, []
--- a/benchmarks/front_latency.py
+++ b/benchmarks/front_latency.py
@@ -11,12 +11,12 @@
 import time
 from typing import Any
 
-from standins.clients import FastCgiClient, HttpClient, fastcgi_request
+from fakes.clients import FastCgiClient, HttpClient, fastcgi_request
 from twisted.internet import task
 from twisted.internet.defer import inlineCallbacks
 
-from tests.standins import CLIP, Rig
-from tests.test_wire import PARAMS
+from tests.loopback import CLIP, Rig
+from tests.net.wire.test_codecs import PARAMS
 
 PER_ROUND, LIMIT_S = 200, 120.0
 FCGI = PARAMS | {"SCRIPT_NAME": "/do/films", "HTTP_X_ROW": "7f3a9c21e0b4d655"}
--- a/benchmarks/growth_program.py
+++ b/benchmarks/growth_program.py
@@ -29,7 +29,7 @@
 from control_harness.fake_discovery import FakeDiscovery
 from control_harness.participants import free_addresses
 
-from tests.test_core import CONFIG
+from tests.core.test_engine import CONFIG
 
 SITES = 3  # of the caches; the router stands at the first, z1
 ROUTERS = 200  # of all sites, as the settings tell
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -19,7 +19,7 @@
 
 from control_harness.fake_discovery import FakeDiscovery
 from control_harness.participants import free_addresses
-from standins.config import SETTINGS
+from fakes.config import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
 SETTLE_S = 3.0
--- a/packages/control-harness/src/control_harness/participants.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -12,8 +12,8 @@
 from socket import socket
 from typing import Any
 
-from standins.clients import fastcgi_request
-from standins.config import SETTINGS
+from fakes.clients import fastcgi_request
+from fakes.config import SETTINGS
 
 from control_harness.process import OPERATORS_FILE, ProgramProcess
 from thornjunction.net.wire import fastcgi
--- a/packages/standins/src/standins/watch.py
+++ b/packages/fakes/src/fakes/fake_discovery.py
@@ -14,11 +14,11 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.python.failure import Failure
 
-from standins.rig import until
+from fakes.loopback_environment import until
 from thornjunction import interface as api
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.channel import MOST_AGAIN_MS, Channel
-from thornjunction.net.transport import Building, Transport
+from thornjunction.net.discovery.watch_client import MOST_AGAIN_MS, WatchClient
+from thornjunction.net.event_loop.transport import Building, Transport
 from thornjunction.net.wire import http1
 from thornjunction.net.wire.commands import Command, Purge
 from thornjunction.runtime.service import Service
@@ -213,10 +213,10 @@
         self.discovery = ScriptedDiscovery()
         self.channel = self.build(self.discovery.address)
 
-    def build(self, address: tuple[str, int]) -> Channel:
+    def build(self, address: tuple[str, int]) -> WatchClient:
         """A channel that has heard nothing; it takes the place of the one before."""
         clock: Callable[[], float] = lambda: self.now  # noqa: E731
-        self.channel = Channel(reactor, address, self.deadlines, clock, self.taken.append, lambda: None)
+        self.channel = WatchClient(reactor, address, self.deadlines, clock, self.taken.append, lambda: None)
         return self.channel
 
     @inlineCallbacks
--- a/packages/standins/src/standins/rig.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -12,18 +12,18 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.task import deferLater
 
-from standins.clients import HttpClient as Client
-from standins.deaf_door import DeafDoor
+from fakes.clients import HttpClient as Client
+from fakes.unresponsive_listener import UnresponsiveListener
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
 from thornjunction.memory.budget import ByteBudget
-from thornjunction.net.alarm import Alarm, core_ms
-from thornjunction.net.client_link import ClientTable
-from thornjunction.net.front_fastcgi import FastCgiLink
-from thornjunction.net.front_signed import Door, SignedLink
-from thornjunction.net.shelves import Limits, ShelfPool
-from thornjunction.net.transport import Building, Transport
+from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
+from thornjunction.net.event_loop.timer_service import TimerService, core_ms
+from thornjunction.net.event_loop.transport import Building, Transport
+from thornjunction.net.upstream.connection_pool import ConnectionPool, Limits
 from thornjunction.net.wire.commands import Host
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.policy.router import Router
@@ -78,24 +78,24 @@
         self.script: list[tuple[bytes, bytes] | None] = []
         self.asked: list[tuple[ShelfStandIn, bytes]] = []
         self.waiters: list[Deferred[None]] = []
-        self.doors: list[DeafDoor] = []
-        self.alarm = Alarm(reactor)
+        self.doors: list[UnresponsiveListener] = []
+        self.alarm = TimerService(reactor)
         limits = Limits(max_streams=4, dial_ms=400.0, idle_ms=15_000.0, connections=20)
         budget = ByteBudget(1_000_000)
-        self.pool = ShelfPool(reactor, limits, self.alarm.deadlines, core_ms, budget)
+        self.pool = ConnectionPool(reactor, limits, self.alarm.deadlines, core_ms, budget)
         self.counters = Counters(classes={kind.name for kind in classes})
         router = Router(settings, 7)
         deadlines = self.alarm.deadlines
         self.engine = Engine(router, settings.max_attempts, core_ms, deadlines, self.pool, self.counters)
         self.pool.ends = self.engine
-        self.clients = ClientTable(10, budget)
+        self.clients = DownstreamTable(10, budget)
         by_name = {kind.name: kind for kind in classes}
-        self.door = Door(self.engine, by_name, base, trust, ReplayWindow(), lambda: self.now)
+        self.door = SignedRequestContext(self.engine, by_name, base, trust, ReplayWindow(), lambda: self.now)
         self.ports = [self.listen(lambda: ShelfStandIn(self)) for _ in range(2)]
-        self.ports.append(self.listen(lambda: SignedLink(self.clients, deadlines, core_ms, self.door)))
+        self.ports.append(self.listen(lambda: SignedConnection(self.clients, deadlines, core_ms, self.door)))
         self.ports.append(
             self.listen(
-                lambda: FastCgiLink(
+                lambda: FastCgiConnection(
                     self.clients, deadlines, core_ms, self.engine, lambda: True, bytes, print, float
                 )
             )
@@ -119,9 +119,9 @@
         self.pool.update(tuple(hosts), True)
         self.engine.feed(api.EndpointListUpdate(tuple(entries)))
 
-    def deafen(self, name: str) -> DeafDoor:
+    def deafen(self, name: str) -> UnresponsiveListener:
         """Move a server to a port at which connects hang."""
-        door = DeafDoor(lambda: ShelfStandIn(self))
+        door = UnresponsiveListener(lambda: ShelfStandIn(self))
         self.doors.append(door)
         self.list_servers(api.ServerState.SERVING, **{name: door.address})
         return door
--- a/packages/standins/src/standins/bare.py
+++ b/packages/fakes/src/fakes/raw_socket.py
@@ -11,7 +11,7 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from standins.clients import fastcgi_request
+from fakes.clients import fastcgi_request
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 
--- a/packages/standins/src/standins/deaf_door.py
+++ b/packages/fakes/src/fakes/unresponsive_listener.py
@@ -8,10 +8,10 @@
 
 from twisted.internet import protocol, reactor
 
-from thornjunction.net.transport import Building
+from thornjunction.net.event_loop.transport import Building
 
 
-class DeafDoor:
+class UnresponsiveListener:
     """Its queue holds one connection that nobody takes: the system passes over who knocks, who knocks again
     after a second.  Opened, it takes all that come, and the one in the queue."""
 
--- a/packages/standins/tests/test_standins.py
+++ b/packages/fakes/tests/test_fakes.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from standins.plain import DemoDiscovery, DemoShelf, body_of
+from fakes.scripted import DemoDiscovery, DemoShelf, body_of
 from twisted.internet import testing
 from twisted.internet.task import Clock
 
@@ -63,7 +63,7 @@
     monkeypatch.setattr(start, "find_spec", lambda _: None)
     monkeypatch.setattr(sys, "path", list(sys.path))
     start.make_fakes_importable()
-    assert (Path(sys.path[-1]) / "standins" / "plain.py").is_file()
+    assert (Path(sys.path[-1]) / "fakes" / "scripted.py").is_file()
 
 
 def test_a_router_with_a_configuration_knows_no_stand_in(tmp_path: Path) -> None:
@@ -72,7 +72,7 @@
         "import os, sys; from pathlib import Path; from thornjunction.program import run_program;"
         "run_program(os.environ, Path('none.toml'));"
         "import thornjunction.runtime.service;"
-        "print(sorted(n for n in sys.modules if n.startswith(('standins', 'fleet_', 'thornjunction.demo'))))"
+        "print(sorted(n for n in sys.modules if n.startswith(('fakes', 'fleet_', 'thornjunction.demo'))))"
     )
     env = dict(os.environ) | {"PROXY_CONFIG": str(tmp_path / "config.json")}
     known = subprocess.run([sys.executable, "-c", code], env=env, cwd=ROOT, capture_output=True, text=True)
--- a/packages/fleet-harness/src/fleet_harness/__main__.py
+++ b/packages/fleet-harness/src/fleet_harness/__main__.py
@@ -19,7 +19,7 @@
 
 from fleet_harness.demo import Demo
 from fleet_harness.scenario_batch import ScenarioBatch
-from thornjunction.net.reactor import install
+from thornjunction.net.event_loop.reactor import install
 
 MIN_ROUTERS = 3
 """Routers of the smallest demo: fewer have no majority without one of them."""
--- a/packages/fleet-harness/src/fleet_harness/router_files.py
+++ b/packages/fleet-harness/src/fleet_harness/router_files.py
@@ -9,9 +9,9 @@
 from socket import socket
 from typing import Any
 
+from fakes.config import SETTINGS, listen
+from fakes.scripted import DemoDiscovery, DemoShelf
 from sansio_core import Address
-from standins.config import SETTINGS, listen
-from standins.plain import DemoDiscovery, DemoShelf
 
 MAX_SOCKETS = 90
 """Sockets of each router: few, because a whole fleet shares the limit of one user."""
--- a/packages/fleet-scale/src/fleet_scale/files.py
+++ b/packages/fleet-scale/src/fleet_scale/files.py
@@ -8,7 +8,7 @@
 from socket import SOCK_DGRAM, SOCK_STREAM, socket
 from typing import Any
 
-from standins.config import SETTINGS
+from fakes.config import SETTINGS
 
 Address = tuple[str, int]
 HOLD_MS = 10_000.0  # by then all caches have dropped what was purged
--- a/packages/fleet-scale/src/fleet_scale/links.py
+++ b/packages/fleet-scale/src/fleet_scale/links.py
@@ -15,7 +15,7 @@
 from twisted.internet.interfaces import IPushProducer
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.net.transport import Building
+from thornjunction.net.event_loop.transport import Building
 
 IN_FLIGHT = 1_000_000  # bytes of one way of one connection that are held for the delay
 MAX_PAIRS = 8192  # connections of one process
--- a/packages/fleet-scale/src/fleet_scale/load.py
+++ b/packages/fleet-scale/src/fleet_scale/load.py
@@ -7,12 +7,12 @@
 from collections import Counter
 from typing import Any
 
-from standins.bare import asked
+from fakes.raw_socket import asked
 from twisted.internet import protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
 from fleet_scale.fit import quantile
-from thornjunction.net.transport import Building
+from thornjunction.net.event_loop.transport import Building
 from thornjunction.net.wire import fastcgi
 
 TTL_MS = 2000
--- a/packages/fleet-scale/src/fleet_scale/roles.py
+++ b/packages/fleet-scale/src/fleet_scale/roles.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from standins.config import listen
-from standins.plain import DemoShelf
+from fakes.config import listen
+from fakes.scripted import DemoShelf
 
 from fleet_scale.discovery import Discovery
 from fleet_scale.event_log import listed
--- a/packages/fleet-scale/src/fleet_scale/worker.py
+++ b/packages/fleet-scale/src/fleet_scale/worker.py
@@ -17,7 +17,7 @@
 
 from fleet_scale.tether import tether
 from thornjunction import logs
-from thornjunction.net.reactor import install
+from thornjunction.net.event_loop.reactor import install
 from thornjunction.runtime.start import GC_THRESHOLDS
 
 MOST_LINE = 8 << 20
--- a/tests/conformance/test_http.py
+++ b/tests/conformance/test_http.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.helpers import FILMS
-from tests.standins import CLIP
+from tests.loopback import CLIP
 from thornjunction.core.ports import Content, Served
 from thornjunction.net.wire import ProtocolError, http1, ranges, signed
 
--- a/tests/conformance/test_rfc9246.py
+++ b/tests/conformance/test_rfc9246.py
@@ -14,7 +14,7 @@
 from joserfc import jwt
 from joserfc.jwk import ECKey, OctKey
 
-from tests.standins import BASE, KEYS, TRUST
+from tests.loopback import BASE, KEYS, TRUST
 from thornjunction.net.wire import http1, signed
 from thornjunction.signing import address, keyset, tokens
 from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, replay_key
--- a/tests/test_core.py
+++ b/tests/core/test_engine.py
@@ -27,8 +27,8 @@
 )
 from thornjunction.memory.deadlines import Deadlines, TooManyDeadlinesError
 from thornjunction.memory.slots import SlotTable, SlotTableFullError
-from thornjunction.net.alarm import Alarm, core_ms
-from thornjunction.net.channel import Channel
+from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.wire.commands import Commands, Purge
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.errors import ConfigError
@@ -64,7 +64,7 @@
 
 def test_a_failing_deadline_costs_no_other_its_turn() -> None:
     reactor, ran = Clock(), list[str]()
-    alarm = Alarm(reactor)
+    alarm = TimerService(reactor)
     for callback in (lambda: 1 / 0, lambda: ran.append("due")):
         alarm.deadlines.add(core_ms() - 1.0, callback)
     alarm.deadlines.add(core_ms() + 60_000.0, lambda: ran.append("later"))
@@ -253,7 +253,7 @@
 def test_the_channels_first_answer_is_told_once() -> None:
     """A process that replaces another serves when it has heard what its old list lacks."""
     told: list[str] = []
-    channel = Channel(
+    channel = WatchClient(
         None, ("127.0.0.1", 1), Deadlines(), lambda: 0.0, told.append, lambda: told.append("now")
     )
     for cursor in (1, 2):
@@ -263,7 +263,7 @@
 
 def test_an_event_of_the_channel_counts_once() -> None:
     taken: list[Any] = []
-    channel = Channel(None, ("127.0.0.1", 1), Deadlines(), lambda: 0.0, taken.append, lambda: None)
+    channel = WatchClient(None, ("127.0.0.1", 1), Deadlines(), lambda: 0.0, taken.append, lambda: None)
     events = tuple(Purge(number, 1, 0, 0.0) for number in (1, 2, 3))
     channel.apply(Commands(2, events[:2]))
     channel.apply(Commands(3, events[1:]))
--- a/tests/standins.py
+++ b/tests/loopback.py
@@ -1,12 +1,12 @@
-"""The test suite's settings round the loopback rig (``packages/standins``): keys, paths, classes."""
+"""The test suite's settings round the loopback rig (``packages/fakes``): keys, paths, classes."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
+from fakes import loopback_environment as rig
+from fakes.clients import HttpClient as Client
 from joserfc.jwk import OctKey
-from standins import rig
-from standins.clients import HttpClient as Client
 
 from tests.helpers import FILMS, KEYED, SETTINGS
 from thornjunction.signing import tokens
--- a/tests/test_operators.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from tests.helpers import EDGES, Bench, fetch_of
-from tests.standins import Rig
-from tests.test_clients import REQUESTS, Hall, Transport, both
-from tests.test_wire import PARAMS, asked, fixed
+from tests.loopback import Rig
+from tests.net.downstream.test_clients import REQUESTS, Hall, Transport, both
+from tests.net.wire.test_codecs import PARAMS, asked, fixed
 from thornjunction import interface as api
 from thornjunction.core.ports import Content, Failed, Rejected, RequestOutcome, Served
-from thornjunction.net import operators
-from thornjunction.net.operators import OperatorsDoor, OperatorsLink
+from thornjunction.net.admin import admin_endpoint as operators
+from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import MAX_LINE_BYTES, LineReader, encode_counters, encode_reply
 from thornjunction.runtime.admin_metrics import collect_admin_metrics
@@ -42,10 +42,10 @@
     def __init__(self) -> None:
         self.hall = Hall()
         calls = {"check": lambda: encode_reply(True)}
-        self.door = OperatorsDoor(calls, self.hall.deadlines, lambda: self.hall.now)
+        self.door = AdminEndpoint(calls, self.hall.deadlines, lambda: self.hall.now)
 
     def connect(self, data: bytes = b"") -> Any:
-        link: Any = OperatorsLink(self.door)
+        link: Any = AdminConnection(self.door)
         link.makeConnection(Transport())
         if data:
             link.dataReceived(data)
--- a/tests/sources_rig.py
+++ b/tests/net/discovery/sources_rig.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from control_client import SourceSelector
-from standins.rig import reactor, until
-from standins.watch import HandClock, WatchStandIn, answer
+from fakes.fake_discovery import HandClock, WatchStandIn, answer
+from fakes.loopback_environment import reactor, until
 from twisted.internet import protocol
 from twisted.internet.defer import inlineCallbacks
 from twisted.python.failure import Failure
 
-from thornjunction.net.sourced_channel import SourcedChannel
-from thornjunction.net.transport import Building
+from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
+from thornjunction.net.event_loop.transport import Building
 from thornjunction.net.wire.commands import Command, ListChange
 
 Query = dict[str, str]
@@ -153,7 +153,7 @@
         self.epochs = self.current = 0
         machine = SourceSelector([source.address for source in self.sources], lambda: 0.5)
         clock: Callable[[], float] = lambda: self.now  # noqa: E731
-        self.channel = SourcedChannel(
+        self.channel = MultiSourceWatch(
             reactor,
             machine,
             10_000.0,
--- a/tests/test_new_numbers.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from standins import watch
-from standins.rig import until
-from standins.watch import WatchRig, answer, fetched_from, line, purges
+from fakes import fake_discovery as watch
+from fakes.fake_discovery import WatchRig, answer, fetched_from, line, purges
+from fakes.loopback_environment import until
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.test_watch import service_of
+from tests.net.discovery.test_watch import service_of
 from thornjunction.net.wire.commands import Commands, ListChange
 
 SOME = 3000  # events whose answer is long
--- a/tests/test_catch_up.py
+++ b/tests/net/discovery/test_resynchronization.py
@@ -7,17 +7,18 @@
 from typing import Any
 from unittest.mock import patch
 
-from standins import watch
-from standins.clients import FastCgiClient, fastcgi_request
-from standins.rig import reactor, until
-from standins.watch import HEAD, WatchRig, answer, chunked, hold, purges, say, told
+from fakes import fake_discovery as watch
+from fakes.clients import FastCgiClient, fastcgi_request
+from fakes.fake_discovery import HEAD, WatchRig, answer, chunked, hold, purges, say, told
+from fakes.loopback_environment import reactor, until
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.standins import Rig
-from thornjunction.net import catch_up, channel_link
-from thornjunction.net import channel as channels
-from thornjunction.net.catch_up import CatchUp
+from tests.loopback import Rig
+from thornjunction.net.discovery import resynchronization as catch_up
+from thornjunction.net.discovery import watch_client as channels
+from thornjunction.net.discovery import watch_connection as channel_link
+from thornjunction.net.discovery.resynchronization import Resynchronization
 from thornjunction.net.wire.commands import Commands
 
 AN_HOUR = 122_400  # purges: 34 a second
@@ -52,9 +53,9 @@
         self.discovery, self.channel = self.rig.discovery, self.rig.channel
         self.addCleanup(self.rig.stop)
         self.pieces: list[tuple[int, int]] = []  # bytes that were taken, bytes that were held before, of each
-        take = CatchUp.take
+        take = Resynchronization.take
 
-        def noted(catching: CatchUp) -> bool:
+        def noted(catching: Resynchronization) -> bool:
             held, link = len(catching._waiting), self.rig.channel.link
             try:
                 return take(catching)
@@ -62,7 +63,7 @@
                 self.pieces.append((held - len(catching._waiting), held + link.reader.held))
 
         shortest = patch.object(channels.random, "random", lambda: 0.0)  # of each pause: half of it
-        for patcher in (patch.object(CatchUp, "take", noted), shortest):
+        for patcher in (patch.object(Resynchronization, "take", noted), shortest):
             patcher.start()
             self.addCleanup(patcher.stop)
 
@@ -132,7 +133,7 @@
         """A refusal says nothing however long it is, and a connection that is to close is not asked again."""
         refusal, last = answer(LONG, 500), answer(LONG).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
         for form, code, cursor in ((refusal, "status-500", 0), (last, "no-keep-alive", SOME)):
-            with patch.object(channels, "log_end") as ends:
+            with patch.object(channels, "log_disconnect") as ends:
                 yield self.rig.afresh(say(form), hold)
                 yield self.rig.come(self.channel_is_down)
             self.assertEqual((ends.call_args.args[2], self.rig.channel.cursor), (code, cursor))
@@ -191,7 +192,7 @@
         """What was whole before it counts, once; what is held and read of it is bounded."""
         for name, (rest, code) in SPOILT.items():
             del self.pieces[:]
-            with patch.object(channels, "log_end") as ends:
+            with patch.object(channels, "log_disconnect") as ends:
                 yield self.rig.afresh(say(chunked(LONG[:MIDDLE] + rest, 5000, b"")))
                 yield self.rig.come(self.channel_is_down)
             self.assertEqual(ends.call_args.args[2], code, name)
@@ -204,7 +205,10 @@
 
     @inlineCallbacks
     def test_an_answer_without_end_is_bounded_in_bytes(self) -> Any:
-        with patch.object(channel_link, "LONGEST", len(LONG)), patch.object(channels, "log_end") as ends:
+        with (
+            patch.object(channel_link, "LONGEST", len(LONG)),
+            patch.object(channels, "log_disconnect") as ends,
+        ):
             yield self.rig.afresh(say(chunked(told(purges(1, 6000), 6000), 1000, b"")))
             yield self.rig.come(self.channel_is_down)
         self.assertEqual(ends.call_args.args[2], "http-body-size")
--- a/tests/test_sources.py
+++ b/tests/net/discovery/test_sources.py
@@ -6,14 +6,14 @@
 import json
 from typing import Any
 
-from standins.rig import reactor, until
+from fakes.loopback_environment import reactor, until
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.sources_rig import ScriptedSource, SourcesRig
-from tests.test_core import CONFIG
+from tests.core.test_engine import CONFIG
+from tests.net.discovery.sources_rig import ScriptedSource, SourcesRig
 from thornjunction.core.counters import Counters
-from thornjunction.net.channel import Channel
+from thornjunction.net.discovery.watch_client import WatchClient
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.control_settings import ControlSettings
 from thornjunction.runtime.errors import ConfigError
@@ -318,7 +318,7 @@
         config = parse_config(json.dumps(CONFIG).encode(), {})
         service = Service(config, Extras(), reactor, Counters(), lambda: config)
         self.addCleanup(service.alarm.stop)
-        self.assertIs(type(service.channel), Channel)
+        self.assertIs(type(service.channel), WatchClient)
         self.assertEqual(service.channel.target(1200.0), "/cmd/next?resume=0&block=1200")
         self.assertNotIn(b"control_", service.admin_calls.metrics())
 
--- a/tests/test_watch.py
+++ b/tests/net/discovery/test_watch.py
@@ -9,15 +9,15 @@
 from unittest.mock import Mock, patch
 
 import pytest
-from standins import watch
-from standins.rig import reactor, until
-from standins.watch import GOOD, ScriptedDiscovery, WatchRig, answer, fetched_from, hold, line, say
+from fakes import fake_discovery as watch
+from fakes.fake_discovery import GOOD, ScriptedDiscovery, WatchRig, answer, fetched_from, hold, line, say
+from fakes.loopback_environment import reactor, until
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.test_core import CONFIG
+from tests.core.test_engine import CONFIG
 from thornjunction.core.counters import Counters
-from thornjunction.net import channel as channels
+from thornjunction.net.discovery import watch_client as channels
 from thornjunction.net.wire.commands import ListChange, decode_commands
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.service import Service
@@ -161,7 +161,7 @@
     def test_discovery_down_for_long_costs_few_dials_lines_and_descriptors(self) -> Any:
         yield self.discovery.port.stopListening()
         held, started = len(os.listdir("/proc/self/fd")), self.rig.now
-        with patch.object(channels, "log_end") as lines:
+        with patch.object(channels, "log_disconnect") as lines:
             self.channel.start()
             yield self.rig.failed(200)
         yield self.rig.end()
@@ -201,7 +201,7 @@
     its first listing; a later start is one."""
     service, seen = service_of(), []
     for unix_s, born_ms in ((1e9, 4e12), (1e9 + 7.1, 4e12), (1e9 - 60.0, 4e12), (1e9, 4.1e12)):
-        with patch("thornjunction.net.alarm.time.time", lambda unix_s=unix_s: unix_s):
+        with patch("thornjunction.net.event_loop.timer_service.time.time", lambda unix_s=unix_s: unix_s):
             told = commands({"cursor": 1, "nodes": {"hosts": [line("c1", born_ms=born_ms)]}})
             service.handle_command(decode_commands(told).events[0])
         seen.append(service.router.placement.server_list.servers["c1"])
@@ -235,7 +235,7 @@
 
 def test_an_event_that_the_program_stumbles_over_holds_up_none() -> None:
     take = Mock(side_effect=OverflowError)
-    channel = channels.Channel(None, ("127.0.0.1", 1), Mock(), float, take, Mock())
+    channel = channels.WatchClient(None, ("127.0.0.1", 1), Mock(), float, take, Mock())
     for _ in range(2):
         channel.answered(decode_commands(commands(FIRST, SECOND)))
     assert take.call_count == 2 and channel.cursor == 2
--- a/tests/test_clients.py
+++ b/tests/net/downstream/test_clients.py
@@ -9,8 +9,8 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from tests.standins import BASE, CLIP, TRUST
-from tests.test_wire import PARAMS, asked
+from tests.loopback import BASE, CLIP, TRUST
+from tests.net.wire.test_codecs import PARAMS, asked
 from thornjunction import interface as api
 from thornjunction.core.ports import (
     Answer,
@@ -23,10 +23,15 @@
 )
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.client_link import LINGER_MS, MAX_CROSSED, ClientLink, ClientTable
-from thornjunction.net.front_fastcgi import MISUSES, FastCgiLink
-from thornjunction.net.front_signed import MAX_WAITING, Door, SignedLink
-from thornjunction.net.turns import SLICE_MS
+from thornjunction.net.downstream.connection import (
+    LINGER_MS,
+    MAX_CROSSED,
+    DownstreamConnection,
+    DownstreamTable,
+)
+from thornjunction.net.downstream.fastcgi_front import MISUSES, FastCgiConnection
+from thornjunction.net.downstream.request_scheduler import SLICE_MS
+from thornjunction.net.downstream.signed_front import MAX_WAITING, SignedConnection, SignedRequestContext
 from thornjunction.net.wire import fastcgi
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
@@ -54,8 +59,8 @@
         self.now, self.deadlines, self.replies = 1000.0, Deadlines(), []  # type: ignore[var-annotated]
         self.turned_away: list[tuple[str, Answer]] = []
         self.full = False
-        self.table = ClientTable(capacity, ByteBudget(limit))
-        self.door = Door(self, {"films": FILMS}, BASE, TRUST, ReplayWindow(), lambda: 5.0)
+        self.table = DownstreamTable(capacity, ByteBudget(limit))
+        self.door = SignedRequestContext(self, {"films": FILMS}, BASE, TRUST, ReplayWindow(), lambda: 5.0)
 
     def open(self, call: ClientRequest, reply: ReplyCallback) -> int:
         if self.full:
@@ -69,13 +74,13 @@
     def abandon(self, number: int) -> None:
         pass
 
-    def connect(self, kind: str) -> ClientLink:
-        link: ClientLink
+    def connect(self, kind: str) -> DownstreamConnection:
+        link: DownstreamConnection
         if kind == "fastcgi":
             turns = (lambda: True, bytes, self.turn_away, lambda: 0.0)
-            link = FastCgiLink(self.table, self.deadlines, lambda: self.now, self, *turns)
+            link = FastCgiConnection(self.table, self.deadlines, lambda: self.now, self, *turns)
         else:
-            link = SignedLink(self.table, self.deadlines, lambda: self.now, self.door)
+            link = SignedConnection(self.table, self.deadlines, lambda: self.now, self.door)
         link.makeConnection(Transport())
         return link
 
--- a/tests/test_client_endings.py
+++ b/tests/net/downstream/test_connection_end.py
@@ -8,13 +8,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from standins.bare import ENDS, BareClient, BareClients, aborted, asked
+from fakes.raw_socket import ENDS, BareClient, BareClients, aborted, asked
 from twisted.trial.unittest import TestCase
 
-from tests.standins import CLIP, Rig
+from tests.loopback import CLIP, Rig
 from thornjunction import interface as api
-from thornjunction.net.alarm import core_ms
-from thornjunction.net.client_link import IDLE_MS, SILENT_MS, ClientTable
+from thornjunction.net.downstream.connection import IDLE_MS, SILENT_MS, DownstreamTable
+from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire import fastcgi
 from thornjunction.runtime.drain import Drain
 from thornjunction.runtime.shutdown import Shutdown
@@ -116,7 +116,7 @@
             self.assertEqual(len(self.rig.wants()), sent)
 
     async def test_accepted_sockets_hold_no_small_write_back_and_who_finds_no_room_is_not_reset(self) -> None:
-        self.rig.clients, self.rig.script = ClientTable(1, self.rig.clients.budget), [None]
+        self.rig.clients, self.rig.script = DownstreamTable(1, self.rig.clients.budget), [None]
         first, link = await self.clients.rested()
         first.send(asked(1))
         await self.until(self.rig.wants)
@@ -189,7 +189,7 @@
             return take(call, reply)
 
         self.rig.script = [None] * 20
-        late = patch("standins.rig.core_ms", lambda: core_ms() + slow[0])
+        late = patch("fakes.loopback_environment.core_ms", lambda: core_ms() + slow[0])
         with late, patch.object(self.engine, "open", decide):
             client.send(b"".join(asked(number + 1) for number in range(20)))
             await self.until(lambda: opened and not self.rig.clients.connected)
@@ -201,7 +201,10 @@
         client.send(asked(1, "keyed", HTTP_X_TXN_KEY="k"))
         await self.until(lambda: self.engine.router.requests.waiting)
         client.leave()
-        with patch.object(self.engine, "clock", late), patch("thornjunction.net.alarm.core_ms", late):
+        with (
+            patch.object(self.engine, "clock", late),
+            patch("thornjunction.net.event_loop.timer_service.core_ms", late),
+        ):
             self.rig.alarm._call.cancel()
             self.rig.alarm._ring()
             await self.clients.gone()
--- a/tests/test_signed_front.py
+++ b/tests/net/downstream/test_signed_front.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from typing import Any
 
-from standins.clients import FastCgiClient as FcgiClient
+from fakes.clients import FastCgiClient as FcgiClient
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.standins import ALERT, CLIP, TRUST, Rig
-from tests.test_wire import PARAMS, asked
+from tests.loopback import ALERT, CLIP, TRUST, Rig
+from tests.net.wire.test_codecs import PARAMS, asked
 from thornjunction.net.wire import fastcgi
 from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow
 
--- a/tests/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 import pytest
-from standins.bare import BareClient, BareShelf, address, asked, call
-from standins.config import config_at
+from fakes.config import config_at
+from fakes.raw_socket import BareClient, BareShelf, address, asked, call
 from twisted.internet import protocol
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from tests.test_handover import Program
-from thornjunction.net.client_priority import ClientPriorityReactor
-from thornjunction.net.transport import Building
+from tests.runtime.test_handover import Program
+from thornjunction.net.event_loop.client_priority import ClientPriorityReactor
+from thornjunction.net.event_loop.transport import Building
 
 SLOW_S = 0.05  # longer than a turn may spend on servers, and than a look at the clients holds
 
--- a/tests/test_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -6,16 +6,16 @@
 from typing import Any, cast
 
 import pytest
+from fakes.loopback_environment import until
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from standins.rig import until
 from twisted.internet import reactor
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.standins import BASE, TRUST
-from thornjunction.net.alarm import Alarm, core_ms
-from thornjunction.net.gossip import Gossip
+from tests.loopback import BASE, TRUST
+from thornjunction.net.event_loop.timer_service import TimerService, core_ms
+from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.net.wire import ProtocolError, gossip
 from thornjunction.runtime.signed_front import SignedFront
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings
@@ -29,19 +29,19 @@
     timeout = 20
 
     def setUp(self) -> None:
-        self.alarm = Alarm(reactor)
+        self.alarm = TimerService(reactor)
         self.addCleanup(self.alarm.stop)
         self.routers = [self.router() for _ in range(2)]
         (a, port_a), (b, port_b) = self.routers
         a.peers, b.peers = (("127.0.0.1", port_b.getHost().port),), (("127.0.0.1", port_a.getHost().port),)
 
-    def router(self) -> tuple[Gossip, Any]:
-        told = Gossip(ReplayWindow(), (), SECRET, self.alarm.deadlines, core_ms, lambda: NOW)
+    def router(self) -> tuple[ReplayGossip, Any]:
+        told = ReplayGossip(ReplayWindow(), (), SECRET, self.alarm.deadlines, core_ms, lambda: NOW)
         port = reactor.listenUDP(0, told, interface="127.0.0.1")
         self.addCleanup(port.stopListening)
         return told, port
 
-    def take(self, at: Gossip, jti: str) -> str:
+    def take(self, at: ReplayGossip, jti: str) -> str:
         token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(URI), NOW, 60, jti=jti)
         try:
             grant = tokens.verify(token, URI, TRUST, at.window, NOW)
--- a/tests/test_relay_endpoint.py
+++ b/tests/net/relay/test_poll_endpoint.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 import pytest
-from standins.rig import until
+from fakes.loopback_environment import until
 from twisted.internet import reactor as _reactor
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.relay import LOOK_MS, MAX_HEAD, PIECE, SILENT_MS, UNREAD_MS, Pollers
-from thornjunction.net.transport import Building
+from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.relay.poll_endpoint import LOOK_MS, MAX_HEAD, PIECE, SILENT_MS, UNREAD_MS, PollerTable
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import encode_host, parse_commands
 from thornjunction.net.wire.polls import MAX_PAIRS, Poll, decode_poll
@@ -90,7 +90,7 @@
 
 
 class EndpointTest(TestCase):
-    """Pollers on a real port, with a machine that answers on command and a clock that is turned by hand."""
+    """A PollerTable on a real port, with a core that answers on command and a clock set by hand."""
 
     timeout = 20
 
@@ -99,7 +99,7 @@
         self.asked: list[tuple[int, Poll]] = []
         self.gone: list[int] = []
         self.clients: list[socket.socket] = []
-        self.pollers = Pollers(3, self.deadlines, lambda: self.now, self.ask, self.gone.append)
+        self.pollers = PollerTable(3, self.deadlines, lambda: self.now, self.ask, self.gone.append)
         self.port = reactor.listenTCP(0, Building(self.pollers.build), interface="127.0.0.1")
         self.addCleanup(self.stop)
 
--- a/tests/test_shelf_endings.py
+++ b/tests/net/upstream/test_connection_end.py
@@ -6,18 +6,19 @@
 from typing import Any
 from unittest.mock import patch
 
-from standins.clients import FastCgiClient
+from fakes.clients import FastCgiClient
 from twisted.internet import reactor, tcp
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.error import ConnectionDone
 from twisted.trial.unittest import TestCase
 
-from tests.standins import SETTINGS_HERE, Rig
-from tests.test_wire import PARAMS, asked
+from tests.loopback import SETTINGS_HERE, Rig
+from tests.net.wire.test_codecs import PARAMS, asked
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
-from thornjunction.net import shelf_link, shelves
-from thornjunction.net.alarm import core_ms
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.upstream import connection as shelf_link
+from thornjunction.net.upstream import connection_pool as shelves
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import encode_array
 
--- a/tests/test_passed_deadline.py
+++ b/tests/net/upstream/test_passed_deadline.py
@@ -7,10 +7,10 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.standins import Rig
+from tests.loopback import Rig
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
-from thornjunction.net.alarm import core_ms
+from thornjunction.net.event_loop.timer_service import core_ms
 
 LEFT_MS = 900.0
 
--- a/tests/test_pool_capacity.py
+++ b/tests/net/upstream/test_pool_capacity.py
@@ -8,10 +8,10 @@
 from twisted.internet.error import ConnectionDone
 from twisted.trial.unittest import TestCase
 
-from tests.standins import Rig
+from tests.loopback import Rig
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
-from thornjunction.net.connection_table import ConnectionTable
+from thornjunction.net.upstream.connection_table import ConnectionTable
 from thornjunction.net.wire.commands import Host
 
 
--- a/tests/test_wire.py
+++ b/tests/net/wire/test_codecs.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 import pytest
+from fakes.clients import fastcgi_request
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from standins.clients import fastcgi_request
 
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, Content, Failed, Rejected, Served, UpstreamRequest
--- a/tests/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -9,9 +9,9 @@
 from unittest.mock import patch
 
 import pytest
-from standins.watch import line, purge, purges, told
+from fakes.fake_discovery import line, purge, purges, told
 
-from tests.test_watch import service_of
+from tests.net.discovery.test_watch import service_of
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.command_stream import CommandStreamParser
 from thornjunction.net.wire.commands import Commands, Purge, decode_commands
--- a/tests/errno_launcher.py
+++ b/tests/program/errno_launcher.py
@@ -1,4 +1,4 @@
-"""Starts the real program with socket calls that fail by a schedule: ``python -m tests.errno_launcher``.
+"""Starts the real program with socket calls that fail by a schedule.
 
 ``SOCKET_FAULTS`` holds a JSON list of faults: ``call`` (a method of ``socket.socket``), ``errno`` (its name),
 ``every`` (of the calls, which one fails: 2 is every second; absent: each) and ``flag`` (a file: calls fail
--- a/tests/test_clock_steps.py
+++ b/tests/program/test_clock_steps.py
@@ -25,17 +25,17 @@
 from control_harness.loopback_server import LoopbackServer
 from control_harness.participants import Participant, RelayParticipant, RouterParticipant, free_addresses
 from control_harness.poller import Poller
-from standins.bare import BareClient, BareShelf, address, asked, connect
-from standins.config import config_at
-from standins.watch import line
-
-from tests.test_handover import Program, check
-from tests.test_watch import commands, service_of
-from thornjunction.net.alarm import core_ms
-from thornjunction.net.channel import AGAIN_MS, MOST_AGAIN_MS
-from thornjunction.net.channel_link import AT_ONCE_MS, SILENT_MS
-from thornjunction.net.sourced_channel import POLL_MS
-from thornjunction.net.unix_clock import UnixClock
+from fakes.config import config_at
+from fakes.fake_discovery import line
+from fakes.raw_socket import BareClient, BareShelf, address, asked, connect
+
+from tests.net.discovery.test_watch import commands, service_of
+from tests.runtime.test_handover import Program, check
+from thornjunction.net.discovery.multi_source_watch import POLL_MS
+from thornjunction.net.discovery.watch_client import AGAIN_MS, MOST_AGAIN_MS
+from thornjunction.net.discovery.watch_connection import AT_ONCE_MS, SILENT_MS
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire.commands import Purge, decode_commands
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.runtime.relay import FLUSH_TIMEOUT_MS
--- a/tests/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -1,5 +1,5 @@
 """Socket calls that fail for this machine's own reasons, or for those of the way there, in the real program:
-``tests/errno_launcher.py`` makes them fail, and a server closes its connection after each answer."""
+``tests/program/errno_launcher.py`` makes them fail, and a server closes its connection after each answer."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from unittest.mock import patch
 
 import pytest
-from standins.bare import BareClient, address, asked
-from standins.config import config_at
+from fakes.config import config_at
+from fakes.raw_socket import BareClient, address, asked
 from twisted.internet.defer import fail
 from twisted.internet.error import getConnectError
 from twisted.trial.unittest import TestCase
 
-from tests.standins import Rig
-from tests.test_handover import Program
+from tests.loopback import Rig
+from tests.runtime.test_handover import Program
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net import server_dial
-from thornjunction.net.gossip import Gossip
-from thornjunction.net.metrics import Metrics
+from thornjunction.net.gossip.replay_gossip import ReplayGossip
+from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+from thornjunction.net.upstream import connect_attempt as server_dial
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
@@ -79,7 +79,9 @@
         socket.create_server(("127.0.0.1", 0)) as channel,
     ):
         config = config_at(address(shared), address(channel), address(server.listening), longest_ms=1500.0)
-        run = Program(folder, shared, config, "tests.errno_launcher", SOCKET_FAULTS=json.dumps(faults))
+        run = Program(
+            folder, shared, config, "tests.program.errno_launcher", SOCKET_FAULTS=json.dumps(faults)
+        )
         try:
             yield shared.getsockname()[1]
         finally:
@@ -139,10 +141,10 @@
 def test_datagrams_that_cannot_be_sent_are_lost_and_nothing_else() -> None:
     """Raised out of a deadline, the error would end the figures, and the deadlines that are due with it."""
     deadlines, window = Deadlines(), ReplayWindow()
-    gossip = Gossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
+    gossip = ReplayGossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
     gossip.tell(ReplayEntry(b"k" * 16, 99.0))
-    metrics = Metrics(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
+    metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
     metrics._collectd, metrics._udp = ("127.0.0.1", 9), SocketWithoutWay()
     metrics.start()
     deadlines.run_due(10_000.0)
--- a/tests/test_program.py
+++ b/tests/program/test_program.py
@@ -12,24 +12,25 @@
 from typing import Any
 from unittest.mock import patch
 
-from standins.bare import address, call, connect
+from fakes.raw_socket import address, call, connect
 from twisted.internet import protocol, reactor
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.standins import Client, Rig
-from tests.test_core import CONFIG
-from tests.test_wire import asked, collectd_values
+from tests.core.test_engine import CONFIG
+from tests.loopback import Client, Rig
+from tests.net.wire.test_codecs import asked, collectd_values
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
-from thornjunction.net import shelf_link, shelves
-from thornjunction.net.alarm import core_ms
-from thornjunction.net.metrics import Metrics
-from thornjunction.net.transport import Building
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+from thornjunction.net.upstream import connection as shelf_link
+from thornjunction.net.upstream import connection_pool as shelves
 from thornjunction.net.wire import fastcgi
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 class PoolTest(TestCase):
@@ -193,7 +194,7 @@
 
         tcp = reactor.listenTCP(0, Building(Graphite), interface="127.0.0.1")
         udp = reactor.listenUDP(0, Collectd(), interface="127.0.0.1")
-        metrics = Metrics(reactor, rig.alarm.deadlines, core_ms, lambda: 10.5, counters, "n1", 10.0)
+        metrics = MetricsExporter(reactor, rig.alarm.deadlines, core_ms, lambda: 10.5, counters, "n1", 10.0)
         metrics.to_graphite(("127.0.0.1", tcp.getHost().port), "tj")
         metrics.to_collectd(("127.0.0.1", udp.getHost().port))
         metrics.start()
--- a/tests/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -8,7 +8,7 @@
 
 pytest_plugins = ["pytester"]
 
-CONFTEST = Path(__file__).resolve().parent.parent / "conftest.py"
+CONFTEST = Path(__file__).resolve().parents[2] / "conftest.py"
 RED = "test_it.py::test_red, adds wrongly, issue 1\n"
 
 
--- a/tests/test_limits.py
+++ b/tests/repository/test_policy_files.py
@@ -7,7 +7,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 NAMED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
 TEXTS = {name: (ROOT / name).read_text(encoding="utf-8") for name in NAMED}
 LINES = {name: text.splitlines() for name, text in TEXTS.items()}
--- a/tests/test_readable.py
+++ b/tests/repository/test_readable.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 FOLDERS = ("benchmarks", "packages", "tests", "thornjunction")
 MAX_FUNCTION_LINES = 40
 
--- a/tests/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-README = Path(__file__).resolve().parent.parent / "README.md"
+README = Path(__file__).resolve().parents[2] / "README.md"
 
 
 def test_example_prints_what_it_says(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_control_settings.py
+++ b/tests/runtime/test_control_settings.py
@@ -19,7 +19,7 @@
 from thornjunction.runtime.extras import load_extras
 from thornjunction.settings import SettingsReader, WireError
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 RELAY: dict[str, Any] = {"listen": "127.0.0.1:8600", "name": "relay-1", "upstreams": ["127.0.0.1:8700"]}
 
 
--- a/tests/test_durable.py
+++ b/tests/runtime/test_durable.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.test_fleet import life
+from tests.runtime.test_fleet import life
 from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.incarnation import INCARNATION_STEP
 
--- a/tests/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -14,7 +14,7 @@
 from twisted.internet.error import CannotListenError
 
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.alarm import core_ms
+from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.runtime import fleet, incarnation
 from thornjunction.runtime.errors import ConfigError
 from thornjunction.runtime.extras import load_extras
--- a/tests/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from standins.bare import address, call, connect
+from fakes.raw_socket import address, call, connect
 
-from tests.test_core import CONFIG
-from tests.test_program import ROOT
-from tests.test_wire import asked
+from tests.core.test_engine import CONFIG
+from tests.net.wire.test_codecs import asked
+from tests.program.test_program import ROOT
 from thornjunction.net.wire import fastcgi
 from thornjunction.runtime.handover import Handover
 
--- a/tests/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from tests.core.test_engine import CONFIG, Script
 from tests.helpers import FILMS, KEYED, ORDER, SETTINGS, Bench, fetch_of, finals, only
-from tests.test_core import CONFIG, Script
 from thornjunction import interface as api
 from thornjunction.runtime.config import check_complete, parse_config
 from thornjunction.runtime.errors import ConfigError
--- a/tests/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 import pytest
-from standins.bare import BareClient, BareShelf, address, asked, call
-from standins.config import config_at
+from fakes.config import config_at
+from fakes.raw_socket import BareClient, BareShelf, address, asked, call
 from twisted.internet.testing import MemoryReactorClock
 
-from tests.test_clients import Hall
-from tests.test_core import CONFIG
-from tests.test_handover import Program
-from tests.test_program import ROOT
+from tests.core.test_engine import CONFIG
+from tests.net.downstream.test_clients import Hall
+from tests.program.test_program import ROOT
+from tests.runtime.test_handover import Program
 from thornjunction.core.counters import Counters
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.drain import Drain
--- a/tests/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -20,10 +20,10 @@
 from twisted.internet.endpoints import SSL4ClientEndpoint
 from twisted.trial.unittest import TestCase
 
-from tests.standins import CLIP, Client, Rig
-from thornjunction.net.alarm import core_ms
-from thornjunction.net.front_signed import SignedLink
-from thornjunction.net.transport import Building
+from tests.loopback import CLIP, Client, Rig
+from thornjunction.net.downstream.signed_front import SignedConnection
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.event_loop.transport import Building
 from thornjunction.runtime.errors import TlsError
 from thornjunction.runtime.signed_settings import TlsFiles
 from thornjunction.runtime.tls import CertificateReloader
@@ -132,7 +132,7 @@
     def test_the_second_front_serves_a_signed_url_over_tls(self) -> Any:
         rig = Rig()
         self.addCleanup(rig.stop)
-        build = Building(lambda: SignedLink(rig.clients, rig.alarm.deadlines, core_ms, rig.door))
+        build = Building(lambda: SignedConnection(rig.clients, rig.alarm.deadlines, core_ms, rig.door))
         rig.ports.append(reactor.listenSSL(0, build, self.watch, interface="127.0.0.1"))
         port = rig.ports[-1].getHost().port
         endpoint = SSL4ClientEndpoint(reactor, "127.0.0.1", port, ssl.CertificateOptions())
--- a/tests/test_keys.py
+++ b/tests/signing/test_key_sets.py
@@ -9,8 +9,8 @@
 import pytest
 from joserfc.jwk import OctKey
 
-from tests.standins import BASE, TRUST
-from thornjunction.net.front_signed import Door
+from tests.loopback import BASE, TRUST
+from thornjunction.net.downstream.signed_front import SignedRequestContext
 from thornjunction.runtime.errors import ConfigError
 from thornjunction.runtime.extras import load_extras
 from thornjunction.runtime.key_set import KeySetReloader
@@ -62,7 +62,7 @@
         3276,
         "x-forwarded-for",
     )
-    door = Door(None, {}, BASE, front.trust, ReplayWindow(), lambda: 1000.0)  # type: ignore[arg-type]
+    door = SignedRequestContext(None, {}, BASE, front.trust, ReplayWindow(), lambda: 1000.0)  # type: ignore[arg-type]
     watch = KeySetReloader(door, front.keyset)
     watch.reload()
     write(tmp_path, key("a", "x"), key("b", "y"))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,7 +19,7 @@
 from click.testing import CliRunner
 from joserfc.jwk import OctKey
 
-from tests.test_keys import EXTRAS
+from tests.signing.test_key_sets import EXTRAS
 from thornjunction.cli import main
 
 CLIP = "/films/17/7f3a9c21e0b4d655/0"
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -31,7 +31,7 @@
 EXAMPLE_PATH = "/clips/1/00000000000000ff/0"
 """Class, group, object and part of the request that the greeting proposes."""
 
-FAKES_FOLDER = Path(__file__).resolve().parents[2] / "packages" / "standins" / "src"
+FAKES_FOLDER = Path(__file__).resolve().parents[2] / "packages" / "fakes" / "src"
 SOCKETS = 90
 """Limit of the demo's router: it serves one newcomer."""
 
@@ -65,15 +65,15 @@
 
 def make_fakes_importable() -> None:
     """Guards the demo in a tree built by ``make build``, which doesn't install the fakes beside it."""
-    if find_spec("standins") is None:
+    if find_spec("fakes") is None:
         sys.path.append(str(FAKES_FOLDER))
 
 
 def _start_fakes(reactor: Any) -> Config:
     """Start the fake cache servers and discovery; the configuration of a router that uses them."""
     make_fakes_importable()
-    from standins.config import SETTINGS, free_port, listed, listen
-    from standins.plain import DemoDiscovery, DemoShelf
+    from fakes.config import SETTINGS, free_port, listed, listen
+    from fakes.scripted import DemoDiscovery, DemoShelf
 
     edge_port = listen(reactor, DemoShelf)
     origin_port = listen(reactor, DemoShelf)
@@ -95,7 +95,7 @@
 
 def _signed_front() -> SignedFrontSettings:
     """A signed-URL front on a free port, with a key that this process alone knows."""
-    from standins.config import free_port
+    from fakes.config import free_port
 
     key = tokens.SigningKey("demo", "HS256", OctKey.import_key(secrets.token_bytes(SECRET_BYTES)))
     trust = tokens.Trust(frozenset({"demo"}), "thornjunction", ("HS256",), {"demo": key}, "demo")
--- /dev/null
+++ b/thornjunction/net/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The admin endpoint for operators."""
--- a/thornjunction/net/operators.py
+++ b/thornjunction/net/admin/admin_endpoint.py
@@ -8,15 +8,15 @@
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.endings import code_of, log_end
-from thornjunction.net.transport import Transport
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.transport import Transport
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import LineReader, encode_reply
 
 MOST_OPEN, SILENT_MS = 16, 3_000.0  # callers at once; for a whole call to come and its reply to be read
 
 
-class OperatorsDoor:
+class AdminEndpoint:
     """The calls by name, and the callers that are connected, in the order in which they came."""
 
     def __init__(
@@ -28,9 +28,9 @@
     ) -> None:
         self.calls, self.deadlines, self.clock = calls, deadlines, clock
         self.named = named or {}  # calls of two words: the second is handed on
-        self.links: dict[OperatorsLink, None] = {}
+        self.links: dict[AdminConnection, None] = {}
 
-    def add(self, link: OperatorsLink) -> None:
+    def add(self, link: AdminConnection) -> None:
         # Guards real calls against callers that connect and say nothing: the one who waits longest goes.
         if len(self.links) >= MOST_OPEN:
             next(iter(self.links)).close("evicted")
@@ -45,12 +45,12 @@
         return encode_reply(False, "no such call")
 
 
-class OperatorsLink(protocol.Protocol):
+class AdminConnection(protocol.Protocol):
     """One caller."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, door: OperatorsDoor) -> None:
+    def __init__(self, door: AdminEndpoint) -> None:
         self.door, self.reader, self.code = door, LineReader(), ""
         self.timer: Deadline | None = None
 
@@ -74,7 +74,7 @@
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         self.door.deadlines.cancel(self.timer)
         self.door.links.pop(self, None)
-        log_end("operators", None, self.code or code_of(reason))
+        log_disconnect("operators", None, self.code or disconnect_reason(reason))
 
     def close(self, code: str) -> None:
         self.door.links.pop(self, None)
--- a/thornjunction/net/new_numbers.py
+++ b/thornjunction/net/discovery/epoch_change.py
@@ -17,7 +17,7 @@
 MOST_NAMES = 8192  # of shelfs that are kept: many times the fleet
 
 
-class NewNumbers:
+class EpochChangeDetector:
     """Whether to ask from 0; times are the caller's clock, in milliseconds."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
     return isinstance(first, ListChange) and first.is_complete
 
 
-class Departed:
+class RemovedEndpoints:
     """The shelfs that were told as leaving, left, or not listed any more, until they are told as active."""
 
     def __init__(self) -> None:
--- a/thornjunction/net/sourced_channel.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -33,10 +33,10 @@
 from thornjunction import interface as api
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.backoff import worth_logging
-from thornjunction.net.channel import Channel
-from thornjunction.net.probe import Done, probe
-from thornjunction.net.unix_clock import UnixClock
+from thornjunction.net.discovery.source_probe import Done, probe
+from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.event_loop.backoff import should_log
+from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
@@ -64,7 +64,7 @@
     return command
 
 
-class SourcedChannel(Channel):
+class MultiSourceWatch(WatchClient):
     """``words`` gives what a poll says of its sender, by whether a sibling is asked; ``name`` is its own.
     ``on_epoch`` is called where numbers start anew, before anything is taken in them; ``on_confirmed``
     with the age (ms) of what is held and the number up to which all was taken, where an answer has told
@@ -144,7 +144,7 @@
         self._begun = False
         if commands.faults:
             self.faulty += 1
-            if worth_logging(self.faulty):
+            if should_log(self.faulty):
                 log.error("channel-faults", told=commands.cursor, faults=",".join(commands.faults))
         status = self._take(commands.events, commands.cursor)
         now, follower = self.clock(), self.follower
@@ -234,7 +234,7 @@
                 self.deadlines.add(self.clock() + in_ms, lambda: self._feed_machine(TimerFired(token)))
             case Notice(name, fields):
                 self._fails += name == "source-left"
-                if worth_logging(max(self._fails, 1)):
+                if should_log(max(self._fails, 1)):
                     log.info(name, failures=self._fails, **fields)
 
     def _dial(self) -> None:
--- a/thornjunction/net/catch_up.py
+++ b/thornjunction/net/discovery/resynchronization.py
@@ -19,7 +19,7 @@
 Apply = Callable[[Commands | None, list[Any]], Commands]
 
 
-class CatchUp:
+class Resynchronization:
     """Cuts one long answer into pieces.  ``apply`` is given a piece: what the answer says beside its events
     where that has come, and whole events as parsed JSON; it says what was new in them.  Ends at ``until`` on
     the clock (ms)."""
--- a/thornjunction/net/probe.py
+++ b/thornjunction/net/discovery/source_probe.py
@@ -11,8 +11,8 @@
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.endings import code_of
-from thornjunction.net.transport import Transport, dial
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
+from thornjunction.net.event_loop.transport import Transport, dial
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
@@ -23,7 +23,7 @@
 Done = Callable[[Commands | None, str], None]  # the answer, or why there is none
 
 
-class ProbeLink(protocol.Protocol):
+class ProbeConnection(protocol.Protocol):
     """Asks once; the end of the connection tells the result."""
 
     transport: Transport  # type: ignore[assignment]
@@ -56,7 +56,7 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        self.done(self.answer, self.code or code_of(reason))
+        self.done(self.answer, self.code or disconnect_reason(reason))
 
 
 def probe(
@@ -79,8 +79,8 @@
             deadlines.cancel(timer)
         done(answer, code)
 
-    def up(link: ProbeLink) -> None:
+    def up(link: ProbeConnection) -> None:
         timers.append(deadlines.add(until, link.silent))
 
-    dialled: Deferred[Any] = dial(reactor, address, lambda: ProbeLink(request, once), deadlines, until)
+    dialled: Deferred[Any] = dial(reactor, address, lambda: ProbeConnection(request, once), deadlines, until)
     dialled.addCallbacks(up, lambda _: done(None, "dial-failed"))
--- a/thornjunction/net/channel.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -15,12 +15,12 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.backoff import grown, worth_logging
-from thornjunction.net.catch_up import SHORT
-from thornjunction.net.channel_link import BLOCK_MS, SILENT_MS, ChannelLink
-from thornjunction.net.endings import log_end
-from thornjunction.net.new_numbers import Departed, NewNumbers, is_new_start
-from thornjunction.net.transport import dial
+from thornjunction.net.discovery.epoch_change import EpochChangeDetector, RemovedEndpoints, is_new_start
+from thornjunction.net.discovery.resynchronization import SHORT
+from thornjunction.net.discovery.watch_connection import BLOCK_MS, SILENT_MS, WatchConnection
+from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.disconnect_reasons import log_disconnect
+from thornjunction.net.event_loop.transport import dial
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
 DIAL_MS, MOST_DIAL_MS = 400.0, 1600.0  # for a connection; as that grows with dials that were not answered
@@ -33,7 +33,7 @@
 log = get_logger(__name__)
 
 
-class Channel:
+class WatchClient:
     """Keeps one connection to the command channel and the number of the last event taken in."""
 
     block_ms: float = BLOCK_MS  # of a poll
@@ -56,9 +56,9 @@
         self.failures = self.faulty = 0  # in a row: ends without an answer, or soon after one; answers
         self.silences = self.hangs = 0  # in a row: polls, and dials, that were not answered in time
         self.wasted = 0  # in a row: long answers that were read for nothing
-        self.link: ChannelLink | None = None
+        self.link: WatchConnection | None = None
         self._asked = 0  # the cursor at the last poll
-        self._numbers, self._departed, self._renewing = NewNumbers(), Departed(), False
+        self._numbers, self._departed, self._renewing = EpochChangeDetector(), RemovedEndpoints(), False
         self._dialling: Deferred[Any] | None = None
 
     def figures(self) -> dict[str, int]:
@@ -100,7 +100,7 @@
         behind = commands.cursor < self._asked
         faults = commands.faults + ("behind",) * behind
         self.faulty = self.faulty + 1 if faults else 0
-        if faults and worth_logging(self.faulty):
+        if faults and should_log(self.faulty):
             log.error("channel-faults", cursor=self.cursor, told=commands.cursor, faults=",".join(faults))
         self.apply(commands)
         self._renewing = False
@@ -161,17 +161,17 @@
 
     def pause_ms(self, times: int, spread: bool = False) -> float:
         """Before the next try, after so many in a row that brought nothing."""
-        wait_ms = grown(AGAIN_MS, max(times - 1, 0), MOST_AGAIN_MS)
+        wait_ms = exponential_backoff(AGAIN_MS, max(times - 1, 0), MOST_AGAIN_MS)
         if self.wasted:
-            wait_ms = max(wait_ms, grown(WASTED_MS, self.wasted - 1, MOST_WASTED_MS))
+            wait_ms = max(wait_ms, exponential_backoff(WASTED_MS, self.wasted - 1, MOST_WASTED_MS))
         return wait_ms * (0.5 + random.random() / 2) if spread or self.wasted else wait_ms
 
     def start(self) -> None:
         """Dial; what fails is tried again soon."""
         if self.stopped or self.link is not None or self._dialling is not None:
             return
-        until = self.clock() + grown(DIAL_MS, self.hangs, MOST_DIAL_MS)
-        connecting = dial(self.reactor, self.address, lambda: ChannelLink(self), self.deadlines, until)
+        until = self.clock() + exponential_backoff(DIAL_MS, self.hangs, MOST_DIAL_MS)
+        connecting = dial(self.reactor, self.address, lambda: WatchConnection(self), self.deadlines, until)
 
         def up(_: object) -> None:
             self._dialling, self.hangs = None, 0
@@ -190,7 +190,7 @@
             return
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.failures = self.silences = self.hangs = self.wasted = 0
-        self._numbers = NewNumbers()
+        self._numbers = EpochChangeDetector()
         if self.link is not None:
             self.link.leave("moved")
         elif self._dialling is not None:
@@ -200,7 +200,7 @@
         """Dial soon after a connection that worked, else after a growing while: a dead end costs no core."""
         self.failures = 0 if steady else self.failures + 1
         count = self.failures
-        if worth_logging(count):
-            log_end("channel", None, code, polls=polls, failures=count)
+        if should_log(count):
+            log_disconnect("channel", None, code, polls=polls, failures=count)
         # Guards a channel that comes back against all routers at one moment.
         self.deadlines.add(self.clock() + self.pause_ms(count, spread=True), self.start)
--- a/thornjunction/net/channel_link.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -8,15 +8,15 @@
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline
-from thornjunction.net.backoff import grown
-from thornjunction.net.catch_up import LONGEST, SHORT, CatchUp
-from thornjunction.net.endings import code_of
-from thornjunction.net.transport import Transport
+from thornjunction.net.discovery.resynchronization import LONGEST, SHORT, Resynchronization
+from thornjunction.net.event_loop.backoff import exponential_backoff
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
+from thornjunction.net.event_loop.transport import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
 if TYPE_CHECKING:
-    from thornjunction.net.channel import Channel
+    from thornjunction.net.discovery.watch_client import WatchClient
 
 BLOCK_MS, SILENT_MS = 1200, 800.0  # of one poll; how much later its answer, or the next piece, may come
 MOST_SILENT_MS = 5000.0  # as that grows: under the 7 s, and what the protocol lets a poll take
@@ -26,16 +26,16 @@
 LONG_MS = 30_000.0  # for one answer in pieces; what is left of it then is asked for again
 
 
-class ChannelLink(protocol.Protocol):
+class WatchConnection(protocol.Protocol):
     """Polls as long as it lives."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, channel: Channel) -> None:
+    def __init__(self, channel: WatchClient) -> None:
         self.channel, self.reader, self.code = channel, http1.ResponseReader(LONGEST), ""
         self.timer: Deadline | None = None
         self.turn: Deadline | None = None  # for the next piece of a long answer
-        self.long: CatchUp | None = None
+        self.long: Resynchronization | None = None
         self.keep = True  # whether the long answer lets the connection go on
         self.polls, self.empty, self.asked, self.since = 0, 0, False, channel.clock()
         self.due = self.block = self.sent_at = 0.0
@@ -58,7 +58,7 @@
         channel = self.channel
         channel.deadlines.cancel(self.timer)
         channel.expecting()
-        self.due = start + grown(channel.silent_ms, channel.silences, MOST_SILENT_MS)
+        self.due = start + exponential_backoff(channel.silent_ms, channel.silences, MOST_SILENT_MS)
         if self.long is not None:
             self.due = min(self.due, self.long.until)
         self.timer = channel.deadlines.add(self.due, self._overdue)
@@ -105,7 +105,7 @@
         if head.status != 200:
             raise ProtocolError(f"status-{head.status}")
         channel, self.keep = self.channel, head.keep_alive
-        self.long = CatchUp(channel.clock, channel.clock() + LONG_MS, channel.apply_piece)
+        self.long = Resynchronization(channel.clock, channel.clock() + LONG_MS, channel.apply_piece)
 
     def _piece(self) -> None:
         """Take as much as a turn may; then the requests have theirs, before the connection is read again."""
@@ -174,4 +174,4 @@
             steady = steady or not channel.still
             channel.read(self.long.wasted, useful=not channel.still)
             self.long.drop()
-        channel.lost(steady, self.code or code_of(reason), self.polls)
+        channel.lost(steady, self.code or disconnect_reason(reason), self.polls)
--- a/thornjunction/net/client_link.py
+++ b/thornjunction/net/downstream/connection.py
@@ -15,9 +15,9 @@
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.memory.slots import SlotTable
-from thornjunction.net.endings import code_of, log_end
-from thornjunction.net.transport import Transport
-from thornjunction.net.turns import Turns
+from thornjunction.net.downstream.request_scheduler import RequestScheduler
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.transport import Transport
 
 LOOK_MS = 500.0  # between looks at a connection's times
 SILENT_MS = 2_000.0  # for the first whole request, and for the rest of one that has begun: 3 s are owed
@@ -41,20 +41,20 @@
     return bool(look.poll(0))
 
 
-class ClientTable:
+class DownstreamTable:
     """The connections of all fronts in numbered slots; where all are taken, the longest idle one goes."""
 
     def __init__(self, capacity: int, budget: ByteBudget) -> None:
         self.budget = budget
-        self._slots: SlotTable[ClientLink] = SlotTable(capacity)
-        self._idle: dict[ClientLink, None] = {}  # in the order in which they fell idle
-        self.lingering: dict[ClientLink, None] = {}  # in the order in which we shut our side
-        self.turns = Turns()
+        self._slots: SlotTable[DownstreamConnection] = SlotTable(capacity)
+        self._idle: dict[DownstreamConnection, None] = {}  # in the order in which they fell idle
+        self.lingering: dict[DownstreamConnection, None] = {}  # in the order in which we shut our side
+        self.turns = RequestScheduler()
 
     def __len__(self) -> int:
         return len(self._slots)
 
-    def __iter__(self) -> Iterator[ClientLink]:
+    def __iter__(self) -> Iterator[DownstreamConnection]:
         return iter(self._slots)
 
     @property
@@ -62,7 +62,7 @@
         """Those that linger, too."""
         return len(self._slots) + len(self.lingering)
 
-    def add(self, link: ClientLink) -> int | None:
+    def add(self, link: DownstreamConnection) -> int | None:
         """Its number; None where every connection has an open request."""
         if self._slots.full:
             self._evict()
@@ -81,7 +81,7 @@
             if not link.is_open():
                 return link.finish("evicted", CROSSING_MS)
 
-    def linger(self, link: ClientLink) -> None:
+    def linger(self, link: DownstreamConnection) -> None:
         """It reads on in nobody's place, until its client has closed too."""
         self.remove(link)
         self.lingering[link] = None
@@ -95,13 +95,13 @@
             del self.lingering[longest]
             longest.close("lingering")
 
-    def mark(self, link: ClientLink, is_open: bool) -> None:
+    def mark(self, link: DownstreamConnection, is_open: bool) -> None:
         """Told after each turn of a connection: it goes to the end of the line, or out of it."""
         self._idle.pop(link, None)
         if not is_open and link.slot is not None:
             self._idle[link] = None
 
-    def remove(self, link: ClientLink) -> None:
+    def remove(self, link: DownstreamConnection) -> None:
         self._idle.pop(link, None)
         self.lingering.pop(link, None)
         if link.slot is not None:
@@ -109,13 +109,13 @@
 
 
 @implementer(IPushProducer)
-class ClientLink(protocol.Protocol):
+class DownstreamConnection(protocol.Protocol):
     """One connection; a front's own kind says what is asked on it."""
 
     transport: Transport  # type: ignore[assignment]
     kind = "client"
 
-    def __init__(self, table: ClientTable, deadlines: Deadlines, clock: Callable[[], float]):
+    def __init__(self, table: DownstreamTable, deadlines: Deadlines, clock: Callable[[], float]):
         self.table, self.deadlines, self.clock = table, deadlines, clock
         self.slot: int | None = None
         self.code, self.answered = "", 0
@@ -146,11 +146,11 @@
         self.deadlines.cancel(self._watch)
         self.deadlines.cancel(self._stall)
         self.deadlines.cancel(self._linger)
-        self.code = self.code or code_of(reason)
+        self.code = self.code or disconnect_reason(reason)
         self.table.remove(self)
         self._hold(0)
         owed = self._owed or self.is_open()
-        log_end(self.kind, self.slot, self.code, answered=self.answered, owed=owed)
+        log_disconnect(self.kind, self.slot, self.code, answered=self.answered, owed=owed)
         self.forget()
 
     def is_open(self) -> bool:
--- a/thornjunction/net/front_fastcgi.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -16,7 +16,7 @@
     RequestTableFullError,
 )
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.client_link import ClientLink, ClientTable
+from thornjunction.net.downstream.connection import DownstreamConnection, DownstreamTable
 from thornjunction.net.wire import ProtocolError, cgi, fastcgi
 
 MAX_OPEN = fastcgi.MAX_OPEN_REQUESTS  # requests on one connection: as many as the platform's fronts have
@@ -39,14 +39,14 @@
     number: int | None = None
 
 
-class FastCgiLink(ClientLink):
+class FastCgiConnection(DownstreamConnection):
     """One connection of the platform's web servers."""
 
     kind = "fastcgi"
 
     def __init__(
         self,
-        table: ClientTable,
+        table: DownstreamTable,
         deadlines: Deadlines,
         clock: Callable[[], float],
         core: Core,
--- a/thornjunction/net/turns.py
+++ b/thornjunction/net/downstream/request_scheduler.py
@@ -13,7 +13,7 @@
 log = get_logger(__name__)
 
 
-class Asking(Protocol):
+class SchedulableConnection(Protocol):
     """A connection with requests that wait for the core."""
 
     deadlines: Deadlines
@@ -28,12 +28,12 @@
     def close(self, code: str) -> None: ...
 
 
-class Turns:
+class RequestScheduler:
     """Connections take turns at the core.  Guards against bursts that keep the process from its sockets: a
     client that had gone by then was still served."""
 
     def __init__(self) -> None:
-        self._waiting: dict[Asking, float] = {}  # and since when
+        self._waiting: dict[SchedulableConnection, float] = {}  # and since when
         self._spent = 0.0  # of this slice
         self._next: Deadline | None = None
 
@@ -41,7 +41,7 @@
         """How long the one that waits longest has waited."""
         return now - min(self._waiting.values(), default=now)
 
-    def take(self, link: Asking) -> None:
+    def take(self, link: SchedulableConnection) -> None:
         """Its requests go to the core now, where no other waits and the slice allows; else in order."""
         if link in self._waiting:
             return
@@ -50,10 +50,10 @@
         else:
             self._work(link, link.clock())
 
-    def leave(self, link: Asking) -> None:
+    def leave(self, link: SchedulableConnection) -> None:
         self._waiting.pop(link, None)
 
-    def _work(self, link: Asking, since: float) -> None:
+    def _work(self, link: SchedulableConnection, since: float) -> None:
         began, more = link.clock(), True
         link.look_again()
         while more and self._spent < SLICE_MS:
@@ -64,7 +64,7 @@
             self._waiting[link] = since
             self._arm(link)
 
-    def _arm(self, link: Asking) -> None:
+    def _arm(self, link: SchedulableConnection) -> None:
         if self._next is None:
             self._next = link.deadlines.add(link.clock(), self._go_on)
 
--- a/thornjunction/net/front_signed.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -12,9 +12,9 @@
 from thornjunction.core.ports import Answer, Failed, RequestTableFullError
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.client_link import ClientLink, ClientTable
-from thornjunction.net.front_fastcgi import Core
-from thornjunction.net.gossip import Gossip
+from thornjunction.net.downstream.connection import DownstreamConnection, DownstreamTable
+from thornjunction.net.downstream.fastcgi_front import Core
+from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.net.wire import ProtocolError, http1, signed
 from thornjunction.signing import tokens
 from thornjunction.signing.address import Forwarding, client_address
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Door:
+class SignedRequestContext:
     """What all connections of this front share; ``trust`` is replaced whole when the keys change."""
 
     core: Core
@@ -36,16 +36,20 @@
     replays: ReplayWindow
     unix_s: Callable[[], float]
     forwarding: Forwarding = Forwarding()
-    gossip: Gossip | None = None  # peers told of each jti taken here
+    gossip: ReplayGossip | None = None  # peers told of each jti taken here
 
 
-class SignedLink(ClientLink):
+class SignedConnection(DownstreamConnection):
     """One HTTP connection: one request at a time, the next ones wait in order."""
 
     kind = "signed"
 
     def __init__(
-        self, table: ClientTable, deadlines: Deadlines, clock: Callable[[], float], door: Door
+        self,
+        table: DownstreamTable,
+        deadlines: Deadlines,
+        clock: Callable[[], float],
+        door: SignedRequestContext,
     ) -> None:
         super().__init__(table, deadlines, clock)
         self.door = door
--- a/thornjunction/net/endings.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -12,12 +12,12 @@
 log = get_logger("thornjunction.connection")
 
 
-def log_end(kind: str, number: int | None, code: str, **facts: Any) -> None:
+def log_disconnect(kind: str, number: int | None, code: str, **facts: Any) -> None:
     """``code`` is a short word; facts must hold no secrets and no client's text."""
     log.info("end", kind=kind, slot=number, code=code, **facts)
 
 
-def code_of(reason: Failure | None) -> str:
+def disconnect_reason(reason: Failure | None) -> str:
     """The code for Twisted's reason."""
     if reason is None or isinstance(reason.value, ConnectionDone):
         return "closed-by-peer"
--- a/thornjunction/net/listener.py
+++ b/thornjunction/net/event_loop/listening_port.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from thornjunction.logs import get_logger
-from thornjunction.net.backoff import grown, worth_logging
+from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
 
 REST_MS, MOST_REST_MS = 5.0, 100.0  # before accepting again; as that grows with failures in a row
 NONE_WAITS = {errno.EAGAIN, errno.EWOULDBLOCK}
@@ -78,12 +78,12 @@
 
     def _failed(self, failure: OSError) -> None:
         self._failures += 1
-        if worth_logging(self._failures):
+        if should_log(self._failures):
             name = errno.errorcode.get(failure.errno or 0, "unknown")
             log.warning("accept_failed", error=name, failures=self._failures)
         if not self.disconnecting:
             self.stopReading()
-            wait_ms = grown(REST_MS, self._failures - 1, MOST_REST_MS)
+            wait_ms = exponential_backoff(REST_MS, self._failures - 1, MOST_REST_MS)
             self._rest = self.reactor.callLater(wait_ms / 1000.0, self._accept_again)
 
     def _accept_again(self) -> None:
--- a/thornjunction/net/reactor.py
+++ b/thornjunction/net/event_loop/reactor.py
@@ -12,7 +12,7 @@
 from twisted.internet import main
 
 try:  # on Linux
-    from thornjunction.net.client_priority import ClientPriorityReactor as PlatformReactor
+    from thornjunction.net.event_loop.client_priority import ClientPriorityReactor as PlatformReactor
 except ImportError:  # no epoll
     from twisted.internet.selectreactor import SelectReactor as PlatformReactor
 
--- a/thornjunction/net/alarm.py
+++ b/thornjunction/net/event_loop/timer_service.py
@@ -21,7 +21,7 @@
     return time.monotonic() * 1000.0 + EARLY_MS
 
 
-class Alarm:
+class TimerService:
     """Runs ``deadlines`` from the reactor."""
 
     def __init__(self, reactor: Any) -> None:
--- a/thornjunction/net/transport.py
+++ b/thornjunction/net/event_loop/transport.py
@@ -10,8 +10,8 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint
 
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.connector import SingleConnectReactor
-from thornjunction.net.listener import RestingReactor
+from thornjunction.net.event_loop.listening_port import RestingReactor
+from thornjunction.net.event_loop.single_connect import SingleConnectReactor
 
 OWN_TIMER = 3600  # seconds: our deadline ends a dial long before Twisted's would
 
--- a/thornjunction/net/unix_clock.py
+++ b/thornjunction/net/event_loop/unix_clock.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from thornjunction.net.alarm import core_ms
+from thornjunction.net.event_loop.timer_service import core_ms
 
 SKEW_MS = 1000.0  # by which the clocks of discovery and of this machine may differ while both are right
 
--- /dev/null
+++ b/thornjunction/net/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Exchange of used token identifiers between routers."""
--- a/thornjunction/net/gossip.py
+++ b/thornjunction/net/gossip/replay_gossip.py
@@ -23,7 +23,7 @@
 log = get_logger(__name__)
 
 
-class Gossip(protocol.DatagramProtocol):
+class ReplayGossip(protocol.DatagramProtocol):
     """One UDP socket: tells peers what is taken here, learns what they took.  ``counts`` holds ``sent``,
     ``learnt``, ``known`` (already in the window), ``dropped`` (the queue was full),
     ``unsent`` (the system refused a datagram) and one code a refused
--- /dev/null
+++ b/thornjunction/net/relay/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint that routers and relays poll."""
--- a/thornjunction/net/relay.py
+++ b/thornjunction/net/relay/poll_endpoint.py
@@ -17,8 +17,8 @@
 from thornjunction.logs import get_logger
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.endings import code_of
-from thornjunction.net.transport import Transport
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
+from thornjunction.net.event_loop.transport import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.polls import Poll, decode_poll
 
@@ -34,7 +34,7 @@
 log = get_logger(__name__)
 
 
-class Pollers:
+class PollerTable:
     """The connections of a relay by number, at most ``most``.  ``ask`` and ``gone`` tell the machine."""
 
     def __init__(
@@ -46,7 +46,7 @@
         gone: Callable[[int], None],
     ) -> None:
         self.most, self.deadlines, self.clock, self.ask, self.gone = most, deadlines, clock, ask, gone
-        self.links: dict[int, PollerLink] = {}
+        self.links: dict[int, PollerConnection] = {}
         self.budget, self.ends = ByteBudget(HELD_BYTES), Counter[str]()
         self.ending = False
         self._last = 0
@@ -54,9 +54,9 @@
 
     def build(self) -> protocol.Protocol:
         """For a listening port."""
-        return PollerLink(self)
+        return PollerConnection(self)
 
-    def add(self, link: PollerLink) -> int | None:
+    def add(self, link: PollerConnection) -> int | None:
         """Its number; None where there is no room for it."""
         if len(self.links) >= self.most:
             # Guards routers against callers that connect and say nothing: the one who is silent longest goes.
@@ -102,12 +102,12 @@
 
 
 @implementer(IPullProducer)
-class PollerLink(protocol.Protocol):
+class PollerConnection(protocol.Protocol):
     """One connection of a router or relay below."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, pollers: Pollers) -> None:
+    def __init__(self, pollers: PollerTable) -> None:
         self.pollers, self.reader = pollers, http1.RequestReader(0)
         self.number: int | None = None
         self.poll: Poll | None = None  # that waits for its answer
@@ -207,7 +207,7 @@
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         self._forget()
-        self.pollers.noted(self.code or code_of(reason))
+        self.pollers.noted(self.code or disconnect_reason(reason))
 
     def _forget(self) -> None:
         self.pollers.budget.reserve(self.close, 0)
--- /dev/null
+++ b/thornjunction/net/telemetry/__init__.py
@@ -0,0 +1,1 @@
+"""Export of metrics to Graphite and collectd."""
--- a/thornjunction/net/metrics.py
+++ b/thornjunction/net/telemetry/metrics_exporter.py
@@ -13,8 +13,8 @@
 
 from thornjunction.core.counters import Counters, CountersSnapshot
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.endings import code_of, log_end
-from thornjunction.net.transport import Transport, dial
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.transport import Transport, dial
 from thornjunction.net.wire import collectd, graphite
 
 DIAL_MS = 1000.0
@@ -32,7 +32,7 @@
 
 
 @implementer(IPushProducer)
-class GraphiteLink(protocol.Protocol):
+class GraphiteConnection(protocol.Protocol):
     """One connection; while its buffer is full, figures are dropped."""
 
     transport: Transport  # type: ignore[assignment]
@@ -44,7 +44,7 @@
         self.transport.registerProducer(self, True)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        log_end("graphite", None, code_of(reason))
+        log_disconnect("graphite", None, disconnect_reason(reason))
         self.lost()
 
     def send(self, data: bytes) -> None:
@@ -61,7 +61,7 @@
         self.full = True
 
 
-class Metrics:
+class MetricsExporter:
     """Takes the counters' figures each interval."""
 
     def __init__(
@@ -80,7 +80,7 @@
         self._prefix = ""
         self._collectd: tuple[str, int] | None = None
         self._udp: Any = None
-        self._link: GraphiteLink | None = None
+        self._link: GraphiteConnection | None = None
         self._dialling = False
 
     def to_graphite(self, address: tuple[str, int], prefix: str) -> None:
@@ -112,16 +112,16 @@
         self._dialling = True
         until = self.clock() + DIAL_MS
         connecting = dial(
-            self.reactor, self._graphite, lambda: GraphiteLink(self._lost), self.deadlines, until
+            self.reactor, self._graphite, lambda: GraphiteConnection(self._lost), self.deadlines, until
         )
         connecting.addCallbacks(self._up, self._down)
 
-    def _up(self, link: GraphiteLink) -> None:
+    def _up(self, link: GraphiteConnection) -> None:
         self._dialling, self._link = False, link
 
     def _down(self, _: Failure) -> None:
         self._dialling = False
-        log_end("graphite", None, "dial-failed")
+        log_disconnect("graphite", None, "dial-failed")
 
     def _lost(self) -> None:
         self._link = None
--- /dev/null
+++ b/thornjunction/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to cache servers, parents and the origin: the pool, connecting and health checks."""
--- a/thornjunction/net/server_dial.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -12,9 +12,9 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.backoff import grown, worth_logging
-from thornjunction.net.dial_errors import DialFailure, dial_failure
-from thornjunction.net.transport import dial
+from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.transport import dial
+from thornjunction.net.upstream.connect_errors import ConnectFailure, connect_failure
 
 AGAIN_MS, MOST_AGAIN_MS = 5.0, 100.0  # before the next try; as that grows
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DialTarget:
+class ConnectTarget:
     """Where to, and how long one try may take."""
 
     name: str
@@ -31,7 +31,7 @@
     dial_ms: float
 
 
-class ServerDial:
+class ConnectAttempt:
     """Ends by ``up`` or ``down``, once, unless it is cancelled first.
 
     A way that is not found is looked for again within the time of one dial, as the system itself does for a
@@ -43,13 +43,13 @@
         reactor: Any,
         deadlines: Deadlines,
         clock: Callable[[], float],
-        target: DialTarget,
+        target: ConnectTarget,
         wanted: Callable[[], bool],
     ) -> None:
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
         self.target, self.wanted = target, wanted
         self.up: Callable[[Any], None] = lambda _: None
-        self.down: Callable[[DialFailure], None] = lambda _: None
+        self.down: Callable[[ConnectFailure], None] = lambda _: None
         self.since = clock()  # since when it may be blamed on the server
         self._failures = 0
         self._connecting: Deferred[Any] | None = None
@@ -81,20 +81,20 @@
         self._connecting = None
         if self._ended:
             return
-        failure, now = dial_failure(reason), self.clock()
-        if failure in (DialFailure.REFUSED, DialFailure.TIMED_OUT):
+        failure, now = connect_failure(reason), self.clock()
+        if failure in (ConnectFailure.REFUSED, ConnectFailure.TIMED_OUT):
             return self._end(failure)
-        if failure is DialFailure.LOCAL:
+        if failure is ConnectFailure.LOCAL:
             self.since = now
         self._try_again(failure, reason, now)
 
-    def _try_again(self, failure: DialFailure, reason: Failure, now: float) -> None:
+    def _try_again(self, failure: ConnectFailure, reason: Failure, now: float) -> None:
         self._failures += 1
-        if worth_logging(self._failures):
+        if should_log(self._failures):
             number = getattr(reason.value, "osError", None)
             log.warning("dial_failed", server=self.target.name, why=failure.value, errno=number)
-        when = now + grown(AGAIN_MS, self._failures - 1, MOST_AGAIN_MS)
-        if failure is DialFailure.LOCAL:
+        when = now + exponential_backoff(AGAIN_MS, self._failures - 1, MOST_AGAIN_MS)
+        if failure is ConnectFailure.LOCAL:
             again = self._after_local_failure
         else:
             when, again = min(when, self.since + self.target.dial_ms), self._after_no_way
@@ -102,15 +102,15 @@
 
     def _after_local_failure(self) -> None:
         if not self.wanted():
-            return self._end(DialFailure.LOCAL)
+            return self._end(ConnectFailure.LOCAL)
         self.since = self.clock()
         self.start()
 
     def _after_no_way(self) -> None:
         if self.clock() >= self.since + self.target.dial_ms:
-            return self._end(DialFailure.TIMED_OUT)
+            return self._end(ConnectFailure.TIMED_OUT)
         self.start()
 
-    def _end(self, failure: DialFailure) -> None:
+    def _end(self, failure: ConnectFailure) -> None:
         self._ended = True
         self.down(failure)
--- a/thornjunction/net/dial_errors.py
+++ b/thornjunction/net/upstream/connect_errors.py
@@ -20,7 +20,7 @@
 }
 
 
-class DialFailure(Enum):
+class ConnectFailure(Enum):
     """Whose doing it is."""
 
     REFUSED = "refused"  # the server's machine answered that nobody listens there
@@ -29,13 +29,13 @@
     LOCAL = "local"  # this machine lacked a port, a descriptor, memory; also what is not known
 
 
-def dial_failure(reason: Failure) -> DialFailure:
+def connect_failure(reason: Failure) -> ConnectFailure:
     """The kind of a failed dial.  A deadline of ours cancels it, so a cancelled one has timed out."""
     error = reason.value
     number = error.osError if isinstance(error, ConnectError) else None
     if number == errno.ECONNREFUSED:
-        return DialFailure.REFUSED
+        return ConnectFailure.REFUSED
     if number in PATH_ERRORS:
-        return DialFailure.UNREACHABLE
+        return ConnectFailure.UNREACHABLE
     cancelled = isinstance(error, CancelledError) or type(error).__name__ == "ConnectingCancelledError"
-    return DialFailure.TIMED_OUT if cancelled else DialFailure.LOCAL
+    return ConnectFailure.TIMED_OUT if cancelled else ConnectFailure.LOCAL
--- a/thornjunction/net/shelf_link.py
+++ b/thornjunction/net/upstream/connection.py
@@ -19,9 +19,9 @@
 from thornjunction.core.ports import UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.connection_table import ConnectionTable
-from thornjunction.net.endings import code_of, log_end
-from thornjunction.net.transport import Transport
+from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.upstream.connection_table import ConnectionTable
 from thornjunction.net.wire import ProtocolError, upstream
 from thornjunction.net.wire.resp import MAX_BULK, ArrayReader
 
@@ -67,19 +67,19 @@
     deadlines: Deadlines
     clock: Callable[[], float]
     budget: ByteBudget
-    links: ConnectionTable[ShelfLink]
+    links: ConnectionTable[UpstreamConnection]
 
-    def roomy(self, link: ShelfLink) -> None:
+    def roomy(self, link: UpstreamConnection) -> None:
         """It may take more."""
 
-    def answered(self, link: ShelfLink, sent: Sent, answer: upstream.UpstreamResponse) -> None: ...
+    def answered(self, link: UpstreamConnection, sent: Sent, answer: upstream.UpstreamResponse) -> None: ...
 
-    def lost(self, link: ShelfLink) -> None:
+    def lost(self, link: UpstreamConnection) -> None:
         """It ended; what is out on it may have run."""
 
 
 @implementer(IPullProducer)
-class ShelfLink(protocol.Protocol):
+class UpstreamConnection(protocol.Protocol):
     """One connection; idents of what is out on it, and of what was given up."""
 
     transport: Transport  # type: ignore[assignment]
@@ -140,8 +140,8 @@
         for timer in (self.idle, self.part, self.stuck, self.linger):
             self.pool.deadlines.cancel(timer)
         self.pool.budget.reserve(self.close, 0)
-        self.code = self.code or code_of(reason)
-        log_end("shelf", self.slot, self.code, shelf=self.name, served=self.served, open=len(self.out))
+        self.code = self.code or disconnect_reason(reason)
+        log_disconnect("shelf", self.slot, self.code, shelf=self.name, served=self.served, open=len(self.out))
         self.pool.lost(self)
 
     def free(self) -> bool:
--- a/thornjunction/net/shelves.py
+++ b/thornjunction/net/upstream/connection_pool.py
@@ -16,11 +16,11 @@
 from thornjunction.core.ports import Content, UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.connection_table import ConnectionTable
-from thornjunction.net.dial_errors import DialFailure
-from thornjunction.net.endings import log_end
-from thornjunction.net.server_dial import DialTarget, ServerDial
-from thornjunction.net.shelf_link import Limits, Sent, ShelfLink
+from thornjunction.net.event_loop.disconnect_reasons import log_disconnect
+from thornjunction.net.upstream.connect_attempt import ConnectAttempt, ConnectTarget
+from thornjunction.net.upstream.connect_errors import ConnectFailure
+from thornjunction.net.upstream.connection import Limits, Sent, UpstreamConnection
+from thornjunction.net.upstream.connection_table import ConnectionTable
 from thornjunction.net.wire import upstream
 from thornjunction.net.wire.commands import Host
 from thornjunction.settings import read_report
@@ -31,7 +31,7 @@
 LEAST_LEFT_MS = 5.0  # of its client's time: an attempt with less is not begun
 WAITING = 256  # attempts that may wait for one dial
 
-__all__ = ["Limits", "ShelfPool"]
+__all__ = ["Limits", "ConnectionPool"]
 
 STATUSES = {
     upstream.ResponseCode.DONE: api.AttemptStatus.SUCCEEDED,
@@ -65,16 +65,18 @@
 
     host: Host
     on_called_off: Callable[[], None]
-    links: list[ShelfLink] = field(default_factory=list)
+    links: list[UpstreamConnection] = field(default_factory=list)
     waiting: dict[str, Sent] = field(default_factory=dict)  # for the dial, by ident
-    dial: ServerDial | None = None
+    dial: ConnectAttempt | None = None
     untold: float = -math.inf  # when a dial failed last of which nobody was told
 
-    def way(self, ident: str) -> ShelfLink | None:
+    def way(self, ident: str) -> UpstreamConnection | None:
         """The least used that has room: a spoilt answer ends all that is out on its connection."""
-        return min((link for link in self.links if link.has_room(ident)), key=ShelfLink.load, default=None)
+        return min(
+            (link for link in self.links if link.has_room(ident)), key=UpstreamConnection.load, default=None
+        )
 
-    def trusted(self) -> list[ShelfLink]:
+    def trusted(self) -> list[UpstreamConnection]:
         return [link for link in self.links if not link.suspect and not link.code]
 
     def clear(self) -> list[tuple[str, Sent]]:
@@ -97,7 +99,7 @@
         return self.call_off()
 
 
-class ShelfPool:
+class ConnectionPool:
     """Sends attempts and probes, and reports each end to the engine once."""
 
     ends: Ends
@@ -112,7 +114,7 @@
     ) -> None:
         self.reactor, self.limits, self.deadlines, self.clock = reactor, limits, deadlines, clock
         self.budget = budget
-        self.links: ConnectionTable[ShelfLink] = ConnectionTable(limits.connections)
+        self.links: ConnectionTable[UpstreamConnection] = ConnectionTable(limits.connections)
         self.shelves: dict[str, Shelf] = {}
         self._where: dict[int, tuple[Shelf, str]] = {}  # by attempt: the shelf and the ident there
         self._probes = 0
@@ -213,7 +215,7 @@
             sent.bound = self.deadlines.add(sent.start_by, lambda: self._overdue(found, ident, sent))
         self._dial(found)
 
-    def _put(self, link: ShelfLink, ident: str, sent: Sent) -> None:
+    def _put(self, link: UpstreamConnection, ident: str, sent: Sent) -> None:
         """Write it, with the time that is left by now: it may have waited for a dial."""
         if sent.order is None:
             return link.put(ident, sent, upstream.encode_health_check(ident))
@@ -237,25 +239,27 @@
         assert found.host.address is not None
         self.links.reserve()
         name = found.host.name
-        target = DialTarget(name, found.host.address, lambda: ShelfLink(self, name), self.limits.dial_ms)
+        target = ConnectTarget(
+            name, found.host.address, lambda: UpstreamConnection(self, name), self.limits.dial_ms
+        )
         wanted = lambda: bool(found.waiting)  # noqa: E731
-        dialling = ServerDial(self.reactor, self.deadlines, lambda: self.clock(), target, wanted)
+        dialling = ConnectAttempt(self.reactor, self.deadlines, lambda: self.clock(), target, wanted)
 
-        def up(link: ShelfLink) -> None:
+        def up(link: UpstreamConnection) -> None:
             found.dial = None
             self._dialled(found, link)
 
-        def down(failure: DialFailure) -> None:
+        def down(failure: ConnectFailure) -> None:
             found.dial = None
             self.links.release()
-            log_end("shelf", None, "dial-failed", shelf=name)
+            log_disconnect("shelf", None, "dial-failed", shelf=name)
             self._undialled(found, dialling.since, failure)
 
         dialling.up, dialling.down = up, down
         found.dial = dialling
         dialling.start()
 
-    def _dialled(self, found: Shelf, link: ShelfLink) -> None:
+    def _dialled(self, found: Shelf, link: UpstreamConnection) -> None:
         self.links.add(link)
         found.links.append(link)
         found.untold = -math.inf
@@ -265,13 +269,13 @@
             return self._dial(found)
         self._fail_waiting(found, api.AttemptStatus.NOT_STARTED)
 
-    def _undialled(self, found: Shelf, since: float, failure: DialFailure) -> None:
+    def _undialled(self, found: Shelf, since: float, failure: ConnectFailure) -> None:
         """A dial failed.  Where the shelf was heard from meanwhile, one that did not come up in time speaks
         for itself alone: whoever is told REFUSED takes the whole shelf out for a while."""
-        if failure is DialFailure.LOCAL:  # and nobody waits for it any more
+        if failure is ConnectFailure.LOCAL:  # and nobody waits for it any more
             return
         heard = any(link.heard >= since for link in found.trusted())
-        if heard and failure is not DialFailure.REFUSED:
+        if heard and failure is not ConnectFailure.REFUSED:
             for link in found.links:
                 self.roomy(link)
             return self._fail_waiting(found, api.AttemptStatus.NOT_STARTED)
@@ -279,7 +283,7 @@
         found.untold = -math.inf if found.waiting else self.clock()
         self._fail_waiting(found, api.AttemptStatus.CONNECTION_REFUSED)
 
-    def roomy(self, link: ShelfLink) -> None:
+    def roomy(self, link: UpstreamConnection) -> None:
         """A connection may take more: what waits for a dial goes there, as far as it may still begin."""
         found = self.shelves.get(link.name)
         if found is None or not found.waiting or link not in found.links:
@@ -301,7 +305,7 @@
         for name, sent in found.clear():
             self._end(name, sent, status)
 
-    def lost(self, link: ShelfLink) -> None:
+    def lost(self, link: UpstreamConnection) -> None:
         """A connection ended: what was out on it may have run."""
         self.links.remove(link)
         found = self.shelves.get(link.name)
@@ -311,7 +315,7 @@
         for sent in out.values():
             self._end(link.name, sent, api.AttemptStatus.CONNECTION_RESET)
 
-    def answered(self, link: ShelfLink, sent: Sent, answer: upstream.UpstreamResponse) -> None:
+    def answered(self, link: UpstreamConnection, sent: Sent, answer: upstream.UpstreamResponse) -> None:
         told = answer.fields.get("report")
         report = read_report(upstream.decode_report(told)) if told else None
         if sent.order is None:
--- a/thornjunction/net/wire/gossip.py
+++ b/thornjunction/net/wire/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of accepted tokens to peers: one UDP datagram of replay entries, authenticated by HMAC-SHA256.
+"""ReplayGossip of accepted tokens to peers: one UDP datagram of replay entries, authenticated by HMAC-SHA256.
 
     b"TJG1" | count (u16) | count x (key: 16 bytes, expiry: u32 Unix seconds) | HMAC-SHA256 (32 bytes)
 
--- a/thornjunction/program.py
+++ b/thornjunction/program.py
@@ -43,6 +43,6 @@
     if "PROXY_CONFIG" in environ:
         return build_router(environ, extras_path)
     from thornjunction.demo.start import build_demo
-    from thornjunction.net.reactor import install
+    from thornjunction.net.event_loop.reactor import install
 
     return build_demo(install())
--- a/thornjunction/runtime/admin_metrics.py
+++ b/thornjunction/runtime/admin_metrics.py
@@ -6,7 +6,7 @@
 
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
-from thornjunction.net.shelves import ShelfPool
+from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
 
 OUTCOME_METRICS = {"fulfilled": "served", "throttled": "refused", "faulted": "failed"}
@@ -14,7 +14,7 @@
 
 
 def collect_admin_metrics(
-    counters: Counters, engine: Engine, pool: ShelfPool, router: Router, reloads: Counter[str]
+    counters: Counters, engine: Engine, pool: ConnectionPool, router: Router, reloads: Counter[str]
 ) -> dict[str, int]:
     """Counts since the start of this process, and gauges of its present state.
 
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -17,16 +17,16 @@
 from thornjunction.core.load_shedding import LoadShedder
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.alarm import Alarm, core_ms
-from thornjunction.net.channel import Channel
-from thornjunction.net.client_link import ClientTable
-from thornjunction.net.shelves import ShelfPool
+from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.event_loop.timer_service import TimerService, core_ms
+from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
 from thornjunction.runtime.drain import Drain
 
 if TYPE_CHECKING:
     from thornjunction import interface as api
-    from thornjunction.net.metrics import Metrics
+    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
     from thornjunction.net.wire.commands import Command
     from thornjunction.runtime.config import Config
     from thornjunction.runtime.extras import Extras
@@ -41,24 +41,24 @@
 class RequestPath:
     """The parts that each request passes, from the client's connection to the cache server's."""
 
-    alarm: Alarm
-    clients: ClientTable
+    alarm: TimerService
+    clients: DownstreamTable
     engine: Engine
     router: Router
-    pool: ShelfPool
+    pool: ConnectionPool
     drain: Drain
     load_shedder: LoadShedder
 
 
 def build_request_path(config: Config, reactor: Any, counters: Counters) -> RequestPath:
     """Build and connect the parts that each request passes."""
-    alarm = Alarm(reactor)
+    alarm = TimerService(reactor)
     buffer_budget = ByteBudget(config.buffer_bytes)
-    pool = ShelfPool(reactor, config.pool_limits, alarm.deadlines, core_ms, buffer_budget)
+    pool = ConnectionPool(reactor, config.pool_limits, alarm.deadlines, core_ms, buffer_budget)
     router = Router(config.settings, config.seed, config.name)
     engine = Engine(router, config.settings.max_attempts, core_ms, alarm.deadlines, pool, counters)
     pool.ends = engine
-    clients = ClientTable(max(config.sockets // CLIENT_SOCKETS_DIVISOR, 1), buffer_budget)
+    clients = DownstreamTable(max(config.sockets // CLIENT_SOCKETS_DIVISOR, 1), buffer_budget)
     return RequestPath(
         alarm=alarm,
         clients=clients,
@@ -83,14 +83,14 @@
 
 def build_metrics(
     extras: Extras | None, reactor: Any, deadlines: Deadlines, counters: Counters, name: str
-) -> Metrics | None:
+) -> MetricsExporter | None:
     """What sends metrics out, where the operators' file names a target."""
     if extras is None or extras.metrics is None:
         return None
-    from thornjunction.net.metrics import Metrics
+    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
 
     settings = extras.metrics
-    metrics = Metrics(reactor, deadlines, core_ms, time.time, counters, name, settings.interval_s)
+    metrics = MetricsExporter(reactor, deadlines, core_ms, time.time, counters, name, settings.interval_s)
     if settings.graphite is not None:
         metrics.to_graphite(settings.graphite, settings.prefix)
     if settings.collectd is not None:
@@ -114,22 +114,22 @@
     deadlines: Deadlines,
     handle_command: Callable[[Command], None],
     on_current: Callable[[], None],
-) -> Channel:
+) -> WatchClient:
     """The command channel: at discovery, or at the sources of ``[control]``.
 
     Raises ConfigError where the router's name does not fit a poll.
     """
     if extras is None or extras.control is None:
-        return Channel(reactor, config.discovery, deadlines, core_ms, handle_command, on_current)
+        return WatchClient(reactor, config.discovery, deadlines, core_ms, handle_command, on_current)
     from control_client import PURGE_RETENTION_MS, SourceSelector
 
-    from thornjunction.net.sourced_channel import SourcedChannel
+    from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
     from thornjunction.runtime.addresses import check_name
 
     name = extras.control.name or config.name
     check_name("control.name", name)
     query = f"&as=router&name={name}"
-    return SourcedChannel(
+    return MultiSourceWatch(
         reactor,
         SourceSelector(extras.control.sources, random.SystemRandom().random),
         # Relays repeat a purge for as long as they retain it.
--- a/thornjunction/runtime/command_events.py
+++ b/thornjunction/runtime/command_events.py
@@ -7,8 +7,8 @@
 
 from thornjunction import interface as api
 from thornjunction.core.engine import Engine
-from thornjunction.net.shelves import ShelfPool
-from thornjunction.net.unix_clock import UnixClock
+from thornjunction.net.event_loop.unix_clock import UnixClock
+from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.net.wire.commands import Command, Host, ListChange, Purge
 from thornjunction.runtime.process_starts import ProcessStarts
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         engine: Engine,
-        pool: ShelfPool,
+        pool: ConnectionPool,
         roles: Mapping[str, api.Role],
         settings: Callable[[], api.Settings],
         clock: Callable[[], float],
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from thornjunction import interface as api
-from thornjunction.net.shelf_link import PART_MS, Limits
+from thornjunction.net.upstream.connection import PART_MS, Limits
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Commands, parse_commands
 from thornjunction.net.wire.resp import MAX_BULK
--- a/thornjunction/runtime/drain.py
+++ b/thornjunction/runtime/drain.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.client_link import ClientTable
+from thornjunction.net.downstream.connection import DownstreamTable
 
 SWEEP_INTERVAL_MS = 10.0
 """Between looks for idle connections."""
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        clients: ClientTable,
+        clients: DownstreamTable,
         deadlines: Deadlines,
         clock: Callable[[], float],
         answer_all_now: Callable[[], None],
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -18,7 +18,7 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.alarm import core_ms
+from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire.admin import encode_lines
 from thornjunction.runtime.addresses import check_name
 from thornjunction.runtime.errors import FaultyKeyError
--- a/thornjunction/runtime/key_set.py
+++ b/thornjunction/runtime/key_set.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from thornjunction.logs import get_logger
-from thornjunction.net.front_signed import Door
+from thornjunction.net.downstream.signed_front import SignedRequestContext
 from thornjunction.runtime.errors import ConfigError
 from thornjunction.runtime.signed_settings import KeySetFile
 from thornjunction.signing import keyset
@@ -32,7 +32,7 @@
     ``counts`` has the reads that were ``accepted``, ``refused`` and the ``same``.
     """
 
-    def __init__(self, front: Door, source: KeySetFile) -> None:
+    def __init__(self, front: SignedRequestContext, source: KeySetFile) -> None:
         self.counts = Counter[str]()
         self._front = front
         self._source = source
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -9,8 +9,8 @@
 from twisted.internet import protocol
 
 from thornjunction.logs import get_logger
-from thornjunction.net.listener import adopt
-from thornjunction.net.transport import Building, server_endpoint
+from thornjunction.net.event_loop.listening_port import adopt
+from thornjunction.net.event_loop.transport import Building, server_endpoint
 
 log = get_logger(__name__)
 
--- a/thornjunction/runtime/process_starts.py
+++ b/thornjunction/runtime/process_starts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from thornjunction import interface as api
-from thornjunction.net.unix_clock import UnixClock
+from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire.commands import Host
 
 
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -36,11 +36,11 @@
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
 from thornjunction.logs import get_logger
-from thornjunction.net.alarm import Alarm, core_ms
-from thornjunction.net.operators import OperatorsDoor, OperatorsLink
-from thornjunction.net.relay import Pollers
-from thornjunction.net.sourced_channel import SourcedChannel
-from thornjunction.net.unix_clock import UnixClock
+from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
+from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
+from thornjunction.net.event_loop.timer_service import TimerService, core_ms
+from thornjunction.net.event_loop.unix_clock import UnixClock
+from thornjunction.net.relay.poll_endpoint import PollerTable
 from thornjunction.net.wire.commands import Command, ListChange, Purge, encode_host
 from thornjunction.net.wire.polls import Poll
 from thornjunction.runtime.control_settings import RelaySettings
@@ -91,20 +91,20 @@
         self._exit_code = EXIT_OK
         self._faults = 0
         self._unix = UnixClock()
-        self._alarm = Alarm(reactor)
+        self._alarm = TimerService(reactor)
         self._deadlines = self._alarm.deadlines
         self._listeners = Listeners(reactor, self._fail)
         self._relay = _build_core(settings)
-        self._pollers = Pollers(
+        self._pollers = PollerTable(
             _max_connections(), self._deadlines, core_ms, self._handle_poll, self._handle_disconnect
         )
         calls = RelayStatusCalls(self._relay, self._pollers, core_ms, self.deregister)
-        self._admin_endpoint = OperatorsDoor(calls.by_name, self._deadlines, core_ms, calls.with_argument)
+        self._admin_endpoint = AdminEndpoint(calls.by_name, self._deadlines, core_ms, calls.with_argument)
         self._upstream = self._build_upstream()
 
-    def _build_upstream(self) -> SourcedChannel:
+    def _build_upstream(self) -> MultiSourceWatch:
         settings = self._settings
-        return SourcedChannel(
+        return MultiSourceWatch(
             self._reactor,
             SourceSelector(settings.upstreams, random.random, settings.siblings, SELECTION_TIMINGS),
             settings.purge_retention_ms,
@@ -133,7 +133,7 @@
         log.info("relay-start", name=self._settings.name, connections=self._pollers.most)
         self._listeners.listen(*self._settings.listen, self._pollers.build)
         if self._settings.admin is not None:
-            self._listeners.listen(*self._settings.admin, lambda: OperatorsLink(self._admin_endpoint))
+            self._listeners.listen(*self._settings.admin, lambda: AdminConnection(self._admin_endpoint))
         self._upstream.start()
 
     def feed(self, event: RelayEvent) -> None:
--- a/thornjunction/runtime/relay_status.py
+++ b/thornjunction/runtime/relay_status.py
@@ -7,7 +7,7 @@
 
 from control_relay import MemberStatus, PurgeStatus, Relay
 
-from thornjunction.net.relay import Pollers
+from thornjunction.net.relay.poll_endpoint import PollerTable
 from thornjunction.net.wire.admin import encode_lines, encode_reply
 from thornjunction.net.wire.polls import NAME
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         relay: Relay,
-        pollers: Pollers,
+        pollers: PollerTable,
         clock: Callable[[], float],
         deregister: Callable[[str], None],
     ) -> None:
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -11,9 +11,9 @@
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.logs import get_logger
-from thornjunction.net.alarm import core_ms
-from thornjunction.net.front_fastcgi import FastCgiLink
-from thornjunction.net.operators import OperatorsDoor, OperatorsLink
+from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire.commands import Command
 from thornjunction.runtime import assembly
 from thornjunction.runtime.admin_calls import AdminCalls
@@ -110,7 +110,7 @@
         calls = dict(self.admin_calls.by_name)
         if self.fleet is not None:
             calls["fleet"] = self.fleet.view
-        self._admin_endpoint = OperatorsDoor(calls, deadlines, core_ms)
+        self._admin_endpoint = AdminEndpoint(calls, deadlines, core_ms)
 
     def run(self) -> int:
         """Serve until SIGTERM and return the exit code."""
@@ -128,7 +128,7 @@
         )
         self.channel.replay(self.config.initial_commands)
         if self.config.admin is not None:
-            self._listeners.listen(*self.config.admin, lambda: OperatorsLink(self._admin_endpoint))
+            self._listeners.listen(*self.config.admin, lambda: AdminConnection(self._admin_endpoint))
         self.channel.start()
         # Guards a process that replaces another against the list of its start, which may be long out of date.
         self.alarm.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
@@ -151,8 +151,8 @@
         if self.fleet is not None:
             self.fleet.listen(self.reactor)
 
-    def _build_platform_connection(self) -> FastCgiLink:
-        return FastCgiLink(
+    def _build_platform_connection(self) -> FastCgiConnection:
+        return FastCgiConnection(
             self._path.clients,
             self.alarm.deadlines,
             core_ms,
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -12,7 +12,7 @@
 
 from thornjunction.core.engine import Engine
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.client_link import ClientTable
+from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.runtime.drain import REFUSE_AFTER_MS, Drain
 
 ACCEPT_WINDOW_MS = 800.0
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        clients: ClientTable,
+        clients: DownstreamTable,
         drain: Drain,
         engine: Engine,
         deadlines: Deadlines,
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -15,11 +15,11 @@
 from thornjunction import interface as api
 from thornjunction.core.engine import Engine
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.alarm import core_ms
-from thornjunction.net.client_link import ClientTable
-from thornjunction.net.front_signed import Door, SignedLink
-from thornjunction.net.gossip import Gossip
-from thornjunction.net.transport import Building
+from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.runtime.key_set import KeySetReloader, ReloadableFile
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings, TlsFiles
 
@@ -49,10 +49,10 @@
         settings: SignedFrontSettings,
         engine: Engine,
         classes: dict[str, api.RequestClass],
-        clients: ClientTable,
+        clients: DownstreamTable,
         deadlines: Deadlines,
     ) -> None:
-        self.shared = Door(
+        self.shared = SignedRequestContext(
             engine,
             classes,
             settings.base,
@@ -99,8 +99,8 @@
         for scheduled in self._reloads:
             scheduled.file.reload()
 
-    def _build_gossip(self, settings: GossipSettings) -> Gossip:
-        return Gossip(
+    def _build_gossip(self, settings: GossipSettings) -> ReplayGossip:
+        return ReplayGossip(
             self._settings.replays, settings.peers, settings.secret, self._deadlines, core_ms, time.time
         )
 
@@ -116,5 +116,5 @@
         again_ms = core_ms() + scheduled.interval_s * 1000.0
         self._deadlines.add(again_ms, lambda: self._reload_repeatedly(scheduled))
 
-    def _build_connection(self) -> SignedLink:
-        return SignedLink(self._clients, self._deadlines, core_ms, self.shared)
+    def _build_connection(self) -> SignedConnection:
+        return SignedConnection(self._clients, self._deadlines, core_ms, self.shared)
--- a/thornjunction/runtime/start.py
+++ b/thornjunction/runtime/start.py
@@ -39,7 +39,7 @@
     config = load_config(environ)
     extras = _load_extras(extras_path)
     # Imported after the configuration was read: a faulty one is reported without the reactor's start.
-    from thornjunction.net.reactor import install
+    from thornjunction.net.event_loop.reactor import install
 
     reactor = install()
     from thornjunction.runtime.service import Service
@@ -50,7 +50,7 @@
 def build_relay(settings: RelaySettings) -> Process:
     """Build a relay; raises ConfigError where the process may open too few descriptors."""
     _exit_on_sigterm()
-    from thornjunction.net.reactor import install
+    from thornjunction.net.event_loop.reactor import install
 
     reactor = install()
     from thornjunction.runtime.relay import RelayProcess
