--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -30,7 +30,7 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 
 ROOT = Path(__file__).resolve().parent.parent
 BEHIND, SHELVES, CHANGES = 122_400, 440, 28  # an hour's purges, the fleet, an hour's changes of the list
@@ -149,7 +149,7 @@
     for _ in range(500):
         try:
             endpoint: Any = TCP4ClientEndpoint(reactor, "127.0.0.1", port)
-            client = yield endpoint.connect(Building(FastCgiClient))
+            client = yield endpoint.connect(BuildFactory(FastCgiClient))
         except Exception:
             yield task.deferLater(reactor, 0.02, lambda: None)
         else:
--- a/packages/fakes/src/fakes/clients.py
+++ b/packages/fakes/src/fakes/clients.py
@@ -15,7 +15,7 @@
 from twisted.internet import protocol
 from twisted.internet.defer import Deferred
 
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import fastcgi, http1
 
 MAX_ANSWER = 300_000  # bytes of one answer
--- a/packages/fakes/src/fakes/fake_discovery.py
+++ b/packages/fakes/src/fakes/fake_discovery.py
@@ -18,7 +18,8 @@
 from thornjunction import interface as api
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.discovery.watch_client import MOST_AGAIN_MS, WatchClient
-from thornjunction.net.event_loop.transport import Building, Transport
+from thornjunction.net.event_loop.ports import Transport
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.wire import http1
 from thornjunction.net.wire.commands import Command, Purge
 from thornjunction.runtime.service import Service
@@ -158,7 +159,7 @@
         self.events: list[dict[str, Any]] = []
         self.held: tuple[WatchStandIn, int] | None = None
         listen: Any = reactor
-        self.port = listen.listenTCP(0, Building(lambda: WatchStandIn(self)), interface="127.0.0.1")
+        self.port = listen.listenTCP(0, BuildFactory(lambda: WatchStandIn(self)), interface="127.0.0.1")
         self.address = ("127.0.0.1", int(self.port.getHost().port))
 
     def polled(self, link: WatchStandIn, resume: int, block: int) -> None:
--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -21,8 +21,9 @@
 from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
-from thornjunction.net.event_loop.transport import Building, Transport
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.upstream.connection_pool import ConnectionPool, Limits
 from thornjunction.net.wire.commands import Host
 from thornjunction.net.wire.resp import ArrayReader, encode_array
@@ -103,7 +104,7 @@
         self.list_servers()
 
     def listen(self, build: Any) -> Any:
-        return reactor.listenTCP(0, Building(build), interface="127.0.0.1")
+        return reactor.listenTCP(0, BuildFactory(build), interface="127.0.0.1")
 
     def list_servers(
         self, state: api.ServerState = api.ServerState.SERVING, **moved: tuple[str, int]
@@ -159,7 +160,7 @@
     def client(self, front: int = 2, build: Any = Client) -> Deferred[Any]:
         port = self.ports[front].getHost().port
         endpoint: Any = TCP4ClientEndpoint(reactor, "127.0.0.1", port)
-        return endpoint.connect(Building(build))  # type: ignore[no-any-return]
+        return endpoint.connect(BuildFactory(build))  # type: ignore[no-any-return]
 
     def token(self, target: str, lifetime_s: int = 60, **claims: Any) -> str:
         return tokens.issue(
--- a/packages/fakes/src/fakes/scripted.py
+++ b/packages/fakes/src/fakes/scripted.py
@@ -11,7 +11,7 @@
 
 from twisted.internet import protocol
 
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 
--- a/packages/fakes/src/fakes/unresponsive_listener.py
+++ b/packages/fakes/src/fakes/unresponsive_listener.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import protocol, reactor
 
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 
 
 class UnresponsiveListener:
@@ -25,7 +25,7 @@
     def open(self) -> None:
         adopt: Any = reactor
         self.filler.close()
-        self.port = adopt.adoptStreamPort(self.listener.fileno(), socket.AF_INET, Building(self.build))
+        self.port = adopt.adoptStreamPort(self.listener.fileno(), socket.AF_INET, BuildFactory(self.build))
 
     def shut(self) -> None:
         """Take no more; the connections that were taken stay."""
--- a/packages/fleet-scale/src/fleet_scale/discovery.py
+++ b/packages/fleet-scale/src/fleet_scale/discovery.py
@@ -16,7 +16,7 @@
 
 from fleet_scale.event_log import EventLog, Line, digest
 from fleet_scale.plan import Changes, Purges, share_of
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 
 POLL = re.compile(rb"GET /cmd/next\?([^ \r\n]{1,400}) HTTP/1\.1\r\n(?:[^\r\n]{1,400}\r\n){0,16}\r\n")
 RESUME, BLOCK = re.compile(rb"(?:^|&)resume=(\d{1,18})"), re.compile(rb"(?:^|&)block=(\d{1,6})")
@@ -92,7 +92,7 @@
     def up(self) -> None:
         """Listen, on the port of before."""
         self._listening = self.reactor.listenTCP(
-            self.port, Building(self._built), backlog=2048, interface="127.0.0.1"
+            self.port, BuildFactory(self._built), backlog=2048, interface="127.0.0.1"
         )
         self.port = int(self._listening.getHost().port)
 
--- a/packages/fleet-scale/src/fleet_scale/links.py
+++ b/packages/fleet-scale/src/fleet_scale/links.py
@@ -15,7 +15,7 @@
 from twisted.internet.interfaces import IPushProducer
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 
 IN_FLIGHT = 1_000_000  # bytes of one way of one connection that are held for the delay
 MAX_PAIRS = 8192  # connections of one process
@@ -106,7 +106,7 @@
 
     def dial(self) -> None:
         endpoint: Any = TCP4ClientEndpoint(self.route.reactor, *self.route.target, timeout=DIAL_S)
-        self._dialling = endpoint.connect(Building(lambda: End(self)))
+        self._dialling = endpoint.connect(BuildFactory(lambda: End(self)))
         self._dialling.addErrback(lambda _: self.sever())
 
     def held(self) -> None:
@@ -152,7 +152,7 @@
 
     def listen(self) -> int:
         accept: Any = self._accept  # none of a full table, which Twisted takes for a refusal
-        listening = self.reactor.listenTCP(0, Building(accept), backlog=2048, interface="127.0.0.1")
+        listening = self.reactor.listenTCP(0, BuildFactory(accept), backlog=2048, interface="127.0.0.1")
         self.port = int(listening.getHost().port)
         return self.port
 
--- a/packages/fleet-scale/src/fleet_scale/load.py
+++ b/packages/fleet-scale/src/fleet_scale/load.py
@@ -12,7 +12,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
 from fleet_scale.fit import quantile
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.wire import fastcgi
 
 TTL_MS = 2000
@@ -69,7 +69,7 @@
 
     def dial(self, front: tuple[str, int]) -> None:
         endpoint: Any = TCP4ClientEndpoint(self.reactor, *front, timeout=5)
-        connecting = endpoint.connect(Building(lambda: Client(self, front)))
+        connecting = endpoint.connect(BuildFactory(lambda: Client(self, front)))
         connecting.addErrback(lambda _: self.reactor.callLater(AGAIN_S, self.dial, front))
 
     def _tick(self) -> None:
--- a/tests/net/discovery/sources_rig.py
+++ b/tests/net/discovery/sources_rig.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.wire.commands import Command, ListChange
 
 Query = dict[str, str]
@@ -57,7 +57,7 @@
         self.address = ("127.0.0.1", int(self.port.getHost().port))
 
     def listen(self, port: int) -> None:
-        self.port = reactor.listenTCP(port, Building(lambda: SourceLink(self)), interface="127.0.0.1")
+        self.port = reactor.listenTCP(port, BuildFactory(lambda: SourceLink(self)), interface="127.0.0.1")
 
     @inlineCallbacks
     def kill(self) -> Any:
--- a/tests/net/event_loop/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -20,7 +20,7 @@
 
 from tests.runtime.test_handover import Program
 from thornjunction.net.event_loop.client_priority import ClientPriorityReactor
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 
 SLOW_S = 0.05  # longer than a turn may spend on servers, and than a look at the clients holds
 
@@ -45,7 +45,9 @@
         make: Any = ClientPriorityReactor
         self.reactor: Any = make()
         self.reactor.clock = lambda: self.now
-        port = self.reactor.listenTCP(0, Building(lambda: Recorder(self, "client")), interface="127.0.0.1")
+        port = self.reactor.listenTCP(
+            0, BuildFactory(lambda: Recorder(self, "client")), interface="127.0.0.1"
+        )
         self.client = socket.create_connection(("127.0.0.1", port.getHost().port))
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.servers = [self._server(f"server {number}") for number in range(3)]
--- a/tests/net/relay/test_poll_endpoint.py
+++ b/tests/net/relay/test_poll_endpoint.py
@@ -13,7 +13,7 @@
 from twisted.trial.unittest import TestCase
 
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.relay.poll_endpoint import LOOK_MS, MAX_HEAD, PIECE, SILENT_MS, UNREAD_MS, PollerTable
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import encode_host, parse_commands
@@ -100,7 +100,7 @@
         self.gone: list[int] = []
         self.clients: list[socket.socket] = []
         self.pollers = PollerTable(3, self.deadlines, lambda: self.now, self.ask, self.gone.append)
-        self.port = reactor.listenTCP(0, Building(self.pollers.build), interface="127.0.0.1")
+        self.port = reactor.listenTCP(0, BuildFactory(self.pollers.build), interface="127.0.0.1")
         self.addCleanup(self.stop)
 
     def ask(self, poller: int, poll: Poll) -> None:
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -24,7 +24,7 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.event_loop.timer_service import core_ms
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
 from thornjunction.net.upstream import connection as shelf_link
 from thornjunction.net.upstream import connection_pool as shelves
@@ -192,7 +192,7 @@
             def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
                 packets.callback(datagram)
 
-        tcp = reactor.listenTCP(0, Building(Graphite), interface="127.0.0.1")
+        tcp = reactor.listenTCP(0, BuildFactory(Graphite), interface="127.0.0.1")
         udp = reactor.listenUDP(0, Collectd(), interface="127.0.0.1")
         metrics = MetricsExporter(reactor, rig.alarm.deadlines, core_ms, lambda: 10.5, counters, "n1", 10.0)
         metrics.to_graphite(("127.0.0.1", tcp.getHost().port), "tj")
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -23,7 +23,7 @@
 from tests.loopback import CLIP, Client, Rig
 from thornjunction.net.downstream.signed_front import SignedConnection
 from thornjunction.net.event_loop.timer_service import core_ms
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.runtime.errors import TlsError
 from thornjunction.runtime.signed_settings import TlsFiles
 from thornjunction.runtime.tls import CertificateReloader
@@ -132,7 +132,7 @@
     def test_the_second_front_serves_a_signed_url_over_tls(self) -> Any:
         rig = Rig()
         self.addCleanup(rig.stop)
-        build = Building(lambda: SignedConnection(rig.clients, rig.alarm.deadlines, core_ms, rig.door))
+        build = BuildFactory(lambda: SignedConnection(rig.clients, rig.alarm.deadlines, core_ms, rig.door))
         rig.ports.append(reactor.listenSSL(0, build, self.watch, interface="127.0.0.1"))
         port = rig.ports[-1].getHost().port
         endpoint = SSL4ClientEndpoint(reactor, "127.0.0.1", port, ssl.CertificateOptions())
--- a/thornjunction/net/admin/admin_endpoint.py
+++ b/thornjunction/net/admin/admin_endpoint.py
@@ -9,7 +9,7 @@
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import LineReader, encode_reply
 
--- a/thornjunction/net/discovery/source_probe.py
+++ b/thornjunction/net/discovery/source_probe.py
@@ -12,7 +12,8 @@
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
-from thornjunction.net.event_loop.transport import Transport, dial
+from thornjunction.net.event_loop.ports import Transport
+from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
@@ -82,5 +83,7 @@
     def up(link: ProbeConnection) -> None:
         timers.append(deadlines.add(until, link.silent))
 
-    dialled: Deferred[Any] = dial(reactor, address, lambda: ProbeConnection(request, once), deadlines, until)
+    dialled: Deferred[Any] = connect_by_deadline(
+        reactor, address, lambda: ProbeConnection(request, once), deadlines, until
+    )
     dialled.addCallbacks(up, lambda _: done(None, "dial-failed"))
--- a/thornjunction/net/discovery/watch_client.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -20,7 +20,7 @@
 from thornjunction.net.discovery.watch_connection import BLOCK_MS, SILENT_MS, WatchConnection
 from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
 from thornjunction.net.event_loop.disconnect_reasons import log_disconnect
-from thornjunction.net.event_loop.transport import dial
+from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
 DIAL_MS, MOST_DIAL_MS = 400.0, 1600.0  # for a connection; as that grows with dials that were not answered
@@ -171,7 +171,9 @@
         if self.stopped or self.link is not None or self._dialling is not None:
             return
         until = self.clock() + exponential_backoff(DIAL_MS, self.hangs, MOST_DIAL_MS)
-        connecting = dial(self.reactor, self.address, lambda: WatchConnection(self), self.deadlines, until)
+        connecting = connect_by_deadline(
+            self.reactor, self.address, lambda: WatchConnection(self), self.deadlines, until
+        )
 
         def up(_: object) -> None:
             self._dialling, self.hangs = None, 0
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -11,7 +11,7 @@
 from thornjunction.net.discovery.resynchronization import LONGEST, SHORT, Resynchronization
 from thornjunction.net.event_loop.backoff import exponential_backoff
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -17,7 +17,7 @@
 from thornjunction.memory.slots import SlotTable
 from thornjunction.net.downstream.request_scheduler import RequestScheduler
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 
 LOOK_MS = 500.0  # between looks at a connection's times
 SILENT_MS = 2_000.0  # for the first whole request, and for the rest of one that has begun: 3 s are owed
--- a/thornjunction/net/event_loop/transport.py
+++ b/thornjunction/net/event_loop/transport.py
@@ -1,9 +1,9 @@
-"""The part of Twisted that the endpoints use, with types that its zope interfaces don't give a checker."""
+"""Connecting by a deadline, and listening, with the endpoints of Twisted."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 from twisted.internet import protocol
 from twisted.internet.defer import Deferred
@@ -16,35 +16,7 @@
 OWN_TIMER = 3600  # seconds: our deadline ends a dial long before Twisted's would
 
 
-class Transport(Protocol):
-    """What a protocol may do with its connection."""
-
-    dataBuffer: bytes  # noqa: N815 - after ``doWrite``: empty where the system took all that was written
-
-    def write(self, data: bytes) -> None: ...
-
-    def getHandle(self) -> object: ...  # noqa: N802
-
-    def doWrite(self) -> object: ...  # noqa: N802
-
-    def loseConnection(self) -> None: ...  # noqa: N802
-
-    def loseWriteConnection(self) -> None: ...  # noqa: N802
-
-    def abortConnection(self) -> None: ...  # noqa: N802
-
-    def pauseProducing(self) -> None: ...  # noqa: N802
-
-    def resumeProducing(self) -> None: ...  # noqa: N802
-
-    def setTcpNoDelay(self, enabled: bool) -> None: ...  # noqa: N802
-
-    def registerProducer(self, producer: object, streaming: bool) -> None: ...  # noqa: N802
-
-    def unregisterProducer(self) -> None: ...  # noqa: N802
-
-
-class Building(protocol.Factory):
+class BuildFactory(protocol.Factory):
     """A factory that builds each connection's protocol by a function."""
 
     noisy = False
@@ -56,7 +28,7 @@
         return self.build()
 
 
-def dial(
+def connect_by_deadline(
     reactor: Any,
     address: tuple[str, int],
     build: Callable[[], protocol.Protocol],
@@ -65,7 +37,7 @@
 ) -> Deferred[Any]:
     """Connect, or fail at that time."""
     endpoint: Any = TCP4ClientEndpoint(SingleConnectReactor(reactor), *address, timeout=OWN_TIMER)
-    connecting: Deferred[Any] = endpoint.connect(Building(build))
+    connecting: Deferred[Any] = endpoint.connect(BuildFactory(build))
     timer = deadlines.add(until, connecting.cancel)
 
     def over(result: Any) -> Any:
--- a/thornjunction/net/relay/poll_endpoint.py
+++ b/thornjunction/net/relay/poll_endpoint.py
@@ -18,7 +18,7 @@
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.polls import Poll, decode_poll
 
--- a/thornjunction/net/telemetry/metrics_exporter.py
+++ b/thornjunction/net/telemetry/metrics_exporter.py
@@ -14,7 +14,8 @@
 from thornjunction.core.counters import Counters, CountersSnapshot
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
-from thornjunction.net.event_loop.transport import Transport, dial
+from thornjunction.net.event_loop.ports import Transport
+from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire import collectd, graphite
 
 DIAL_MS = 1000.0
@@ -111,7 +112,7 @@
             return
         self._dialling = True
         until = self.clock() + DIAL_MS
-        connecting = dial(
+        connecting = connect_by_deadline(
             self.reactor, self._graphite, lambda: GraphiteConnection(self._lost), self.deadlines, until
         )
         connecting.addCallbacks(self._up, self._down)
--- a/thornjunction/net/upstream/connect_attempt.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -13,7 +13,7 @@
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
-from thornjunction.net.event_loop.transport import dial
+from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.upstream.connect_errors import ConnectFailure, connect_failure
 
 AGAIN_MS, MOST_AGAIN_MS = 5.0, 100.0  # before the next try; as that grows
@@ -61,7 +61,7 @@
         until = self.since + self.target.dial_ms
         address, build = self.target.address, self.target.build
         self._pause = None
-        self._connecting = dial(self.reactor, address, build, self.deadlines, until)
+        self._connecting = connect_by_deadline(self.reactor, address, build, self.deadlines, until)
         self._connecting.addCallbacks(self._connected, self._failed)
 
     def cancel(self) -> None:
--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -20,7 +20,7 @@
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
-from thornjunction.net.event_loop.transport import Transport
+from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.upstream.connection_table import ConnectionTable
 from thornjunction.net.wire import ProtocolError, upstream
 from thornjunction.net.wire.resp import MAX_BULK, ArrayReader
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -10,7 +10,7 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.net.event_loop.listening_port import adopt
-from thornjunction.net.event_loop.transport import Building, server_endpoint
+from thornjunction.net.event_loop.transport import BuildFactory, server_endpoint
 
 log = get_logger(__name__)
 
@@ -30,7 +30,7 @@
 
     def listen(self, host: str, port: int, build: BuildProtocol) -> None:
         """Open a port."""
-        opening = server_endpoint(self._reactor, (host, port)).listen(Building(build))
+        opening = server_endpoint(self._reactor, (host, port)).listen(BuildFactory(build))
         opening.addCallbacks(self.ports.append, lambda failure: self._fail(failure.value))
 
     def adopt(self, descriptor: int, build: BuildProtocol) -> None:
@@ -38,7 +38,7 @@
         try:
             # A blocking accept behind the last connection would stop the process.
             os.set_blocking(descriptor, False)
-            self.ports.append(adopt(self._reactor, descriptor, Building(build)))
+            self.ports.append(adopt(self._reactor, descriptor, BuildFactory(build)))
             os.close(descriptor)  # the port has a duplicate of its own
         except OSError as error:
             self._fail(error)
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -18,7 +18,7 @@
 from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
 from thornjunction.net.event_loop.timer_service import core_ms
-from thornjunction.net.event_loop.transport import Building
+from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.runtime.key_set import KeySetReloader, ReloadableFile
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings, TlsFiles
@@ -90,7 +90,7 @@
         if self._certificates is None:
             listen_plain(host, port, self._build_connection)
         else:
-            factory = Building(self._build_connection)
+            factory = BuildFactory(self._build_connection)
             ports.append(reactor.listenSSL(port, factory, self._certificates, LISTEN_BACKLOG, host))
         return ports
 
