--- a/packages/fleet-scale/src/fleet_scale/__init__.py
+++ b/packages/fleet-scale/src/fleet_scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs of the control plane: hollow routers, a stand-in discovery, links, and tables of its costs."""
+"""Scale runs of the control plane: hollow routers, a fake discovery, proxies, and tables of costs."""
--- a/packages/fleet-scale/src/fleet_scale/__main__.py
+++ b/packages/fleet-scale/src/fleet_scale/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m fleet_scale WHAT``: a run, its tables written to a file; exit code 1 where a verdict fails."""
+"""``python -m fleet_scale RUN``: a run with its tables written to a file.
+
+The exit code is 1 if a verdict fails, and 2 for a topology that is not valid.
+"""
 
 from __future__ import annotations
 
@@ -7,71 +10,91 @@
 import sys
 from pathlib import Path
 
-from fleet_scale.compare import compare
-from fleet_scale.faults import faults
+from fleet_scale.errors import TopologyError
+from fleet_scale.modes import Mode
 from fleet_scale.report import Report
-from fleet_scale.slopes import slopes
-from fleet_scale.small import small
-from fleet_scale.topology import HERE, Topology, TopologyError, read_topology
+from fleet_scale.runs.compare import run_comparison
+from fleet_scale.runs.faults import FaultOptions, run_faults
+from fleet_scale.runs.slopes import run_slopes
+from fleet_scale.runs.small import run_small
+from fleet_scale.topology import TOPOLOGY_FOLDER, Topology, read_topology
+
+RUNS = ("small", "compare", "slopes", "faults", "all")
+# Hollow routers of the sizes that are compared.
+COMPARED_SIZES = (100, 300, 600, 1200)
+# Purges of an hour at 34 a second.
+PURGES_PER_HOUR = 122_400
 
-MODES = ("direct", "relays")
-SIZES = (100, 300, 600, 1200)
-HOUR = 122_400  # purges, at 34 a second
+EXIT_PASSED = 0
+EXIT_VERDICT_FAILED = 1
+EXIT_INVALID_TOPOLOGY = 2
+# The exit code of a program that SIGTERM ended, by the shell's convention.
+EXIT_TERMINATED = 128 + signal.SIGTERM
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = _parser().parse_args(argv)
+    """Run the command line and return the exit code."""
+    arguments = _parser().parse_args(argv)
     try:
-        file = told.topology or HERE / ("small.toml" if told.what == "small" else "full.toml")
-        topology = read_topology(file).sized(told.routers, told.shelfs, told.relays)
+        topology = _topology(arguments)
     except TopologyError as error:
         print(f"fleet_scale: {error}", file=sys.stderr)
-        return 2
-    report = Report(" ".join(["python -m fleet_scale", *(argv if argv is not None else sys.argv[1:])]))
+        return EXIT_INVALID_TOPOLOGY
+    words = sys.argv[1:] if argv is None else argv
+    report = Report(" ".join(["python -m fleet_scale", *words]))
     try:
-        _play(report, topology, told)
+        _run(report, topology, arguments)
     finally:
-        if told.out is not None:
-            report.write(told.out)
+        if arguments.out is not None:
+            report.write(arguments.out)
     print(report.markdown())
-    for what in report.failed:
-        print(f"fails: {what}", file=sys.stderr)
-    return 1 if report.failed else 0
+    for statement in report.failed:
+        print(f"fails: {statement}", file=sys.stderr)
+    return EXIT_VERDICT_FAILED if report.failed else EXIT_PASSED
+
+
+def _topology(arguments: argparse.Namespace) -> Topology:
+    default = "small.toml" if arguments.run == "small" else "full.toml"
+    topology = read_topology(arguments.topology or TOPOLOGY_FOLDER / default)
+    return topology.sized(arguments.routers, arguments.shelfs, arguments.relays)
 
 
-def _play(report: Report, topology: Topology, told: argparse.Namespace) -> None:
-    modes = tuple(told.modes)
-    if told.what == "small":
-        small(report, topology, modes, told.most_s)
-    if told.what in ("compare", "all"):
-        compare(report, topology, told.sizes, modes, told.seconds)
-    if told.what in ("slopes", "all"):
-        slopes(report, topology.sized(min(told.slope_routers, topology.routers)), modes, told.seconds)
-    if told.what in ("faults", "all"):
-        size = min(told.fault_routers, topology.routers)
-        faults(report, topology.sized(size), modes, told.behind, told.restarts, told.most_s)
+def _run(report: Report, topology: Topology, arguments: argparse.Namespace) -> None:
+    modes = tuple(arguments.modes)
+    if arguments.run == "small":
+        run_small(report, topology, modes, arguments.most_s)
+    if arguments.run in ("compare", "all"):
+        run_comparison(report, topology, arguments.sizes, modes, arguments.seconds)
+    if arguments.run in ("slopes", "all"):
+        sized = topology.sized(min(arguments.slope_routers, topology.routers))
+        run_slopes(report, sized, modes, arguments.seconds)
+    if arguments.run in ("faults", "all"):
+        sized = topology.sized(min(arguments.fault_routers, topology.routers))
+        options = FaultOptions(arguments.behind, arguments.restarts, arguments.most_s)
+        run_faults(report, sized, modes, options)
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m fleet_scale", description=__doc__)
-    parser.add_argument("what", choices=("small", "compare", "slopes", "faults", "all"))
-    parser.add_argument("--topology", type=Path, help="a TOML file; else full.toml or small.toml")
-    parser.add_argument("--out", type=Path, help="where the tables go")
-    parser.add_argument("--routers", type=int, default=0, help="over the topology's number")
-    parser.add_argument("--shelfs", type=int, default=0, help="over the topology's number")
-    parser.add_argument("--relays", type=int, default=-1, help="over the topology's number")
-    parser.add_argument("--modes", nargs="+", choices=MODES, default=MODES)
-    parser.add_argument("--sizes", nargs="+", type=int, default=SIZES, help="hollow routers, of compare")
-    parser.add_argument("--seconds", type=float, default=10.0, help="of each measured window")
-    parser.add_argument("--slope-routers", type=int, default=200, help="hollow routers, of slopes")
-    parser.add_argument("--fault-routers", type=int, default=1200, help="hollow routers, of faults")
-    parser.add_argument("--behind", type=int, default=HOUR, help="purges told while a region is cut")
-    parser.add_argument("--restarts", type=int, default=360)
-    parser.add_argument("--most-s", type=float, default=900.0, help="of each stage; of the whole small form")
+    add = parser.add_argument
+    add("run", choices=RUNS)
+    add("--topology", type=Path, help="a TOML file; else full.toml or small.toml")
+    add("--out", type=Path, help="the file for the tables")
+    add("--routers", type=int, default=0, help="in place of the topology's number")
+    add("--shelfs", type=int, default=0, help="cache servers, in place of the topology's number")
+    add("--relays", type=int, default=-1, help="in place of the topology's number")
+    add("--modes", nargs="+", type=Mode, choices=tuple(Mode), default=tuple(Mode))
+    add("--sizes", nargs="+", type=int, default=COMPARED_SIZES, help="hollow routers, of compare")
+    add("--seconds", type=float, default=10.0, help="of each measured window")
+    add("--slope-routers", type=int, default=200, help="hollow routers, of slopes")
+    add("--fault-routers", type=int, default=1200, help="hollow routers, of faults")
+    add("--behind", type=int, default=PURGES_PER_HOUR, help="purges published while a region is cut off")
+    add("--restarts", type=int, default=360)
+    add("--most-s", type=float, default=900.0, help="of each environment; of the whole small form")
     return parser
 
 
 if __name__ == "__main__":
-    # Guards the processes of a run that is told to end: the stage's own end ends them.
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
+    # Ends the processes of a run that SIGTERM ends: SystemExit leaves the environment, which stops them.
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     sys.exit(main())
--- /dev/null
+++ b/packages/fleet-scale/src/fleet_scale/runs/compare.py
@@ -0,0 +1,204 @@
+"""Direct polling against relays, in one run, at several sizes."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from fleet_scale.environment.environment_processes import EnvironmentOptions
+from fleet_scale.environment.scale_environment import FleetState, ScaleEnvironment
+from fleet_scale.errors import NotInStepError, RunError
+from fleet_scale.messages import Acknowledged, ClearLatencies, LoadFigures
+from fleet_scale.modes import Mode
+from fleet_scale.report import Report, Table
+from fleet_scale.runs.cost import Cost, cost_between, take_sample
+from fleet_scale.runs.propagation import Propagation, measure_propagation
+from fleet_scale.topology import Topology
+
+# Purges a second at the peak.
+PEAK_PURGES_PER_S = 34.0
+CHANGE_INTERVAL_S = 1.0
+# Requests a second to each full router.
+REQUESTS_PER_S = 20.0
+# Duration of the window without events.
+IDLE_WINDOW_S = 3.0
+IN_STEP_TIMEOUT_S = 60.0
+PROPAGATION_QUESTION = (
+    f"Until all routers have it, at {PEAK_PURGES_PER_S:.0f} purges a second and a change of the list a second"
+)
+# Note below the table of routers.
+LIMITS = "Limits: 5.6 s until all have a purge (aim 1.5 s), 14 KB/s (aim 5) and 1.5 % of a core (aim 0.5 %)."
+# Busy share of the machine above which its times are those of a machine at its limit.
+FULL_MACHINE_SHARE = 0.95
+
+
+@dataclass(frozen=True, slots=True)
+class Window:
+    """The cost of a span of time, and the 99th percentile of the requests' latency in it."""
+
+    cost: Cost
+    request_p99_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class Measurement:
+    """All that is measured at one size in one mode."""
+
+    routers: int
+    mode: Mode
+    idle: Window
+    loaded: Window
+    purges: Propagation
+    changes: Propagation
+
+
+@dataclass(frozen=True, slots=True)
+class ComparisonTables:
+    """The tables of the comparison."""
+
+    propagation: Table
+    routers: Table
+    sources: Table
+
+    @classmethod
+    def of(cls, report: Report) -> ComparisonTables:
+        """Add the tables to a report."""
+        return cls(
+            report.table(
+                PROPAGATION_QUESTION,
+                "routers", "way", "purge p50 ms", "p99", "most", "not with all", "change p50 ms", "most",
+                "machine busy %",
+            ),
+            report.table(
+                "What control costs a router",
+                "routers", "way", "KB/s in", "KB/s out", "answers/s", "core %", "idle core %",
+                "own MB of a hollow one",
+                "whole router: core % under control", "idle core %", "MB resident (own)",
+                "requests p99 ms (idle)",
+            ),
+            report.table(
+                "What it costs discovery and a relay",
+                "routers", "way", "polls/s at discovery", "core % of its 3 processes", "own MB of one",
+                "connections", "a relay's core %", "own MB", "descriptors",
+            ),
+        )  # fmt: skip
+
+    def add(self, measured: Measurement) -> None:
+        """Add a row to each table."""
+        self._add_propagation(measured)
+        self._add_routers(measured)
+        self._add_sources(measured)
+
+    def _add_propagation(self, measured: Measurement) -> None:
+        purges = measured.purges
+        changes = measured.changes
+        busy_share = measured.loaded.cost.machine_busy_share
+        full = " (full)" if busy_share > FULL_MACHINE_SHARE else ""
+        self.propagation.add(
+            measured.routers,
+            measured.mode,
+            purges.p50_ms,
+            purges.p99_ms,
+            purges.max_ms,
+            purges.incomplete,
+            changes.p50_ms,
+            changes.max_ms,
+            f"{100 * busy_share:.0f}{full}",
+        )
+
+    def _add_routers(self, measured: Measurement) -> None:
+        hollow = measured.loaded.cost.hollow_router
+        full = measured.loaded.cost.full_router
+        idle = measured.idle
+        self.routers.add(
+            measured.routers,
+            measured.mode,
+            hollow.bytes_in_per_s / 1000.0,
+            hollow.bytes_out_per_s / 1000.0,
+            hollow.polls_per_s,
+            100 * hollow.core_share,
+            100 * idle.cost.hollow_router.core_share,
+            hollow.private_mb,
+            100 * full.core_share,
+            100 * idle.cost.full_router.core_share,
+            f"{full.resident_mb:.1f} ({full.private_mb:.1f})",
+            f"{measured.loaded.request_p99_ms:.1f} ({idle.request_p99_ms:.1f})",
+        )
+
+    def _add_sources(self, measured: Measurement) -> None:
+        discovery = measured.loaded.cost.discovery
+        relay = measured.loaded.cost.relay
+        relay_cells: tuple[object, ...] = (100 * relay.core_share, relay.private_mb, relay.descriptors)
+        self.sources.add(
+            measured.routers,
+            measured.mode,
+            discovery.polls_per_s,
+            100 * discovery.core_share,
+            discovery.private_mb,
+            discovery.connections,
+            *(relay_cells if measured.mode is Mode.RELAYS else ("-",) * len(relay_cells)),
+        )
+
+
+def run_comparison(
+    report: Report, topology: Topology, sizes: Sequence[int], modes: Sequence[Mode], window_s: float
+) -> None:
+    """Measure an environment for each size and mode, one after the other."""
+    tables = ComparisonTables.of(report)
+    for size in sizes:
+        for mode in modes:
+            try:
+                tables.add(_measure(report, topology.sized(size), mode, window_s))
+            except RunError as error:
+                tables.propagation.notes.append(f"{size} routers, {mode}: not measured: {error}.")
+    tables.routers.notes.append(LIMITS)
+
+
+def _measure(report: Report, topology: Topology, mode: Mode, window_s: float) -> Measurement:
+    options = EnvironmentOptions(relays=mode is Mode.RELAYS, full_routers=True, requests_per_s=REQUESTS_PER_S)
+    time_limit_s = 4 * window_s + 3 * IN_STEP_TIMEOUT_S
+    with ScaleEnvironment(topology, options, time_limit_s) as environment:
+        if environment.wait_in_step(IN_STEP_TIMEOUT_S) is None:
+            raise NotInStepError(when=f"within {IN_STEP_TIMEOUT_S:.0f} s of the start")
+        idle = _measure_window(environment, IDLE_WINDOW_S)
+        purges = environment.publish_purges(PEAK_PURGES_PER_S, int(PEAK_PURGES_PER_S * window_s))
+        changes = environment.publish_changes(CHANGE_INTERVAL_S, int(window_s / CHANGE_INTERVAL_S))
+        environment.pause_until(purges.start_s)
+        loaded = _measure_window(environment, window_s)
+        is_in_step = environment.wait_in_step(IN_STEP_TIMEOUT_S) is not None
+        measured = Measurement(
+            topology.routers,
+            mode,
+            idle,
+            loaded,
+            measure_propagation(purges, environment.deliveries(purges), topology.routers),
+            measure_propagation(changes, environment.deliveries(changes), topology.routers),
+        )
+        state = environment.state()
+    _add_verdicts(report, measured, is_in_step, state)
+    return measured
+
+
+def _add_verdicts(report: Report, measured: Measurement, is_in_step: bool, state: FleetState) -> None:
+    key = f"{measured.routers} routers, {measured.mode}"
+    report.verdict(f"{key}: all in step in the end", is_in_step)
+    report.verdict(f"{key}: no purge lost", measured.purges.incomplete == 0)
+    if measured.mode is Mode.DIRECT:
+        report.verdict(f"{key}: none told twice", state.repeated_purges == 0)
+
+
+def _measure_window(environment: ScaleEnvironment, seconds: float) -> Window:
+    if environment.load is not None:
+        environment.load.ask(ClearLatencies(), Acknowledged)
+    before = take_sample(environment)
+    environment.pause(seconds)
+    after = take_sample(environment)
+    return Window(cost_between(before, after), _request_p99_ms(after.load))
+
+
+def _request_p99_ms(load: LoadFigures | None) -> float:
+    """The 99th percentile of the requests' latency; 0 without a load, NaN without an answer."""
+    if load is None:
+        return 0.0
+    return math.nan if load.p99_ms is None else load.p99_ms
--- a/packages/fleet-scale/src/fleet_scale/topology.py
+++ b/packages/fleet-scale/src/fleet_scale/topology.py
@@ -1,26 +1,40 @@
-"""What stands where: regions, zones, sites, routers by site, and what they poll.  From a TOML file."""
+"""The topology of a run, read from a TOML file: regions, zones, sites, and what is in them."""
 
 from __future__ import annotations
 
 import math
+import string
 import tomllib
-from collections.abc import Mapping, Sequence
+from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
-MOST_ROUTERS, MOST_SHELFS, MOST_EACH = 2000, 4096, 200  # of a run; of a list; hollow ones in one process
-LEAST_PROCESSES, MOST_PROCESSES = 4, 64  # of hollow routers
-HERE = Path(__file__).resolve().parent
+from fleet_scale.errors import TopologyError
 
+# The folder of the topologies that come with the package.
+TOPOLOGY_FOLDER = Path(__file__).resolve().parent
 
-class TopologyError(Exception):
-    """What is wrong with a file, naming the key."""
+MAX_ROUTERS = 2000
+MAX_CACHE_SERVERS = 4096
+MAX_DISCOVERIES = 8
+MAX_PROXIES = 8
+MAX_RELAYS = 14
+MAX_FULL_ROUTERS = 9
+MAX_REGIONS = 32
+MAX_ZONES_PER_REGION = 8
+MAX_SITES_PER_ZONE = 16
+MAX_DELAY_MS = 1000.0
+# Hollow routers in one process.
+MAX_HOLLOW_ROUTERS_PER_PROCESS = 200
+# Processes of hollow routers.
+MIN_HOLLOW_PROCESSES = 4
+MAX_HOLLOW_PROCESSES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """One place, its zone and region by name, and its routers."""
+    """A site with its zone and region, by their names, and its routers."""
 
     name: str
     zone: str
@@ -30,100 +44,129 @@
 
 @dataclass(frozen=True, slots=True)
 class Delays:
-    """One way, in ms: to what stands in the same zone, in the same region, in another one."""
+    """Delay of one direction to what is in the same zone, in the same region, and in another region."""
 
-    zone: float
-    region: float
-    far: float
+    zone_ms: float
+    region_ms: float
+    remote_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """All that a run starts.  ``relays``, ``whole`` and ``voters`` hold a region for each."""
+    """All that a run starts.  ``relays``, ``full_routers`` and ``voters`` hold the region of each."""
 
     routers: int
-    shelfs: int
-    hollow_each: int
+    cache_servers: int
+    hollow_routers_per_process: int
     discoveries: int
-    links: int
+    proxies: int
     relays: tuple[str, ...]
-    whole: tuple[str, ...]
+    full_routers: tuple[str, ...]
     voters: tuple[str, ...]
     delays: Delays
     regions: Mapping[str, Sequence[int]]
 
     def sites(self) -> tuple[Site, ...]:
-        """All sites, the routers spread over them as evenly as whole ones can be."""
-        places = [
-            (f"{region}{'abcdefgh'[zone]}{site + 1}", f"{region}{'abcdefgh'[zone]}", region)
-            for region, zones in self.regions.items()
-            for zone, sites in enumerate(zones)
-            for site in range(sites)
-        ]
-        ends = [self.routers * (place + 1) // len(places) for place in range(len(places))]
-        counts = [end - begin for begin, end in zip([0, *ends], ends, strict=False)]
+        """All sites, with the routers spread over them as evenly as possible."""
+        places = list(self._places())
+        ends = [self.routers * (index + 1) // len(places) for index in range(len(places))]
+        begins = [0, *ends[:-1]]
         return tuple(
-            Site(*place, tuple(f"{place[0]}-{number + 1:02d}" for number in range(count)))
-            for place, count in zip(places, counts, strict=True)
+            Site(name, zone, region, tuple(f"{name}-{number + 1:02d}" for number in range(end - begin)))
+            for (name, zone, region), begin, end in zip(places, begins, ends, strict=True)
         )
 
+    def _places(self) -> Iterator[tuple[str, str, str]]:
+        """The name of each site with its zone and region."""
+        for region, zones in self.regions.items():
+            for letter, site_count in zip(string.ascii_lowercase, zones, strict=False):
+                zone = f"{region}{letter}"
+                for number in range(1, site_count + 1):
+                    yield f"{zone}{number}", zone, region
+
     def zones(self) -> tuple[str, ...]:
+        """The names of all zones."""
         return tuple(dict.fromkeys(site.zone for site in self.sites()))
 
-    def sized(self, routers: int = 0, shelfs: int = 0, relays: int = -1) -> Topology:
-        """The same places with so many of each; 0, or under 0 for relays, leaves what the file says."""
-        kept = self.relays if relays < 0 else (self.relays * (relays or 1))[:relays]
-        count = routers or self.routers
-        each = min(self.hollow_each, max(math.ceil(count / LEAST_PROCESSES), 1))
-        fresh = replace(
-            self, routers=count, shelfs=shelfs or self.shelfs, relays=tuple(kept), hollow_each=each
+    def sized(self, routers: int = 0, cache_servers: int = 0, relays: int = -1) -> Topology:
+        """Return the same places with so many of each.
+
+        0, or a negative number of relays, keeps what the topology has.  Raises TopologyError.
+        """
+        router_count = routers or self.routers
+        per_process = math.ceil(router_count / MIN_HOLLOW_PROCESSES)
+        sized = replace(
+            self,
+            routers=router_count,
+            cache_servers=cache_servers or self.cache_servers,
+            relays=self.relays if relays < 0 else (self.relays * relays)[:relays],
+            hollow_routers_per_process=min(self.hollow_routers_per_process, max(per_process, 1)),
         )
-        _check(fresh)
-        return fresh
+        _check(sized)
+        return sized
 
 
 def read_topology(path: Path) -> Topology:
-    """From a file; TopologyError names what is wrong with it."""
+    """Read a file.  Raises TopologyError, which names what is wrong with it."""
     try:
-        return _read(tomllib.loads(path.read_text(encoding="utf-8")))
-    except (OSError, tomllib.TOMLDecodeError) as error:
-        raise TopologyError(f"{path.name}: {error}") from error
+        return _parse(tomllib.loads(path.read_text(encoding="utf-8")))
     except KeyError as error:
-        raise TopologyError(f"{path.name}: {error.args[0]} is missing") from error
-    except (TypeError, ValueError, AttributeError) as error:
-        raise TopologyError(f"{path.name}: {error}") from error
-
-
-def _read(told: Mapping[str, Any]) -> Topology:
-    counted = "routers", "shelfs", "hollow_each", "discoveries", "links"
-    numbers: Any = {key: int(told[key]) for key in counted}
-    groups: Any = {key: tuple(str(name) for name in told[key]) for key in ("relays", "whole", "voters")}
-    delays = Delays(**{key: float(told["delays"][key]) for key in ("zone", "region", "far")})
-    regions = {str(name): tuple(int(sites) for sites in zones) for name, zones in told["regions"].items()}
-    made = Topology(**numbers, **groups, delays=delays, regions=regions)
-    _check(made)
-    return made
-
-
-def _check(made: Topology) -> None:
+        raise TopologyError(path.name, f"{error.args[0]} is missing") from error
+    except (OSError, TypeError, ValueError, AttributeError) as error:
+        raise TopologyError(path.name, error) from error
+
+
+def _parse(values: Mapping[str, Any]) -> Topology:
+    delays = values["delays"]
+    topology = Topology(
+        routers=int(values["routers"]),
+        cache_servers=int(values["shelfs"]),
+        hollow_routers_per_process=int(values["hollow_each"]),
+        discoveries=int(values["discoveries"]),
+        proxies=int(values["links"]),
+        relays=tuple(str(region) for region in values["relays"]),
+        full_routers=tuple(str(region) for region in values["whole"]),
+        voters=tuple(str(region) for region in values["voters"]),
+        delays=Delays(float(delays["zone"]), float(delays["region"]), float(delays["far"])),
+        regions={
+            str(region): tuple(int(site_count) for site_count in zones)
+            for region, zones in values["regions"].items()
+        },
+    )
+    _check(topology)
+    return topology
+
+
+def _check(topology: Topology) -> None:
+    """Raise TopologyError for the first value out of its bounds, by its key in the file."""
+    hollow_processes = topology.routers / topology.hollow_routers_per_process
     bounds = {
-        "routers": (made.routers, 1, MOST_ROUTERS),
-        "shelfs": (made.shelfs, 1, MOST_SHELFS),
-        "hollow_each": (made.hollow_each, 1, MOST_EACH),
-        "discoveries": (made.discoveries, 1, 8),
-        "links": (made.links, 0, 8),
-        "relays": (len(made.relays), 0, 14),
-        "whole": (len(made.whole), 0, 9),
-        "regions": (len(made.regions), 1, 32),
-        "processes of hollow routers": (made.routers / made.hollow_each, 0, MOST_PROCESSES),
+        "routers": (topology.routers, 1, MAX_ROUTERS),
+        "shelfs": (topology.cache_servers, 1, MAX_CACHE_SERVERS),
+        "hollow_each": (topology.hollow_routers_per_process, 1, MAX_HOLLOW_ROUTERS_PER_PROCESS),
+        "discoveries": (topology.discoveries, 1, MAX_DISCOVERIES),
+        "links": (topology.proxies, 0, MAX_PROXIES),
+        "relays": (len(topology.relays), 0, MAX_RELAYS),
+        "whole": (len(topology.full_routers), 0, MAX_FULL_ROUTERS),
+        "regions": (len(topology.regions), 1, MAX_REGIONS),
+        "processes of hollow routers": (hollow_processes, 0, MAX_HOLLOW_PROCESSES),
     }
-    for key, (value, least, most) in bounds.items():
-        if not least <= value <= most:
-            raise TopologyError(f"{key}: {value:g} is not within {least} and {most}")
-    for key, names in (("relays", made.relays), ("whole", made.whole), ("voters", made.voters)):
-        if unknown := set(names) - made.regions.keys():
-            raise TopologyError(f"{key}: no region {min(unknown)}")
-    if any(not 0 < len(zones) <= 8 or not all(0 < n <= 16 for n in zones) for zones in made.regions.values()):
-        raise TopologyError("regions: 1 to 8 zones of 1 to 16 sites each")
-    if any(not 0.0 <= ms <= 1000.0 for ms in (made.delays.zone, made.delays.region, made.delays.far)):
-        raise TopologyError("delays: not within 0 and 1000 ms")
+    for key, (value, minimum, maximum) in bounds.items():
+        if not minimum <= value <= maximum:
+            raise TopologyError(key, f"{value:g} is not within {minimum} and {maximum}")
+    _check_regions(topology)
+    delays = topology.delays
+    if any(not 0.0 <= ms <= MAX_DELAY_MS for ms in (delays.zone_ms, delays.region_ms, delays.remote_ms)):
+        raise TopologyError("delays", f"not within 0 and {MAX_DELAY_MS:.0f} ms")
+
+
+def _check_regions(topology: Topology) -> None:
+    named = {"relays": topology.relays, "whole": topology.full_routers, "voters": topology.voters}
+    for key, regions in named.items():
+        if unknown := set(regions) - topology.regions.keys():
+            raise TopologyError(key, f"no region {min(unknown)}")
+    for zones in topology.regions.values():
+        zone_count_fits = 0 < len(zones) <= MAX_ZONES_PER_REGION
+        if not zone_count_fits or not all(0 < count <= MAX_SITES_PER_ZONE for count in zones):
+            bounds = f"1 to {MAX_ZONES_PER_REGION} zones of 1 to {MAX_SITES_PER_ZONE} sites each"
+            raise TopologyError("regions", bounds)
