--- a/thornjunction/estimates.py
+++ b/thornjunction/estimates.py
@@ -33,15 +33,15 @@
 # Size in KB of a request whose class has shown no size yet.
 DEFAULT_SIZE_KB = 1.0
 
-_UINT64 = 1 << 64
+_UINT64_MASK = (1 << 64) - 1
 _DOUBLE_MANTISSA = 1 << 53
 
 
 def mix64(value: int) -> int:
     """Return a stable 64-bit hash of an integer (the splitmix64 finaliser)."""
-    value = (value + 0x9E3779B97F4A7C15) % _UINT64
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) % _UINT64
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) % _UINT64
+    value = (value + 0x9E3779B97F4A7C15) & _UINT64_MASK
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & _UINT64_MASK
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & _UINT64_MASK
     return value ^ (value >> 31)
 
 
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -15,10 +15,11 @@
 from array import array
 from bisect import bisect_left, insort
 from collections import Counter
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 from hashlib import shake_128
 from heapq import nsmallest
+from operator import itemgetter
 from typing import Generic, TypeVar
 
 from thornjunction.estimates import mix64, rendezvous_score
@@ -44,6 +45,7 @@
 MIN_WEIGHT = 1e-9
 
 ServerT = TypeVar("ServerT")
+_SCORE_OF = itemgetter(0)
 RankingKey = tuple[int, bool, int]  # a group's version, whether weights count, the object's hash
 
 
@@ -168,13 +170,10 @@
             ranked = self._rank(object_hash, weighted)
             best = tuple([member.server_id for member in ranked[:CANDIDATES_KEPT]])
             self._cache.put(key, best)
-            for member in ranked:
-                yield member.server
-            yield from self._others(object_hash, weighted, {member.server_id for member in ranked})
-            return
-        for server_id in best:
-            yield self._members[server_id].server
-        yield from self._others(object_hash, weighted, set(best))
+        else:
+            ranked = [self._members[server_id] for server_id in best]
+        first = [member.server for member in ranked]
+        return itertools.chain(first, self._others(object_hash, weighted, ranked))
 
     def _uses_table(self, object_hash: int) -> bool:
         """Whether the table ranks this object.
@@ -193,24 +192,28 @@
 
     def _score_all(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
         """All members in the order of exact rendezvous hashing: the highest score first."""
-
-        def score(member: Member[ServerT]) -> float:
-            return rendezvous_score(object_hash, member.salt, member.weight if weighted else 1.0)
-
-        return sorted(self._members.values(), key=score, reverse=True)
-
-    def _others(self, object_hash: int, weighted: bool, seen: set[str]) -> Iterator[ServerT]:
-        """The candidates after those seen: needed only where all of these are unusable.
+        scored = [
+            (rendezvous_score(object_hash, member.salt, member.weight if weighted else 1.0), member)
+            for member in self._members.values()
+        ]
+        scored.sort(key=_SCORE_OF, reverse=True)
+        return [member for _, member in scored]
+
+    def _others(
+        self, object_hash: int, weighted: bool, ranked: Sequence[Member[ServerT]]
+    ) -> Iterator[ServerT]:
+        """The candidates after those ranked: needed only where all of these are unusable.
 
         In a large group they follow in the order of their salts, from a place that the object's hash gives:
         each object has others first, and none is computed before it is asked for.
         """
-        if len(seen) == len(self._members):
+        if len(ranked) == len(self._members):
             return
         if not self._uses_table(object_hash):
-            for member in self._score_all(object_hash, weighted)[len(seen) :]:
+            for member in self._score_all(object_hash, weighted)[len(ranked) :]:
                 yield member.server
             return
+        seen = {member.server_id for member in ranked}
         start = bisect_left(self._by_salt, (object_hash, ""), key=_order_by_salt)
         for member in itertools.chain(self._by_salt[start:], self._by_salt[:start]):
             if member.server_id not in seen:
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -217,7 +217,8 @@
 
     def _fitness(self, request: PendingRequest, server: Upstream, now_ms: float) -> Fitness | None:
         """How fit a cache is for the next attempt of this request; None: it must not get it."""
-        if not self.within_budget(server, request.cache_cost_ms, now_ms):
+        cost_ms = request.cache_cost_ms
+        if not self.slow_start.admits(server.entry, server.slow_start_window, cost_ms, now_ms):
             return None
         is_tried = server.id in request.tried_servers
         if server.is_available(now_ms):
--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -122,8 +122,10 @@
 
         Leaves out the first ``skipped_blocks`` of them. A block is ranked only when it is reached.
         """
-        for block in self._blocks_for(asker_hash)[skipped_blocks:]:
-            yield from block.candidates(object_hash, weighted)
+        blocks = self._blocks_for(asker_hash)[skipped_blocks:]
+        if len(blocks) == 1:
+            return blocks[0].candidates(object_hash, weighted)
+        return itertools.chain.from_iterable(block.candidates(object_hash, weighted) for block in blocks)
 
     def _block_of(self, server_id: str) -> CandidateGroup[ServerT]:
         """The block that a cache belongs to, in every router."""
