--- a/benchmarks/subset_balance.py
+++ b/benchmarks/subset_balance.py
@@ -16,22 +16,28 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from capacity_fit import row, table
+import click
+from benchmark_tools.command_line import time_limit
+from benchmark_tools.tables import markdown_table
 
 from thornjunction.estimates import mix64
 from thornjunction.policy.subsetting import block_count, router_hash
 
+# Layouts: caches and routers of a site.
 LAYOUTS = ((60, 67), (400, 67), (960, 5), (960, 67), (960, 200), (2_880, 5), (2_880, 67), (2_880, 200))
+# Objects over which the copies are averaged.
 OBJECTS = 300
 SEED = 7
+# So many routers that they bound no number of blocks.
 UNBOUNDED_ROUTERS = 10**6
 
-Subsets = list[list[int]]  # of each router: the salts of its caches
+Subsets = list[list[int]]
+"""Of each router: the salts of its caches."""
 
 
 @dataclass(frozen=True, slots=True)
 class Balance:
-    """What one way of subsetting comes to."""
+    """The copies and the balance of one way of subsetting."""
 
     copies: float
     load_deviation: float  # standard deviation over the mean
@@ -41,9 +47,9 @@
 
 def divide_by_block(salts: list[int], routers: int, blocks: int) -> Subsets:
     """The caches of each router's block."""
-    own = [router_hash(f"router{number}", 0) * blocks >> 64 for number in range(routers)]
+    block_by_router = [router_hash(f"router{number}", 0) * blocks >> 64 for number in range(routers)]
     members = [[salt for salt in salts if salt * blocks >> 64 == block] for block in range(blocks)]
-    return [members[block] for block in own]
+    return [members[block] for block in block_by_router]
 
 
 def divide_by_rendezvous(salts: list[int], routers: int, blocks: int) -> Subsets:
@@ -61,11 +67,11 @@
             loads[salt] += 1 / len(subset)
     mean = len(subsets) / len(salts)
     spread = [loads[salt] / mean for salt in salts]
-    draw = random.Random(SEED)
+    generator = random.Random(SEED)
     copies = 0
     distinct = list({tuple(subset) for subset in subsets})
     for _ in range(OBJECTS):
-        object_hash = draw.getrandbits(64)
+        object_hash = generator.getrandbits(64)
         copies += len({max(subset, key=lambda salt: mix64(object_hash ^ salt)) for subset in distinct})
     return Balance(
         copies=copies / OBJECTS,
@@ -75,25 +81,38 @@
     )
 
 
-def rows_of(caches: int, routers: int) -> Iterator[str]:
+def layout_rows(caches: int, routers: int) -> Iterator[tuple[object, ...]]:
     """Both ways in one layout, and once more without the bound on blocks by the number of routers."""
     salts = [mix64(number) for number in range(caches)]
-    counts = {"": block_count(caches, routers, 1), ", unbounded": block_count(caches, UNBOUNDED_ROUTERS, 1)}
-    if len(set(counts.values())) == 1:
-        del counts[", unbounded"]
-    for note, blocks in counts.items():
+    block_counts = {
+        "": block_count(caches, routers, 1),
+        ", unbounded": block_count(caches, UNBOUNDED_ROUTERS, 1),
+    }
+    if len(set(block_counts.values())) == 1:
+        del block_counts[", unbounded"]
+    for note, blocks in block_counts.items():
         for name, divide in (("blocks", divide_by_block), ("rendezvous", divide_by_rendezvous)):
-            found = measure(salts, divide(salts, routers, blocks))
-            figures = (found.load_deviation, found.heaviest_load, found.unasked_share)
-            size = round(caches / blocks)
-            copies = f"{found.copies:.1f}"
-            yield row(f"{caches:,}", routers, name + note, size, copies, *(f"{one:.2f}" for one in figures))
-
-
+            balance = measure(salts, divide(salts, routers, blocks))
+            yield (
+                f"{caches:,}",
+                routers,
+                name + note,
+                round(caches / blocks),
+                f"{balance.copies:.1f}",
+                f"{balance.load_deviation:.2f}",
+                f"{balance.heaviest_load:.2f}",
+                f"{balance.unasked_share:.2f}",
+            )
+
+
+@click.command(help=__doc__)
 def main() -> None:
     """Print the table."""
-    head = "caches | routers | way | caches of a router | copies | load, sd | load, most | asked by none"
-    print(table(head, [line for layout in LAYOUTS for line in rows_of(*layout)]))
+    columns = (
+        "caches", "routers", "way", "caches of a router", "copies", "load, sd", "load, most", "asked by none",
+    )  # fmt: skip
+    with time_limit():
+        print(markdown_table(columns, [row for layout in LAYOUTS for row in layout_rows(*layout)]))
 
 
 if __name__ == "__main__":
