--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -18,7 +18,7 @@
 
 from tests import test_fleet_origin as origin_model
 from tests import test_slow_start_fleet as cold_model
-from tests.helpers import ORIGIN, SETTINGS, Bench, edge, only, parent
+from tests.helpers import ORIGIN, SETTINGS, RouterDriver, actions_of, edge, parent
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import FLEET_RESERVE
@@ -128,25 +128,25 @@
     more = {"router_count": routers, "routers_by_zone": {"here": zone_fronts}, "may_hedge": True}
     sent: dict[str, list[float]] = {entry.server: [] for entry in cold_model.COLD}
 
-    def play(bench: Bench, actions: list[api.Action]) -> None:
-        for fetch in only(actions, api.StartAttempt):
+    def play(bench: RouterDriver, actions: list[api.Action]) -> None:
+        for fetch in actions_of(actions, api.StartAttempt):
             for name in {fetch.server, fetch.source} & sent.keys():
-                sent[name].append(bench.now)
+                sent[name].append(bench.now_ms)
             if draw.random() < 0.9:
                 status = (
                     api.AttemptStatus.CONNECTION_RESET if draw.random() < 0.2 else api.AttemptStatus.SUCCEEDED
                 )
-                play(bench, bench.answer(fetch, status))
+                play(bench, bench.end_attempt(fetch, status))
 
     for place in range(routers):  # one at a time: none hears another
-        bench = Bench(entries=(*cold_model.WARM, *cold_model.COLD), **more)
+        bench = RouterDriver(entries=(*cold_model.WARM, *cold_model.COLD), **more)
         bench.router.random.seed(place)
         times = [draw.uniform(0.0, 4_000.0) for _ in range(int(rate * 4))]
         for at in sorted([*times, *[1_500.0] * 3, *[2_600.0] * 3]):
-            bench.sent.clear()
-            play(bench, bench.wait(cold_model.START + at - bench.now))
-            bench.log.clear()
-            play(bench, bench.ask(draw.randrange(10_000), size_kb=cold_model.WORK * 5.0))
+            bench.attempts.clear()
+            play(bench, bench.advance(cold_model.START + at - bench.now_ms))
+            bench.action_log.clear()
+            play(bench, bench.request(draw.randrange(10_000), size_kb=cold_model.WORK * 5.0))
     return sent
 
 
@@ -225,7 +225,7 @@
         now += 1_000.0 / rate
         asked += 1
         event = api.Request(f"{asked}", "keyed", asked, 3_000.0, size_kb=10.0, idempotency_key=f"{asked}")
-        for fetch in only(router.handle(now, event), api.StartAttempt):
+        for fetch in actions_of(router.handle(now, event), api.StartAttempt):
             sent.append(now)
             end = api.AttemptEnded(
                 fetch.request_id, 0, fetch.server, api.AttemptStatus.SUCCEEDED, 1.0, final=True
--- a/benchmarks/capacity_stage.py
+++ b/benchmarks/capacity_stage.py
@@ -15,7 +15,7 @@
 from dataclasses import astuple, dataclass
 from pathlib import Path
 
-from fakes.clients import fastcgi_request
+from fakes.clients import encode_fastcgi_request
 
 from tests.core.test_engine import CONFIG
 from thornjunction.net.wire.resp import ArrayReader, encode_array
@@ -95,7 +95,7 @@
         params = {"SCRIPT_NAME": "/do/files", "HTTP_X_TXN": f"{random.getrandbits(64):016x}"}
         params["HTTP_X_ROW"] = f"{size // NAMED:08x}{random.getrandbits(32):08x}"
         params |= {"HTTP_X_TTL_MS": f"{MOST_MS}", "HTTP_X_WORKING_SET_KB": f"{size / 1_000}"}
-        self.transport.write(fastcgi_request(self.fresh, params))  # type: ignore[attr-defined]
+        self.transport.write(encode_fastcgi_request(self.fresh, params))  # type: ignore[attr-defined]
 
     def data_received(self, data: bytes) -> None:
         self.bytes += len(data)
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -20,12 +20,13 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.clients import FastCgiClient, fastcgi_request
-from fakes.config import config_at, free_port
-from fakes.config import listen as listen_at
-from fakes.fake_discovery import ScriptedDiscovery, WatchStandIn, answer, hold
-from fakes.loopback_environment import until
-from fakes.scripted import DemoShelf
+from fakes.clients import FastCgiClient, encode_fastcgi_request
+from fakes.config import free_port, platform_config
+from fakes.config import listen_on_free_port as listen_at
+from fakes.demo_servers import DemoCacheServer
+from fakes.event_loop import wait_until
+from fakes.fake_discovery import FakeDiscoveryConnection, ScriptedDiscovery, hold_poll
+from fakes.watch_messages import encode_answer
 from twisted.internet import reactor, task
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -75,7 +76,7 @@
         number = (place + 1) * BEHIND // (CHANGES + 1)
         changed = shelf(100 + place, at, health="leaving")
         events[number] = {"cursor": first + 1 + number, "nodes": {"seq": 2 + place, "hosts": [changed]}}
-    return answer({"cursor": last, "cmds": events})
+    return encode_answer({"cursor": last, "cmds": events})
 
 
 class Program:
@@ -83,7 +84,7 @@
 
     def __init__(self, folder: str, channel: str, shelf_at: str, timed: bool, tree: Path = ROOT) -> None:
         self.listen = f"127.0.0.1:{free_port()}"
-        config = config_at(self.listen, channel, shelf_at, 3000.0)
+        config = platform_config(self.listen, channel, shelf_at, 3000.0)
         hosts = [shelf(number, shelf_at) for number in range(SHELVES)]
         config["known"]["cmds"][0]["nodes"]["hosts"] += hosts
         config["limits"]["sockets"] = 900
@@ -121,7 +122,7 @@
 
     def __init__(self, client: FastCgiClient) -> None:
         self.client, self.sent, self.spent, self.ends = client, {}, [], 0  # type: ignore[var-annotated]
-        client._tell = lambda *_: self.heard()  # type: ignore[method-assign]
+        client._notify_waiters = self.heard  # type: ignore[method-assign]
         self.loop = task.LoopingCall(self.ask)
         self.loop.start(PACE_S)
 
@@ -130,10 +131,10 @@
         params = {"SCRIPT_NAME": "/do/clips", "HTTP_X_ROW": f"{ident:016x}", "HTTP_X_TTL_MS": "3000"}
         params |= {"HTTP_X_TXN": f"{ident:016x}", "HTTP_X_WORKING_SET_KB": "12"}
         self.sent[ident] = time.monotonic()
-        self.client.transport.write(fastcgi_request(ident, params))
+        self.client.transport.write(encode_fastcgi_request(ident, params))
 
     def heard(self) -> None:
-        for record in self.client.ends():
+        for record in self.client.end_records():
             start = self.sent[record.request_id]
             self.spent.append((start, time.monotonic() - start))
         self.client.records.clear()
@@ -160,9 +161,12 @@
 @inlineCallbacks
 def one_round(folder: str, behind: bool) -> Any:
     """Figures of one process: quiet, and then behind or quiet for as long."""
-    discovery, shelf_at = ScriptedDiscovery(), f"127.0.0.1:{listen_at(reactor, DemoShelf)}"
+    discovery, shelf_at = ScriptedDiscovery(), f"127.0.0.1:{listen_at(reactor, DemoCacheServer)}"
     channel = f"127.0.0.1:{discovery.address[1]}"
-    discovery.script = [lambda link: link.transport.write(answer({"cursor": 1, "cmds": []})), hold]
+    discovery.script = [
+        lambda link: link.transport.write(encode_answer({"cursor": 1, "cmds": []})),
+        hold_poll,
+    ]
     program = Program(folder, channel, shelf_at, timed=True)
     try:
         load = yield load_at(program.listen)
@@ -173,7 +177,9 @@
         start = time.monotonic()
         if behind:
             tell(discovery, told)
-            yield until(lambda: discovery.polls[-1][0] == 1 + BEHIND or time.monotonic() > start + LIMIT_S)
+            yield wait_until(
+                lambda: discovery.polls[-1][0] == 1 + BEHIND or time.monotonic() > start + LIMIT_S
+            )
             if discovery.polls[-1][0] != 1 + BEHIND:
                 raise AssertionError(f"not in step: {discovery.polls[-3:]}")
         else:
@@ -202,12 +208,12 @@
 def tell(discovery: ScriptedDiscovery, told: bytes) -> None:
     """Answer the poll that is held, or the next one."""
 
-    def step(link: WatchStandIn) -> None:
-        discovery.script[:] = [hold] * 999
+    def step(link: FakeDiscoveryConnection) -> None:
+        discovery.script[:] = [hold_poll] * 999
         link.transport.write(told)
 
     discovery.script[:] = [step]
-    live = [link for link in discovery.links if not link.ended]
+    live = [link for link in discovery.connections if not link.disconnect_cause]
     live[-1].transport.abortConnection()  # the cut's end: the router polls again
 
 
@@ -247,7 +253,7 @@
         for number in range(rounds):
             names = ("other", "this") if number % 2 else ("this", "other")
             discoveries = {name: ScriptedDiscovery() for name in names}
-            shelf_at, programs = f"127.0.0.1:{listen_at(reactor, DemoShelf)}", {}
+            shelf_at, programs = f"127.0.0.1:{listen_at(reactor, DemoCacheServer)}", {}
             try:
                 for name in names:
                     at = f"127.0.0.1:{discoveries[name].address[1]}"
@@ -281,10 +287,10 @@
 def keep_polling(discovery: ScriptedDiscovery) -> None:
     """Answer each poll after its block time with nothing new."""
 
-    def step(link: WatchStandIn) -> None:
+    def step(link: FakeDiscoveryConnection) -> None:
         resume, block = discovery.polls[-1]
-        told = answer({"cursor": resume, "cmds": []})
-        reactor.callLater(block / 1000.0, lambda: link.ended or link.transport.write(told))  # type: ignore[attr-defined]
+        told = encode_answer({"cursor": resume, "cmds": []})
+        reactor.callLater(block / 1000.0, lambda: link.disconnect_cause or link.transport.write(told))  # type: ignore[attr-defined]
 
     discovery.script = [step] * 10_000
 
--- a/benchmarks/front_latency.py
+++ b/benchmarks/front_latency.py
@@ -11,11 +11,12 @@
 import time
 from typing import Any
 
-from fakes.clients import FastCgiClient, HttpClient, fastcgi_request
+from fakes.clients import FastCgiClient, HttpClient, encode_fastcgi_request
+from fakes.loopback_environment import LoopbackEnvironment
 from twisted.internet import task
 from twisted.internet.defer import inlineCallbacks
 
-from tests.loopback import CLIP, Rig
+from tests.loopback import CLIP, make_loopback_environment
 from tests.net.wire.test_codecs import PARAMS
 
 PER_ROUND, LIMIT_S = 200, 120.0
@@ -23,24 +24,26 @@
 
 
 @inlineCallbacks
-def one_round(rig: Rig, signed: HttpClient, fcgi: FastCgiClient, spent: dict[str, list[float]]) -> Any:
+def one_round(
+    rig: LoopbackEnvironment, signed: HttpClient, fcgi: FastCgiClient, spent: dict[str, list[float]]
+) -> Any:
     for number in range(PER_ROUND):
-        target = rig.signed(CLIP)  # issued outside the time measured
+        target = rig.sign_target(CLIP)  # issued outside the time measured
         start = time.perf_counter()
-        signed.ask(target)
-        yield signed.has(len(signed.responses) + 1)
+        signed.send_request(target)
+        yield signed.wait_for_answers(len(signed.responses) + 1)
         spent["signed"].append(time.perf_counter() - start)
         start, ident = time.perf_counter(), number % 60_000 + 1
-        ended = fcgi.has(len(fcgi.ends()) + 1)
-        fcgi.transport.write(fastcgi_request(ident, FCGI))
+        ended = fcgi.wait_for_answers(len(fcgi.end_records()) + 1)
+        fcgi.transport.write(encode_fastcgi_request(ident, FCGI))
         yield ended
         spent["platform"].append(time.perf_counter() - start)
 
 
 @inlineCallbacks
 def measure(rounds: int) -> Any:
-    rig = Rig()
-    signed, fcgi = (yield rig.client()), (yield rig.client(3, FastCgiClient))
+    rig = make_loopback_environment()
+    signed, fcgi = (yield rig.connect_client()), (yield rig.connect_client(3, FastCgiClient))
     spent: dict[str, list[float]] = {"platform": [], "signed": []}
     end = time.monotonic() + LIMIT_S
     for _ in range(rounds):
--- a/packages/control-harness/src/control_harness/participants.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -12,7 +12,7 @@
 from socket import socket
 from typing import Any
 
-from fakes.clients import fastcgi_request
+from fakes.clients import encode_fastcgi_request
 from fakes.config import SETTINGS
 
 from control_harness.process import OPERATORS_FILE, ProgramProcess
@@ -162,7 +162,7 @@
         "HTTP_X_ROW": f"{object_number:016x}",
         "HTTP_X_TTL_MS": str(ttl_ms),
     }
-    return fastcgi_request(1, REQUEST_PARAMS | headers)
+    return encode_fastcgi_request(1, REQUEST_PARAMS | headers)
 
 
 async def _read_output(reader: asyncio.StreamReader) -> bytes:
--- a/packages/fakes/src/fakes/__init__.py
+++ b/packages/fakes/src/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the outside world on loopback: shelfs, discovery, clients, and a rig round the real core."""
+"""Fake cache servers, discovery and clients on loopback, and environments that run the real router parts."""
--- /dev/null
+++ b/packages/fakes/src/fakes/cache_server_messages.py
@@ -0,0 +1,64 @@
+"""The protocol of cache servers, as the servers' side speaks it: bytes in, commands out, and the reverse.
+
+All fake cache servers share this module, whichever event loop they run on.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from thornjunction.net.wire.resp import ArrayReader, encode_array
+
+# The command that asks for an object.
+WANT = "want"
+
+# The status word of an answer with an object.
+DONE = b"DONE"
+
+# The fields of an answer that says nothing about its object.
+NO_FIELDS = b"-"
+
+
+@dataclass(frozen=True, slots=True)
+class CacheServerCommand:
+    """One command of a router.
+
+    Attributes:
+        verb: the command's name, such as ``want`` or ``never_mind``.
+        request_id: the number that the answer repeats.
+        arguments: everything after the number; the first one of a ``want`` describes the request.
+    """
+
+    verb: str
+    request_id: bytes
+    arguments: tuple[bytes, ...]
+
+    @property
+    def is_request(self) -> bool:
+        """Whether the command asks for an object and is to be answered."""
+        return self.verb == WANT
+
+
+class CommandReader:
+    """Splits the bytes of one connection into commands."""
+
+    def __init__(self) -> None:
+        self._arrays = ArrayReader()
+
+    def feed(self, data: bytes) -> list[CacheServerCommand]:
+        """Return the commands that are complete now.
+
+        Raises:
+            ProtocolError: the bytes are no command.
+        """
+        return [
+            CacheServerCommand(verb.decode(), request_id, tuple(arguments))
+            for verb, request_id, *arguments in self._arrays.feed(data)
+        ]
+
+
+def encode_server_answer(
+    request_id: bytes, status: bytes, fields: bytes = NO_FIELDS, body: bytes = b""
+) -> bytes:
+    """Encode the answer to one command."""
+    return encode_array((request_id, status, fields, body))
--- a/packages/fakes/src/fakes/clients.py
+++ b/packages/fakes/src/fakes/clients.py
@@ -1,99 +1,136 @@
-"""Clients of the two fronts on Twisted, for the demo, the load benchmark and scripts of one's own: HTTP/1.1
-with signed URLs, and the platform's FastCGI.  Each keeps what it is told and says by a Deferred when a given
-number of answers has come.
+"""Clients of both fronts on Twisted: HTTP/1.1 with signed URLs, and the platform's FastCGI.
+
+Each keeps what it receives, and a Deferred fires when a number of answers has come::
 
     client = yield TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(Factory.forProtocol(HttpClient))
-    client.ask("/clips/1/00000000000000ff/0?URISigningPackage=...")
-    (response,) = yield client.has(1)
+    client.send_request("/clips/1/00000000000000ff/0?URISigningPackage=...")
+    (response,) = yield client.wait_for_answers(1)
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Mapping
+from typing import Generic, TypeVar
 
 from twisted.internet import protocol
 from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
 
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import fastcgi, http1
 
-MAX_ANSWER = 300_000  # bytes of one answer
+# Bytes of one answer, at most.
+MAX_ANSWER_BYTES = 300_000
+
+# The host that requests name; signed URLs of the tests begin with it.
+REQUEST_HOST = "cams.example"
+
+# Bytes of the parameters that the first of two records carries.
+FIRST_PARAMS_RECORD_BYTES = 9
+
+# The body of a record that begins a request: role responder, then the flags.
+BEGIN_ROLE = bytes([0, 1])
+BEGIN_PADDING = bytes(5)
 
+MessageT = TypeVar("MessageT")
 
-class HttpClient(protocol.Protocol):
-    """HTTP/1.1 on one keep-alive connection; ``responses`` in order."""
 
-    host = "cams.example"
+class FrontClient(protocol.Protocol, Generic[MessageT]):
+    """A client that waits for a number of answers; ``connection_lost`` fires at its connection's end."""
+
     transport: Transport  # type: ignore[assignment]
 
     def __init__(self) -> None:
-        self.reader = http1.ResponseReader(MAX_ANSWER)
-        self.responses: list[Any] = []
-        self.waiters: list[tuple[int, Deferred[Any]]] = []
-        self.ended: Deferred[None] = Deferred()
+        self.connection_lost: Deferred[None] = Deferred()
+        self._messages: list[MessageT] = []
+        self._waiters: list[tuple[int, Deferred[list[MessageT]]]] = []
+
+    def answer_count(self) -> int:
+        """Return how many complete answers have come."""
+        return len(self._messages)
+
+    def wait_for_answers(self, count: int) -> Deferred[list[MessageT]]:
+        """Return a Deferred that fires with all messages once ``count`` answers have come."""
+        waiter: Deferred[list[MessageT]] = Deferred()
+        self._waiters.append((count, waiter))
+        self._notify_waiters()
+        return waiter
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: ARG002, N802
+        """Fire ``connection_lost``."""
+        self.connection_lost.callback(None)
+
+    def _notify_waiters(self) -> None:
+        count = self.answer_count()
+        for wanted_count, waiter in list(self._waiters):
+            if count >= wanted_count:
+                self._waiters.remove((wanted_count, waiter))
+                waiter.callback(self._messages)
+
+
+class HttpClient(FrontClient[http1.HttpResponse]):
+    """A client of the signed front on one keep-alive connection; ``responses`` are in order."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.responses = self._messages
+        self._reader = http1.ResponseReader(MAX_ANSWER_BYTES)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.responses += self.reader.feed(data)
-        self._tell(len(self.responses), self.responses)
-
-    def _tell(self, count: int, told: Any) -> None:
-        for wanted, waiter in list(self.waiters):
-            if count >= wanted:
-                self.waiters.remove((wanted, waiter))
-                waiter.callback(told)
-
-    def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        self.ended.callback(None)
-
-    def has(self, count: int) -> Deferred[Any]:
-        """Fires once ``count`` answers have come, with all that came."""
-        waiter: Deferred[Any] = Deferred()
-        self.waiters.append((count, waiter))
-        self.dataReceived(b"")
-        return waiter
+        """Take the responses that are complete now."""
+        self.responses += self._reader.feed(data)
+        self._notify_waiters()
 
-    def ask(self, target: str, method: str = "GET", **headers: str) -> None:
-        """One request; a header's underscores are written as dashes."""
-        lines = [f"{method} {target} HTTP/1.1", f"Host: {self.host}"]
+    def send_request(self, target: str, method: str = "GET", **headers: str) -> None:
+        """Send one request; underscores in the name of a header are sent as dashes."""
+        lines = [f"{method} {target} HTTP/1.1", f"Host: {REQUEST_HOST}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         self.transport.write("\r\n".join([*lines, "", ""]).encode())
 
 
-class FastCgiClient(HttpClient):
-    """The platform's front: records as they come; ``has(n)`` fires at the n-th request's end."""
+class FastCgiClient(FrontClient[fastcgi.Record]):
+    """A client of the platform's front; ``records`` are all that came, and each end record is an answer."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.records: list[fastcgi.Record] = []
-        self.cutter = fastcgi.RecordReader()
+        self.records = self._messages
+        self._reader = fastcgi.RecordReader()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.records += self.cutter.feed(data)
-        self._tell(len(self.ends()), self.records)
+        """Take the records that are complete now."""
+        self.records += self._reader.feed(data)
+        self._notify_waiters()
 
-    def ends(self) -> list[fastcgi.Record]:
+    def answer_count(self) -> int:
+        """Return how many requests have ended."""
+        return len(self.end_records())
+
+    def end_records(self) -> list[fastcgi.Record]:
+        """Return the records that ended a request."""
         return [record for record in self.records if record.kind == fastcgi.RecordType.END]
 
-    def output(self, ident: int) -> bytes:
-        """What one request was answered, whole."""
-        told = [
-            r.content for r in self.records if r.kind == fastcgi.RecordType.STDOUT and r.request_id == ident
-        ]
-        return b"".join(told)
+    def output(self, request_id: int) -> bytes:
+        """Return the output of one request so far."""
+        return b"".join(
+            record.content
+            for record in self.records
+            if record.kind == fastcgi.RecordType.STDOUT and record.request_id == request_id
+        )
 
 
-def fastcgi_request(ident: int, params: dict[str, str], body: bytes = b"", keep: int = 1) -> bytes:
-    """A whole FastCGI request (responder role), its parameters cut across two records as a server may."""
+def encode_fastcgi_request(
+    request_id: int, params: Mapping[str, str], body: bytes = b"", keep_connection: bool = True
+) -> bytes:
+    """Encode a FastCGI request; its parameters are split into two records, as a web server may do."""
     content = fastcgi.encode_pairs(params.items())
-    stdin: Iterable[bytes] = [body, b""] if body else [b""]
+    begin = BEGIN_ROLE + bytes([keep_connection]) + BEGIN_PADDING
     records = [
-        (fastcgi.RecordType.BEGIN, bytes([0, 1, keep, 0, 0, 0, 0, 0])),
-        (fastcgi.RecordType.PARAMS, content[:9]),
-    ]
-    records += [
-        (fastcgi.RecordType.PARAMS, content[9:]),
+        (fastcgi.RecordType.BEGIN, begin),
+        (fastcgi.RecordType.PARAMS, content[:FIRST_PARAMS_RECORD_BYTES]),
+        (fastcgi.RecordType.PARAMS, content[FIRST_PARAMS_RECORD_BYTES:]),
         (fastcgi.RecordType.PARAMS, b""),
-        *((fastcgi.RecordType.STDIN, p) for p in stdin),
     ]
-    return b"".join(fastcgi.encode_record(kind, ident, data) for kind, data in records)
+    if body:
+        records.append((fastcgi.RecordType.STDIN, body))
+    records.append((fastcgi.RecordType.STDIN, b""))
+    return b"".join(fastcgi.encode_record(kind, request_id, data) for kind, data in records)
--- a/packages/fakes/src/fakes/config.py
+++ b/packages/fakes/src/fakes/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration round stand-ins: an edge and the origin, one site, one class; free ports."""
+"""The platform's configuration of a router before fake servers: an edge and the origin, on free ports."""
 
 from __future__ import annotations
 
@@ -8,6 +8,15 @@
 
 from twisted.internet import protocol
 
+from thornjunction.net.event_loop.ports import Reactor
+
+# The only address that fakes listen on.
+LOOPBACK_HOST = "127.0.0.1"
+
+# Sockets of a router under test: few, because all processes of a test share the limit of one user.
+MAX_SOCKETS = 90
+
+# The platform's settings of a demo router with one class of requests.
 SETTINGS: dict[str, Any] = {
     "allowed": {"attemptsCap": 3, "cancel": True, "probing": False},
     "classes": [{"name": "clips", "aimMs": 500.0, "giveUpMs": 3000.0, "idempotency": "safe"}],
@@ -29,31 +38,42 @@
 
 
 def free_port() -> int:
-    """A loopback port that was free a moment ago."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
+    """Return a loopback port that was free a moment ago."""
+    with socket.socket() as unused_socket:
+        unused_socket.bind((LOOPBACK_HOST, 0))
+        return int(unused_socket.getsockname()[1])
 
 
-def listen(reactor: Any, build: Callable[[], protocol.Protocol]) -> int:
-    """A stand-in on a free loopback port; its port."""
-    port = reactor.listenTCP(0, protocol.Factory.forProtocol(build), interface="127.0.0.1")
+def listen_on_free_port(reactor: Reactor, build: Callable[[], protocol.Protocol]) -> int:
+    """Start a fake server on a free loopback port, and return the port."""
+    port = reactor.listenTCP(0, protocol.Factory.forProtocol(build), interface=LOOPBACK_HOST)
     return int(port.getHost().port)
 
 
-def listed(*kinds: str, at: str, site: str) -> dict[str, Any]:
-    """The command channel's list of one active shelf of each kind, all at one address."""
-    place = {"dial": at, "site": site, "health": "active"}
-    hosts = [place | {"host": kind, "class": kind} for kind in kinds]
+def endpoint_list(*kinds: str, at: str, site: str) -> dict[str, Any]:
+    """Return discovery's answer that lists one active server of each kind, all at one address."""
+    shared_fields = {"dial": at, "site": site, "health": "active"}
+    hosts = [shared_fields | {"host": kind, "class": kind} for kind in kinds]
     return {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"whole": True, "hosts": hosts}}]}
 
 
-def config_at(listen: str, channel: str, shelf: str, longest_ms: float) -> dict[str, Any]:
-    """A configuration with an edge and the origin at one shelf's address: clips may run twice, orders not."""
-    kind = {"aimMs": longest_ms / 2, "giveUpMs": longest_ms}
+def platform_config(listen: str, channel: str, cache_server: str, client_timeout_ms: float) -> dict[str, Any]:
+    """Return a router's configuration with an edge and the origin at one cache server's address.
+
+    Its class ``clips`` is idempotent and its class ``orders`` is not.
+    """
+    times = {"aimMs": client_timeout_ms / 2, "giveUpMs": client_timeout_ms}
     classes = [{"name": "clips", "idempotency": "safe"}, {"name": "orders", "idempotency": "unsafe"}]
-    more = {"classes": [kind | one for one in classes], "zones": ["hub", "demo"]}
-    more["specifics"] = SETTINGS["specifics"] | {"passOn": [False, True], "instancesByZone": [0, 1]}
-    known = listed("box", "root", at=shelf, site="demo")
-    told = {"name": "demo", "listen": listen, "channel": channel, "known": known}
-    return told | {"limits": {"sockets": 90}, "settings": SETTINGS | more}
+    settings = SETTINGS | {
+        "classes": [times | request_class for request_class in classes],
+        "zones": ["hub", "demo"],
+        "specifics": SETTINGS["specifics"] | {"passOn": [False, True], "instancesByZone": [0, 1]},
+    }
+    return {
+        "name": "demo",
+        "listen": listen,
+        "channel": channel,
+        "known": endpoint_list("box", "root", at=cache_server, site="demo"),
+        "limits": {"sockets": MAX_SOCKETS},
+        "settings": settings,
+    }
--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -1,18 +1,26 @@
-"""A loopback rig round the real core, for tests and benchmarks: shelfs that answer by script, both fronts,
-and their clients.  Only loopback addresses; every loop is the caller's to bound."""
+"""The real core, connection pool and fronts on loopback, before scripted fake cache servers."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import IntEnum
 from typing import Any
 
 from twisted.internet import protocol
-from twisted.internet import reactor as _reactor
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.task import deferLater
+from twisted.python.failure import Failure
 
-from fakes.clients import HttpClient as Client
+from fakes.cache_server_messages import (
+    DONE,
+    NO_FIELDS,
+    CacheServerCommand,
+    CommandReader,
+    encode_server_answer,
+)
+from fakes.clients import HttpClient
+from fakes.config import LOOPBACK_HOST
+from fakes.event_loop import Steps, reactor, wait_until
 from fakes.unresponsive_listener import UnresponsiveListener
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
@@ -21,165 +29,246 @@
 from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
-from thornjunction.net.event_loop.ports import Transport
+from thornjunction.net.event_loop.ports import ListeningPort, Transport
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.upstream.connection_pool import ConnectionPool, Limits
 from thornjunction.net.wire.commands import Host
-from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.policy.router import Router
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
-reactor: Any = _reactor
+# Unix seconds at which tokens are issued and checked.
+START_UNIX_S = 1_000_000.0
 
+# Bytes that all connections may buffer together.
+BUFFER_BYTES = 1_000_000
 
-@inlineCallbacks
-def until(holds: Callable[[], bool]) -> Any:
-    """Turn the reactor until something holds; the caller's own time limit ends it."""
-    while not holds():
-        yield deferLater(reactor, 0.001, lambda: None)
+# Client connections that the fronts accept.
+MAX_CLIENTS = 10
 
+# The seed of the decisions' random numbers.
+RANDOM_SEED = 7
 
-class ShelfStandIn(protocol.Protocol):
-    """Answers each want by the rig's script: bytes of an answer's word, or None to stay silent."""
+# What a fake cache server says about each object: its revision and the Unix milliseconds of its age.
+OBJECT_FIELDS = b"rev=t1,since=5"
+
+# The weight of each listed server.
+SERVER_WEIGHT = 8.0
+
+POOL_LIMITS = Limits(max_streams=4, dial_ms=400.0, idle_ms=15_000.0, connections=20)
+
+# A status word and a body; None leaves the request unanswered.
+ScriptedAnswer = tuple[bytes, bytes] | None
+
+DEFAULT_ANSWER: ScriptedAnswer = (DONE, b"wave")
+
+
+class PortIndex(IntEnum):
+    """The places of an environment's ports in ``LoopbackEnvironment.ports``."""
+
+    EDGE = 0
+    ORIGIN = 1
+    SIGNED_FRONT = 2
+    FASTCGI_FRONT = 3
+
+
+# The names, roles and ports of the servers that an environment lists.
+SERVERS = (("edge1", api.Role.EDGE, PortIndex.EDGE), ("origin", api.Role.ORIGIN, PortIndex.ORIGIN))
+
+
+class FakeCacheServerConnection(protocol.Protocol):
+    """One connection of a fake cache server; ``disconnect_error`` is the cause once it has ended."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, rig: Rig) -> None:
-        self.rig, self.reader = rig, ArrayReader()
-        self.ended: Any = None  # why, once the connection has ended
-        rig.links.append(self)
+    def __init__(self, environment: LoopbackEnvironment) -> None:
+        self.environment = environment
+        self.disconnect_error: BaseException | None = None
+        self._reader = CommandReader()
+        environment.server_connections.append(self)
 
-    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        self.ended = reason.value
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
+        """Keep the cause."""
+        self.disconnect_error = reason.value
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        for verb, ident, *rest in self.reader.feed(data):
-            self.rig.heard.append((verb.decode(), ident, *rest))
-            if verb == b"want":
-                self.rig.wanted(self, ident)
+        """Pass on the commands that are complete now."""
+        for command in self._reader.feed(data):
+            self.environment.handle_command(self, command)
+
+    def send_answer(self, request_id: bytes, status: bytes, body: bytes = b"") -> None:
+        """Answer one request."""
+        fields = OBJECT_FIELDS if body else NO_FIELDS
+        self.transport.write(encode_server_answer(request_id, status, fields, body))
 
-    def say(self, ident: bytes, word: bytes, body: bytes = b"") -> None:
-        self.transport.write(encode_array((ident, word, b"rev=t1,since=5" if body else b"-", body)))
 
+class LoopbackEnvironment:
+    """A router's core, connection pool and both fronts, before a scripted edge cache and origin.
 
-class Rig:
-    """The real core, pool and both fronts on loopback sockets, with a scripted edge cache and origin behind:
-    ``ports`` are the edge, the origin, the signed front and the platform's front.  The decisions run on the
-    settings given; tokens are checked against ``trust`` at the Unix time ``now``."""
+    Attributes:
+        ports: the listening ports, in the order of ``PortIndex``.
+        script: answers to the next requests at the cache servers; after the last one, ``DEFAULT_ANSWER``.
+        received_commands: all that the cache servers have received.
+        received_requests: connection and number of each request that they have received.
+        unix_time_s: the time by which tokens are issued and checked.
+    """
 
     def __init__(
-        self, settings: api.Settings, classes: tuple[api.RequestClass, ...], trust: tokens.Trust, base: str
+        self,
+        settings: api.Settings,
+        classes: tuple[api.RequestClass, ...],
+        trust: tokens.Trust,
+        base_url: str,
     ) -> None:
-        self.trust, self.base = trust, base
-        self.now = 1_000_000.0  # Unix seconds, for the tokens alone
-        self.heard: list[tuple[Any, ...]] = []
-        self.links: list[ShelfStandIn] = []
-        self.script: list[tuple[bytes, bytes] | None] = []
-        self.asked: list[tuple[ShelfStandIn, bytes]] = []
-        self.waiters: list[Deferred[None]] = []
-        self.doors: list[UnresponsiveListener] = []
-        self.alarm = TimerService(reactor)
-        limits = Limits(max_streams=4, dial_ms=400.0, idle_ms=15_000.0, connections=20)
-        budget = ByteBudget(1_000_000)
-        self.pool = ConnectionPool(reactor, limits, self.alarm.deadlines, core_ms, budget)
-        self.counters = Counters(classes={kind.name for kind in classes})
-        router = Router(settings, 7)
-        deadlines = self.alarm.deadlines
+        self.trust = trust
+        self.base_url = base_url
+        self.unix_time_s = START_UNIX_S
+        self.received_commands: list[CacheServerCommand] = []
+        self.server_connections: list[FakeCacheServerConnection] = []
+        self.script: list[ScriptedAnswer] = []
+        self.received_requests: list[tuple[FakeCacheServerConnection, bytes]] = []
+        self.unresponsive_listeners: list[UnresponsiveListener] = []
+        self._request_waiters: list[Deferred[None]] = []
+        self.timer_service = TimerService(reactor)
+        self._build_core(settings, classes)
+        self._build_fronts(classes)
+        self.list_servers()
+
+    def _build_core(self, settings: api.Settings, classes: tuple[api.RequestClass, ...]) -> None:
+        deadlines = self.timer_service.deadlines
+        budget = ByteBudget(BUFFER_BYTES)
+        self.pool = ConnectionPool(reactor, POOL_LIMITS, deadlines, core_ms, budget)
+        self.counters = Counters(classes={request_class.name for request_class in classes})
+        router = Router(settings, RANDOM_SEED)
         self.engine = Engine(router, settings.max_attempts, core_ms, deadlines, self.pool, self.counters)
         self.pool.ends = self.engine
-        self.clients = DownstreamTable(10, budget)
-        by_name = {kind.name: kind for kind in classes}
-        self.door = SignedRequestContext(self.engine, by_name, base, trust, ReplayWindow(), lambda: self.now)
-        self.ports = [self.listen(lambda: ShelfStandIn(self)) for _ in range(2)]
-        self.ports.append(self.listen(lambda: SignedConnection(self.clients, deadlines, core_ms, self.door)))
-        self.ports.append(
-            self.listen(
-                lambda: FastCgiConnection(
-                    self.clients, deadlines, core_ms, self.engine, lambda: True, bytes, print, float
-                )
-            )
+        self.downstream_table = DownstreamTable(MAX_CLIENTS, budget)
+
+    def _build_fronts(self, classes: tuple[api.RequestClass, ...]) -> None:
+        by_name = {request_class.name: request_class for request_class in classes}
+        self.signed_context = SignedRequestContext(
+            self.engine, by_name, self.base_url, self.trust, ReplayWindow(), lambda: self.unix_time_s
         )
-        self.list_servers()
+        self.ports: list[Any] = [
+            self.listen(self._build_cache_server_connection),
+            self.listen(self._build_cache_server_connection),
+            self.listen(self._build_signed_connection),
+            self.listen(self._build_fastcgi_connection),
+        ]
+
+    def _build_cache_server_connection(self) -> FakeCacheServerConnection:
+        return FakeCacheServerConnection(self)
 
-    def listen(self, build: Any) -> Any:
-        return reactor.listenTCP(0, BuildFactory(build), interface="127.0.0.1")
+    def _build_signed_connection(self) -> SignedConnection:
+        deadlines = self.timer_service.deadlines
+        return SignedConnection(self.downstream_table, deadlines, core_ms, self.signed_context)
+
+    def _build_fastcgi_connection(self) -> FastCgiConnection:
+        return FastCgiConnection(
+            self.downstream_table,
+            self.timer_service.deadlines,
+            core_ms,
+            self.engine,
+            lambda: True,
+            bytes,
+            lambda _class_name, _answer: None,
+            float,
+        )
+
+    def listen(self, build: Callable[[], protocol.Protocol]) -> ListeningPort:
+        """Listen on a free loopback port."""
+        port: ListeningPort = reactor.listenTCP(0, BuildFactory(build), interface=LOOPBACK_HOST)
+        return port
 
     def list_servers(
-        self, state: api.ServerState = api.ServerState.SERVING, **moved: tuple[str, int]
+        self, edge_state: api.ServerState = api.ServerState.SERVING, **moved: tuple[str, int]
     ) -> None:
-        """All of them, the edge in that state; who was moved, at the new address."""
-        roles = {"edge1": api.Role.EDGE, "origin": api.Role.ORIGIN}
-        hosts, entries = [], []
-        for (name, role), port in zip(roles.items(), self.ports[:2], strict=True):
-            address = moved.get(name, ("127.0.0.1", port.getHost().port))
-            told = state if name == "edge1" else api.ServerState.SERVING
-            hosts.append(Host(name, address, "here", "x", 0, told, 8.0, 0.0))
-            entries.append(api.ServerEntry(name, role, "here", told, weight=8.0))
+        """List both servers, the edge in this state; ``moved`` gives servers another address."""
+        hosts: list[Host] = []
+        entries: list[api.ServerEntry] = []
+        for name, role, index in SERVERS:
+            address = moved.get(name, (LOOPBACK_HOST, self.ports[index].getHost().port))
+            state = edge_state if role is api.Role.EDGE else api.ServerState.SERVING
+            hosts.append(Host(name, address, "here", "x", 0, state, SERVER_WEIGHT, 0.0))
+            entries.append(api.ServerEntry(name, role, "here", state, weight=SERVER_WEIGHT))
         self.pool.update(tuple(hosts), True)
         self.engine.feed(api.EndpointListUpdate(tuple(entries)))
 
-    def deafen(self, name: str) -> UnresponsiveListener:
+    def make_unresponsive(self, name: str) -> UnresponsiveListener:
         """Move a server to a port at which connects hang."""
-        door = UnresponsiveListener(lambda: ShelfStandIn(self))
-        self.doors.append(door)
-        self.list_servers(api.ServerState.SERVING, **{name: door.address})
-        return door
-
-    def later(self, ms: float) -> None:
-        """What is due by then is due now, for the pool."""
-        clock, self.pool.clock = self.pool.clock, lambda: core_ms() + ms
-        self.alarm.deadlines.run_due(core_ms() + ms)
+        listener = UnresponsiveListener(self._build_cache_server_connection)
+        self.unresponsive_listeners.append(listener)
+        self.list_servers(api.ServerState.SERVING, **{name: listener.address})
+        return listener
+
+    def run_pool_deadlines(self, elapsed_ms: float) -> None:
+        """Run what would be due after that time, with the pool's clock advanced meanwhile."""
+        clock = self.pool.clock
+        self.pool.clock = lambda: core_ms() + elapsed_ms
+        self.timer_service.deadlines.run_due(core_ms() + elapsed_ms)
         self.pool.clock = clock
 
     @inlineCallbacks
-    def part(self) -> Any:
-        """End the pool's connections."""
-        for link in self.pool.links:
-            link.close("test")
-        yield self.until(lambda: not len(self.pool.links))
-
-    def wanted(self, link: ShelfStandIn, ident: bytes) -> None:
-        self.asked.append((link, ident))
-        step = self.script.pop(0) if self.script else (b"DONE", b"wave")
-        if step is not None:
-            link.say(ident, *step)
-        waiters, self.waiters = self.waiters, []
+    def close_upstream_connections(self) -> Steps[None]:
+        """Close the pool's connections."""
+        for connection in self.pool.links:
+            connection.close("test")
+        yield wait_until(lambda: not len(self.pool.links))
+
+    def handle_command(self, connection: FakeCacheServerConnection, command: CacheServerCommand) -> None:
+        """Keep a command that a cache server has received; answer a request by the script."""
+        self.received_commands.append(command)
+        if not command.is_request:
+            return
+        self.received_requests.append((connection, command.request_id))
+        answer = self.script.pop(0) if self.script else DEFAULT_ANSWER
+        if answer is not None:
+            connection.send_answer(command.request_id, *answer)
+        waiters = self._request_waiters
+        self._request_waiters = []
         for waiter in waiters:
             waiter.callback(None)
 
-    def next_want(self) -> Deferred[None]:
+    def next_request(self) -> Deferred[None]:
+        """Return a Deferred that fires when a cache server receives the next request."""
         waiter: Deferred[None] = Deferred()
-        self.waiters.append(waiter)
+        self._request_waiters.append(waiter)
         return waiter
 
-    def wants(self) -> list[tuple[Any, ...]]:
-        return [heard for heard in self.heard if heard[0] == "want"]
+    def forwarded_requests(self) -> list[CacheServerCommand]:
+        """Return the requests that the cache servers have received."""
+        return [command for command in self.received_commands if command.is_request]
 
-    def client(self, front: int = 2, build: Any = Client) -> Deferred[Any]:
-        port = self.ports[front].getHost().port
-        endpoint: Any = TCP4ClientEndpoint(reactor, "127.0.0.1", port)
-        return endpoint.connect(BuildFactory(build))  # type: ignore[no-any-return]
+    def connect_client(
+        self, front: int = PortIndex.SIGNED_FRONT, build: Callable[[], protocol.Protocol] = HttpClient
+    ) -> Deferred[Any]:
+        """Connect a client of the given kind to a front."""
+        endpoint: Any = TCP4ClientEndpoint(reactor, LOOPBACK_HOST, self.ports[front].getHost().port)
+        connecting: Deferred[Any] = endpoint.connect(BuildFactory(build))
+        return connecting
 
-    def token(self, target: str, lifetime_s: int = 60, **claims: Any) -> str:
-        return tokens.issue(
-            self.trust, "hash:" + tokens.uri_hash(self.base + target), self.now, lifetime_s, **claims
-        )
+    def issue_token(self, target: str, lifetime_s: int = 60, **claims: Any) -> str:
+        """Issue a token that admits one target."""
+        container = "hash:" + tokens.uri_hash(self.base_url + target)
+        return tokens.issue(self.trust, container, self.unix_time_s, lifetime_s, **claims)
 
-    def signed(self, target: str, **claims: Any) -> str:
-        return f"{target}?URISigningPackage={self.token(target, **claims)}"
+    def sign_target(self, target: str, **claims: Any) -> str:
+        """Return a target with its token."""
+        return f"{target}?URISigningPackage={self.issue_token(target, **claims)}"
 
-    def until(self, holds: Callable[[], bool]) -> Any:
-        return until(holds)
+    def wait_until(self, condition: Callable[[], object]) -> Deferred[None]:
+        """Wait until a condition holds."""
+        return wait_until(condition)
 
     @inlineCallbacks
-    def stop(self) -> Any:
-        self.alarm.stop()
-        for port in (*self.ports, *self.doors):
+    def stop(self) -> Steps[None]:
+        """Close all ports and connections."""
+        self.timer_service.stop()
+        for port in (*self.ports, *self.unresponsive_listeners):
             yield port.stopListening()
-        for link in (*self.clients, *self.clients.lingering):
-            link.close("test")
-        yield self.part()
-        yield self.until(lambda: not self.clients.connected)
-        self.alarm.stop()
+        for connection in (*self.downstream_table, *self.downstream_table.lingering):
+            connection.close("test")
+        yield self.close_upstream_connections()
+        yield wait_until(lambda: not self.downstream_table.connected)
+        self.timer_service.stop()
--- a/packages/fakes/src/fakes/raw_socket.py
+++ b/packages/fakes/src/fakes/raw_socket.py
@@ -1,5 +1,8 @@
-"""Clients and a shelf on bare sockets, for orders of events that must be the same each time: they act between
-two turns of the reactor, so that what they sent, and how they left, lies there before the router looks."""
+"""Clients and a cache server on blocking sockets, for orders of events that must be the same each time.
+
+They act between two turns of the reactor: what they have sent, and how they closed, is in the router's
+socket before the router reads it.
+"""
 
 from __future__ import annotations
 
@@ -7,170 +10,170 @@
 import socket
 import struct
 import time
-from typing import Any
-
-from twisted.internet.defer import inlineCallbacks
+from enum import StrEnum
 
-from fakes.clients import fastcgi_request
+from fakes.cache_server_messages import CommandReader, encode_server_answer
+from fakes.clients import encode_fastcgi_request
+from fakes.config import LOOPBACK_HOST
 from thornjunction.net.wire import fastcgi
-from thornjunction.net.wire.resp import ArrayReader, encode_array
 
-ENDS = ("close", "reset", "half-close")
-WAIT_S, LISTEN_S = 20.0, 30.0  # for the next bytes of a peer; for a program to listen
+# Seconds to wait for a peer's next bytes.
+READ_TIMEOUT_S = 20.0
+
+# Seconds to wait until a program listens.
+CONNECT_TIMEOUT_S = 30.0
+
+# Bytes read at a time.
+READ_BYTES = 65_536
+
+# The object of a request that names no other.
+DEFAULT_OBJECT = "7f3a9c21e0b4d655"
+
+# The size that requests announce, in kilobytes.
+WORKING_SET_KB = "412.5"
+
+
+class CloseMode(StrEnum):
+    """How a client leaves its connection."""
 
+    CLOSE = "close"
+    RESET = "reset"
+    HALF_CLOSE = "half-close"
 
-def asked(ident: int, class_name: str = "films", keep: int = 1, ttl_ms: int = 1500, **more: str) -> bytes:
-    """A request of the platform's front, each with a name of its own."""
-    params = {"SCRIPT_NAME": f"/do/{class_name}", "HTTP_X_ROW": "7f3a9c21e0b4d655", **more}
-    params |= {"HTTP_X_TXN": f"{ident:016x}", "HTTP_X_TTL_MS": str(ttl_ms), "HTTP_X_WORKING_SET_KB": "412.5"}
-    return fastcgi_request(ident, params, b"", keep)
 
+class ConnectionEnd(StrEnum):
+    """How the peer has ended a connection."""
 
-def aborted(ident: int) -> bytes:
-    return fastcgi.encode_record(fastcgi.RecordType.ABORT, ident, b"")
+    OPEN = ""
+    CLOSED = "fin"
+    RESET = "reset"
 
 
-def address(of: socket.socket) -> str:
-    return f"127.0.0.1:{of.getsockname()[1]}"
+def encode_request(
+    request_id: int, class_name: str = "films", keep: bool = True, ttl_ms: int = 1500, **params: str
+) -> bytes:
+    """Encode a request of the platform's front, with a transaction number of its own."""
+    defaults = {"SCRIPT_NAME": f"/do/{class_name}", "HTTP_X_ROW": DEFAULT_OBJECT}
+    fixed = {
+        "HTTP_X_TXN": f"{request_id:016x}",
+        "HTTP_X_TTL_MS": str(ttl_ms),
+        "HTTP_X_WORKING_SET_KB": WORKING_SET_KB,
+    }
+    return encode_fastcgi_request(request_id, defaults | params | fixed, b"", keep)
 
 
-def connect(address: str) -> socket.socket:
-    """Block until somebody listens there."""
+def encode_abort(request_id: int) -> bytes:
+    """Encode the record by which a client cancels its request."""
+    return fastcgi.encode_record(fastcgi.RecordType.ABORT, request_id, b"")
+
+
+def bound_address(bound_socket: socket.socket) -> str:
+    """Return the loopback address of a bound socket, with its port."""
+    return f"{LOOPBACK_HOST}:{bound_socket.getsockname()[1]}"
+
+
+def connect_when_listening(address: str) -> socket.socket:
+    """Block until a program listens at the address, and connect."""
     host, _, port = address.partition(":")
-    end = time.monotonic() + LISTEN_S
-    while time.monotonic() < end:
+    deadline_s = time.monotonic() + CONNECT_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         try:
-            return socket.create_connection((host, int(port)), timeout=WAIT_S)
+            return socket.create_connection((host, int(port)), timeout=READ_TIMEOUT_S)
         except ConnectionRefusedError:
             continue
-    raise AssertionError("never listened")
+    message = f"nothing listens at {address}"
+    raise AssertionError(message)
 
 
-def call(door: str, line: str) -> str:
-    """One call at the operators' door, and all of its reply."""
-    with connect(door) as caller:
-        caller.sendall(line.encode() + b"\n")
-        return b"".join(iter(lambda: caller.recv(4096), b"")).decode()
+def call_admin(admin_address: str, line: str) -> str:
+    """Make one call at an admin endpoint, and return its reply."""
+    with connect_when_listening(admin_address) as connection:
+        connection.sendall(line.encode() + b"\n")
+        return b"".join(iter(lambda: connection.recv(READ_BYTES), b"")).decode()
 
 
-class BareClient:
-    """Sends, reads and leaves on command.  ``end``: how the router ended the connection, ``fin`` or
-    ``reset``; empty while it has not."""
+class RawSocketClient:
+    """A client of the platform's front that sends, reads and closes only when it is told to.
 
-    def __init__(self, port: int, receive_buffer: int = 0) -> None:
+    Attributes:
+        received: all bytes that were read.
+        connection_end: how the router has ended the connection, as far as it was read.
+    """
+
+    def __init__(self, port: int, receive_buffer_bytes: int = 0) -> None:
         self.socket = socket.socket()
-        if receive_buffer:  # of a client that soon holds up its router
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        self.socket.connect(("127.0.0.1", port))
+        if receive_buffer_bytes:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
+        self.socket.connect((LOOPBACK_HOST, port))
         self.socket.setblocking(False)
-        self.got, self.end = bytearray(), ""
+        self.received = bytearray()
+        self.connection_end = ConnectionEnd.OPEN
 
     def send(self, data: bytes) -> None:
+        """Send bytes; they must fit into the system's buffer."""
         self.socket.sendall(data)
 
-    def ended(self) -> bool:
-        """Reads all that has come so far; whether the router has ended the connection."""
+    def has_ended(self) -> bool:
+        """Read all that has come, and return whether the router has ended the connection."""
         try:
-            while not self.end:
-                data = self.socket.recv(65_536)
-                self.got += data
-                self.end = "" if data else "fin"
+            while not self.connection_end:
+                data = self.socket.recv(READ_BYTES)
+                self.received += data
+                if not data:
+                    self.connection_end = ConnectionEnd.CLOSED
         except BlockingIOError:
             pass
         except ConnectionError:
-            self.end = "reset"
-        return bool(self.end)
-
-    def answers(self) -> int:
-        """Whole answers of the platform's front, so far."""
-        self.ended()
-        return sum(
-            record.kind == fastcgi.RecordType.END for record in fastcgi.RecordReader().feed(bytes(self.got))
-        )
-
-    def wait(self) -> tuple[str, int]:
-        """Block until the router ends the connection: how, and after how many answers."""
-        while not self.ended() and select.select([self.socket], [], [], WAIT_S)[0]:
+            self.connection_end = ConnectionEnd.RESET
+        return bool(self.connection_end)
+
+    def answer_count(self) -> int:
+        """Read all that has come, and return how many requests have been answered."""
+        self.has_ended()
+        records = fastcgi.RecordReader().feed(bytes(self.received))
+        return sum(record.kind == fastcgi.RecordType.END for record in records)
+
+    def wait_for_end(self) -> tuple[ConnectionEnd, int]:
+        """Block until the router ends the connection; return how, and the number of answers."""
+        while not self.has_ended() and select.select([self.socket], [], [], READ_TIMEOUT_S)[0]:
             pass
-        return self.end, self.answers()
-
-    def leave(self, how: str = "close") -> None:
-        """By one of ``ENDS``."""
-        if how == "half-close":
-            return self.socket.shutdown(socket.SHUT_WR)
-        if how == "reset":
+        return self.connection_end, self.answer_count()
+
+    def close(self, mode: str = CloseMode.CLOSE) -> None:
+        """Leave the connection in one of the modes."""
+        if mode == CloseMode.HALF_CLOSE:
+            self.socket.shutdown(socket.SHUT_WR)
+            return
+        if mode == CloseMode.RESET:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
 
-class BareShelf:
-    """A shelf that says nothing but what it is told to."""
+class RawSocketCacheServer:
+    """A cache server that accepts one connection, and answers only what it is told to."""
 
     def __init__(self) -> None:
-        self.listening = socket.create_server(("127.0.0.1", 0))
-        self.listening.settimeout(WAIT_S)
-        self.way: socket.socket | None = None
-        self.reader = ArrayReader()
-
-    def wanted(self) -> bytes:
-        """Block until the next request comes; its id."""
-        self.way = self.way or self.listening.accept()[0]
-        self.way.settimeout(WAIT_S)
-        while not (wants := self.reader.feed(self.way.recv(65_536))):
+        self.listening = socket.create_server((LOOPBACK_HOST, 0))
+        self.listening.settimeout(READ_TIMEOUT_S)
+        self.connection: socket.socket | None = None
+        self.reader = CommandReader()
+
+    def wait_for_request(self) -> bytes:
+        """Block until the next request comes, and return its number."""
+        if self.connection is None:
+            self.connection = self.listening.accept()[0]
+        self.connection.settimeout(READ_TIMEOUT_S)
+        while not (commands := self.reader.feed(self.connection.recv(READ_BYTES))):
             pass
-        return bytes(wants[0][1])
+        return commands[0].request_id
 
-    def say(self, ident: bytes, word: bytes) -> None:
-        assert self.way is not None
-        self.way.sendall(encode_array((ident, word, b"-", b"")))
+    def send_answer(self, request_id: bytes, status: bytes) -> None:
+        """Answer one request without a body."""
+        assert self.connection is not None
+        self.connection.sendall(encode_server_answer(request_id, status))
 
     def close(self) -> None:
+        """Close the listening socket and the connection."""
         self.listening.close()
-        if self.way is not None:
-            self.way.close()
-
-
-class BareClients:
-    """Those of a rig's fronts; they leave with it."""
-
-    def __init__(self, rig: Any) -> None:
-        self.rig, self.all = rig, list[BareClient]()
-
-    def connect(self, front: int = 3, receive_buffer: int = 0) -> BareClient:
-        self.all.append(BareClient(self.rig.ports[front].getHost().port, receive_buffer))
-        return self.all[-1]
-
-    @inlineCallbacks
-    def rested(self, data: bytes = b"", front: int = 3) -> Any:
-        """A client whose connection was accepted and, with data, answered; and the router's side of it."""
-        known, client = set(self.rig.clients), self.connect(front)
-        yield self.rig.until(lambda: set(self.rig.clients) - known)
-        (link,) = set(self.rig.clients) - known
-        if data:
-            client.send(data)
-            yield self.rig.until(lambda: link.answered)
-        return client, link
-
-    @inlineCallbacks
-    def unread(self, burst: bytes, count: int) -> Any:
-        """A client that asked for so much, all answered, and reads nothing of it."""
-        client = self.connect(receive_buffer=4096)
-        client.send(burst)
-        yield self.rig.until(lambda: not count or any(link._paused for link in self.rig.clients))
-        yield self.rig.until(lambda: sum(link.answered for link in self.rig.clients) == count)
-        return client
-
-    @inlineCallbacks
-    def gone(self) -> Any:
-        """Turn the reactor until the router holds nothing of any client."""
-        engine = self.rig.engine
-        yield self.rig.until(lambda: not len(engine.requests) and not len(engine.attempts))
-        yield self.rig.until(lambda: not self.rig.clients.connected)
-
-    def http(self, target: str, *headers: str) -> bytes:
-        """A request of the signed front."""
-        return "\r\n".join([f"GET {self.rig.signed(target)} HTTP/1.1", "Host: h", *headers, "", ""]).encode()
-
-    def close(self) -> None:
-        for client in self.all:
-            client.socket.close()
+        if self.connection is not None:
+            self.connection.close()
--- a/packages/fakes/src/fakes/unresponsive_listener.py
+++ b/packages/fakes/src/fakes/unresponsive_listener.py
@@ -1,4 +1,4 @@
-"""A loopback port at which connects hang until it is opened, and where they hang again once it is shut."""
+"""A loopback port at which connects hang until it accepts connections, and hang again once it stops."""
 
 from __future__ import annotations
 
@@ -6,34 +6,44 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet import protocol, reactor
+from twisted.internet import protocol
 
+from fakes.config import LOOPBACK_HOST
+from fakes.event_loop import reactor
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.transport import BuildFactory
 
 
 class UnresponsiveListener:
-    """Its queue holds one connection that nobody takes: the system passes over who knocks, who knocks again
-    after a second.  Opened, it takes all that come, and the one in the queue."""
+    """A listening socket whose queue is filled by one connection that is not accepted.
+
+    The system ignores further connects, which their clients repeat after a second.  Once the port accepts
+    connections, it accepts all that come, and the one in the queue.
+    """
 
     def __init__(self, build: Callable[[], protocol.Protocol]) -> None:
-        self.build, self.port = build, None
-        self.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self.listener.setblocking(False)
-        self.address: tuple[str, int] = self.listener.getsockname()
-        self.filler = socket.create_connection(self.address)
-
-    def open(self) -> None:
-        adopt: Any = reactor
-        self.filler.close()
-        self.port = adopt.adoptStreamPort(self.listener.fileno(), socket.AF_INET, BuildFactory(self.build))
-
-    def shut(self) -> None:
-        """Take no more; the connections that were taken stay."""
-        if self.port is not None:
-            self.port.stopReading()
-        self.filler = socket.create_connection(self.address)
+        self._build = build
+        self._port: Any = None
+        self._listening = socket.create_server((LOOPBACK_HOST, 0), backlog=0)
+        self._listening.setblocking(False)
+        self.address: tuple[str, int] = self._listening.getsockname()
+        self._queue_filler = socket.create_connection(self.address)
+
+    def start_accepting(self) -> None:
+        """Accept all connections."""
+        self._queue_filler.close()
+        factory = BuildFactory(self._build)
+        self._port = reactor.adoptStreamPort(self._listening.fileno(), socket.AF_INET, factory)
+
+    def stop_accepting(self) -> None:
+        """Accept no further connections; those that were accepted stay."""
+        if self._port is not None:
+            self._port.stopReading()
+        self._queue_filler = socket.create_connection(self.address)
 
     def stopListening(self) -> Any:  # noqa: N802
-        self.filler.close()
-        self.listener.close()
-        return self.port.stopListening() if self.port is not None else None
+        """Close the port; a Deferred, as Twisted's ports return it, where it has accepted connections."""
+        self._queue_filler.close()
+        self._listening.close()
+        port: ListeningPort | None = self._port
+        return port.stopListening() if port is not None else None
--- /dev/null
+++ b/packages/fakes/src/fakes/watch_environment.py
@@ -0,0 +1,110 @@
+"""The real watch client at a scripted discovery, with its deadlines on a clock that the test advances."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+
+from twisted.internet.defer import Deferred, inlineCallbacks
+
+from fakes.event_loop import Steps, reactor, wait_until
+from fakes.fake_discovery import ScriptedDiscovery, Step
+from fakes.manual_clock import ManualClock
+from thornjunction import interface as api
+from thornjunction.net.discovery.watch_client import MOST_AGAIN_MS, WatchClient
+from thornjunction.net.wire.commands import Command
+from thornjunction.runtime.service import Service
+
+# Milliseconds between two looks at whether the next connect has begun.
+CONNECT_CHECK_MS = 10.0
+
+# A moment on the core's clock at which a router decides.
+DECISION_MS = 2e9
+
+
+class WatchEnvironment(ManualClock):
+    """A watch client and a scripted discovery on loopback connections.
+
+    Attributes:
+        discovery: the scripted discovery.
+        watch_client: the client under test.
+        received_events: the events that the client has passed on.
+    """
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.received_events: list[Command] = []
+        self.discovery = ScriptedDiscovery()
+        self.watch_client = self.build_watch_client(self.discovery.address)
+
+    def build_watch_client(self, address: tuple[str, int]) -> WatchClient:
+        """Put a watch client that knows nothing in the place of the earlier one."""
+        self.watch_client = WatchClient(
+            reactor,
+            address,
+            self.deadlines,
+            lambda: self.now_ms,
+            self.received_events.append,
+            lambda: None,
+        )
+        return self.watch_client
+
+    @inlineCallbacks
+    def restart_watch(self, *script: Step) -> Steps[None]:
+        """Start a new watch client, with this script of a discovery that has no polls yet."""
+        yield self.close_watch()
+        self.received_events.clear()
+        self.discovery.polls.clear()
+        self.discovery.script[:] = script
+        self.build_watch_client(self.discovery.address).start()
+
+    def wait_until_due(self, condition: Callable[[], object]) -> Deferred[None]:
+        """Wait until a condition holds while what is due now runs; no time passes."""
+
+        def holds() -> object:
+            self.deadlines.run_due(self.now_ms)
+            return condition()
+
+        return wait_until(holds)
+
+    @inlineCallbacks
+    def wait_for_polls(self, count: int) -> Steps[None]:
+        """Wait until discovery has had ``count`` polls."""
+        yield wait_until(lambda: len(self.discovery.polls) >= count)
+
+    @inlineCallbacks
+    def wait_for_failures(self, count: int) -> Steps[None]:
+        """Wait until ``count`` connections in a row have failed; then let the backoff pass."""
+        for failures in range(1, count + 1):
+            yield wait_until(lambda failures=failures: self.watch_client.failures == failures)  # type: ignore[misc]
+            while self.watch_client._dialling is None and failures < count:
+                self.advance(CONNECT_CHECK_MS)
+        self.advance(MOST_AGAIN_MS)
+
+    @inlineCallbacks
+    def wait_for_disconnect(self, backoff_ms: float) -> Steps[None]:
+        """Wait until the connection has ended; then let the backoff pass."""
+        yield wait_until(lambda: self.watch_client.link is None)
+        self.advance(backoff_ms)
+
+    @inlineCallbacks
+    def close_watch(self) -> Steps[None]:
+        """Stop the watch client, and wait until it has no connection."""
+        self.watch_client.stopped = True
+        if self.watch_client.link is not None:
+            self.watch_client.link.close("test")
+        yield wait_until(lambda: self.watch_client.link is None and self.watch_client._dialling is None)
+
+    @inlineCallbacks
+    def stop(self) -> Steps[None]:
+        """Stop the watch client and the discovery."""
+        yield self.close_watch()
+        yield self.discovery.stop()
+
+
+def chosen_server(service: Service) -> str:
+    """Return the server to which a router would forward a request now."""
+    request = api.Request(os.urandom(4).hex(), "files", 7, 2000.0, size_kb=10.0)
+    actions = service.router.handle(DECISION_MS, request)
+    (attempt,) = [action for action in actions if isinstance(action, api.StartAttempt)]
+    return attempt.server
--- a/packages/fleet-harness/src/fleet_harness/router_files.py
+++ b/packages/fleet-harness/src/fleet_harness/router_files.py
@@ -9,8 +9,8 @@
 from socket import socket
 from typing import Any
 
-from fakes.config import SETTINGS, listen
-from fakes.scripted import DemoDiscovery, DemoShelf
+from fakes.config import SETTINGS, listen_on_free_port
+from fakes.demo_servers import DemoCacheServer, DemoDiscovery
 from sansio_core import Address
 
 MAX_SOCKETS = 90
@@ -22,14 +22,14 @@
     hosts = [
         {
             "host": name,
-            "dial": f"127.0.0.1:{listen(reactor, DemoShelf)}",
+            "dial": f"127.0.0.1:{listen_on_free_port(reactor, DemoCacheServer)}",
             "site": "demo",
             "class": kind,
             "health": "active",
         }
         for name, kind in (("edge1", "box"), ("origin", "root"))
     ]
-    return listen(reactor, lambda: DemoDiscovery(hosts, reactor))
+    return listen_on_free_port(reactor, lambda: DemoDiscovery(hosts, reactor))
 
 
 def write_platform_config(folder: Path, name: str, discovery_port: int) -> Address:
--- a/packages/fleet-scale/src/fleet_scale/load.py
+++ b/packages/fleet-scale/src/fleet_scale/load.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import Any
 
-from fakes.raw_socket import asked
+from fakes.raw_socket import encode_request
 from twisted.internet import protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
@@ -38,7 +38,7 @@
         self._last = self._last % 60_000 + 1
         self.out[self._last] = time.monotonic(), b""
         self.load.asked += 1
-        self.transport.write(asked(self._last, "clips", ttl_ms=TTL_MS))
+        self.transport.write(encode_request(self._last, "clips", ttl_ms=TTL_MS))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         for record in self.cutter.feed(data):
--- a/packages/fleet-scale/src/fleet_scale/roles.py
+++ b/packages/fleet-scale/src/fleet_scale/roles.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from fakes.config import listen
-from fakes.scripted import DemoShelf
+from fakes.config import listen_on_free_port
+from fakes.demo_servers import DemoCacheServer
 
 from fleet_scale.discovery import Discovery
 from fleet_scale.event_log import listed
@@ -47,7 +47,7 @@
     """A stand-in shelf, for all lines of the list that name its port."""
 
     def __init__(self, reactor: Any, told: Mapping[str, Any]) -> None:
-        self.port = listen(reactor, DemoShelf)
+        self.port = listen_on_free_port(reactor, DemoCacheServer)
 
     def figures(self) -> dict[str, Any]:
         return {"port": self.port}
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -8,7 +8,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from tests.helpers import Bench, fetch_of, finals
+from tests.helpers import RouterDriver, attempt_of, final_actions
 from tests.test_adapter import PARAMS as SETTINGS
 from thornjunction import interface as api
 from thornjunction.core.attempts import AttemptState
@@ -181,11 +181,15 @@
 
 
 def test_who_is_hurried_is_answered_by_what_is_known() -> None:
-    bench = Bench(may_bypass_caches=True)
-    film, order = fetch_of(bench.ask()), fetch_of(bench.ask(class_name="order"))
-    assert finals(bench.give(api.RequestExpired(film.request_id))) == [api.RejectRequest(film.request_id)]
-    assert finals(bench.give(api.RequestExpired(order.request_id))) == [api.FailRequest(order.request_id)]
-    assert bench.give(api.RequestExpired(film.request_id)) == []
+    bench = RouterDriver(may_bypass_caches=True)
+    film, order = attempt_of(bench.request()), attempt_of(bench.request(class_name="order"))
+    assert final_actions(bench.handle(api.RequestExpired(film.request_id))) == [
+        api.RejectRequest(film.request_id)
+    ]
+    assert final_actions(bench.handle(api.RequestExpired(order.request_id))) == [
+        api.FailRequest(order.request_id)
+    ]
+    assert bench.handle(api.RequestExpired(film.request_id)) == []
     script = Script()
     number = script.open()
     script.engine.answer_all_now()
@@ -271,15 +275,17 @@
 
 
 def test_what_may_have_run_is_known_to_the_next_try() -> None:
-    bench = Bench(may_bypass_caches=True)
-    first = fetch_of(bench.ask(class_name="keyed", idempotency_key="k"))
-    bench.answer(first, api.AttemptStatus.TIMEOUT)
-    bench.wait(2500.0)
-    assert finals(bench.ask(class_name="keyed", idempotency_key="k")) == [api.FailRequest(str(bench.asked))]
-    actions = bench.ask(class_name="keyed", idempotency_key="other")
-    while not finals(actions):
-        actions = bench.answer(fetch_of(actions), api.AttemptStatus.NOT_STARTED)
-    assert not finals(bench.ask(class_name="keyed", idempotency_key="other"))
+    bench = RouterDriver(may_bypass_caches=True)
+    first = attempt_of(bench.request(class_name="keyed", idempotency_key="k"))
+    bench.end_attempt(first, api.AttemptStatus.TIMEOUT)
+    bench.advance(2500.0)
+    assert final_actions(bench.request(class_name="keyed", idempotency_key="k")) == [
+        api.FailRequest(str(bench.request_count))
+    ]
+    actions = bench.request(class_name="keyed", idempotency_key="other")
+    while not final_actions(actions):
+        actions = bench.end_attempt(attempt_of(actions), api.AttemptStatus.NOT_STARTED)
+    assert not final_actions(bench.request(class_name="keyed", idempotency_key="other"))
 
 
 CONFIG = {"name": "n1", "listen": "127.0.0.1:9", "channel": "127.0.0.1:8", "settings": SETTINGS} | {
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small bench for the module alone: settings, lists and one router driven by hand."""
+"""Settings, endpoint lists, and a router that a test drives by hand."""
 
 from __future__ import annotations
 
@@ -8,7 +8,22 @@
 from thornjunction import interface as api
 from thornjunction.policy.router import Router
 
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
+
+# Milliseconds at which a router's clock starts.
+START_MS = 1000.0
+
+# Milliseconds that an attempt takes unless the test says otherwise.
+ANSWER_MS = 100.0
+
+# Milliseconds that a request of a class without settings has.
+UNKNOWN_CLASS_TIMEOUT_MS = 3000.0
+
+# Kilobytes that a request announces unless the test says otherwise.
+REQUEST_SIZE_KB = 1000.0
+
+# The seed of the router's random numbers.
+RANDOM_SEED = 7
 
 FILMS = api.RequestClass(
     "films",
@@ -49,12 +64,14 @@
 )
 
 
-def edge(name: str, **more: Any) -> api.ServerEntry:
-    return replace(api.ServerEntry(name, api.Role.EDGE, "here", weight=8.0), **more)
+def edge(name: str, **fields: Any) -> api.ServerEntry:
+    """Return the entry of an edge cache in the router's zone."""
+    return replace(api.ServerEntry(name, api.Role.EDGE, "here", weight=8.0), **fields)
 
 
-def parent(name: str, **more: Any) -> api.ServerEntry:
-    return replace(api.ServerEntry(name, api.Role.PARENT, "hub", weight=20.0), **more)
+def parent(name: str, **fields: Any) -> api.ServerEntry:
+    """Return the entry of a parent."""
+    return replace(api.ServerEntry(name, api.Role.PARENT, "hub", weight=20.0), **fields)
 
 
 ORIGIN = api.ServerEntry("origin", api.Role.ORIGIN, "hub", weight=20.0)
@@ -62,73 +79,92 @@
 PARENTS = tuple(parent(f"parent{number}") for number in range(3))
 
 
-class Bench:
-    """Drives one router; keeps the clock and what is out."""
+class RouterDriver:
+    """Gives one router its events, and keeps its clock, timers and attempts.
+
+    Attributes:
+        now_ms: the router's clock.
+        attempts: the attempts of each request, in order.
+        action_log: all actions with their times.
+        request_count: requests so far; the number of the last one is its id.
+    """
 
     def __init__(
-        self, entries: tuple[api.ServerEntry, ...] = (*EDGES, *PARENTS, ORIGIN), **more: Any
+        self, entries: tuple[api.ServerEntry, ...] = (*EDGES, *PARENTS, ORIGIN), **settings: Any
     ) -> None:
-        self.now, self.asked = 1000.0, 0
-        self.router = Router(replace(SETTINGS, **more), 7)
+        self.now_ms = START_MS
+        self.request_count = 0
+        self.router = Router(replace(SETTINGS, **settings), RANDOM_SEED)
         self.timers: list[tuple[float, int]] = []
-        self.sent: dict[str, list[api.StartAttempt]] = {}
-        self.log: list[tuple[float, api.Action]] = []
-        self.give(api.EndpointListUpdate(entries))
+        self.attempts: dict[str, list[api.StartAttempt]] = {}
+        self.action_log: list[tuple[float, api.Action]] = []
+        self.handle(api.EndpointListUpdate(entries))
 
-    def give(self, event: api.Event) -> list[api.Action]:
-        actions = self.router.handle(self.now, event)
+    def handle(self, event: api.Event) -> list[api.Action]:
+        """Give the router an event now, and return its actions."""
+        actions = self.router.handle(self.now_ms, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now_ms, action))
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.in_ms, action.token))
+                self.timers.append((self.now_ms + action.in_ms, action.token))
             elif isinstance(action, api.StartAttempt):
-                self.sent.setdefault(action.request_id, []).append(action)
+                self.attempts.setdefault(action.request_id, []).append(action)
         return actions
 
-    def wait(self, ms: float) -> list[api.Action]:
-        """Let time pass and timers fire; all that was done meanwhile."""
-        end, done = self.now + ms, []
-        while due := [timer for timer in self.timers if timer[0] <= end]:
+    def advance(self, elapsed_ms: float) -> list[api.Action]:
+        """Let time pass and timers fire; return the actions of all timers."""
+        end_ms = self.now_ms + elapsed_ms
+        actions: list[api.Action] = []
+        while due := [timer for timer in self.timers if timer[0] <= end_ms]:
             timer = min(due)
             self.timers.remove(timer)
-            self.now = max(self.now, timer[0])
-            done += self.give(api.TimerFired(timer[1]))
-        self.now = end
-        return done
-
-    def ask(self, key: int = 1, class_name: str = "films", **more: Any) -> list[api.Action]:
-        """One request; its name is the number of requests so far."""
-        self.asked += 1
-        kind = self.router.admission.classes.get(class_name)
-        left = kind.client_timeout_ms if kind else 3000.0
-        event = api.Request(str(self.asked), class_name, key, left, size_kb=1000.0)
-        return self.give(replace(event, **more))
-
-    def answer(
-        self, fetch: api.StartAttempt, status: api.AttemptStatus = api.AttemptStatus.SUCCEEDED, **more: Any
+            due_ms, token = timer
+            self.now_ms = max(self.now_ms, due_ms)
+            actions += self.handle(api.TimerFired(token))
+        self.now_ms = end_ms
+        return actions
+
+    def request(self, key: int = 1, class_name: str = "films", **fields: Any) -> list[api.Action]:
+        """Request an object with all of its class's time left."""
+        self.request_count += 1
+        request_class = self.router.admission.classes.get(class_name)
+        remaining_ms = request_class.client_timeout_ms if request_class else UNKNOWN_CLASS_TIMEOUT_MS
+        event = api.Request(str(self.request_count), class_name, key, remaining_ms, size_kb=REQUEST_SIZE_KB)
+        return self.handle(replace(event, **fields))
+
+    def end_attempt(
+        self,
+        attempt: api.StartAttempt,
+        status: api.AttemptStatus = api.AttemptStatus.SUCCEEDED,
+        **fields: Any,
     ) -> list[api.Action]:
-        number = next(n for n, sent in enumerate(self.sent[fetch.request_id]) if sent is fetch)
-        note = api.FillResult.HIT if status is api.AttemptStatus.SUCCEEDED else api.FillResult.NONE
+        """End an attempt: a hit after 100 ms, unless the status or the fields say otherwise."""
+        siblings = self.attempts[attempt.request_id]
+        number = next(index for index, sibling in enumerate(siblings) if sibling is attempt)
+        succeeded = status is api.AttemptStatus.SUCCEEDED
         event = api.AttemptEnded(
-            fetch.request_id,
+            attempt.request_id,
             number,
-            fetch.server,
+            attempt.server,
             status,
-            100.0,
-            note,
-            final=status is api.AttemptStatus.SUCCEEDED,
+            ANSWER_MS,
+            api.FillResult.HIT if succeeded else api.FillResult.NONE,
+            final=succeeded,
         )
-        return self.give(replace(event, **more))
+        return self.handle(replace(event, **fields))
 
 
-def only(actions: list[api.Action], kind: type[A]) -> list[A]:
+def actions_of(actions: list[api.Action], kind: type[ActionT]) -> list[ActionT]:
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
-def fetch_of(actions: list[api.Action]) -> api.StartAttempt:
-    (fetch,) = only(actions, api.StartAttempt)
-    return fetch
+def attempt_of(actions: list[api.Action]) -> api.StartAttempt:
+    """Return the only attempt among the actions."""
+    (attempt,) = actions_of(actions, api.StartAttempt)
+    return attempt
 
 
-def finals(actions: list[api.Action]) -> list[api.Action]:
+def final_actions(actions: list[api.Action]) -> list[api.Action]:
+    """Return the rejections and failures among the actions."""
     return [action for action in actions if isinstance(action, api.RejectRequest | api.FailRequest)]
--- a/tests/limits/test_admission_gates.py
+++ b/tests/limits/test_admission_gates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.helpers import EDGES, ORIGIN, Bench, fetch_of, finals, only
+from tests.helpers import EDGES, ORIGIN, RouterDriver, actions_of, attempt_of, final_actions
 from thornjunction import interface as api
 
 FILLED = api.FillResult.FILLED
@@ -10,88 +10,88 @@
 
 def test_late_hits_shut_a_caches_gate_and_the_rest_is_refused() -> None:
     """Overload: what cannot be served in time is refused at once, and writes go on."""
-    bench = Bench()
+    bench = RouterDriver()
     for key in range(400):
-        for fetch in only(bench.ask(key), api.StartAttempt):
-            bench.answer(fetch, elapsed_ms=4000.0)
-    actions = [action for key in range(200) for action in bench.ask(key)]
-    out, refused = len(only(actions, api.StartAttempt)), len(only(actions, api.RejectRequest))
+        for fetch in actions_of(bench.request(key), api.StartAttempt):
+            bench.end_attempt(fetch, elapsed_ms=4000.0)
+    actions = [action for key in range(200) for action in bench.request(key)]
+    out, refused = len(actions_of(actions, api.StartAttempt)), len(actions_of(actions, api.RejectRequest))
     assert out + refused == 200 and refused > 100 and out >= 4
-    assert only(bench.ask(class_name="keyed"), api.StartAttempt)  # writes are small and worth most
+    assert actions_of(bench.request(class_name="keyed"), api.StartAttempt)  # writes are small and worth most
 
 
 def test_gates_open_again_when_answers_come_in_time() -> None:
-    bench = Bench()
+    bench = RouterDriver()
     for took in (4000.0, 100.0):
         for key in range(600):
-            for fetch in only(bench.ask(key), api.StartAttempt):
-                bench.answer(fetch, elapsed_ms=took)
-    assert sum(len(only(bench.ask(key), api.StartAttempt)) for key in range(200)) == 200
+            for fetch in actions_of(bench.request(key), api.StartAttempt):
+                bench.end_attempt(fetch, elapsed_ms=took)
+    assert sum(len(actions_of(bench.request(key), api.StartAttempt)) for key in range(200)) == 200
 
 
 def test_late_fills_turn_requests_into_looks_and_shut_no_cache() -> None:
     """A front of many cannot know what its neighbours had filled; the cache does, so it is asked."""
-    bench = Bench()
+    bench = RouterDriver()
     for key in range(200):
-        fetch = fetch_of(bench.ask(key))
+        fetch = attempt_of(bench.request(key))
         if fetch.source == fetch.server:
-            bench.answer(fetch, api.AttemptStatus.CACHE_MISS)
+            bench.end_attempt(fetch, api.AttemptStatus.CACHE_MISS)
         else:
-            bench.answer(fetch, elapsed_ms=4000.0, fill_result=FILLED, fill_first_byte_ms=3500.0)
-    fetches = [fetch_of(bench.ask(key)) for key in range(1000, 1200)]
+            bench.end_attempt(fetch, elapsed_ms=4000.0, fill_result=FILLED, fill_first_byte_ms=3500.0)
+    fetches = [attempt_of(bench.request(key)) for key in range(1000, 1200)]
     looks = [fetch for fetch in fetches if fetch.source == fetch.server]
     assert 150 < len(looks) < 200
-    assert not bench.answer(looks[0])
-    assert finals(bench.answer(looks[1], api.AttemptStatus.CACHE_MISS)) == [
+    assert not bench.end_attempt(looks[0])
+    assert final_actions(bench.end_attempt(looks[1], api.AttemptStatus.CACHE_MISS)) == [
         api.RejectRequest(looks[1].request_id)
     ]
 
 
 def test_a_fill_counts_as_late_as_soon_as_its_aim_has_passed() -> None:
     """A jam must not be learnt from the answers that it holds back."""
-    bench = Bench()
+    bench = RouterDriver()
     for key in range(40):
-        bench.ask(key)
-    bench.wait(1500.0)
-    looks = [fetch for key in range(1000, 1040) for fetch in only(bench.ask(key), api.StartAttempt)]
+        bench.request(key)
+    bench.advance(1500.0)
+    looks = [fetch for key in range(1000, 1040) for fetch in actions_of(bench.request(key), api.StartAttempt)]
     assert sum(fetch.source == fetch.server for fetch in looks) > 30
 
 
 def test_failed_fills_count_as_late() -> None:
     """An origin that fails behind every parent is asked less, or it never recovers."""
-    bench = Bench()
+    bench = RouterDriver()
     for key in range(60):
-        for fetch in only(bench.ask(key), api.StartAttempt):
-            bench.answer(fetch, api.AttemptStatus.OVERLOADED, fill_result=api.FillResult.ORIGIN_FAILED)
+        for fetch in actions_of(bench.request(key), api.StartAttempt):
+            bench.end_attempt(fetch, api.AttemptStatus.OVERLOADED, fill_result=api.FillResult.ORIGIN_FAILED)
     assert bench.router.gates.fills.share < 0.2
 
 
 def test_a_failing_origin_leaves_parents_to_give_what_they_hold() -> None:
     """Asked on, it stays jammed after its trouble has passed; what parents hold must not wait for that."""
-    bench = Bench()
+    bench = RouterDriver()
     for key in range(100):
-        for fetch in only(bench.ask(key), api.StartAttempt):
-            bench.answer(fetch, fill_result=api.FillResult.FILLED_FROM_ORIGIN, elapsed_ms=4000.0)
+        for fetch in actions_of(bench.request(key), api.StartAttempt):
+            bench.end_attempt(fetch, fill_result=api.FillResult.FILLED_FROM_ORIGIN, elapsed_ms=4000.0)
             bench.router.gates.fills.share = 1.0  # only the origin is slow
-    fetches = [fetch_of(bench.ask(key)) for key in range(1000, 1100)]
+    fetches = [attempt_of(bench.request(key)) for key in range(1000, 1100)]
     assert sum(fetch.cached_only for fetch in fetches) > 80
-    assert not any(fetch.cached_only for fetch in [fetch_of(bench.ask(7, "keyed")) for _ in range(20)])
+    assert not any(fetch.cached_only for fetch in [attempt_of(bench.request(7, "keyed")) for _ in range(20)])
     missed = next(fetch for fetch in fetches if fetch.cached_only)
-    actions = bench.answer(missed, api.AttemptStatus.CACHE_MISS, fill_result=api.FillResult.SOURCE_LACKS)
-    assert finals(actions) == [api.RejectRequest(missed.request_id)]
+    actions = bench.end_attempt(missed, api.AttemptStatus.CACHE_MISS, fill_result=api.FillResult.SOURCE_LACKS)
+    assert final_actions(actions) == [api.RejectRequest(missed.request_id)]
 
 
 def test_large_requests_give_way_first_at_a_gate_and_within_a_class_by_little() -> None:
     """Links carry bytes: one large fill less serves many small requests.  But no one is starved by size."""
-    bench = Bench(entries=(*EDGES, ORIGIN))
+    bench = RouterDriver(entries=(*EDGES, ORIGIN))
     kinds = (("films", 100.0), ("films", 3000.0), ("pages", 50.0))
 
     def ask(key: int) -> tuple[tuple[str, float], api.StartAttempt]:
         kind = kinds[key % 3]
-        return kind, fetch_of(bench.ask(key, kind[0], size_kb=kind[1]))
+        return kind, attempt_of(bench.request(key, kind[0], size_kb=kind[1]))
 
     for key in range(90):
-        bench.answer(ask(key)[1])
+        bench.end_attempt(ask(key)[1])
     bench.router.gates.fills.share = 0.6
     filled = dict.fromkeys(kinds, 0)
     for key in range(1000, 1900):
--- a/tests/limits/test_fleet_limits.py
+++ b/tests/limits/test_fleet_limits.py
@@ -5,16 +5,16 @@
 
 import pytest
 
-from tests.helpers import EDGES, ORIGIN, PARENTS, Bench, fetch_of, finals, only
+from tests.helpers import EDGES, ORIGIN, PARENTS, RouterDriver, actions_of, attempt_of, final_actions
 from thornjunction import interface as api
 from thornjunction.limits.admission_gates import LOWEST_SHARE, AdmissionGate
 from thornjunction.limits.retry_budget import RetryBudget, backoff_ms
 
 
-def blind(**more: object) -> Bench:
+def blind(**more: object) -> RouterDriver:
     """One of two hundred, where answers tell nothing of fills."""
     more = {"fill_reporting": api.FillReporting.NONE, "may_bypass_caches": True, "router_count": 200, **more}
-    return Bench((*EDGES, *PARENTS, ORIGIN), **more)
+    return RouterDriver((*EDGES, *PARENTS, ORIGIN), **more)
 
 
 def test_a_gate_opens_with_time_alone() -> None:
@@ -53,37 +53,37 @@
 def test_what_runs_at_a_full_origin_is_not_asked_again_at_once() -> None:
     """Alerts that tried again at once asked the full origin for five times their number."""
     bench = blind(max_attempts=6)
-    fetch, times = fetch_of(bench.ask(class_name="keyed")), [bench.now]
-    while not finals(actions := bench.answer(fetch, api.AttemptStatus.OVERLOADED)):
-        assert not only(actions, api.StartAttempt)
-        while not (sent := only(actions := bench.wait(10.0), api.StartAttempt)):
-            if finals(actions):
+    fetch, times = attempt_of(bench.request(class_name="keyed")), [bench.now_ms]
+    while not final_actions(actions := bench.end_attempt(fetch, api.AttemptStatus.OVERLOADED)):
+        assert not actions_of(actions, api.StartAttempt)
+        while not (sent := actions_of(actions := bench.advance(10.0), api.StartAttempt)):
+            if final_actions(actions):
                 break
         if not sent:
             break
         fetch = sent[0]
-        times.append(bench.now)
+        times.append(bench.now_ms)
     assert 2 <= len(times) <= 4 and times[1] - times[0] >= 40.0
     # Answered at once when no try is left that could earn anything: late ones are worth nothing here.
-    assert bench.now - times[0] < 700.0 + 50.0 and not bench.router.requests.open
+    assert bench.now_ms - times[0] < 700.0 + 50.0 and not bench.router.requests.open
 
 
 @pytest.mark.parametrize("class_name", ["films", "keyed"])
 def test_refusals_teach_the_origins_gate_where_nothing_is_told(class_name: str) -> None:
     bench = blind()
     for key in range(4):
-        bench.answer(fetch_of(bench.ask(key, class_name)), api.AttemptStatus.OVERLOADED)
-        bench.wait(300.0)
+        bench.end_attempt(attempt_of(bench.request(key, class_name)), api.AttemptStatus.OVERLOADED)
+        bench.advance(300.0)
     assert bench.router.gates.origin.share < 0.5
-    fetches = [fetch for key in range(100, 200) for fetch in only(bench.ask(key), api.StartAttempt)]
+    fetches = [fetch for key in range(100, 200) for fetch in actions_of(bench.request(key), api.StartAttempt)]
     assert sum(fetch.cached_only for fetch in fetches) > 40
 
 
 def test_slow_answers_of_what_runs_at_the_origin_tell_of_its_queue() -> None:
     bench = blind()
-    bench.answer(fetch_of(bench.ask(class_name="keyed")), elapsed_ms=340.0)
+    bench.end_attempt(attempt_of(bench.request(class_name="keyed")), elapsed_ms=340.0)
     assert bench.router.gates.origin.share == 1.0
-    bench.answer(fetch_of(bench.ask(class_name="keyed")), elapsed_ms=360.0)
+    bench.end_attempt(attempt_of(bench.request(class_name="keyed")), elapsed_ms=360.0)
     assert bench.router.gates.origin.share < 1.0
 
 
@@ -91,6 +91,6 @@
     bench = blind()
     bench.router.gates.origin.share = bench.router.gates.origin.recovery_per_ms = 0.0
     for key in range(30):
-        for fetch in only(bench.ask(key), api.StartAttempt):
-            bench.answer(fetch, elapsed_ms=4000.0, fill_result=api.FillResult.NONE)
+        for fetch in actions_of(bench.request(key), api.StartAttempt):
+            bench.end_attempt(fetch, elapsed_ms=4000.0, fill_result=api.FillResult.NONE)
     assert bench.router.gates.fills.share < 0.5
--- a/tests/limits/test_slow_start_fleet.py
+++ b/tests/limits/test_slow_start_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.helpers import ORIGIN, Bench, edge, only, parent
+from tests.helpers import ORIGIN, RouterDriver, actions_of, edge, parent
 from thornjunction import interface as api
 
 START, WINDOW = 1000.0, 1000.0  # ms: of the cold servers, of the rule
@@ -45,25 +45,25 @@
 def test_a_fleet_keeps_a_cold_servers_budget_whoever_is_asked(routers: int, work: float) -> None:
     draw = random.Random(routers)
     more = {"router_count": routers, "routers_by_zone": {"here": routers}, "may_hedge": True}
-    fleet = [Bench(entries=(*WARM, *COLD), **more) for _ in range(routers)]
+    fleet = [RouterDriver(entries=(*WARM, *COLD), **more) for _ in range(routers)]
     for place, bench in enumerate(fleet):
         bench.router.random.seed(place)
     sent: dict[str, list[float]] = {entry.server: [] for entry in COLD}
 
-    def play(bench: Bench, actions: list[api.Action]) -> None:
-        for fetch in only(actions, api.StartAttempt):
+    def play(bench: RouterDriver, actions: list[api.Action]) -> None:
+        for fetch in actions_of(actions, api.StartAttempt):
             for name in {fetch.server, fetch.source} & sent.keys():
-                sent[name].append(bench.now)
+                sent[name].append(bench.now_ms)
             if draw.random() < 0.9:  # one in ten waits, and may get a copy; one in five is tried again
                 status = (
                     api.AttemptStatus.CONNECTION_RESET if draw.random() < 0.2 else api.AttemptStatus.SUCCEEDED
                 )
-                play(bench, bench.answer(fetch, status))
+                play(bench, bench.end_attempt(fetch, status))
 
     for at, who in crowd(routers, 4000.0, draw):
         bench = fleet[who]
-        play(bench, bench.wait(START + at - bench.now))
-        play(bench, bench.ask(draw.randrange(10_000), size_kb=work * 5.0))
+        play(bench, bench.advance(START + at - bench.now_ms))
+        play(bench, bench.request(draw.randrange(10_000), size_kb=work * 5.0))
     for entry in COLD:
         times = sorted(sent[entry.server])
         assert len(times) > 0.2 * budget(entry.role, work, START)  # cold servers are used
--- a/tests/limits/test_slow_start_sizes.py
+++ b/tests/limits/test_slow_start_sizes.py
@@ -10,39 +10,43 @@
 
 import pytest
 
-from tests.helpers import FILMS, ORIGIN, Bench, edge, fetch_of, only, parent
+from tests.helpers import FILMS, ORIGIN, RouterDriver, actions_of, attempt_of, edge, parent
 from thornjunction import interface as api
 
 SMALL, LARGE = 100.0, 2500.0  # KB: of a page; of a film, 500 ms at the settings' 5 KB a ms
 COLD, WARM = edge("cold", started_ms=1000.0), edge("warm")
 
 
-def started(*entries: api.ServerEntry, pages: int = 60, **more: Any) -> Bench:
+def started(*entries: api.ServerEntry, pages: int = 60, **more: Any) -> RouterDriver:
     """A router that was asked for pages, each answered at once, in its first second."""
-    bench = Bench(entries=(*entries, ORIGIN), **more)
+    bench = RouterDriver(entries=(*entries, ORIGIN), **more)
     for key in range(pages):
-        bench.wait(20.0)
-        for fetch in only(bench.ask(key, "pages", size_kb=0.0), api.StartAttempt):
-            bench.answer(fetch, size_kb=SMALL)
-    bench.wait(1000.0)  # a window in which nothing has been sent yet
+        bench.advance(20.0)
+        for fetch in actions_of(bench.request(key, "pages", size_kb=0.0), api.StartAttempt):
+            bench.end_attempt(fetch, size_kb=SMALL)
+    bench.advance(1000.0)  # a window in which nothing has been sent yet
     return bench
 
 
-def most_films(bench: Bench, name: str) -> float:
+def most_films(bench: RouterDriver, name: str) -> float:
     """How many a window's budget there holds where each counts as its class's aim, and one that its chance
     may add."""
     server, cold = bench.router.placement.server_list.servers[name], bench.router.placement.slow_start
     return (
-        cold.rate(server.entry, server.slow_start_window, bench.now)
+        cold.rate(server.entry, server.slow_start_window, bench.now_ms)
         * cold.window_ms
         / FILMS.latency_objective_ms
         + 1.0
     )
 
 
-def films_sent(bench: Bench, server: str, count: int = 60) -> int:
+def films_sent(bench: RouterDriver, server: str, count: int = 60) -> int:
     """Of so many films, none answered yet: how many go there in a window, as a cache or as a source."""
-    sent = [f for key in range(count) for f in only(bench.ask(1000 + key, size_kb=0.0), api.StartAttempt)]
+    sent = [
+        f
+        for key in range(count)
+        for f in actions_of(bench.request(1000 + key, size_kb=0.0), api.StartAttempt)
+    ]
     return sum(server in (fetch.server, fetch.source) for fetch in sent)
 
 
@@ -66,16 +70,16 @@
     bench = started(WARM, COLD, pages=0, servers_weighted=False)
     used = 0
     for key in range(600):
-        bench.wait(20.0)
-        for fetch in only(bench.ask(key, size_kb=0.0), api.StartAttempt):
+        bench.advance(20.0)
+        for fetch in actions_of(bench.request(key, size_kb=0.0), api.StartAttempt):
             used += fetch.server == "cold"
-            bench.answer(fetch)
+            bench.end_attempt(fetch)
     assert 0 < used < 300
 
 
 def test_a_class_counts_as_its_mean_once_one_answer_told_its_size() -> None:
     bench = started(WARM, servers_weighted=True)
-    bench.answer(fetch_of(bench.ask(5000, size_kb=0.0)), size_kb=LARGE)
-    bench.ask(5001, size_kb=0.0)
+    bench.end_attempt(attempt_of(bench.request(5000, size_kb=0.0)), size_kb=LARGE)
+    bench.request(5001, size_kb=0.0)
     (request,) = bench.router.requests.open.values()
     assert request.cache_cost_ms == request.fill_cost_ms == pytest.approx(LARGE / 5.0)
--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.helpers import EDGES, Bench, fetch_of
-from tests.loopback import Rig
+from tests.helpers import EDGES, RouterDriver, attempt_of
+from tests.loopback import make_loopback_environment
 from tests.net.downstream.test_clients import REQUESTS, Hall, Transport, both
 from tests.net.wire.test_codecs import PARAMS, asked, fixed
 from thornjunction import interface as api
@@ -78,7 +78,7 @@
 
 
 def test_figures_count_what_was_answered_and_who_is_avoided() -> None:
-    rig, files = Rig(), Counter(accepted=2, invalid=1)
+    rig, files = make_loopback_environment(), Counter(accepted=2, invalid=1)
     rig.counters.request_ended("films", RequestOutcome.SERVED, 1.0)
     rig.counters.request_ended("films", RequestOutcome.REJECTED, 1.0)
     rig.counters.request_ended("made-up", RequestOutcome.FAILED, 1.0)
@@ -90,20 +90,20 @@
     rig.pool.update(tuple(shelf.host for shelf in rig.pool.shelves.values()), True)
     for port in rig.ports:
         port.stopListening()
-    rig.alarm.stop()
+    rig.timer_service.stop()
 
 
 def test_who_leaves_or_fails_is_avoided() -> None:
-    bench = Bench()
+    bench = RouterDriver()
     names = [entry.server for entry in EDGES]
 
     def avoided(listed: list[str]) -> int:
-        return bench.router.placement.server_list.count_unavailable(listed, bench.now)
+        return bench.router.placement.server_list.count_unavailable(listed, bench.now_ms)
 
     assert avoided(names) == 0
-    bench.answer(fetch_of(bench.ask()), api.AttemptStatus.CONNECTION_REFUSED)
+    bench.end_attempt(attempt_of(bench.request()), api.AttemptStatus.CONNECTION_REFUSED)
     assert avoided(names) == 1
-    bench.give(
+    bench.handle(
         api.EndpointListUpdate(
             (api.ServerEntry(names[0], api.Role.EDGE, "here", api.ServerState.DRAINING),), False
         )
--- a/tests/net/discovery/sources_rig.py
+++ b/tests/net/discovery/sources_rig.py
@@ -7,8 +7,10 @@
 from typing import Any
 
 from control_client import SourceSelector
-from fakes.fake_discovery import HandClock, WatchStandIn, answer
-from fakes.loopback_environment import reactor, until
+from fakes.event_loop import reactor, wait_until
+from fakes.fake_discovery import FakeDiscoveryConnection
+from fakes.manual_clock import ManualClock
+from fakes.watch_messages import encode_answer
 from twisted.internet import protocol
 from twisted.internet.defer import inlineCallbacks
 from twisted.python.failure import Failure
@@ -20,14 +22,14 @@
 Query = dict[str, str]
 
 
-class SourceLink(WatchStandIn):
+class SourceLink(FakeDiscoveryConnection):
     """One connection of a source; its polls have more words."""
 
     def __init__(self, source: ScriptedSource) -> None:
         super().__init__(source)
         self.source = source
 
-    def heard(self, query: Query) -> None:
+    def handle_query(self, query: Query) -> None:
         self.source.asked(self, query)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
@@ -50,7 +52,7 @@
         self.purges: list[dict[str, Any]] = []
         self.events: list[dict[str, Any]] = []
         self.polls, self.probes = list[Query](), list[Query]()
-        self.links: list[SourceLink] = []
+        self.connections: list[SourceLink] = []
         self.held: tuple[SourceLink, Query] | None = None
         self.port: Any = None
         self.listen(0)
@@ -62,10 +64,10 @@
     @inlineCallbacks
     def kill(self) -> Any:
         yield self.port.stopListening()
-        for link in self.links:
+        for link in self.connections:
             link.transport.abortConnection()
-        yield until(lambda: all(link.ended for link in self.links))
-        self.links.clear()
+        yield wait_until(lambda: all(link.disconnect_cause for link in self.connections))
+        self.connections.clear()
         self.held = None
 
     def revive(self, epoch: str) -> None:
@@ -130,7 +132,7 @@
         if self.epoch:
             head |= {"epoch": self.epoch, "age": self.age_ms}
         told = {"cmds": events} | head if self.head_last else head | {"cmds": events}
-        data = answer(told, 200 if self.way == "up" else int(self.way))
+        data = encode_answer(told, 200 if self.way == "up" else int(self.way))
         if self.slow:
             self.unsaid = data
         elif self.cut:
@@ -141,18 +143,18 @@
             link.transport.write(data)
 
 
-class SourcesRig(HandClock):
+class SourcesRig(ManualClock):
     """The real channel at scripted sources ``a``, ``b``, and so on."""
 
     def __init__(self, *epochs: str) -> None:
         super().__init__()
-        self.now = 1e6
+        self.now_ms = 1e6
         self.sources = [ScriptedSource(epoch) for epoch in epochs]
         self.taken: list[Command] = []
         self.confirmed: list[tuple[float, int]] = []
         self.epochs = self.current = 0
         machine = SourceSelector([source.address for source in self.sources], lambda: 0.5)
-        clock: Callable[[], float] = lambda: self.now  # noqa: E731
+        clock: Callable[[], float] = lambda: self.now_ms  # noqa: E731
         self.channel = MultiSourceWatch(
             reactor,
             machine,
@@ -170,36 +172,36 @@
     @inlineCallbacks
     def asked(self, source: ScriptedSource, times: int = 1) -> Any:
         """Until this source holds a poll, after so many polls."""
-        yield until(lambda: len(source.polls) >= times and source.held is not None)
+        yield wait_until(lambda: len(source.polls) >= times and source.held is not None)
 
     def turned(self, holds: Callable[[], bool]) -> Any:
         """Until something holds, with what falls due now: pieces of a long answer take turns."""
 
         def after_a_turn() -> bool:
-            self.pass_time(0.0)
+            self.advance(0.0)
             return holds()
 
-        return until(after_a_turn)
+        return wait_until(after_a_turn)
 
     @inlineCallbacks
     def live(self, ms: float, step_ms: float = 400.0) -> Any:
         """Let time pass while the sources that are up answer the polls they hold, and all probes end."""
-        end = self.now + ms
-        while self.now < end:
-            self.pass_time(min(step_ms, end - self.now))
+        end = self.now_ms + ms
+        while self.now_ms < end:
+            self.advance(min(step_ms, end - self.now_ms))
             yield self.settled()
 
     @inlineCallbacks
     def settled(self) -> Any:
         """Until no dial and no probe is out, and each poll that is held by a source that is up is a new
         one."""
-        yield until(self.rests)
+        yield wait_until(self.rests)
         for source in self.sources:
             if source.held is not None and source.way == "up":
                 polls = len(source.polls)
                 source.release()
-                yield until(lambda source=source, polls=polls: self.heard(source, polls))  # type: ignore[misc]
-        yield until(self.rests)
+                yield wait_until(lambda source=source, polls=polls: self.heard(source, polls))  # type: ignore[misc]
+        yield wait_until(self.rests)
 
     def rests(self) -> bool:
         """Whether nothing is on its way: no dial, no probe, no poll that its source has not got."""
@@ -242,6 +244,6 @@
             self.channel.link.close("test")
         elif self.channel._dialling is not None:
             self.channel._dialling.cancel()
-        yield until(lambda: self.channel.link is None and self.channel._dialling is None)
+        yield wait_until(lambda: self.channel.link is None and self.channel._dialling is None)
         for source in self.sources:
             yield source.kill()
--- a/tests/net/discovery/test_sources.py
+++ b/tests/net/discovery/test_sources.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from fakes.loopback_environment import reactor, until
+from fakes.event_loop import reactor, wait_until
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
@@ -60,7 +60,7 @@
         yield rig.asked(a, 3)
         yield a.kill()
         yield rig.asked(b, 2)
-        self.assertEqual(rig.now, 1e6)  # no time has passed
+        self.assertEqual(rig.now_ms, 1e6)  # no time has passed
         self.assertEqual((rig.purged(), rig.listed()["c1"]), ([1, 2, 3], "DRAINING"))
         self.assertEqual(
             (b.polls[0]["epoch"], b.polls[0]["resume"], b.polls[1]["resume"]), ("A", "203", "105")
@@ -69,12 +69,12 @@
     @inlineCallbacks
     def test_a_source_that_hangs_is_left_in_time(self) -> Any:
         rig, (a, b) = yield self.begun("A", "B")
-        a.way, hung_at = "hung", rig.now
-        rig.pass_time(1299.0)
+        a.way, hung_at = "hung", rig.now_ms
+        rig.advance(1299.0)
         self.assertEqual((rig.channel.sources.current.priority, b.polls), (0, []))
-        rig.pass_time(1.0)
+        rig.advance(1.0)
         yield rig.asked(b, 2)
-        self.assertLess(rig.now - hung_at, WITHIN_MS)
+        self.assertLess(rig.now_ms - hung_at, WITHIN_MS)
 
     @inlineCallbacks
     def test_a_source_has_as_long_for_a_whole_state_as_for_a_poll_and_longer_after_another_hung(self) -> Any:
@@ -82,20 +82,20 @@
         and went on to another in turn: several states each."""
         rig, (a, b) = yield self.begun("A", "B")
         a.way = b.way = "hung"
-        rig.pass_time(1300.0)
+        rig.advance(1300.0)
         yield rig.asked(b, 1)
-        rig.pass_time(1799.0)
+        rig.advance(1799.0)
         self.assertEqual(rig.channel.sources.current.priority, 1)
-        rig.pass_time(802.0)
+        rig.advance(802.0)
         self.assertNotEqual(rig.channel.sources.current, rig.channel.sources.sources[b.address])
 
     @inlineCallbacks
     def test_a_process_that_was_late_itself_reads_before_it_judges(self) -> Any:
         rig, (a, b) = yield self.begun("A", "B")
-        rig.now += 60_000.0
+        rig.now_ms += 60_000.0
         a.purge(7, 70)
-        rig.deadlines.run_due(rig.now)  # before any socket is read
-        yield until(lambda: 7 in rig.purged())
+        rig.deadlines.run_due(rig.now_ms)  # before any socket is read
+        yield wait_until(lambda: 7 in rig.purged())
         self.assertEqual((rig.channel.sources.current.priority, b.polls), (0, []))
 
     @inlineCallbacks
@@ -104,7 +104,7 @@
         a.way = "503"
         a.release()
         yield rig.asked(b, 2)
-        self.assertEqual((rig.now, a.probes), (1e6, []))
+        self.assertEqual((rig.now_ms, a.probes), (1e6, []))
         yield rig.live(2000.0)
         self.assertTrue(a.probes)  # it isn't to wait for this router
         self.assertEqual(a.probes[0]["name"], "r1")
@@ -124,8 +124,8 @@
         a.age_ms, b.age_ms, c.age_ms = 2500, 2400, 300
         a.release()
         yield rig.asked(c, 2)
-        self.assertEqual((rig.now, len(b.probes), b.polls), (1e6, 1, []))
-        yield until(lambda: len(a.probes) == 1)
+        self.assertEqual((rig.now_ms, len(b.probes), b.polls), (1e6, 1, []))
+        yield wait_until(lambda: len(a.probes) == 1)
 
     @inlineCallbacks
     def test_where_all_are_behind_the_youngest_is_taken(self) -> Any:
@@ -191,10 +191,10 @@
         b.revive("B2")
         b.forget_purges()
         b.purge(2, 20)
-        back_at, polls = rig.now, len(b.polls)
+        back_at, polls = rig.now_ms, len(b.polls)
         while len(b.polls) < polls + 2:
             yield rig.live(100.0, 100.0)
-        self.assertLess(rig.now - back_at, WITHIN_MS)
+        self.assertLess(rig.now_ms - back_at, WITHIN_MS)
         self.assertEqual(rig.purged(), [1, 2])
 
     @inlineCallbacks
@@ -210,7 +210,7 @@
         yield rig.live(21_000.0)
         self.assertEqual((rig.channel.sources.current.priority, rig.channel.sources.switches), (0, 2))
         self.assertGreaterEqual(len(a.probes), 5)
-        yield until(lambda: b.probes)  # it isn't to wait for this router
+        yield wait_until(lambda: b.probes)  # it isn't to wait for this router
         self.assertEqual(rig.purged(), [1])
 
     @inlineCallbacks
@@ -242,10 +242,10 @@
         rig.channel.move(("127.0.0.1", 9))
         self.assertEqual(rig.channel.address, a.address)
         a.age_ms = 300
-        rig.pass_time(500.0)
+        rig.advance(500.0)
         a.release()
         yield rig.asked(a, 3)
-        rig.pass_time(200.0)
+        rig.advance(200.0)
         told = {"control_age_ms": 500, "control_source": 0, "control_moves": 0}
         self.assertEqual(rig.channel.figures(), told)
         yield a.kill()
@@ -268,12 +268,12 @@
         b.list_(9, **{f"shelf-{at:040}": "active" for at in range(4000)})
         b.slow = True
         yield a.kill()
-        yield until(lambda: b.unsaid)
+        yield wait_until(lambda: b.unsaid)
         b.slow, link, most = False, rig.channel.link, 66_000
         for start in range(0, len(b.unsaid), most):
-            rig.pass_time(400.0)
-            b.links[-1].transport.write(b.unsaid[start : start + most])
-            due = rig.now + link.channel.silent_ms  # of what comes next, where this was progress
+            rig.advance(400.0)
+            b.connections[-1].transport.write(b.unsaid[start : start + most])
+            due = rig.now_ms + link.channel.silent_ms  # of what comes next, where this was progress
             yield rig.turned(lambda due=due: link.due == due or link.polls > 0)  # type: ignore[misc]
         self.assertEqual((len(rig.listed()), rig.channel.sources.switches), (4002, 1))
 
@@ -305,14 +305,14 @@
         self.addCleanup(service.alarm.stop)
         service.state = Lifecycle.SERVING  # no fronts are opened
         service.channel.start()
-        yield until(lambda: len(source.polls) == 2)
+        yield wait_until(lambda: len(source.polls) == 2)
         self.assertEqual((source.polls[1]["name"], source.polls[1]["epoch"]), ("r7", "A"))
         self.assertIn(b"router.control_source=0\n", service.admin_calls.metrics())
         service.reload()
         self.assertEqual(service.channel.address, source.address)
         service.channel.stopped = True
         service.channel.link.close("test")
-        yield until(lambda: service.channel.link is None)
+        yield wait_until(lambda: service.channel.link is None)
 
     def test_without_a_section_nothing_of_it_is_there(self) -> None:
         config = parse_config(json.dumps(CONFIG).encode(), {})
--- a/tests/net/event_loop/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 import pytest
-from fakes.config import config_at
-from fakes.raw_socket import BareClient, BareShelf, address, asked, call
+from fakes.config import platform_config
+from fakes.raw_socket import RawSocketCacheServer, RawSocketClient, bound_address, call_admin, encode_request
 from twisted.internet import protocol
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
@@ -117,22 +117,27 @@
 def test_a_program_that_stood_still_tries_nothing_again_for_a_client_that_has_left(tmp_path: Path) -> None:
     """The server's error lies there first, the client's end behind it, both before the program goes on."""
     server = lambda: socket.create_server(("127.0.0.1", 0))  # noqa: E731
-    with server() as shared, server() as channel, closing(BareShelf()) as shelf:
-        config = config_at(address(shared), address(channel), address(shelf.listening), longest_ms=600.0)
+    with server() as shared, server() as channel, closing(RawSocketCacheServer()) as shelf:
+        config = platform_config(
+            bound_address(shared),
+            bound_address(channel),
+            bound_address(shelf.listening),
+            client_timeout_ms=600.0,
+        )
         program = Program(tmp_path, shared, config)
         try:
-            client = BareClient(shared.getsockname()[1])
-            client.send(asked(1, "clips", ttl_ms=9000))
-            ident = shelf.wanted()
+            client = RawSocketClient(shared.getsockname()[1])
+            client.send(encode_request(1, "clips", ttl_ms=9000))
+            ident = shelf.wait_for_request()
             program.process.send_signal(signal.SIGSTOP)
             os.waitid(os.P_PID, program.process.pid, os.WSTOPPED)
-            shelf.say(ident, b"BROKE")
-            client.leave()
+            shelf.send_answer(ident, b"BROKE")
+            client.close()
             program.process.send_signal(signal.SIGCONT)
-            call(program.door, "check")  # behind the turn that heard both
-            assert shelf.way is not None
-            given_up = shelf.reader.feed(shelf.way.recv(65_536))
-            assert [bytes(verb) for verb, _ in given_up] == [b"never_mind"]
+            call_admin(program.door, "check")  # behind the turn that heard both
+            assert shelf.connection is not None
+            given_up = shelf.reader.feed(shelf.connection.recv(65_536))
+            assert [command.verb for command in given_up] == ["never_mind"]
             shelf.listening.setblocking(False)
             with pytest.raises(BlockingIOError):  # nor does a dial for another attempt come up
                 shelf.listening.accept()
--- a/tests/net/gossip/test_replay_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -6,7 +6,7 @@
 from typing import Any, cast
 
 import pytest
-from fakes.loopback_environment import until
+from fakes.event_loop import wait_until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet import reactor
@@ -55,15 +55,15 @@
     def test_a_token_taken_at_one_is_refused_at_the_other(self) -> Any:
         (a, _), (b, port_b) = self.routers
         self.assertEqual([self.take(a, jti) for jti in ("one", "two")], ["", ""])
-        yield until(lambda: b.counts["learnt"] == 2)
+        yield wait_until(lambda: b.counts["learnt"] == 2)
         self.assertEqual([self.take(b, "one"), self.take(b, "three")], ["token-replayed", ""])
-        yield until(lambda: a.counts["learnt"] == 1)
+        yield wait_until(lambda: a.counts["learnt"] == 1)
         self.assertEqual(self.take(a, "three"), "token-replayed")
         a.transport.write(
             gossip.encode([ReplayEntry(b"k" * 16, NOW + 9)], b"t" * 32), ("127.0.0.1", port_b.getHost().port)
         )
         a.transport.write(b"junk", ("127.0.0.1", port_b.getHost().port))
-        yield until(lambda: b.counts["gossip-forged"] == 1 and b.counts["gossip-size"] == 1)
+        yield wait_until(lambda: b.counts["gossip-forged"] == 1 and b.counts["gossip-size"] == 1)
         self.assertEqual(len(b.window), 3)
 
 
--- a/tests/net/relay/test_poll_endpoint.py
+++ b/tests/net/relay/test_poll_endpoint.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from fakes.loopback_environment import until
+from fakes.event_loop import wait_until
 from twisted.internet import reactor as _reactor
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
@@ -113,7 +113,7 @@
         for client in self.clients:
             client.close()
         yield self.port.stopListening()
-        yield until(lambda: not self.pollers.links)
+        yield wait_until(lambda: not self.pollers.links)
 
     def connect(self, data: bytes = b"", receive_buffer: int = 0) -> socket.socket:
         client = socket.socket()
@@ -130,8 +130,8 @@
         """A client that is connected and, with a poll, was heard."""
         known, asked = set(self.pollers.links), len(self.asked)
         client = self.connect(data, **more)
-        yield until(lambda: set(self.pollers.links) - known)
-        yield until(lambda: len(self.asked) > asked or data != POLL)
+        yield wait_until(lambda: set(self.pollers.links) - known)
+        yield wait_until(lambda: len(self.asked) > asked or data != POLL)
         (number,) = set(self.pollers.links) - known
         return client, self.pollers.links[number]
 
@@ -150,7 +150,7 @@
             got.extend(data)
             return not data or ends(bytes(got))
 
-        yield until(read)
+        yield wait_until(read)
         return bytes(got)
 
     @inlineCallbacks
@@ -170,10 +170,10 @@
             got = yield self.heard(client, lambda told, number=number: told.endswith(b'{"n":%d}' % number))
             self.assertTrue(got.startswith(b"HTTP/1.1 200 OK\r\n") and b"Connection" not in got)
             client.sendall(POLL)
-            yield until(lambda number=number: len(self.asked) == number + 2)
+            yield wait_until(lambda number=number: len(self.asked) == number + 2)
         self.pollers.answer(99, b"{}")  # to one that has left
         client.close()
-        yield until(lambda: self.gone)
+        yield wait_until(lambda: self.gone)
         self.assertEqual((self.gone, self.pollers.budget.reserved_bytes), ([link.number or 1], 0))
 
     @inlineCallbacks
@@ -186,7 +186,7 @@
             self.assertIn(b"Content-Length: %d\r\n" % size, told)
             asked = len(self.asked)
             client.sendall(POLL)
-            yield until(lambda asked=asked: len(self.asked) > asked)
+            yield wait_until(lambda asked=asked: len(self.asked) > asked)
         self.assertEqual(self.pollers.budget.reserved_bytes, 0)
 
     @inlineCallbacks
@@ -228,7 +228,7 @@
         self.pass_time(LOOK_MS)
         self.assertGreater(self.pollers.budget.reserved_bytes, len(body))
         self.pass_time(UNREAD_MS)
-        yield until(lambda: self.gone)
+        yield wait_until(lambda: self.gone)
         self.assertEqual((link.code, self.pollers.budget.reserved_bytes), ("unread", 0))
 
     @inlineCallbacks
@@ -236,7 +236,7 @@
         client, link = yield self.connected(POLL, receive_buffer=4096)
         self.pollers.answer(link.number, b"x" * 8_000_000)
         client.sendall(POLL)
-        yield until(lambda: self.gone)
+        yield wait_until(lambda: self.gone)
         self.assertEqual((link.code, len(self.asked)), ("unanswered-poll", 1))
 
     @inlineCallbacks
@@ -246,7 +246,7 @@
         _, second = yield self.connected(POLL, receive_buffer=4096)
         self.pollers.answer(first.number, b"x" * 6_000_000)
         self.pollers.answer(second.number, b"x" * 8_000_000)
-        yield until(lambda: self.gone)
+        yield wait_until(lambda: self.gone)
         self.assertEqual((first.code, second.code), ("", "memory"))
 
     @inlineCallbacks
@@ -255,7 +255,7 @@
         _, half = yield self.connected(POLL[:-2])
         _, asks = yield self.connected(POLL)
         self.pass_time(SILENT_MS + LOOK_MS)
-        yield until(lambda: len(self.gone) == 2)
+        yield wait_until(lambda: len(self.gone) == 2)
         self.assertEqual((silent.code, half.code, asks.code), ("silent", "silent", ""))
 
     @inlineCallbacks
@@ -265,7 +265,7 @@
         _, second = yield self.connected()
         _, third = yield self.connected(POLL)
         _, fourth = yield self.connected(POLL)
-        yield until(lambda: first.code)
+        yield wait_until(lambda: first.code)
         _, fifth = yield self.connected(POLL)
         self.assertEqual((first.code, second.code, third.code), ("evicted", "evicted", ""))
         yield self.closed(self.connect(POLL))
@@ -280,5 +280,5 @@
         got = yield self.closed(client)
         self.assertTrue(got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"{}"))
         self.assertIn(b"Connection: close", got)
-        yield until(lambda: not self.pollers.links)
+        yield wait_until(lambda: not self.pollers.links)
         self.assertEqual(silent.code, "ending")
--- a/tests/net/upstream/test_connection_end.py
+++ b/tests/net/upstream/test_connection_end.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import SETTINGS_HERE, Rig
+from tests.loopback import LOOPBACK_SETTINGS, make_loopback_environment
 from tests.net.wire.test_codecs import PARAMS, asked
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
@@ -38,7 +38,7 @@
     timeout = 30
 
     def setUp(self) -> None:
-        self.rig, self.told = Rig(), []  # type: ignore[var-annotated]
+        self.rig, self.told = make_loopback_environment(), []  # type: ignore[var-annotated]
         self.addCleanup(self.rig.stop)
         self.pool, self.engine = self.rig.pool, self.rig.engine
         self.pool.ends = self
@@ -59,15 +59,15 @@
     @inlineCallbacks
     def out(self, number: int, **more: Any) -> Any:
         """One that the shelf has and does not answer; the stand-in that has it."""
-        self.rig.script, wanted = [None], self.rig.next_want()
+        self.rig.script, wanted = [None], self.rig.next_request()
         self.send(number, **more)
         yield wanted
-        return self.rig.asked[-1][0]
+        return self.rig.received_requests[-1][0]
 
     @inlineCallbacks
     def test_what_waits_for_a_dial_never_begins_once_its_time_is_over(self) -> Any:
         ends = {  # how the wait ends; whether the dial goes on, and a connection comes up after it
-            "bound": (lambda _: self.rig.later(8000.0), True, SKIPPED),
+            "bound": (lambda _: self.rig.run_pool_deadlines(8000.0), True, SKIPPED),
             "bound, seen late": (
                 lambda _: setattr(self.pool, "clock", lambda: core_ms() + 8000.0),
                 True,
@@ -77,13 +77,13 @@
             "drained": (lambda at: self.rig.list_servers(api.ServerState.DRAINING, edge1=at), False, SKIPPED),
             "gone": (lambda _: self.rig.list_servers(api.ServerState.REMOVED), False, SKIPPED),
             "moved": (lambda _: self.rig.list_servers(), False, SKIPPED),
-            "never up": (lambda _: self.rig.later(9000.0), False, REFUSED),
+            "never up": (lambda _: self.rig.run_pool_deadlines(9000.0), False, REFUSED),
         }
         self.pool.limits = replace(self.pool.limits, dial_ms=9000.0)  # the system knocks again after 1 s
         for how, (end, goes_on, status) in ends.items():
-            door, self.told = self.rig.deafen("edge1"), []
+            door, self.told = self.rig.make_unresponsive("edge1"), []
             self.send(1, start_ms=8000.0 if how.startswith("bound") else 9e9)
-            yield self.rig.until(connecting)
+            yield self.rig.wait_until(connecting)
             dialling = connecting()
             end(door.address)
             self.assertEqual(self.told, [(1, status)] if status else [], how)
@@ -91,19 +91,19 @@
             if how == "drained":
                 self.send(2)
                 self.assertEqual(self.told.pop(), (2, SKIPPED))
-            door.open()
+            door.start_accepting()
             if goes_on:
-                yield self.rig.until(lambda: len(self.pool.links))
+                yield self.rig.wait_until(lambda: len(self.pool.links))
                 self.send(3, "fence")
-                yield self.rig.until(lambda: (3, api.AttemptStatus.SUCCEEDED) in self.told)
-                yield self.rig.part()
+                yield self.rig.wait_until(lambda: (3, api.AttemptStatus.SUCCEEDED) in self.told)
+                yield self.rig.close_upstream_connections()
                 self.pool.clock = core_ms
-        self.assertEqual([want[1] for want in self.rig.wants()], [b"fence"] * 3)
+        self.assertEqual([command.request_id for command in self.rig.forwarded_requests()], [b"fence"] * 3)
 
     @inlineCallbacks
     def test_no_attempt_begins_once_its_request_has_ended(self) -> Any:
         self.pool.ends, self.pool.limits = self.engine, replace(self.pool.limits, dial_ms=9000.0)
-        self.engine.feed(replace(SETTINGS_HERE, may_cancel=False))
+        self.engine.feed(replace(LOOPBACK_SETTINGS, may_cancel=False))
         ends = {
             "abort": lambda at: at.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 7, b"")),
             "closed": lambda at: at.loseConnection(),
@@ -112,54 +112,54 @@
         }
         ran = self.engine.router.executions.by_key
         for how, end in ends.items():
-            door = self.rig.deafen("origin")  # where keyed requests go straight
-            client = yield self.rig.client(3, FastCgiClient)
+            door = self.rig.make_unresponsive("origin")  # where keyed requests go straight
+            client = yield self.rig.connect_client(3, FastCgiClient)
             keyed = PARAMS | {"SCRIPT_NAME": "/do/keyed", "HTTP_X_TXN_KEY": "0" * 32}
             client.transport.write(asked(params=keyed))
             origin = self.pool.shelves["origin"]
-            yield self.rig.until(lambda origin=origin: origin.waiting and ran)
+            yield self.rig.wait_until(lambda origin=origin: origin.waiting and ran)
             end(client.transport)
-            yield self.rig.until(lambda origin=origin: not origin.waiting)
+            yield self.rig.wait_until(lambda origin=origin: not origin.waiting)
             self.assertFalse(ran or len(self.engine.attempts), how)
-            door.open()
-            yield self.rig.until(lambda: len(self.pool.links))
+            door.start_accepting()
+            yield self.rig.wait_until(lambda: len(self.pool.links))
             self.pool.probe("origin")  # what comes first on that connection shows that nothing else did
-            yield self.rig.until(lambda: self.rig.heard)
-            self.assertEqual(self.rig.heard.pop()[0], "busy", how)
-            yield self.rig.part()
+            yield self.rig.wait_until(lambda: self.rig.received_commands)
+            self.assertEqual(self.rig.received_commands.pop().verb, "busy", how)
+            yield self.rig.close_upstream_connections()
 
     @inlineCallbacks
     def test_one_late_dial_does_not_speak_for_a_shelf_that_answers(self) -> Any:
-        door = self.rig.deafen("edge1")
-        door.open()
+        door = self.rig.make_unresponsive("edge1")
+        door.start_accepting()
         self.pool.limits = replace(self.pool.limits, max_streams=1, dial_ms=9000.0)
         for number, heard in ((10, True), (20, False)):
             shelf = yield self.out(number)
-            door.shut()
+            door.stop_accepting()
             self.send(number + 1)  # waits for a dial
-            shelf.say(b"t%d" % number, b"DONE", b"x")
-            yield self.rig.until(lambda: len(self.told) == 2)
+            shelf.send_answer(b"t%d" % number, b"DONE", b"x")
+            yield self.rig.wait_until(lambda: len(self.told) == 2)
             self.assertEqual(
                 self.told, [(number, api.AttemptStatus.SUCCEEDED), (number + 1, api.AttemptStatus.SUCCEEDED)]
             )
-            self.rig.later(9000.0)  # the dial, which nobody waits for
+            self.rig.run_pool_deadlines(9000.0)  # the dial, which nobody waits for
             shelf = yield self.out(number + 2)
             self.send(number + 3)
             if heard:
-                shelf.say(b"nobody", b"DONE", b"x")
-                yield self.rig.until(lambda: any(link.strays for link in self.pool.links))
+                shelf.send_answer(b"nobody", b"DONE", b"x")
+                yield self.rig.wait_until(lambda: any(link.strays for link in self.pool.links))
             self.told.clear()
-            self.rig.later(9000.0)
+            self.rig.run_pool_deadlines(9000.0)
             self.assertEqual(self.told, [(number + 3, SKIPPED if heard else REFUSED)])
-            yield self.rig.part()
+            yield self.rig.close_upstream_connections()
             self.told = []
-            door.open()
+            door.start_accepting()
 
     def test_a_dead_shelf_is_told_of_though_all_had_given_up(self) -> None:
-        self.rig.deafen("edge1")
+        self.rig.make_unresponsive("edge1")
         self.send(1)
         self.pool.withdraw(1)
-        self.rig.later(400.0)
+        self.rig.run_pool_deadlines(400.0)
         self.send(2)
         self.assertEqual((self.told, self.pool.shelves["edge1"].waiting), ([(2, REFUSED)], {}))
 
@@ -175,12 +175,14 @@
                 self.send(number, body=b"x" * 100_000)
             self.assertFalse(link.has_room("new"))
             self.pool.cancel(number)
-            self.rig.later(shelf_link.HELD_MS)
-            yield self.rig.until(lambda: self.told)
+            self.rig.run_pool_deadlines(shelf_link.HELD_MS)
+            yield self.rig.wait_until(lambda: self.told)
         self.assertEqual(self.told, [(open_, RESET) for open_ in range(number)])
         shelf.transport.resumeProducing()
-        yield self.rig.until(lambda: shelf.ended)
-        self.assertNotIn(f"t{number}".encode(), [want[1] for want in self.rig.wants()])
+        yield self.rig.wait_until(lambda: shelf.disconnect_error)
+        self.assertNotIn(
+            f"t{number}".encode(), [command.request_id for command in self.rig.forwarded_requests()]
+        )
 
     @inlineCallbacks
     def test_what_breaks_a_connection_leaves_what_was_out_as_perhaps_run(self) -> Any:
@@ -204,22 +206,22 @@
                 self.send(999)
             elif act:
                 getattr(shelf.transport, act)()
-            yield self.rig.until(lambda: not len(self.pool.links))
+            yield self.rig.wait_until(lambda: not len(self.pool.links))
             self.assertEqual(self.told, [(number, RESET), (999, RESET)][: 1 + (act == "shutdown")], how)
             self.told = []
             self.send(number)
-            yield self.rig.until(lambda: self.told)
+            yield self.rig.wait_until(lambda: self.told)
             self.assertEqual(self.told.pop(), (number, api.AttemptStatus.SUCCEEDED), how)
 
     @inlineCallbacks
     def test_a_second_answer_is_not_taken_for_that_to_the_next_attempt(self) -> Any:
         shelf = yield self.out(1, name="same")
-        shelf.say(b"same", b"WAIT")
-        yield self.rig.until(lambda: self.told)
+        shelf.send_answer(b"same", b"WAIT")
+        yield self.rig.wait_until(lambda: self.told)
         second = yield self.out(2, name="same")
-        shelf.say(b"same", b"WAIT")
-        second.say(b"same", b"DONE", b"x")
-        yield self.rig.until(lambda: len(self.told) > 1)
+        shelf.send_answer(b"same", b"WAIT")
+        second.send_answer(b"same", b"DONE", b"x")
+        yield self.rig.wait_until(lambda: len(self.told) > 1)
         self.assertEqual(self.told, [(1, api.AttemptStatus.OVERLOADED), (2, api.AttemptStatus.SUCCEEDED)])
 
     @inlineCallbacks
@@ -227,15 +229,15 @@
         for reads in (True, False):
             self.told = []
             self.send(1)
-            yield self.rig.until(lambda: self.told)
-            shelf, (link,) = self.rig.links[-1], self.pool.links
-            self.rig.later(shelf_link.IDLE_SHARE * 15_000.0)
+            yield self.rig.wait_until(lambda: self.told)
+            shelf, (link,) = self.rig.server_connections[-1], self.pool.links
+            self.rig.run_pool_deadlines(shelf_link.IDLE_SHARE * 15_000.0)
             shelf.transport.write(encode_array((b"t1", b"DONE", b"x", b""))[:9])  # half a late answer
             self.assertFalse(link.has_room("new"))
             if not reads:
                 shelf.transport.pauseProducing()
-                self.rig.later(shelf_link.IDLE_SHARE * 15_000.0 + shelf_link.LINGER_MS)
-            yield self.rig.until(lambda: not len(self.pool.links))
+                self.rig.run_pool_deadlines(shelf_link.IDLE_SHARE * 15_000.0 + shelf_link.LINGER_MS)
+            yield self.rig.wait_until(lambda: not len(self.pool.links))
             if reads:
-                yield self.rig.until(lambda shelf=shelf: shelf.ended)
-                self.assertIsInstance(shelf.ended, ConnectionDone)
+                yield self.rig.wait_until(lambda shelf=shelf: shelf.disconnect_error)
+                self.assertIsInstance(shelf.disconnect_error, ConnectionDone)
--- a/tests/net/upstream/test_passed_deadline.py
+++ b/tests/net/upstream/test_passed_deadline.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import Rig
+from tests.loopback import make_loopback_environment
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.event_loop.timer_service import core_ms
@@ -19,7 +19,7 @@
     timeout = 30
 
     def setUp(self) -> None:
-        self.rig, self.told = Rig(), list[tuple[int, api.AttemptStatus]]()
+        self.rig, self.told = make_loopback_environment(), list[tuple[int, api.AttemptStatus]]()
         self.addCleanup(self.rig.stop)
         self.pool, self.pool.ends = self.rig.pool, self
 
@@ -36,9 +36,9 @@
         call = ClientRequest(f"t{number}", "films", "00000000000000ff", LEFT_MS)
         self.pool.send(UpstreamRequest(number, call, api.StartAttempt("r", "edge1", LEFT_MS, "origin")))
         self.pool.clock = lambda: start + late_ms
-        yield self.rig.until(lambda: self.told)
+        yield self.rig.wait_until(lambda: self.told)
         self.pool.clock = core_ms
-        yield self.rig.part()
+        yield self.rig.close_upstream_connections()
         return self.told.pop()
 
     @inlineCallbacks
@@ -46,10 +46,12 @@
         for number, late_ms in enumerate((0.0, 150.0, 400.0, 890.0)):
             end = yield self.sent_late(number, late_ms)
             self.assertEqual(end, (number, api.AttemptStatus.SUCCEEDED))
-            fields = dict(pair.split(b"=") for pair in self.rig.wants()[-1][2].split(b","))
+            fields = dict(
+                pair.split(b"=") for pair in self.rig.forwarded_requests()[-1].arguments[0].split(b",")
+            )
             self.assertEqual(fields[b"max"], b"%d" % (LEFT_MS - late_ms), late_ms)
 
     @inlineCallbacks
     def test_with_next_to_nothing_left_it_is_not_begun(self) -> Any:
         end = yield self.sent_late(1, 896.0)
-        self.assertEqual((end, self.rig.wants()), ((1, api.AttemptStatus.NOT_STARTED), []))
+        self.assertEqual((end, self.rig.forwarded_requests()), ((1, api.AttemptStatus.NOT_STARTED), []))
--- a/tests/net/upstream/test_pool_capacity.py
+++ b/tests/net/upstream/test_pool_capacity.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import Rig
+from tests.loopback import make_loopback_environment
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.upstream.connection_table import ConnectionTable
@@ -60,7 +60,7 @@
     timeout = 30
 
     def setUp(self) -> None:
-        self.rig, self.told = Rig(), dict[int, api.AttemptStatus]()
+        self.rig, self.told = make_loopback_environment(), dict[int, api.AttemptStatus]()
         self.addCleanup(self.rig.stop)
         self.pool, self.pool.ends = self.rig.pool, self
 
@@ -87,12 +87,16 @@
         most = 0
         for number in range(80):
             self.send(number, number % 40)
-            yield self.rig.until(lambda number=number: number in self.told)
+            yield self.rig.wait_until(lambda number=number: number in self.told)
             most = max(most, len(self.pool.links))
         self.assertEqual(set(self.told.values()), {api.AttemptStatus.SUCCEEDED})
         self.assertLessEqual(most, 16 + 16 // 8)
-        yield self.rig.until(lambda: sum(link.ended is not None for link in self.rig.links) == 80 - 16)
-        ended = [link.ended for link in self.rig.links if link.ended is not None]
+        yield self.rig.wait_until(
+            lambda: sum(link.disconnect_error is not None for link in self.rig.server_connections) == 80 - 16
+        )
+        ended = [
+            link.disconnect_error for link in self.rig.server_connections if link.disconnect_error is not None
+        ]
         self.assertEqual({type(why) for why in ended}, {ConnectionDone})
 
     @inlineCallbacks
@@ -100,17 +104,17 @@
         self.list_servers(count=4, capacity=2)
         self.rig.script = [None]
         self.send(0, 0)
-        yield self.rig.until(lambda: self.rig.asked)
+        yield self.rig.wait_until(lambda: self.rig.received_requests)
         for number in (1, 2):  # the second takes the place of the first's connection, which is idle
             self.send(number, number)
-            yield self.rig.until(lambda number=number: number in self.told)
+            yield self.rig.wait_until(lambda number=number: number in self.told)
         self.rig.script = [None]
         self.send(3, 2)
-        yield self.rig.until(lambda: len(self.rig.asked) == 4)
+        yield self.rig.wait_until(lambda: len(self.rig.received_requests) == 4)
         self.send(4, 3)
         self.assertEqual(self.told.pop(4), api.AttemptStatus.NOT_STARTED)  # nothing is idle
-        self.rig.asked[0][0].say(b"t0", b"DONE", b"x")
-        yield self.rig.until(lambda: 0 in self.told)
+        self.rig.received_requests[0][0].send_answer(b"t0", b"DONE", b"x")
+        yield self.rig.wait_until(lambda: 0 in self.told)
         self.send(5, 3)
-        yield self.rig.until(lambda: 5 in self.told)
+        yield self.rig.wait_until(lambda: 5 in self.told)
         self.assertEqual(self.told, dict.fromkeys((0, 1, 2, 5), api.AttemptStatus.SUCCEEDED))
--- a/tests/net/wire/test_codecs.py
+++ b/tests/net/wire/test_codecs.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from fakes.clients import fastcgi_request
+from fakes.clients import encode_fastcgi_request
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -34,7 +34,7 @@
 
 
 def asked(ident: int = 7, params: dict[str, str] = PARAMS, body: bytes = b"body", keep: int = 1) -> bytes:
-    return fastcgi_request(ident, params, body, keep)
+    return encode_fastcgi_request(ident, params, body, keep)
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n"
--- a/tests/net/wire/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -9,7 +9,8 @@
 from unittest.mock import patch
 
 import pytest
-from fakes.fake_discovery import line, purge, purges, told
+from fakes.event_log import encode_events
+from fakes.watch_messages import edge_entry, purge_event, purge_events
 
 from tests.net.discovery.test_watch import service_of
 from thornjunction.net.wire import ProtocolError
@@ -32,7 +33,7 @@
 
 
 def test_what_a_relay_tells_more_is_kept_and_else_is_none() -> None:
-    change = {"cursor": 1, "nodes": {"seq": 7, "whole": True, "hosts": [line("c1")]}}
+    change = {"cursor": 1, "nodes": {"seq": 7, "whole": True, "hosts": [edge_entry("c1")]}}
     told = decode_commands(
         json.dumps({"cursor": 1, "cmds": [change], "epoch": "r-1.a_B", "age": 12.5}).encode()
     )
@@ -49,8 +50,8 @@
 
 def test_a_long_answer_says_what_a_short_one_does() -> None:
     """Byte by byte, and in whatever order it comes."""
-    listed = {"cursor": 2, "nodes": {"hosts": [line("a", share=0.5, born_ms=5)]}}
-    events = [purge(1), listed, 7, "x", [], None, {}]
+    listed = {"cursor": 2, "nodes": {"hosts": [edge_entry("a", share=0.5, born_ms=5)]}}
+    events = [purge_event(1), listed, 7, "x", [], None, {}]
     beside = {"more": {"cursor": 3, "cmds": [4]}, "age": 0.5, "cursor": 9}
     long, taken = CommandStreamParser(), list[Any]()
     for byte in json.dumps({"epoch": "e1", "cmds": events} | beside).encode():
@@ -85,9 +86,9 @@
     draw, ends = random.Random(1), set[str]()
     listed = {
         "cursor": 8,
-        "nodes": {"seq": 3, "whole": True, "hosts": [line("a", share=0.5), line("\u00e9")]},
+        "nodes": {"seq": 3, "whole": True, "hosts": [edge_entry("a", share=0.5), edge_entry("\u00e9")]},
     }
-    body = told([*purges(1, 7), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}], 9)
+    body = encode_events([*purge_events(1, 7), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}], 9)
     for _ in range(3000):
         long, text, size = CommandStreamParser(), spoilt(body, draw), draw.choice((1, 7, 100, 8192))
         for start in range(0, len(text), size):
--- a/tests/policy/test_peer_fill.py
+++ b/tests/policy/test_peer_fill.py
@@ -9,7 +9,19 @@
 
 import pytest
 
-from tests.helpers import EDGES, FILMS, KEYED, ORDER, ORIGIN, PAGES, PARENTS, Bench, edge, fetch_of, finals
+from tests.helpers import (
+    EDGES,
+    FILMS,
+    KEYED,
+    ORDER,
+    ORIGIN,
+    PAGES,
+    PARENTS,
+    RouterDriver,
+    attempt_of,
+    edge,
+    final_actions,
+)
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import NEVER_EXECUTED
 from thornjunction.settings import SettingsReader, read_class
@@ -27,8 +39,8 @@
 STATUSES = [status for status in api.AttemptStatus if status is not api.AttemptStatus.CANCELLED]
 
 
-def alone(**more: object) -> Bench:
-    bench = Bench((*EDGES, *AWAY, COLD, ORIGIN), **{**ALONE, **more})
+def alone(**more: object) -> RouterDriver:
+    bench = RouterDriver((*EDGES, *AWAY, COLD, ORIGIN), **{**ALONE, **more})
     gate = bench.router.gates.origin
     gate.share = gate.recovery_per_ms = 0.0  # the origin is under strain
     return bench
@@ -37,11 +49,11 @@
 @pytest.mark.parametrize(("busy", "at_fault"), [(0.1, "behind"), (1.0, "cache"), (None, "cache")])
 def test_a_slow_origin_does_not_shut_the_gates_of_idle_caches(busy: float | None, at_fault: str) -> None:
     """Guards against a guess: what was asked before is likely held, and after a purge it is not."""
-    bench = Bench((*EDGES, ORIGIN), **ALONE)
+    bench = RouterDriver((*EDGES, ORIGIN), **ALONE)
     for turn in range(12):
-        fetch = fetch_of(bench.ask(key=1))
+        fetch = attempt_of(bench.request(key=1))
         report = api.LoadReport(cpu_utilization=busy)
-        bench.answer(
+        bench.end_attempt(
             fetch, elapsed_ms=5000.0 if turn else 10.0, fill_result=api.FillResult.NONE, report=report
         )
         server = bench.router.placement.server_list.servers[fetch.server]
@@ -56,21 +68,21 @@
 
 def test_what_the_origin_cannot_give_now_is_sought_at_two_other_caches() -> None:
     bench = alone()
-    first = fetch_of(bench.ask(key=1))
-    second = fetch_of(bench.answer(first, api.AttemptStatus.CACHE_MISS))
+    first = attempt_of(bench.request(key=1))
+    second = attempt_of(bench.end_attempt(first, api.AttemptStatus.CACHE_MISS))
     named = {first.source, second.source}
     assert first.cached_only and second.cached_only and len(named) == 2
     assert not named & {first.server, "origin"}
     assert (
-        finals(bench.answer(second, api.AttemptStatus.CACHE_MISS))
+        final_actions(bench.end_attempt(second, api.AttemptStatus.CACHE_MISS))
         and bench.router.retry_budget.tokens == 15.0
     )
     gone = api.EndpointListUpdate(
         (replace(AWAY[0], state=api.ServerState.DRAINING), *AWAY[1:]), complete=False
     )
-    bench.give(gone)
-    firsts = [fetch_of(bench.ask(key=key)) for key in range(40)]
-    sources = [fetch_of(bench.answer(first, api.AttemptStatus.CACHE_MISS)).source for first in firsts]
+    bench.handle(gone)
+    firsts = [attempt_of(bench.request(key=key)) for key in range(40)]
+    sources = [attempt_of(bench.end_attempt(first, api.AttemptStatus.CACHE_MISS)).source for first in firsts]
     assert not {"there0", "cold"} & set(sources) and "there1" in sources and "origin" not in sources
 
 
@@ -79,19 +91,19 @@
 )
 def test_only_siblings_that_the_settings_allow_are_named(siblings: api.PeerFill, zones: set[str]) -> None:
     bench = alone(peer_fill=siblings)
-    fetches = [fetch_of(bench.ask(key=key)) for key in range(40)]
+    fetches = [attempt_of(bench.request(key=key)) for key in range(40)]
     where = {entry.server: entry.zone for entry in (*EDGES, *AWAY, COLD, ORIGIN)}
     assert {where[f.source] for f in fetches if f.source != f.server} == zones
 
 
 def test_copies_past_their_fresh_time_do_while_the_origin_is_under_strain() -> None:
     classes = (replace(PAGES, stale_grace_ms=30_000.0),)
-    assert fetch_of(alone(classes=classes).ask(class_name="pages")).max_age_ms == 42_000.0
-    assert fetch_of(Bench(classes=classes).ask(class_name="pages")).max_age_ms == 0.0
+    assert attempt_of(alone(classes=classes).request(class_name="pages")).max_age_ms == 42_000.0
+    assert attempt_of(RouterDriver(classes=classes).request(class_name="pages")).max_age_ms == 0.0
     bench = alone(classes=classes)
-    bench.give(api.PurgeReceived(0, 100.0, 1))
-    bench.wait(1000.0)
-    assert fetch_of(bench.ask(class_name="pages")).max_age_ms <= 1100.0  # rule 5 goes first
+    bench.handle(api.PurgeReceived(0, 100.0, 1))
+    bench.advance(1000.0)
+    assert attempt_of(bench.request(class_name="pages")).max_age_ms <= 1100.0  # rule 5 goes first
 
 
 TABLE = list(
@@ -112,7 +124,7 @@
         self, kinds: tuple[api.RequestClass, ...], parents: tuple[api.ServerEntry, ...], **more: Any
     ):
         self.where = {entry.server: entry for entry in (*EDGES, *AWAY, COLD, *parents, ORIGIN)}
-        self.bench = Bench(tuple(self.where.values()), **{**ALONE, "classes": kinds, **more})
+        self.bench = RouterDriver(tuple(self.where.values()), **{**ALONE, "classes": kinds, **more})
         self.twice, self.siblings, self.seen = more["may_hedge"], more["peer_fill"], 0
         self.may_have_run: dict[str, list[float]] = {}  # when attempts went out that may have run
         self.out: list[tuple[float, api.StartAttempt]] = []
@@ -120,7 +132,7 @@
         self.ended: list[str] = []
 
     def look(self) -> None:
-        for at, action in self.bench.log[self.seen :]:
+        for at, action in self.bench.action_log[self.seen :]:
             if isinstance(action, api.RejectRequest | api.FailRequest):
                 ran = self.may_have_run.get(action.request_id)
                 assert (
@@ -131,7 +143,7 @@
                 self.ended.append(action.request_id)
             if isinstance(action, api.StartAttempt):
                 self.sent(at, action, self.kinds[action.request_id])
-        self.seen = len(self.bench.log)
+        self.seen = len(self.bench.action_log)
 
     def sent(self, at: float, fetch: api.StartAttempt, kind: api.RequestClass) -> None:
         beside = [other for _, other in self.out if other.request_id == fetch.request_id]
@@ -159,7 +171,7 @@
             self.may_have_run[fetch.request_id].remove(at)
         if status is api.AttemptStatus.SUCCEEDED and fetch.request_id not in self.ended:
             self.ended.append(fetch.request_id)
-        self.bench.answer(
+        self.bench.end_attempt(
             fetch, status, fill_result=api.FillResult.NONE, final=fetch.request_id in self.ended, **more
         )
         self.look()
@@ -179,7 +191,7 @@
         watch = Watch(kinds, parents, may_hedge=twice, peer_fill=siblings, fill_reporting=notes)
         for turn in range(60):
             kind = watch.kinds[str(turn + 1)] = chance.choice(kinds)
-            watch.bench.ask(key=chance.randrange(40), class_name=kind.name)
+            watch.bench.request(key=chance.randrange(40), class_name=kind.name)
             watch.look()
             while watch.out and chance.random() < 0.7:
                 report = (
@@ -189,9 +201,9 @@
                 )
                 took, status = chance.choice((20.0, 3000.0)), chance.choice(STATUSES)
                 watch.end(chance.randrange(len(watch.out)), status, elapsed_ms=took, report=report)
-            watch.bench.wait(chance.choice((5.0, 60.0)))
+            watch.bench.advance(chance.choice((5.0, 60.0)))
             watch.look()
-        watch.bench.wait(6000.0)
+        watch.bench.advance(6000.0)
         watch.look()
         assert sorted(watch.ended) == sorted(watch.kinds)  # one final answer each
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -7,7 +7,17 @@
 
 import pytest
 
-from tests.helpers import KEYED, ORIGIN, SETTINGS, Bench, edge, fetch_of, finals, only, parent
+from tests.helpers import (
+    KEYED,
+    ORIGIN,
+    SETTINGS,
+    RouterDriver,
+    actions_of,
+    attempt_of,
+    edge,
+    final_actions,
+    parent,
+)
 from thornjunction import interface as api
 from thornjunction.policy.router import Router
 from thornjunction.policy.subsetting import MAX_UNDIVIDED, block_count, router_hash
@@ -16,21 +26,23 @@
 REQUESTS = 1_200
 
 
-def site(count: int, routers: int, **more: object) -> Bench:
+def site(count: int, routers: int, **more: object) -> RouterDriver:
     """A router of a site of so many caches and routers."""
     entries = [edge(f"edge{number}") for number in range(count)]
-    return Bench(entries=(*entries, parent("parent0"), ORIGIN), routers_by_zone={"here": routers}, **more)
+    return RouterDriver(
+        entries=(*entries, parent("parent0"), ORIGIN), routers_by_zone={"here": routers}, **more
+    )
 
 
-def own_caches(bench: Bench) -> list[Upstream]:
+def own_caches(bench: RouterDriver) -> list[Upstream]:
     """The caches of the router's own block."""
     placement = bench.router.placement
     whole = list(placement._ranked_caches(1))
     return whole[: len(whole) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
 
 
-def asked(bench: Bench, count: int = REQUESTS) -> list[str]:
-    return [fetch_of(bench.ask(key)).server for key in range(count)]
+def asked(bench: RouterDriver, count: int = REQUESTS) -> list[str]:
+    return [attempt_of(bench.request(key)).server for key in range(count)]
 
 
 @pytest.mark.parametrize(
@@ -51,7 +63,7 @@
     bench = site(960, 67)
     before = asked(bench)
     left = before[0]
-    bench.give(api.EndpointListUpdate((edge(left, state=api.ServerState.REMOVED),), complete=False))
+    bench.handle(api.EndpointListUpdate((edge(left, state=api.ServerState.REMOVED),), complete=False))
     after = asked(bench)
     assert left not in after
     assert all(old == new for old, new in zip(before, after, strict=True) if old != left)
@@ -65,7 +77,7 @@
     assert counts[1:] == [1, 4, 4, 4, 1, 1, 8, 8, 16, 16, 1]
     bench = site(401, 67)
     for count in (200, 160, 401):
-        bench.give(api.EndpointListUpdate((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
+        bench.handle(api.EndpointListUpdate((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
         assert (
             len(list(bench.router.placement._ranked_caches(1)))
             == len(bench.router.placement.server_list.site_caches)
@@ -76,7 +88,7 @@
 def test_an_undivided_site_ignores_who_asks() -> None:
     first, second = (site(MAX_UNDIVIDED, 200) for _ in range(2))
     second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
-    second.give(
+    second.handle(
         api.EndpointListUpdate(
             tuple(server.entry for server in first.router.placement.server_list.servers.values())
         )
@@ -114,17 +126,17 @@
     for server in own:
         if trouble == "shut":
             server.gate.share = 0.0
-            server.gate.updated_at_ms = bench.now
+            server.gate.updated_at_ms = bench.now_ms
         elif trouble == "cold":
-            server.slow_start_window.cold_since_ms = bench.now
-            server.slow_start_window.advance(bench.now, 1_000.0, bench.router.random.random)
+            server.slow_start_window.cold_since_ms = bench.now_ms
+            server.slow_start_window.advance(bench.now_ms, 1_000.0, bench.router.random.random)
             server.slow_start_window.spent_ms = 1e9
         else:
-            server.outliers.eject(bench.now)
+            server.outliers.eject(bench.now_ms)
             server.is_unreachable = trouble == "unreachable"
-    actions = [action for key in range(100) for action in bench.ask(key)]
-    assert not finals(actions)
-    assert {fetch.server for fetch in only(actions, api.StartAttempt)}.isdisjoint(
+    actions = [action for key in range(100) for action in bench.request(key)]
+    assert not final_actions(actions)
+    assert {fetch.server for fetch in actions_of(actions, api.StartAttempt)}.isdisjoint(
         {server.id for server in own}
     )
 
@@ -132,16 +144,16 @@
 def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_whatever_block() -> None:
     cells = [edge(f"edge{number}", cell=number // 2) for number in range(960)]
     kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
-    bench = Bench(entries=(*cells, ORIGIN), classes=(kind,), routers_by_zone={"here": 67})
+    bench = RouterDriver(entries=(*cells, ORIGIN), classes=(kind,), routers_by_zone={"here": 67})
     own = {server.id for server in own_caches(bench)}
     others = []
     for key in range(20):
-        first = fetch_of(bench.ask(key, "keyed", idempotency_key=f"key{key}"))
+        first = attempt_of(bench.request(key, "keyed", idempotency_key=f"key{key}"))
         entry = next(entry for entry in cells if entry.server == first.server)
         others.append(f"edge{int(first.server[4:]) ^ 1}")
-        bench.give(api.EndpointListUpdate((replace(entry, state=api.ServerState.REMOVED),), complete=False))
-        assert fetch_of(bench.answer(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
-        bench.give(api.EndpointListUpdate((entry,), complete=False))
+        bench.handle(api.EndpointListUpdate((replace(entry, state=api.ServerState.REMOVED),), complete=False))
+        assert attempt_of(bench.end_attempt(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
+        bench.handle(api.EndpointListUpdate((entry,), complete=False))
     assert len(set(others) - own) > 10
 
 
@@ -150,11 +162,11 @@
     own = {server.id for server in own_caches(bench)}
     placement = bench.router.placement
     for key in range(50):
-        bench.ask(key)
-        request = bench.router.requests.open[str(bench.asked)]
-        first = placement.choose_cache(request, bench.now)
+        bench.request(key)
+        request = bench.router.requests.open[str(bench.request_count)]
+        first = placement.choose_cache(request, bench.now_ms)
         assert first is not None
-        peer = placement.choose_peer(request, first, bench.now)
+        peer = placement.choose_peer(request, first, bench.now_ms)
         assert peer is not None
         assert {first.id, peer.id} <= own
         assert first is not peer
--- a/tests/program/test_clock_steps.py
+++ b/tests/program/test_clock_steps.py
@@ -25,9 +25,15 @@
 from control_harness.loopback_server import LoopbackServer
 from control_harness.participants import Participant, RelayParticipant, RouterParticipant, free_addresses
 from control_harness.poller import Poller
-from fakes.config import config_at
-from fakes.fake_discovery import line
-from fakes.raw_socket import BareClient, BareShelf, address, asked, connect
+from fakes.config import platform_config
+from fakes.raw_socket import (
+    RawSocketCacheServer,
+    RawSocketClient,
+    bound_address,
+    connect_when_listening,
+    encode_request,
+)
+from fakes.watch_messages import edge_entry
 
 from tests.net.discovery.test_watch import commands, service_of
 from tests.runtime.test_handover import Program, check
@@ -127,7 +133,7 @@
         service, off_s[0] = service_of(), 0.0
     settings = replace(service.config.settings, purge_propagation_ms=6000.0)
     service.config = replace(service.config, settings=settings)
-    host = line("c1", born_ms=true_s() * 1000.0)
+    host = edge_entry("c1", born_ms=true_s() * 1000.0)
     (change,) = decode_commands(commands({"cursor": 1, "nodes": {"hosts": [host]}})).events
     purge = Purge(1, 1, 0, true_s() * 1000.0)
     with patch.object(service.engine, "feed", fed.append):
@@ -354,25 +360,30 @@
 def test_a_handover(step_s: float, tmp_path: Path, clock: Clock) -> None:
     """The old process answers what is open in its time and ends; the new one serves."""
     server = lambda: socket.create_server(("127.0.0.1", 0))  # noqa: E731
-    with server() as shared, server() as channel, closing(BareShelf()) as shelf:
-        config = config_at(address(shared), address(channel), address(shelf.listening), longest_ms=600.0)
+    with server() as shared, server() as channel, closing(RawSocketCacheServer()) as shelf:
+        config = platform_config(
+            bound_address(shared),
+            bound_address(channel),
+            bound_address(shelf.listening),
+            client_timeout_ms=600.0,
+        )
         programs = [Program(tmp_path, shared, config)]
         try:
-            client = BareClient(shared.getsockname()[1])
+            client = RawSocketClient(shared.getsockname()[1])
             programs.append(Program(tmp_path, shared, config))
             old, new = (program.process for program in programs)
-            client.send(asked(1, "clips", ttl_ms=400))
-            shelf.wanted()
+            client.send(encode_request(1, "clips", ttl_ms=400))
+            shelf.wait_for_request()
             since = time.monotonic()
             old.send_signal(signal.SIGTERM)
             while is_open(programs[0].door):  # it is closed with the front
                 pass
             clock.step(step_s)
-            assert client.wait() == ("fin", 1)
+            assert client.wait_for_end() == ("fin", 1)
             assert_near(time.monotonic() - since, 0.4)
-            client.leave()
+            client.close()
             assert old.wait(2 * CHECK_INTERVAL_MS / 1000.0 + SLACK_S) == 0
-            with connect(address(shared)) as another:
+            with connect_when_listening(bound_address(shared)) as another:
                 assert check(another) == b"Status: 200\r\n\r\n"
             assert new.poll() is None and clock.is_seen_by(old) and clock.is_seen_by(new)
         finally:
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -18,13 +18,13 @@
 from unittest.mock import patch
 
 import pytest
-from fakes.config import config_at
-from fakes.raw_socket import BareClient, address, asked
+from fakes.config import platform_config
+from fakes.raw_socket import RawSocketClient, bound_address, encode_request
 from twisted.internet.defer import fail
 from twisted.internet.error import getConnectError
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import Rig
+from tests.loopback import make_loopback_environment
 from tests.runtime.test_handover import Program
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
@@ -78,7 +78,12 @@
         socket.create_server(("127.0.0.1", 0)) as shared,
         socket.create_server(("127.0.0.1", 0)) as channel,
     ):
-        config = config_at(address(shared), address(channel), address(server.listening), longest_ms=1500.0)
+        config = platform_config(
+            bound_address(shared),
+            bound_address(channel),
+            bound_address(server.listening),
+            client_timeout_ms=1500.0,
+        )
         run = Program(
             folder, shared, config, "tests.program.errno_launcher", SOCKET_FAULTS=json.dumps(faults)
         )
@@ -90,19 +95,19 @@
             server.close()
 
 
-def wait_for_answer(client: BareClient) -> None:
+def wait_for_answer(client: RawSocketClient) -> None:
     end = time.monotonic() + WAIT_S
-    while not client.answers() and not client.end and time.monotonic() < end:
+    while not client.answer_count() and not client.connection_end and time.monotonic() < end:
         select.select([client.socket], [], [], 0.1)
 
 
 def status_of(port: int, number: int, class_name: str = "clips") -> bytes:
     """The status of one request on a connection of its own."""
-    client = BareClient(port)
-    client.send(asked(number, class_name))
+    client = RawSocketClient(port)
+    client.send(encode_request(number, class_name))
     wait_for_answer(client)
-    client.leave()
-    records = fastcgi.RecordReader().feed(bytes(client.got))
+    client.close()
+    records = fastcgi.RecordReader().feed(bytes(client.received))
     return next((record.content[8:11] for record in records if record.content), b"")
 
 
@@ -118,17 +123,17 @@
     with program(tmp_path, {"call": "accept", "errno": name, "flag": str(flag)}) as port:
         assert status_of(port, 1) == b"200"
         flag.touch()
-        client = BareClient(port)
-        client.send(asked(2, "clips"))
+        client = RawSocketClient(port)
+        client.send(encode_request(2, "clips"))
         end = time.monotonic() + 1.2
         while time.monotonic() < end:
-            assert not client.ended()
+            assert not client.has_ended()
             time.sleep(0.01)
         flag.unlink()
         assert status_of(port, 3) == b"200"
         wait_for_answer(client)
-        assert client.answers() == 1
-        client.leave()
+        assert client.answer_count() == 1
+        client.close()
 
 
 class SocketWithoutWay:
@@ -156,7 +161,7 @@
 
     def test_who_is_blamed_for_dials_that_go_on_failing(self) -> None:
         """No way there is a dial that never came up, once its time is over; our own lack is nobody's."""
-        rig, told = Rig(), list[api.AttemptStatus]()
+        rig, told = make_loopback_environment(), list[api.AttemptStatus]()
         self.addCleanup(rig.stop)
         pool = rig.pool
         pool.ends = SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status))
@@ -171,9 +176,9 @@
                 call = ClientRequest("t1", "films", "00000000000000ff", 900.0)
                 pool.send(UpstreamRequest(1, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
                 self.assertEqual(told, [])
-                rig.later(400.0)
+                rig.run_pool_deadlines(400.0)
                 self.assertEqual(told, end)
                 self.assertEqual(pool.withdraw(1), not end)
-                rig.later(900.0)  # nobody waits any more
+                rig.run_pool_deadlines(900.0)  # nobody waits any more
             self.assertIsNone(pool.shelves["edge1"].dial)
             told.clear()
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -12,13 +12,14 @@
 from typing import Any
 from unittest.mock import patch
 
-from fakes.raw_socket import address, call, connect
+from fakes.clients import HttpClient
+from fakes.raw_socket import bound_address, call_admin, connect_when_listening
 from twisted.internet import protocol, reactor
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.trial.unittest import TestCase
 
 from tests.core.test_engine import CONFIG
-from tests.loopback import Client, Rig
+from tests.loopback import make_loopback_environment
 from tests.net.wire.test_codecs import asked, collectd_values
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
@@ -37,7 +38,7 @@
     timeout = 20
 
     def setUp(self) -> None:
-        self.rig = Rig()
+        self.rig = make_loopback_environment()
         self.addCleanup(self.rig.stop)
         self.rig.pool.ends = self
         self.told: list[Any] = []
@@ -74,19 +75,19 @@
         for number, (word, end) in enumerate(zip(words, ends, strict=True)):
             self.rig.script = [word]
             self.send(number, f"t{number}", if_none_match="t1" if number > 5 else "")
-            yield self.rig.until(lambda number=number: len(self.told) > number)
+            yield self.rig.wait_until(lambda number=number: len(self.told) > number)
             self.assertEqual(self.told[number][:2], (number, api.AttemptStatus[end]))
 
     @inlineCallbacks
     def test_a_broken_connection_may_have_run_and_a_refused_one_did_not(self) -> Any:
-        self.rig.script, wanted = [None], self.rig.next_want()
+        self.rig.script, wanted = [None], self.rig.next_request()
         self.send(1, "a")
         yield wanted
         yield self.rig.ports[0].stopListening()
-        self.rig.links[0].transport.abortConnection()
-        yield self.rig.until(lambda: len(self.told) == 1)
+        self.rig.server_connections[0].transport.abortConnection()
+        yield self.rig.wait_until(lambda: len(self.told) == 1)
         self.send(2, "b")
-        yield self.rig.until(lambda: len(self.told) == 2)
+        yield self.rig.wait_until(lambda: len(self.told) == 2)
         self.assertEqual(
             [status for _, status, _ in self.told],
             [api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.CONNECTION_REFUSED],
@@ -94,28 +95,28 @@
 
     @inlineCallbacks
     def test_a_late_answer_is_not_taken_for_the_next_attempt_of_its_name(self) -> Any:
-        self.rig.script, wanted = [None], self.rig.next_want()
+        self.rig.script, wanted = [None], self.rig.next_request()
         self.send(1, "same")
         yield wanted
         self.rig.pool.cancel(1)
-        late, ident = self.rig.asked[0]
-        self.rig.script, wanted = [None], self.rig.next_want()
+        late, ident = self.rig.received_requests[0]
+        self.rig.script, wanted = [None], self.rig.next_request()
         self.send(2, "same")
         late.say(ident, b"DONE", b"late")
         yield wanted
-        link, ident = self.rig.asked[1]
+        link, ident = self.rig.received_requests[1]
         self.assertIsNot(link, late)
         link.say(ident, b"DONE", b"right")
-        yield self.rig.until(lambda: self.told)
+        yield self.rig.wait_until(lambda: self.told)
         self.assertEqual(self.told, [(2, api.AttemptStatus.SUCCEEDED, b"right")])
 
     @inlineCallbacks
     def test_garbage_from_a_shelf_ends_its_connection(self) -> Any:
-        self.rig.script, wanted = [None], self.rig.next_want()
+        self.rig.script, wanted = [None], self.rig.next_request()
         self.send(1, "a")
         yield wanted
-        self.rig.links[0].transport.write(b"*9999\r\n")
-        yield self.rig.until(lambda: self.told)
+        self.rig.server_connections[0].transport.write(b"*9999\r\n")
+        yield self.rig.wait_until(lambda: self.told)
         self.assertEqual(self.told, [(1, api.AttemptStatus.CONNECTION_RESET, None)])
 
     @inlineCallbacks
@@ -124,15 +125,15 @@
         self.rig.script = [None, None]
         for number, name in enumerate("ab"):
             self.send(number, name)
-        yield self.rig.until(lambda: len(self.rig.asked) == 2)
-        link, _ = self.rig.asked[0]
+        yield self.rig.wait_until(lambda: len(self.rig.received_requests) == 2)
+        link, _ = self.rig.received_requests[0]
         link.transport.write(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$99999\r\n")
         link.say(b"b", b"DONE", b"swallowed")
-        yield self.rig.until(lambda: any(way.part for way in self.rig.pool.links))
+        yield self.rig.wait_until(lambda: any(way.part for way in self.rig.pool.links))
         with patch.object(self.rig.pool, "clock", lambda: core_ms() + 500.0):
             self.assertEqual(self.told, [])
-            self.rig.alarm.deadlines.run_due(core_ms() + 500.0)
-        yield self.rig.until(lambda: len(self.told) == 2)
+            self.rig.timer_service.deadlines.run_due(core_ms() + 500.0)
+        yield self.rig.wait_until(lambda: len(self.told) == 2)
         self.assertEqual({end[1:] for end in self.told}, {(api.AttemptStatus.CONNECTION_RESET, None)})
 
     @inlineCallbacks
@@ -141,8 +142,8 @@
         self.rig.script = [None] * 8
         for number in range(8):
             self.send(number, f"t{number}")
-            yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
-            yield self.rig.until(lambda: self.rig.pool.shelves["edge1"].dial is None)
+            yield self.rig.wait_until(lambda number=number: len(self.rig.received_requests) == number + 1)
+            yield self.rig.wait_until(lambda: self.rig.pool.shelves["edge1"].dial is None)
         self.assertEqual(sorted(len(way.out) for way in self.rig.pool.links), [2, 3, 3])
 
     @inlineCallbacks
@@ -153,8 +154,8 @@
         self.rig.script = [None] * (room + 1)
         for number in range(room):
             self.send(number, f"t{number}")
-            yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
-            yield self.rig.until(lambda: self.rig.pool.shelves["edge1"].dial is None)
+            yield self.rig.wait_until(lambda number=number: len(self.rig.received_requests) == number + 1)
+            yield self.rig.wait_until(lambda: self.rig.pool.shelves["edge1"].dial is None)
         self.assertEqual([len(way.out) for way in self.rig.pool.links], [streams] * shelves.NEEDED)
         self.send(room, "past")
         self.assertEqual(self.told, [(room, api.AttemptStatus.NOT_STARTED, None)])
@@ -165,13 +166,13 @@
         for number in range(shelf_link.WORN + 1):
             self.rig.script = [None]
             self.send(number, f"t{number}")
-            yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
+            yield self.rig.wait_until(lambda number=number: len(self.rig.received_requests) == number + 1)
             if number:
                 self.rig.pool.cancel(number)
         self.rig.script = [(b"DONE", b"x")]
         self.send(9999, "next")
-        yield self.rig.until(lambda: self.told)
-        self.assertIsNot(self.rig.asked[-1][0], self.rig.asked[0][0])
+        yield self.rig.wait_until(lambda: self.told)
+        self.assertIsNot(self.rig.received_requests[-1][0], self.rig.received_requests[0][0])
 
 
 class MetricsTest(TestCase):
@@ -179,11 +180,11 @@
 
     @inlineCallbacks
     def test_figures_arrive_at_both(self) -> Any:
-        rig, lines, packets, counters = Rig(), Deferred(), Deferred(), Counters()
+        rig, lines, packets, counters = make_loopback_environment(), Deferred(), Deferred(), Counters()
         self.addCleanup(rig.stop)
         counters.attempt_ended(api.AttemptStatus.SUCCEEDED, 12.5)
 
-        class Graphite(Client):
+        class Graphite(HttpClient):
             def dataReceived(self, data: bytes) -> None:  # noqa: N802
                 lines.callback(data.decode())
                 self.transport.loseConnection()
@@ -194,18 +195,20 @@
 
         tcp = reactor.listenTCP(0, BuildFactory(Graphite), interface="127.0.0.1")
         udp = reactor.listenUDP(0, Collectd(), interface="127.0.0.1")
-        metrics = MetricsExporter(reactor, rig.alarm.deadlines, core_ms, lambda: 10.5, counters, "n1", 10.0)
+        metrics = MetricsExporter(
+            reactor, rig.timer_service.deadlines, core_ms, lambda: 10.5, counters, "n1", 10.0
+        )
         metrics.to_graphite(("127.0.0.1", tcp.getHost().port), "tj")
         metrics.to_collectd(("127.0.0.1", udp.getHost().port))
         metrics.start()
-        yield rig.until(lambda: metrics._link is not None)
+        yield rig.wait_until(lambda: metrics._link is not None)
         metrics._tick()
         told = yield lines
         self.assertIn("tj.n1.attempts.done.count 1 10\n", told)
         self.assertIn("tj.n1.attempts.done.mean_ms 12.5 10\n", told)
         packet = yield packets
         self.assertEqual(collectd_values(packet), [1, 12.5, 12.5])
-        yield rig.until(lambda: metrics._link is None)
+        yield rig.wait_until(lambda: metrics._link is None)
         for port in (tcp, udp, metrics._udp):
             yield port.stopListening()
 
@@ -219,10 +222,14 @@
     ):
         free.bind(("127.0.0.1", 0))
         second.bind(("127.0.0.1", 0))
-        listen, door = address(free), address(second)
+        listen, door = bound_address(free), bound_address(second)
         free.close()
         second.close()
-        config = CONFIG | {"listen": listen, "channel": address(channel), "known": {"cursor": 3, "cmds": []}}
+        config = CONFIG | {
+            "listen": listen,
+            "channel": bound_address(channel),
+            "known": {"cursor": 3, "cmds": []},
+        }
         config["admin_addr"] = door
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config))
@@ -232,16 +239,16 @@
         try:
             told = channel.accept()[0]  # it dials the channel just before it listens
             assert told.recv(25) == b"GET /cmd/next?resume=3&bl"
-            client = connect(listen)
+            client = connect_when_listening(listen)
             client.sendall(asked(1, {"SCRIPT_NAME": "/check"}, b""))
             records, reader = [], fastcgi.RecordReader()
             while not records or records[-1].kind != fastcgi.RecordType.END:
                 records += reader.feed(client.recv(4096))
             assert records[0].content == b"Status: 200\r\n\r\n"
-            assert call(door, "check") == "ACK\n" and call(door, "drain-on") == "ACK\n"
-            assert call(door, "check") == "NAK\n" and call(door, "drain-off") == "ACK\n"
-            assert "router.cfg_invalid=0\n" in call(door, "vars")
-            assert call(door, "fleet").startswith("NAK") and not udp_sockets(program.pid)
+            assert call_admin(door, "check") == "ACK\n" and call_admin(door, "drain-on") == "ACK\n"
+            assert call_admin(door, "check") == "NAK\n" and call_admin(door, "drain-off") == "ACK\n"
+            assert "router.cfg_invalid=0\n" in call_admin(door, "vars")
+            assert call_admin(door, "fleet").startswith("NAK") and not udp_sockets(program.pid)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
@@ -249,9 +256,9 @@
                 assert line, "ended on SIGHUP"
             assert str(path).encode() in line
             moved.settimeout(20)
-            path.write_text(json.dumps(config | {"channel": address(moved)}))
+            path.write_text(json.dumps(config | {"channel": bound_address(moved)}))
             program.send_signal(signal.SIGHUP)
-            assert "router.cfg_invalid=1\n" in call(door, "vars")
+            assert "router.cfg_invalid=1\n" in call_admin(door, "vars")
             assert moved.accept()[0].recv(25) == b"GET /cmd/next?resume=3&bl"
             told.close()
             program.send_signal(signal.SIGTERM)
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from fakes.raw_socket import address, call, connect
+from fakes.raw_socket import bound_address, call_admin, connect_when_listening
 
 from tests.core.test_engine import CONFIG
 from tests.net.wire.test_codecs import asked
@@ -74,7 +74,7 @@
     ) -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            self.door = address(free)
+            self.door = bound_address(free)
         path = folder / "config.json"
         path.write_text(json.dumps(config))
         env = os.environ | {"PROXY_CONFIG": str(path), "PROXY_ADMIN_ADDR": self.door, "TMPDIR": str(folder)}
@@ -85,8 +85,8 @@
             pass_fds=[shared.fileno()],
             stderr=subprocess.DEVNULL,
         )
-        connect(self.door).close()
-        while call(self.door, "check") != "ACK\n":  # the command channel never answers here
+        connect_when_listening(self.door).close()
+        while call_admin(self.door, "check") != "ACK\n":  # the command channel never answers here
             pass
 
 
@@ -96,11 +96,11 @@
         socket.create_server(("127.0.0.1", 0)) as shared,
         socket.create_server(("127.0.0.1", 0)) as channel,
     ):
-        config = CONFIG | {"listen": address(shared), "channel": address(channel)}
+        config = CONFIG | {"listen": bound_address(shared), "channel": bound_address(channel)}
         old = Program(tmp_path, shared, config)
         programs = [old.process]
         try:
-            kept = connect(address(shared))
+            kept = connect_when_listening(bound_address(shared))
             assert check(kept) == b"Status: 200\r\n\r\n"
             new = Program(tmp_path, shared, config)
             programs.append(new.process)
@@ -108,7 +108,7 @@
             assert kept.recv(1) == b""
             kept.close()
             assert old.process.wait(20) == 0
-            with connect(address(shared)) as client:
+            with connect_when_listening(bound_address(shared)) as client:
                 assert check(client) == b"Status: 200\r\n\r\n"
             assert new.process.poll() is None
         finally:
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -9,19 +9,19 @@
 import pytest
 
 from tests.core.test_engine import CONFIG, Script
-from tests.helpers import FILMS, KEYED, ORDER, SETTINGS, Bench, fetch_of, finals, only
+from tests.helpers import FILMS, KEYED, ORDER, SETTINGS, RouterDriver, actions_of, attempt_of, final_actions
 from thornjunction import interface as api
 from thornjunction.runtime.config import check_complete, parse_config
 from thornjunction.runtime.errors import ConfigError
 
 
 def test_an_open_request_keeps_its_attempts_and_the_next_has_the_new_ones() -> None:
-    bench = Bench(max_attempts=3)
-    before = fetch_of(bench.ask())
-    bench.give(replace(SETTINGS, max_attempts=1))
-    after = fetch_of(bench.ask(key=2))
-    assert only(bench.answer(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
-    assert finals(bench.answer(after, api.AttemptStatus.NOT_STARTED))
+    bench = RouterDriver(max_attempts=3)
+    before = attempt_of(bench.request())
+    bench.handle(replace(SETTINGS, max_attempts=1))
+    after = attempt_of(bench.request(key=2))
+    assert actions_of(bench.end_attempt(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
+    assert final_actions(bench.end_attempt(after, api.AttemptStatus.NOT_STARTED))
 
 
 def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
@@ -39,20 +39,24 @@
 
 
 def test_classes_come_and_go_and_may_change_their_effect() -> None:
-    bench = Bench(classes=(FILMS, KEYED))
-    assert finals(bench.ask(class_name="order"))
-    film = fetch_of(bench.ask())
-    bench.give(
+    bench = RouterDriver(classes=(FILMS, KEYED))
+    assert final_actions(bench.request(class_name="order"))
+    film = attempt_of(bench.request())
+    bench.handle(
         replace(
             SETTINGS,
             classes=(replace(KEYED, idempotency=api.Idempotency.NON_IDEMPOTENT, name="keyed"), ORDER),
         )
     )
-    assert finals(bench.ask()) and fetch_of(bench.ask(class_name="order"))
-    unsafe = fetch_of(bench.ask(class_name="keyed", idempotency_key="k"))
-    assert finals(bench.answer(unsafe, api.AttemptStatus.TIMEOUT)) == [api.FailRequest(str(bench.asked))]
-    assert not finals(bench.answer(film, api.AttemptStatus.TIMEOUT))  # open under the class that is gone
-    assert not finals(bench.answer(bench.sent[film.request_id][-1]))
+    assert final_actions(bench.request()) and attempt_of(bench.request(class_name="order"))
+    unsafe = attempt_of(bench.request(class_name="keyed", idempotency_key="k"))
+    assert final_actions(bench.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
+        api.FailRequest(str(bench.request_count))
+    ]
+    assert not final_actions(
+        bench.end_attempt(film, api.AttemptStatus.TIMEOUT)
+    )  # open under the class that is gone
+    assert not final_actions(bench.end_attempt(bench.attempts[film.request_id][-1]))
     latencies, sizes = bench.router.admission.typical_latencies, bench.router.sizes.class_means
     assert set(latencies) == set(sizes) == {"keyed", "order"}
 
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 import pytest
-from fakes.config import config_at
-from fakes.raw_socket import BareClient, BareShelf, address, asked, call
+from fakes.config import platform_config
+from fakes.raw_socket import RawSocketCacheServer, RawSocketClient, bound_address, call_admin, encode_request
 from twisted.internet.testing import MemoryReactorClock
 
 from tests.core.test_engine import CONFIG
@@ -58,21 +58,26 @@
 def test_requests_at_a_shelf_that_hangs_a_retry_that_waits_and_one_that_crosses(tmp_path: Path) -> None:
     """Also one whose own time goes past SIGKILL, a connection that never asks, and a second signal."""
     server = lambda: socket.create_server(("127.0.0.1", 0))  # noqa: E731
-    with server() as shared, server() as channel, closing(BareShelf()) as shelf:
-        config = config_at(address(shared), address(channel), address(shelf.listening), longest_ms=600.0)
+    with server() as shared, server() as channel, closing(RawSocketCacheServer()) as shelf:
+        config = platform_config(
+            bound_address(shared),
+            bound_address(channel),
+            bound_address(shelf.listening),
+            client_timeout_ms=600.0,
+        )
         program = Program(tmp_path, shared, config)
         try:
-            clients = [BareClient(shared.getsockname()[1]) for _ in range(4)]  # the last one never asks
-            clients[0].send(asked(1, "clips", ttl_ms=9000))
-            shelf.wanted()
-            clients[1].send(asked(5, "orders"))
-            shelf.say(shelf.wanted(), b"WAIT")
+            clients = [RawSocketClient(shared.getsockname()[1]) for _ in range(4)]  # the last one never asks
+            clients[0].send(encode_request(1, "clips", ttl_ms=9000))
+            shelf.wait_for_request()
+            clients[1].send(encode_request(5, "orders"))
+            shelf.send_answer(shelf.wait_for_request(), b"WAIT")
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGTERM)
-            while call(program.door, "check") != "NAK\n":
+            while call_admin(program.door, "check") != "NAK\n":
                 pass
-            clients[2].send(asked(6, "clips", ttl_ms=600))
-            assert [client.wait() for client in clients] == [("fin", 1)] * 3 + [("fin", 0)]
+            clients[2].send(encode_request(6, "clips", ttl_ms=600))
+            assert [client.wait_for_end() for client in clients] == [("fin", 1)] * 3 + [("fin", 0)]
             assert program.process.wait(20) == 0
         finally:
             program.process.kill()
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -14,13 +14,14 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
+from fakes.clients import HttpClient
 from OpenSSL import SSL
 from twisted.internet import protocol, reactor, ssl, threads
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.endpoints import SSL4ClientEndpoint
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import CLIP, Client, Rig
+from tests.loopback import CLIP, make_loopback_environment
 from thornjunction.net.downstream.signed_front import SignedConnection
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
@@ -130,26 +131,30 @@
 
     @inlineCallbacks
     def test_the_second_front_serves_a_signed_url_over_tls(self) -> Any:
-        rig = Rig()
+        rig = make_loopback_environment()
         self.addCleanup(rig.stop)
-        build = BuildFactory(lambda: SignedConnection(rig.clients, rig.alarm.deadlines, core_ms, rig.door))
+        build = BuildFactory(
+            lambda: SignedConnection(
+                rig.downstream_table, rig.timer_service.deadlines, core_ms, rig.signed_context
+            )
+        )
         rig.ports.append(reactor.listenSSL(0, build, self.watch, interface="127.0.0.1"))
         port = rig.ports[-1].getHost().port
         endpoint = SSL4ClientEndpoint(reactor, "127.0.0.1", port, ssl.CertificateOptions())
-        client = yield endpoint.connect(protocol.Factory.forProtocol(Client))
-        client.ask(rig.signed(CLIP))
-        (response,) = yield client.has(1)
+        client = yield endpoint.connect(protocol.Factory.forProtocol(HttpClient))
+        client.send_request(rig.sign_target(CLIP))
+        (response,) = yield client.wait_for_answers(1)
         self.assertEqual((response.status, response.body), (200, b"wave"))
         below = client.transport.transport  # a request and its client's end lie there before the router looks
         with patch.object(rig.engine, "open") as opened:
-            client.ask(rig.signed(CLIP))
+            client.send_request(rig.sign_target(CLIP))
             client.transport._aggregator.flush()  # Twisted puts small writes together
             below.doWrite()
             below.socket.shutdown(socket.SHUT_WR)
-            yield rig.until(lambda: not rig.clients.connected)
+            yield rig.wait_until(lambda: not rig.downstream_table.connected)
         opened.assert_not_called()
         client.transport.loseConnection()
-        yield client.ended
+        yield client.connection_lost
 
     @inlineCallbacks
     def test_renegotiation_is_refused_and_the_server_goes_on(self) -> Any:
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -72,16 +72,16 @@
 def _start_fakes(reactor: Any) -> Config:
     """Start the fake cache servers and discovery; the configuration of a router that uses them."""
     make_fakes_importable()
-    from fakes.config import SETTINGS, free_port, listed, listen
-    from fakes.scripted import DemoDiscovery, DemoShelf
+    from fakes.config import SETTINGS, endpoint_list, free_port, listen_on_free_port
+    from fakes.demo_servers import DemoCacheServer, DemoDiscovery
 
-    edge_port = listen(reactor, DemoShelf)
-    origin_port = listen(reactor, DemoShelf)
+    edge_port = listen_on_free_port(reactor, DemoCacheServer)
+    origin_port = listen_on_free_port(reactor, DemoCacheServer)
     hosts = [
-        *listed("box", at=f"127.0.0.1:{edge_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
-        *listed("root", at=f"127.0.0.1:{origin_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
+        *endpoint_list("box", at=f"127.0.0.1:{edge_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
+        *endpoint_list("root", at=f"127.0.0.1:{origin_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
     ]
-    discovery_port = listen(reactor, lambda: DemoDiscovery(hosts, reactor))
+    discovery_port = listen_on_free_port(reactor, lambda: DemoDiscovery(hosts, reactor))
     configuration: dict[str, Any] = {
         "name": "demo",
         "listen": f"127.0.0.1:{free_port()}",
