--- a/benchmarks/capacity_decisions.py
+++ b/benchmarks/capacity_decisions.py
@@ -2,11 +2,11 @@
 
     PYTHONPATH=. python benchmarks/capacity_decisions.py [--requests N] [PART...]
 
-Parts: ``site`` (edges of the router's site), ``parents``, ``list`` (handling of the endpoint list), ``purges``
-and ``memory``; all of them by default.  One process at a time, without sockets.  Processor time is that of the
-process, the least of several alternating rounds, so that a busy machine disturbs it little.  Memory is the
-growth of a fresh process's resident set.  With the path of another commit's tree in place of ``.``, the
-decisions of that commit are measured.
+Parts: ``site`` (edges of the router's site), ``parents``, ``list`` (handling of the endpoint list),
+``purges`` and ``memory``; all of them by default.  One process at a time, without sockets.  Processor time is
+that of the process, the least of several alternating rounds, so that a busy machine disturbs it little.
+Memory is the growth of a fresh process's resident set.  With the path of another commit's tree in place of
+``.``, the decisions of that commit are measured.
 """
 
 from __future__ import annotations
--- a/packages/fleet-scale/src/fleet_scale/worker/request_load.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/request_load.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fakes.raw_socket import asked
+from fakes.raw_socket import encode_request
 from twisted.internet import protocol
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -66,7 +66,7 @@
         """Send the next request."""
         self._last_request_id = self._last_request_id % MAX_REQUEST_ID + 1
         self.unanswered[self._last_request_id] = SentRequest(time.monotonic())
-        self.transport.write(asked(self._last_request_id, REQUEST_CLASS, ttl_ms=REQUEST_TIMEOUT_MS))
+        self.transport.write(encode_request(self._last_request_id, REQUEST_CLASS, ttl_ms=REQUEST_TIMEOUT_MS))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Collect answers, and report each that is complete."""
--- a/packages/fleet-scale/src/fleet_scale/worker/roles.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/roles.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fakes.config import listen
-from fakes.scripted import DemoShelf
+from fakes.config import listen_on_free_port
+from fakes.demo_servers import DemoCacheServer
 
 from fleet_scale.event_plan import INITIAL_WEIGHT
 from fleet_scale.messages import (
@@ -89,7 +89,7 @@
     """A fake cache server."""
 
     def __init__(self, reactor: Reactor) -> None:
-        self._port = listen(reactor, DemoShelf)
+        self._port = listen_on_free_port(reactor, DemoCacheServer)
 
     def figures(self) -> Reply:
         """Return the listening port."""
