--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -102,11 +102,11 @@
         late, ident = self.rig.received_requests[0]
         self.rig.script, wanted = [None], self.rig.next_request()
         self.send(2, "same")
-        late.say(ident, b"DONE", b"late")
+        late.send_answer(ident, b"DONE", b"late")
         yield wanted
         link, ident = self.rig.received_requests[1]
         self.assertIsNot(link, late)
-        link.say(ident, b"DONE", b"right")
+        link.send_answer(ident, b"DONE", b"right")
         yield self.rig.wait_until(lambda: self.told)
         self.assertEqual(self.told, [(2, api.AttemptStatus.SUCCEEDED, b"right")])
 
@@ -128,7 +128,7 @@
         yield self.rig.wait_until(lambda: len(self.rig.received_requests) == 2)
         link, _ = self.rig.received_requests[0]
         link.transport.write(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$99999\r\n")
-        link.say(b"b", b"DONE", b"swallowed")
+        link.send_answer(b"b", b"DONE", b"swallowed")
         yield self.rig.wait_until(lambda: any(way.part for way in self.rig.pool.links))
         with patch.object(self.rig.pool, "clock", lambda: core_ms() + 500.0):
             self.assertEqual(self.told, [])
