--- a/packages/control-harness/src/control_harness/fake_cache_server.py
+++ b/packages/control-harness/src/control_harness/fake_cache_server.py
@@ -5,11 +5,12 @@
 import asyncio
 import time
 
+from fakes.cache_server_messages import DONE, CommandReader, encode_server_answer
+
 from control_harness.loopback_server import LoopbackServer
-from thornjunction.net.wire.resp import ArrayReader, encode_array
 
+# Bytes read at a time.
 READ_BYTES = 65_536
-"""Bytes read at a time."""
 
 
 class FakeCacheServer(LoopbackServer):
@@ -36,10 +37,10 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the requests of one connection."""
-        arrays = ArrayReader()
+        commands = CommandReader()
         while data := await reader.read(READ_BYTES):
-            for verb, request_id, *_ in arrays.feed(data):
-                if verb == b"want":
+            for command in commands.feed(data):
+                if command.is_request:
                     self.request_count += 1
                     fields = b"rev=1,since=%d" % (time.time() * 1000)
-                    writer.write(encode_array((request_id, b"DONE", fields, self.name.encode())))
+                    writer.write(encode_server_answer(command.request_id, DONE, fields, self.name.encode()))
--- a/packages/control-harness/src/control_harness/fake_discovery.py
+++ b/packages/control-harness/src/control_harness/fake_discovery.py
@@ -3,20 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import time
 from collections.abc import Mapping, Sequence
 from contextlib import suppress
-from typing import Any
-from urllib.parse import parse_qs, urlsplit
+
+from fakes.event_log import EventLog, parse_poll
 
 from control_harness.loopback_server import LoopbackServer
 
-HostEntry = Mapping[str, Any]
-"""One cache server, as discovery lists it."""
+# One cache server, as discovery lists it.
+HostEntry = Mapping[str, object]
 
+# Seconds that a poll is held at most, whatever it asks for: a test ends soon after its last event.
 MAX_BLOCK_S = 5.0
-"""Seconds that a poll is held at most, whatever it asks for: a test ends soon after its last event."""
 
 
 class FakeDiscovery(LoopbackServer):
@@ -27,16 +26,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.events: list[Mapping[str, Any]] = []
         self.poll_count = 0
+        self._log = EventLog()
         self._list_version = 0
         self._published = asyncio.Condition()
 
-    @property
-    def cursor(self) -> int:
-        """The number of the last event."""
-        return len(self.events)
-
     async def publish_hosts(self, hosts: Sequence[HostEntry], complete: bool = False) -> None:
         """Publish a list event: the complete list, or the entries that have changed."""
         self._list_version += 1
@@ -56,7 +50,7 @@
     async def restart_numbering(self, hosts: Sequence[HostEntry]) -> None:
         """Restart without any earlier event: numbers begin at 1, with a new version of the list."""
         await self.stop()
-        self.events = []
+        self._log.clear()
         self._list_version = 0
         await self.publish_hosts(hosts, complete=True)
         await self.start()
@@ -66,22 +60,21 @@
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             self.poll_count += 1
-            query = parse_qs(urlsplit(head.split(" ")[1]).query)
-            resume = int(query["resume"][0])
-            await self._wait_for_events(resume, float(query["block"][0]) / 1000.0)
-            body = json.dumps({"cursor": self.cursor, "cmds": self.events[resume:]}).encode()
+            poll = parse_poll(head.split(" ")[1])
+            await self._wait_for_events(poll.resume, poll.block_ms / 1000.0)
+            body = self._log.encode_events_after(poll.resume)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await writer.drain()
 
-    async def _publish(self, events: Sequence[Mapping[str, Any]]) -> None:
+    async def _publish(self, events: Sequence[Mapping[str, object]]) -> None:
         async with self._published:
             for event in events:
-                self.events.append({"cursor": len(self.events) + 1, **event})
+                self._log.append(event)
             self._published.notify_all()
 
     async def _wait_for_events(self, resume: int, block_s: float) -> None:
         """Wait until there are events after ``resume``, for the time that the poll blocks."""
         async with self._published:
-            has_events = self._published.wait_for(lambda: self.cursor > resume)
+            has_events = self._published.wait_for(lambda: self._log.has_events_after(resume))
             with suppress(TimeoutError):
                 await asyncio.wait_for(has_events, min(block_s, MAX_BLOCK_S))
