--- a/conftest.py
+++ b/conftest.py
@@ -1,6 +1,7 @@
 """Known red tests: KNOWN-RED.txt at the root lists tests that fail for a real fault which is not mended yet,
 one a line as ``test, cause, issue``.  Each is a strict xfail, so one that passes fails the run; so do a
-fourth line, a line of another form, and one that names no collected test of a whole run."""
+fourth line, a line of another form, and one that names no collected test of a whole run.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +10,8 @@
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE = "KNOWN-RED.txt"
+MOST = 3
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/limits/test_fleet_limits.py
+++ b/tests/limits/test_fleet_limits.py
@@ -1,5 +1,8 @@
-"""Limits that hold for the fleet though no router hears another: gates that open with time, retries counted
-for all, waits after refusals, and the origin's gate where answers tell nothing."""
+"""Limits that hold for a fleet of routers that know nothing of one another.
+
+Admission gates that open with time, a retry budget for all, backoff after rejections, and the origin's gate
+where answers have no load reports.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,10 @@
 from thornjunction.limits.retry_budget import RetryBudget, backoff_ms
 
 
-def blind(**more: object) -> RouterDriver:
-    """One of two hundred, where answers tell nothing of fills."""
-    more = {"fill_reporting": api.FillReporting.NONE, "may_bypass_caches": True, "router_count": 200, **more}
-    return RouterDriver((*EDGES, *PARENTS, ORIGIN), **more)
+def driver_without_fill_reports(**settings: object) -> RouterDriver:
+    """Drive one of two hundred routers, where answers have no fill reports."""
+    defaults = {"fill_reporting": api.FillReporting.NONE, "may_bypass_caches": True, "router_count": 200}
+    return RouterDriver((*EDGES, *PARENTS, ORIGIN), **{**defaults, **settings})
 
 
 def test_a_gate_opens_with_time_alone() -> None:
@@ -23,18 +26,21 @@
     for _ in range(40):
         gate.record(1000.0, late=True)
     assert gate.share == LOWEST_SHARE
-    assert 0.3 < gate.current_share(3000.0) < 0.4 and gate.current_share(8000.0) == 1.0
+    assert 0.3 < gate.current_share(3000.0) < 0.4
+    assert gate.current_share(8000.0) == 1.0
 
 
 def test_a_late_answer_weighs_more_where_few_come() -> None:
     """One of two hundred hears one refusal while the fleet hears a hundred."""
-    often, seldom = AdmissionGate(0.0), AdmissionGate(0.0)
+    often = AdmissionGate(0.0)
+    seldom = AdmissionGate(0.0)
     for number in range(20):
         often.record(1000.0 + number, late=False)
     often.record(1020.0, late=True)
     seldom.record(1000.0, late=False)
     seldom.record(3000.0, late=True)
-    assert 0.8 < often.share < 0.9 and 0.2 < seldom.share < 0.25
+    assert 0.8 < often.share < 0.9
+    assert 0.2 < seldom.share < 0.25
 
 
 @pytest.mark.parametrize(("routers", "depth"), [(3, 20.0), (60, 2.0), (200, 2.0), (0, 60.0)])
@@ -52,45 +58,50 @@
 
 def test_what_runs_at_a_full_origin_is_not_asked_again_at_once() -> None:
     """Alerts that tried again at once asked the full origin for five times their number."""
-    bench = blind(max_attempts=6)
-    fetch, times = attempt_of(bench.request(class_name="keyed")), [bench.now_ms]
-    while not final_actions(actions := bench.end_attempt(fetch, api.AttemptStatus.OVERLOADED)):
+    driver = driver_without_fill_reports(max_attempts=6)
+    attempt = attempt_of(driver.request(class_name="keyed"))
+    times = [driver.now_ms]
+    while not final_actions(actions := driver.end_attempt(attempt, api.AttemptStatus.OVERLOADED)):
         assert not actions_of(actions, api.StartAttempt)
-        while not (sent := actions_of(actions := bench.advance(10.0), api.StartAttempt)):
+        while not (sent := actions_of(actions := driver.advance(10.0), api.StartAttempt)):
             if final_actions(actions):
                 break
         if not sent:
             break
-        fetch = sent[0]
-        times.append(bench.now_ms)
-    assert 2 <= len(times) <= 4 and times[1] - times[0] >= 40.0
+        attempt = sent[0]
+        times.append(driver.now_ms)
+    assert 2 <= len(times) <= 4
+    assert times[1] - times[0] >= 40.0
     # Answered at once when no try is left that could earn anything: late ones are worth nothing here.
-    assert bench.now_ms - times[0] < 700.0 + 50.0 and not bench.router.requests.open
+    assert driver.now_ms - times[0] < 700.0 + 50.0
+    assert not driver.router.requests.open
 
 
 @pytest.mark.parametrize("class_name", ["films", "keyed"])
 def test_refusals_teach_the_origins_gate_where_nothing_is_told(class_name: str) -> None:
-    bench = blind()
+    driver = driver_without_fill_reports()
     for key in range(4):
-        bench.end_attempt(attempt_of(bench.request(key, class_name)), api.AttemptStatus.OVERLOADED)
-        bench.advance(300.0)
-    assert bench.router.gates.origin.share < 0.5
-    fetches = [fetch for key in range(100, 200) for fetch in actions_of(bench.request(key), api.StartAttempt)]
-    assert sum(fetch.cached_only for fetch in fetches) > 40
+        driver.end_attempt(attempt_of(driver.request(key, class_name)), api.AttemptStatus.OVERLOADED)
+        driver.advance(300.0)
+    assert driver.router.gates.origin.share < 0.5
+    started = [
+        attempt for key in range(100, 200) for attempt in actions_of(driver.request(key), api.StartAttempt)
+    ]
+    assert sum(attempt.cached_only for attempt in started) > 40
 
 
 def test_slow_answers_of_what_runs_at_the_origin_tell_of_its_queue() -> None:
-    bench = blind()
-    bench.end_attempt(attempt_of(bench.request(class_name="keyed")), elapsed_ms=340.0)
-    assert bench.router.gates.origin.share == 1.0
-    bench.end_attempt(attempt_of(bench.request(class_name="keyed")), elapsed_ms=360.0)
-    assert bench.router.gates.origin.share < 1.0
+    driver = driver_without_fill_reports()
+    driver.end_attempt(attempt_of(driver.request(class_name="keyed")), elapsed_ms=340.0)
+    assert driver.router.gates.origin.share == 1.0
+    driver.end_attempt(attempt_of(driver.request(class_name="keyed")), elapsed_ms=360.0)
+    assert driver.router.gates.origin.share < 1.0
 
 
 def test_late_answers_of_what_parents_hold_are_not_the_origins_doing() -> None:
-    bench = blind()
-    bench.router.gates.origin.share = bench.router.gates.origin.recovery_per_ms = 0.0
+    driver = driver_without_fill_reports()
+    driver.router.gates.origin.share = driver.router.gates.origin.recovery_per_ms = 0.0
     for key in range(30):
-        for fetch in actions_of(bench.request(key), api.StartAttempt):
-            bench.end_attempt(fetch, elapsed_ms=4000.0, fill_result=api.FillResult.NONE)
-    assert bench.router.gates.fills.share < 0.5
+        for attempt in actions_of(driver.request(key), api.StartAttempt):
+            driver.end_attempt(attempt, elapsed_ms=4000.0, fill_result=api.FillResult.NONE)
+    assert driver.router.gates.fills.share < 0.5
--- /dev/null
+++ b/tests/policy/test_cache_choice.py
@@ -0,0 +1,134 @@
+"""Which cache and which source a request gets, and at which rank the object is kept."""
+
+from __future__ import annotations
+
+from tests.helpers import (
+    EDGES,
+    ORIGIN,
+    PARENTS,
+    RouterDriver,
+    attempt_of,
+    edge,
+    parent,
+)
+from thornjunction import interface as api
+
+FILLED = api.FillResult.FILLED
+
+
+def owners(driver: RouterDriver, keys: range) -> dict[int, str]:
+    found = {}
+    for key in keys:
+        attempt = attempt_of(driver.request(key))
+        found[key] = attempt.server
+        driver.end_attempt(attempt)
+    return found
+
+
+def test_the_same_seed_and_events_give_the_same_actions() -> None:
+    logs = []
+    for _ in range(2):
+        driver = RouterDriver()
+        for number in range(200):
+            driver.end_attempt(
+                attempt_of(driver.request(number % 17)),
+                fill_result=FILLED,
+                fill_first_byte_ms=float(number % 9),
+            )
+            driver.advance(30.0)
+        logs.append(driver.action_log)
+    assert logs[0] == logs[1]
+
+
+def test_fronts_agree_on_the_cache_whatever_the_order_of_their_lists() -> None:
+    first = RouterDriver()
+    second = RouterDriver(entries=(ORIGIN, *PARENTS, *reversed(EDGES)))
+    assert owners(first, range(200)) == owners(second, range(200))
+
+
+def test_a_cache_that_leaves_moves_its_own_objects_only() -> None:
+    driver = RouterDriver()
+    before = owners(driver, range(400))
+    driver.handle(api.EndpointListUpdate((edge("edge2", state=api.ServerState.REMOVED),), complete=False))
+    after = owners(driver, range(400))
+    assert {key for key in before if before[key] != after[key]} == {k for k in before if before[k] == "edge2"}
+    assert len(set(before.values())) == 4
+
+
+def test_heavier_caches_own_more() -> None:
+    driver = RouterDriver(entries=(edge("small", weight=4.0), edge("large", weight=12.0), ORIGIN))
+    share = sum(owner == "large" for owner in owners(driver, range(1000)).values()) / 1000
+    assert 0.7 < share < 0.8
+
+
+def test_the_source_is_the_faster_of_two_hashed_parents() -> None:
+    driver = RouterDriver()
+    for key in range(400):
+        attempt = attempt_of(driver.request(key))
+        wait = {"parent0": 90.0, "parent1": 30.0, "parent2": 10.0}[attempt.source]
+        driver.end_attempt(attempt, fill_result=FILLED, fill_first_byte_ms=wait)
+    seen: dict[str, int] = {}
+    for key in range(400, 700):
+        attempt = attempt_of(driver.request(key))
+        seen[attempt.source] = seen.get(attempt.source, 0) + 1
+        driver.end_attempt(attempt)
+    assert "parent0" not in seen  # the slowest of three is never the faster of two
+    assert seen["parent2"] > seen["parent1"] > 50
+
+
+def test_the_origin_is_the_source_without_parents() -> None:
+    assert attempt_of(RouterDriver(entries=(*EDGES, ORIGIN)).request()).source == "origin"
+
+
+def test_ranks_follow_hits_and_the_cost_of_a_fill() -> None:
+    def mean_rank(driver: RouterDriver, w: float, key: int, **more: float) -> float:
+        driver.router.ranking.cost_probability = w
+        ranks = []
+        for _ in range(30):
+            attempt = attempt_of(driver.request(key, **more))
+            ranks.append(attempt.retention_rank)
+            driver.end_attempt(attempt)
+        return sum(ranks[-15:]) / 15
+
+    driver = RouterDriver()
+    for number in range(600):  # many objects of middling rates
+        driver.end_attempt(
+            attempt_of(driver.request(number % 100)), fill_result=FILLED, fill_first_byte_ms=50.0
+        )
+    assert mean_rank(driver, 0.0, 500) == 3.0  # asked for often
+    driver.advance(100.0)
+    assert attempt_of(driver.request(501)).retention_rank == 1  # asked for once
+    assert mean_rank(driver, 1.0, 502, size_kb=10.0) > mean_rank(driver, 1.0, 503, size_kb=100_000.0)
+
+
+def test_w_leans_to_the_strained_resource_and_back() -> None:
+    driver = RouterDriver()
+
+    def second(wait: float, link: float | None = None) -> float:
+        for _ in range(20):
+            report = None if link is None else api.LoadReport(link_utilization=link)
+            attempt = attempt_of(driver.request())
+            note, took = (FILLED, wait) if attempt.source != attempt.server else (api.FillResult.HIT, 50.0)
+            driver.end_attempt(
+                attempt, fill_result=note, elapsed_ms=took, fill_first_byte_ms=took, report=report
+            )
+            driver.advance(50.0)
+        return driver.router.ranking.cost_probability
+
+    assert second(50.0) == 0.5
+    strained = second(2500.0)
+    assert strained > 0.5
+    for _ in range(80):
+        rested = second(50.0)
+    assert rested == 0.5  # back, and no further, without reports of the link
+    assert second(50.0, link=1.2) < 0.5
+
+
+def test_where_nothing_is_told_the_parent_in_the_own_hub_comes_first() -> None:
+    """Hits blur first-byte times there; a far parent costs more of the links. A slow one still loses."""
+    entries = (*EDGES, parent("near"), parent("far", zone="other"), ORIGIN)
+    driver = RouterDriver(entries=entries, fill_reporting=api.FillReporting.NONE, hub_by_zone={"here": "hub"})
+    assert {attempt_of(driver.request(key)).source for key in range(20)} == {"near"}
+    driver.router.placement.server_list.servers["near"].first_byte_ms.add(900.0)
+    driver.router.placement.server_list.servers["far"].first_byte_ms.add(100.0)
+    assert {attempt_of(driver.request(key)).source for key in range(20)} == {"far"}
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -22,11 +22,9 @@
 )
 from thornjunction.policy.placement import SERVERS_EXAMINED
 
-SMALL, BLENDED, LARGE = (
-    MAX_SCORED_SERVERS,
-    MAX_SCORED_SERVERS + TABLE_BLEND // 2,
-    MAX_SCORED_SERVERS + 2 * TABLE_BLEND,
-)
+SMALL = MAX_SCORED_SERVERS
+BLENDED = MAX_SCORED_SERVERS + TABLE_BLEND // 2
+LARGE = MAX_SCORED_SERVERS + 2 * TABLE_BLEND
 OBJECTS = [mix64(number) for number in range(2_000)]
 
 
@@ -136,62 +134,62 @@
     assert max(len(best) for best in cache._best.values()) == CANDIDATES_KEPT
 
 
-def in_trouble(count: int, able_share: float, trouble: str) -> tuple[RouterDriver, set[str]]:
+def driver_with_faults(count: int, able_share: float, trouble: str) -> tuple[RouterDriver, set[str]]:
     """A site of so many caches, all but a share of them unusable, and the names of these."""
     entries = [edge(f"edge{number}") for number in range(count)]
-    bench = RouterDriver(entries=(*entries, parent("parent0"), ORIGIN))
+    driver = RouterDriver(entries=(*entries, parent("parent0"), ORIGIN))
     able = {entry.server for entry in random.Random(1).sample(entries, max(int(count * able_share), 1))}
-    for server in bench.router.placement.server_list.servers.values():
+    for server in driver.router.placement.server_list.servers.values():
         if server.entry.role is api.Role.EDGE and server.id not in able:
             if trouble == "ejected":
-                server.outliers.eject(bench.now_ms)
+                server.outliers.eject(driver.now_ms)
             else:
-                server.slow_start_window.cold_since_ms = bench.now_ms
-                server.slow_start_window.advance(bench.now_ms, 1_000.0, bench.router.random.random)
+                server.slow_start_window.cold_since_ms = driver.now_ms
+                server.slow_start_window.advance(driver.now_ms, 1_000.0, driver.router.random.random)
                 server.slow_start_window.spent_ms = 1e9
-    return bench, able
+    return driver, able
 
 
 @pytest.mark.parametrize("trouble", ["ejected", "cold"])
 @pytest.mark.parametrize(("count", "able_share"), [(SMALL, 0.0), (SERVERS_EXAMINED, 0.0), (8 * LARGE, 0.1)])
 def test_a_request_reaches_an_able_cache_of_a_site(count: int, able_share: float, trouble: str) -> None:
-    bench, able = in_trouble(count, able_share, trouble)
-    assert {attempt_of(bench.request(key)).server for key in range(20)} <= able
+    driver, able = driver_with_faults(count, able_share, trouble)
+    assert {attempt_of(driver.request(key)).server for key in range(20)} <= able
 
 
 def test_a_request_that_may_have_run_reaches_the_one_cell_that_discards_it() -> None:
     cells = [edge(f"edge{number}", cell=number // 8) for number in range(LARGE)]
     kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
-    bench = RouterDriver(entries=(*cells, parent("parent0"), ORIGIN), classes=(kind,))
+    driver = RouterDriver(entries=(*cells, parent("parent0"), ORIGIN), classes=(kind,))
     cell_of = {entry.server: entry.cell for entry in cells}
     for key in range(20):
-        first = attempt_of(bench.request(key, "keyed", idempotency_key=f"key{key}"))
-        second = attempt_of(bench.end_attempt(first, api.AttemptStatus.ERROR))
+        first = attempt_of(driver.request(key, "keyed", idempotency_key=f"key{key}"))
+        second = attempt_of(driver.end_attempt(first, api.AttemptStatus.ERROR))
         assert cell_of[second.server] == cell_of[first.server]
 
 
 def test_a_decision_examines_so_many_caches_at_most(monkeypatch: pytest.MonkeyPatch) -> None:
-    bench, _ = in_trouble(8 * LARGE, 0.0, "cold")
+    driver, _ = driver_with_faults(8 * LARGE, 0.0, "cold")
     examined: list[str] = []
 
     def never_within(entry: api.ServerEntry, *_: object) -> bool:
         examined.append(entry.server)
         return False
 
-    monkeypatch.setattr(bench.router.placement.slow_start, "admits", never_within)
-    bench.request()
+    monkeypatch.setattr(driver.router.placement.slow_start, "admits", never_within)
+    driver.request()
     assert 0 < len(examined) <= 3 * SERVERS_EXAMINED  # a cache, a source, and whether to wait
 
 
 def test_a_list_moves_servers_between_zones_and_forgets_who_is_not_on_it() -> None:
-    bench = RouterDriver(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
-    places = bench.router.placement
-    bench.handle(api.EndpointListUpdate((edge("b", zone="there"), edge("c")), complete=False))
+    driver = RouterDriver(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
+    places = driver.router.placement
+    driver.handle(api.EndpointListUpdate((edge("b", zone="there"), edge("c")), complete=False))
     assert {zone: [server.id for server in group] for zone, group in places.server_list.caches.items()} == {
         "here": ["a", "c"],
         "there": ["b"],
     }
-    bench.handle(api.EndpointListUpdate((edge("c"), ORIGIN)))
+    driver.handle(api.EndpointListUpdate((edge("c"), ORIGIN)))
     assert list(places.server_list.caches) == ["here"]
     assert [server.id for server in places.server_list.site_caches] == ["c"]
-    assert {attempt_of(bench.request(key)).server for key in range(5)} == {"c"}
+    assert {attempt_of(driver.request(key)).server for key in range(5)} == {"c"}
--- /dev/null
+++ b/tests/policy/test_slow_start_budget.py
@@ -0,0 +1,102 @@
+"""Rule 4: servers that started lately get no more than their budget."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.helpers import (
+    EDGES,
+    ORIGIN,
+    PARENTS,
+    RouterDriver,
+    actions_of,
+    attempt_of,
+    edge,
+    parent,
+)
+from thornjunction import interface as api
+
+
+@pytest.mark.parametrize("role", ["edge", "parent"])
+def test_cold_servers_get_no_more_than_their_budget_in_any_window(role: str) -> None:
+    cold = edge("cold", started_ms=1000.0) if role == "edge" else parent("cold", started_ms=1000.0)
+    driver = RouterDriver(entries=(*EDGES[:1], *PARENTS[:1], cold, ORIGIN))
+    weight, share, warm_in, fronts = (8.0, 0.2, 15_000.0, 2) if role == "edge" else (20.0, 0.1, 20_000.0, 4)
+    sent: list[tuple[float, float]] = []
+    for number in range(3000):
+        attempt = attempt_of(driver.request(number))
+        if "cold" in (attempt.server, attempt.source):
+            sent.append((driver.now_ms, 200.0))  # 1000 KB at 5 KB a ms
+        driver.end_attempt(attempt)
+        driver.advance(5.0)
+    assert len(sent) > 20
+    for end, _ in sent:
+        asked = sum(work for at, work in sent if end - 1000.0 < at <= end)
+        present = share + (1 - share) * min((end - 1000.0) / warm_in, 1.0)
+        assert asked <= 2.0 * present * weight * 1000.0 / fronts
+
+
+@pytest.mark.parametrize("fronts", [1, 200])
+def test_all_fronts_together_keep_a_cold_servers_budget(fronts: int) -> None:
+    """What one front sends, times all that may send, stays under what the server bears in any window."""
+    cold = edge("cold", started_ms=1000.0)
+    cold_parent = parent("cold parent", started_ms=1000.0)
+    entries = (EDGES[0], PARENTS[0], cold, cold_parent, ORIGIN)
+    driver = RouterDriver(entries=entries, router_count=fronts, routers_by_zone={"here": fronts})
+    sent: dict[str, list[float]] = {"cold": [], "cold parent": []}
+    for number in range(2500):
+        attempt = attempt_of(driver.request(number, size_kb=25.0))  # 5 ms of sending time
+        for name in {attempt.server, attempt.source} & sent.keys():
+            sent[name].append(driver.now_ms)
+        driver.end_attempt(attempt)
+        driver.advance(4.0)
+    for name, weight, share, warm_in in (("cold", 8.0, 0.2, 15_000.0), ("cold parent", 20.0, 0.1, 20_000.0)):
+        assert sent[name] or fronts > 1
+        for end in sent[name]:
+            asked = fronts * 5.0 * sum(end - 1000.0 < at <= end for at in sent[name])
+            present = share + (1 - share) * (end - 1000.0) / warm_in
+            assert asked <= 2.0 * present * weight * 1000.0
+
+
+def test_without_weights_a_zone_of_cold_caches_is_still_served() -> None:
+    entries = tuple(edge(f"cold{number}", started_ms=1000.0, weight=1.0) for number in range(3))
+    driver = RouterDriver(entries=(*entries, *PARENTS, ORIGIN), servers_weighted=False)
+    served = 0
+    for number in range(1000):
+        for attempt in actions_of(driver.request(number), api.StartAttempt) + actions_of(
+            driver.advance(20.0), api.StartAttempt
+        ):
+            driver.end_attempt(attempt)
+            served += 1
+    assert served > 300
+
+
+def test_counts_of_zero_or_absent_fronts_are_taken_as_one() -> None:
+    cold = edge("cold", started_ms=1000.0)
+    for more in (
+        {"router_count": 0, "routers_by_zone": {}},
+        {"router_count": 0, "routers_by_zone": {"here": 0}},
+    ):
+        assert attempt_of(RouterDriver(entries=(cold, ORIGIN), **more).request(size_kb=25.0)).server == "cold"
+
+
+def unweighted_rate(away: int, repeats: int) -> float:
+    """The budget of a cold cache while others of its zone are away and clients ask again."""
+    driver = RouterDriver(servers_weighted=False)
+    for second in range(12):
+        for number in range(5 * (repeats if second > 5 else 1)):
+            for attempt in actions_of(driver.request(number), api.StartAttempt):
+                driver.end_attempt(attempt)
+        driver.router.gates.fills.share = 0.5 if second > 4 and repeats > 1 else 1.0
+        driver.advance(1000.0)
+    cold = edge("edge3", started_ms=driver.now_ms)
+    driver.handle(api.EndpointListUpdate((*EDGES[away:3], cold, *PARENTS, ORIGIN)))
+    server = driver.router.placement.server_list.servers["edge3"]
+    return driver.router.placement.slow_start.rate(server.entry, server.slow_start_window, driver.now_ms)
+
+
+def test_a_cold_caches_budget_does_not_swell_with_what_is_lost_around_it() -> None:
+    """Without weights the load tells what a warm cache bears: not that of those away, nor repeats."""
+    usual = unweighted_rate(away=0, repeats=1)
+    assert unweighted_rate(away=3, repeats=1) == pytest.approx(usual)
+    assert unweighted_rate(away=0, repeats=4) <= usual * 1.01
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -26,7 +26,7 @@
 REQUESTS = 1_200
 
 
-def site(count: int, routers: int, **more: object) -> RouterDriver:
+def driver_of_site(count: int, routers: int, **more: object) -> RouterDriver:
     """A router of a site of so many caches and routers."""
     entries = [edge(f"edge{number}") for number in range(count)]
     return RouterDriver(
@@ -34,37 +34,46 @@
     )
 
 
-def own_caches(bench: RouterDriver) -> list[Upstream]:
+def own_caches(driver: RouterDriver) -> list[Upstream]:
     """The caches of the router's own block."""
-    placement = bench.router.placement
+    placement = driver.router.placement
     whole = list(placement._ranked_caches(1))
     return whole[: len(whole) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
 
 
-def asked(bench: RouterDriver, count: int = REQUESTS) -> list[str]:
-    return [attempt_of(bench.request(key)).server for key in range(count)]
+def requested_servers(driver: RouterDriver, count: int = REQUESTS) -> list[str]:
+    return [attempt_of(driver.request(key)).server for key in range(count)]
 
 
 @pytest.mark.parametrize(
     ("caches", "routers", "blocks", "most_asked"),
-    [(60, 67, 1, 60), (200, 200, 1, 200), (50, 4, 1, 50), (400, 67, 8, 90), (960, 67, 8, 190)]
-    + [(2_880, 200, 16, 490), (960, 16, 8, 190), (960, 15, 4, 300), (960, 3, 1, 960)],
+    [
+        (60, 67, 1, 60),
+        (200, 200, 1, 200),
+        (50, 4, 1, 50),
+        (400, 67, 8, 90),
+        (960, 67, 8, 190),
+        (2880, 200, 16, 490),
+        (960, 16, 8, 190),
+        (960, 15, 4, 300),
+        (960, 3, 1, 960),
+    ],
 )
 def test_a_router_asks_a_bounded_number_of_caches(
     caches: int, routers: int, blocks: int, most_asked: int
 ) -> None:
     """At most 2.5 times a sixteenth of the caches, plus 40, where the site has routers for its blocks."""
-    bench = site(caches, routers)
-    assert bench.router.placement.server_list.site_caches.block_count == blocks
-    assert len(set(asked(bench))) <= most_asked
+    driver = driver_of_site(caches, routers)
+    assert driver.router.placement.server_list.site_caches.block_count == blocks
+    assert len(set(requested_servers(driver))) <= most_asked
 
 
 def test_a_cache_that_leaves_a_divided_site_moves_its_own_objects_only() -> None:
-    bench = site(960, 67)
-    before = asked(bench)
+    driver = driver_of_site(960, 67)
+    before = requested_servers(driver)
     left = before[0]
-    bench.handle(api.EndpointListUpdate((edge(left, state=api.ServerState.REMOVED),), complete=False))
-    after = asked(bench)
+    driver.handle(api.EndpointListUpdate((edge(left, state=api.ServerState.REMOVED),), complete=False))
+    after = requested_servers(driver)
     assert left not in after
     assert all(old == new for old, new in zip(before, after, strict=True) if old != left)
 
@@ -75,25 +84,25 @@
     for servers in sizes:
         counts.append(block_count(servers, 400, counts[-1]))
     assert counts[1:] == [1, 4, 4, 4, 1, 1, 8, 8, 16, 16, 1]
-    bench = site(401, 67)
+    driver = driver_of_site(401, 67)
     for count in (200, 160, 401):
-        bench.handle(api.EndpointListUpdate((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
+        driver.handle(api.EndpointListUpdate((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
         assert (
-            len(list(bench.router.placement._ranked_caches(1)))
-            == len(bench.router.placement.server_list.site_caches)
+            len(list(driver.router.placement._ranked_caches(1)))
+            == len(driver.router.placement.server_list.site_caches)
             == count
         )
 
 
 def test_an_undivided_site_ignores_who_asks() -> None:
-    first, second = (site(MAX_UNDIVIDED, 200) for _ in range(2))
+    first, second = (driver_of_site(MAX_UNDIVIDED, 200) for _ in range(2))
     second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
     second.handle(
         api.EndpointListUpdate(
             tuple(server.entry for server in first.router.placement.server_list.servers.values())
         )
     )
-    assert asked(first, 300) == asked(second, 300)
+    assert requested_servers(first, 300) == requested_servers(second, 300)
 
 
 @pytest.mark.parametrize(("routers", "blocks"), [(20, 8), (67, 8), (200, 16)])
@@ -109,8 +118,8 @@
 def test_a_name_outlasts_the_seed_and_every_cache_of_a_site_is_some_routers() -> None:
     assert router_hash("n3", 1) == router_hash("n3", 2) != router_hash("n4", 1)
     assert router_hash("", 1) != router_hash("", 2)
-    bench = site(960, 67)
-    caches = bench.router.placement.server_list.site_caches
+    driver = driver_of_site(960, 67)
+    caches = driver.router.placement.server_list.site_caches
     blocks = [caches._blocks_for(router_hash(f"n{number}", 0)) for number in range(67)]
     assert {server.id for order in blocks for server in order[0]} == {
         f"edge{number}" for number in range(960)
@@ -121,22 +130,22 @@
 
 @pytest.mark.parametrize("trouble", ["shut", "ejected", "unreachable", "cold"])
 def test_a_request_goes_to_the_next_block_before_it_is_rejected(trouble: str) -> None:
-    bench = site(960, 67)
-    own = own_caches(bench)
+    driver = driver_of_site(960, 67)
+    own = own_caches(driver)
     for server in own:
         if trouble == "shut":
             server.gate.share = 0.0
-            server.gate.updated_at_ms = bench.now_ms
+            server.gate.updated_at_ms = driver.now_ms
         elif trouble == "cold":
-            server.slow_start_window.cold_since_ms = bench.now_ms
-            server.slow_start_window.advance(bench.now_ms, 1_000.0, bench.router.random.random)
+            server.slow_start_window.cold_since_ms = driver.now_ms
+            server.slow_start_window.advance(driver.now_ms, 1_000.0, driver.router.random.random)
             server.slow_start_window.spent_ms = 1e9
         else:
-            server.outliers.eject(bench.now_ms)
+            server.outliers.eject(driver.now_ms)
             server.is_unreachable = trouble == "unreachable"
-    actions = [action for key in range(100) for action in bench.request(key)]
+    actions = [action for key in range(100) for action in driver.request(key)]
     assert not final_actions(actions)
-    assert {fetch.server for fetch in actions_of(actions, api.StartAttempt)}.isdisjoint(
+    assert {attempt.server for attempt in actions_of(actions, api.StartAttempt)}.isdisjoint(
         {server.id for server in own}
     )
 
@@ -144,29 +153,31 @@
 def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_whatever_block() -> None:
     cells = [edge(f"edge{number}", cell=number // 2) for number in range(960)]
     kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
-    bench = RouterDriver(entries=(*cells, ORIGIN), classes=(kind,), routers_by_zone={"here": 67})
-    own = {server.id for server in own_caches(bench)}
+    driver = RouterDriver(entries=(*cells, ORIGIN), classes=(kind,), routers_by_zone={"here": 67})
+    own = {server.id for server in own_caches(driver)}
     others = []
     for key in range(20):
-        first = attempt_of(bench.request(key, "keyed", idempotency_key=f"key{key}"))
+        first = attempt_of(driver.request(key, "keyed", idempotency_key=f"key{key}"))
         entry = next(entry for entry in cells if entry.server == first.server)
         others.append(f"edge{int(first.server[4:]) ^ 1}")
-        bench.handle(api.EndpointListUpdate((replace(entry, state=api.ServerState.REMOVED),), complete=False))
-        assert attempt_of(bench.end_attempt(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
-        bench.handle(api.EndpointListUpdate((entry,), complete=False))
+        driver.handle(
+            api.EndpointListUpdate((replace(entry, state=api.ServerState.REMOVED),), complete=False)
+        )
+        assert attempt_of(driver.end_attempt(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
+        driver.handle(api.EndpointListUpdate((entry,), complete=False))
     assert len(set(others) - own) > 10
 
 
 def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
-    bench = site(960, 67, peer_fill=api.PeerFill.LOCATION)
-    own = {server.id for server in own_caches(bench)}
-    placement = bench.router.placement
+    driver = driver_of_site(960, 67, peer_fill=api.PeerFill.LOCATION)
+    own = {server.id for server in own_caches(driver)}
+    placement = driver.router.placement
     for key in range(50):
-        bench.request(key)
-        request = bench.router.requests.open[str(bench.request_count)]
-        first = placement.choose_cache(request, bench.now_ms)
+        driver.request(key)
+        request = driver.router.requests.open[str(driver.request_count)]
+        first = placement.choose_cache(request, driver.now_ms)
         assert first is not None
-        peer = placement.choose_peer(request, first, bench.now_ms)
+        peer = placement.choose_peer(request, first, driver.now_ms)
         assert peer is not None
         assert {first.id, peer.id} <= own
         assert first is not peer
--- a/tests/program/errno_launcher.py
+++ b/tests/program/errno_launcher.py
@@ -2,7 +2,8 @@
 
 ``SOCKET_FAULTS`` holds a JSON list of faults: ``call`` (a method of ``socket.socket``), ``errno`` (its name),
 ``every`` (of the calls, which one fails: 2 is every second; absent: each) and ``flag`` (a file: calls fail
-only while it exists)."""
+only while it exists).
+"""
 
 from __future__ import annotations
 
@@ -17,8 +18,11 @@
 
 def install(fault: dict[str, Any]) -> None:
     """Wrap one method of ``socket.socket``; two faults of one method are applied in turn."""
-    call, number = getattr(socket.socket, fault["call"]), getattr(errno, fault["errno"])
-    every, flag, turns = fault.get("every", 1), fault.get("flag", ""), itertools.count(1)
+    call = getattr(socket.socket, fault["call"])
+    number = getattr(errno, fault["errno"])
+    every = fault.get("every", 1)
+    flag = fault.get("flag", "")
+    turns = itertools.count(1)
 
     def failing(self: socket.socket, *given: Any) -> Any:
         if (flag and not os.path.exists(flag)) or next(turns) % every:
--- a/tests/program/test_clock_steps.py
+++ b/tests/program/test_clock_steps.py
@@ -2,7 +2,8 @@
 
 The programs' interpreter imports a ``sitecustomize`` that replaces ``time.time`` before anything of theirs;
 what the clock is off by lies in a file, so one step is seen by all of a test's processes at once.  Discovery,
-caches and clients keep the true time."""
+caches and clients keep the true time.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +51,9 @@
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # seconds
 SLACK_S = 0.15  # of every answer, and of whatever else is due
-COLD_S, HOLD_S = 0.6, 0.6  # of a cold cache, of a purge
+# of a cold cache, of a purge
+COLD_S = 0.6
+HOLD_S = 0.6
 PROBE_S = 0.2  # between a member's probes
 TIMINGS = {"probe_every_ms": PROBE_S * 1000, "probe_timeout_ms": 80, "rejoin_ms": 1000}
 HELD_S = 0.4  # of a poll
@@ -72,7 +75,8 @@
     """The machine's wall clock, as the programs of one test see it."""
 
     def __init__(self, folder: Path) -> None:
-        self.path, self.off_s = folder / "clock", 0.0
+        self.path = folder / "clock"
+        self.off_s = 0.0
         self.path.write_text("0")
         (folder / "sitecustomize.py").write_text(SITE.format(path=str(self.path)))
 
@@ -117,7 +121,8 @@
 
 @pytest.mark.parametrize(("off_s", "later_off_s", "ago_s", "age_s"), TOLD)
 def test_the_time_of_what_is_told(off_s: float, later_off_s: float, ago_s: float, age_s: float) -> None:
-    true_s, off = 1.8e9, [off_s]
+    true_s = 1.8e9
+    off = [off_s]
     unix = UnixClock(lambda: true_s * 1000.0 - 1e12, lambda: true_s + off[0])
     off[0] = later_off_s
     for _ in range(2):
@@ -128,9 +133,12 @@
 @pytest.mark.parametrize("what", ["purge", "start"])
 def test_a_clock_that_was_wrong_at_the_start(what: str) -> None:
     """An hour ahead, it would make each purge over and each cold cache warm for good."""
-    true_s, off_s, fed = time.time, [3600.0], list[Any]()
+    true_s = time.time
+    off_s = [3600.0]
+    fed = list[Any]()
     with patch("time.time", lambda: true_s() + off_s[0]):
-        service, off_s[0] = service_of(), 0.0
+        service = service_of()
+        off_s[0] = 0.0
     settings = replace(service.config.settings, purge_propagation_ms=6000.0)
     service.config = replace(service.config, settings=settings)
     host = edge_entry("c1", born_ms=true_s() * 1000.0)
@@ -148,7 +156,8 @@
 
     def __init__(self, name: str, kind: str = "box") -> None:
         super().__init__(name, kind)
-        self.hangs, self.asked = False, list[str]()
+        self.hangs = False
+        self.asked = list[str]()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         arrays = ArrayReader()
@@ -176,8 +185,11 @@
     """A router at discovery, an edge and the origin, whose clock is stepped by so much at a time."""
 
     def __init__(self, rig: Environment, clock: Clock, step_s: float) -> None:
-        self.rig, self.clock, self.step_s = rig, clock, step_s
-        self.edge, self.origin = Cache("edge"), Cache("origin", "root")
+        self.rig = rig
+        self.clock = clock
+        self.step_s = step_s
+        self.edge = Cache("edge")
+        self.origin = Cache("origin", "root")
         self.router = rig.add_router("router")
 
     async def start(self, channel: str) -> None:
@@ -206,7 +218,8 @@
     async def hung_request(self, ttl_s: float) -> Callable[[], Awaitable[None]]:
         """A request that has come to a cache that hangs.  What is returned waits for its answer."""
         self.edge.hangs = self.origin.hangs = True
-        before, since = len(self.edge.asked), time.monotonic()
+        before = len(self.edge.asked)
+        since = time.monotonic()
         answer = asyncio.create_task(self.router.request(ttl_ms=int(ttl_s * 1000)))
         await self.rig.wait_until(lambda: len(self.edge.asked) > before, "the edge is asked")
 
@@ -259,7 +272,9 @@
 
 async def in_a_cold_window(world: World) -> None:
     """A cache that has just started gets little, and all once it is warm."""
-    born_s, fresh, ttl_ms = time.time(), Cache("fresh"), int(COLD_TTL_S * 1000)
+    born_s = time.time()
+    fresh = Cache("fresh")
+    ttl_ms = int(COLD_TTL_S * 1000)
     world.rig.cache_servers.append(fresh)
     await fresh.start()
     world.step()
@@ -303,7 +318,8 @@
 
 
 async def in_a_backoff_of_the_dial(world: World) -> None:
-    discovery, failed = world.rig.discovery, "dial-failed"
+    discovery = world.rig.discovery
+    failed = "dial-failed"
     await discovery.stop()
     await world.rig.wait_until(lambda: failed in world.router.log_text(), "a dial fails")
     world.step()
@@ -385,7 +401,9 @@
             assert old.wait(2 * CHECK_INTERVAL_MS / 1000.0 + SLACK_S) == 0
             with connect_when_listening(bound_address(shared)) as another:
                 assert check(another) == b"Status: 200\r\n\r\n"
-            assert new.poll() is None and clock.is_seen_by(old) and clock.is_seen_by(new)
+            assert new.poll() is None
+            assert clock.is_seen_by(old)
+            assert clock.is_seen_by(new)
         finally:
             for program in programs:
                 program.process.kill()
@@ -411,7 +429,8 @@
     """Purges that are issued after a step are passed on, also of the same object again; polls go on."""
 
     async def scene(rig: Environment) -> None:
-        relay, discovery = rig.add_relay("relay"), rig.discovery
+        relay = rig.add_relay("relay")
+        discovery = rig.discovery
         relay.configure([discovery.address])
         await discovery.publish_hosts([Cache("edge").host_entry()], complete=True)
         relay.start()
@@ -424,7 +443,8 @@
             await rig.wait_until(told, f"purge {count}", 10.0 if count == 1 else SLACK_S)
             clock.step(step_s)
         polling.cancel()
-        before, polls = time.monotonic(), discovery.poll_count
+        before = time.monotonic()
+        polls = discovery.poll_count
         await held_poll(relay, f"resume={poller.cursor}&epoch={poller.epoch}", clock, step_s)
         left_s = before + POLL_MS / 1000.0 + SLACK_S - time.monotonic()
         await rig.wait_until(lambda: discovery.poll_count > polls, "a poll", left_s)
@@ -469,6 +489,7 @@
         assert not [member.log_text() for member in (first, second) if '"suspect"' in member.log_text()]
         second.kill()
         await rig.wait_until(partial(sees, first, second, "suspect"), "a suspects b", 2 * PROBE_S + SLACK_S)
-        assert clock.is_seen_by(first) and clock.is_seen_by(second)
+        assert clock.is_seen_by(first)
+        assert clock.is_seen_by(second)
 
     play(tmp_path, scene)
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -1,5 +1,6 @@
 """Socket calls that fail for this machine's own reasons, or for those of the way there, in the real program:
-``tests/program/errno_launcher.py`` makes them fail, and a server closes its connection after each answer."""
+``tests/program/errno_launcher.py`` makes them fail, and a server closes its connection after each answer.
+"""
 
 from __future__ import annotations
 
@@ -58,7 +59,8 @@
                 return
             with connection:
                 connection.settimeout(20.0)
-                reader, wants = ArrayReader(), []
+                reader = ArrayReader()
+                wants = []
                 while not wants and (data := connection.recv(65_536)):
                     wants = [items for items in reader.feed(data) if items[0] == b"want"]
                 for want in wants:
@@ -145,15 +147,18 @@
 
 def test_datagrams_that_cannot_be_sent_are_lost_and_nothing_else() -> None:
     """Raised out of a deadline, the error would end the figures, and the deadlines that are due with it."""
-    deadlines, window = Deadlines(), ReplayWindow()
+    deadlines = Deadlines()
+    window = ReplayWindow()
     gossip = ReplayGossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
     gossip.tell(ReplayEntry(b"k" * 16, 99.0))
     metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
-    metrics._collectd, metrics._udp = ("127.0.0.1", 9), SocketWithoutWay()
+    metrics._collectd = ("127.0.0.1", 9)
+    metrics._udp = SocketWithoutWay()
     metrics.start()
     deadlines.run_due(10_000.0)
-    assert gossip.counts["unsent"] == 1 and deadlines.next_due() == 10_000.0
+    assert gossip.counts["unsent"] == 1
+    assert deadlines.next_due() == 10_000.0
 
 
 class DialTest(TestCase):
@@ -161,7 +166,8 @@
 
     def test_who_is_blamed_for_dials_that_go_on_failing(self) -> None:
         """No way there is a dial that never came up, once its time is over; our own lack is nobody's."""
-        rig, told = make_loopback_environment(), list[api.AttemptStatus]()
+        rig = make_loopback_environment()
+        told = list[api.AttemptStatus]()
         self.addCleanup(rig.stop)
         pool = rig.pool
         pool.ends = SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status))
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -80,7 +80,8 @@
 
     @inlineCallbacks
     def test_a_broken_connection_may_have_run_and_a_refused_one_did_not(self) -> Any:
-        self.rig.script, wanted = [None], self.rig.next_request()
+        self.rig.script = [None]
+        wanted = self.rig.next_request()
         self.send(1, "a")
         yield wanted
         yield self.rig.ports[0].stopListening()
@@ -95,12 +96,14 @@
 
     @inlineCallbacks
     def test_a_late_answer_is_not_taken_for_the_next_attempt_of_its_name(self) -> Any:
-        self.rig.script, wanted = [None], self.rig.next_request()
+        self.rig.script = [None]
+        wanted = self.rig.next_request()
         self.send(1, "same")
         yield wanted
         self.rig.pool.cancel(1)
         late, ident = self.rig.received_requests[0]
-        self.rig.script, wanted = [None], self.rig.next_request()
+        self.rig.script = [None]
+        wanted = self.rig.next_request()
         self.send(2, "same")
         late.send_answer(ident, b"DONE", b"late")
         yield wanted
@@ -112,7 +115,8 @@
 
     @inlineCallbacks
     def test_garbage_from_a_shelf_ends_its_connection(self) -> Any:
-        self.rig.script, wanted = [None], self.rig.next_request()
+        self.rig.script = [None]
+        wanted = self.rig.next_request()
         self.send(1, "a")
         yield wanted
         self.rig.server_connections[0].transport.write(b"*9999\r\n")
@@ -180,7 +184,10 @@
 
     @inlineCallbacks
     def test_figures_arrive_at_both(self) -> Any:
-        rig, lines, packets, counters = make_loopback_environment(), Deferred(), Deferred(), Counters()
+        rig = make_loopback_environment()
+        lines = Deferred()
+        packets = Deferred()
+        counters = Counters()
         self.addCleanup(rig.stop)
         counters.attempt_ended(api.AttemptStatus.SUCCEEDED, 12.5)
 
@@ -222,7 +229,8 @@
     ):
         free.bind(("127.0.0.1", 0))
         second.bind(("127.0.0.1", 0))
-        listen, door = bound_address(free), bound_address(second)
+        listen = bound_address(free)
+        door = bound_address(second)
         free.close()
         second.close()
         config = CONFIG | {
@@ -241,14 +249,18 @@
             assert told.recv(25) == b"GET /cmd/next?resume=3&bl"
             client = connect_when_listening(listen)
             client.sendall(asked(1, {"SCRIPT_NAME": "/check"}, b""))
-            records, reader = [], fastcgi.RecordReader()
+            records = []
+            reader = fastcgi.RecordReader()
             while not records or records[-1].kind != fastcgi.RecordType.END:
                 records += reader.feed(client.recv(4096))
             assert records[0].content == b"Status: 200\r\n\r\n"
-            assert call_admin(door, "check") == "ACK\n" and call_admin(door, "drain-on") == "ACK\n"
-            assert call_admin(door, "check") == "NAK\n" and call_admin(door, "drain-off") == "ACK\n"
+            assert call_admin(door, "check") == "ACK\n"
+            assert call_admin(door, "drain-on") == "ACK\n"
+            assert call_admin(door, "check") == "NAK\n"
+            assert call_admin(door, "drain-off") == "ACK\n"
             assert "router.cfg_invalid=0\n" in call_admin(door, "vars")
-            assert call_admin(door, "fleet").startswith("NAK") and not udp_sockets(program.pid)
+            assert call_admin(door, "fleet").startswith("NAK")
+            assert not udp_sockets(program.pid)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
@@ -262,7 +274,8 @@
             assert moved.accept()[0].recv(25) == b"GET /cmd/next?resume=3&bl"
             told.close()
             program.send_signal(signal.SIGTERM)
-            assert client.recv(1) == b"" and program.wait(20) == 0
+            assert client.recv(1) == b""
+            assert program.wait(20) == 0
             client.close()
         finally:
             program.kill()
@@ -279,9 +292,11 @@
 def test_a_faulty_configuration_is_named_and_ends_with_two(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{}")
-    command, env = [sys.executable, "-m", "thornjunction"], os.environ | {"PROXY_CONFIG": str(path)}
+    command = [sys.executable, "-m", "thornjunction"]
+    env = os.environ | {"PROXY_CONFIG": str(path)}
     ended = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.returncode == 2 and "'limits' is missing" in ended.stderr
+    assert ended.returncode == 2
+    assert "'limits' is missing" in ended.stderr
 
 
 def test_a_router_without_extras_pays_for_none_of_their_libraries() -> None:
--- a/tests/repository/test_policy_files.py
+++ b/tests/repository/test_policy_files.py
@@ -20,7 +20,8 @@
         for node in ast.walk(ast.parse(text))
         if isinstance(node, ast.FunctionDef) and node.end_lineno is not None
     ]
-    assert functions and max(functions) <= (40, "~", "~")  # lines, with the signature and the docstring
+    assert functions
+    assert max(functions) <= (40, "~", "~")
 
 
 def test_every_file_of_the_decisions_is_named() -> None:
--- a/tests/runtime/test_control_settings.py
+++ b/tests/runtime/test_control_settings.py
@@ -39,11 +39,13 @@
         "admin_addr": "127.0.0.1:9",
     }
     told = load_relay(written(tmp_path, more), {})
-    assert told is not None and (told.listen, told.upstreams) == (("127.0.0.1", 8600), (("127.0.0.1", 8700),))
+    assert told is not None
+    assert (told.listen, told.upstreams) == (("127.0.0.1", 8600), (("127.0.0.1", 8700),))
     assert (told.siblings, told.routers, told.name) == ((("127.0.0.1", 8601),), ("r1", "r2"), "relay-1")
     assert (told.batch_window_ms, told.purge_retention_ms, told.admin) == (0.0, 10_000.0, ("127.0.0.1", 9))
     told = load_relay(written(tmp_path, {}), {"PROXY_ADMIN_ADDR": "127.0.0.1:7"})
-    assert told is not None and (told.batch_window_ms, told.admin) == (150.0, ("127.0.0.1", 7))
+    assert told is not None
+    assert (told.batch_window_ms, told.admin) == (150.0, ("127.0.0.1", 7))
 
 
 def test_a_file_without_the_section_is_no_relay(tmp_path: Path) -> None:
@@ -55,7 +57,8 @@
 def test_private_addresses_only_where_the_operators_say_so(tmp_path: Path) -> None:
     more = {"listen": "10.0.0.4:8600", "private": True, "upstreams": ["10.0.0.1:8700"]}
     told = load_relay(written(tmp_path, more), {})
-    assert told is not None and told.upstreams == (("10.0.0.1", 8700),)
+    assert told is not None
+    assert told.upstreams == (("10.0.0.1", 8700),)
     with pytest.raises(ConfigError, match="relay.listen"):
         load_relay(written(tmp_path, more | {"private": False}), {})
 
@@ -105,16 +108,20 @@
     ended = subprocess.run(
         command, env=dict(os.environ), cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert ended.returncode == 2 and "relay.hold_ms" in ended.stderr and "extras.toml" in ended.stderr
+    assert ended.returncode == 2
+    assert "relay.hold_ms" in ended.stderr
+    assert "extras.toml" in ended.stderr
 
 
 def test_a_relay_is_checked_without_starting(tmp_path: Path) -> None:
     """It has no configuration of the platform; a router does."""
-    path, runner = written(tmp_path, {}), CliRunner()
+    path = written(tmp_path, {})
+    runner = CliRunner()
     checked = runner.invoke(main, ["check", "--extras", str(path)])
     assert (checked.exit_code, checked.output) == (0, "relay-1: a relay of 1 upstreams; ok\n")
     checked = runner.invoke(main, ["check", "--extras", str(written(tmp_path, {"listen": "x"}))])
-    assert checked.exit_code == 2 and "relay.listen" in checked.output
+    assert checked.exit_code == 2
+    assert "relay.listen" in checked.output
     path.write_text("")
     assert runner.invoke(main, ["check", "--extras", str(path)]).exit_code == 2
 
@@ -123,7 +130,8 @@
     path = tmp_path / "extras.toml"
     path.write_text("[control]\nsources = ['127.0.0.1:1', '127.0.0.1:2']\n")
     told = load_extras(path).control
-    assert told is not None and len(told.sources) == 2
+    assert told is not None
+    assert len(told.sources) == 2
     path.write_text("[control]\nsources = ['127.0.0.1:1', '8.8.8.8:2']\n")
     with pytest.raises(ConfigError, match="control.sources"):
         load_extras(path)
--- a/tests/runtime/test_durable.py
+++ b/tests/runtime/test_durable.py
@@ -14,7 +14,8 @@
 from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.incarnation import INCARNATION_STEP
 
-OLD, NEW = b"old" * 1000, b"new" * 1000
+OLD = b"old" * 1000
+NEW = b"new" * 1000
 STEPS = [("open", 0), ("write", 0), ("write", 1), ("fsync", 0), ("replace", 0), ("open", 1), ("fsync", 1)]
 LAST = STEPS[5:]  # behind the rename
 
@@ -28,7 +29,8 @@
 
 def failing(name: str, at: int, fault: BaseException) -> Any:
     """The call of ``os`` in its so-manieth use; each write before it is short."""
-    real, used = getattr(os, name), [0]
+    real = getattr(os, name)
+    used = [0]
 
     def call(*args: Any, **more: Any) -> Any:
         used[0] += 1
@@ -56,7 +58,8 @@
 
 
 def test_short_writes_are_gone_on_with_and_the_order_is_durable(tmp_path: Path) -> None:
-    done, real = list[str](), os.write
+    done = list[str]()
+    real = os.write
     with (
         patch.object(os, "write", lambda file, data: real(file, data[:7])),
         patch.object(
@@ -67,7 +70,8 @@
         patch.object(os, "replace", lambda old, new: (done.append("rename"), os.rename(old, new))),
     ):
         replace_file(tmp_path / "file", OLD)
-    assert (tmp_path / "file").read_bytes() == OLD and done == ["file", "rename", "folder"]
+    assert (tmp_path / "file").read_bytes() == OLD
+    assert done == ["file", "rename", "folder"]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=["full", "broken", "killed"])
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -50,9 +50,11 @@
 
 def test_a_whole_section_is_taken(tmp_path: Path) -> None:
     told = load_extras(written(tmp_path, timings={"probe_every_ms": 200.5, "indirect": 2})).fleet
-    assert told is not None and told.advertise == told.listen == ("127.0.0.1", 8500)
+    assert told is not None
+    assert told.advertise == told.listen == ("127.0.0.1", 8500)
     assert (told.fleet, told.name, told.data) == ("north", "", tmp_path / "data")
-    assert told.timings == {"probe_every_ms": 200.5, "indirect": 2} and told.voters == ("r1", "r2", "r3")
+    assert told.timings == {"probe_every_ms": 200.5, "indirect": 2}
+    assert told.voters == ("r1", "r2", "r3")
     assert "sss" not in repr(told)
 
 
@@ -83,7 +85,8 @@
 def test_private_addresses_only_where_the_operators_say_so(tmp_path: Path) -> None:
     path = written(tmp_path, listen="10.0.0.4:8500", private=True, advertise="10.0.0.5:8501")
     told = load_extras(path).fleet
-    assert told is not None and (told.listen, told.advertise) == (("10.0.0.4", 8500), ("10.0.0.5", 8501))
+    assert told is not None
+    assert (told.listen, told.advertise) == (("10.0.0.4", 8500), ("10.0.0.5", 8501))
 
 
 def life(folder: Path, now: float = 5e6, fleet: str = "north", name: str = "r1") -> int:
@@ -133,7 +136,10 @@
     """Hands out one UDP port, which is taken at first."""
 
     def __init__(self, refusals: int = 0) -> None:
-        self.refusals, self.asked, self.sent, self.closed = refusals, 0, list[tuple[bytes, Any]](), False
+        self.refusals = refusals
+        self.asked = 0
+        self.sent = list[tuple[bytes, Any]]()
+        self.closed = False
 
     def listenUDP(self, port: int, protocol: Any, **_: Any) -> Reactor:  # noqa: N802
         self.asked += 1
@@ -156,7 +162,9 @@
     """A router's membership on a fake reactor, and its log."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch, refusals: int = 0, **more: Any) -> None:
-        self.log, self.reactor, self.deadlines = Mock(), Reactor(refusals), Deadlines()
+        self.log = Mock()
+        self.reactor = Reactor(refusals)
+        self.deadlines = Deadlines()
         monkeypatch.setattr(fleet, "log", self.log)
         told = load_extras(written(folder, **more)).fleet
         assert told is not None
@@ -175,7 +183,8 @@
     number = member.fleet.membership.view(core_ms()).members["r1"].incarnation
     assert lines == ["ACK", f"member r1 alive {number}", "mode rejoining", "majority 0", "--"]
     member.fleet.leave()
-    assert member.reactor.closed and member.noted("member")[-1]["state"] == "left"
+    assert member.reactor.closed
+    assert member.noted("member")[-1]["state"] == "left"
 
 
 def test_a_port_that_another_process_still_holds_is_waited_for(
@@ -185,11 +194,13 @@
     for _ in range(2):
         assert not member.reactor.sent
         member.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
-    assert member.reactor.sent and len(member.noted("fleet-listening")) == 1
+    assert member.reactor.sent
+    assert len(member.noted("fleet-listening")) == 1
     gone = Member(tmp_path, monkeypatch, refusals=9)
     gone.fleet.leave()
     gone.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
-    assert gone.reactor.asked == 1 and gone.fleet.port.counters == EndpointCounters()
+    assert gone.reactor.asked == 1
+    assert gone.fleet.port.counters == EndpointCounters()
 
 
 def test_what_is_refused_is_logged_sparsely(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -27,7 +27,8 @@
     first.announce()
     assert not first.has_successor()
     second.announce()
-    assert first.has_successor() and not second.has_successor()
+    assert first.has_successor()
+    assert not second.has_successor()
     assert [path.name for path in tmp_path.iterdir()] == ["thornjunction-n1.serving"]
 
 
@@ -37,12 +38,16 @@
     first.announce()
     with patch("os.replace", side_effect=OSError(errno.ENOSPC, "full")):
         second.announce()
-    assert not first.has_successor() and not second.has_successor()
+    assert not first.has_successor()
+    assert not second.has_successor()
     assert [path.name for path in tmp_path.iterdir()] == ["thornjunction-n1.serving"]
     (tmp_path / "thornjunction-n1.serving").write_text(third.token[:3])
-    assert not first.has_successor() and not second.has_successor()
+    assert not first.has_successor()
+    assert not second.has_successor()
     third.announce()
-    assert first.has_successor() and second.has_successor() and not third.has_successor()
+    assert first.has_successor()
+    assert second.has_successor()
+    assert not third.has_successor()
 
 
 def test_without_a_folder_that_both_see_nobody_is_succeeded(tmp_path: Path) -> None:
@@ -55,7 +60,8 @@
 def check(client: socket.socket) -> bytes:
     """What /check says on this connection."""
     client.sendall(asked(1, {"SCRIPT_NAME": "/check"}, b""))
-    records, reader = [], fastcgi.RecordReader()
+    records = []
+    reader = fastcgi.RecordReader()
     while not records or records[-1].kind != fastcgi.RecordType.END:
         records += reader.feed(client.recv(4096))
     return records[0].content
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -16,12 +16,12 @@
 
 
 def test_an_open_request_keeps_its_attempts_and_the_next_has_the_new_ones() -> None:
-    bench = RouterDriver(max_attempts=3)
-    before = attempt_of(bench.request())
-    bench.handle(replace(SETTINGS, max_attempts=1))
-    after = attempt_of(bench.request(key=2))
-    assert actions_of(bench.end_attempt(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
-    assert final_actions(bench.end_attempt(after, api.AttemptStatus.NOT_STARTED))
+    driver = RouterDriver(max_attempts=3)
+    before = attempt_of(driver.request())
+    driver.handle(replace(SETTINGS, max_attempts=1))
+    after = attempt_of(driver.request(key=2))
+    assert actions_of(driver.end_attempt(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
+    assert final_actions(driver.end_attempt(after, api.AttemptStatus.NOT_STARTED))
 
 
 def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
@@ -39,25 +39,27 @@
 
 
 def test_classes_come_and_go_and_may_change_their_effect() -> None:
-    bench = RouterDriver(classes=(FILMS, KEYED))
-    assert final_actions(bench.request(class_name="order"))
-    film = attempt_of(bench.request())
-    bench.handle(
+    driver = RouterDriver(classes=(FILMS, KEYED))
+    assert final_actions(driver.request(class_name="order"))
+    film = attempt_of(driver.request())
+    driver.handle(
         replace(
             SETTINGS,
             classes=(replace(KEYED, idempotency=api.Idempotency.NON_IDEMPOTENT, name="keyed"), ORDER),
         )
     )
-    assert final_actions(bench.request()) and attempt_of(bench.request(class_name="order"))
-    unsafe = attempt_of(bench.request(class_name="keyed", idempotency_key="k"))
-    assert final_actions(bench.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
-        api.FailRequest(str(bench.request_count))
+    assert final_actions(driver.request())
+    assert attempt_of(driver.request(class_name="order"))
+    unsafe = attempt_of(driver.request(class_name="keyed", idempotency_key="k"))
+    assert final_actions(driver.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
+        api.FailRequest(str(driver.request_count))
     ]
     assert not final_actions(
-        bench.end_attempt(film, api.AttemptStatus.TIMEOUT)
+        driver.end_attempt(film, api.AttemptStatus.TIMEOUT)
     )  # open under the class that is gone
-    assert not final_actions(bench.end_attempt(bench.attempts[film.request_id][-1]))
-    latencies, sizes = bench.router.admission.typical_latencies, bench.router.sizes.class_means
+    assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
+    latencies = driver.router.admission.typical_latencies
+    sizes = driver.router.sizes.class_means
     assert set(latencies) == set(sizes) == {"keyed", "order"}
 
 
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -37,7 +37,8 @@
 
 @pytest.mark.parametrize("longest_ms", [30.0, 600.0, 3_000.0, 9_000.0])
 def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(longest_ms: float) -> None:
-    hall, at = Hall(), dict[str, float]()
+    hall = Hall()
+    at = dict[str, float]()
     mark = lambda what: lambda: at.setdefault(what, hall.now - 1000.0)  # noqa: E731
     engine: Any = SimpleNamespace(requests=[1], shutdown_at_ms=0.0)
     drain = Drain(
@@ -48,11 +49,10 @@
     shutdown.start(longest_ms, [SimpleNamespace(stopListening=mark("close"))], accept_new=True)
     killed_at = min(longest_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS
     hall.wait(killed_at)
-    assert 500.0 < at["close"] <= ACCEPT_WINDOW_MS and at["hurry"] == engine.shutdown_at_ms - 1000.0
-    assert (
-        killed_at - 200.0 <= at["hurry"] < at["stop"] <= killed_at - 3 * CHECK_INTERVAL_MS
-        and drain.is_refusing
-    )
+    assert 500.0 < at["close"] <= ACCEPT_WINDOW_MS
+    assert at["hurry"] == engine.shutdown_at_ms - 1000.0
+    assert killed_at - 200.0 <= at["hurry"] < at["stop"] <= killed_at - 3 * CHECK_INTERVAL_MS
+    assert drain.is_refusing
 
 
 def test_requests_at_a_shelf_that_hangs_a_retry_that_waits_and_one_that_crosses(tmp_path: Path) -> None:
@@ -85,18 +85,21 @@
 
 
 def test_before_it_is_ready_it_ends_at_once_and_opens_no_port() -> None:
-    config, reactor = parse_config(json.dumps(CONFIG).encode(), {}), MemoryReactorClock()
+    config = parse_config(json.dumps(CONFIG).encode(), {})
+    reactor = MemoryReactorClock()
     service = Service(config, None, reactor, Counters(), lambda: config)
     service.start()
     service.shut_down()
     service.begin_serving()  # the command channel's first answer, or half a second without one
-    assert reactor.hasStopped and not reactor.tcpServers
+    assert reactor.hasStopped
+    assert not reactor.tcpServers
 
 
 def test_before_it_has_read_its_configuration_it_ends_with_0_too(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    command, env = [sys.executable, "-m", "thornjunction"], os.environ | {"PROXY_CONFIG": str(path)}
+    command = [sys.executable, "-m", "thornjunction"]
+    env = os.environ | {"PROXY_CONFIG": str(path)}
     with subprocess.Popen(command, env=env, cwd=ROOT) as program, path.open("w"):  # opens once it is read
         program.send_signal(signal.SIGTERM)
         assert program.wait(20) == 0
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -1,5 +1,6 @@
 """TLS of the second front: a certificate changed in service reaches new connections only, and a broken pair
-changes nothing."""
+changes nothing.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +39,8 @@
     built = x509.CertificateBuilder().subject_name(subject).issuer_name(subject).public_key(key.public_key())
     built = built.serial_number(1).not_valid_before(now).not_valid_after(now + datetime.timedelta(days=3650))
     cert = built.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
-    pem, pkcs8 = serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8
+    pem = serialization.Encoding.PEM
+    pkcs8 = serialization.PrivateFormat.PKCS8
     return cert, key.private_bytes(pem, pkcs8, serialization.NoEncryption())
 
 
@@ -67,7 +69,8 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         subject = self.transport.getPeerCertificate().to_cryptography().subject
         name = subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
-        heard, self.heard = self.heard, Deferred()
+        heard = self.heard
+        self.heard = Deferred()
         heard.callback(name)
 
 
