--- a/thornjunction/net/event_loop/client_priority.py
+++ b/thornjunction/net/event_loop/client_priority.py
@@ -31,8 +31,11 @@
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
         """Wait for events, and handle them by priority."""
         events = self._poll(timeout)
-        self._handle_clients(events)
-        self._handle_others(events)
+        if events:  # most turns of an idle process only run timers
+            self._handle_clients(events)
+            self._handle_others(events)
+        else:
+            self._left_over.clear()
 
     doIteration = doPoll  # noqa: N815
 
@@ -53,6 +56,8 @@
                 raise
             ready = {}
         self._looked_at = self.clock()
+        if not self._left_over:
+            return ready
         first = {fd: ready[fd] for fd in self._left_over if fd in ready}
         return first | ready
 
--- a/thornjunction/runtime/load_sampling.py
+++ b/thornjunction/runtime/load_sampling.py
@@ -2,22 +2,14 @@
 
 from __future__ import annotations
 
+import math
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from thornjunction.core.load_shedding import SAMPLE_INTERVAL_MS, LoadShedder
 from thornjunction.memory.deadlines import Deadlines
 
 
-@dataclass(frozen=True, slots=True)
-class Sample:
-    """When a sample was taken, and the processor time that the process had used by then."""
-
-    at_ms: float
-    processor_s: float
-
-
 class LoadSampler:
     """Takes a sample at each interval once it is started.
 
@@ -35,22 +27,27 @@
         self._deadlines = deadlines
         self._clock = clock
         self._delay_ms = delay_ms
+        self._due_ms = 0.0
+        self._previous_ms = -math.inf  # so that the first sample counts as no use of the processor
+        self._previous_processor_s = 0.0
 
     def start(self) -> None:
         """Take the first sample now."""
-        self._take(due_ms=self._clock(), previous=None)
-
-    def _take(self, due_ms: float, previous: Sample | None) -> None:
-        sample = Sample(self._clock(), time.process_time())
-        late_ms = max(sample.at_ms - due_ms, self._delay_ms(sample.at_ms))
-        self._load_shedder.record_sample(late_ms, _processor_share(previous, sample))
-        next_ms = sample.at_ms + SAMPLE_INTERVAL_MS
-        self._deadlines.add(next_ms, lambda: self._take(next_ms, sample))
-
-
-def _processor_share(previous: Sample | None, sample: Sample) -> float:
-    """Of one processor, between two samples."""
-    if previous is None:
-        return 0.0
-    wall_s = (sample.at_ms - previous.at_ms) / 1000.0
-    return (sample.processor_s - previous.processor_s) / wall_s
+        self._due_ms = self._clock()
+        self._take()
+
+    def _take(self) -> None:
+        """Record a sample, and set the deadline of the next one."""
+        now_ms = self._clock()
+        processor_s = time.process_time()
+        late_ms = max(now_ms - self._due_ms, self._delay_ms(now_ms))
+        self._load_shedder.record_sample(late_ms, self._processor_share(now_ms, processor_s))
+        self._previous_ms = now_ms
+        self._previous_processor_s = processor_s
+        self._due_ms = now_ms + SAMPLE_INTERVAL_MS
+        self._deadlines.add(self._due_ms, self._take)
+
+    def _processor_share(self, now_ms: float, processor_s: float) -> float:
+        """The share of one processor that was used since the previous sample."""
+        wall_s = (now_ms - self._previous_ms) / 1000.0
+        return (processor_s - self._previous_processor_s) / wall_s
