--- a/benchmarks/benchmark_tools/command_line.py
+++ b/benchmarks/benchmark_tools/command_line.py
@@ -33,8 +33,8 @@
             self.fail(f"{value!r} is not a list of whole numbers", param, ctx)
 
 
-class TimeLimitExceeded(SystemExit):  # noqa: N818 - ends the process, and is no error of the program
-    """The run took longer than it may."""
+class TimeLimitExceeded(SystemExit):
+    """The run took longer than it may.  As a SystemExit it passes event loops and ends the process."""
 
     def __init__(self, limit_s: float) -> None:
         super().__init__(f"the run took longer than {limit_s:.0f} s")
--- a/benchmarks/benchmark_tools/line_fit.py
+++ b/benchmarks/benchmark_tools/line_fit.py
@@ -20,8 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """The line ``y = start + slope * x`` with the standard errors of both; ``r_squared`` is its share of the
-    variation that it explains.
+    """The line ``y = start + slope * x`` with the standard errors of both.
+
+    ``r_squared`` is the share of the variation that the line explains.
     """
 
     start: float
--- /dev/null
+++ b/benchmarks/benchmark_tools/router_environment.py
@@ -0,0 +1,78 @@
+"""A router's process between a fake discovery and fake cache servers, with the connections of its clients."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from control_harness.fake_discovery import FakeDiscovery
+from control_harness.participants import free_addresses
+
+from benchmark_tools.front_connection import connect_all
+from benchmark_tools.loaded_router import LoadedRouter
+from benchmark_tools.router_program import end, start_helper, start_program, write_config
+
+SERVER_SCRIPT = Path(__file__).with_name("sized_cache_server.py")
+CONNECTIONS = 16
+
+BuildConfig = Callable[[str, str], dict[str, Any]]
+"""Builds the router's configuration from the addresses of its front and of discovery."""
+
+
+class CacheServerProcess:
+    """The process of all fake cache servers, which share one address."""
+
+    def __init__(self, delay_ms: float) -> None:
+        self.process = start_helper(SERVER_SCRIPT, f"{delay_ms}")
+
+    async def _read_number(self) -> int:
+        output = self.process.stdout
+        assert output is not None
+        return int(await asyncio.get_running_loop().run_in_executor(None, output.readline))
+
+    async def address(self) -> str:
+        """The address, once the process listens; to be read first and once."""
+        return f"127.0.0.1:{await self._read_number()}"
+
+    async def accepted_connections(self) -> int:
+        """How many connections the servers have accepted."""
+        commands = self.process.stdin
+        assert commands is not None
+        commands.write(b"\n")
+        commands.flush()
+        return await self._read_number()
+
+
+@dataclass(frozen=True, slots=True)
+class RouterEnvironment:
+    """All that runs, and the router under load."""
+
+    router: LoadedRouter
+    cache_servers: CacheServerProcess
+
+
+@asynccontextmanager
+async def start_environment(
+    folder: Path,
+    discovery: FakeDiscovery,
+    cache_servers: CacheServerProcess,
+    build_config: BuildConfig,
+) -> AsyncIterator[RouterEnvironment]:
+    """Start discovery, a router and its clients; end them and the cache servers afterwards."""
+    running: list[subprocess.Popen[bytes]] = [cache_servers.process]
+    await discovery.start()
+    try:
+        (front,) = free_addresses(1)
+        config = write_config(folder, build_config(front, discovery.address))
+        process = start_program(config, log=folder / "router.log")
+        running.append(process)
+        connections = await connect_all(front, CONNECTIONS)
+        yield RouterEnvironment(LoadedRouter(process, connections), cache_servers)
+    finally:
+        end(running)
+        await discovery.stop()
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -1,127 +1,205 @@
-"""What a whole router costs: a real ``run`` process before stand-in shelfs, on loopback, under a bounded
-load of the platform's front; its processor time by requests a second and by KB carried.
+"""What a full router costs: a real ``run`` process before fake cache servers, by requests and by KB carried.
 
     PYTHONPATH=. python benchmarks/capacity_router.py [--requests N] [--seconds S] [--only-full]
 
-440 shelfs are listed, 8 of them of the own site.  The driver (clients, discovery) and the shelfs are
-processes of their own, so that only the router's time is counted: the kernel's account of its run time, in
-user and system.  The first table keeps so many requests open at once, without a rest, until the router's own
-admission refuses some; the second does so in bursts with rests between, N at each size and round; both take
-the median of ROUNDS; the third asks at even rates, where each request costs turns of the reactor of its own.
-Loopback moves bytes by the processor alone: a network card's interrupts are not in it,
-nor what it takes over."""
+440 servers are listed, 8 of them in the router's site. The cache servers have a process of their own, and
+this process is discovery and the clients, so that only the router's time is counted: the kernel's account
+of its run time, in user and system. The first table keeps requests open without a pause until the router's
+own admission refuses some; the second does so in bursts with pauses between, N requests at each size and
+round; both take the median of several rounds. The third sends at even rates, where each request costs
+iterations of the event loop of its own. Loopback moves bytes by the processor alone: the interrupts of a
+network card are not counted, nor is what it takes over.
+"""
 
 from __future__ import annotations
 
-import argparse
 import asyncio
 import statistics
 import tempfile
+from collections.abc import Sequence
 from pathlib import Path
-
-from capacity_fit import Line, fit, row, table
-from capacity_stage import LINKS, LISTED, SIZES, Bench, Stretch, start
-
-RATES = (50, 100, 200, 300, 400)  # requests a second, of the second size
-OPEN, FULL_OPEN, ROUNDS = (4, 16, 48), (8, 16, 32, 64), 5  # requests open at once
-NEEDED_RATE, NEEDED_BYTES = 742, 3.4e12 / 8 / 1_200  # of a router: requests, and bytes, a second
-
-
-async def by_rate(bench: Bench, seconds: float) -> None:
-    size, points, rows = SIZES[1], [], []
-    for rate in RATES:
-        found = await bench.asked_at(rate, size, seconds)
-        done, share = found.served / found.took, found.used / found.took
-        points.append((done, share))
-        rows.append(
-            row(rate, f"{done:.0f}", f"{share:.1%}", f"{found.each_us:.0f}", found.asked - found.served)
-        )
-    print(table(f"asked a s, {size / 1e3:.0f} KB | served a s | of a core | us each | not served", rows))
-    print(f"\nfit: {fit([(x, y * 100) for x, y in points]).text('% of a core', 'a request a s', 3)}\n")
+from typing import Any
+
+import click
+from benchmark_tools.command_line import time_limit
+from benchmark_tools.line_fit import Line, fit_line
+from benchmark_tools.loaded_router import LoadedRouter, LoadResult
+from benchmark_tools.router_config import (
+    EDGE_KIND,
+    ORIGIN_KIND,
+    PARENT_KIND,
+    REMOTE_SITE,
+    ROUTER_SITE,
+    host_entry,
+    router_config,
+)
+from benchmark_tools.router_environment import CONNECTIONS, CacheServerProcess, start_environment
+from benchmark_tools.tables import markdown_table, print_table
+from control_harness.fake_discovery import FakeDiscovery
+
+SITE_SERVERS = 8
+LISTED_SERVERS = 440
+PARENTS = 6
+LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+# Sizes of answers; the platform's largest is the last.
+SIZES_BYTES = (1_000, 16_000, 64_000, 240_000)
+RATE_SIZE_BYTES = SIZES_BYTES[1]
+RATES_PER_S = (50, 100, 200, 300, 400)
+# Requests that are open at once, in bursts and without pauses.
+BURST_OPEN = (4, 16, 48)
+FULL_OPEN = (8, 16, 32, 64)
+ROUNDS = 5
+ROUND_PAUSE_S = 1.0
+# Requests that open every connection: the router closes one that never sends any.
+FIRST_REQUESTS = 200
+# What a router of the full deployment carries a second.
+NEEDED_REQUESTS_PER_S = 742
+NEEDED_BYTES_PER_S = 3.4e12 / 8 / 1_200
+
+
+def build_hosts(address: str) -> list[dict[str, Any]]:
+    """The endpoint list: caches, parents and the origin, the first of them in the router's site."""
+    edges = LISTED_SERVERS - PARENTS - 1
+    kinds = [EDGE_KIND] * edges + [PARENT_KIND] * PARENTS + [ORIGIN_KIND]
+    return [
+        host_entry(f"s{number}", kind, ROUTER_SITE if number < SITE_SERVERS else REMOTE_SITE, address)
+        for number, kind in enumerate(kinds)
+    ]
+
+
+async def measure_without_pauses(router: LoadedRouter, requests: int) -> None:
+    """As many of the largest answers as the router serves, with its own admission in force."""
+    results: dict[int, list[LoadResult]] = {open_count: [] for open_count in FULL_OPEN}
+    for _ in range(ROUNDS):
+        for open_count, rounds in results.items():
+            rounds.append(await router.keep_open(open_count, SIZES_BYTES[-1], 2 * requests))
+            await asyncio.sleep(ROUND_PAUSE_S)
+    columns = (
+        "open at once, 240 KB", "served a s, median", "Mbit/s (least to most)", "of a core",
+        "us each (least to most)", "not served",
+    )  # fmt: skip
+    print_table(columns, [_full_row(open_count, rounds) for open_count, rounds in results.items()])
+
+
+def _full_row(open_count: int, rounds: Sequence[LoadResult]) -> tuple[object, ...]:
+    rates = [result.served_per_s for result in rounds]
+    mbit_per_s = [rate * SIZES_BYTES[-1] * 8 / 1e6 for rate in rates]
+    request_us = [result.request_us for result in rounds]
+    core_share = statistics.median(result.core_share for result in rounds)
+    unserved_share = sum(result.unserved for result in rounds) / sum(result.sent for result in rounds)
+    return (
+        open_count,
+        f"{statistics.median(rates):.0f}",
+        f"{statistics.median(mbit_per_s):,.0f} ({min(mbit_per_s):,.0f} to {max(mbit_per_s):,.0f})",
+        f"{core_share:.0%}",
+        f"{statistics.median(request_us):.0f} ({min(request_us):.0f} to {max(request_us):.0f})",
+        f"{unserved_share:.1%}",
+    )
 
 
-async def by_size(bench: Bench, requests: int) -> None:
-    """The cost of a request by the KB of its answer, with so many open at once."""
-    found: dict[tuple[int, int], list[Stretch]] = {}
+async def measure_sizes(router: LoadedRouter, requests: int) -> None:
+    """The cost of a request by the KB of its answer and the requests open at once."""
+    results: dict[tuple[int, int], list[LoadResult]] = {}
     for _ in range(ROUNDS):
-        for count in OPEN:
-            for size in SIZES:
-                told = await bench.paced(count, size, requests)
-                found.setdefault((count, size), []).append(told)
-    rows = []
-    for (count, size), told in found.items():
-        each = [one.each_us for one in told]
-        middle, lost = statistics.median(each), sum(one.asked - one.served for one in told)
-        mbit, core = size * 8 / middle, 1e6 / middle
-        spread = f"{min(each):.0f} to {max(each):.0f}"
-        rows.append(
-            row(count, f"{size / 1e3:.0f}", f"{middle:.0f}", spread, f"{core:,.0f}", f"{mbit:,.0f}", lost)
-        )
-    head = "open at once | KB an answer | us of processor a request, median | least to most | worked out: "
-    print(table(head + "requests a s of a whole core | Mbit/s of a whole core | not served", rows) + "\n")
-    for count in OPEN:
-        pairs = [(size / 1e3, statistics.median(o.each_us for o in found[count, size])) for size in SIZES]
-        needed(count, fit(pairs))
+        for open_count in BURST_OPEN:
+            for size_bytes in SIZES_BYTES:
+                result = await router.keep_open_in_bursts(open_count, size_bytes, requests)
+                results.setdefault((open_count, size_bytes), []).append(result)
+    columns = (
+        "open at once", "KB an answer", "us of processor a request, median", "least to most",
+        "worked out: requests a s of a whole core", "Mbit/s of a whole core", "not served",
+    )  # fmt: skip
+    print_table(columns, [_size_row(*key, rounds) for key, rounds in results.items()])
+    for open_count in BURST_OPEN:
+        points = [
+            (size / 1e3, statistics.median(result.request_us for result in results[open_count, size]))
+            for size in SIZES_BYTES
+        ]
+        _print_needed(open_count, fit_line(points))
+
+
+def _size_row(open_count: int, size_bytes: int, rounds: Sequence[LoadResult]) -> tuple[object, ...]:
+    request_us = [result.request_us for result in rounds]
+    median_us = statistics.median(request_us)
+    return (
+        open_count,
+        f"{size_bytes / 1e3:.0f}",
+        f"{median_us:.0f}",
+        f"{min(request_us):.0f} to {max(request_us):.0f}",
+        f"{1e6 / median_us:,.0f}",
+        f"{size_bytes * 8 / median_us:,.0f}",
+        sum(result.unserved for result in rounds),
+    )
 
 
-async def full(bench: Bench, requests: int) -> None:
-    """As much of the largest answers as the router takes, its own admission in force."""
-    found: dict[int, list[Stretch]] = {count: [] for count in FULL_OPEN}
-    for _ in range(ROUNDS):
-        for count, told in found.items():
-            told.append(await bench.kept_open(count, SIZES[-1], 2 * requests))
-            await asyncio.sleep(1.0)
-    rows = []
-    for count, told in found.items():
-        rates = sorted(one.served / one.took for one in told)
-        mbit = [rate * SIZES[-1] * 8 / 1e6 for rate in rates]
-        share = statistics.median(one.used / one.took for one in told)
-        each = sorted(one.each_us for one in told)
-        spread = f"{each[ROUNDS // 2]:.0f} ({each[0]:.0f} to {each[-1]:.0f})"
-        lost = sum(one.asked - one.served for one in told) / sum(one.asked for one in told)
-        carried = f"{mbit[ROUNDS // 2]:,.0f} ({mbit[0]:,.0f} to {mbit[-1]:,.0f})"
-        rows.append(row(count, f"{rates[ROUNDS // 2]:.0f}", carried, f"{share:.0%}", spread, f"{lost:.1%}"))
-    head = "open at once, 240 KB | served a s, median | Mbit/s (least to most) | of a core "
-    print(table(head + "| us each (least to most) | not served", rows) + "\n")
-
-
-def needed(count: int, line: Line) -> None:
-    """The fit, and what it comes to at the size of the issue."""
-    kb = NEEDED_BYTES / NEEDED_RATE / 1_000
-    cores = line.at(kb) * NEEDED_RATE / 1e6
-    alone = line.at(0) * NEEDED_RATE / 1e6
-    print(f"fit, {count} open: {line.text('us', 'a KB')}")
+def _print_needed(open_count: int, line: Line) -> None:
+    """Print the fit, and what it comes to for a router of the full deployment."""
+    answer_kb = NEEDED_BYTES_PER_S / NEEDED_REQUESTS_PER_S / 1_000
+    cores = line.at(answer_kb) * NEEDED_REQUESTS_PER_S / 1e6
+    cores_without_bytes = line.at(0) * NEEDED_REQUESTS_PER_S / 1e6
+    print(f"fit, {open_count} open: {line.text('us', 'a KB')}")
     print(
-        f"worked out: {NEEDED_RATE} requests a s of {kb:.0f} KB ({NEEDED_BYTES * 8 / 1e6:,.0f} Mbit/s) take "
-        f"{cores:.2f} cores; without their bytes {alone:.2f}\n"
+        f"worked out: {NEEDED_REQUESTS_PER_S} requests a s of {answer_kb:.0f} KB "
+        f"({NEEDED_BYTES_PER_S * 8 / 1e6:,.0f} Mbit/s) take {cores:.2f} cores; "
+        f"without their bytes {cores_without_bytes:.2f}\n"
     )
 
 
-async def measure(requests: int, seconds: float, only_full: bool) -> None:
-    with tempfile.TemporaryDirectory() as folder:
-        bench, children = await start(Path(folder))
-        try:
-            await bench.kept_open(LINKS, SIZES[0], 200)  # one that never asks is closed
-            print(f"memory after the start, {LISTED} listed: {bench.resident_mb():.1f} MB\n")
-            await full(bench, requests)
-            if only_full:
-                return
-            await by_size(bench, requests)
-            await by_rate(bench, seconds)
-            print(f"memory after all: {bench.resident_mb():.1f} MB")
-        finally:
-            for child in children:
-                child.kill()
-                child.wait()
-
-
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=4.0)
-    parser.add_argument("--requests", type=int, default=600)
-    parser.add_argument("--only-full", action="store_true")
-    args = parser.parse_args()
-    asyncio.run(measure(args.requests, args.seconds, args.only_full))
+async def measure_rates(router: LoadedRouter, seconds: float) -> None:
+    """The cost of requests at even rates."""
+    results = {rate: await router.send_at_rate(rate, RATE_SIZE_BYTES, seconds) for rate in RATES_PER_S}
+    rows = [
+        (
+            rate,
+            f"{result.served_per_s:.0f}",
+            f"{result.core_share:.1%}",
+            f"{result.request_us:.0f}",
+            result.unserved,
+        )
+        for rate, result in results.items()
+    ]
+    columns = (
+        f"asked a s, {RATE_SIZE_BYTES / 1e3:.0f} KB",
+        "served a s",
+        "of a core",
+        "us each",
+        "not served",
+    )
+    print(markdown_table(columns, rows))
+    line = fit_line([(result.served_per_s, 100 * result.core_share) for result in results.values()])
+    print(f"\nfit: {line.text('% of a core', 'a request a s', 3)}\n")
+
+
+async def measure(folder: Path, requests: int, seconds: float, only_full: bool) -> None:
+    """Print all tables, or the first alone."""
+    cache_servers = CacheServerProcess(delay_ms=0.0)
+    hosts = build_hosts(await cache_servers.address())
+    discovery = FakeDiscovery()
+    await discovery.publish_hosts(hosts, complete=True)
+
+    def build_config(front: str, channel: str) -> dict[str, Any]:
+        return router_config(front, channel, LIMITS, hosts)
+
+    async with start_environment(folder, discovery, cache_servers, build_config) as environment:
+        router = environment.router
+        await router.keep_open(CONNECTIONS, SIZES_BYTES[0], FIRST_REQUESTS)
+        print(f"memory after the start, {LISTED_SERVERS} listed: {router.resident_mb():.1f} MB\n")
+        await measure_without_pauses(router, requests)
+        if only_full:
+            return
+        await measure_sizes(router, requests)
+        await measure_rates(router, seconds)
+        print(f"memory after all: {router.resident_mb():.1f} MB")
+
+
+@click.command(help=__doc__)
+@click.option("--seconds", default=4.0, help="of each rate")
+@click.option("--requests", default=600, help="at each size and round")
+@click.option("--only-full", is_flag=True, help="print the first table alone")
+def main(seconds: float, requests: int, only_full: bool) -> None:
+    """Measure a router."""
+    with time_limit(), tempfile.TemporaryDirectory() as folder:
+        asyncio.run(measure(Path(folder), requests, seconds, only_full))
 
 
 if __name__ == "__main__":
--- a/benchmarks/growth_program.py
+++ b/benchmarks/growth_program.py
@@ -1,140 +1,126 @@
-"""What the whole program needs as the list grows: a real ``run`` process before stand-in servers and
-a stand-in discovery, all on loopback, the same requests at each size.
+"""What the whole program needs as the endpoint list grows: the same requests at each size.
 
     PYTHONPATH=. python benchmarks/growth_program.py [--sizes N,N] [--sites N] [--seconds S] [--requests N]
 
-A tenth of the servers are parents, the others caches, spread evenly over the sites; all objects are new.
-Discovery tells one changed weight a second.  The table holds the router's processor time from its start, its
-peak memory, the most descriptors that were seen open, the connections that the servers took, the bytes of
+A real ``run`` process is between fake cache servers and a fake discovery on loopback. A tenth of the
+servers are parents, the others caches, spread evenly over the sites; all objects are new. Discovery
+publishes one changed weight a second. The table holds the router's processor time from its start, its peak
+memory, the most descriptors that were seen open, the connections that the servers accepted, the bytes of
 lists that discovery sent, and the share of requests answered with 200; the last column is the operators'
-bound, worked out from the first size.  The servers share one listening socket: a process of its own."""
+bound, computed from the first size. The servers share one listening socket and have a process of their own.
+"""
 
 from __future__ import annotations
 
-import argparse
 import asyncio
-import json
-import os
 import random
-import subprocess
-import sys
 import tempfile
 import time
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from capacity_fit import row, table
-from capacity_stage import ROOT, Bench, Client, Shelf, die_with_parent
+import click
+from benchmark_tools.command_line import NumberList, time_limit
+from benchmark_tools.process_figures import open_descriptors, peak_resident_mb
+from benchmark_tools.router_config import (
+    EDGE_KIND,
+    ORIGIN_KIND,
+    PARENT_KIND,
+    REMOTE_SITE,
+    SERVER_WEIGHT,
+    SETTINGS,
+    host_entry,
+    router_config,
+)
+from benchmark_tools.router_environment import CacheServerProcess, RouterEnvironment, start_environment
+from benchmark_tools.tables import markdown_table
 from control_harness.fake_discovery import FakeDiscovery
-from control_harness.participants import free_addresses
 
-from tests.core.test_engine import CONFIG
-
-SITES = 3  # of the caches; the router stands at the first, z1
-ROUTERS = 200  # of all sites, as the settings tell
-PARENT_SHARE = 10  # one server in so many is a parent
-DESCRIPTORS, MEMORY_MB = 544, 96  # the router's limits
-LINKS = 16  # connections of clients
+# Sites of the caches; the router is in the first.
+DEFAULT_SITES = 3
+# Routers of all sites, as the settings say.
+ROUTERS = 200
+SERVERS_PER_PARENT = 10
+LIMITS = {"cores": 1.0, "memory_mb": 96, "sockets": 544}
 ANSWER_BYTES = 16_000
-ANSWER_DELAY_S = 0.08  # of a server
-START_S = 20.0  # in which the router listens
-SAMPLE_S = 0.02  # between looks at the descriptors, and at what is due
-CHANGE_S = 1.0  # between changes of the list
-LAST_ANSWERS_S = 5.0  # after the last request
-
-
-class DelayedServer(Shelf):
-    """A stand-in server that answers after a while and counts its connections."""
-
-    connections = 0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count a new connection."""
-        super().connection_made(transport)
-        DelayedServer.connections += 1
-
-    def data_received(self, data: bytes) -> None:
-        """Answer what is asked in ``data`` after the delay."""
-        asyncio.get_running_loop().call_later(ANSWER_DELAY_S, super().data_received, data)
-
-
-async def serve() -> None:
-    """The servers' process: its port on standard output, then the connections taken, for each line read; it
-    ends with its standard input."""
-    loop = asyncio.get_running_loop()
-    server = await loop.create_server(DelayedServer, "127.0.0.1", 0, backlog=512)
-    print(server.sockets[0].getsockname()[1], flush=True)
-    while await loop.run_in_executor(None, sys.stdin.readline):
-        print(DelayedServer.connections, flush=True)
-    os._exit(0)
+ANSWER_DELAY_MS = 80.0
+# Interval at which descriptors are counted and due requests are sent.
+SAMPLE_INTERVAL_S = 0.02
+CHANGE_INTERVAL_S = 1.0
+# Time for the last answers after the last request.
+LAST_ANSWERS_S = 5.0
 
 
 class CountingWriter:
-    """Passes on what discovery writes, and counts its bytes."""
+    """Writes to a connection of discovery, and counts the bytes."""
 
     def __init__(self, writer: asyncio.StreamWriter, discovery: CountingDiscovery) -> None:
         self._writer = writer
         self._discovery = discovery
 
     def write(self, data: bytes) -> None:
-        """Write, and count."""
-        self._discovery.bytes_sent += len(data)
+        """Write and count."""
+        self._discovery.sent_bytes += len(data)
         self._writer.write(data)
 
     async def drain(self) -> None:
-        """Wait until there is room."""
+        """Wait until the connection takes more bytes."""
         await self._writer.drain()
 
 
 class CountingDiscovery(FakeDiscovery):
-    """The stand-in discovery, with the bytes that it sent."""
+    """The fake discovery with a count of the bytes that it sent."""
 
-    bytes_sent = 0
+    sent_bytes = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         await super().serve(reader, CountingWriter(writer, self))  # type: ignore[arg-type]
 
 
-def hosts(servers: int, sites: int, address: str) -> list[dict[str, Any]]:
-    """The lines of the list."""
-    parents = servers // PARENT_SHARE
-    base = {"dial": address, "health": "active", "share": 4}
-    lines = [
-        base | {"host": f"cache{number}", "class": "box", "site": f"z{number % sites + 1}"}
+def build_hosts(servers: int, sites: int, address: str) -> list[dict[str, Any]]:
+    """The endpoint list."""
+    parents = servers // SERVERS_PER_PARENT
+    caches = [
+        host_entry(f"cache{number}", EDGE_KIND, f"z{number % sites + 1}", address)
         for number in range(servers - parents)
     ]
-    lines += [
-        base | {"host": f"parent{number}", "class": "upper", "site": "hub"} for number in range(parents)
+    parent_entries = [
+        host_entry(f"parent{number}", PARENT_KIND, REMOTE_SITE, address) for number in range(parents)
     ]
-    return [*lines, base | {"host": "origin", "class": "root", "site": "hub"}]
+    return [*caches, *parent_entries, host_entry("origin", ORIGIN_KIND, REMOTE_SITE, address)]
 
 
-def config(listen: str, discovery: str, sites: int) -> dict[str, Any]:
-    """The router's configuration: it starts without a list."""
-    settings: dict[str, Any] = CONFIG["settings"]  # type: ignore[assignment]
-    zones = [f"z{number + 1}" for number in range(sites)]
-    settings = settings | {"zones": ["hub", *zones], "instances": ROUTERS}
-    by_zone = [0, *[ROUTERS // sites] * sites]
-    settings["specifics"] = settings["specifics"] | {"instancesByZone": by_zone}
-    limits = {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS}
-    return CONFIG | {"listen": listen, "channel": discovery, "limits": limits, "settings": settings}
+def build_settings(sites: int) -> dict[str, Any]:
+    """The settings of a router among so many sites."""
+    specifics = SETTINGS["specifics"] | {"instancesByZone": [0, *[ROUTERS // sites] * sites]}
+    zones = [REMOTE_SITE, *(f"z{number + 1}" for number in range(sites))]
+    return SETTINGS | {"zones": zones, "instances": ROUTERS, "specifics": specifics}
+
+
+@dataclass(frozen=True, slots=True)
+class Load:
+    """Requests that are sent evenly over a number of seconds, and the sites of the caches."""
+
+    requests: int
+    seconds: float
+    sites: int
 
 
 @dataclass(frozen=True, slots=True)
 class Needs:
-    """What one run needed."""
+    """What one run needed, and the share of its requests that were served."""
 
     cpu_s: float
     peak_mb: float
     descriptors: int
     connections: int
     list_kb: float
-    share_answered: float
+    served_share: float
 
 
-def bounds(base: Needs, servers: int) -> Needs:
+def operators_bound(base: Needs, servers: int) -> Needs:
     """What the operators allow at so many servers, by the needs at the usual size."""
     thousands = servers / 1_000
     return Needs(
@@ -143,125 +129,80 @@
         descriptors=2 * base.descriptors + 40,
         connections=int(2.5 * base.connections) + 40,
         list_kb=2 * base.list_kb + 64 + 500 * thousands,
-        share_answered=0.85 * base.share_answered,
+        served_share=0.85 * base.served_share,
     )
 
 
-async def connect(address: str) -> list[Client]:
-    """The clients' connections, as soon as the router listens."""
-    loop = asyncio.get_running_loop()
-    host, port = address.split(":")
-    end = loop.time() + START_S
-    clients: list[Client] = []
-    while len(clients) < LINKS:
-        try:
-            _, client = await loop.create_connection(Client, host, int(port))
-        except ConnectionRefusedError:
-            if loop.time() > end:
-                raise
-            await asyncio.sleep(0.05)
-        else:
-            clients.append(client)
-    return clients
-
-
-async def ask_all(
-    bench: Bench, discovery: CountingDiscovery, lines: list[dict[str, Any]], seconds: float, requests: int
+async def send_requests(
+    environment: RouterEnvironment, discovery: FakeDiscovery, hosts: list[dict[str, Any]], load: Load
 ) -> int:
-    """Ask at an even rate while the list changes; the most descriptors that the router had open."""
-    begun = time.monotonic()
-    asked = changed = most_descriptors = 0
-    while (now := time.monotonic() - begun) < seconds + LAST_ANSWERS_S:
-        while asked < min(now / seconds, 1.0) * requests:
-            bench.clients[asked % LINKS].ask(ANSWER_BYTES)
-            asked += 1
-        if now > (changed + 1) * CHANGE_S:
-            changed += 1
-            await discovery.publish_hosts([random.choice(lines) | {"share": 4 + changed % 2}])
-        descriptors = len(os.listdir(f"/proc/{bench.router.pid}/fd"))
-        most_descriptors = max(most_descriptors, descriptors)
-        await asyncio.sleep(SAMPLE_S)
-    return most_descriptors
-
-
-def peak_mb(pid: int) -> float:
-    """The most resident memory that a process had."""
-    status = Path(f"/proc/{pid}/status").read_text()
-    return int(status.split("VmHWM:")[1].split()[0]) / 1_024
-
-
-async def needs(servers: int, sites: int, seconds: float, requests: int, folder: Path) -> Needs:
+    """Send at an even rate while the list changes; return the most descriptors that the router had open."""
+    router = environment.router
+    begin_s = time.monotonic()
+    sent = 0
+    changes = 0
+    max_descriptors = 0
+    while (elapsed_s := time.monotonic() - begin_s) < load.seconds + LAST_ANSWERS_S:
+        while sent < min(elapsed_s / load.seconds, 1.0) * load.requests:
+            router.send_request(sent, ANSWER_BYTES)
+            sent += 1
+        if elapsed_s > (changes + 1) * CHANGE_INTERVAL_S:
+            changes += 1
+            changed = random.choice(hosts) | {"share": SERVER_WEIGHT + changes % 2}
+            await discovery.publish_hosts([changed])
+        max_descriptors = max(max_descriptors, open_descriptors(router.pid))
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+    return max_descriptors
+
+
+async def measure_needs(servers: int, load: Load, folder: Path) -> Needs:
     """One run at so many servers."""
-    loop = asyncio.get_running_loop()
-    pipe = subprocess.PIPE
-    command = [sys.executable, __file__, "--serve"]
-    shelfs = subprocess.Popen(command, stdin=pipe, stdout=pipe, preexec_fn=die_with_parent, cwd=ROOT)
-    assert shelfs.stdin is not None and shelfs.stdout is not None
-    running = [shelfs]
+    cache_servers = CacheServerProcess(ANSWER_DELAY_MS)
+    hosts = build_hosts(servers, load.sites, await cache_servers.address())
     discovery = CountingDiscovery()
-    try:
-        port = int(await loop.run_in_executor(None, shelfs.stdout.readline))
-        lines = hosts(servers, sites, f"127.0.0.1:{port}")
-        await discovery.start()
-        await discovery.publish_hosts(lines, complete=True)
-        (listen,) = free_addresses(1)
-        path = folder / f"{servers}.json"
-        path.write_text(json.dumps(config(listen, discovery.address, sites)))
-        env = os.environ | {"PROXY_CONFIG": str(path)}
-        command = [sys.executable, "-m", "thornjunction"]
-        with (folder / f"{servers}.log").open("wb") as log:
-            router = subprocess.Popen(command, env=env, cwd=ROOT, stderr=log, preexec_fn=die_with_parent)
-        running.append(router)
-        bench = Bench(router, await connect(listen))
-        descriptors = await ask_all(bench, discovery, lines, seconds, requests)
-        shelfs.stdin.write(b"\n")
-        shelfs.stdin.flush()
-        connections = int(await loop.run_in_executor(None, shelfs.stdout.readline))
+    await discovery.publish_hosts(hosts, complete=True)
+
+    def build_config(front: str, channel: str) -> dict[str, Any]:
+        return router_config(front, channel, LIMITS, settings=build_settings(load.sites))
+
+    async with start_environment(folder, discovery, cache_servers, build_config) as environment:
+        descriptors = await send_requests(environment, discovery, hosts, load)
+        router = environment.router
         return Needs(
-            bench.used_s(),
-            peak_mb(router.pid),
-            descriptors,
-            connections,
-            discovery.bytes_sent / 1_024,
-            bench.served()[1] / requests,
+            cpu_s=router.cpu_s(),
+            peak_mb=peak_resident_mb(router.pid),
+            descriptors=descriptors,
+            connections=await cache_servers.accepted_connections(),
+            list_kb=discovery.sent_bytes / 1_024,
+            served_share=router.served / load.requests,
         )
-    finally:
-        for process in running:
-            process.kill()
-            process.wait()
-        await discovery.stop()
 
 
-async def measure(sizes: list[int], sites: int, seconds: float, requests: int) -> None:
+async def measure(sizes: tuple[int, ...], load: Load) -> None:
     """Print the table: a column for each size, and the bound at the last."""
     with tempfile.TemporaryDirectory() as folder:
-        found = [await needs(size, sites, seconds, requests, Path(folder)) for size in sizes]
-    columns = [*found, bounds(found[0], sizes[-1])]
+        found = [await measure_needs(size, load, Path(folder)) for size in sizes]
+    columns = [*found, operators_bound(found[0], sizes[-1])]
     rows = [
-        row("CPU s", *(f"{one.cpu_s:.2f}" for one in columns)),
-        row("peak MB", *(f"{one.peak_mb:.1f}" for one in columns)),
-        row("descriptors", *(one.descriptors for one in columns)),
-        row("connections made", *(one.connections for one in columns)),
-        row("KB of lists", *(f"{one.list_kb:.0f}" for one in columns)),
-        row("share answered", *(f"{one.share_answered:.3f}" for one in columns)),
+        ("CPU s", *(f"{needs.cpu_s:.2f}" for needs in columns)),
+        ("peak MB", *(f"{needs.peak_mb:.1f}" for needs in columns)),
+        ("descriptors", *(needs.descriptors for needs in columns)),
+        ("connections made", *(needs.connections for needs in columns)),
+        ("KB of lists", *(f"{needs.list_kb:.0f}" for needs in columns)),
+        ("share answered", *(f"{needs.served_share:.3f}" for needs in columns)),
     ]
-    print(table(" | ".join(["", *(f"{size:,}" for size in sizes), "bound"]), rows))
-
-
-def main() -> None:
-    """Run as the servers' process, or measure."""
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--serve", action="store_true")
-    parser.add_argument("--sizes", default="200,3200")
-    parser.add_argument("--sites", type=int, default=SITES)
-    parser.add_argument("--seconds", type=float, default=24.0)
-    parser.add_argument("--requests", type=int, default=1_200)
-    args = parser.parse_args()
-    if args.serve:
-        asyncio.run(serve())
-    else:
-        sizes = [int(size) for size in args.sizes.split(",")]
-        asyncio.run(measure(sizes, args.sites, args.seconds, args.requests))
+    print(markdown_table(["", *(f"{size:,}" for size in sizes), "bound"], rows))
+
+
+@click.command(help=__doc__)
+@click.option("--sizes", type=NumberList(), default=(200, 3200), help="servers listed")
+@click.option("--sites", default=DEFAULT_SITES, help="of the caches")
+@click.option("--seconds", default=24.0, help="over which requests are sent")
+@click.option("--requests", default=1_200, help="at each size")
+def main(sizes: tuple[int, ...], sites: int, seconds: float, requests: int) -> None:
+    """Measure the program."""
+    with time_limit():
+        asyncio.run(measure(sizes, Load(requests, seconds, sites)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,109 +1,149 @@
-"""What an idle ``run`` costs against another commit's, in one run: both trees' routers side by side, each
-with a stand-in discovery of its own, in turns of who starts first.
+"""What an idle router costs against another commit's: both in one run, side by side.
 
-``PYTHONPATH=. python benchmarks/idle.py [COMMIT] [ROUNDS] [SECONDS]``, with the development packages, prints
-a table of memory (proportional set size) and processor time (user and system) of each, and their ratio.  A
-round lasts SECONDS (default 20) with nothing but idle polls, after 3 s for the start.  Loopback only; ends
-its processes."""
+    PYTHONPATH=. python benchmarks/idle.py [COMMIT] [ROUNDS] [SECONDS]
+
+Each router has a fake discovery of its own; they start first in turn. The table has the memory
+(proportional set size) and the processor time (user and system) of each, and their ratio. A round lasts
+SECONDS with nothing but idle polls, after some time for the start. Loopback only, with the development
+packages.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import os
 import statistics
 import subprocess
-import sys
 import tempfile
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
+import click
+from benchmark_tools.command_line import time_limit
+from benchmark_tools.process_figures import main_thread_cpu_ms, proportional_mb
+from benchmark_tools.router_program import ROOT, end, extract_tree, start_program, write_config
+from benchmark_tools.tables import print_table
 from control_harness.fake_discovery import FakeDiscovery
 from control_harness.participants import free_addresses
 from fakes.config import SETTINGS
 
-ROOT = Path(__file__).resolve().parent.parent
-SETTLE_S = 3.0
-SHELFS = 440
+DEFAULT_COMMIT = "159a7f7"
+START_S = 3.0
+LISTED_SERVERS = 440
+MAX_SOCKETS = 90
+HOST = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
+
+
+class NoIdlePollsError(RuntimeError):
+    """A router did not poll as an idle one does."""
 
+    def __init__(self, poll_counts: Sequence[int]) -> None:
+        super().__init__(f"no idle polls: {poll_counts}")
 
-def tree_of(commit: str, folder: Path) -> Path:
-    """The commit's files."""
-    folder.mkdir()
-    archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True, check=True).stdout
-    subprocess.run(["tar", "-x"], cwd=folder, input=archive, check=True)
-    return folder
 
+@dataclass(frozen=True, slots=True)
+class IdleCost:
+    """Memory, and processor time over a round."""
 
-def start(tree: Path, folder: Path, channel: str) -> subprocess.Popen[bytes]:
-    """A router of that tree, as the deploy file starts it."""
-    front, door = free_addresses(2)
-    told = {"name": "idle", "listen": front, "admin_addr": door, "channel": channel, "settings": SETTINGS}
-    told |= {"limits": {"sockets": 90}, "known": {"cursor": 0, "cmds": []}}
-    config = folder / f"{os.urandom(4).hex()}.json"
-    config.write_text(json.dumps(told))
-    env = {key: value for key, value in os.environ.items() if key != "PYTHONPATH"}
-    env["PROXY_CONFIG"] = str(config)
-    command = [sys.executable, "-m", "thornjunction"]
-    return subprocess.Popen(command, cwd=tree, env=env, stderr=subprocess.DEVNULL)
+    memory_mb: float
+    cpu_ms: float
 
 
-def memory_mb(pid: int) -> float:
-    for line in Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines():
-        if line.startswith("Pss:"):
-            return int(line.split()[1]) / 1024.0
-    raise RuntimeError("no such figure")
+@dataclass(frozen=True, slots=True)
+class Round:
+    """The costs of both routers in one round."""
 
+    base: IdleCost
+    present: IdleCost
 
-def used_ms(pid: int) -> float:
-    """By the scheduler's own count, which is finer than a tick."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e6
 
+def start_router(tree: Path, folder: Path, channel: str) -> subprocess.Popen[bytes]:
+    """Start a router of a tree, as the deploy file does."""
+    front, admin = free_addresses(2)
+    config = {
+        "name": "idle",
+        "listen": front,
+        "admin_addr": admin,
+        "channel": channel,
+        "settings": SETTINGS,
+        "limits": {"sockets": MAX_SOCKETS},
+        "known": {"cursor": 0, "cmds": []},
+    }
+    return start_program(write_config(folder, config), tree)
 
-async def one_round(trees: list[Path], folder: Path, seconds: float) -> list[tuple[float, float]]:
-    """Memory in MB and processor time in ms of each."""
+
+async def measure_trees(trees: Sequence[Path], folder: Path, seconds: float) -> list[IdleCost]:
+    """Run a router of each tree, started in order, and return their costs.  Raises NoIdlePollsError."""
     discoveries = [FakeDiscovery() for _ in trees]
-    running: list[subprocess.Popen[bytes]] = []
-    line = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
+    routers: list[subprocess.Popen[bytes]] = []
+    hosts = [HOST | {"host": f"s{number}"} for number in range(LISTED_SERVERS)]
     try:
         for tree, discovery in zip(trees, discoveries, strict=True):
-            await discovery.publish_hosts(
-                [line | {"host": f"s{number}"} for number in range(SHELFS)], complete=True
-            )
+            await discovery.publish_hosts(hosts, complete=True)
             await discovery.start()
-            running.append(start(tree, folder, discovery.address))
-        await asyncio.sleep(SETTLE_S)
-        before = [used_ms(one.pid) for one in running]
+            routers.append(start_router(tree, folder, discovery.address))
+        await asyncio.sleep(START_S)
+        cpu_before_ms = [main_thread_cpu_ms(router.pid) for router in routers]
         await asyncio.sleep(seconds)
-        polls = [discovery.poll_count for discovery in discoveries]
-        assert min(polls) > seconds / 2, f"no idle polls: {polls}"
-        return [(memory_mb(one.pid), used_ms(one.pid) - ms) for one, ms in zip(running, before, strict=True)]
+        poll_counts = [discovery.poll_count for discovery in discoveries]
+        if min(poll_counts) <= seconds / 2:
+            raise NoIdlePollsError(poll_counts)
+        return [
+            IdleCost(proportional_mb(router.pid), main_thread_cpu_ms(router.pid) - before_ms)
+            for router, before_ms in zip(routers, cpu_before_ms, strict=True)
+        ]
     finally:
-        for one in running:
-            one.kill()
-            one.wait()
+        end(routers)
         for discovery in discoveries:
             await discovery.stop()
 
 
-async def main(commit: str, rounds: int, seconds: float) -> None:
+async def measure_round(base_tree: Path, base_starts_first: bool, folder: Path, seconds: float) -> Round:
+    """Measure both routers side by side."""
+    if base_starts_first:
+        base, present = await measure_trees([base_tree, ROOT], folder, seconds)
+    else:
+        present, base = await measure_trees([ROOT, base_tree], folder, seconds)
+    return Round(base, present)
+
+
+async def measure(commit: str, round_count: int, seconds: float) -> None:
+    """Print the table."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        trees = [tree_of(commit, folder / "base"), ROOT]
-        told: list[list[tuple[float, float]]] = []
-        for number in range(rounds):
-            turned = number % 2
-            found = await one_round(trees[::-1] if turned else trees, folder, seconds)
-            told.append(found[::-1] if turned else found)
-    print(f"| {rounds} rounds of {seconds:.0f} s idle | {commit} | this tree | ratio |\n|---|---|---|---|")
-    for place, what in enumerate((f"memory, MB ({SHELFS} shelfs)", "processor, ms a second")):
-        per = 1.0 if place == 0 else seconds
-        base, here = ([found[side][place] / per for found in told] for side in (0, 1))
-        ratios = [new / old for old, new in zip(base, here, strict=True)]
-        spread = f"{min(ratios):.3f} to {max(ratios):.3f}"
-        old, new = statistics.median(base), statistics.median(here)
-        print(f"| {what} | {old:.2f} | {new:.2f} | {statistics.median(ratios):.3f} ({spread}) |")
+        base_tree = extract_tree(commit, folder / "base")
+        rounds = [
+            await measure_round(base_tree, number % 2 == 0, folder, seconds) for number in range(round_count)
+        ]
+    columns = (f"{round_count} rounds of {seconds:.0f} s idle", commit, "this tree", "ratio")
+    rows = [
+        _row(f"memory, MB ({LISTED_SERVERS} shelfs)", rounds, lambda cost: cost.memory_mb),
+        _row("processor, ms a second", rounds, lambda cost: cost.cpu_ms / seconds),
+    ]
+    print_table(columns, rows)
+
+
+def _row(name: str, rounds: Sequence[Round], value: Callable[[IdleCost], float]) -> tuple[object, ...]:
+    base = [value(one_round.base) for one_round in rounds]
+    present = [value(one_round.present) for one_round in rounds]
+    ratios = [new / old for old, new in zip(base, present, strict=True)]
+    return (
+        name,
+        f"{statistics.median(base):.2f}",
+        f"{statistics.median(present):.2f}",
+        f"{statistics.median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})",
+    )
+
+
+@click.command(help=__doc__)
+@click.argument("commit", default=DEFAULT_COMMIT)
+@click.argument("rounds", default=6)
+@click.argument("seconds", default=20.0)
+def main(commit: str, rounds: int, seconds: float) -> None:
+    """Compare idle routers."""
+    with time_limit():
+        asyncio.run(measure(commit, rounds, seconds))
 
 
 if __name__ == "__main__":
-    given = sys.argv[1:] + ["159a7f7", "6", "20"][len(sys.argv) - 1 :]
-    asyncio.run(main(given[0], int(given[1]), float(given[2])))
+    main()
--- a/benchmarks/relay_behind.py
+++ b/benchmarks/relay_behind.py
@@ -1,96 +1,152 @@
-"""What an hour behind (122,400 events) costs a relay: a real one before a stand-in discovery, 440 shelfs
-listed, its way to discovery cut meanwhile, and one router's polls.
+"""What an hour behind (122,400 events) costs a relay: a real one, cut off from a fake discovery meanwhile.
 
-``PYTHONPATH=. python benchmarks/relay_behind.py [ROUNDS]`` prints a Markdown table, a row a round (default
-3): time from the way's return until the router has the last purge, processor time of that, peak memory
-before and after, the longest turn of the reactor and the most processor time of one, all in one process.
-Loopback only; each round is under 60 s."""
+    PYTHONPATH=. python benchmarks/relay_behind.py [ROUNDS]
+
+440 servers are listed, and one router polls the relay. A Markdown table has a row for each round: time from
+the end of the partition until the router has the last purge, processor time in that, peak memory before and
+after, and the longest and the most expensive iteration of the event loop, all in one process. Loopback
+only; each round takes less than 60 s.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import subprocess
-import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
+import click
+from benchmark_tools.catch_up_files import EVENTS_BEHIND, HOUR_MS
+from benchmark_tools.command_line import time_limit
+from benchmark_tools.process_figures import main_thread_cpu_ms, peak_resident_mb
+from benchmark_tools.recorded_program import (
+    Turn,
+    end_recorded_program,
+    max_cpu_s,
+    max_duration_s,
+    start_recorded_program,
+)
+from benchmark_tools.relay_files import BATCH_WINDOW_MS, build_hosts, is_ready
+from benchmark_tools.tables import markdown_head, markdown_row
 from control_harness.environment import Environment
+from control_harness.fault_proxy import FaultProxy
 from control_harness.participants import RelayParticipant
 from control_harness.poller import Poller
+from control_harness.process import OPERATORS_FILE
 
-from benchmarks.catch_up import BEHIND, LAUNCH, LONG_TURN_S
-from benchmarks.relay_load import memory_mb, ready, used_ms
+# The object of the purge before the partition, and of the first one during it.
+EARLIER_OBJECT = 1
+FIRST_OBJECT = 1000
+CATCH_UP_TIMEOUT_S = 60.0
+CHECK_INTERVAL_S = 0.005
+COLUMNS = (
+    "in step after s", "processor ms", "peak MB before", "after", "longest turn ms", "processor ms of one",
+)  # fmt: skip
 
-SHELFS, FIRST = 440, 1000
 
+class RecordedRelay(RelayParticipant):
+    """A relay whose long iterations of the event loop are recorded."""
 
-class TimedRelay(RelayParticipant):
-    """Keeps the turns of its reactor, which it prints at its end."""
+    _process: subprocess.Popen[bytes]
 
     def start(self) -> None:
-        extras = f"Path({str(self.folder / 'extras.toml')!r})"
-        code = LAUNCH.replace("LONG", str(LONG_TURN_S))
-        code = code.replace("(os.environ)", f"(os.environ, {extras})")
-        command = [sys.executable, "-c", "from pathlib import Path" + code]
-        with (self.folder / "log").open("ab") as log:
-            self._popen = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log)
-
-    def end(self) -> list[list[float]]:
-        """Its turns: when, wall and processor seconds."""
-        assert self._popen is not None
-        self._popen.terminate()
-        try:
-            told, _ = self._popen.communicate(timeout=10)
-        finally:
-            self._popen.kill()
-        return list(json.loads(told))
-
-
-async def one_round(folder: Path) -> str:
-    """A row of the table."""
-    line = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
-    async with Environment(folder) as rig:
-        await rig.discovery.publish_hosts([line | {"host": f"s{number}"} for number in range(SHELFS)], True)
-        way = await rig.start_proxy(rig.discovery.address)
-        relay = TimedRelay(folder, "relay")
-        relay.configure([way.address], join_ms=150)
+        """Start it with its operators' file."""
+        self._process = start_recorded_program(
+            None, operators_file=self.folder / OPERATORS_FILE, log=self.folder / "log"
+        )
+        self._popen = self._process
+
+    def end(self) -> list[Turn]:
+        """Terminate it and return its iterations."""
+        return end_recorded_program(self._process)
+
+
+@dataclass(frozen=True, slots=True)
+class RoundResult:
+    """The figures of one round."""
+
+    seconds: float
+    cpu_ms: float
+    peak_before_mb: float
+    peak_after_mb: float
+    turns: list[Turn]
+
+    def cells(self) -> tuple[object, ...]:
+        """The row of the table."""
+        return (
+            f"{self.seconds:.2f}",
+            f"{self.cpu_ms:.0f}",
+            f"{self.peak_before_mb:.1f}",
+            f"{self.peak_after_mb:.1f}",
+            f"{max_duration_s(self.turns) * 1000:.1f}",
+            f"{max_cpu_s(self.turns) * 1000:.1f}",
+        )
+
+
+async def wait_for_last_purge(poller: Poller) -> None:
+    """Wait until the router has all purges.  Raises TimeoutError."""
+    async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
+        while poller.purged_objects[-1] != FIRST_OBJECT + EVENTS_BEHIND - 1:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+
+
+async def cut_off_and_publish(environment: Environment, proxy: FaultProxy, poller: Poller) -> None:
+    """Publish a purge that the router receives, and then an hour of purges that the relay misses."""
+    await environment.discovery.publish_purges(EARLIER_OBJECT)
+    while EARLIER_OBJECT not in poller.purged_objects:
+        await asyncio.sleep(CHECK_INTERVAL_S)
+    proxy.block()
+    ages_ms = [HOUR_MS * (EVENTS_BEHIND - number) / EVENTS_BEHIND for number in range(1, EVENTS_BEHIND + 1)]
+    objects = range(FIRST_OBJECT, FIRST_OBJECT + EVENTS_BEHIND)
+    await environment.discovery.publish_purges(*objects, ages_ms=ages_ms)
+
+
+async def measure_round(folder: Path) -> RoundResult:
+    """Measure one relay."""
+    async with Environment(folder) as environment:
+        await environment.discovery.publish_hosts(build_hosts(), complete=True)
+        proxy = await environment.start_proxy(environment.discovery.address)
+        relay = RecordedRelay(folder, "relay")
+        relay.configure([proxy.address], join_ms=BATCH_WINDOW_MS)
         relay.start()
+        begin_s = time.monotonic()
         try:
-            await rig.wait_until(lambda: ready(relay), "the relay is ready")
+            await environment.wait_until(lambda: is_ready(relay), "the relay is ready")
             poller = Poller(relay.listen_address, "router")
             polling = asyncio.create_task(poller.run())
-            await rig.discovery.publish_purges(1)
-            while 1 not in poller.purged_objects:
-                await asyncio.sleep(0.01)
-            way.block()
-            ages_ms = [3_600_000.0 * (BEHIND - number) / BEHIND for number in range(1, BEHIND + 1)]
-            await rig.discovery.publish_purges(*range(FIRST, FIRST + BEHIND), ages_ms=ages_ms)
-            before, used, start = memory_mb(relay.pid), used_ms(relay.pid), time.monotonic()
-            way.unblock()
-            while poller.purged_objects[-1] != FIRST + BEHIND - 1:
-                assert time.monotonic() < start + 60.0, "not in step"
-                await asyncio.sleep(0.005)
-            end, after = time.monotonic(), memory_mb(relay.pid)
-            used = used_ms(relay.pid) - used
+            await cut_off_and_publish(environment, proxy, poller)
+            peak_before_mb = peak_resident_mb(relay.pid)
+            cpu_before_ms = main_thread_cpu_ms(relay.pid)
+            begin_s = time.monotonic()
+            proxy.unblock()
+            await wait_for_last_purge(poller)
+            seconds = time.monotonic() - begin_s
+            peak_after_mb = peak_resident_mb(relay.pid)
+            cpu_ms = main_thread_cpu_ms(relay.pid) - cpu_before_ms
             polling.cancel()
         finally:
-            turns = [(wall, cpu) for at, wall, cpu in relay.end() if at >= start]
-    longest, dearest = max(wall for wall, _ in turns), max(cpu for _, cpu in turns)
-    cells = f"{end - start:.2f} | {used:.0f} | {before:.1f} | {after:.1f}"
-    return f"| {cells} | {longest * 1000:.1f} | {dearest * 1000:.1f} |"
+            turns = [turn for turn in relay.end() if turn.begin_s >= begin_s]
+    return RoundResult(seconds, cpu_ms, peak_before_mb, peak_after_mb, turns)
 
 
-async def main(rounds: int) -> None:
-    print(
-        "| in step after s | processor ms | peak MB before | after | longest turn ms | processor ms of one |"
-    )
-    print("| --- | --- | --- | --- | --- | --- |")
+async def measure(rounds: int) -> None:
+    """Print the table, a row after each round."""
+    print(markdown_head(COLUMNS))
     for _ in range(rounds):
-        with tempfile.TemporaryDirectory() as name:
-            print(await one_round(Path(name)), flush=True)
+        with tempfile.TemporaryDirectory() as folder:
+            result = await measure_round(Path(folder))
+            print(markdown_row(result.cells()), flush=True)
+
+
+@click.command(help=__doc__)
+@click.argument("rounds", default=3)
+def main(rounds: int) -> None:
+    """Measure a relay."""
+    with time_limit():
+        asyncio.run(measure(rounds))
 
 
 if __name__ == "__main__":
-    asyncio.run(main(int(sys.argv[1]) if len(sys.argv) > 1 else 3))
+    main()
--- a/benchmarks/relay_core.py
+++ b/benchmarks/relay_core.py
@@ -1,18 +1,23 @@
-"""Processor time and memory of a relay's core alone, in simulated time: no sockets, no reactor.
+"""Processor time and memory of a relay's core alone, in simulated time: no sockets, no event loop.
 
-python benchmarks/relay_core.py [--routers 100 300 600 1200] [--seconds 20] [--purges 34] [--shelfs 440]
+    PYTHONPATH=. python benchmarks/relay_core.py [--routers N,N] [--seconds S] [--purges N] [--shelfs N]
 
-Each router polls again 2 ms after its answer.  Memory is what tracemalloc counts, in a run of its own.
-Processor time includes the collector's."""
+Each router polls again 2 ms after its answer. Memory is what tracemalloc counts, in a run of its own.
+Processor time includes that of the garbage collector.
+"""
 
 from __future__ import annotations
 
-import argparse
 import heapq
 import time
 import tracemalloc
+from collections import defaultdict
+from dataclasses import dataclass, field
 from typing import Any
 
+import click
+from benchmark_tools.command_line import NumberList, time_limit
+from benchmark_tools.tables import markdown_head, markdown_row
 from control_relay import (
     EndpointListUpdate,
     PollReceived,
@@ -25,17 +30,30 @@
 )
 from sansio_core import SetTimer, Started, TimerFired
 
-BASE = 1_764_600_000 << 20
-AGAIN_MS = 2.0
+FIRST_EVENT_NUMBER = 1_764_600_000 << 20
+POLL_AGAIN_MS = 2.0
 BLOCK_MS = 1_200.0
-
-
-def shelf(number: int) -> dict[str, Any]:
-    dial = f"10.1.{number >> 8}.{number & 255}:10080"
+# Time in which the routers enter, of which nothing is counted.
+ENTRY_MS = 2_000.0
+ENTRY_INTERVAL_MS = 1.0
+MEMORY_RUN_MS = 12_000.0
+SITES = 58
+UNIX_TIME_MS = 1e12
+# Spreads the objects of successive purges.
+OBJECT_STEP = 7919
+NO_GROUP = -1
+COLUMNS = (
+    "routers", "polls/s", "us a poll", "us a purge", "ms a timer (an answer to all)", "% of a core",
+    "peak MB", "bytes an answer", "not yet done",
+)  # fmt: skip
+
+
+def host_entry(number: int) -> dict[str, Any]:
+    """One cache server of the endpoint list."""
     return {
         "host": f"s-{number:08x}",
-        "dial": dial,
-        "site": f"site-{number % 58}",
+        "dial": f"10.1.{number >> 8}.{number & 255}:10080",
+        "site": f"site-{number % SITES}",
         "class": "std",
         "block": number % 8,
         "health": "active",
@@ -44,95 +62,168 @@
     }
 
 
-class Bench:
-    """Events in the order of their simulated times; counts what `handle` costs by kind of event."""
-
-    def __init__(self, routers: int, purges: float, shelfs: int) -> None:
-        self.relay, self.now, self.queue = Relay(RelaySettings(), "bench", BASE), 0.0, []
-        self.cost: dict[str, tuple[int, float]] = {}
-        self.pushed = self.answers = self.told_bytes = 0
-        self.purges, self.number = purges, 1
-        self.names = [f"router-{number:04}" for number in range(routers)]
-        self.handle(Started())
-        self.handle(EndpointListUpdate(1, 1, True, tuple(shelf(number) for number in range(shelfs))))
-        self.handle(UpstreamConfirmed(0.0, 1))
-        for poller in range(routers):
-            self.push(poller * 1.0, ("poll", poller, 0))
-        self.push(0.0, ("purge", 0, 0))
-
-    queue: list[tuple[float, int, tuple[str, int, int]]]
-
-    def push(self, at: float, what: tuple[str, int, int]) -> None:
-        self.pushed += 1
-        heapq.heappush(self.queue, (at, self.pushed, what))
-
-    def handle(self, event: Any) -> None:
-        begun = time.process_time()
-        actions = self.relay.handle(self.now, event)
-        took = time.process_time() - begun
-        count, total = self.cost.get(type(event).__name__, (0, 0.0))
-        self.cost[type(event).__name__] = count + 1, total + took
+@dataclass(frozen=True, slots=True)
+class RouterPolls:
+    """A router polls."""
+
+    router: int
+    resume: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerIsDue:
+    """A timer of the relay is due."""
+
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class PurgeIsPublished:
+    """Discovery publishes the next purge."""
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class ScheduledEvent:
+    """What happens at a time; at one time in the order of scheduling."""
+
+    due_ms: float
+    number: int
+    event: RouterPolls | TimerIsDue | PurgeIsPublished = field(compare=False)
+
+
+@dataclass(slots=True)
+class EventCost:
+    """How often the relay handled a kind of event, and the processor time of that."""
+
+    count: int = 0
+    total_s: float = 0.0
+
+    @property
+    def mean_s(self) -> float:
+        """Processor time of one event."""
+        return self.total_s / self.count
+
+
+class RelaySimulation:
+    """A relay, its routers and discovery in simulated time; ``costs`` are by the type of event."""
+
+    def __init__(self, routers: int, purges_per_s: float, servers: int) -> None:
+        self.relay = Relay(RelaySettings(), "bench", FIRST_EVENT_NUMBER)
+        self.costs: dict[type, EventCost] = defaultdict(EventCost)
+        self.answer_count = 0
+        self.answer_bytes = 0
+        self._purge_interval_ms = 1_000.0 / purges_per_s
+        self._router_names = [f"router-{number:04}" for number in range(routers)]
+        self._now_ms = 0.0
+        self._queue: list[ScheduledEvent] = []
+        self._scheduled_count = 0
+        self._last_event_number = 1
+        self._handle(Started())
+        self._handle(EndpointListUpdate(1, 1, True, tuple(host_entry(number) for number in range(servers))))
+        self._handle(UpstreamConfirmed(0.0, 1))
+        for router in range(routers):
+            self._schedule(router * ENTRY_INTERVAL_MS, RouterPolls(router, 0))
+        self._schedule(0.0, PurgeIsPublished())
+
+    def _schedule(self, due_ms: float, event: RouterPolls | TimerIsDue | PurgeIsPublished) -> None:
+        self._scheduled_count += 1
+        heapq.heappush(self._queue, ScheduledEvent(due_ms, self._scheduled_count, event))
+
+    def _handle(self, event: Any) -> None:
+        """Hand an event to the relay, count its cost, and schedule what follows from it."""
+        begin_s = time.process_time()
+        actions = self.relay.handle(self._now_ms, event)
+        cost = self.costs[type(event)]
+        cost.count += 1
+        cost.total_s += time.process_time() - begin_s
         for action in actions:
             if isinstance(action, SendResponse):
-                self.answers += 1
-                self.told_bytes += len(action.body)
-                self.push(self.now + AGAIN_MS, ("poll", action.poller, self.relay.state.log.delivered))
+                self.answer_count += 1
+                self.answer_bytes += len(action.body)
+                polls = RouterPolls(action.poller, self.relay.state.log.delivered)
+                self._schedule(self._now_ms + POLL_AGAIN_MS, polls)
             elif isinstance(action, SetTimer):
-                self.push(self.now + action.in_ms, ("timer", action.token, 0))
-
-    def run(self, until: float) -> None:
-        while self.queue[0][0] <= until:
-            self.now, _, (kind, who, resume) = heapq.heappop(self.queue)
-            if kind == "poll":
-                epoch = self.relay.epoch if resume else ""
-                request = PollRequest(resume, BLOCK_MS, epoch, "router", self.names[who])
-                self.handle(PollReceived(who, request))
-            elif kind == "timer":
-                self.handle(TimerFired(who))
-            else:
-                self.number += 1
-                self.handle(PurgeReceived(self.number, f"{self.number * 7919:016x}", -1, 1e12 + self.now))
-                self.handle(UpstreamConfirmed(0.0, self.number))
-                self.push(self.now + 1_000.0 / self.purges, ("purge", 0, 0))
-
-
-def row(routers: int, seconds: float, purges: float, shelfs: int) -> str:
-    """Steady state: the first two seconds, in which all enter, are not counted; nor their whole lists."""
-    bench = Bench(routers, purges, shelfs)
-    bench.run(2_000.0)
-    bench.cost.clear()
-    bench.answers = bench.told_bytes = 0
-    bench.run(2_000.0 + seconds * 1_000.0)
-    total = sum(cost for _, cost in bench.cost.values())
-    polls, poll_s = bench.cost["PollReceived"]
-    events, event_s = bench.cost["PurgeReceived"]
-    flushes, flush_s = bench.cost["TimerFired"]
-    behind = bench.relay.state.log.delivered - bench.relay.low_water_marks.acknowledged
+                self._schedule(self._now_ms + action.in_ms, TimerIsDue(action.token))
+
+    def run_until(self, end_ms: float) -> None:
+        """Let everything happen that is due by then."""
+        while self._queue[0].due_ms <= end_ms:
+            scheduled = heapq.heappop(self._queue)
+            self._now_ms = scheduled.due_ms
+            match scheduled.event:
+                case RouterPolls(router=router, resume=resume):
+                    self._poll(router, resume)
+                case TimerIsDue(token=token):
+                    self._handle(TimerFired(token))
+                case PurgeIsPublished():
+                    self._publish_purge()
+
+    def _poll(self, router: int, resume: int) -> None:
+        epoch = self.relay.epoch if resume else ""
+        request = PollRequest(resume, BLOCK_MS, epoch, "router", self._router_names[router])
+        self._handle(PollReceived(router, request))
+
+    def _publish_purge(self) -> None:
+        self._last_event_number += 1
+        number = self._last_event_number
+        issued_ms = UNIX_TIME_MS + self._now_ms
+        self._handle(PurgeReceived(number, f"{number * OBJECT_STEP:016x}", NO_GROUP, issued_ms))
+        self._handle(UpstreamConfirmed(0.0, number))
+        self._schedule(self._now_ms + self._purge_interval_ms, PurgeIsPublished())
+
+    def clear_counts(self) -> None:
+        """Count anew from here on."""
+        self.costs.clear()
+        self.answer_count = 0
+        self.answer_bytes = 0
+
+    @property
+    def unacknowledged_count(self) -> int:
+        """Events that not all routers have acknowledged."""
+        return self.relay.state.log.delivered - self.relay.low_water_marks.acknowledged
+
+
+def measure_peak_mb(routers: int, purges_per_s: float, servers: int) -> float:
+    """The peak memory of a run."""
     tracemalloc.start()
-    Bench(routers, purges, shelfs).run(12_000.0)
-    peak = tracemalloc.get_traced_memory()[1]
+    RelaySimulation(routers, purges_per_s, servers).run_until(MEMORY_RUN_MS)
+    _, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
+    return peak_bytes / 1e6
+
+
+def measure(routers: int, seconds: float, purges_per_s: float, servers: int) -> tuple[object, ...]:
+    """Return a row for the steady state: without the entry of the routers and their complete lists."""
+    simulation = RelaySimulation(routers, purges_per_s, servers)
+    simulation.run_until(ENTRY_MS)
+    simulation.clear_counts()
+    simulation.run_until(ENTRY_MS + seconds * 1_000.0)
+    costs = simulation.costs
+    total_s = sum(cost.total_s for cost in costs.values())
     return (
-        f"| {routers} | {polls / seconds:.0f} | {1e6 * poll_s / polls:.1f} | {1e6 * event_s / events:.1f} "
-        f"| {1e3 * flush_s / flushes:.2f} | {100 * total / seconds:.2f} | {peak / 1e6:.1f} "
-        f"| {bench.told_bytes / bench.answers:.0f} | {behind} |"
+        routers,
+        f"{costs[PollReceived].count / seconds:.0f}",
+        f"{1e6 * costs[PollReceived].mean_s:.1f}",
+        f"{1e6 * costs[PurgeReceived].mean_s:.1f}",
+        f"{1e3 * costs[TimerFired].mean_s:.2f}",
+        f"{100 * total_s / seconds:.2f}",
+        f"{measure_peak_mb(routers, purges_per_s, servers):.1f}",
+        f"{simulation.answer_bytes / simulation.answer_count:.0f}",
+        simulation.unacknowledged_count,
     )
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--routers", type=int, nargs="+", default=[100, 300, 600, 1200])
-    parser.add_argument("--seconds", type=float, default=20.0, help="simulated")
-    parser.add_argument("--purges", type=float, default=34.0, help="a second")
-    parser.add_argument("--shelfs", type=int, default=440)
-    args = parser.parse_args()
-    print(
-        "| routers | polls/s | us a poll | us a purge | ms a timer (an answer to all) | % of a core "
-        "| peak MB | bytes an answer | not yet done |"
-    )
-    print("|---|---|---|---|---|---|---|---|---|")
-    for routers in args.routers:
-        print(row(routers, args.seconds, args.purges, args.shelfs), flush=True)
+@click.command(help=__doc__)
+@click.option("--routers", type=NumberList(), default=(100, 300, 600, 1200), help="sizes of the fleet")
+@click.option("--seconds", default=20.0, help="of simulated time")
+@click.option("--purges", default=34.0, help="a second")
+@click.option("--shelfs", default=440, help="cache servers listed")
+def main(routers: tuple[int, ...], seconds: float, purges: float, shelfs: int) -> None:
+    """Measure a relay's core."""
+    print(markdown_head(COLUMNS))
+    with time_limit():
+        for count in routers:
+            print(markdown_row(measure(count, seconds, purges, shelfs)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -1,100 +1,117 @@
-"""What a relay costs by the routers that poll it: a real relay before a stand-in discovery, 440 shelfs
-listed, 34 purges a second, and the polling side of so many routers in this process.
+"""What a relay costs by the routers that poll it: a real relay before a fake discovery.
 
-``PYTHONPATH=. python benchmarks/relay_load.py [SECONDS]``, with the development packages installed, prints a
-table for 100, 200, 400 and 600 routers and the slope of processor time by routers with its standard error.
-Loopback only; four rounds of SECONDS (default 15) and some for their starts; ends its process."""
+    PYTHONPATH=. python benchmarks/relay_load.py [SECONDS]
+
+440 servers are listed, discovery publishes 34 purges a second, and the polling side of the routers is in
+this process. The table has a row for 100, 200, 400 and 600 routers; below it is the slope of processor time
+by routers with its standard error. Loopback only, with the development packages; four rounds of SECONDS and
+some for their starts.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import statistics
-import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
+import click
+from benchmark_tools.command_line import time_limit
+from benchmark_tools.line_fit import fit_line
+from benchmark_tools.process_figures import main_thread_cpu_ms, peak_resident_mb
+from benchmark_tools.relay_files import BATCH_WINDOW_MS, build_hosts, is_ready
+from benchmark_tools.tables import markdown_head, markdown_row
 from control_harness.environment import Environment
 from control_harness.participants import RelayParticipant
 from control_harness.poller import Poller
 
-SIZES = 100, 200, 400, 600
-SHELFS, PURGES_A_S = 440, 34
-SETTLE_S = 3.0
+SIZES = (100, 200, 400, 600)
+PURGES_PER_S = 34
+# Time in which the routers connect.
+CONNECT_S = 3.0
+# Share of the purges that every router must have received.
+MIN_RECEIVED_SHARE = 0.9
+
+
+class MissedPurgesError(RuntimeError):
+    """A router received too few purges."""
 
+    def __init__(self, received: int, published: int) -> None:
+        super().__init__(f"a router received {received} of {published} purges")
 
-def used_ms(pid: int) -> float:
-    """By the scheduler's own count, which is finer than a tick."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e6
 
+@dataclass(frozen=True, slots=True)
+class RelayCost:
+    """Processor time in ms a second, peak memory so far, and connections."""
 
-def memory_mb(pid: int) -> float:
-    """The most that was resident."""
-    (line,) = [row for row in Path(f"/proc/{pid}/status").read_text().splitlines() if row.startswith("VmHWM")]
-    return int(line.split()[1]) / 1024.0
+    cpu_ms_per_s: float
+    peak_mb: float
+    connections: int
 
 
-async def purge_for(rig: Environment, seconds: float) -> int:
-    """At an even rate; how many."""
-    start, count = time.monotonic(), 0
-    while time.monotonic() - start < seconds:
+async def publish_purges(environment: Environment, seconds: float) -> int:
+    """Publish purges at an even rate and return how many."""
+    begin_s = time.monotonic()
+    count = 0
+    while time.monotonic() - begin_s < seconds:
         count += 1
-        await rig.discovery.publish_purges(count)
-        await asyncio.sleep(max(0.0, start + count / PURGES_A_S - time.monotonic()))
+        await environment.discovery.publish_purges(count)
+        await asyncio.sleep(max(0.0, begin_s + count / PURGES_PER_S - time.monotonic()))
     return count
 
 
-async def one_size(
-    rig: Environment, relay: RelayParticipant, pid: int, size: int, seconds: float
-) -> tuple[float, ...]:
-    """Processor time in ms a second, memory in MB, connections."""
-    pollers = [Poller(relay.listen_address, f"poller-{number}") for number in range(size)]
+async def measure_size(
+    environment: Environment, relay: RelayParticipant, routers: int, seconds: float
+) -> RelayCost:
+    """Measure the relay with so many routers.  Raises MissedPurgesError."""
+    pollers = [Poller(relay.listen_address, f"poller-{number}") for number in range(routers)]
     tasks = [asyncio.create_task(poller.run()) for poller in pollers]
-    await asyncio.sleep(SETTLE_S)
-    start, before = time.monotonic(), used_ms(pid)
-    count = await purge_for(rig, seconds)
-    used, took = used_ms(pid) - before, time.monotonic() - start
-    connections = int((await relay.status())["connections"])
-    least = min(len(poller.purged_objects) for poller in pollers)
+    await asyncio.sleep(CONNECT_S)
+    begin_s = time.monotonic()
+    cpu_before_ms = main_thread_cpu_ms(relay.pid)
+    published = await publish_purges(environment, seconds)
+    cpu_ms = main_thread_cpu_ms(relay.pid) - cpu_before_ms
+    measured_s = time.monotonic() - begin_s
+    status = await relay.status()
+    fewest_received = min(len(poller.purged_objects) for poller in pollers)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    assert least >= 0.9 * count, f"a router heard {least} of {count} purges"
-    return used / took, memory_mb(pid), connections
-
-
-async def main(seconds: float) -> None:
-    print("| routers | processor, ms a second | memory, MB (peak so far) | connections |\n|---|---|---|---|")
-    line = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
-    points: list[tuple[int, float]] = []
-    with tempfile.TemporaryDirectory() as name:
-        async with Environment(Path(name)) as rig:
-            await rig.discovery.publish_hosts(
-                [line | {"host": f"s{number}"} for number in range(SHELFS)], True
-            )
-            relay = rig.add_relay("relay")
-            relay.configure([rig.discovery.address], join_ms=150)
-            relay.start()
-            await rig.wait_until(lambda: ready(relay), "the relay is ready")
-            for size in SIZES:
-                used, memory, connections = await one_size(rig, relay, relay.pid, size, seconds)
-                points.append((size, used))
-                print(f"| {size} | {used:.1f} | {memory:.1f} | {connections:.0f} |", flush=True)
-    slope, error, base = fit(points)
-    print(f"\nprocessor: {base:.1f} ms a second and {slope:.3f} (standard error {error:.3f}) for each router")
-
-
-async def ready(relay: RelayParticipant) -> bool:
-    return await relay.call_admin("check") == ["ACK"]
-
-
-def fit(points: list[tuple[int, float]]) -> tuple[float, float, float]:
-    """Slope, its standard error, and what is there without routers."""
-    xs, ys = [float(x) for x, _ in points], [y for _, y in points]
-    slope, base = statistics.linear_regression(xs, ys)
-    rest = sum((y - base - slope * x) ** 2 for x, y in points) / (len(points) - 2)
-    return slope, (rest / sum((x - statistics.fmean(xs)) ** 2 for x in xs)) ** 0.5, base
+    if fewest_received < MIN_RECEIVED_SHARE * published:
+        raise MissedPurgesError(fewest_received, published)
+    return RelayCost(cpu_ms / measured_s, peak_resident_mb(relay.pid), int(status["connections"]))
+
+
+async def measure(folder: Path, seconds: float) -> None:
+    """Print the table, a row after each size, and the slope."""
+    print(markdown_head(("routers", "processor, ms a second", "memory, MB (peak so far)", "connections")))
+    points: list[tuple[float, float]] = []
+    async with Environment(folder) as environment:
+        await environment.discovery.publish_hosts(build_hosts(), complete=True)
+        relay = environment.add_relay("relay")
+        relay.configure([environment.discovery.address], join_ms=BATCH_WINDOW_MS)
+        relay.start()
+        await environment.wait_until(lambda: is_ready(relay), "the relay is ready")
+        for routers in SIZES:
+            cost = await measure_size(environment, relay, routers, seconds)
+            points.append((routers, cost.cpu_ms_per_s))
+            cells = (routers, f"{cost.cpu_ms_per_s:.1f}", f"{cost.peak_mb:.1f}", cost.connections)
+            print(markdown_row(cells), flush=True)
+    line = fit_line(points)
+    print(
+        f"\nprocessor: {line.start:.1f} ms a second and {line.slope:.3f} "
+        f"(standard error {line.slope_error:.3f}) for each router"
+    )
+
+
+@click.command(help=__doc__)
+@click.argument("seconds", default=15.0)
+def main(seconds: float) -> None:
+    """Measure a relay."""
+    with time_limit(), tempfile.TemporaryDirectory() as folder:
+        asyncio.run(measure(Path(folder), seconds))
 
 
 if __name__ == "__main__":
-    asyncio.run(main(float(sys.argv[1]) if len(sys.argv) > 1 else 15.0))
+    main()
--- a/benchmarks/signed_front.py
+++ b/benchmarks/signed_front.py
@@ -1,74 +1,146 @@
-"""Figures of the second front on one core: tokens verified per second by algorithm, and the replay window's
-memory at its cap.  ``python benchmarks/signed_front.py [SECONDS]``; prints a Markdown table.
+"""Figures of the second front on one core: tokens verified a second, and the memory of the replay window.
 
-Each figure is one run of a bounded loop (at most SECONDS of process time per row); no network."""
+    PYTHONPATH=. python benchmarks/signed_front.py [SECONDS]
+
+Prints Markdown tables: tokens a second by algorithm, and the replay window's memory at its bound. Each row
+of the first is one bounded loop of at most SECONDS of process time; no network.
+"""
 
 from __future__ import annotations
 
 import statistics
-import sys
 import time
 import tracemalloc
+from dataclasses import dataclass
 
+import click
+from benchmark_tools.command_line import time_limit
+from benchmark_tools.tables import markdown_head, markdown_row, markdown_table
 from joserfc.jwk import ECKey, OctKey
 
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, replay_key
 
 URI = "https://cams.example/films/17/7f3a9c21e0b4d655/0"
-NOW = 1_000_000.0
+URI_PATTERN = r"regex:https://cams\.example/films/[0-9]+/.*"
+NOW_S = 1_000_000.0
+TOKEN_LIFETIME_S = 600
+ISSUER = "R"
+AUDIENCE = "tj"
+KEY_ID = "k"
+ALGORITHMS = ("HS256", "ES256")
+UNBOUNDED_WINDOW_BYTES = 1 << 30
+# Tokens that are issued: a token with an identifier is accepted once, any other again and again.
+TOKENS_WITH_IDENTIFIER = 20_000
+TOKENS_WITHOUT_IDENTIFIER = 2_000
+MAX_VERIFICATIONS = 200_000
+WINDOW_BOUNDS_MIB = (0.25, 1, 2, 8, 32)
+MIB = 1 << 20
+WINDOW_SLOT_S = 10.0
+WINDOW_HORIZON_S = 86_400.0
+
+
+def build_trust(algorithm: str) -> tokens.Trust:
+    """The trust in one key."""
+    key = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.import_key("s" * 40)
+    signing_key = tokens.SigningKey(KEY_ID, algorithm, key)
+    return tokens.Trust(frozenset({ISSUER}), AUDIENCE, (algorithm,), {KEY_ID: signing_key}, KEY_ID)
 
 
-def trust(algorithm: str) -> tokens.Trust:
-    key = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.import_key("s" * 40)
-    signing = tokens.SigningKey("k", algorithm, key)
-    return tokens.Trust(frozenset({"R"}), "tj", (algorithm,), {"k": signing}, "k")
-
-
-def verify_rate(algorithm: str, container: str, seconds: float, jti: bool) -> tuple[float, float]:
-    """Tokens a second, and the p99 of one verification in microseconds."""
-    told = trust(algorithm)
-    window = ReplayWindow(cap_bytes=1 << 30)
-    count = 20_000 if jti else 2_000  # each jti is taken once: as many tokens as verifications
-    made = [tokens.issue(told, container, NOW, 600, **({"jti": str(n)} if jti else {})) for n in range(count)]
-    spent: list[float] = []
-    end = time.process_time() + seconds
-    while time.process_time() < end and len(spent) < (count if jti else 200_000):
-        token = made[len(spent) % count]
-        start = time.perf_counter()
-        tokens.verify(token, URI, told, window, NOW)
-        spent.append(time.perf_counter() - start)
-    return len(spent) / sum(spent), statistics.quantiles(spent, n=100)[98] * 1e6
-
-
-def window_memory(cap_bytes: int) -> tuple[int, int]:
-    """Entries at the cap, and the bytes they took, by tracemalloc."""
+@dataclass(frozen=True, slots=True)
+class VerificationCost:
+    """Tokens verified a second, and the 99th percentile of one verification."""
+
+    tokens_per_s: float
+    p99_us: float
+
+
+def issue_tokens(trust: tokens.Trust, container: str, with_identifier: bool) -> list[str]:
+    """Tokens for the container, each with an identifier of its own or all without."""
+    if with_identifier:
+        return [
+            tokens.issue(trust, container, NOW_S, TOKEN_LIFETIME_S, jti=str(number))
+            for number in range(TOKENS_WITH_IDENTIFIER)
+        ]
+    return [tokens.issue(trust, container, NOW_S, TOKEN_LIFETIME_S) for _ in range(TOKENS_WITHOUT_IDENTIFIER)]
+
+
+def measure_verification(
+    algorithm: str, container: str, with_identifier: bool, seconds: float
+) -> VerificationCost:
+    """Verify tokens for so long."""
+    trust = build_trust(algorithm)
+    window = ReplayWindow(cap_bytes=UNBOUNDED_WINDOW_BYTES)
+    issued = issue_tokens(trust, container, with_identifier)
+    max_verifications = len(issued) if with_identifier else MAX_VERIFICATIONS
+    durations_s: list[float] = []
+    until_s = time.process_time() + seconds
+    while time.process_time() < until_s and len(durations_s) < max_verifications:
+        token = issued[len(durations_s) % len(issued)]
+        begin_s = time.perf_counter()
+        tokens.verify(token, URI, trust, window, NOW_S)
+        durations_s.append(time.perf_counter() - begin_s)
+    p99_us = statistics.quantiles(durations_s, n=100)[98] * 1e6
+    return VerificationCost(len(durations_s) / sum(durations_s), p99_us)
+
+
+@dataclass(frozen=True, slots=True)
+class WindowMemory:
+    """Entries of a full replay window, and the bytes that they take."""
+
+    entries: int
+    used_bytes: int
+
+
+def measure_window(bound_bytes: int) -> WindowMemory:
+    """Fill a window up to its bound."""
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    window = ReplayWindow(cap_bytes=cap_bytes, slot_s=10.0, horizon_s=86_400.0)
-    n = 0
-    while window.accept(replay_key("R", str(n)), NOW + (n % 8640) * 10, NOW).accepted:
-        n += 1
-    used = tracemalloc.get_traced_memory()[0] - before
+    before_bytes, _ = tracemalloc.get_traced_memory()
+    window = ReplayWindow(cap_bytes=bound_bytes, slot_s=WINDOW_SLOT_S, horizon_s=WINDOW_HORIZON_S)
+    slots = int(WINDOW_HORIZON_S / WINDOW_SLOT_S)
+    number = 0
+    while window.accept(
+        replay_key(ISSUER, str(number)), NOW_S + number % slots * WINDOW_SLOT_S, NOW_S
+    ).accepted:
+        number += 1
+    after_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return len(window), used
-
-
-def main() -> None:
-    seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 3.0
-    hashed, pattern = "hash:" + tokens.uri_hash(URI), r"regex:https://cams\.example/films/[0-9]+/.*"
-    print("| algorithm | container | jti | tokens/s, one core | p99 µs |\n|---|---|---|---|---|")
-    for algorithm in ("HS256", "ES256"):
-        for name, container in (("hash", hashed), ("regex", pattern)):
-            for jti in (False, True):
-                rate, p99 = verify_rate(algorithm, container, seconds, jti)
-                print(f"| {algorithm} | {name} | {'yes' if jti else 'no'} | {rate:,.0f} | {p99:.0f} |")
-    print("\n| cap | entries at the cap | bytes used at the cap | share of the cap |\n|---|---|---|---|")
-    for cap_mb in (0.25, 1, 2, 8, 32):
-        entries, used = window_memory(int(cap_mb * (1 << 20)))
-        print(f"| {cap_mb} MiB | {entries:,} | {used:,} | {used / (cap_mb * (1 << 20)):.2f} |")
+    return WindowMemory(len(window), after_bytes - before_bytes)
+
+
+def print_verification(seconds: float) -> None:
+    """Print the table of tokens, a row after each measurement."""
+    containers = {"hash": "hash:" + tokens.uri_hash(URI), "regex": URI_PATTERN}
+    print(markdown_head(("algorithm", "container", "jti", "tokens/s, one core", "p99 µs")))
+    for algorithm in ALGORITHMS:
+        for name, container in containers.items():
+            for with_identifier in (False, True):
+                cost = measure_verification(algorithm, container, with_identifier, seconds)
+                identifier = "yes" if with_identifier else "no"
+                figures = (f"{cost.tokens_per_s:,.0f}", f"{cost.p99_us:.0f}")
+                print(markdown_row((algorithm, name, identifier, *figures)), flush=True)
+
+
+def print_window() -> None:
+    """Print the table of the replay window."""
+    rows = []
+    for bound_mib in WINDOW_BOUNDS_MIB:
+        memory = measure_window(int(bound_mib * MIB))
+        share = memory.used_bytes / (bound_mib * MIB)
+        rows.append((f"{bound_mib} MiB", f"{memory.entries:,}", f"{memory.used_bytes:,}", f"{share:.2f}"))
+    columns = ("cap", "entries at the cap", "bytes used at the cap", "share of the cap")
+    print("\n" + markdown_table(columns, rows))
     print(f"\nstated: {ENTRY_BYTES} bytes an entry")
 
 
+@click.command(help=__doc__)
+@click.argument("seconds", default=3.0)
+def main(seconds: float) -> None:
+    """Measure tokens and the replay window."""
+    with time_limit():
+        print_verification(seconds)
+        print_window()
+
+
 if __name__ == "__main__":
     main()
