--- a/packages/fakes/src/fakes/fake_discovery.py
+++ b/packages/fakes/src/fakes/fake_discovery.py
@@ -17,7 +17,10 @@
 from fakes.loopback_environment import until
 from thornjunction import interface as api
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.discovery.watch_client import MOST_AGAIN_MS, WatchClient
+from thornjunction.net.discovery.retry_policy import MAX_RETRY_DELAY_MS
+from thornjunction.net.discovery.watch import WatchHandlers
+from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.wire import http1
@@ -217,7 +220,8 @@
     def build(self, address: tuple[str, int]) -> WatchClient:
         """A channel that has heard nothing; it takes the place of the one before."""
         clock: Callable[[], float] = lambda: self.now  # noqa: E731
-        self.channel = WatchClient(reactor, address, self.deadlines, clock, self.taken.append, lambda: None)
+        context = WatchContext(reactor, self.deadlines, clock)
+        self.channel = WatchClient(context, address, WatchHandlers(self.taken.append))
         return self.channel
 
     @inlineCallbacks
@@ -241,23 +245,23 @@
     def failed(self, times: int) -> Any:
         """Until connections have failed so often in a row; then past the pause, until the next dial."""
         for failures in range(1, times + 1):
-            yield until(lambda failures=failures: self.channel.failures == failures)  # type: ignore[misc]
-            while self.channel._dialling is None and failures < times:
+            yield until(lambda failures=failures: self.channel.retries.failures == failures)  # type: ignore[misc]
+            while not self.channel.is_connecting and failures < times:
                 self.pass_time(10.0)
-        self.pass_time(MOST_AGAIN_MS)
+        self.pass_time(MAX_RETRY_DELAY_MS)
 
     @inlineCallbacks
     def ended(self, pause_ms: float) -> Any:
         """Until the connection has ended; then past the pause before the next."""
-        yield until(lambda: self.channel.link is None)
+        yield until(lambda: self.channel.connection is None)
         self.pass_time(pause_ms)
 
     @inlineCallbacks
     def end(self) -> Any:
-        self.channel.stopped = True
-        if self.channel.link is not None:
-            self.channel.link.close("test")
-        yield until(lambda: self.channel.link is None and self.channel._dialling is None)
+        self.channel.stop()
+        if self.channel.connection is not None:
+            self.channel.connection.close("test")
+        yield until(lambda: self.channel.connection is None and not self.channel.is_connecting)
 
     @inlineCallbacks
     def stop(self) -> Any:
--- a/packages/fleet-scale/src/fleet_scale/hollow.py
+++ b/packages/fleet-scale/src/fleet_scale/hollow.py
@@ -114,9 +114,9 @@
     def end(self) -> None:
         """Gone at once, as a process that was killed: nothing is said to anybody."""
         self.state = Lifecycle.STOPPED
-        self.channel.stopped = True
-        if self.channel.link is not None:
-            self.channel.link.transport.abortConnection()
+        self.channel.stop()
+        if self.channel.connection is not None:
+            self.channel.connection.transport.abortConnection()
         if self.fleet is not None:
             self.fleet.port.closed = True
             self.fleet.close()
@@ -124,8 +124,8 @@
 
     def sever(self) -> None:
         """Its connection is reset."""
-        if self.channel.link is not None:
-            self.channel.link.transport.abortConnection()
+        if self.channel.connection is not None:
+            self.channel.connection.transport.abortConnection()
 
 
 def fleet_settings(told: Mapping[str, Any], name: str, folder: Path) -> FleetSettings:
--- a/packages/fleet-scale/src/fleet_scale/hollows.py
+++ b/packages/fleet-scale/src/fleet_scale/hollows.py
@@ -83,7 +83,7 @@
             "highest": min((router.seen.highest for router in routers), default=-1),
             "highest_of_any": max((router.seen.highest for router in routers), default=-1),
             "repeated": sum(router.seen.repeated for router in routers),
-            "connected": sum(router.channel.link is not None for router in routers),
+            "connected": sum(router.channel.connection is not None for router in routers),
             "least": [name for _, name in seen[:NAMED]],
         }
 
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -4,6 +4,7 @@
 
 import json
 from typing import Any
+from unittest.mock import Mock
 
 import pytest
 from twisted.internet.task import Clock
@@ -27,7 +28,9 @@
 )
 from thornjunction.memory.deadlines import Deadlines, TooManyDeadlinesError
 from thornjunction.memory.slots import SlotTable, SlotTableFullError
+from thornjunction.net.discovery.watch import WatchHandlers
 from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.wire.commands import Commands, Purge
 from thornjunction.runtime.config import parse_config
@@ -254,19 +257,22 @@
     """A process that replaces another serves when it has heard what its old list lacks."""
     told: list[str] = []
     channel = WatchClient(
-        None, ("127.0.0.1", 1), Deadlines(), lambda: 0.0, told.append, lambda: told.append("now")
+        WatchContext(Mock(), Deadlines(), lambda: 0.0),
+        ("127.0.0.1", 1),
+        WatchHandlers(told.append, lambda: told.append("now")),
     )
     for cursor in (1, 2):
-        channel.answered(Commands(cursor, (Purge(cursor, 1, 0, 0.0),)))
+        channel.handle_response(Commands(cursor, (Purge(cursor, 1, 0, 0.0),)), is_stable=False)
     assert [type(item).__name__ for item in told] == ["Purge", "str", "Purge"]
 
 
 def test_an_event_of_the_channel_counts_once() -> None:
     taken: list[Any] = []
-    channel = WatchClient(None, ("127.0.0.1", 1), Deadlines(), lambda: 0.0, taken.append, lambda: None)
+    context = WatchContext(Mock(), Deadlines(), lambda: 0.0)
+    channel = WatchClient(context, ("127.0.0.1", 1), WatchHandlers(taken.append))
     events = tuple(Purge(number, 1, 0, 0.0) for number in (1, 2, 3))
-    channel.apply(Commands(2, events[:2]))
-    channel.apply(Commands(3, events[1:]))
+    channel.feed.apply(Commands(2, events[:2]))
+    channel.feed.apply(Commands(3, events[1:]))
     assert taken == list(events) and channel.cursor == 3
 
 
--- a/tests/net/discovery/sources_rig.py
+++ b/tests/net/discovery/sources_rig.py
@@ -13,7 +13,10 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.python.failure import Failure
 
-from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
+from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch, PollIdentity
+from thornjunction.net.discovery.watch import WatchHandlers
+from thornjunction.net.discovery.watch_connection import ConnectionState
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.wire.commands import Command, ListChange
 
@@ -154,17 +157,16 @@
         machine = SourceSelector([source.address for source in self.sources], lambda: 0.5)
         clock: Callable[[], float] = lambda: self.now  # noqa: E731
         self.channel = MultiSourceWatch(
-            reactor,
+            WatchContext(reactor, self.deadlines, clock),
             machine,
             10_000.0,
-            self.deadlines,
-            clock,
-            self.taken.append,
-            lambda: setattr(self, "current", self.current + 1),
-            "r1",
-            lambda sibling: "&as=sibling" if sibling else "&as=router&name=r1",
-            lambda: setattr(self, "epochs", self.epochs + 1),
-            lambda age_ms, number: self.confirmed.append((age_ms, number)),
+            PollIdentity("r1", lambda sibling: "&as=sibling" if sibling else "&as=router&name=r1"),
+            WatchHandlers(
+                self.taken.append,
+                on_synchronized=lambda: setattr(self, "current", self.current + 1),
+                on_epoch=lambda: setattr(self, "epochs", self.epochs + 1),
+                on_confirmed=lambda age_ms, number: self.confirmed.append((age_ms, number)),
+            ),
         )
 
     @inlineCallbacks
@@ -203,23 +205,25 @@
 
     def rests(self) -> bool:
         """Whether nothing is on its way: no dial, no probe, no poll that its source has not got."""
-        channel, link = self.channel, self.channel.link
-        if channel._dialling is not None or channel.probes:
+        channel, link = self.channel, self.channel.connection
+        if channel.is_connecting or channel.pending_probes:
             return False
-        if channel._asked_for is None:
+        if channel.selected is None:
             return True
-        source = next(source for source in self.sources if source.address == channel._asked_for)
+        source = next(source for source in self.sources if source.address == channel.selected)
         if channel.address != source.address or link is None:
             return False
-        return not link.asked or (source.held is not None and (link.polls > 0 or source.way == "hung"))
+        return link.state is ConnectionState.PAUSED or (
+            source.held is not None and (link.polls > 0 or source.way == "hung")
+        )
 
     def heard(self, source: ScriptedSource, polls: int) -> bool:
         """Whether an answer was taken: there is another poll, or a pause before it, or nobody asks here."""
-        link = self.channel.link
+        link = self.channel.connection
         return (
             len(source.polls) > polls
             or link is None
-            or not link.asked
+            or link.state is ConnectionState.PAUSED
             or self.channel.address != source.address
         )
 
@@ -237,11 +241,11 @@
 
     @inlineCallbacks
     def stop(self) -> Any:
-        self.channel.stopped = True
-        if self.channel.link is not None:
-            self.channel.link.close("test")
-        elif self.channel._dialling is not None:
-            self.channel._dialling.cancel()
-        yield until(lambda: self.channel.link is None and self.channel._dialling is None)
+        self.channel.stop()
+        if self.channel.connection is not None:
+            self.channel.connection.close("test")
+        else:
+            self.channel.cancel_connecting()
+        yield until(lambda: self.channel.connection is None and not self.channel.is_connecting)
         for source in self.sources:
             yield source.kill()
--- a/tests/net/discovery/test_epoch_change.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -10,7 +10,8 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.net.discovery.test_watch import service_of
+from tests.net.discovery.builders import build_service
+from thornjunction.net.discovery.watch_connection import ConnectionState
 from thornjunction.net.wire.commands import Commands, ListChange
 
 SOME = 3000  # events whose answer is long
@@ -22,12 +23,12 @@
     timeout = 20
 
     def setUp(self) -> None:
-        self.rig, self.service = WatchRig(), service_of()
+        self.rig, self.service = WatchRig(), build_service()
         self.discovery, self.channel = self.rig.discovery, self.rig.channel
         self.addCleanup(self.rig.stop)
         self.addCleanup(self.service.alarm.stop)
         self.feed, self.listed = self.service.handle_command, list[str]()
-        self.channel.take = self.take
+        self.channel.feed.handle_command = self.take
         self.behind_at: int | None = None  # what discovery tells to a poll that doesn't ask from 0
         self.answer, self.discovery.polled = self.discovery.polled, self.polled  # type: ignore[method-assign]
         self.discovery.tell(nodes={"whole": True, "hosts": [line("c1"), line("c2"), watch.ORIGIN]})
@@ -64,14 +65,14 @@
         link.transport.write(answer({"cursor": cursor, "cmds": []}))
         del polls[:]
         while len(polls) < most and not self.asked_anew():
-            yield until(lambda: not self.channel.link.asked or self.asked_anew())
+            yield until(lambda: self.channel.connection.state is ConnectionState.PAUSED or self.asked_anew())
             self.rig.pass_time(50.0 * (not self.asked_anew()))
         return self.rig.now - started
 
     @inlineCallbacks
     def polled_again(self) -> Any:
         """Past the pause behind an answer that told nothing."""
-        yield until(lambda: self.discovery.held or not self.channel.link.asked)
+        yield until(lambda: self.discovery.held or self.channel.connection.state is ConnectionState.PAUSED)
         self.rig.pass_time(400.0)
         yield until(lambda: self.discovery.held)
 
--- a/tests/net/discovery/test_resynchronization.py
+++ b/tests/net/discovery/test_resynchronization.py
@@ -15,10 +15,12 @@
 from twisted.trial.unittest import TestCase
 
 from tests.loopback import Rig
+from thornjunction.net.discovery import event_feed, retry_policy
 from thornjunction.net.discovery import resynchronization as catch_up
 from thornjunction.net.discovery import watch_client as channels
 from thornjunction.net.discovery import watch_connection as channel_link
 from thornjunction.net.discovery.resynchronization import Resynchronization
+from thornjunction.net.discovery.watch_connection import ConnectionState
 from thornjunction.net.wire.commands import Commands
 
 AN_HOUR = 122_400  # purges: 34 a second
@@ -53,17 +55,17 @@
         self.discovery, self.channel = self.rig.discovery, self.rig.channel
         self.addCleanup(self.rig.stop)
         self.pieces: list[tuple[int, int]] = []  # bytes that were taken, bytes that were held before, of each
-        take = Resynchronization.take
+        take = Resynchronization.apply_next_part
 
         def noted(catching: Resynchronization) -> bool:
-            held, link = len(catching._waiting), self.rig.channel.link
+            held, link = len(catching._unparsed), self.rig.channel.connection
             try:
                 return take(catching)
             finally:
-                self.pieces.append((held - len(catching._waiting), held + link.reader.held))
+                self.pieces.append((held - len(catching._unparsed), held + link.reader.held))
 
-        shortest = patch.object(channels.random, "random", lambda: 0.0)  # of each pause: half of it
-        for patcher in (patch.object(Resynchronization, "take", noted), shortest):
+        shortest = patch.object(retry_policy.random, "random", lambda: 0.0)  # of each pause: half of it
+        for patcher in (patch.object(Resynchronization, "apply_next_part", noted), shortest):
             patcher.start()
             self.addCleanup(patcher.stop)
 
@@ -77,7 +79,7 @@
         fronts, turns, counts = Rig(), [0], list[int]()
         self.addCleanup(fronts.stop)
         client = yield fronts.client(3, FastCgiClient)
-        apply, at = self.channel.apply_piece, list[int]()
+        apply, at = self.channel.apply_part, list[int]()
 
         def counted(head: Commands | None, listed: list[Any]) -> Commands:
             at.append(turns[0])
@@ -89,7 +91,7 @@
             if self.channel.cursor < AN_HOUR:
                 reactor.callLater(0, turn)
 
-        self.channel.apply_piece, asked = counted, 0  # type: ignore[method-assign]
+        self.channel.apply_part, asked = counted, 0  # type: ignore[method-assign]
         self.channel.start()
         turn()
         while self.channel.cursor < AN_HOUR:
@@ -119,7 +121,7 @@
     @inlineCallbacks
     def test_what_has_come_is_taken_before_more_is_read(self) -> Any:
         """Where a turn takes less than a read brings; and what follows the answer is heard."""
-        with patch.object(catch_up, "PIECE", READ // 4):
+        with patch.object(catch_up, "MAX_PART_BYTES", READ // 4):
             yield self.rig.afresh(
                 say(answer(LONG)), say(answer(told([watch.purge(SOME + 1)], SOME + 1))), hold
             )
@@ -155,18 +157,18 @@
     @inlineCallbacks
     def test_a_turn_takes_a_bounded_number_of_events(self) -> Any:
         """A relay spends some 20 us on each that still holds: 25 to 28 ms a turn without this."""
-        counts, apply = list[int](), self.channel.apply_piece
+        counts, apply = list[int](), self.channel.apply_part
 
         def noted(head: Commands, listed: list[Any]) -> Commands:
             counts.append(len(listed))
             return apply(head, listed)
 
         self.discovery.events = purges(1, SOME)
-        with patch.object(self.channel, "apply_piece", noted):
+        with patch.object(self.channel, "apply_part", noted):
             self.channel.start()
             yield self.rig.come(lambda: self.channel.cursor == SOME)
         self.assertEqual((sum(counts), self.numbers()), (SOME, list(range(1, SOME + 1))))
-        self.assertLessEqual(max(counts), 200 + catch_up.SLICE // 70)  # what one slice more may hold
+        self.assertLessEqual(max(counts), 200 + catch_up.SLICE_BYTES // 70)  # what one slice more may hold
 
     @inlineCallbacks
     def test_a_cut_in_the_middle_of_an_event_leaves_the_cursor_at_the_last_whole_one(self) -> Any:
@@ -185,7 +187,7 @@
                 self.assertEqual(self.numbers(), list(range(1, SOME + 1)))
 
     def channel_is_down(self) -> bool:
-        return bool(self.discovery.polls) and self.rig.channel.link is None
+        return bool(self.discovery.polls) and self.rig.channel.connection is None
 
     @inlineCallbacks
     def test_what_is_spoilt_in_the_middle_ends_there(self) -> Any:
@@ -206,7 +208,7 @@
     @inlineCallbacks
     def test_an_answer_without_end_is_bounded_in_bytes(self) -> Any:
         with (
-            patch.object(channel_link, "LONGEST", len(LONG)),
+            patch.object(channel_link, "MAX_BODY_BYTES", len(LONG)),
             patch.object(channels, "log_disconnect") as ends,
         ):
             yield self.rig.afresh(say(chunked(told(purges(1, 6000), 6000), 1000, b"")))
@@ -220,14 +222,14 @@
         """One each 700 ms is progress up to the bound of the whole; what is left is asked for again."""
         yield self.rig.afresh(say(chunked(LONG[:MIDDLE], 1000, b"")))
         yield self.rig.come(lambda: self.rig.channel.cursor == 2499)
-        started, number, link = self.rig.now, 2500, self.rig.channel.link
-        while not link.code:
+        started, number, link = self.rig.now, 2500, self.rig.channel.connection
+        while not link.end_reason:
             event = json.dumps(watch.purge(number)).encode() + b", "
             self.discovery.links[-1].transport.write(b"%x\r\n%b\r\n" % (len(event), event))
             yield self.rig.come(lambda number=number: self.rig.channel.cursor == number)
             self.rig.pass_time(700.0)
             number += 1
-        self.assertEqual(link.code, "long")
+        self.assertEqual(link.end_reason, "long")
         self.assertTrue(29_000.0 <= self.rig.now - started <= 31_500.0)
         yield self.rig.ended(25.0)
         yield self.rig.polled(2)
@@ -239,18 +241,20 @@
         for length in (b"Content-Length: 2000000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\nf0000\r\n"):
             yield self.rig.afresh(say(HEAD + length + LONG[:MIDDLE]))
             yield self.rig.come(lambda: self.rig.channel.cursor == 2499)
-            link, pieces = self.rig.channel.link, len(self.pieces)
+            link, pieces = self.rig.channel.connection, len(self.pieces)
             for byte in range(7):
                 self.discovery.links[-1].transport.write(LONG[MIDDLE + byte : MIDDLE + byte + 1])
                 yield self.rig.come(lambda pieces=pieces + byte: len(self.pieces) > pieces)
                 self.rig.pass_time(100.0)
-            self.assertEqual(link.code, "")
+            self.assertEqual(link.end_reason, "")
             self.rig.pass_time(100.0)
-            self.assertEqual(link.code, "silent")
+            self.assertEqual(link.end_reason, "silent")
         yield self.rig.afresh(say(HEAD + b"Content-Length: 2000000\r\n\r\n"))
-        yield self.rig.come(lambda: self.rig.channel.link and self.rig.channel.link.long)
+        yield self.rig.come(
+            lambda: self.rig.channel.connection and self.rig.channel.connection.resynchronization
+        )
         self.rig.pass_time(801.0)
-        self.assertEqual(self.rig.channel.link.code, "silent")
+        self.assertEqual(self.rig.channel.connection.end_reason, "silent")
 
     @inlineCallbacks
     def test_drains_come_before_purges_where_both_wait(self) -> Any:
@@ -270,7 +274,7 @@
         """What says of no number whom it drains is heeded, and the cursor stays among those that came."""
         events: list[Any] = purges(1, SOME)
         events[70] = {"nodes": {"hosts": [watch.line("c1", health="leaving")]}}
-        with patch.object(channels.log, "error") as faults:
+        with patch.object(event_feed.log, "error") as faults:
             yield self.rig.afresh(say(answer({"cursor": SOME, "cmds": events})), hold)
             yield self.rig.come(lambda: len(self.discovery.polls) == 2)
         self.assertEqual(watch.in_short(self.rig.taken[0]), "c1:DRAINING")
@@ -283,21 +287,21 @@
         self.rig.channel.replay(Commands(SOME, ()))
         for polls, pause_ms in enumerate((200.0, 400.0, 800.0, 1600.0, 2500.0, 2500.0), 1):
             yield self.rig.come(
-                lambda polls=polls: self.rig.channel.link and self.rig.channel.link.polls == polls
+                lambda polls=polls: self.rig.channel.connection and self.rig.channel.connection.polls == polls
             )
             self.rig.pass_time(pause_ms - 1.0)
-            self.assertFalse(self.rig.channel.link.asked)
+            self.assertIs(self.rig.channel.connection.state, ConnectionState.PAUSED)
             self.rig.pass_time(1.0)
-            self.assertTrue(self.rig.channel.link.asked)
+            self.assertIs(self.rig.channel.connection.state, ConnectionState.POLLING)
         self.assertEqual((self.rig.taken, {resume for resume, _ in self.discovery.polls}), ([], {SOME}))
-        yield self.rig.come(lambda: self.rig.channel.link.polls == 7)
+        yield self.rig.come(lambda: self.rig.channel.connection.polls == 7)
         self.rig.pass_time(2500.0)
         yield until(lambda: self.discovery.held)
         self.rig.pass_time(1200.0)
         self.discovery.release()  # a poll that was held, as all should be
         yield until(lambda: len(self.discovery.polls) == 9)
-        self.rig.channel.link.close("test")
-        yield self.rig.come(lambda: self.rig.channel.link is None)
+        self.rig.channel.connection.close("test")
+        yield self.rig.come(lambda: self.rig.channel.connection is None)
         self.assertEqual(self.rig.deadlines.next_due() - self.rig.now, 25.0)
 
     @inlineCallbacks
@@ -310,7 +314,7 @@
         some = HEAD + b"Content-Length: 9000000\r\n\r\n" + LONG[:MIDDLE]
         yield self.rig.afresh(*[say(one) for one in huge], say(some, end=watch.half_close), hold)
         for wait_ms in (200.0, 400.0, 800.0, 1600.0, 2500.0, 25.0):
-            yield self.rig.come(lambda: len(self.discovery.polls) and self.rig.channel.link is None)
+            yield self.rig.come(lambda: len(self.discovery.polls) and self.rig.channel.connection is None)
             self.assertAlmostEqual(self.rig.deadlines.next_due() - self.rig.now, wait_ms)
             polls = len(self.discovery.polls)
             self.rig.pass_time(wait_ms)
--- a/tests/net/discovery/test_sources.py
+++ b/tests/net/discovery/test_sources.py
@@ -71,7 +71,7 @@
         rig, (a, b) = yield self.begun("A", "B")
         a.way, hung_at = "hung", rig.now
         rig.pass_time(1299.0)
-        self.assertEqual((rig.channel.sources.current.priority, b.polls), (0, []))
+        self.assertEqual((rig.channel.selector.current.priority, b.polls), (0, []))
         rig.pass_time(1.0)
         yield rig.asked(b, 2)
         self.assertLess(rig.now - hung_at, WITHIN_MS)
@@ -85,9 +85,9 @@
         rig.pass_time(1300.0)
         yield rig.asked(b, 1)
         rig.pass_time(1799.0)
-        self.assertEqual(rig.channel.sources.current.priority, 1)
+        self.assertEqual(rig.channel.selector.current.priority, 1)
         rig.pass_time(802.0)
-        self.assertNotEqual(rig.channel.sources.current, rig.channel.sources.sources[b.address])
+        self.assertNotEqual(rig.channel.selector.current, rig.channel.selector.sources[b.address])
 
     @inlineCallbacks
     def test_a_process_that_was_late_itself_reads_before_it_judges(self) -> Any:
@@ -96,7 +96,7 @@
         a.purge(7, 70)
         rig.deadlines.run_due(rig.now)  # before any socket is read
         yield until(lambda: 7 in rig.purged())
-        self.assertEqual((rig.channel.sources.current.priority, b.polls), (0, []))
+        self.assertEqual((rig.channel.selector.current.priority, b.polls), (0, []))
 
     @inlineCallbacks
     def test_a_source_that_refuses_is_left_and_told_so(self) -> Any:
@@ -135,7 +135,7 @@
         yield rig.asked(b, 2)
         yield rig.live(30_000.0)
         self.assertEqual(
-            (rig.channel.sources.current.priority, rig.channel.sources.switches, c.polls), (1, 1, [])
+            (rig.channel.selector.current.priority, rig.channel.selector.switches, c.polls), (1, 1, [])
         )
         self.assertLess(len(c.probes), 12)
 
@@ -206,9 +206,9 @@
         a.forget_purges()
         polls = len(a.polls)
         yield rig.live(9_000.0)
-        self.assertEqual((rig.channel.sources.current.priority, len(a.polls)), (1, polls))
+        self.assertEqual((rig.channel.selector.current.priority, len(a.polls)), (1, polls))
         yield rig.live(21_000.0)
-        self.assertEqual((rig.channel.sources.current.priority, rig.channel.sources.switches), (0, 2))
+        self.assertEqual((rig.channel.selector.current.priority, rig.channel.selector.switches), (0, 2))
         self.assertGreaterEqual(len(a.probes), 5)
         yield until(lambda: b.probes)  # it isn't to wait for this router
         self.assertEqual(rig.purged(), [1])
@@ -247,11 +247,11 @@
         yield rig.asked(a, 3)
         rig.pass_time(200.0)
         told = {"control_age_ms": 500, "control_source": 0, "control_moves": 0}
-        self.assertEqual(rig.channel.figures(), told)
+        self.assertEqual(rig.channel.metrics(), told)
         yield a.kill()
         yield b.kill()
         yield rig.live(10_000.0, 100.0)
-        self.assertGreater(rig.channel.figures()["control_age_ms"], 9_999)
+        self.assertGreater(rig.channel.metrics()["control_age_ms"], 9_999)
 
     @inlineCallbacks
     def test_a_list_that_takes_several_turns_counts_once_it_has_come_whole(self) -> Any:
@@ -260,7 +260,7 @@
         yield a.kill()
         yield rig.turned(lambda: len(b.polls) > 1)
         self.assertEqual((len(rig.listed()), rig.purged()), (3002, [1, 2]))
-        self.assertEqual((rig.channel.follower.seq, rig.channel.sources.switches), (9, 1))
+        self.assertEqual((rig.channel.feed.follower.seq, rig.channel.selector.switches), (9, 1))
 
     @inlineCallbacks
     def test_a_long_list_that_comes_slowly_is_no_silence(self) -> Any:
@@ -269,13 +269,13 @@
         b.slow = True
         yield a.kill()
         yield until(lambda: b.unsaid)
-        b.slow, link, most = False, rig.channel.link, 66_000
+        b.slow, link, most = False, rig.channel.connection, 66_000
         for start in range(0, len(b.unsaid), most):
             rig.pass_time(400.0)
             b.links[-1].transport.write(b.unsaid[start : start + most])
-            due = rig.now + link.channel.silent_ms  # of what comes next, where this was progress
-            yield rig.turned(lambda due=due: link.due == due or link.polls > 0)  # type: ignore[misc]
-        self.assertEqual((len(rig.listed()), rig.channel.sources.switches), (4002, 1))
+            due = rig.now + link.timings.response_grace_ms  # of what comes next, where this was progress
+            yield rig.turned(lambda due=due: link.response_due_ms == due or link.polls > 0)  # type: ignore[misc]
+        self.assertEqual((len(rig.listed()), rig.channel.selector.switches), (4002, 1))
 
     @inlineCallbacks
     def test_whose_numbers_they_are_must_be_said_before_the_events_of_a_long_answer(self) -> Any:
@@ -310,16 +310,16 @@
         self.assertIn(b"router.control_source=0\n", service.admin_calls.metrics())
         service.reload()
         self.assertEqual(service.channel.address, source.address)
-        service.channel.stopped = True
-        service.channel.link.close("test")
-        yield until(lambda: service.channel.link is None)
+        service.channel.stop()
+        service.channel.connection.close("test")
+        yield until(lambda: service.channel.connection is None)
 
     def test_without_a_section_nothing_of_it_is_there(self) -> None:
         config = parse_config(json.dumps(CONFIG).encode(), {})
         service = Service(config, Extras(), reactor, Counters(), lambda: config)
         self.addCleanup(service.alarm.stop)
         self.assertIs(type(service.channel), WatchClient)
-        self.assertEqual(service.channel.target(1200.0), "/cmd/next?resume=0&block=1200")
+        self.assertEqual(service.channel.poll_target(1200.0), "/cmd/next?resume=0&block=1200")
         self.assertNotIn(b"control_", service.admin_calls.metrics())
 
     def test_a_name_that_can_not_stand_in_a_poll_is_refused(self) -> None:
--- a/tests/net/discovery/test_watch.py
+++ b/tests/net/discovery/test_watch.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import os
 import socket
 from typing import Any
@@ -11,16 +10,16 @@
 import pytest
 from fakes import fake_discovery as watch
 from fakes.fake_discovery import GOOD, ScriptedDiscovery, WatchRig, answer, fetched_from, hold, line, say
-from fakes.loopback_environment import reactor, until
+from fakes.loopback_environment import until
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.core.test_engine import CONFIG
-from thornjunction.core.counters import Counters
+from tests.net.discovery.builders import build_service, encode_commands
+from thornjunction.net.discovery import retry_policy
 from thornjunction.net.discovery import watch_client as channels
+from thornjunction.net.discovery.watch import WatchHandlers
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.wire.commands import ListChange, decode_commands
-from thornjunction.runtime.config import parse_config
-from thornjunction.runtime.service import Service
 
 FIRST = {"cursor": 1, "drop": {"family": 3, "when": 5}}
 SECOND = {"cursor": 2, "drop": {"family": 4, "when": 5}}
@@ -43,7 +42,7 @@
         started = self.rig.now
         for polls, patience_ms, most_ms in ((3, 2000.0, 2500.0), (4, 1601.0, 4500.0), (5, 3201.0, 8000.0)):
             self.rig.pass_time(patience_ms - 1.0)
-            self.assertEqual(self.channel.link.code, "")
+            self.assertEqual(self.channel.connection.end_reason, "")
             self.rig.pass_time(1.0)
             yield self.rig.ended(200.0)
             yield self.rig.polled(polls)
@@ -59,12 +58,12 @@
         for late_ms in (0.0, 3000.0):
             yield self.rig.afresh(hold)
             yield self.rig.polled(1)
-            link = self.rig.channel.link
-            self.rig.now = link.due + late_ms
+            link = self.rig.channel.connection
+            self.rig.now = link.response_due_ms + late_ms
             self.rig.deadlines.run_due(self.rig.now)  # before any socket is read
             self.discovery.links[-1].transport.write(GOOD)
-            yield until(lambda link=link: link.code or link.polls)
-            self.assertEqual((link.code, len(self.rig.taken)), ("", 1))
+            yield until(lambda link=link: link.end_reason or link.polls)
+            self.assertEqual((link.end_reason, len(self.rig.taken)), ("", 1))
 
     @inlineCallbacks
     def test_what_is_no_answer_moves_nothing_and_what_follows_one_is_no_second(self) -> Any:
@@ -82,11 +81,15 @@
         self.discovery.script = [say(answer({"cursor": 9, "cmds": []}))] * 9
         self.channel.start()
         for polls, pause_ms in enumerate((50.0, 100.0, 200.0, 400.0, 400.0), 2):
-            yield until(lambda polls=polls: self.channel.link and self.channel.link.empty == polls - 1)
+            yield until(
+                lambda polls=polls: (
+                    self.channel.connection and self.channel.connection.fruitless_polls == polls - 1
+                )
+            )
             self.rig.pass_time(pause_ms - 1.0)
             self.assertEqual(len(self.discovery.polls), polls)
             self.rig.pass_time(1.0)
-        yield until(lambda: self.channel.link.empty == 6)
+        yield until(lambda: self.channel.connection.fruitless_polls == 6)
         self.discovery.links[0].transport.write(GOOD)  # nobody has asked
         yield self.rig.ended(0.0)
         self.assertEqual(({resume for resume, _ in self.discovery.polls}, self.rig.taken), ({0}, []))
@@ -99,7 +102,7 @@
         self.channel.start()
         yield self.rig.polled(2)
         self.channel.move(self.discovery.address)
-        self.assertEqual(self.channel.link.code, "")  # the same one: nothing is disturbed
+        self.assertEqual(self.channel.connection.end_reason, "")  # the same one: nothing is disturbed
         self.channel.move(other.address)
         self.discovery.links[0].transport.write(GOOD)  # too late
         yield self.rig.ended(50.0)
@@ -149,7 +152,7 @@
             channel = self.rig.build(full.getsockname())
             channel.start()
             self.rig.pass_time(300.0)
-            self.assertIsNotNone(channel._dialling)
+            self.assertTrue(channel.is_connecting)
             channel.move(self.discovery.address)
             self.rig.pass_time(50.0)
             yield self.rig.polled(1)
@@ -166,13 +169,15 @@
             yield self.rig.failed(200)
         yield self.rig.end()
         self.assertLessEqual(len(os.listdir("/proc/self/fd")), held)
-        self.assertTrue(lines.call_count < 10 and self.rig.now - started > 200 * 0.4 * channels.MOST_AGAIN_MS)
+        self.assertTrue(
+            lines.call_count < 10 and self.rig.now - started > 200 * 0.4 * retry_policy.MAX_RETRY_DELAY_MS
+        )
 
     @inlineCallbacks
     def test_a_drain_while_the_watch_was_silent_is_heeded_at_its_return(self) -> Any:
-        service = service_of()
+        service = build_service()
         self.addCleanup(service.alarm.stop)
-        self.channel.take = service.handle_command
+        self.channel.feed.handle_command = service.handle_command
         self.discovery.tell(nodes={"whole": True, "hosts": [line("c1"), line("c2"), watch.ORIGIN]})
         self.channel.start()
         yield self.rig.polled(2)
@@ -180,29 +185,20 @@
         self.discovery.held = None  # silent from here on
         self.discovery.tell(nodes={"hosts": [line(drained, health="leaving")]})
         self.rig.pass_time(2000.0)
-        yield until(lambda: self.channel.link is None)
+        yield until(lambda: self.channel.connection is None)
         self.assertEqual(fetched_from(service), drained)  # what is known stands
         self.rig.pass_time(100.0)
         yield until(lambda: self.channel.cursor == 2)
         self.assertNotEqual(fetched_from(service), drained)
 
 
-def service_of() -> Service:
-    config = parse_config(json.dumps(CONFIG).encode(), {})
-    return Service(config, None, reactor, Counters(), lambda: config)
-
-
-def commands(*events: Any) -> bytes:
-    return json.dumps({"cursor": 4, "cmds": events}).encode()
-
-
 def test_a_shelf_that_is_listed_again_is_no_new_process() -> None:
     """Also where the system's clock was set meanwhile, and its start, as one to come, counts as the moment of
     its first listing; a later start is one."""
-    service, seen = service_of(), []
+    service, seen = build_service(), []
     for unix_s, born_ms in ((1e9, 4e12), (1e9 + 7.1, 4e12), (1e9 - 60.0, 4e12), (1e9, 4.1e12)):
         with patch("thornjunction.net.event_loop.timer_service.time.time", lambda unix_s=unix_s: unix_s):
-            told = commands({"cursor": 1, "nodes": {"hosts": [line("c1", born_ms=born_ms)]}})
+            told = encode_commands({"cursor": 1, "nodes": {"hosts": [line("c1", born_ms=born_ms)]}})
             service.handle_command(decode_commands(told).events[0])
         seen.append(service.router.placement.server_list.servers["c1"])
     assert seen[0] is seen[1] is seen[2] is not seen[3]
@@ -227,7 +223,7 @@
 @pytest.mark.parametrize(("event", "means", "faults"), EVENTS)
 def test_a_bad_event_holds_up_none_and_hides_no_drain(event: Any, means: str, faults: str) -> None:
     event = {"cursor": 3} | event if isinstance(event, dict) else event
-    told = decode_commands(commands({**SECOND, "cursor": 4}, event, SECOND))
+    told = decode_commands(encode_commands({**SECOND, "cursor": 4}, event, SECOND))
     said = sorted(watch.in_short(taken) for taken in told.events)
     assert said == sorted(["None/4/5.0"] * 2 + [means] * bool(means))
     assert told.faults == tuple(faults.split()) and told.events[0].cursor == 2
@@ -235,7 +231,7 @@
 
 def test_an_event_that_the_program_stumbles_over_holds_up_none() -> None:
     take = Mock(side_effect=OverflowError)
-    channel = channels.WatchClient(None, ("127.0.0.1", 1), Mock(), float, take, Mock())
+    channel = channels.WatchClient(WatchContext(Mock(), Mock(), float), ("127.0.0.1", 1), WatchHandlers(take))
     for _ in range(2):
-        channel.answered(decode_commands(commands(FIRST, SECOND)))
+        channel.handle_response(decode_commands(encode_commands(FIRST, SECOND)), is_stable=False)
     assert take.call_count == 2 and channel.cursor == 2
--- a/tests/net/wire/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -11,7 +11,7 @@
 import pytest
 from fakes.fake_discovery import line, purge, purges, told
 
-from tests.net.discovery.test_watch import service_of
+from tests.net.discovery.builders import build_service
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.command_stream import CommandStreamParser
 from thornjunction.net.wire.commands import Commands, Purge, decode_commands
@@ -22,7 +22,7 @@
 
 
 def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
-    service = service_of()
+    service = build_service()
     takes_ms, now_ms = service.config.settings.purge_propagation_ms, time.time() * 1000.0
     with patch.object(service.engine, "feed") as feed:
         for number, age_ms in enumerate((takes_ms + 3_600_000.0, takes_ms + 1000.0, takes_ms - 1000.0), 1):
--- a/tests/program/test_clock_steps.py
+++ b/tests/program/test_clock_steps.py
@@ -29,11 +29,12 @@
 from fakes.fake_discovery import line
 from fakes.raw_socket import BareClient, BareShelf, address, asked, connect
 
-from tests.net.discovery.test_watch import commands, service_of
+from tests.net.discovery.builders import build_service, encode_commands
 from tests.runtime.test_handover import Program, check
-from thornjunction.net.discovery.multi_source_watch import POLL_MS
-from thornjunction.net.discovery.watch_client import AGAIN_MS, MOST_AGAIN_MS
-from thornjunction.net.discovery.watch_connection import AT_ONCE_MS, SILENT_MS
+from thornjunction.net.discovery.multi_source_watch import BLOCK_MS
+from thornjunction.net.discovery.retry_policy import MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS
+from thornjunction.net.discovery.watch_client import RESPONSE_GRACE_MS
+from thornjunction.net.discovery.watch_connection import IMMEDIATE_BLOCK_MS
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire.commands import Purge, decode_commands
@@ -124,11 +125,11 @@
     """An hour ahead, it would make each purge over and each cold cache warm for good."""
     true_s, off_s, fed = time.time, [3600.0], list[Any]()
     with patch("time.time", lambda: true_s() + off_s[0]):
-        service, off_s[0] = service_of(), 0.0
+        service, off_s[0] = build_service(), 0.0
     settings = replace(service.config.settings, purge_propagation_ms=6000.0)
     service.config = replace(service.config, settings=settings)
     host = line("c1", born_ms=true_s() * 1000.0)
-    (change,) = decode_commands(commands({"cursor": 1, "nodes": {"hosts": [host]}})).events
+    (change,) = decode_commands(encode_commands({"cursor": 1, "nodes": {"hosts": [host]}})).events
     purge = Purge(1, 1, 0, true_s() * 1000.0)
     with patch.object(service.engine, "feed", fed.append):
         service.handle_command(purge if what == "purge" else change)
@@ -238,7 +239,7 @@
         since = time.monotonic()
         world.step()
         await world.ready(INITIAL_LIST_TIMEOUT_MS / 1000.0 + SLACK_S)
-        most_s = (AT_ONCE_MS + SILENT_MS + AGAIN_MS) / 1000.0
+        most_s = (IMMEDIATE_BLOCK_MS + RESPONSE_GRACE_MS + MIN_RETRY_DELAY_MS) / 1000.0
         left_s = since + most_s + SLACK_S - time.monotonic()
         await world.rig.wait_until(lambda: silent.polls == 2, "the next poll", left_s)
     finally:
@@ -304,7 +305,7 @@
     polls = discovery.poll_count
     await discovery.start()
     await world.rig.wait_until(
-        lambda: discovery.poll_count > polls, "a poll", MOST_AGAIN_MS / 1000.0 + SLACK_S
+        lambda: discovery.poll_count > polls, "a poll", MAX_RETRY_DELAY_MS / 1000.0 + SLACK_S
     )
 
 
@@ -415,7 +416,7 @@
         polling.cancel()
         before, polls = time.monotonic(), discovery.poll_count
         await held_poll(relay, f"resume={poller.cursor}&epoch={poller.epoch}", clock, step_s)
-        left_s = before + POLL_MS / 1000.0 + SLACK_S - time.monotonic()
+        left_s = before + BLOCK_MS / 1000.0 + SLACK_S - time.monotonic()
         await rig.wait_until(lambda: discovery.poll_count > polls, "a poll", left_s)
         relay.send_signal(signal.SIGTERM)
         await exits(rig, relay, FLUSH_TIMEOUT_MS / 1000.0)
--- a/thornjunction/net/discovery/__init__.py
+++ b/thornjunction/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch on discovery: polls, resynchronization and the choice of a source."""
+"""Following discovery: polls, resynchronization, epoch changes and the choice of a source."""
--- a/thornjunction/net/discovery/resynchronization.py
+++ b/thornjunction/net/discovery/resynchronization.py
@@ -1,4 +1,4 @@
-"""A long answer of the command channel, taken in pieces while it arrives."""
+"""A long response of the command channel, parsed and applied in parts while it arrives."""
 
 from __future__ import annotations
 
@@ -9,77 +9,131 @@
 from thornjunction.net.wire.command_stream import CommandStreamParser
 from thornjunction.net.wire.commands import MAX_REPORTED_FAULTS, Commands, parse_head
 
-SHORT = 65_536  # bytes of body: what is no longer is read whole, at once
-LONGEST = 64_000_000  # bytes of body: an hour behind, 122,400 purges, is 10 MB
-PIECE, SLICE = 65_536, 8192  # bytes: of a turn at most, and between two looks at the clock
-PIECE_MS = 4.0  # of parsing in a turn; what was parsed then is applied
-PIECE_CHANGES = 16  # list changes of a turn: each is weighed by the decisions
-PIECE_EVENTS = 200  # of a turn, and what one slice more holds: a relay spends some 20 us on each
+# A body up to this size is buffered and parsed at once.
+MAX_BUFFERED_BODY_BYTES = 65_536
+# Largest body: the events of an hour, 122,400 purges, are 10 MB.
+MAX_BODY_BYTES = 64_000_000
+# Bytes that are parsed in one turn of the event loop.
+MAX_PART_BYTES = 65_536
+# Bytes that are parsed between two readings of the clock.
+SLICE_BYTES = 8192
+# Time for parsing in one turn; the events that are complete then are applied.
+MAX_PARSE_MS = 4.0
+# Changes of the endpoint list in one turn: the decisions process each.
+MAX_PART_LIST_CHANGES = 16
+# Events in one turn, exceeded by those of one slice at most: a relay needs about 20 us for each.
+MAX_PART_EVENTS = 200
 
-Apply = Callable[[Commands | None, list[Any]], Commands]
+ApplyPart = Callable[[Commands | None, list[Any]], Commands]
 
 
 class Resynchronization:
-    """Cuts one long answer into pieces.  ``apply`` is given a piece: what the answer says beside its events
-    where that has come, and whole events as parsed JSON; it says what was new in them.  Ends at ``until`` on
-    the clock (ms)."""
+    """Divides one long response into parts and applies each.
 
-    def __init__(self, clock: Callable[[], float], until: float, apply: Apply) -> None:
-        self.clock, self.until, self.apply = clock, until, apply
-        self.ended = False  # the last byte of the answer has been put
-        self.wasted = 0  # bytes since the last new event
-        self._answer, self._waiting, self._faults = CommandStreamParser(), bytearray(), list[str]()
-        self._still = 0  # bytes since the last progress
+    Attributes:
+        deadline_ms: when the response must have ended, on the core's clock.
+        is_received: whether the last byte of the response has been received.
+        discarded_bytes: bytes since the last new event.
+    """
+
+    def __init__(self, clock: Callable[[], float], deadline_ms: float, apply_part: ApplyPart) -> None:
+        """Begin.
+
+        Args:
+            clock: the core's clock, in ms.
+            deadline_ms: when the response must have ended.
+            apply_part: applies complete events, as parsed JSON, and returns those that were new; its first
+                argument is what the response says beside its events, None where that has not arrived.
+        """
+        self.deadline_ms = deadline_ms
+        self.is_received = False
+        self.discarded_bytes = 0
+        self._clock = clock
+        self._apply_part = apply_part
+        self._parser = CommandStreamParser()
+        self._unparsed = bytearray()
+        self._faults: list[str] = []
+        self._bytes_since_progress = 0
 
     @property
-    def waits(self) -> bool:
+    def has_unparsed_bytes(self) -> bool:
         """Whether bytes are left for the next turn."""
-        return bool(self._waiting)
-
-    def put(self, data: bytes, ended: bool) -> None:
-        self._waiting += data
-        self.ended = ended
-
-    def take(self) -> bool:
-        """One piece; true where it was progress: a whole event, or many bytes of one that is long.
-        ProtocolError where the answer is none; what was whole before that has been applied."""
-        listed, read = self._parse()
-        self._still, self.wasted = self._still + read, self.wasted + read
-        progress = bool(listed) or self._still >= PIECE
-        if listed:
-            taken = self.apply(self._head(), listed)
-            self._faults += taken.faults[: MAX_REPORTED_FAULTS - len(self._faults)]
-            self.wasted = 0 if taken.events else self.wasted
-        if self._answer.fault:
-            raise ProtocolError(self._answer.fault)
-        self._still = 0 if progress else self._still
-        return progress
-
-    def end(self) -> Commands:
-        """What the answer said beside its events, and the faults in these; ProtocolError where it was not
-        whole."""
-        head = self._answer.finish()
+        return bool(self._unparsed)
+
+    def receive(self, data: bytes, is_last: bool) -> None:
+        """Add bytes of the body; ``is_last`` says that it ends with them."""
+        self._unparsed += data
+        self.is_received = is_last
+
+    def apply_next_part(self) -> bool:
+        """Parse and apply as much as one turn of the event loop allows.
+
+        Returns:
+            Whether there was progress: a complete event, or many bytes of a long one.
+
+        Raises:
+            ProtocolError: the response is malformed; the events before the fault have been applied.
+        """
+        events, parsed_bytes = self._parse_part()
+        self._bytes_since_progress += parsed_bytes
+        self.discarded_bytes += parsed_bytes
+        if events:
+            self._apply(events)
+        if self._parser.fault:
+            raise ProtocolError(self._parser.fault)
+        has_progress = bool(events) or self._bytes_since_progress >= MAX_PART_BYTES
+        if has_progress:
+            self._bytes_since_progress = 0
+        return has_progress
+
+    def finish(self) -> Commands:
+        """Return what the response said beside its events, and the faults found in these.
+
+        Raises:
+            ProtocolError: the response is incomplete.
+        """
+        head = self._parser.finish()
         return Commands(head.cursor, (), tuple(self._faults), head.epoch, head.age_ms)
 
-    def drop(self) -> None:
-        self._answer.discard()
-        self._waiting.clear()
-
-    def _parse(self) -> tuple[list[Any], int]:
-        """A turn's events, and how many bytes were read for them."""
-        listed, read, changes, until = list[Any](), 0, 0, self.clock() + PIECE_MS
-        while self._waiting and read < PIECE and changes < PIECE_CHANGES and len(listed) < PIECE_EVENTS:
-            part = bytes(self._waiting[:SLICE])
-            del self._waiting[:SLICE]
-            events, read = self._answer.feed(part), read + len(part)
-            changes += sum(isinstance(event, dict) and "nodes" in event for event in events)
-            listed += events
-            if self._answer.fault or self.clock() >= until:
+    def discard(self) -> None:
+        """Release the parser and the bytes that were not parsed."""
+        self._parser.discard()
+        self._unparsed.clear()
+
+    def _apply(self, events: list[Any]) -> None:
+        applied = self._apply_part(self._head(), events)
+        self._faults += applied.faults[: MAX_REPORTED_FAULTS - len(self._faults)]
+        if applied.events:
+            self.discarded_bytes = 0
+
+    def _parse_part(self) -> tuple[list[Any], int]:
+        """Return the events of one turn, and the number of bytes parsed."""
+        events: list[Any] = []
+        parsed_bytes = 0
+        list_changes = 0
+        deadline_ms = self._clock() + MAX_PARSE_MS
+        while (
+            self._unparsed
+            and parsed_bytes < MAX_PART_BYTES
+            and list_changes < MAX_PART_LIST_CHANGES
+            and len(events) < MAX_PART_EVENTS
+        ):
+            data = bytes(self._unparsed[:SLICE_BYTES])
+            del self._unparsed[:SLICE_BYTES]
+            completed = self._parser.feed(data)
+            parsed_bytes += len(data)
+            list_changes += sum(_is_list_change(event) for event in completed)
+            events += completed
+            if self._parser.fault or self._clock() >= deadline_ms:
                 break
-        return listed, read
+        return events, parsed_bytes
 
     def _head(self) -> Commands | None:
         try:
-            return parse_head(self._answer.head)
+            return parse_head(self._parser.head)
         except ProtocolError:
             return None
+
+
+def _is_list_change(event: Any) -> bool:
+    return isinstance(event, dict) and "nodes" in event
--- a/thornjunction/net/discovery/source_probe.py
+++ b/thornjunction/net/discovery/source_probe.py
@@ -1,89 +1,100 @@
-"""One short poll beside the channel, of which nothing is taken: how young a source is, and that its sender is
-served elsewhere."""
+"""A probe: one short poll beside the watch, whose events are not used.
+
+Its response tells how old a source's state is; the source learns that the sender is served elsewhere.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from http import HTTPStatus
 
 from twisted.internet import protocol
-from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
+from thornjunction.memory.deadlines import Deadline
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire import ProtocolError, http1
-from thornjunction.net.wire.commands import Commands, decode_commands
+from thornjunction.net.wire.commands import Address, Commands, decode_commands
 
-PROBE_MS = 900.0  # for the dial and the answer
-MAX_ANSWER = 65_536  # bytes: a relay tells a probe no events, and discovery has none so far on
-RESUME = 1 << 53  # past all numbers: of a discovery that knows no probes
+# Time for the connection and the response.
+PROBE_TIMEOUT_MS = 900.0
+# Largest body: a relay sends a probe no events, and discovery has none after RESUME.
+MAX_BODY_BYTES = 65_536
+# Resume position after all events, for a discovery that does not know probes.
+RESUME = 1 << 53
 
-Done = Callable[[Commands | None, str], None]  # the answer, or why there is none
+OnProbeResult = Callable[[Commands | None], None]
 
 
 class ProbeConnection(protocol.Protocol):
-    """Asks once; the end of the connection tells the result."""
+    """Sends one poll and reports its response, None where there is none, when the connection has ended."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, request: bytes, done: Done) -> None:
-        self.request, self.done, self.reader = request, done, http1.ResponseReader(MAX_ANSWER)
-        self.answer: Commands | None = None
-        self.code = ""
+    def __init__(self, request: bytes, on_result: OnProbeResult) -> None:
+        self._request = request
+        self._on_result = on_result
+        self._reader = http1.ResponseReader(MAX_BODY_BYTES)
+        self._response: Commands | None = None
+        self._is_finished = False
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Send the poll."""
         self.transport.setTcpNoDelay(True)
-        self.transport.write(self.request)
+        self.transport.write(self._request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.code:
+        """Read the response, and end the connection."""
+        if self._is_finished:
             return
         try:
-            response = self.reader.next(data)
+            response = self._reader.next(data)
             if response is None:
                 return
-            if response.status != 200:
-                raise ProtocolError(f"status-{response.status}")
-            self.answer, self.code = decode_commands(response.body), "answered"
-        except ProtocolError as error:
-            self.code = str(error)
+            if response.status == HTTPStatus.OK:
+                self._response = decode_commands(response.body)
+        except ProtocolError:
+            pass
+        self.abort()
+
+    def abort(self) -> None:
+        """End the connection; nothing that comes later counts."""
+        self._is_finished = True
         self.transport.abortConnection()
 
-    def silent(self) -> None:
-        self.code = self.code or "silent"
-        self.transport.abortConnection()
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: ARG002, N802
+        """Report the result."""
+        self._on_result(self._response)
+
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        self.done(self.answer, self.code or disconnect_reason(reason))
+def probe_source(context: WatchContext, source: Address, name: str, on_result: OnProbeResult) -> None:
+    """Probe a source, with the result within ``PROBE_TIMEOUT_MS``.
 
+    A relay counts the router or relay of this name as served elsewhere.
 
-def probe(
-    reactor: Any,
-    address: tuple[str, int],
-    deadlines: Deadlines,
-    clock: Callable[[], float],
-    name: str,
-    done: Done,
-) -> None:
-    """Ask this source; ``done`` is called once, at the latest ``PROBE_MS`` from now.  A relay counts who has
-    this name as served elsewhere."""
+    Args:
+        context: what the connection runs on.
+        source: where to connect.
+        name: the sender's name.
+        on_result: called once, with the response, or None.
+    """
     target = f"/cmd/next?resume={RESUME}&block=1&as=probe&name={name}"
-    request = http1.encode_get(target, f"{address[0]}:{address[1]}")
-    until = clock() + PROBE_MS
+    request = http1.encode_get(target, f"{source[0]}:{source[1]}")
+    deadlines = context.deadlines
+    deadline_ms = context.clock() + PROBE_TIMEOUT_MS
     timers: list[Deadline] = []
 
-    def once(answer: Commands | None, code: str) -> None:
+    def finish(response: Commands | None) -> None:
         for timer in timers:
             deadlines.cancel(timer)
-        done(answer, code)
+        on_result(response)
 
-    def up(link: ProbeConnection) -> None:
-        timers.append(deadlines.add(until, link.silent))
+    def handle_connected(connection: ProbeConnection) -> None:
+        timers.append(deadlines.add(deadline_ms, connection.abort))
 
-    dialled: Deferred[Any] = connect_by_deadline(
-        reactor, address, lambda: ProbeConnection(request, once), deadlines, until
+    connecting = connect_by_deadline(
+        context.reactor, source, lambda: ProbeConnection(request, finish), deadlines, deadline_ms
     )
-    dialled.addCallbacks(up, lambda _: done(None, "dial-failed"))
+    connecting.addCallbacks(handle_connected, lambda _: on_result(None))
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -1,177 +1,320 @@
-"""One connection of the command channel: polls, answers, and what ends it."""
+"""One connection of a watch: it polls, reads responses, and ends where these fail."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from enum import Enum
+from http import HTTPStatus
+from typing import Any, Protocol
 
 from twisted.internet import protocol
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline
-from thornjunction.net.discovery.resynchronization import LONGEST, SHORT, Resynchronization
-from thornjunction.net.event_loop.backoff import exponential_backoff
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
+from thornjunction.net.discovery.resynchronization import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    Resynchronization,
+)
+from thornjunction.net.discovery.watch_context import WatchContext, WatchTimings
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason, disconnect_reason
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
-if TYPE_CHECKING:
-    from thornjunction.net.discovery.watch_client import WatchClient
+# How long a poll asks to be held where the response is wanted at once: the first one, and after a failure.
+IMMEDIATE_BLOCK_MS = 1
+# A response that is late may be late by this much more where this process was late itself.
+MAX_OWN_DELAY_MS = 800.0
+# Time for the last bytes to a source that is polled no longer.
+CLOSE_TIMEOUT_MS = 400.0
+# Pause after a part of a long response, as a share of the time that the part took: it belongs to requests.
+PART_PAUSE_SHARE = 0.5
+# The longest such pause.
+MAX_PART_PAUSE_MS = 10.0
+# Time for one long response; what is missing then is polled again.
+MAX_RESYNCHRONIZATION_MS = 30_000.0
 
-BLOCK_MS, SILENT_MS = 1200, 800.0  # of one poll; how much later its answer, or the next piece, may come
-MOST_SILENT_MS = 5000.0  # as that grows: under the 7 s, and what the protocol lets a poll take
-AT_ONCE_MS = 1  # of the first poll, and after a failure: it asks what stands now
-CLOSE_MS = 400.0  # for the last bytes to an address that was left
-REST, MOST_REST_MS = 0.5, 10.0  # after a piece, of its time: for requests
-LONG_MS = 30_000.0  # for one answer in pieces; what is left of it then is asked for again
+
+class ConnectionState(Enum):
+    """What a connection is doing."""
+
+    PAUSED = "paused"
+    """No poll is open; the next one follows after a pause."""
+
+    POLLING = "polling"
+    """A poll is open; its response is awaited."""
+
+    RESYNCHRONIZING = "resynchronizing"
+    """A long response to the open poll is read and applied in parts."""
+
+    CLOSING = "closing"
+    """The connection was closed by this side; its end is still to be reported."""
+
+
+class ConnectionOwner(Protocol):
+    """What a connection asks of the watch that owns it, and reports to it."""
+
+    @property
+    def is_unverified(self) -> bool:
+        """Whether the first poll of a connection asks for an immediate response."""
+
+    @property
+    def has_no_progress(self) -> bool:
+        """Whether no new event has come since the last poll."""
+
+    def encode_poll(self, block_ms: float) -> bytes:
+        """Return the request of the next poll, which the source may hold for so long."""
+
+    def response_grace_ms(self) -> float:
+        """How much later than asked the response, or the next part of it, may come."""
+
+    def retry_delay_ms(self, attempts: int) -> float:
+        """Pause before the next poll, after so many in a row without an event."""
+
+    def handle_connected(self, connection: WatchConnection) -> None:
+        """The connection is up."""
+
+    def handle_response_awaited(self) -> None:
+        """A poll was sent, or a part of its response has come; the response timeout begins anew."""
+
+    def handle_silence(self) -> None:
+        """The response, or its next part, did not come in time."""
+
+    def handle_response(self, commands: Commands, is_stable: bool) -> None:
+        """A response is complete; the events of a long one have been applied.
+
+        ``is_stable`` says that the connection has lasted for a poll's time.  May raise ProtocolError.
+        """
+
+    def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
+        """Apply complete events of a long response, and return those that were new.
+
+        May raise ProtocolError.
+        """
+
+    def record_response_end(self, discarded_bytes: int, is_useful: bool) -> None:
+        """Count the end of a response, complete or not."""
+
+    def handle_disconnect(self, is_stable: bool, reason: str, polls: int) -> None:
+        """The connection has ended, after so many polls that were answered."""
 
 
 class WatchConnection(protocol.Protocol):
-    """Polls as long as it lives."""
+    """Polls as long as it lives.
+
+    Attributes:
+        state: what it is doing.
+        end_reason: why this side closed it; empty: it has not.
+        polls: polls that were answered.
+        fruitless_polls: polls in a row that the source answered early and without a new event.
+        resynchronization: the long response that is being read.
+        response_due_ms: when the response, or its next part, is due.
+    """
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, channel: WatchClient) -> None:
-        self.channel, self.reader, self.code = channel, http1.ResponseReader(LONGEST), ""
-        self.timer: Deadline | None = None
-        self.turn: Deadline | None = None  # for the next piece of a long answer
-        self.long: Resynchronization | None = None
-        self.keep = True  # whether the long answer lets the connection go on
-        self.polls, self.empty, self.asked, self.since = 0, 0, False, channel.clock()
-        self.due = self.block = self.sent_at = 0.0
+    def __init__(self, owner: ConnectionOwner, context: WatchContext, timings: WatchTimings) -> None:
+        self.timings = timings
+        self.reader = http1.ResponseReader(MAX_BODY_BYTES)
+        self.state = ConnectionState.PAUSED
+        self.end_reason = ""
+        self.polls = 0
+        self.fruitless_polls = 0
+        self.resynchronization: Resynchronization | None = None
+        self.response_due_ms = 0.0
+        self._owner = owner
+        self._clock = context.clock
+        self._deadlines = context.deadlines
+        self._created_ms = context.clock()
+        self._timer: Deadline | None = None  # the next poll, the response's deadline, or the end of closing
+        self._part_timer: Deadline | None = None
+        self._is_keep_alive = True
+        self._block_ms = 0.0
+        self._poll_sent_ms = 0.0
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Report the connection, and send the first poll."""
         self.transport.setTcpNoDelay(True)
-        self.channel.link = self
-        self.poll()
-
-    def poll(self) -> None:
-        channel, self.asked = self.channel, True
-        doubtful = self.polls == 0 and channel.doubtful
-        self.block, self.sent_at = (AT_ONCE_MS if doubtful else channel.block_ms), channel.clock()
-        self.transport.write(http1.encode_get(channel.target(self.block), channel.host))
-        # Guards against a cut path: a poll that is not answered says nothing.
-        self._expect(self.sent_at + max(self.block, channel.least_ms))
-
-    def _expect(self, start: float) -> None:
-        """The answer, or the next piece of it, from then on."""
-        channel = self.channel
-        channel.deadlines.cancel(self.timer)
-        channel.expecting()
-        self.due = start + exponential_backoff(channel.silent_ms, channel.silences, MOST_SILENT_MS)
-        if self.long is not None:
-            self.due = min(self.due, self.long.until)
-        self.timer = channel.deadlines.add(self.due, self._overdue)
-
-    def _overdue(self) -> None:
-        """Guards a channel that has answered against a process that was late itself, and so its poll."""
-        now = self.channel.clock()
-        self.timer = self.channel.deadlines.add(now + min(now - self.due, SILENT_MS), self._last_turn)
-
-    def _last_turn(self) -> None:
-        """Timers run before the sockets are read: one more turn reads what has come."""
-        self.timer = self.channel.deadlines.add(self.channel.clock(), self._silent)
-
-    def _silent(self) -> None:
-        if self.long is not None and self.channel.clock() >= self.long.until:
-            return self.close("long")
-        self.channel.silences += 1
-        self.close("silent")
+        self._owner.handle_connected(self)
+        self._poll()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Read the response; close the connection where it is malformed."""
+        if self.state is ConnectionState.CLOSING:
+            return
         try:
-            if not self.asked:
-                raise ProtocolError("unasked")
-            response = self.reader.next(data)
-            told = self.reader.announced_bytes if response is None else len(response.body)
-            if self.long is None and told > SHORT:
-                self._begin_long(response or self.reader.head())
-            if self.long is not None:
-                body = self.reader.take_body() if response is None else response.body
-                self.long.put(body, response is not None)
-                self._piece()
-            elif response is not None:
-                self._answer(response)
+            self._read(data)
         except ProtocolError as error:
             self.close(str(error))
 
-    def _answer(self, response: http1.HttpResponse) -> None:
-        if response.status != 200:
+    def close(self, reason: str) -> None:
+        """Cut the connection off, for this reason."""
+        self._begin_closing(reason)
+        self.transport.abortConnection()
+
+    def leave(self, reason: str) -> None:
+        """Close the connection in order: the source works, and is polled no longer."""
+        if self.state is ConnectionState.CLOSING:
+            return
+        self._begin_closing(reason)
+        self._set_timer(self._clock() + CLOSE_TIMEOUT_MS, self.transport.abortConnection)
+        self.transport.loseConnection()
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
+        """Report the end of the connection."""
+        self._deadlines.cancel(self._timer)
+        self._deadlines.cancel(self._part_timer)
+        is_stable = self._was_stable()
+        if self.resynchronization is not None:
+            has_progress = not self._owner.has_no_progress
+            is_stable = is_stable or has_progress
+            self._owner.record_response_end(self.resynchronization.discarded_bytes, is_useful=has_progress)
+            self.resynchronization.discard()
+        self._owner.handle_disconnect(is_stable, self.end_reason or disconnect_reason(reason), self.polls)
+
+    # Polls and their timeouts
+
+    def _poll(self) -> None:
+        if self.state is ConnectionState.CLOSING:
+            return
+        self.state = ConnectionState.POLLING
+        is_immediate = self.polls == 0 and self._owner.is_unverified
+        self._block_ms = IMMEDIATE_BLOCK_MS if is_immediate else self.timings.block_ms
+        self._poll_sent_ms = self._clock()
+        self.transport.write(self._owner.encode_poll(self._block_ms))
+        # Guards against a broken path: without a deadline, a poll whose response is lost would wait forever.
+        self._await_response(self._poll_sent_ms + max(self._block_ms, self.timings.min_response_ms))
+
+    def _await_response(self, expected_ms: float) -> None:
+        """Set the deadline of the response, or of its next part, from when it is expected."""
+        self._deadlines.cancel(self._timer)
+        self._owner.handle_response_awaited()
+        self.response_due_ms = expected_ms + self._owner.response_grace_ms()
+        if self.resynchronization is not None:
+            self.response_due_ms = min(self.response_due_ms, self.resynchronization.deadline_ms)
+        self._timer = self._deadlines.add(self.response_due_ms, self._wait_for_own_delay)
+
+    def _wait_for_own_delay(self) -> None:
+        """Guards a source that has responded against a delay of this process, also of its poll."""
+        now_ms = self._clock()
+        own_delay_ms = min(now_ms - self.response_due_ms, MAX_OWN_DELAY_MS)
+        self._timer = self._deadlines.add(now_ms + own_delay_ms, self._wait_for_sockets)
+
+    def _wait_for_sockets(self) -> None:
+        """Wait one more turn of the event loop, for it runs deadlines before it reads sockets."""
+        self._timer = self._deadlines.add(self._clock(), self._time_out)
+
+    def _time_out(self) -> None:
+        if self.resynchronization is not None and self._clock() >= self.resynchronization.deadline_ms:
+            self.close(DisconnectReason.RESPONSE_TOO_LONG)
+            return
+        self._owner.handle_silence()
+        self.close(DisconnectReason.SILENT)
+
+    def _set_timer(self, due_ms: float, callback: Callable[[], None]) -> None:
+        self._deadlines.cancel(self._timer)
+        self._timer = self._deadlines.add(due_ms, callback)
+
+    # Responses
+
+    def _read(self, data: bytes) -> None:
+        if self.state is ConnectionState.PAUSED:
+            raise ProtocolError(DisconnectReason.UNEXPECTED_RESPONSE)
+        response = self.reader.next(data)
+        body_bytes = self.reader.announced_bytes if response is None else len(response.body)
+        if self.resynchronization is None and body_bytes > MAX_BUFFERED_BODY_BYTES:
+            self._begin_resynchronization(response or self.reader.head())
+        if self.resynchronization is not None:
+            body = self.reader.take_body() if response is None else response.body
+            self.resynchronization.receive(body, is_last=response is not None)
+            self._apply_part(self.resynchronization)
+        elif response is not None:
+            self._check_head(response)
+            self._handle_response(decode_commands(response.body))
+
+    def _check_head(self, response: http1.HttpResponse) -> None:
+        if response.status != HTTPStatus.OK:
             raise ProtocolError(f"status-{response.status}")
-        self.keep = response.keep_alive
-        self._answered(decode_commands(response.body))
-
-    def _begin_long(self, head: http1.HttpResponse) -> None:
-        if head.status != 200:
-            raise ProtocolError(f"status-{head.status}")
-        channel, self.keep = self.channel, head.keep_alive
-        self.long = Resynchronization(channel.clock, channel.clock() + LONG_MS, channel.apply_piece)
-
-    def _piece(self) -> None:
-        """Take as much as a turn may; then the requests have theirs, before the connection is read again."""
-        channel, long = self.channel, self.long
-        assert long is not None
-        started = channel.clock()
-        if long.take():
-            self._expect(channel.clock())
-        if long.ended and not long.waits:
-            return self._answered(long.end())
+        self._is_keep_alive = response.keep_alive
+
+    def _handle_response(self, commands: Commands) -> None:
+        now_ms = self._clock()
+        resynchronization = self.resynchronization
+        self._deadlines.cancel(self._timer)
+        self.polls += 1
+        self.state = ConnectionState.PAUSED
+        self.resynchronization = None
+        self._owner.handle_response(commands, is_stable=now_ms - self._created_ms >= self.timings.block_ms)
+        if self.reader.held:
+            raise ProtocolError(DisconnectReason.UNEXPECTED_RESPONSE)
+        if not self._is_keep_alive:
+            raise ProtocolError(DisconnectReason.NO_KEEP_ALIVE)
+        self._poll_again(now_ms, resynchronization)
+
+    def _poll_again(self, now_ms: float, resynchronization: Resynchronization | None) -> None:
+        """Poll at once after a new event or a poll that was held, else after a pause."""
+        held_ms = now_ms - self._poll_sent_ms
+        is_early = resynchronization is not None or held_ms < self._block_ms - self.timings.block_ms / 2
+        is_fruitless = self._owner.has_no_progress and is_early
+        discarded_bytes = 0
+        if is_fruitless and resynchronization is not None:
+            discarded_bytes = resynchronization.discarded_bytes
+        self._owner.record_response_end(discarded_bytes, is_useful=not is_fruitless)
+        if not is_fruitless:
+            self.fruitless_polls = 0
+            self._poll()
+            return
+        # Guards the core against a source that has no event to tell and does not hold the poll.
+        self.fruitless_polls += 1
+        delay_ms = self._owner.retry_delay_ms(self.fruitless_polls)
+        self._timer = self._deadlines.add(now_ms + delay_ms, self._poll)
+
+    # Long responses
+
+    def _begin_resynchronization(self, head: http1.HttpResponse) -> None:
+        self._check_head(head)
+        self.state = ConnectionState.RESYNCHRONIZING
+        deadline_ms = self._clock() + MAX_RESYNCHRONIZATION_MS
+        self.resynchronization = Resynchronization(self._clock, deadline_ms, self._owner.apply_part)
+
+    def _apply_part(self, resynchronization: Resynchronization) -> None:
+        """Apply as much as one turn allows; requests have their turns before the connection is read again."""
+        started_ms = self._clock()
+        if resynchronization.apply_next_part():
+            self._await_response(self._clock())
+        if resynchronization.is_received and not resynchronization.has_unparsed_bytes:
+            self._handle_response(resynchronization.finish())
+            return
         self.transport.pauseProducing()
-        now = channel.clock()
-        self.turn = channel.deadlines.add(now + min(REST * (now - started), MOST_REST_MS), self._next_piece)
+        now_ms = self._clock()
+        pause_ms = min(PART_PAUSE_SHARE * (now_ms - started_ms), MAX_PART_PAUSE_MS)
+        self._part_timer = self._deadlines.add(now_ms + pause_ms, self._continue_resynchronization)
 
-    def _next_piece(self) -> None:
-        if self.code or self.long is None:
+    def _continue_resynchronization(self) -> None:
+        if self.state is ConnectionState.CLOSING or self.resynchronization is None:
+            return
+        if not self.resynchronization.has_unparsed_bytes:
+            self.transport.resumeProducing()
             return
-        if not self.long.waits:
-            return self.transport.resumeProducing()
         try:
-            self._piece()
+            self._apply_part(self.resynchronization)
         except ProtocolError as error:
-            return self.close(str(error))
-        if self.long is None:
-            self.turn = self.channel.deadlines.add(self.channel.clock(), self.transport.resumeProducing)
-
-    def _answered(self, commands: Commands) -> None:
-        channel, now, long = self.channel, self.channel.clock(), self.long
-        channel.deadlines.cancel(self.timer)
-        self.polls, self.asked, self.long = self.polls + 1, False, None
-        channel.answered(commands, steady=now - self.since >= channel.block_ms)
-        if self.reader.held:
-            raise ProtocolError("unasked")
-        if not self.keep:
-            raise ProtocolError("no-keep-alive")
-        quick = long is not None or now - self.sent_at < self.block - channel.block_ms / 2
-        early = channel.still and quick
-        self.empty = self.empty + 1 if early else 0
-        channel.read(long.wasted if early and long is not None else 0, useful=not early)
-        if not early:
-            return self.poll()
-        # Guards the core against a channel that has nothing to tell and doesn't hold the poll.
-        self.timer = channel.deadlines.add(now + channel.pause_ms(self.empty), self.poll)
-
-    def close(self, code: str) -> None:
-        self.code = self.code or code
-        self.transport.abortConnection()
-
-    def leave(self, code: str) -> None:
-        """Close in order: the other side works, it is just not asked any more."""
-        if self.code:
+            self.close(str(error))
             return
-        channel, self.code = self.channel, code
-        channel.deadlines.cancel(self.timer)
-        self.timer = channel.deadlines.add(channel.clock() + CLOSE_MS, self.transport.abortConnection)
-        self.transport.loseConnection()
+        if self.resynchronization is None:
+            self._part_timer = self._deadlines.add(self._clock(), self.transport.resumeProducing)
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        channel = self.channel
-        channel.deadlines.cancel(self.timer)
-        channel.deadlines.cancel(self.turn)
-        channel.link = None
-        lived = self.polls > 0 and channel.clock() - self.since >= channel.block_ms
-        steady = self.code == "moved" or (lived and self.code != "silent")
-        if self.long is not None:
-            steady = steady or not channel.still
-            channel.read(self.long.wasted, useful=not channel.still)
-            self.long.drop()
-        channel.lost(steady, self.code or disconnect_reason(reason), self.polls)
+    # The end
+
+    def _begin_closing(self, reason: str) -> None:
+        self.state = ConnectionState.CLOSING
+        self.end_reason = self.end_reason or reason
+
+    def _was_stable(self) -> bool:
+        """Whether the connection worked for at least a poll's time, or was left while it did."""
+        if self.end_reason == DisconnectReason.MOVED:
+            return True
+        lasted_ms = self._clock() - self._created_ms
+        is_silent = self.end_reason == DisconnectReason.SILENT
+        return self.polls > 0 and lasted_ms >= self.timings.block_ms and not is_silent
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -17,7 +17,9 @@
 from thornjunction.core.load_shedding import LoadShedder
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.discovery.watch import Watch, WatchHandlers
 from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.upstream.connection_pool import ConnectionPool
@@ -113,31 +115,25 @@
     reactor: Any,
     deadlines: Deadlines,
     handle_command: Callable[[Command], None],
-    on_current: Callable[[], None],
-) -> WatchClient:
+    on_synchronized: Callable[[], None],
+) -> Watch:
     """The command channel: at discovery, or at the sources of ``[control]``.
 
     Raises ConfigError where the router's name does not fit a poll.
     """
+    context = WatchContext(reactor, deadlines, core_ms)
+    handlers = WatchHandlers(handle_command, on_synchronized)
     if extras is None or extras.control is None:
-        return WatchClient(reactor, config.discovery, deadlines, core_ms, handle_command, on_current)
+        return WatchClient(context, config.discovery, handlers)
     from control_client import PURGE_RETENTION_MS, SourceSelector
 
-    from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
+    from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch, PollIdentity
     from thornjunction.runtime.addresses import check_name
 
     name = extras.control.name or config.name
     check_name("control.name", name)
     query = f"&as=router&name={name}"
-    return MultiSourceWatch(
-        reactor,
-        SourceSelector(extras.control.sources, random.SystemRandom().random),
-        # Relays repeat a purge for as long as they retain it.
-        max(config.settings.purge_propagation_ms, PURGE_RETENTION_MS),
-        deadlines,
-        core_ms,
-        handle_command,
-        on_current,
-        name,
-        lambda _: query,
-    )
+    # Relays repeat a purge for as long as they retain it.
+    retention_ms = max(config.settings.purge_propagation_ms, PURGE_RETENTION_MS)
+    selector = SourceSelector(extras.control.sources, random.SystemRandom().random)
+    return MultiSourceWatch(context, selector, retention_ms, PollIdentity(name, lambda _: query), handlers)
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -37,7 +37,9 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
-from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
+from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch, PollIdentity
+from thornjunction.net.discovery.watch import WatchHandlers
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.relay.poll_endpoint import PollerTable
@@ -104,19 +106,18 @@
 
     def _build_upstream(self) -> MultiSourceWatch:
         settings = self._settings
-        return MultiSourceWatch(
-            self._reactor,
-            SourceSelector(settings.upstreams, random.random, settings.siblings, SELECTION_TIMINGS),
-            settings.purge_retention_ms,
-            self._deadlines,
-            core_ms,
+        handlers = WatchHandlers(
             self.handle_command,
-            on_current=lambda: None,
-            name=settings.name,
-            words=self._poll_query,
             on_epoch=lambda: self.feed(UpstreamChanged()),
             on_confirmed=self._handle_confirmation,
         )
+        return MultiSourceWatch(
+            WatchContext(self._reactor, self._deadlines, core_ms),
+            SourceSelector(settings.upstreams, random.random, settings.siblings, SELECTION_TIMINGS),
+            settings.purge_retention_ms,
+            PollIdentity(settings.name, self._poll_query),
+            handlers,
+        )
 
     def run(self) -> int:
         """Serve until SIGTERM and return the exit code."""
@@ -235,7 +236,7 @@
         if self._state in (Lifecycle.SHUTTING_DOWN, Lifecycle.STOPPED):
             return
         self._state = Lifecycle.SHUTTING_DOWN
-        self._upstream.stopped = True
+        self._upstream.stop()
         log.info("relay-ending", open=len(self._pollers.links))
         for port in self._listeners.ports:
             port.stopListening()
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -230,7 +230,7 @@
     def _collect_metrics(self) -> dict[str, int]:
         path = self._path
         metrics = collect_admin_metrics(self._counters, path.engine, path.pool, path.router, self._reloads)
-        return metrics | self.channel.figures()
+        return metrics | self.channel.metrics()
 
     def _is_shutting_down(self) -> bool:
         return self.state in (Lifecycle.SHUTTING_DOWN, Lifecycle.STOPPED)
@@ -255,7 +255,7 @@
 
     def _stop(self) -> None:
         """End the reactor.  The state stays: where there is a successor, this process is ready to the end."""
-        self.channel.stopped = True
+        self.channel.stop()
         log.info("drained")
         self.reactor.stop()
 
