--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from fakes.loopback_environment import reactor
+from fakes.event_loop import reactor
 
 from tests.core.test_engine import CONFIG
 from thornjunction.core.counters import Counters
