--- a/tests/net/gossip/test_replay_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -1,4 +1,4 @@
-"""Tokens with a jti taken once per fleet in intent: two routers' windows on loopback UDP."""
+"""Tokens with a ``jti`` that one router accepted are rejected by its peers, over UDP on the loopback."""
 
 from __future__ import annotations
 
@@ -6,88 +6,113 @@
 from typing import Any, cast
 
 import pytest
-from fakes.event_loop import wait_until
+from fakes.event_loop import Steps, reactor, wait_until
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from twisted.internet import reactor
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
 from tests.loopback import BASE, TRUST
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
-from thornjunction.net.gossip.replay_gossip import ReplayGossip
+from thornjunction.net.gossip.replay_gossip import GossipGroup, ReplayGossip
 from thornjunction.net.wire import ProtocolError, gossip
 from thornjunction.runtime.signed_front import SignedFront
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
-SECRET, URI, NOW = b"s" * 32, BASE + "/films/17/7f3a9c21e0b4d655/0", 1_000_000.0
+SECRET = b"s" * 32
+OTHER_SECRET = b"t" * 32
+URI = BASE + "/films/17/7f3a9c21e0b4d655/0"
+NOW_UNIX_S = 1_000_000.0
+TOKEN_LIFETIME_S = 60
 
 
 class GossipTest(TestCase):
     timeout = 20
 
     def setUp(self) -> None:
-        self.alarm = TimerService(reactor)
-        self.addCleanup(self.alarm.stop)
-        self.routers = [self.router() for _ in range(2)]
-        (a, port_a), (b, port_b) = self.routers
-        a.peers, b.peers = (("127.0.0.1", port_b.getHost().port),), (("127.0.0.1", port_a.getHost().port),)
-
-    def router(self) -> tuple[ReplayGossip, Any]:
-        told = ReplayGossip(ReplayWindow(), (), SECRET, self.alarm.deadlines, core_ms, lambda: NOW)
-        port = reactor.listenUDP(0, told, interface="127.0.0.1")
+        self.timer_service = TimerService(reactor)
+        self.addCleanup(self.timer_service.stop)
+        self.first = self.build_gossip()
+        self.second = self.build_gossip()
+        self.first_port = self.listen(self.first)
+        self.second_port = self.listen(self.second)
+        self.first.group = GossipGroup((address_of(self.second_port),), SECRET)
+        self.second.group = GossipGroup((address_of(self.first_port),), SECRET)
+
+    def build_gossip(self) -> ReplayGossip:
+        group = GossipGroup((), SECRET)
+        deadlines = self.timer_service.deadlines
+        return ReplayGossip(ReplayWindow(), group, deadlines, core_ms, lambda: NOW_UNIX_S)
+
+    def listen(self, replay_gossip: ReplayGossip) -> ListeningPort:
+        port = reactor.listenUDP(0, replay_gossip, interface="127.0.0.1")
         self.addCleanup(port.stopListening)
-        return told, port
-
-    def take(self, at: ReplayGossip, jti: str) -> str:
-        token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(URI), NOW, 60, jti=jti)
-        try:
-            grant = tokens.verify(token, URI, TRUST, at.window, NOW)
-        except tokens.TokenError as error:
-            return error.code
-        assert grant.replay_entry is not None
-        at.tell(grant.replay_entry)
-        return ""
+        return port
 
     @inlineCallbacks
-    def test_a_token_taken_at_one_is_refused_at_the_other(self) -> Any:
-        (a, _), (b, port_b) = self.routers
-        self.assertEqual([self.take(a, jti) for jti in ("one", "two")], ["", ""])
-        yield wait_until(lambda: b.counts["learnt"] == 2)
-        self.assertEqual([self.take(b, "one"), self.take(b, "three")], ["token-replayed", ""])
-        yield wait_until(lambda: a.counts["learnt"] == 1)
-        self.assertEqual(self.take(a, "three"), "token-replayed")
-        a.transport.write(
-            gossip.encode([ReplayEntry(b"k" * 16, NOW + 9)], b"t" * 32), ("127.0.0.1", port_b.getHost().port)
-        )
-        a.transport.write(b"junk", ("127.0.0.1", port_b.getHost().port))
-        yield wait_until(lambda: b.counts["gossip-forged"] == 1 and b.counts["gossip-size"] == 1)
-        self.assertEqual(len(b.window), 3)
+    def test_a_token_accepted_by_one_router_is_rejected_by_the_other(self) -> Steps[None]:
+        first = self.first
+        second = self.second
+        self.assertEqual([accept_token(first, jti) for jti in ("one", "two")], ["", ""])
+        yield wait_until(lambda: second.counts["learnt"] == 2)
+        self.assertEqual([accept_token(second, jti) for jti in ("one", "three")], ["token-replayed", ""])
+        yield wait_until(lambda: first.counts["learnt"] == 1)
+        self.assertEqual(accept_token(first, "three"), "token-replayed")
+        forged = gossip.encode([ReplayEntry(b"k" * 16, NOW_UNIX_S + 9)], OTHER_SECRET)
+        first.transport.write(forged, address_of(self.second_port))
+        first.transport.write(b"junk", address_of(self.second_port))
+        yield wait_until(lambda: second.counts["gossip-forged"] == 1 and second.counts["gossip-size"] == 1)
+        self.assertEqual(len(second.window), 3)
+
+
+def address_of(port: ListeningPort) -> tuple[str, int]:
+    return "127.0.0.1", port.getHost().port
+
+
+def accept_token(replay_gossip: ReplayGossip, jti: str) -> str:
+    """Verify a token with this identifier and announce it; returns the code where it is rejected."""
+    token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(URI), NOW_UNIX_S, TOKEN_LIFETIME_S, jti=jti)
+    try:
+        grant = tokens.verify(token, URI, TRUST, replay_gossip.window, NOW_UNIX_S)
+    except tokens.TokenError as error:
+        return error.code
+    assert grant.replay_entry is not None
+    replay_gossip.announce(grant.replay_entry)
+    return ""
 
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(
     st.binary(max_size=1400), st.lists(st.tuples(st.binary(min_size=16, max_size=16), st.integers(0, 2**31)))
 )
-def test_datagrams_decode_to_what_was_sent_or_are_refused(
-    junk: bytes, entries: list[tuple[bytes, int]]
+def test_datagrams_decode_to_what_was_sent_or_are_rejected(
+    junk: bytes, keys_and_expiries: list[tuple[bytes, int]]
 ) -> None:
-    sent = [ReplayEntry(key, float(at)) for key, at in entries[: gossip.MAX_ENTRIES]]
-    assert gossip.decode(gossip.encode(sent, SECRET), SECRET) == [
-        ReplayEntry(entry.key, entry.expires_s + 1) for entry in sent
+    entries = [ReplayEntry(key, float(at)) for key, at in keys_and_expiries[: gossip.MAX_ENTRIES]]
+    datagram = gossip.encode(entries, SECRET)
+    assert gossip.decode(datagram, SECRET) == [
+        ReplayEntry(entry.key, entry.expires_s + 1) for entry in entries
     ]
-    whole = gossip.encode(sent, SECRET)
-    for spoilt in (junk, whole[:-1] + bytes([whole[-1] ^ 1])):
+    last_bit_flipped = datagram[:-1] + bytes([datagram[-1] ^ 1])
+    for malformed in (junk, last_bit_flipped):
         with pytest.raises(ProtocolError):
-            gossip.decode(spoilt, SECRET)
+            gossip.decode(malformed, SECRET)
+
+
+def build_signed_front(signed: SignedFrontSettings) -> SignedFront:
+    """A signed front of which only its gossip is used."""
+    unused = cast(Any, None)
+    return SignedFront(signed, unused, unused, unused, unused)
 
 
-def test_the_operators_file_turns_it_on() -> None:
-    """The section was read and checked, and then nothing was started."""
-    peers = GossipSettings(("127.0.0.1", 8490), (("127.0.0.1", 8491),), SECRET)
-    told = SignedFrontSettings(("127.0.0.1", 0), "http://a", TRUST, ReplayWindow(), gossip=peers)
-    door = SignedFront(told, *(cast(Any, None),) * 4).shared
-    assert door.gossip is not None and door.gossip.window is told.replays
-    assert SignedFront(replace(told, gossip=None), *(cast(Any, None),) * 4).shared.gossip is None
+def test_the_operators_file_turns_gossip_on() -> None:
+    """The section was read and checked once, and then nothing was started."""
+    gossip_settings = GossipSettings(("127.0.0.1", 8490), (("127.0.0.1", 8491),), SECRET)
+    signed = SignedFrontSettings(("127.0.0.1", 0), "http://a", TRUST, ReplayWindow(), gossip=gossip_settings)
+    front = build_signed_front(signed)
+    assert front.shared.gossip is not None
+    assert front.shared.gossip.window is signed.replays
+    assert build_signed_front(replace(signed, gossip=None)).shared.gossip is None
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -30,7 +30,7 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.gossip.replay_gossip import ReplayGossip
+from thornjunction.net.gossip.replay_gossip import GossipGroup, ReplayGossip
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
 from thornjunction.net.upstream import connect_attempt as server_dial
 from thornjunction.net.wire import fastcgi
@@ -146,9 +146,10 @@
 def test_datagrams_that_cannot_be_sent_are_lost_and_nothing_else() -> None:
     """Raised out of a deadline, the error would end the figures, and the deadlines that are due with it."""
     deadlines, window = Deadlines(), ReplayWindow()
-    gossip = ReplayGossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
+    group = GossipGroup((("127.0.0.1", 9),), b"secret" * 8)
+    gossip = ReplayGossip(window, group, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
-    gossip.tell(ReplayEntry(b"k" * 16, 99.0))
+    gossip.announce(ReplayEntry(b"k" * 16, 99.0))
     metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
     metrics._collectd, metrics._udp = ("127.0.0.1", 9), SocketWithoutWay()
     metrics.start()
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -151,7 +151,7 @@
             log.info("rejected", slot=self.slot, status=error.status, code=error.code)
             return self._write(signed.encode_rejection(error.status, request.keep_alive, error.retry_after_s))
         if grant.replay_entry is not None and self.door.gossip is not None:
-            self.door.gossip.tell(grant.replay_entry)
+            self.door.gossip.announce(grant.replay_entry)
         self.serving, answered = request, self.answered
         try:
             number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
--- a/thornjunction/net/gossip/replay_gossip.py
+++ b/thornjunction/net/gossip/replay_gossip.py
@@ -1,15 +1,17 @@
-"""Tokens with a ``jti`` taken once per fleet in intent: what this router takes is told to its peers over UDP,
-and what they take is learnt into its own replay window (``docs/design/second-front.md``).
+"""Exchange of used tokens between routers over UDP: one with a ``jti`` is accepted once in the fleet.
 
-Off on the platform, which forbids talk between instances; the operators' file turns it on elsewhere.  What a
-peer sends costs it alone: one datagram is decoded at a time, within a fixed size, and a forged or garbled one
-is dropped and counted, never logged in full."""
+It is best effort: each router tells its peers which tokens it has accepted, and adds theirs to its own replay
+window (``docs/design/second-front.md``).  The platform forbids traffic between instances, so the exchange is
+off unless the operators' file turns it on.  What a peer sends costs it alone: one datagram of bounded size is
+decoded at a time, and a forged or malformed one is dropped and counted, and never logged in full.
+"""
 
 from __future__ import annotations
 
 from collections import Counter, deque
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import Protocol
 
 from twisted.internet import protocol
 
@@ -18,65 +20,118 @@
 from thornjunction.net.wire import ProtocolError, gossip
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
-FLUSH_MS, MAX_QUEUED = 10.0, 4096  # how often taken keys are sent; how many wait at most
+# Time between the acceptance of a token and the datagram with it, so that one carries several.
+FLUSH_DELAY_MS = 10.0
+# Entries that wait for the next flush; above it the oldest is dropped.
+MAX_QUEUED_ENTRIES = 4096
+
+Address = tuple[str, int]
 
 log = get_logger(__name__)
 
 
+class DatagramTransport(Protocol):
+    """What the exchange asks of its UDP socket."""
+
+    def write(self, datagram: bytes, addr: Address) -> object:
+        """Send a datagram.  Raises OSError where the system refuses it."""
+
+
+@dataclass(frozen=True, slots=True)
+class GossipGroup:
+    """The routers that exchange their used tokens.
+
+    Attributes:
+        peers: addresses of the other routers.
+        secret: the key that authenticates datagrams.
+    """
+
+    peers: tuple[Address, ...]
+    secret: bytes
+
+
 class ReplayGossip(protocol.DatagramProtocol):
-    """One UDP socket: tells peers what is taken here, learns what they took.  ``counts`` holds ``sent``,
-    ``learnt``, ``known`` (already in the window), ``dropped`` (the queue was full),
-    ``unsent`` (the system refused a datagram) and one code a refused
-    datagram."""
+    """One UDP socket of the exchange.
+
+    Attributes:
+        window: the tokens that were accepted here or by peers.
+        group: the routers that exchange.
+        counts: entries that were ``sent``, ``learnt``, ``known`` (learnt before) and ``dropped`` (the queue
+            was full), datagrams that the system refused (``unsent``), and rejected datagrams by their code.
+    """
+
+    transport: DatagramTransport | None = None  # type: ignore[assignment]
 
     def __init__(
         self,
         window: ReplayWindow,
-        peers: tuple[tuple[str, int], ...],
-        secret: bytes,
+        group: GossipGroup,
         deadlines: Deadlines,
-        clock_ms: Callable[[], float],
+        clock: Callable[[], float],
         unix_s: Callable[[], float],
     ) -> None:
-        self.window, self.peers, self.secret = window, peers, secret
-        self.deadlines, self.clock_ms, self.unix_s = deadlines, clock_ms, unix_s
-        self.queue: deque[ReplayEntry] = deque(maxlen=MAX_QUEUED)
+        """Begin.
+
+        Args:
+            window: where the peers' tokens are added.
+            group: the routers that exchange.
+            deadlines: the queue of the program's deadlines.
+            clock: the core's clock, in ms.
+            unix_s: the system's clock, in Unix seconds.
+        """
+        self.window = window
+        self.group = group
         self.counts = Counter[str]()
-        self.flushing = False
+        self._deadlines = deadlines
+        self._clock = clock
+        self._unix_s = unix_s
+        self._queue: deque[ReplayEntry] = deque(maxlen=MAX_QUEUED_ENTRIES)
+        self._is_flush_scheduled = False
 
-    def tell(self, entry: ReplayEntry) -> None:
-        """A token taken here; sent with the next flush."""
-        if len(self.queue) == MAX_QUEUED:
+    def announce(self, entry: ReplayEntry) -> None:
+        """Tell the peers of a token that was accepted here, with the next flush."""
+        if len(self._queue) == MAX_QUEUED_ENTRIES:
             self.counts["dropped"] += 1
-        self.queue.append(entry)
-        if not self.flushing:
-            self.flushing = True
-            self.deadlines.add(self.clock_ms() + FLUSH_MS, self._flush)
+        self._queue.append(entry)
+        if not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            self._deadlines.add(self._clock() + FLUSH_DELAY_MS, self._flush)
+
+    def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802
+        """Add a peer's entries to the replay window; drop and count what is malformed or forged."""
+        try:
+            entries = gossip.decode(data, self.group.secret)
+        except ProtocolError as error:
+            self._record_rejection(str(error), addr)
+            return
+        now_unix_s = self._unix_s()
+        for entry in entries:
+            is_new = self.window.learn(entry.key, entry.expires_s, now_unix_s)
+            self.counts["learnt" if is_new else "known"] += 1
 
     def _flush(self) -> None:
-        self.flushing = False
-        transport: Any = self.transport
-        while self.queue and transport is not None:
-            batch = [self.queue.popleft() for _ in range(min(len(self.queue), gossip.MAX_ENTRIES))]
-            datagram = gossip.encode(batch, self.secret)
-            for peer in self.peers:
-                self._send(transport, datagram, peer)
+        self._is_flush_scheduled = False
+        while self._queue and self.transport is not None:
+            batch_size = min(len(self._queue), gossip.MAX_ENTRIES)
+            batch = [self._queue.popleft() for _ in range(batch_size)]
+            datagram = gossip.encode(batch, self.group.secret)
+            for peer in self.group.peers:
+                self._send(self.transport, datagram, peer)
             self.counts["sent"] += len(batch)
 
-    def _send(self, transport: Any, datagram: bytes, peer: tuple[str, int]) -> None:
+    def _send(self, transport: DatagramTransport, datagram: bytes, peer: Address) -> None:
+        """Send a datagram; one that the system refuses costs the peer no more than one that is lost."""
         try:
             transport.write(datagram, peer)
-        except OSError:  # no buffer, no way there: for the peer no more than a lost datagram
+        except OSError:
             self.counts["unsent"] += 1
 
-    def datagramReceived(self, data: bytes, addr: Any) -> None:  # noqa: N802
-        try:
-            entries = gossip.decode(data, self.secret)
-        except ProtocolError as error:
-            self.counts[str(error)] += 1
-            if self.counts[str(error)].bit_count() == 1:  # the 1st, 2nd, 4th, 8th...: a flood logs little
-                log.info("gossip refused", peer=addr[0], code=str(error), times=self.counts[str(error)])
-            return
-        now = self.unix_s()
-        for entry in entries:
-            self.counts["learnt" if self.window.learn(entry.key, entry.expires_s, now) else "known"] += 1
+    def _record_rejection(self, code: str, addr: Address) -> None:
+        """Count a datagram, and log the first, second, fourth, eighth and so on of its code.
+
+        Guards the log against a flood of such datagrams.
+        """
+        self.counts[code] += 1
+        count = self.counts[code]
+        if count.bit_count() == 1:
+            log.info("gossip refused", peer=addr[0], code=code, times=count)
--- a/thornjunction/net/relay/__init__.py
+++ b/thornjunction/net/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint that routers and relays poll."""
+"""The listening side of a relay: the connections of the routers and relays that poll it."""
--- /dev/null
+++ b/thornjunction/net/relay/poller_connection.py
@@ -0,0 +1,233 @@
+"""One connection of a router or relay that polls this relay.
+
+What a peer sends or does not read costs it alone: one poll a connection at a time, its head and target
+bounded, at most one response buffered, and a connection that neither polls nor reads for a while is closed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from enum import Enum
+from http import HTTPStatus
+from typing import Protocol
+
+from twisted.internet import protocol
+from twisted.internet.interfaces import IPullProducer
+from twisted.python.failure import Failure
+from zope.interface import implementer  # type: ignore[import-untyped]
+
+from thornjunction.memory.budget import ByteBudget
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason, disconnect_reason
+from thornjunction.net.event_loop.ports import Transport
+from thornjunction.net.wire import ProtocolError, http1
+from thornjunction.net.wire.polls import Poll, decode_poll
+
+# Time for the next complete poll; a router polls again at once after a response.
+POLL_TIMEOUT_MS = 10_000.0
+# Time for a response to be read.
+READ_TIMEOUT_MS = 4_000.0
+# A poll with its headers.
+MAX_HEAD_BYTES = 2_048
+# Bytes of a response that are copied for a connection at once; the rest is shared by all that get it.
+WRITE_BYTES = 32_768
+
+JSON_HEADERS = {"Content-Type": "application/json"}
+
+
+class PollerState(Enum):
+    """What a connection is doing."""
+
+    AWAITING_POLL = "awaiting-poll"
+    """The next poll has not come, or not completely."""
+
+    AWAITING_RESPONSE = "awaiting-response"
+    """A poll was passed on, and its response is awaited."""
+
+    SENDING = "sending"
+    """A response is sent."""
+
+
+class PollerOwner(Protocol):
+    """What a connection asks of the table that owns it, and reports to it."""
+
+    @property
+    def budget(self) -> ByteBudget:
+        """The bytes that all connections buffer."""
+
+    @property
+    def clock(self) -> Callable[[], float]:
+        """The core's clock, in ms."""
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether the relay shuts down: polls do not wait, and connections end with their response."""
+
+    def add(self, connection: PollerConnection) -> int | None:
+        """Return the number of a new connection; None where there is no slot for it."""
+
+    def handle_poll(self, number: int, poll: Poll) -> None:
+        """A connection has polled."""
+
+    def remove(self, number: int) -> None:
+        """A connection polls no longer."""
+
+    def record_end(self, reason: str) -> None:
+        """A connection has ended."""
+
+
+@implementer(IPullProducer)
+class PollerConnection(protocol.Protocol):
+    """Reads polls and sends their responses, one at a time.
+
+    Attributes:
+        number: the connection's number in the table; None: it has none, or has left.
+        state: what it is doing.
+        poll: the poll that awaits its response.
+        since_ms: when it last polled, was answered, or had read its response.
+        end_reason: why this side closes it; empty: it does not.
+    """
+
+    transport: Transport  # type: ignore[assignment]
+
+    def __init__(self, owner: PollerOwner) -> None:
+        self.number: int | None = None
+        self.state = PollerState.AWAITING_POLL
+        self.poll: Poll | None = None
+        self.since_ms = owner.clock()
+        self.end_reason = ""
+        self._owner = owner
+        self._reader = http1.RequestReader(0)
+        self._is_keep_alive = False
+        self._head = b""
+        self._body = b""
+        self._written_bytes = 0  # of the body
+
+    def connectionMade(self) -> None:  # noqa: N802
+        """Take a slot of the table."""
+        self.transport.setTcpNoDelay(True)
+        self.number = self._owner.add(self)
+        if self.number is None:
+            self.close(DisconnectReason.TABLE_FULL)
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Read a poll; end the connection where it is malformed or comes too early."""
+        if self.end_reason:
+            return
+        if self.state is not PollerState.AWAITING_POLL:
+            # Guards the buffered bytes against polls that come before the last response was read.
+            self.close(DisconnectReason.POLL_BEFORE_RESPONSE)
+            return
+        try:
+            request = self._reader.next(data)
+        except ProtocolError as error:
+            self._reject(http1.STATUS_OF.get(str(error), HTTPStatus.BAD_REQUEST), str(error))
+            return
+        if request is not None:
+            self._handle_request(request)
+        elif self._reader.held > MAX_HEAD_BYTES:
+            status = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+            self._reject(status, DisconnectReason.POLL_HEAD_TOO_LARGE)
+
+    def respond(self, status: int, body: bytes) -> None:
+        """Answer the poll that awaits its response, once."""
+        if self.poll is None or self.end_reason:
+            return
+        is_ok = status == HTTPStatus.OK
+        is_keep_alive = is_ok and self._is_keep_alive and not self._owner.is_draining
+        self.poll = None
+        self._send(http1.HttpResponse(status, JSON_HEADERS, body, is_keep_alive))
+        if not is_keep_alive:
+            self.leave(DisconnectReason.ANSWERED if is_ok else f"status-{int(status)}")
+
+    def check_timeouts(self, now_ms: float) -> None:
+        """Close the connection where it polls or reads nothing for too long."""
+        idle_ms = now_ms - self.since_ms
+        if self.state is PollerState.SENDING and idle_ms > READ_TIMEOUT_MS:
+            self.close(DisconnectReason.RESPONSE_UNREAD)
+        elif self.state is not PollerState.AWAITING_RESPONSE and idle_ms > POLL_TIMEOUT_MS:
+            self.close(DisconnectReason.SILENT)
+
+    def leave(self, reason: str) -> None:
+        """Close the connection in order, once all bytes have been sent."""
+        if not self.end_reason:
+            self.end_reason = reason
+            self.transport.loseConnection()
+
+    def close(self, reason: str) -> None:
+        """Cut the connection off."""
+        self.end_reason = self.end_reason or reason
+        self.transport.abortConnection()
+        self._release()
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
+        """Report the end of the connection."""
+        self._release()
+        self._owner.record_end(self.end_reason or disconnect_reason(reason))
+
+    def resumeProducing(self) -> None:  # noqa: N802
+        """Write the next part of the response: the system has taken the last one."""
+        head = self._head if self._written_bytes == 0 else b""
+        part = self._body[self._written_bytes : self._written_bytes + WRITE_BYTES]
+        if head or part:
+            # One byte of a response without a body counts as written too, so that its head is sent once.
+            self._written_bytes += max(len(part), 1)
+            self.transport.write(head + part)
+            return
+        self._head = b""
+        self._body = b""
+        self.state = PollerState.AWAITING_POLL
+        self.since_ms = self._owner.clock()
+        self.transport.unregisterProducer()
+        self._owner.budget.reserve(self.close, 0)
+
+    def stopProducing(self) -> None:  # noqa: N802
+        """Do nothing: ``connectionLost`` follows."""
+
+    def _handle_request(self, request: http1.HttpRequest) -> None:
+        if request.method != "GET":
+            self._reject(HTTPStatus.METHOD_NOT_ALLOWED, DisconnectReason.POLL_METHOD)
+            return
+        if self._reader.held:
+            self._reject(HTTPStatus.BAD_REQUEST, DisconnectReason.PIPELINED_POLL)
+            return
+        try:
+            poll = decode_poll(request.target)
+        except ProtocolError as error:
+            is_other_path = str(error) == "poll-path"
+            status = HTTPStatus.NOT_FOUND if is_other_path else HTTPStatus.BAD_REQUEST
+            self._reject(status, str(error))
+            return
+        self._accept(poll, request.keep_alive)
+
+    def _accept(self, poll: Poll, is_keep_alive: bool) -> None:
+        if self._owner.is_draining or not is_keep_alive:
+            poll = poll.without_waiting()
+        self.poll = poll
+        self.state = PollerState.AWAITING_RESPONSE
+        self.since_ms = self._owner.clock()
+        self._is_keep_alive = is_keep_alive
+        assert self.number is not None
+        self._owner.handle_poll(self.number, poll)
+
+    def _reject(self, status: int, reason: str) -> None:
+        self._send(http1.HttpResponse(status, {}, b"", False))
+        self.leave(reason)
+
+    def _send(self, response: http1.HttpResponse) -> None:
+        self.state = PollerState.SENDING
+        self.since_ms = self._owner.clock()
+        self._body = response.body
+        self._written_bytes = 0
+        self._head = http1.encode_response(replace(response, head=True))
+        self._owner.budget.reserve(self.close, len(self._head) + len(self._body))
+        if not self.end_reason:  # the budget may have evicted this connection
+            self.transport.registerProducer(self, False)
+
+    def _release(self) -> None:
+        """Give the reserved bytes and the slot back."""
+        self._owner.budget.reserve(self.close, 0)
+        if self.number is not None:
+            number = self.number
+            self.number = None
+            self._owner.remove(number)
--- /dev/null
+++ b/thornjunction/net/relay/poller_table.py
@@ -0,0 +1,134 @@
+"""The bounded table of the connections that poll a relay."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from http import HTTPStatus
+
+from twisted.internet import protocol
+
+from thornjunction.logs import get_logger
+from thornjunction.memory.budget import ByteBudget
+from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
+from thornjunction.net.relay.poller_connection import PollerConnection, PollerState
+from thornjunction.net.wire.polls import Poll
+
+# Time between two checks of all connections' timeouts.
+CHECK_INTERVAL_MS = 1_000.0
+# Responses that are buffered for all connections together; above it the largest is evicted.  A complete list
+# of 440 servers for 1,200 routers that poll at once is 94 MB, of which most is shared.
+MAX_BUFFERED_BYTES = 128 << 20
+
+log = get_logger(__name__)
+
+HandlePoll = Callable[[int, Poll], None]
+HandleDisconnect = Callable[[int], None]
+
+
+class PollerTable:
+    """The connections of a relay by number.
+
+    Attributes:
+        max_connections: how many there may be.
+        connections: those that are open, by number.
+        budget: the bytes that they buffer together.
+        end_counts: connections that have ended and polls that were rejected, by reason.
+        is_draining: whether the relay shuts down.
+    """
+
+    def __init__(
+        self,
+        max_connections: int,
+        deadlines: Deadlines,
+        clock: Callable[[], float],
+        handle_poll: HandlePoll,
+        handle_disconnect: HandleDisconnect,
+    ) -> None:
+        self.max_connections = max_connections
+        self.clock = clock
+        self.connections: dict[int, PollerConnection] = {}
+        self.budget = ByteBudget(MAX_BUFFERED_BYTES)
+        self.end_counts = Counter[str]()
+        self.is_draining = False
+        self._deadlines = deadlines
+        self._handle_poll = handle_poll
+        self._handle_disconnect = handle_disconnect
+        self._last_number = 0
+        self._check_timeouts()
+
+    def build_connection(self) -> protocol.Protocol:
+        """Return the protocol of a new connection, for a listening port."""
+        return PollerConnection(self)
+
+    def add(self, connection: PollerConnection) -> int | None:
+        """Return the number of a new connection; None where there is no slot for it."""
+        if len(self.connections) >= self.max_connections and not self._evict_idle():
+            return None
+        self._last_number += 1
+        self.connections[self._last_number] = connection
+        return self._last_number
+
+    def remove(self, number: int) -> None:
+        """Give the slot of a connection back."""
+        self.connections.pop(number, None)
+        self._handle_disconnect(number)
+
+    def handle_poll(self, number: int, poll: Poll) -> None:
+        """Pass a poll on."""
+        self._handle_poll(number, poll)
+
+    def respond(self, poller: int, body: bytes) -> None:
+        """Answer the poll of a connection, unless it has left."""
+        connection = self.connections.get(poller)
+        if connection is not None:
+            connection.respond(HTTPStatus.OK, body)
+
+    def reject(self, poller: int, reason: str) -> None:
+        """Reject the poll of a connection, which then polls another source."""
+        self.end_counts[f"refused-{reason}"] += 1
+        connection = self.connections.get(poller)
+        if connection is not None:
+            connection.respond(HTTPStatus.SERVICE_UNAVAILABLE, b"")
+
+    def drain(self) -> None:
+        """Take no new polls, and have pending ones answered with what there is."""
+        self.is_draining = True
+        for number, connection in list(self.connections.items()):
+            if connection.poll is None:
+                connection.leave(DisconnectReason.RELAY_ENDING)
+            else:
+                self._handle_poll(number, connection.poll.without_waiting())
+
+    def record_end(self, reason: str) -> None:
+        """Count the end of a connection, and log the first, second, fourth, eighth and so on of its reason.
+
+        Guards the log against a flood of such ends.
+        """
+        self.end_counts[reason] += 1
+        count = self.end_counts[reason]
+        if count.bit_count() == 1:
+            log.info("end", kind="poller", code=str(reason), times=count, open=len(self.connections))
+
+    def _evict_idle(self) -> bool:
+        """Close the connection that is idle longest, and return whether there was one without a poll.
+
+        Guards routers against callers that connect and never poll.
+        """
+        longest_idle = min(self.connections.values(), key=_eviction_order)
+        if longest_idle.state is PollerState.AWAITING_RESPONSE:
+            return False
+        longest_idle.close(DisconnectReason.EVICTED)
+        return True
+
+    def _check_timeouts(self) -> None:
+        now_ms = self.clock()
+        for connection in list(self.connections.values()):
+            connection.check_timeouts(now_ms)
+        self._deadlines.add(now_ms + CHECK_INTERVAL_MS, self._check_timeouts)
+
+
+def _eviction_order(connection: PollerConnection) -> tuple[bool, float]:
+    """Connections without a poll first, the longest idle of them before all."""
+    return connection.state is PollerState.AWAITING_RESPONSE, connection.since_ms
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -42,7 +42,7 @@
 from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.event_loop.unix_clock import UnixClock
-from thornjunction.net.relay.poll_endpoint import PollerTable
+from thornjunction.net.relay.poller_table import PollerTable
 from thornjunction.net.wire.commands import Command, ListChange, Purge, encode_host
 from thornjunction.net.wire.polls import Poll
 from thornjunction.runtime.control_settings import RelaySettings
@@ -131,8 +131,8 @@
         """Listen at once: who polls before there is a state is told so, and goes elsewhere."""
         self._state = Lifecycle.SERVING
         self.feed(Started())
-        log.info("relay-start", name=self._settings.name, connections=self._pollers.most)
-        self._listeners.listen(*self._settings.listen, self._pollers.build)
+        log.info("relay-start", name=self._settings.name, connections=self._pollers.max_connections)
+        self._listeners.listen(*self._settings.listen, self._pollers.build_connection)
         if self._settings.admin is not None:
             self._listeners.listen(*self._settings.admin, lambda: AdminConnection(self._admin_endpoint))
         self._upstream.start()
@@ -161,9 +161,9 @@
     def _carry_out(self, action: RelayAction) -> None:
         match action:
             case SendResponse(poller, body):
-                self._pollers.answer(poller, body)
+                self._pollers.respond(poller, body)
             case RejectPoll(poller, reason):
-                self._pollers.refuse(poller, reason)
+                self._pollers.reject(poller, reason)
             case SetTimer(delay_ms, token):
                 self._schedule(delay_ms, lambda: self.feed(TimerFired(token)))
             case Notice(name, fields):
@@ -237,17 +237,17 @@
             return
         self._state = Lifecycle.SHUTTING_DOWN
         self._upstream.stop()
-        log.info("relay-ending", open=len(self._pollers.links))
+        log.info("relay-ending", open=len(self._pollers.connections))
         for port in self._listeners.ports:
             port.stopListening()
-        self._pollers.end()
+        self._pollers.drain()
         self._stop_once_flushed(core_ms() + FLUSH_TIMEOUT_MS)
 
     def _stop_once_flushed(self, until_ms: float) -> None:
-        if self._pollers.links and core_ms() < until_ms:
+        if self._pollers.connections and core_ms() < until_ms:
             self._schedule(FLUSH_CHECK_INTERVAL_MS, lambda: self._stop_once_flushed(until_ms))
             return
-        log.info("relay-ended", unread=len(self._pollers.links))
+        log.info("relay-ended", unread=len(self._pollers.connections))
         self._state = Lifecycle.STOPPED
         self._reactor.stop()
 
--- a/thornjunction/runtime/relay_status.py
+++ b/thornjunction/runtime/relay_status.py
@@ -7,7 +7,7 @@
 
 from control_relay import MemberStatus, PurgeStatus, Relay
 
-from thornjunction.net.relay.poll_endpoint import PollerTable
+from thornjunction.net.relay.poller_table import PollerTable
 from thornjunction.net.wire.admin import encode_lines, encode_reply
 from thornjunction.net.wire.polls import NAME
 
@@ -68,9 +68,9 @@
         status = self._relay.status(now_ms)
         metrics: dict[str, object] = {name: getattr(status, field) for name, field in STATUS_FIELDS.items()}
         metrics |= {f"faults.{name}": count for name, count in sorted(status.faults.items())}
-        metrics["connections"] = len(self._pollers.links)
+        metrics["connections"] = len(self._pollers.connections)
         metrics["held_bytes"] = self._pollers.budget.reserved_bytes
-        metrics |= {f"ends.{reason}": count for reason, count in sorted(self._pollers.ends.items())}
+        metrics |= {f"ends.{reason}": count for reason, count in sorted(self._pollers.end_counts.items())}
         return metrics
 
     def _show_purges(self) -> bytes:
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -19,7 +19,7 @@
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
-from thornjunction.net.gossip.replay_gossip import ReplayGossip
+from thornjunction.net.gossip.replay_gossip import GossipGroup, ReplayGossip
 from thornjunction.runtime.key_set import KeySetReloader, ReloadableFile
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings, TlsFiles
 
@@ -100,9 +100,8 @@
             scheduled.file.reload()
 
     def _build_gossip(self, settings: GossipSettings) -> ReplayGossip:
-        return ReplayGossip(
-            self._settings.replays, settings.peers, settings.secret, self._deadlines, core_ms, time.time
-        )
+        group = GossipGroup(settings.peers, settings.secret)
+        return ReplayGossip(self._settings.replays, group, self._deadlines, core_ms, time.time)
 
     def _build_certificates(self, files: TlsFiles) -> CertificateReloader:
         from thornjunction.runtime.tls import CertificateReloader  # loads pyOpenSSL, only where TLS is on
