--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -1,4 +1,4 @@
-"""Parts of tests of the command channel: a router's service, and responses in JSON."""
+"""Parts of tests of the watch: a router's service, responses in JSON, and a watch at a scripted discovery."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 from typing import Any
 
 from fakes.event_loop import reactor
+from fakes.watch_environment import WatchEnvironment
+from twisted.trial.unittest import TestCase
 
 from tests.core.test_engine import CONFIG
 from thornjunction.core.counters import Counters
+from thornjunction.net.discovery.watch_connection import ConnectionState
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.service import Service
 
+PURGE_1 = {"cursor": 1, "drop": {"family": 3, "when": 5}}
+PURGE_2 = {"cursor": 2, "drop": {"family": 4, "when": 5}}
+
 
 def build_service() -> Service:
     """A router with the decisions' test configuration, which is not started."""
@@ -22,3 +28,32 @@
 def encode_commands(*events: Any) -> bytes:
     """The body of a response whose cursor is 4."""
     return json.dumps({"cursor": 4, "cmds": events}).encode()
+
+
+class WatchTestCase(TestCase):
+    """A watch client at a scripted discovery, whose time passes as the test says."""
+
+    timeout = 60
+
+    def setUp(self) -> None:
+        """Build the watch client; it is not started."""
+        self.environment = WatchEnvironment()
+        self.discovery = self.environment.discovery
+        self.addCleanup(self.environment.stop)
+
+    def passed_on_cursors(self) -> list[int]:
+        """Numbers of the events that the watch client has passed on."""
+        return [event.cursor for event in self.environment.received_events]
+
+    def resume_positions(self) -> list[int]:
+        """Positions that the polls resumed from."""
+        return [resume for resume, _ in self.discovery.polls]
+
+    def is_paused(self) -> bool:
+        """Whether the watch client is connected and waits before its next poll."""
+        connection = self.environment.watch_client.connection
+        return connection is not None and connection.state is ConnectionState.PAUSED
+
+    def is_disconnected_after_polls(self) -> bool:
+        """Whether discovery was polled and there is no connection any more."""
+        return bool(self.discovery.polls) and self.environment.watch_client.connection is None
--- a/tests/net/discovery/test_epoch_change.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -1,180 +1,184 @@
-"""Discovery whose numbers go back, on real connections; deadlines by a clock that is turned by hand."""
+"""Discovery whose numbers go back, on real connections, before the real decisions."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
-from fakes.event_loop import wait_until
+from fakes.event_loop import Steps, wait_until
 from fakes.fake_discovery import FakeDiscoveryConnection
-from fakes.watch_environment import WatchEnvironment, chosen_server
+from fakes.watch_environment import chosen_server
 from fakes.watch_messages import ORIGIN_ENTRY, edge_entry, encode_answer, purge_events, summarize_event
 from twisted.internet.defer import inlineCallbacks
-from twisted.trial.unittest import TestCase
 
-from tests.net.discovery.builders import build_service
-from thornjunction.net.discovery.watch_connection import ConnectionState
-from thornjunction.net.wire.commands import Commands, ListChange
+from tests.net.discovery.builders import WatchTestCase, build_service
+from thornjunction.net.wire.commands import Command, Commands, ListChange
 
-SOME = 3000  # events whose answer is long
+EVENT_COUNT = 3000  # events of a long response
+LAST_CURSOR = 10  # of the events that discovery holds at first
+MAX_PAUSE_MS = 400.0
+POLL_STEP_MS = 50.0
+MAX_STALE_POLLS = 99
 
 
-class NewNumbersTest(TestCase):
-    """Before the real decisions."""
+def complete_list(*names: str) -> dict[str, Any]:
+    """A complete list of these edge caches and the origin."""
+    return {"nodes": {"whole": True, "hosts": [*map(edge_entry, names), ORIGIN_ENTRY]}}
 
+
+class EpochChangeTest(WatchTestCase):
     timeout = 20
 
     def setUp(self) -> None:
-        self.rig, self.service = WatchEnvironment(), build_service()
-        self.discovery, self.channel = self.rig.discovery, self.rig.watch_client
-        self.addCleanup(self.rig.stop)
+        super().setUp()
+        self.watch_client = self.environment.watch_client
+        self.service = build_service()
         self.addCleanup(self.service.alarm.stop)
-        self.feed, self.listed = self.service.handle_command, list[str]()
-        self.channel.feed.handle_command = self.take
-        self.behind_at: int | None = None  # what discovery tells to a poll that doesn't ask from 0
-        self.answer, self.discovery.handle_poll = self.discovery.handle_poll, self.polled  # type: ignore[method-assign]
-        self.discovery.publish(
-            nodes={"whole": True, "hosts": [edge_entry("c1"), edge_entry("c2"), ORIGIN_ENTRY]}
-        )
-        for number in range(8):
-            self.discovery.publish(drop={"family": number, "when": 5})
+        self.watch_client.feed.handle_command = self.handle_command
+        self.lists: list[str] = []
+        self.stale_cursor: int | None = None  # what discovery reports to a poll that is not from 0
+        self.answer_poll: Callable[[FakeDiscoveryConnection, int, int], None] = self.discovery.handle_poll
+        self.discovery.handle_poll = self.handle_poll  # type: ignore[method-assign]
+        self.discovery.publish(**complete_list("c1", "c2"))
+        for group in range(8):
+            self.discovery.publish(drop={"family": group, "when": 5})
         self.discovery.publish(nodes={"hosts": [edge_entry("c1", health="leaving")]})
 
-    def take(self, event: Any) -> None:
-        if isinstance(event, ListChange):
-            self.listed.append(summarize_event(event))
-        self.feed(event)
+    def handle_command(self, command: Command) -> None:
+        if isinstance(command, ListChange):
+            self.lists.append(summarize_event(command))
+        self.service.handle_command(command)
 
-    def polled(self, link: FakeDiscoveryConnection, resume: int, block: int) -> None:
+    def handle_poll(self, connection: FakeDiscoveryConnection, resume: int, block_ms: int) -> None:
         if not resume:
-            self.behind_at = None
-        if self.behind_at is None:
-            return self.answer(link, resume, block)
-        self.discovery.polls.append((resume, block))
-        link.transport.write(encode_answer({"cursor": self.behind_at, "cmds": []}))
+            self.stale_cursor = None
+        if self.stale_cursor is None:
+            self.answer_poll(connection, resume, block_ms)
+            return
+        self.discovery.polls.append((resume, block_ms))
+        connection.transport.write(encode_answer({"cursor": self.stale_cursor, "cmds": []}))
 
     @inlineCallbacks
-    def begin(self) -> Any:
-        self.channel.start()
-        yield wait_until(lambda: self.discovery.held_poll and self.channel.cursor == 10)
-        self.assertEqual(chosen_server(self.service), "c2")
-        del self.listed[:]
+    def begin(self) -> Steps[None]:
+        """Let the watch take what discovery holds; c1 drains in it."""
+        self.watch_client.start()
+        yield wait_until(lambda: self.discovery.held_poll and self.watch_client.cursor == LAST_CURSOR)
+        assert chosen_server(self.service) == "c2"
+        self.lists.clear()
 
     @inlineCallbacks
-    def behind(self, cursor: int, most: int = 99) -> Any:
-        """Discovery says that it is at an earlier number, so often or until it is asked from 0; how long."""
-        started, polls, self.behind_at = self.rig.now_ms, self.discovery.polls, cursor
-        link, _ = self.discovery.held_poll
+    def report_stale_cursor(self, cursor: int, max_polls: int = MAX_STALE_POLLS) -> Steps[float]:
+        """Report an earlier cursor, to so many polls or until one is from 0; returns how long it took."""
+        started_ms = self.environment.now_ms
+        self.stale_cursor = cursor
+        connection = self.discovery.held_poll.connection
         self.discovery.held_poll = None
-        link.transport.write(encode_answer({"cursor": cursor, "cmds": []}))
-        del polls[:]
-        while len(polls) < most and not self.asked_anew():
-            yield wait_until(
-                lambda: self.channel.connection.state is ConnectionState.PAUSED or self.asked_anew()
-            )
-            self.rig.advance(50.0 * (not self.asked_anew()))
-        return self.rig.now_ms - started
+        connection.transport.write(encode_answer({"cursor": cursor, "cmds": []}))
+        self.discovery.polls.clear()
+        while len(self.discovery.polls) < max_polls and not self.was_polled_from_start():
+            yield wait_until(lambda: self.is_paused() or self.was_polled_from_start())
+            if not self.was_polled_from_start():
+                self.environment.advance(POLL_STEP_MS)
+        return self.environment.now_ms - started_ms
 
     @inlineCallbacks
-    def polled_again(self) -> Any:
-        """Past the pause behind an answer that told nothing."""
-        yield wait_until(
-            lambda: self.discovery.held_poll or self.channel.connection.state is ConnectionState.PAUSED
-        )
-        self.rig.advance(400.0)
+    def wait_for_next_held_poll(self) -> Steps[None]:
+        """Wait for the poll after the pause that follows a response without events."""
+        yield wait_until(lambda: self.discovery.held_poll or self.is_paused())
+        self.environment.advance(MAX_PAUSE_MS)
         yield wait_until(lambda: self.discovery.held_poll)
 
-    def asked_anew(self) -> bool:
-        return any(not resume for resume, _ in self.discovery.polls)
+    def was_polled_from_start(self) -> bool:
+        return 0 in self.resume_positions()
+
+    def has_polled_after(self, cursor: int) -> bool:
+        held_poll = self.discovery.held_poll
+        return held_poll is not None and held_poll.resume == cursor
 
     @inlineCallbacks
-    def new_start(self, *events: dict[str, Any]) -> Any:
-        """Discovery begins anew with these events, under numbers of its own."""
+    def restart_discovery(self, *events: dict[str, Any]) -> Steps[float]:
+        """Let discovery begin anew with these events, under its own numbers; returns how long it took."""
         yield self.begin()
         self.discovery.events[:] = [{"cursor": number, **event} for number, event in enumerate(events, 1)]
-        spent_ms = yield self.behind(len(events))
-        yield wait_until(lambda: self.discovery.held_poll and self.discovery.held_poll[1] == len(events))
-        return spent_ms
+        elapsed_ms = yield self.report_stale_cursor(len(events))
+        yield wait_until(lambda: self.has_polled_after(len(events)))
+        return elapsed_ms
 
     @inlineCallbacks
-    def test_a_new_start_is_taken_and_brings_nothing_back_that_left(self) -> Any:
-        hosts = [edge_entry("c1"), edge_entry("c3"), ORIGIN_ENTRY]
-        whole = {"nodes": {"whole": True, "hosts": hosts}}
-        spent_ms = yield self.new_start(whole, {"drop": {"family": 1, "when": 5}})
-        self.assertTrue(1500.0 <= spent_ms <= 3000.0)
-        self.assertEqual(self.listed, ["c1:DRAINING c3:SERVING o:SERVING"])
-        self.assertEqual(chosen_server(self.service), "c3")
-        self.discovery.publish(
-            nodes={"hosts": [edge_entry("c3", health="leaving"), edge_entry("c1")]}
-        )  # news of its own
-        yield wait_until(lambda: self.channel.cursor == 3)
-        self.assertEqual(chosen_server(self.service), "c1")
+    def test_a_new_epoch_is_followed_and_brings_no_drained_server_back(self) -> Steps[None]:
+        elapsed_ms = yield self.restart_discovery(
+            complete_list("c1", "c3"), {"drop": {"family": 1, "when": 5}}
+        )
+        assert 1500.0 <= elapsed_ms <= 3000.0
+        assert self.lists == ["c1:DRAINING c3:SERVING o:SERVING"]
+        assert chosen_server(self.service) == "c3"
+        # A change within the new epoch brings it back.
+        self.discovery.publish(nodes={"hosts": [edge_entry("c3", health="leaving"), edge_entry("c1")]})
+        yield wait_until(lambda: self.watch_client.cursor == 3)
+        assert chosen_server(self.service) == "c1"
 
     @inlineCallbacks
-    def test_a_new_start_may_be_a_long_answer(self) -> Any:
-        """More of them than numbers before: only its first bytes can tell that."""
+    def test_a_new_epoch_may_come_in_a_long_response(self) -> Steps[None]:
+        """It has about as many events as are known: only its beginning tells the epochs apart."""
         yield self.begin()
-        self.channel.replay(Commands(SOME + 10, ()))
-        whole = {
-            "cursor": 1,
-            "nodes": {"whole": True, "hosts": [edge_entry("c1"), edge_entry("c3"), ORIGIN_ENTRY]},
-        }
-        self.discovery.events[:] = [whole, *purge_events(2, SOME)]
-        yield self.behind(SOME)
-        yield self.rig.wait_until_due(
-            lambda: self.discovery.held_poll and self.discovery.held_poll[1] == SOME
-        )
-        self.assertEqual(self.listed, ["c1:DRAINING c3:SERVING o:SERVING"])
-        self.assertEqual(self.channel.cursor, SOME)
+        self.watch_client.replay(Commands(EVENT_COUNT + 10, ()))
+        first = {"cursor": 1, **complete_list("c1", "c3")}
+        self.discovery.events[:] = [first, *purge_events(2, EVENT_COUNT)]
+        yield self.report_stale_cursor(EVENT_COUNT)
+        yield self.environment.wait_until_due(lambda: self.has_polled_after(EVENT_COUNT))
+        assert self.lists == ["c1:DRAINING c3:SERVING o:SERVING"]
+        assert self.watch_client.cursor == EVENT_COUNT
 
     @inlineCallbacks
-    def test_a_later_process_of_a_name_that_left_is_no_return(self) -> Any:
+    def test_a_later_process_of_a_drained_server_serves_in_a_new_epoch(self) -> Steps[None]:
         hosts = [edge_entry("c1", born_ms=1e12), ORIGIN_ENTRY]
-        yield self.new_start({"nodes": {"whole": True, "hosts": hosts}})
-        self.assertEqual(self.listed, ["c1:SERVING o:SERVING"])
+        yield self.restart_discovery({"nodes": {"whole": True, "hosts": hosts}})
+        assert self.lists == ["c1:SERVING o:SERVING"]
 
     @inlineCallbacks
-    def test_a_false_word_changes_nothing(self) -> Any:
-        """Asked from 0, discovery tells numbers that stand: what came before is not taken again."""
+    def test_stale_responses_alone_change_nothing(self) -> Steps[None]:
+        """Polled from 0, discovery sends the known numbers: earlier events are not passed on again."""
         yield self.begin()
-        yield self.behind(3)
-        yield self.polled_again()
+        yield self.report_stale_cursor(3)
+        yield self.wait_for_next_held_poll()
         self.discovery.publish(nodes={"hosts": [edge_entry("c3")]})
-        yield wait_until(lambda: self.channel.cursor == 11)
-        self.assertEqual(self.listed, ["c3:SERVING"])
-        self.assertNotEqual(chosen_server(self.service), "c1")
+        yield wait_until(lambda: self.watch_client.cursor == LAST_CURSOR + 1)
+        assert self.lists == ["c3:SERVING"]
+        assert chosen_server(self.service) != "c1"
 
     @inlineCallbacks
-    def test_earlier_numbers_without_a_whole_list_are_no_new_start(self) -> Any:
+    def test_earlier_numbers_without_a_complete_list_are_no_new_epoch(self) -> Steps[None]:
         yield self.begin()
         self.discovery.events[:] = [{"cursor": 1, "nodes": {"hosts": [edge_entry("c1")]}}]
-        yield self.behind(1)
-        yield self.polled_again()
-        self.assertEqual((self.asked_anew(), self.channel.cursor, self.listed), (True, 10, []))
+        yield self.report_stale_cursor(1)
+        yield self.wait_for_next_held_poll()
+        assert self.was_polled_from_start()
+        assert (self.watch_client.cursor, self.lists) == (LAST_CURSOR, [])
 
     @inlineCallbacks
-    def test_two_false_words_are_too_few_however_far_apart(self) -> Any:
+    def test_two_stale_responses_are_too_few_however_far_apart(self) -> Steps[None]:
         yield self.begin()
-        del self.discovery.polls[:]
-        told = encode_answer({"cursor": 3, "cmds": []})
-        for polls in (1, 2, 3):  # polls that are held for longer than they asked
-            link, _ = self.discovery.held_poll
+        self.discovery.polls.clear()
+        stale_response = encode_answer({"cursor": 3, "cmds": []})
+        for polls in (1, 2, 3):  # each is held for longer than it asked
+            connection = self.discovery.held_poll.connection
             self.discovery.held_poll = None
-            self.rig.advance(1900.0)
-            link.transport.write(told)
+            self.environment.advance(1900.0)
+            connection.transport.write(stale_response)
             yield wait_until(lambda polls=polls: len(self.discovery.polls) >= polls)
-            self.assertEqual(self.asked_anew(), polls == 3)
+            assert self.was_polled_from_start() == (polls == 3)
 
     @inlineCallbacks
-    def test_few_false_words_ask_nothing_anew_and_many_ask_ever_more_rarely(self) -> Any:
+    def test_few_stale_responses_cause_no_poll_from_0_and_many_cause_ever_fewer(self) -> Steps[None]:
         yield self.begin()
         for _ in range(3):
-            yield self.behind(3, most=2)  # an answer that is in order comes between
-            self.behind_at = None
-            yield self.polled_again()
+            yield self.report_stale_cursor(3, max_polls=2)  # a correct response comes between
+            self.stale_cursor = None
+            yield self.wait_for_next_held_poll()
             self.discovery.publish(drop={"family": 1, "when": 5})
             yield wait_until(lambda: self.discovery.held_poll)
-            self.assertFalse(self.asked_anew())
-        for least_ms in (1500.0, 3000.0, 6000.0):
-            spent_ms = yield self.behind(3)
-            self.assertTrue(least_ms <= spent_ms <= least_ms + 1200.0)
-            yield self.polled_again()
+            assert not self.was_polled_from_start()
+        for min_elapsed_ms in (1500.0, 3000.0, 6000.0):
+            elapsed_ms = yield self.report_stale_cursor(3)
+            assert min_elapsed_ms <= elapsed_ms <= min_elapsed_ms + 1200.0
+            yield self.wait_for_next_held_poll()
--- a/tests/net/gossip/test_replay_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -56,16 +56,16 @@
     def test_a_token_accepted_by_one_router_is_rejected_by_the_other(self) -> Steps[None]:
         first = self.first
         second = self.second
-        self.assertEqual([accept_token(first, jti) for jti in ("one", "two")], ["", ""])
+        assert [accept_token(first, jti) for jti in ("one", "two")] == ["", ""]
         yield wait_until(lambda: second.counts["learnt"] == 2)
-        self.assertEqual([accept_token(second, jti) for jti in ("one", "three")], ["token-replayed", ""])
+        assert [accept_token(second, jti) for jti in ("one", "three")] == ["token-replayed", ""]
         yield wait_until(lambda: first.counts["learnt"] == 1)
-        self.assertEqual(accept_token(first, "three"), "token-replayed")
+        assert accept_token(first, "three") == "token-replayed"
         forged = gossip.encode([ReplayEntry(b"k" * 16, NOW_UNIX_S + 9)], OTHER_SECRET)
         first.transport.write(forged, address_of(self.second_port))
         first.transport.write(b"junk", address_of(self.second_port))
         yield wait_until(lambda: second.counts["gossip-forged"] == 1 and second.counts["gossip-size"] == 1)
-        self.assertEqual(len(second.window), 3)
+        assert len(second.window) == 3
 
 
 def address_of(port: ListeningPort) -> tuple[str, int]:
--- a/tests/net/relay/test_poller_connection.py
+++ b/tests/net/relay/test_poller_connection.py
@@ -32,17 +32,17 @@
         number = connection.number
         for count in range(3):
             body = b'{"n":%d}' % count
-            self.assertEqual(self.polls[-1], (number, Poll(3, 1200)))
+            assert self.polls[-1] == (number, Poll(3, 1200))
             self.pollers.respond(number, body)
             response = yield self.receive(client, lambda received, body=body: received.endswith(body))
-            self.assertTrue(response.startswith(b"HTTP/1.1 200 OK\r\n"))
-            self.assertNotIn(b"Connection", response)
+            assert response.startswith(b"HTTP/1.1 200 OK\r\n")
+            assert b"Connection" not in response
             client.sendall(POLL)
             yield wait_until(lambda count=count: len(self.polls) == count + 2)
         self.pollers.respond(99, b"{}")  # to a connection that has left
         client.close()
         yield wait_until(lambda: self.disconnected)
-        self.assertEqual((self.disconnected, self.pollers.budget.reserved_bytes), ([number], 0))
+        assert (self.disconnected, self.pollers.budget.reserved_bytes) == ([number], 0)
 
     @inlineCallbacks
     def test_a_response_of_many_parts_comes_complete_and_the_next_poll_after_it(self) -> Steps[None]:
@@ -52,45 +52,45 @@
             end = b"\r\n\r\n" + body
             self.pollers.respond(connection.number, body)
             response = yield self.receive(client, lambda received, end=end: received.endswith(end))
-            self.assertIn(b"Content-Length: %d\r\n" % size, response)
+            assert b"Content-Length: %d\r\n" % size in response
             polls = len(self.polls)
             client.sendall(POLL)
             yield wait_until(lambda polls=polls: len(self.polls) > polls)
-        self.assertEqual(self.pollers.budget.reserved_bytes, 0)
+        assert self.pollers.budget.reserved_bytes == 0
 
     @inlineCallbacks
     def test_a_rejected_poll_is_answered_and_its_connection_ends(self) -> Steps[None]:
         client, connection = yield self.open_connection(POLL)
         self.pollers.reject(connection.number, "no-state")
         response = yield self.receive_all(client)
-        self.assertTrue(response.startswith(b"HTTP/1.1 503 "))
-        self.assertIn(b"Connection: close", response)
-        self.assertEqual(self.pollers.end_counts["status-503"], 1)
+        assert response.startswith(b"HTTP/1.1 503 ")
+        assert b"Connection: close" in response
+        assert self.pollers.end_counts["status-503"] == 1
 
     @inlineCallbacks
     def test_a_request_that_is_no_poll_gets_its_status_and_its_connection_ends(self) -> Steps[None]:
         for data, status in REJECTED_REQUESTS.items():
             response = yield self.receive_all(self.connect(data))
-            self.assertEqual((response[STATUS_DIGITS], data), (status, data))
-        self.assertEqual((self.polls, self.pollers.connections), ([], {}))
+            assert (response[STATUS_DIGITS], data) == (status, data)
+        assert (self.polls, self.pollers.connections) == ([], {})
 
     @inlineCallbacks
     def test_a_poll_before_the_response_ends_the_connection(self) -> Steps[None]:
         client, connection = yield self.open_connection(POLL)
         client.sendall(POLL)
         yield self.receive_all(client)
-        self.assertEqual(connection.end_reason, "unanswered-poll")
-        self.assertEqual((self.disconnected, len(self.polls)), ([1], 1))
+        assert connection.end_reason == "unanswered-poll"
+        assert (self.disconnected, len(self.polls)) == ([1], 1)
 
     @inlineCallbacks
     def test_a_client_that_does_not_read_costs_one_response_and_is_closed(self) -> Steps[None]:
         _, connection = yield self.open_connection(POLL, SMALL_RECEIVE_BUFFER_BYTES)
         self.pollers.respond(connection.number, UNREAD_BODY)
         self.manual_clock.advance(CHECK_INTERVAL_MS)
-        self.assertGreater(self.pollers.budget.reserved_bytes, len(UNREAD_BODY))
+        assert self.pollers.budget.reserved_bytes > len(UNREAD_BODY)
         self.manual_clock.advance(READ_TIMEOUT_MS)
         yield wait_until(lambda: self.disconnected)
-        self.assertEqual((connection.end_reason, self.pollers.budget.reserved_bytes), ("unread", 0))
+        assert (connection.end_reason, self.pollers.budget.reserved_bytes) == ("unread", 0)
 
     @inlineCallbacks
     def test_a_client_that_does_not_read_and_polls_again_is_closed(self) -> Steps[None]:
@@ -98,4 +98,4 @@
         self.pollers.respond(connection.number, UNREAD_BODY)
         client.sendall(POLL)
         yield wait_until(lambda: self.disconnected)
-        self.assertEqual((connection.end_reason, len(self.polls)), ("unanswered-poll", 1))
+        assert (connection.end_reason, len(self.polls)) == ("unanswered-poll", 1)
--- a/tests/net/relay/test_poller_table.py
+++ b/tests/net/relay/test_poller_table.py
@@ -24,7 +24,7 @@
         self.pollers.respond(first.number, b"x" * 6_000_000)
         self.pollers.respond(second.number, b"x" * 8_000_000)
         yield wait_until(lambda: self.disconnected)
-        self.assertEqual((first.end_reason, second.end_reason), ("", "memory"))
+        assert (first.end_reason, second.end_reason) == ("", "memory")
 
     @inlineCallbacks
     def test_a_connection_that_never_polls_is_closed(self) -> Steps[None]:
@@ -33,8 +33,8 @@
         _, polling = yield self.open_connection(POLL)
         self.manual_clock.advance(POLL_TIMEOUT_MS + CHECK_INTERVAL_MS)
         yield wait_until(lambda: len(self.disconnected) == 2)
-        self.assertEqual((silent.end_reason, incomplete.end_reason), ("silent", "silent"))
-        self.assertEqual(polling.end_reason, "")
+        assert (silent.end_reason, incomplete.end_reason) == ("silent", "silent")
+        assert polling.end_reason == ""
 
     @inlineCallbacks
     def test_a_full_table_evicts_the_longest_idle_connection_and_none_that_polls(self) -> Steps[None]:
@@ -45,11 +45,11 @@
         _, fourth = yield self.open_connection(POLL)
         yield wait_until(lambda: first_idle.end_reason)
         _, fifth = yield self.open_connection(POLL)
-        self.assertEqual((first_idle.end_reason, second_idle.end_reason), ("evicted", "evicted"))
-        self.assertEqual(third.end_reason, "")
+        assert (first_idle.end_reason, second_idle.end_reason) == ("evicted", "evicted")
+        assert third.end_reason == ""
         yield self.receive_all(self.connect(POLL))
-        self.assertEqual(self.pollers.end_counts["table-full"], 1)
-        self.assertEqual((third.end_reason, fourth.end_reason, fifth.end_reason), ("", "", ""))
+        assert self.pollers.end_counts["table-full"] == 1
+        assert (third.end_reason, fourth.end_reason, fifth.end_reason) == ("", "", "")
 
     @inlineCallbacks
     def test_draining_answers_pending_polls_with_what_there_is(self) -> Steps[None]:
@@ -57,8 +57,8 @@
         _, idle = yield self.open_connection()
         self.pollers.drain()
         response = yield self.receive_all(client)
-        self.assertTrue(response.startswith(b"HTTP/1.1 200 "))
-        self.assertTrue(response.endswith(IMMEDIATE_BODY))
-        self.assertIn(b"Connection: close", response)
+        assert response.startswith(b"HTTP/1.1 200 ")
+        assert response.endswith(IMMEDIATE_BODY)
+        assert b"Connection: close" in response
         yield wait_until(lambda: not self.pollers.connections)
-        self.assertEqual(idle.end_reason, "ending")
+        assert idle.end_reason == "ending"
