--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -22,7 +22,12 @@
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import FLEET_RESERVE
-from thornjunction.net.upstream.connection_pool import AT_MOST, CROWDED, NEEDED, PREFERRED
+from thornjunction.net.upstream.connector import MAX_CONNECTIONS_PER_SERVER
+from thornjunction.net.upstream.dispatcher import (
+    MAX_CONNECTIONS_IF_CROWDED,
+    MAX_CONNECTIONS_IF_EXHAUSTED,
+    MAX_UNCROWDED_STREAMS,
+)
 from thornjunction.policy.router import Router
 
 ROUTERS = (50, 200, 600, 1_200)
@@ -38,8 +43,8 @@
 
 class Pool:
     """Connections to each server by the rules of ``ConnectionPool``: one more beside those that are crowded,
-    up to PREFERRED, and where none has room, up to NEEDED.  None closes: a run is shorter than their idle
-    time."""
+    up to MAX_CONNECTIONS_IF_CROWDED, and where none has room, up to MAX_CONNECTIONS_IF_EXHAUSTED.  None
+    closes: a run is shorter than their idle time."""
 
     def __init__(self) -> None:
         self.links: dict[str, list[int]] = {}  # by server: what is out on each
@@ -48,12 +53,12 @@
     def send(self, request: str, server: str) -> None:
         links = self.links.setdefault(server, [0])
         at = min(range(len(links)), key=links.__getitem__)
-        if links[at] >= STREAMS and len(links) < NEEDED:
+        if links[at] >= STREAMS and len(links) < MAX_CONNECTIONS_IF_EXHAUSTED:
             links.append(0)
             at = len(links) - 1
         links[at] += 1
         self.where[request] = server, at
-        if links[at] > CROWDED and len(links) < PREFERRED:
+        if links[at] > MAX_UNCROWDED_STREAMS and len(links) < MAX_CONNECTIONS_IF_CROWDED:
             links.append(0)
 
     def ended(self, request: str) -> None:
@@ -112,13 +117,14 @@
             shelf = max(many for name, many in held.items() if name.startswith("edge"))
             parents = sum(many for name, many in held.items() if name.startswith("parent"))
             points.append((routers, held["origin"]))
-            most = SITE_ROUTERS * NEEDED, routers * NEEDED
+            most = SITE_ROUTERS * MAX_CONNECTIONS_IF_EXHAUSTED, routers * MAX_CONNECTIONS_IF_EXHAUSTED
             rows.append(row(routers, shelf, most[0], parents, held["origin"], most[1], probes))
         head = "routers | at the busiest shelf | at most | at all parents | at the origin | at most | probes"
         print(f"answers after {answer_ms:.0f} ms\n\n{table(head, rows)}")
         print(f"\nfit, origin: {fit(points).text('connections', 'a router', 3)}\n")
     print(
-        f"bounds of a pool: {PREFERRED} beside others with room, {NEEDED} where none has, {AT_MOST} in all\n"
+        f"bounds of a pool: {MAX_CONNECTIONS_IF_CROWDED} beside others with room, "
+        f"{MAX_CONNECTIONS_IF_EXHAUSTED} where none has, {MAX_CONNECTIONS_PER_SERVER} in all\n"
     )
 
 
--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -24,7 +24,8 @@
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
-from thornjunction.net.upstream.connection_pool import ConnectionPool, Limits
+from thornjunction.net.upstream.connection_pool import ConnectionPool
+from thornjunction.net.upstream.context import PoolLimits
 from thornjunction.net.wire.commands import Host
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.policy.router import Router
@@ -81,14 +82,16 @@
         self.waiters: list[Deferred[None]] = []
         self.doors: list[UnresponsiveListener] = []
         self.alarm = TimerService(reactor)
-        limits = Limits(max_streams=4, dial_ms=400.0, idle_ms=15_000.0, connections=20)
+        limits = PoolLimits(
+            max_streams=4, connect_timeout_ms=400.0, idle_timeout_ms=15_000.0, max_connections=20
+        )
         budget = ByteBudget(1_000_000)
         self.pool = ConnectionPool(reactor, limits, self.alarm.deadlines, core_ms, budget)
         self.counters = Counters(classes={kind.name for kind in classes})
         router = Router(settings, 7)
         deadlines = self.alarm.deadlines
         self.engine = Engine(router, settings.max_attempts, core_ms, deadlines, self.pool, self.counters)
-        self.pool.ends = self.engine
+        self.pool.report_to(self.engine)
         self.clients = DownstreamTable(10, budget)
         by_name = {kind.name: kind for kind in classes}
         self.door = SignedRequestContext(self.engine, by_name, base, trust, ReplayWindow(), lambda: self.now)
@@ -129,16 +132,17 @@
 
     def later(self, ms: float) -> None:
         """What is due by then is due now, for the pool."""
-        clock, self.pool.clock = self.pool.clock, lambda: core_ms() + ms
+        context = self.pool.context
+        clock, context.clock = context.clock, lambda: core_ms() + ms
         self.alarm.deadlines.run_due(core_ms() + ms)
-        self.pool.clock = clock
+        context.clock = clock
 
     @inlineCallbacks
     def part(self) -> Any:
         """End the pool's connections."""
-        for link in self.pool.links:
-            link.close("test")
-        yield self.until(lambda: not len(self.pool.links))
+        for connection in self.pool.connections:
+            connection.abort("test")
+        yield self.until(lambda: not len(self.pool.connections))
 
     def wanted(self, link: ShelfStandIn, ident: bytes) -> None:
         self.asked.append((link, ident))
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -290,7 +290,7 @@
 
 def test_configuration_is_read_and_its_faults_are_named() -> None:
     config = parse_config(json.dumps(CONFIG).encode(), {"PROXY_NAME": "n2"})
-    assert (config.name, config.listen, config.pool_limits.connections) == ("n2", ("127.0.0.1", 9), 30)
+    assert (config.name, config.listen, config.pool_limits.max_connections) == ("n2", ("127.0.0.1", 9), 30)
     env = {"PROXY_ADMIN_ADDR": "127.0.0.1:7", "PROXY_SOCKET_FD": "7", "TMPDIR": "/t"}
     told = parse_config(json.dumps(CONFIG).encode(), env)
     assert (told.admin, told.listening_descriptor, told.handover_folder) == (("127.0.0.1", 7), 7, "/t")
--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -87,7 +87,7 @@
     assert (told["registry_entries"], told["out_of_rotation"], told["open_requests"]) == (2, 0, 0)
     assert (told["cfg_accepted"], told["cfg_invalid"], told["relayed"]) == (2, 1, 0)
     assert "faulted.made-up" not in told and not [name for name in told if "made-up" in name]
-    rig.pool.update(tuple(shelf.host for shelf in rig.pool.shelves.values()), True)
+    rig.pool.update(tuple(upstream.host for upstream in rig.pool.upstreams.values()), True)
     for port in rig.ports:
         port.stopListening()
     rig.alarm.stop()
--- a/tests/net/upstream/test_connection_end.py
+++ b/tests/net/upstream/test_connection_end.py
@@ -18,7 +18,7 @@
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.upstream import connection as shelf_link
-from thornjunction.net.upstream import connection_pool as shelves
+from thornjunction.net.upstream import dispatcher as shelves
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import encode_array
 
@@ -41,7 +41,7 @@
         self.rig, self.told = Rig(), []  # type: ignore[var-annotated]
         self.addCleanup(self.rig.stop)
         self.pool, self.engine = self.rig.pool, self.rig.engine
-        self.pool.ends = self
+        self.pool.report_to(self)
 
     def attempt_ended(
         self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
@@ -69,7 +69,7 @@
         ends = {  # how the wait ends; whether the dial goes on, and a connection comes up after it
             "bound": (lambda _: self.rig.later(8000.0), True, SKIPPED),
             "bound, seen late": (
-                lambda _: setattr(self.pool, "clock", lambda: core_ms() + 8000.0),
+                lambda _: setattr(self.pool.context, "clock", lambda: core_ms() + 8000.0),
                 True,
                 None,
             ),
@@ -79,7 +79,8 @@
             "moved": (lambda _: self.rig.list_servers(), False, SKIPPED),
             "never up": (lambda _: self.rig.later(9000.0), False, REFUSED),
         }
-        self.pool.limits = replace(self.pool.limits, dial_ms=9000.0)  # the system knocks again after 1 s
+        # The system knocks again after 1 s.
+        self.pool.context.limits = replace(self.pool.context.limits, connect_timeout_ms=9000.0)
         for how, (end, goes_on, status) in ends.items():
             door, self.told = self.rig.deafen("edge1"), []
             self.send(1, start_ms=8000.0 if how.startswith("bound") else 9e9)
@@ -93,16 +94,17 @@
                 self.assertEqual(self.told.pop(), (2, SKIPPED))
             door.open()
             if goes_on:
-                yield self.rig.until(lambda: len(self.pool.links))
+                yield self.rig.until(lambda: len(self.pool.connections))
                 self.send(3, "fence")
                 yield self.rig.until(lambda: (3, api.AttemptStatus.SUCCEEDED) in self.told)
                 yield self.rig.part()
-                self.pool.clock = core_ms
+                self.pool.context.clock = core_ms
         self.assertEqual([want[1] for want in self.rig.wants()], [b"fence"] * 3)
 
     @inlineCallbacks
     def test_no_attempt_begins_once_its_request_has_ended(self) -> Any:
-        self.pool.ends, self.pool.limits = self.engine, replace(self.pool.limits, dial_ms=9000.0)
+        self.pool.report_to(self.engine)
+        self.pool.context.limits = replace(self.pool.context.limits, connect_timeout_ms=9000.0)
         self.engine.feed(replace(SETTINGS_HERE, may_cancel=False))
         ends = {
             "abort": lambda at: at.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 7, b"")),
@@ -116,13 +118,13 @@
             client = yield self.rig.client(3, FastCgiClient)
             keyed = PARAMS | {"SCRIPT_NAME": "/do/keyed", "HTTP_X_TXN_KEY": "0" * 32}
             client.transport.write(asked(params=keyed))
-            origin = self.pool.shelves["origin"]
+            origin = self.pool.upstreams["origin"]
             yield self.rig.until(lambda origin=origin: origin.waiting and ran)
             end(client.transport)
             yield self.rig.until(lambda origin=origin: not origin.waiting)
             self.assertFalse(ran or len(self.engine.attempts), how)
             door.open()
-            yield self.rig.until(lambda: len(self.pool.links))
+            yield self.rig.until(lambda: len(self.pool.connections))
             self.pool.probe("origin")  # what comes first on that connection shows that nothing else did
             yield self.rig.until(lambda: self.rig.heard)
             self.assertEqual(self.rig.heard.pop()[0], "busy", how)
@@ -132,7 +134,7 @@
     def test_one_late_dial_does_not_speak_for_a_shelf_that_answers(self) -> Any:
         door = self.rig.deafen("edge1")
         door.open()
-        self.pool.limits = replace(self.pool.limits, max_streams=1, dial_ms=9000.0)
+        self.pool.context.limits = replace(self.pool.context.limits, max_streams=1, connect_timeout_ms=9000.0)
         for number, heard in ((10, True), (20, False)):
             shelf = yield self.out(number)
             door.shut()
@@ -147,7 +149,7 @@
             self.send(number + 3)
             if heard:
                 shelf.say(b"nobody", b"DONE", b"x")
-                yield self.rig.until(lambda: any(link.strays for link in self.pool.links))
+                yield self.rig.until(lambda: any(link.unexpected_responses for link in self.pool.connections))
             self.told.clear()
             self.rig.later(9000.0)
             self.assertEqual(self.told, [(number + 3, SKIPPED if heard else REFUSED)])
@@ -161,21 +163,21 @@
         self.pool.withdraw(1)
         self.rig.later(400.0)
         self.send(2)
-        self.assertEqual((self.told, self.pool.shelves["edge1"].waiting), ([(2, REFUSED)], {}))
+        self.assertEqual((self.told, self.pool.upstreams["edge1"].waiting), ([(2, REFUSED)], {}))
 
     @inlineCallbacks
     def test_bytes_that_a_shelf_does_not_read_are_not_sent_once_given_up(self) -> Any:
         shelf = yield self.out(0)
         shelf.transport.pauseProducing()
-        (link,), number, self.rig.script = self.pool.links, 0, [None] * 999
-        self.pool.limits = replace(self.pool.limits, max_streams=999)
-        with patch.object(shelves, "PREFERRED", 1):
-            while not link.unsent:
+        (link,), number, self.rig.script = self.pool.connections, 0, [None] * 999
+        self.pool.context.limits = replace(self.pool.context.limits, max_streams=999)
+        with patch.object(shelves, "MAX_CONNECTIONS_IF_CROWDED", 1):
+            while not link.has_unsent_bytes:
                 number += 1
                 self.send(number, body=b"x" * 100_000)
-            self.assertFalse(link.has_room("new"))
+            self.assertFalse(link.can_take("new"))
             self.pool.cancel(number)
-            self.rig.later(shelf_link.HELD_MS)
+            self.rig.later(shelf_link.MAX_STALLED_WRITE_MS)
             yield self.rig.until(lambda: self.told)
         self.assertEqual(self.told, [(open_, RESET) for open_ in range(number)])
         shelf.transport.resumeProducing()
@@ -204,7 +206,7 @@
                 self.send(999)
             elif act:
                 getattr(shelf.transport, act)()
-            yield self.rig.until(lambda: not len(self.pool.links))
+            yield self.rig.until(lambda: not len(self.pool.connections))
             self.assertEqual(self.told, [(number, RESET), (999, RESET)][: 1 + (act == "shutdown")], how)
             self.told = []
             self.send(number)
@@ -228,14 +230,14 @@
             self.told = []
             self.send(1)
             yield self.rig.until(lambda: self.told)
-            shelf, (link,) = self.rig.links[-1], self.pool.links
-            self.rig.later(shelf_link.IDLE_SHARE * 15_000.0)
+            shelf, (link,) = self.rig.links[-1], self.pool.connections
+            self.rig.later(shelf_link.IDLE_TIMEOUT_SHARE * 15_000.0)
             shelf.transport.write(encode_array((b"t1", b"DONE", b"x", b""))[:9])  # half a late answer
-            self.assertFalse(link.has_room("new"))
+            self.assertFalse(link.can_take("new"))
             if not reads:
                 shelf.transport.pauseProducing()
-                self.rig.later(shelf_link.IDLE_SHARE * 15_000.0 + shelf_link.LINGER_MS)
-            yield self.rig.until(lambda: not len(self.pool.links))
+                self.rig.later(shelf_link.IDLE_TIMEOUT_SHARE * 15_000.0 + shelf_link.MAX_LINGER_MS)
+            yield self.rig.until(lambda: not len(self.pool.connections))
             if reads:
                 yield self.rig.until(lambda shelf=shelf: shelf.ended)
                 self.assertIsInstance(shelf.ended, ConnectionDone)
--- a/tests/net/upstream/test_passed_deadline.py
+++ b/tests/net/upstream/test_passed_deadline.py
@@ -21,7 +21,8 @@
     def setUp(self) -> None:
         self.rig, self.told = Rig(), list[tuple[int, api.AttemptStatus]]()
         self.addCleanup(self.rig.stop)
-        self.pool, self.pool.ends = self.rig.pool, self
+        self.pool = self.rig.pool
+        self.pool.report_to(self)
 
     def attempt_ended(
         self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
@@ -32,12 +33,12 @@
     def sent_late(self, number: int, late_ms: float) -> Any:
         """One attempt whose dial comes up so late; its end."""
         start = core_ms()
-        self.pool.clock = lambda: start
+        self.pool.context.clock = lambda: start
         call = ClientRequest(f"t{number}", "films", "00000000000000ff", LEFT_MS)
         self.pool.send(UpstreamRequest(number, call, api.StartAttempt("r", "edge1", LEFT_MS, "origin")))
-        self.pool.clock = lambda: start + late_ms
+        self.pool.context.clock = lambda: start + late_ms
         yield self.rig.until(lambda: self.told)
-        self.pool.clock = core_ms
+        self.pool.context.clock = core_ms
         yield self.rig.part()
         return self.told.pop()
 
--- a/tests/net/upstream/test_pool_capacity.py
+++ b/tests/net/upstream/test_pool_capacity.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from typing import Any
 
+from twisted.internet import reactor
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.error import ConnectionDone
 from twisted.trial.unittest import TestCase
@@ -11,6 +13,9 @@
 from tests.loopback import Rig
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
+from thornjunction.memory.budget import ByteBudget
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.net.upstream.connection_table import ConnectionTable
 from thornjunction.net.wire.commands import Host
 
@@ -21,11 +26,11 @@
     def __init__(self, table: ConnectionTable[FakeConnection]) -> None:
         self.table, self.slot, self.ends = table, None, list[str]()
 
-    def finish(self, code: str) -> None:
+    def shut_down(self, code: str) -> None:
         self.ends.append("finish")
-        self.table.closing(self)
+        self.table.mark_closing(self)
 
-    def close(self, code: str) -> None:
+    def abort(self, code: str) -> None:
         self.ends.append("close")
 
 
@@ -38,16 +43,16 @@
         table.add(connection)
     assert not table.can_reserve()  # all are busy
     for connection in (*connections[1:5], connections[1]):
-        table.rested(connection)
-    table.used(connections[2])
+        table.mark_idle(connection)
+    table.mark_in_use(connections[2])
     for evicted in (3, 4, 1):
         table.reserve()
-        assert connections[evicted].ends == ["finish"] and table.full
+        assert connections[evicted].ends == ["finish"] and table.is_full
     assert connections[3].ends == ["finish", "close"]  # it has waited longest for its peer, outside
     assert [connection.ends for connection in connections].count([]) == 5 and not table.can_reserve()
     for connection in connections:
         table.remove(connection)
-    assert len(table) == 0 and not table.full  # three places are those of dials
+    assert len(table) == 0 and not table.is_full  # three places are those of dials
     for _ in range(3):
         table.release()
     for _ in range(8):
@@ -62,7 +67,8 @@
     def setUp(self) -> None:
         self.rig, self.told = Rig(), dict[int, api.AttemptStatus]()
         self.addCleanup(self.rig.stop)
-        self.pool, self.pool.ends = self.rig.pool, self
+        self.pool = self.rig.pool
+        self.pool.report_to(self)
 
     def attempt_ended(
         self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
@@ -70,7 +76,10 @@
         self.told[number] = status
 
     def list_servers(self, count: int, capacity: int) -> None:
-        self.pool.links = ConnectionTable(capacity)
+        limits = replace(self.pool.context.limits, max_connections=capacity)
+        self.pool = ConnectionPool(reactor, limits, self.rig.alarm.deadlines, core_ms, ByteBudget(1_000_000))
+        self.rig.pool = self.pool
+        self.pool.report_to(self)
         address = ("127.0.0.1", self.rig.ports[0].getHost().port)
         state = api.ServerState.SERVING
         hosts = (Host(f"e{i}", address, "here", "x", 0, state, 8.0, 0.0) for i in range(count))
@@ -88,7 +97,7 @@
         for number in range(80):
             self.send(number, number % 40)
             yield self.rig.until(lambda number=number: number in self.told)
-            most = max(most, len(self.pool.links))
+            most = max(most, len(self.pool.connections))
         self.assertEqual(set(self.told.values()), {api.AttemptStatus.SUCCEEDED})
         self.assertLessEqual(most, 16 + 16 // 8)
         yield self.rig.until(lambda: sum(link.ended is not None for link in self.rig.links) == 80 - 16)
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -32,7 +32,7 @@
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
-from thornjunction.net.upstream import connect_attempt as server_dial
+from thornjunction.net.upstream import connect_attempt
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
@@ -159,7 +159,7 @@
         rig, told = Rig(), list[api.AttemptStatus]()
         self.addCleanup(rig.stop)
         pool = rig.pool
-        pool.ends = SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status))
+        pool.report_to(SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status)))
         ends = {
             errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
             errno.EADDRNOTAVAIL: [],
@@ -167,7 +167,7 @@
         }
         for number, end in ends.items():
             failed = getConnectError((number, "failed"))
-            with patch.object(server_dial, "dial", lambda *_, failed=failed: fail(failed)):
+            with patch.object(connect_attempt, "connect_by_deadline", lambda *_, failed=failed: fail(failed)):
                 call = ClientRequest("t1", "films", "00000000000000ff", 900.0)
                 pool.send(UpstreamRequest(1, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
                 self.assertEqual(told, [])
@@ -175,5 +175,5 @@
                 self.assertEqual(told, end)
                 self.assertEqual(pool.withdraw(1), not end)
                 rig.later(900.0)  # nobody waits any more
-            self.assertIsNone(pool.shelves["edge1"].dial)
+            self.assertIsNone(pool.upstreams["edge1"].connect_attempt)
             told.clear()
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -26,8 +26,8 @@
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
-from thornjunction.net.upstream import connection as shelf_link
-from thornjunction.net.upstream import connection_pool as shelves
+from thornjunction.net.upstream.dispatcher import MAX_CONNECTIONS_IF_EXHAUSTED
+from thornjunction.net.upstream.stream_ids import MAX_CANCELLED_IDS
 from thornjunction.net.wire import fastcgi
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -39,7 +39,7 @@
     def setUp(self) -> None:
         self.rig = Rig()
         self.addCleanup(self.rig.stop)
-        self.rig.pool.ends = self
+        self.rig.pool.report_to(self)
         self.told: list[Any] = []
 
     def attempt_ended(
@@ -128,8 +128,8 @@
         link, _ = self.rig.asked[0]
         link.transport.write(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$99999\r\n")
         link.say(b"b", b"DONE", b"swallowed")
-        yield self.rig.until(lambda: any(way.part for way in self.rig.pool.links))
-        with patch.object(self.rig.pool, "clock", lambda: core_ms() + 500.0):
+        yield self.rig.until(lambda: any(each.has_partial_response for each in self.rig.pool.connections))
+        with patch.object(self.rig.pool.context, "clock", lambda: core_ms() + 500.0):
             self.assertEqual(self.told, [])
             self.rig.alarm.deadlines.run_due(core_ms() + 500.0)
         yield self.rig.until(lambda: len(self.told) == 2)
@@ -142,27 +142,30 @@
         for number in range(8):
             self.send(number, f"t{number}")
             yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
-            yield self.rig.until(lambda: self.rig.pool.shelves["edge1"].dial is None)
-        self.assertEqual(sorted(len(way.out) for way in self.rig.pool.links), [2, 3, 3])
+            yield self.rig.until(lambda: self.rig.pool.upstreams["edge1"].connect_attempt is None)
+        self.assertEqual(sorted(len(each.streams) for each in self.rig.pool.connections), [2, 3, 3])
 
     @inlineCallbacks
     def test_where_no_connection_has_room_more_are_opened_up_to_a_bound(self) -> Any:
         """Four of 32 streams are less than a large box's share at the peak: the rest was refused unsent."""
-        streams = self.rig.pool.limits.max_streams
-        room = streams * shelves.NEEDED
+        streams = self.rig.pool.context.limits.max_streams
+        room = streams * MAX_CONNECTIONS_IF_EXHAUSTED
         self.rig.script = [None] * (room + 1)
         for number in range(room):
             self.send(number, f"t{number}")
             yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
-            yield self.rig.until(lambda: self.rig.pool.shelves["edge1"].dial is None)
-        self.assertEqual([len(way.out) for way in self.rig.pool.links], [streams] * shelves.NEEDED)
+            yield self.rig.until(lambda: self.rig.pool.upstreams["edge1"].connect_attempt is None)
+        self.assertEqual(
+            [len(each.streams) for each in self.rig.pool.connections],
+            [streams] * MAX_CONNECTIONS_IF_EXHAUSTED,
+        )
         self.send(room, "past")
         self.assertEqual(self.told, [(room, api.AttemptStatus.NOT_STARTED, None)])
 
     @inlineCallbacks
     def test_a_connection_gets_worn_by_what_is_given_up_on_it(self) -> Any:
         """The idents of what was given up are kept, for its late answers; so many, and no more."""
-        for number in range(shelf_link.WORN + 1):
+        for number in range(MAX_CANCELLED_IDS + 1):
             self.rig.script = [None]
             self.send(number, f"t{number}")
             yield self.rig.until(lambda number=number: len(self.rig.asked) == number + 1)
--- a/thornjunction/net/upstream/connect_errors.py
+++ b/thornjunction/net/upstream/connect_errors.py
@@ -1,4 +1,4 @@
-"""What a failed dial says: of the server, of the way there, or of this machine alone."""
+"""Kinds of failed connects: due to the server, to the network, or to this machine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from twisted.internet.error import ConnectError
 from twisted.python.failure import Failure
 
-PATH_ERRORS = {
+# Errors of the system that mean that the network did not reach the server.
+NETWORK_ERRORS = {
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
     errno.ETIMEDOUT,
@@ -19,23 +20,34 @@
     errno.ECONNABORTED,
 }
 
+# Name of the failure with which Twisted's endpoints report a cancelled connect.
+CANCELLED_CONNECT_ERROR = "ConnectingCancelledError"
+
 
 class ConnectFailure(Enum):
-    """Whose doing it is."""
+    """Why a connect failed; the values are logged."""
+
+    REFUSED = "refused"
+    """The server's machine answered that no process listens there."""
+
+    TIMED_OUT = "timed-out"
+    """The connection did not come up within the connect timeout."""
+
+    UNREACHABLE = "unreachable"
+    """The system found no route to the server."""
 
-    REFUSED = "refused"  # the server's machine answered that nobody listens there
-    TIMED_OUT = "timed-out"  # it did not come up in the time that a dial has
-    UNREACHABLE = "unreachable"  # the system found no way there
-    LOCAL = "local"  # this machine lacked a port, a descriptor, memory; also what is not known
+    LOCAL = "local"
+    """This machine lacked a port, a descriptor or memory; also any error that is not known."""
 
 
 def connect_failure(reason: Failure) -> ConnectFailure:
-    """The kind of a failed dial.  A deadline of ours cancels it, so a cancelled one has timed out."""
+    """Return the kind of a failed connect; one that our deadline cancelled has timed out."""
     error = reason.value
     number = error.osError if isinstance(error, ConnectError) else None
     if number == errno.ECONNREFUSED:
         return ConnectFailure.REFUSED
-    if number in PATH_ERRORS:
+    if number in NETWORK_ERRORS:
         return ConnectFailure.UNREACHABLE
-    cancelled = isinstance(error, CancelledError) or type(error).__name__ == "ConnectingCancelledError"
-    return ConnectFailure.TIMED_OUT if cancelled else ConnectFailure.LOCAL
+    if isinstance(error, CancelledError) or type(error).__name__ == CANCELLED_CONNECT_ERROR:
+        return ConnectFailure.TIMED_OUT
+    return ConnectFailure.LOCAL
--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -1,275 +1,299 @@
-"""One connection to a shelf, a parent or the origin: what is out on it, and what was given up there.
+"""One connection to a cache server, a parent or the origin: its codec and its streams in flight.
 
-Guards against bytes that reach a shelf late: each write goes to the system at once, and a connection that
-holds some back takes nothing new until they have gone.
+Guards against bytes that reach a server late: each write goes to the system at once, and a connection that
+holds some back takes no new stream until they have gone.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol as Port
+from typing import Protocol
 
 from twisted.internet import protocol
 from twisted.internet.interfaces import IPullProducer
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from thornjunction.core.ports import UpstreamRequest
-from thornjunction.memory.budget import ByteBudget
-from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.memory.deadlines import Deadline
+from thornjunction.net.event_loop.disconnect_reasons import (
+    DisconnectReason,
+    disconnect_reason,
+    log_disconnect,
+)
 from thornjunction.net.event_loop.ports import Transport
+from thornjunction.net.upstream.connection_state import ConnectionState
 from thornjunction.net.upstream.connection_table import ConnectionTable
-from thornjunction.net.wire import ProtocolError, upstream
+from thornjunction.net.upstream.connection_timers import PartialResponseTimer, StalledWriteTimer
+from thornjunction.net.upstream.context import PoolContext
+from thornjunction.net.upstream.outcomes import OutcomeReporter
+from thornjunction.net.upstream.stream_ids import MAX_CANCELLED_IDS, StreamIdRegister
+from thornjunction.net.upstream.streams import Stream
+from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.resp import MAX_BULK, ArrayReader
+from thornjunction.net.wire.upstream import ResponseCode, UpstreamResponse, decode_response, encode_cancel
 
-WORN = 256  # idents given up on a connection, past which it gets no more
-PART_MS = 500.0  # for the rest of an answer that has begun, past the time that its bytes take
-IDLE_SHARE = 0.8  # of the platform's idle time: we close first, so that no request crosses a close
-LINGER_MS = 500.0  # for the shelf to close its side after ours: a round trip, on the slowest path
-HELD_MS = 80.0  # for bytes of what was given up to go out: what begins 100 ms later is a break
-SECOND_MS = 200.0  # after an answer, in which its ident is not used again here: a second one comes soon
-STRAYS = 32  # answers in a row to nothing that was asked: a connection's streams, each answered twice
+# Of the platform's idle timeout: this side closes first, so that no request crosses the peer's close.
+IDLE_TIMEOUT_SHARE = 0.8
 
+# For the server to close its side after ours: a round trip on the slowest path.
+MAX_LINGER_MS = 500.0
 
-@dataclass(frozen=True, slots=True)
-class Limits:
-    """What the platform allows."""
+# For the bytes of a cancelled stream to go out: what begins 100 ms later breaks the platform's rule.
+MAX_STALLED_WRITE_MS = 80.0
 
-    max_streams: int
-    dial_ms: float
-    idle_ms: float
-    connections: int  # to all shelfs together
-    part_ms: float = PART_MS  # for the rest of an answer that has begun
+# Responses in a row to no stream in flight: a connection's streams, each answered twice.
+MAX_UNEXPECTED_RESPONSES = 32
 
 
-@dataclass(slots=True, eq=False)
-class Sent:
-    """What is out on a connection, or waits for one: an attempt or (no order) a probe."""
+class ConnectionOwner(Protocol):
+    """Is notified of what happens on a connection."""
 
-    order: UpstreamRequest | None
-    at: float
-    start_by: float = math.inf  # not to begin after that
-    timer: Deadline | None = None  # a probe's end
-    bound: Deadline | None = None  # while it waits
+    def capacity_available(self, connection: UpstreamConnection) -> None:
+        """The connection may take more streams."""
 
-    def left_ms(self, now: float) -> float:
-        """Of the time that the decision gave it."""
-        return self.order.fetch.timeout_ms - (now - self.at) if self.order is not None else math.inf
-
-
-class Pool(Port):
-    """Who owns the connections, and is told what comes of them."""
-
-    limits: Limits
-    deadlines: Deadlines
-    clock: Callable[[], float]
-    budget: ByteBudget
-    links: ConnectionTable[UpstreamConnection]
-
-    def roomy(self, link: UpstreamConnection) -> None:
-        """It may take more."""
-
-    def answered(self, link: UpstreamConnection, sent: Sent, answer: upstream.UpstreamResponse) -> None: ...
-
-    def lost(self, link: UpstreamConnection) -> None:
-        """It ended; what is out on it may have run."""
+    def connection_lost(self, connection: UpstreamConnection) -> None:
+        """The connection ended; what its streams in flight asked for may have run."""
 
 
 @implementer(IPullProducer)
 class UpstreamConnection(protocol.Protocol):
-    """One connection; idents of what is out on it, and of what was given up."""
+    """One connection to a server; as a producer it is notified when its transport has sent all bytes.
+
+    Attributes:
+        server: name of the server.
+        slot: its number in the connection table.
+        state: whether it takes new streams, and what becomes of it.
+        streams: streams in flight, by id.
+        last_response_ms: when the last complete response came, or when the connection was created.
+        has_unsent_bytes: whether the system did not take all bytes as they were written.
+        unexpected_responses: responses in a row to no stream in flight.
+    """
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, pool: Pool, name: str) -> None:
-        self.pool, self.name = pool, name
+    def __init__(
+        self,
+        server: str,
+        context: PoolContext,
+        table: ConnectionTable[UpstreamConnection],
+        outcomes: OutcomeReporter,
+        owner: ConnectionOwner,
+    ) -> None:
+        self.server = server
         self.slot: int | None = None
-        self.reader = ArrayReader()
-        self.out: dict[str, Sent] = {}
-        # By ident, what was given up, and whether its answer may still come: late, it must not pass for a
-        # new attempt's.
-        self.dropped: dict[str, bool] = {}
-        self.used: dict[str, float] = {}  # by ident: until when a second answer may come
-        self.heard, self.suspect, self.code = pool.clock(), False, ""
-        self.retired = False  # by the list: stays under suspicion
-        self.unsent = False  # bytes that the system did not take when they were written
-        self.idle: Deadline | None = None
-        self.part: Deadline | None = None  # while an answer has come in part
-        self.stuck: Deadline | None = None  # by then what is unsent has to be out
-        self.linger: Deadline | None = None
-        self.served = self.strays = self._crossed = 0
-        self._stuck_at = math.inf
+        self.state = ConnectionState.OPEN
+        self.streams: dict[str, Stream] = {}
+        self.last_response_ms = context.clock()
+        self.has_unsent_bytes = False
+        self.unexpected_responses = 0
+        self._context = context
+        self._table = table
+        self._outcomes = outcomes
+        self._owner = owner
+        self._reader = ArrayReader()
+        self._stream_ids = StreamIdRegister()
+        self._close_reason = ""
+        self._answered_streams = 0
+        self._discarded_bytes = 0
+        self._close_deadline: Deadline | None = None  # of the idle timeout, then of lingering
+        self._stalled_write_timer = StalledWriteTimer(context, self.abort)
+        self._partial_response_timer = PartialResponseTimer(context, self.abort)
+
+    @property
+    def is_closing(self) -> bool:
+        """Whether this side has closed the connection or it has ended."""
+        return self.state is ConnectionState.CLOSING
+
+    @property
+    def has_partial_response(self) -> bool:
+        """Whether a part of a response has come."""
+        return self._partial_response_timer.is_running
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Prepare the transport."""
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, False)  # so that we are told whenever all has gone out
+        self.transport.registerProducer(self, False)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.code:
-            return self._pass_over(data)
+        """Handle the responses that are complete by now."""
+        if self.is_closing:
+            self._discard(data)
+            return
         try:
-            for items in self.reader.feed(data):
-                self._whole()
-                self._answer(upstream.decode_response(items))
-                if self.code:
+            for items in self._reader.feed(data):
+                self._complete_response()
+                self._handle_response(decode_response(items))
+                if self.is_closing:
                     return
         except ProtocolError as error:
-            return self.close(str(error))
-        if self.reader.held:
-            self._in_part()
-
-    def _in_part(self) -> None:
-        if self.part is None:
-            # Guards against a false length that swallows the answers behind it, and one that stops short.
-            when = self.pool.clock() + self.pool.limits.part_ms
-            self.part = self.pool.deadlines.add(when, lambda: self.close("part-answer"))
-        self.pool.budget.reserve(self.close, self.reader.held)
-
-    def _whole(self) -> None:
-        """Only a whole answer is a sign of life."""
-        self.heard, self.suspect = self.pool.clock(), self.retired
-        if self.part is not None:
-            self.pool.deadlines.cancel(self.part)
-            self.pool.budget.reserve(self.close, 0)
-            self.part = None
+            self.abort(str(error))
+            return
+        if self._reader.held:
+            self._partial_response_timer.bound(self._reader.held)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        for timer in (self.idle, self.part, self.stuck, self.linger):
-            self.pool.deadlines.cancel(timer)
-        self.pool.budget.reserve(self.close, 0)
-        self.code = self.code or disconnect_reason(reason)
-        log_disconnect("shelf", self.slot, self.code, shelf=self.name, served=self.served, open=len(self.out))
-        self.pool.lost(self)
-
-    def free(self) -> bool:
-        shut = self.suspect or self.code or self.unsent or len(self.dropped) >= WORN
-        return not shut and len(self.out) < self.pool.limits.max_streams
-
-    def has_room(self, ident: str) -> bool:
-        if not self.free() or ident in self.out or ident in self.dropped:
+        """Release what the connection holds, log its end and notify its owner."""
+        self._context.deadlines.cancel(self._close_deadline)
+        self._stalled_write_timer.stop()
+        self._partial_response_timer.stop()
+        self._begin_closing(disconnect_reason(reason))
+        log_disconnect(
+            "shelf",
+            self.slot,
+            self._close_reason,
+            shelf=self.server,
+            served=self._answered_streams,
+            open=len(self.streams),
+        )
+        self._owner.connection_lost(self)
+
+    def has_capacity(self) -> bool:
+        """Whether the connection takes another stream."""
+        return (
+            self.state is ConnectionState.OPEN
+            and not self.has_unsent_bytes
+            and len(self.streams) < self._context.limits.max_streams
+            and len(self._stream_ids.cancelled) < MAX_CANCELLED_IDS
+        )
+
+    def can_take(self, stream_id: str) -> bool:
+        """Whether the connection takes a stream of this id."""
+        if not self.has_capacity() or stream_id in self.streams:
             return False
-        return ident not in self.used or self.pool.clock() > self.used[ident]
-
-    def load(self) -> int:
-        return len(self.out)
-
-    def put(self, ident: str, sent: Sent, data: bytes) -> None:
-        self.pool.deadlines.cancel(self.idle)
-        self.idle = None
-        self.pool.links.used(self)
-        self.out[ident] = sent
+        return self._stream_ids.is_available(stream_id, self._context.clock)
+
+    def send(self, stream: Stream, data: bytes) -> None:
+        """Write the request of a stream, which is in flight from now on."""
+        self._context.deadlines.cancel(self._close_deadline)
+        self._close_deadline = None
+        self._table.mark_in_use(self)
+        self.streams[stream.stream_id] = stream
         self._write(data)
-        if self.unsent and sent.start_by < math.inf:
-            self._unstick_by(sent.start_by)
+        if self.has_unsent_bytes and stream.start_by_ms < math.inf:
+            self._stalled_write_timer.abort_by(stream.start_by_ms)
 
     def _write(self, data: bytes) -> None:
-        """To the system at once, and not at the reactor's next turn.  What fails here fails there again."""
+        """Hand bytes to the system at once, and not at the reactor's next turn.
+
+        An error of the system is not lost: it comes again at the reactor's next turn.
+        """
         self.transport.write(data)
         self.transport.doWrite()
-        self.unsent = bool(self.transport.dataBuffer)
+        self.has_unsent_bytes = bool(self.transport.dataBuffer)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """All that was written has gone to the system."""
-        if self.unsent:
-            self.unsent, self._stuck_at = False, math.inf
-            self.pool.deadlines.cancel(self.stuck)
-            self.pool.roomy(self)
+        """All bytes written were handed to the system."""
+        if self.has_unsent_bytes:
+            self.has_unsent_bytes = False
+            self._stalled_write_timer.stop()
+            self._owner.capacity_available(self)
 
     def stopProducing(self) -> None:  # noqa: N802
-        pass
-
-    def _unstick_by(self, when: float) -> None:
-        """Guards against a shelf that does not read, and would get later what has been given up by then."""
-        if when < self._stuck_at:
-            self.pool.deadlines.cancel(self.stuck)
-            self._stuck_at = when
-            self.stuck = self.pool.deadlines.add(when, lambda: self.close("held-back"))
-
-    def drop(self, ident: str) -> None:
-        """Give up on one; a connection that has said nothing since is not trusted with more."""
-        sent, now = self.out.pop(ident), self.pool.clock()
-        if not self.code:
-            self.dropped[ident] = True
-            self._write(upstream.encode_cancel(ident))
-            self.hurry()
+        """The transport ends; ``connectionLost`` follows."""
+
+    def limit_stalled_write(self) -> None:
+        """Abort the connection unless its unsent bytes go out soon: they must not begin a request later."""
+        if self.has_unsent_bytes:
+            self._stalled_write_timer.abort_by(self._context.clock() + MAX_STALLED_WRITE_MS)
+
+    def cancel_stream(self, stream: Stream) -> None:
+        """Cancel a stream in flight; after a long silence the connection takes no new streams."""
+        del self.streams[stream.stream_id]
+        now_ms = self._context.clock()
+        if not self.is_closing:
+            self._stream_ids.add_cancelled(stream.stream_id)
+            self._write(encode_cancel(stream.stream_id))
+            self.limit_stalled_write()
         # Guards against a machine that vanished: its connections stay open and silent.
-        if now - max(sent.at, self.heard) >= self.pool.limits.dial_ms:
-            self.suspect = True
-        self.rest()
-
-    def hurry(self) -> None:
-        """What is unsent must not begin later on."""
-        if self.unsent:
-            self._unstick_by(self.pool.clock() + HELD_MS)
+        silent_ms = now_ms - max(stream.accepted_ms, self.last_response_ms)
+        if silent_ms >= self._context.limits.connect_timeout_ms and self.state is ConnectionState.OPEN:
+            self.state = ConnectionState.UNRESPONSIVE
+        self.end_or_become_idle()
 
     def retire(self) -> None:
-        """No new work; it ends with what is out on it."""
-        self.suspect = self.retired = True
-        self.hurry()
-        self.rest()
-
-    def rest(self) -> None:
-        """Nothing may be out any more: close what is under suspicion or worn, else in time."""
-        if self.out or self.code:
+        """Take no new streams and close after the streams in flight."""
+        if not self.is_closing:
+            self.state = ConnectionState.RETIRING
+        self.limit_stalled_write()
+        self.end_or_become_idle()
+
+    def end_or_become_idle(self) -> None:
+        """Where no stream is in flight, close a connection that takes no more, and let others become idle."""
+        if self.streams or self.is_closing:
+            return
+        if self.state is ConnectionState.UNRESPONSIVE:
+            self.abort(DisconnectReason.SILENT)
+            return
+        if self.state is ConnectionState.RETIRING:
+            self.shut_down(DisconnectReason.ENDPOINT_LIST_CHANGED)
             return
-        if self.suspect and not self.retired:
-            return self.close("silent")
-        if self.retired or len(self.dropped) > self.pool.limits.max_streams:
-            return self.finish("list" if self.retired else "worn")  # bounds the idents that are kept
-        when = self.pool.clock() + IDLE_SHARE * self.pool.limits.idle_ms
-        self.pool.deadlines.cancel(self.idle)
-        self.idle = self.pool.deadlines.add(when, lambda: self.finish("idle"))
-        self.pool.links.rested(self)
-
-    def finish(self, code: str) -> None:
-        """Close a connection on which nothing is out, our side first.  What crosses the close is read and
-        passed over: unread, it would reset the connection under the shelf."""
-        if self.unsent:
-            return self.close(code)
-        self.code = self.code or code
-        self.pool.links.closing(self)
-        self.pool.deadlines.cancel(self.idle)
-        self.linger = self.pool.deadlines.add(self.pool.clock() + LINGER_MS, lambda: self.close(code))
+        context = self._context
+        if len(self._stream_ids.cancelled) > context.limits.max_streams:  # bounds the ids that are kept
+            self.shut_down(DisconnectReason.STREAM_IDS_EXHAUSTED)
+            return
+        context.deadlines.cancel(self._close_deadline)
+        due_ms = context.clock() + IDLE_TIMEOUT_SHARE * context.limits.idle_timeout_ms
+        self._close_deadline = context.deadlines.add(due_ms, lambda: self.shut_down(DisconnectReason.IDLE))
+        self._table.mark_idle(self)
+
+    def shut_down(self, reason: str) -> None:
+        """Close a connection without streams in flight, our side first.
+
+        Bytes that cross the close are read and discarded: unread, they would reset it at the server.
+        """
+        if self.has_unsent_bytes:
+            self.abort(reason)
+            return
+        self._begin_closing(reason)
+        self._table.mark_closing(self)
+        self._context.deadlines.cancel(self._close_deadline)
+        self._close_deadline = self._context.deadlines.add(
+            self._context.clock() + MAX_LINGER_MS, lambda: self.abort(reason)
+        )
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
 
-    def _pass_over(self, data: bytes) -> None:
-        """What comes behind our close is not used; more of it than the largest answer ends the wait."""
-        self._crossed += len(data)
-        if self._crossed > MAX_BULK:
-            self.close(self.code)
-
-    def close(self, code: str) -> None:
-        self.code = self.code or code
-        self.pool.links.used(self)  # what is reset already can't be evicted
+    def abort(self, reason: str) -> None:
+        """Reset the connection, for a ``DisconnectReason`` or the code of a protocol violation."""
+        self._begin_closing(reason)
+        self._table.mark_in_use(self)  # a connection that is reset already must not be evicted
         self.transport.abortConnection()
 
-    def _answer(self, answer: upstream.UpstreamResponse) -> None:
-        sent = self.out.pop(answer.request_id, None)
-        if sent is None:
-            return self._stray(answer.request_id)
-        self.served, self.strays = self.served + 1, 0
-        if answer.code is not upstream.ResponseCode.DONE:  # others may be followed by a try
-            self._remember(answer.request_id)
-        self.rest()
-        self.pool.roomy(self)
-        self.pool.answered(self, sent, answer)
-
-    def _remember(self, ident: str) -> None:
-        """Guards against a second answer, which must not pass for that to the next attempt of its name."""
-        now = self.pool.clock()
-        while self.used and (len(self.used) >= WORN or next(iter(self.used.values())) < now):
-            del self.used[next(iter(self.used))]
-        self.used[ident] = now + SECOND_MS
-
-    def _stray(self, ident: str) -> None:
-        """Late, a second one, or to nothing that was ever asked.  Guards against such without end."""
-        if self.dropped.get(ident):
-            self.dropped[ident] = False
+    def _begin_closing(self, reason: str) -> None:
+        """Enter the final state; the first reason counts."""
+        self._close_reason = self._close_reason or reason
+        self.state = ConnectionState.CLOSING
+
+    def _discard(self, data: bytes) -> None:
+        """Discard bytes behind our close; more of them than the largest response end the connection."""
+        self._discarded_bytes += len(data)
+        if self._discarded_bytes > MAX_BULK:
+            self.abort(self._close_reason)
+
+    def _complete_response(self) -> None:
+        """Only a complete response shows that the server responds."""
+        self.last_response_ms = self._context.clock()
+        if self.state is ConnectionState.UNRESPONSIVE:
+            self.state = ConnectionState.OPEN
+        self._partial_response_timer.stop()
+
+    def _handle_response(self, response: UpstreamResponse) -> None:
+        stream = self.streams.pop(response.request_id, None)
+        if stream is None:
+            self._handle_unexpected_response(response.request_id)
+            return
+        self._answered_streams += 1
+        self.unexpected_responses = 0
+        if response.code is not ResponseCode.DONE:  # a retry with the same id may follow other codes
+            self._stream_ids.withhold(response.request_id, self._context.clock())
+        self.end_or_become_idle()
+        self._owner.capacity_available(self)
+        self._outcomes.report_response(stream, response)
+
+    def _handle_unexpected_response(self, stream_id: str) -> None:
+        """Guards against endless responses that are late, duplicates, or to nothing that was ever sent."""
+        if self._stream_ids.take_late_response(stream_id):
             return
-        self.strays += 1
-        if self.strays > STRAYS:
-            self.close("unasked")
+        self.unexpected_responses += 1
+        if self.unexpected_responses > MAX_UNEXPECTED_RESPONSES:
+            self.abort(DisconnectReason.UNEXPECTED_RESPONSE)
--- /dev/null
+++ b/thornjunction/net/upstream/connection_timers.py
@@ -0,0 +1,80 @@
+"""Time limits of one connection: for its unsent bytes and for the rest of an incomplete response."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+
+from thornjunction.memory.deadlines import Deadline
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
+from thornjunction.net.upstream.context import PoolContext
+
+Abort = Callable[[str], None]
+
+
+class StalledWriteTimer:
+    """Guards against a server that does not read, and would receive cancelled requests later.
+
+    Args:
+        abort: resets the connection, for a reason.
+    """
+
+    __slots__ = ("_abort", "_context", "_deadline", "_due_ms")
+
+    def __init__(self, context: PoolContext, abort: Abort) -> None:
+        self._context = context
+        self._abort = abort
+        self._deadline: Deadline | None = None
+        self._due_ms = math.inf
+
+    def abort_by(self, due_ms: float) -> None:
+        """Abort at that time, unless an earlier one is set, or the timer is stopped before."""
+        if due_ms < self._due_ms:
+            deadlines = self._context.deadlines
+            deadlines.cancel(self._deadline)
+            self._due_ms = due_ms
+            self._deadline = deadlines.add(due_ms, lambda: self._abort(DisconnectReason.WRITE_STALLED))
+
+    def stop(self) -> None:
+        """Stop: all bytes were sent, or the connection has ended."""
+        self._context.deadlines.cancel(self._deadline)
+        self._due_ms = math.inf
+
+
+class PartialResponseTimer:
+    """Bounds an incomplete response, in time and by the budget for buffered bytes.
+
+    Guards against a wrong length that swallows the responses behind it, and one that stops short.
+
+    Args:
+        abort: resets the connection, for a reason.
+    """
+
+    __slots__ = ("_abort", "_context", "_deadline")
+
+    def __init__(self, context: PoolContext, abort: Abort) -> None:
+        self._context = context
+        self._abort = abort
+        self._deadline: Deadline | None = None
+
+    @property
+    def is_running(self) -> bool:
+        """Whether a response is incomplete."""
+        return self._deadline is not None
+
+    def bound(self, buffered_bytes: int) -> None:
+        """Start with the first part of a response, and reserve what is buffered of it by now."""
+        context = self._context
+        if self._deadline is None:
+            due_ms = context.clock() + context.limits.response_remainder_ms
+            self._deadline = context.deadlines.add(
+                due_ms, lambda: self._abort(DisconnectReason.PARTIAL_RESPONSE)
+            )
+        context.buffer_budget.reserve(self._abort, buffered_bytes)
+
+    def stop(self) -> None:
+        """Stop: the response is complete, or the connection has ended."""
+        if self._deadline is not None:
+            self._context.deadlines.cancel(self._deadline)
+            self._context.buffer_budget.reserve(self._abort, 0)
+            self._deadline = None
--- a/thornjunction/runtime/admin_metrics.py
+++ b/thornjunction/runtime/admin_metrics.py
@@ -26,11 +26,11 @@
         for metric, outcome in OUTCOME_METRICS.items()
     }
     return metrics | {
-        "relayed": pool.relayed,
+        "relayed": pool.attempts_written,
         "open_requests": len(engine.requests),
-        "registry_entries": len(pool.shelves),
+        "registry_entries": len(pool.upstreams),
         "out_of_rotation": router.placement.server_list.count_unavailable(
-            pool.shelves, router.context.now_ms
+            pool.upstreams, router.context.now_ms
         ),
         "cfg_accepted": reloads["accepted"],
         "cfg_invalid": reloads["invalid"],
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -57,7 +57,7 @@
     pool = ConnectionPool(reactor, config.pool_limits, alarm.deadlines, core_ms, buffer_budget)
     router = Router(config.settings, config.seed, config.name)
     engine = Engine(router, config.settings.max_attempts, core_ms, alarm.deadlines, pool, counters)
-    pool.ends = engine
+    pool.report_to(engine)
     clients = DownstreamTable(max(config.sockets // CLIENT_SOCKETS_DIVISOR, 1), buffer_budget)
     return RequestPath(
         alarm=alarm,
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from thornjunction import interface as api
-from thornjunction.net.upstream.connection import PART_MS, Limits
+from thornjunction.net.upstream.context import DEFAULT_RESPONSE_REMAINDER_MS, PoolLimits
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Commands, parse_commands
 from thornjunction.net.wire.resp import MAX_BULK
@@ -82,7 +82,7 @@
     initial_commands: Commands
     settings: api.Settings
     roles: Mapping[str, api.Role]
-    pool_limits: Limits
+    pool_limits: PoolLimits
     longest_wait_ms: float
     flow_bytes_per_ms: float
     admin: Address | None = None
@@ -160,16 +160,16 @@
     return sockets
 
 
-def _pool_limits(allowed: SettingsReader, sockets: int, flow_bytes_per_s: float) -> Limits:
-    part_ms = PART_MS
+def _pool_limits(allowed: SettingsReader, sockets: int, flow_bytes_per_s: float) -> PoolLimits:
+    response_remainder_ms = DEFAULT_RESPONSE_REMAINDER_MS
     if flow_bytes_per_s:
-        part_ms += 1000.0 * MAX_BULK / flow_bytes_per_s
-    return Limits(
+        response_remainder_ms += 1000.0 * MAX_BULK / flow_bytes_per_s
+    return PoolLimits(
         max_streams=max(int(allowed.number("maxStreams", DEFAULT_MAX_STREAMS)), 1),
-        dial_ms=allowed.number("dialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
-        idle_ms=allowed.number("connIdleMs", DEFAULT_IDLE_MS),
-        connections=sockets // UPSTREAM_SOCKETS_DIVISOR,
-        part_ms=part_ms,
+        connect_timeout_ms=allowed.number("dialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
+        idle_timeout_ms=allowed.number("connIdleMs", DEFAULT_IDLE_MS),
+        max_connections=sockets // UPSTREAM_SOCKETS_DIVISOR,
+        response_remainder_ms=response_remainder_ms,
     )
 
 
