--- /dev/null
+++ b/tests/net/upstream/pool_case.py
@@ -0,0 +1,96 @@
+"""A test case round the connection pool on loopback sockets, with builders for attempts and limits."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from fakes.loopback_environment import ShelfStandIn
+from twisted.internet import reactor, tcp
+from twisted.internet.defer import inlineCallbacks
+from twisted.trial.unittest import TestCase
+
+from tests.loopback import Rig
+from thornjunction import interface as api
+from thornjunction.core.ports import ClientRequest, Content, UpstreamRequest
+from thornjunction.net.upstream.connection_pool import ConnectionPool
+
+# Of each attempt's time: beyond all waits of these tests, so that another bound has to end them.
+LONG_TIMEOUT_MS = 30_000.0
+
+# As a start limit: the attempt may begin at any time.
+NO_START_LIMIT_MS = 9e9
+
+
+def attempt(
+    number: int,
+    *,
+    server: str = "edge1",
+    transaction_id: str = "",
+    timeout_ms: float = LONG_TIMEOUT_MS,
+    start_within_ms: float = NO_START_LIMIT_MS,
+    body: bytes = b"",
+) -> UpstreamRequest:
+    """An attempt at a server; its transaction id is ``t`` and the number where none is given."""
+    client_request = ClientRequest(
+        transaction_id or f"t{number}", "films", "00000000000000ff", timeout_ms, body=body
+    )
+    fetch = api.StartAttempt("r", server, timeout_ms, "origin", start_within_ms=start_within_ms)
+    return UpstreamRequest(number, client_request, fetch)
+
+
+def connects_under_way() -> list[tcp.Client]:
+    """Transports of connects that have not come up."""
+    return [writer for writer in reactor.getWriters() if isinstance(writer, tcp.Client)]
+
+
+class PoolTestCase(TestCase):
+    """A pool that reports to ``outcomes``, as pairs of an attempt's number and its status."""
+
+    timeout = 30
+
+    def setUp(self) -> None:
+        self.rig = Rig()
+        self.addCleanup(self.rig.stop)
+        self.outcomes: list[tuple[int, api.AttemptStatus]] = []
+        self.pool.report_to(self)
+
+    @property
+    def pool(self) -> ConnectionPool:
+        return self.rig.pool
+
+    def attempt_ended(
+        self,
+        number: int,
+        status: api.AttemptStatus,
+        content: Content | None = None,
+        report: api.LoadReport | None = None,
+    ) -> None:
+        self.outcomes.append((number, status))
+
+    def set_limits(self, **changes: Any) -> None:
+        """Change the pool's limits."""
+        self.pool.context.limits = replace(self.pool.context.limits, **changes)
+
+    def send(self, number: int, **details: Any) -> None:
+        """Send an attempt; ``details`` as of ``attempt``."""
+        self.pool.send(attempt(number, **details))
+
+    @inlineCallbacks
+    def send_unanswered(self, number: int, **details: Any) -> Any:
+        """Send an attempt that its server receives and does not answer; return the server's connection."""
+        self.rig.script = [None]
+        received = self.rig.next_want()
+        self.send(number, **details)
+        yield received
+        server_connection: ShelfStandIn = self.rig.asked[-1][0]
+        return server_connection
+
+    @inlineCallbacks
+    def wait_for_outcomes(self, count: int = 1) -> Any:
+        """Turn the reactor until so many outcomes were reported."""
+        yield self.rig.until(lambda: len(self.outcomes) >= count)
+
+    def received_transaction_ids(self) -> list[bytes]:
+        """Transaction ids of all attempts that servers received."""
+        return [want[1] for want in self.rig.wants()]
--- /dev/null
+++ b/tests/net/upstream/test_full_table.py
@@ -0,0 +1,70 @@
+"""A full table of connections to servers: idle ones are evicted, busy ones stay."""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+from twisted.internet import reactor
+from twisted.internet.defer import inlineCallbacks
+from twisted.internet.error import ConnectionDone
+
+from tests.net.upstream.pool_case import PoolTestCase
+from thornjunction import interface as api
+from thornjunction.memory.budget import ByteBudget
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.upstream.connection_pool import ConnectionPool
+from thornjunction.net.upstream.context import PoolLimits
+from thornjunction.net.wire.commands import Host
+
+# Of each attempt: its client waits for a while, and it may begin at any time.
+DETAILS = {"timeout_ms": 900.0, "start_within_ms": math.inf}
+
+
+class FullTableTest(PoolTestCase):
+    def list_servers(self, count: int, capacity: int) -> None:
+        """Replace the pool by one of that capacity, and list so many servers at one address."""
+        limits = PoolLimits(
+            max_streams=4, connect_timeout_ms=400.0, idle_timeout_ms=15_000.0, max_connections=capacity
+        )
+        deadlines = self.rig.alarm.deadlines
+        self.rig.pool = ConnectionPool(reactor, limits, deadlines, core_ms, ByteBudget(1_000_000))
+        self.pool.report_to(self)
+        address = ("127.0.0.1", self.rig.ports[0].getHost().port)
+        state = api.ServerState.SERVING
+        hosts = (Host(f"e{number}", address, "here", "x", 0, state, 8.0, 0.0) for number in range(count))
+        self.pool.update(tuple(hosts), True)
+
+    @inlineCallbacks
+    def send_and_wait(self, number: int, server: str) -> Any:
+        """Send an attempt and turn the reactor until it has ended."""
+        self.send(number, server=server, **DETAILS)
+        yield self.rig.until(lambda: number in dict(self.outcomes))
+
+    @inlineCallbacks
+    def test_more_servers_than_slots_are_all_reached_within_the_bound(self) -> Any:
+        """Each in turn, twice; evicted connections are closed in order."""
+        self.list_servers(count=40, capacity=16)
+        most_connections = 0
+        for number in range(80):
+            yield self.send_and_wait(number, f"e{number % 40}")
+            most_connections = max(most_connections, len(self.pool.connections))
+        self.assertEqual(dict(self.outcomes), dict.fromkeys(range(80), api.AttemptStatus.SUCCEEDED))
+        self.assertLessEqual(most_connections, 16 + 16 // 8)
+        yield self.rig.until(lambda: sum(link.ended is not None for link in self.rig.links) == 80 - 16)
+        ended = [link.ended for link in self.rig.links if link.ended is not None]
+        self.assertEqual({type(reason) for reason in ended}, {ConnectionDone})
+
+    @inlineCallbacks
+    def test_a_busy_connection_is_never_evicted(self) -> Any:
+        self.list_servers(count=4, capacity=2)
+        busy = yield self.send_unanswered(0, server="e0", **DETAILS)
+        yield self.send_and_wait(1, "e1")
+        yield self.send_and_wait(2, "e2")  # evicts the connection to e1, which is idle
+        yield self.send_unanswered(3, server="e2", **DETAILS)
+        self.send(4, server="e3", **DETAILS)
+        self.assertEqual(self.outcomes.pop(), (4, api.AttemptStatus.NOT_STARTED))  # none is idle
+        busy.say(b"t0", b"DONE", b"x")
+        yield self.rig.until(lambda: 0 in dict(self.outcomes))
+        yield self.send_and_wait(5, "e3")
+        self.assertEqual(dict(self.outcomes), dict.fromkeys((0, 1, 2, 5), api.AttemptStatus.SUCCEEDED))
--- /dev/null
+++ b/tests/net/upstream/test_remaining_time.py
@@ -0,0 +1,42 @@
+"""The time that a server is told its client has left, where the connection comes up late."""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+from twisted.internet.defer import inlineCallbacks
+
+from tests.net.upstream.pool_case import PoolTestCase
+from thornjunction import interface as api
+from thornjunction.net.event_loop.timer_service import core_ms
+
+TIMEOUT_MS = 900.0
+
+
+class RemainingTimeTest(PoolTestCase):
+    @inlineCallbacks
+    def send_before_slow_connect(self, number: int, connect_ms: float) -> Any:
+        """Send an attempt whose connection comes up after that time; return its outcome."""
+        start_ms = core_ms()
+        self.pool.context.clock = lambda: start_ms
+        self.send(number, timeout_ms=TIMEOUT_MS, start_within_ms=math.inf)
+        self.pool.context.clock = lambda: start_ms + connect_ms
+        yield self.wait_for_outcomes()
+        self.pool.context.clock = core_ms
+        yield self.rig.part()
+        return self.outcomes.pop()
+
+    @inlineCallbacks
+    def test_is_what_is_left_once_the_connection_is_up(self) -> Any:
+        for number, connect_ms in enumerate((0.0, 150.0, 400.0, 890.0)):
+            outcome = yield self.send_before_slow_connect(number, connect_ms)
+            self.assertEqual(outcome, (number, api.AttemptStatus.SUCCEEDED))
+            fields = dict(pair.split(b"=") for pair in self.rig.wants()[-1][2].split(b","))
+            self.assertEqual(fields[b"max"], b"%d" % (TIMEOUT_MS - connect_ms), connect_ms)
+
+    @inlineCallbacks
+    def test_under_5_ms_keeps_the_attempt_from_beginning(self) -> Any:
+        outcome = yield self.send_before_slow_connect(1, 896.0)
+        self.assertEqual(outcome, (1, api.AttemptStatus.NOT_STARTED))
+        self.assertEqual(self.rig.wants(), [])
--- /dev/null
+++ b/tests/net/upstream/test_waiting_for_connection.py
@@ -0,0 +1,149 @@
+"""Attempts that wait for a connect: how the wait ends, and that none begins after its end."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from twisted.internet.defer import inlineCallbacks
+
+from tests.net.upstream.pool_case import PoolTestCase, connects_under_way
+from thornjunction import interface as api
+from thornjunction.net.event_loop.timer_service import core_ms
+
+# The system repeats its connect after 1 s.
+LONG_CONNECT_TIMEOUT_MS = 9000.0
+
+START_LIMIT_MS = 8000.0
+
+
+class WaitingAttemptTest(PoolTestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.set_limits(connect_timeout_ms=LONG_CONNECT_TIMEOUT_MS)
+
+    @inlineCallbacks
+    def send_waiting(self, **details: Any) -> Any:
+        """Send attempt 1 to a server at which connects hang; return the listener."""
+        listener = self.rig.deafen("edge1")
+        self.send(1, **details)
+        yield self.rig.until(connects_under_way)
+        self.connects = connects_under_way()
+        return listener
+
+    def assert_connects_open(self, expected: bool) -> None:
+        self.assertEqual([connect.fileno() >= 0 for connect in self.connects], [expected])
+
+    @inlineCallbacks
+    def assert_never_received(self, listener: Any, server: str) -> Any:
+        """Let connects succeed; the server receives a later attempt and not attempt 1."""
+        listener.open()
+        if server == "edge1":
+            yield self.rig.until(lambda: len(self.pool.connections))
+        self.send(3, server=server, transaction_id="later")
+        yield self.rig.until(lambda: (3, api.AttemptStatus.SUCCEEDED) in self.outcomes)
+        yield self.rig.part()
+        self.assertEqual(self.received_transaction_ids(), [b"later"])
+
+    @inlineCallbacks
+    def test_is_not_started_at_its_start_limit_and_the_connect_goes_on(self) -> Any:
+        listener = yield self.send_waiting(start_within_ms=START_LIMIT_MS)
+        self.rig.later(START_LIMIT_MS)
+        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        self.assert_connects_open(True)
+        yield self.assert_never_received(listener, "edge1")
+
+    @inlineCallbacks
+    def test_is_not_started_where_the_event_loop_notices_its_start_limit_late(self) -> Any:
+        listener = yield self.send_waiting(start_within_ms=START_LIMIT_MS)
+        self.pool.context.clock = lambda: core_ms() + START_LIMIT_MS
+        self.assertEqual(self.outcomes, [])
+        self.assert_connects_open(True)
+        yield self.assert_never_received(listener, "edge1")
+        self.assertEqual(self.outcomes[0], (1, api.AttemptStatus.NOT_STARTED))
+
+    @inlineCallbacks
+    def test_is_not_reported_after_it_was_withdrawn_and_the_connect_goes_on(self) -> Any:
+        listener = yield self.send_waiting()
+        self.assertTrue(self.pool.withdraw(1))
+        self.assertEqual(self.outcomes, [])
+        self.assert_connects_open(True)
+        yield self.assert_never_received(listener, "edge1")
+        self.assertEqual(self.outcomes, [(3, api.AttemptStatus.SUCCEEDED)])
+
+    @inlineCallbacks
+    def test_is_not_started_where_its_server_drains(self) -> Any:
+        listener = yield self.send_waiting()
+        self.rig.list_servers(api.ServerState.DRAINING, edge1=listener.address)
+        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        self.assert_connects_open(False)
+        self.send(2)
+        self.assertEqual(self.outcomes[1:], [(2, api.AttemptStatus.NOT_STARTED)])
+        yield self.assert_never_received(listener, "origin")
+
+    @inlineCallbacks
+    def test_is_not_started_where_its_server_is_removed(self) -> Any:
+        listener = yield self.send_waiting()
+        self.rig.list_servers(api.ServerState.REMOVED)
+        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        self.assert_connects_open(False)
+        yield self.assert_never_received(listener, "origin")
+
+    @inlineCallbacks
+    def test_is_not_started_where_its_server_moves_to_another_address(self) -> Any:
+        listener = yield self.send_waiting()
+        self.rig.list_servers()
+        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        self.assert_connects_open(False)
+        yield self.assert_never_received(listener, "origin")
+
+    @inlineCallbacks
+    def test_is_refused_where_no_connection_comes_up_in_time(self) -> Any:
+        listener = yield self.send_waiting()
+        self.rig.later(LONG_CONNECT_TIMEOUT_MS)
+        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.CONNECTION_REFUSED)])
+        self.assert_connects_open(False)
+        yield self.assert_never_received(listener, "origin")
+
+
+class FailedConnectTest(PoolTestCase):
+    @inlineCallbacks
+    def fail_connect_beside_busy_connection(self, server_responds: bool) -> Any:
+        """Attempt 3 waits for a connect that times out while attempt 2 is in flight; return its outcome."""
+        listener = self.rig.deafen("edge1")
+        listener.open()
+        self.set_limits(max_streams=1, connect_timeout_ms=LONG_CONNECT_TIMEOUT_MS)
+        server_connection = yield self.send_unanswered(0)
+        listener.shut()
+        self.send(1)  # waits for a connect
+        server_connection.say(b"t0", b"DONE", b"x")
+        yield self.wait_for_outcomes(2)
+        self.assertEqual(self.outcomes, [(0, api.AttemptStatus.SUCCEEDED), (1, api.AttemptStatus.SUCCEEDED)])
+        self.rig.later(LONG_CONNECT_TIMEOUT_MS)  # ends the connect, for which no attempt waits
+        server_connection = yield self.send_unanswered(2)
+        self.send(3)
+        if server_responds:
+            server_connection.say(b"unknown", b"DONE", b"x")
+            yield self.rig.until(lambda: any(each.unexpected_responses for each in self.pool.connections))
+        self.outcomes.clear()
+        self.rig.later(LONG_CONNECT_TIMEOUT_MS)
+        (outcome,) = self.outcomes
+        return outcome
+
+    @inlineCallbacks
+    def test_does_not_count_against_a_server_that_responds_meanwhile(self) -> Any:
+        outcome = yield self.fail_connect_beside_busy_connection(server_responds=True)
+        self.assertEqual(outcome, (3, api.AttemptStatus.NOT_STARTED))
+
+    @inlineCallbacks
+    def test_counts_against_a_server_that_is_silent_meanwhile(self) -> Any:
+        outcome = yield self.fail_connect_beside_busy_connection(server_responds=False)
+        self.assertEqual(outcome, (3, api.AttemptStatus.CONNECTION_REFUSED))
+
+    def test_is_reported_by_the_next_attempt_where_all_that_waited_were_withdrawn(self) -> None:
+        self.rig.deafen("edge1")
+        self.send(1)
+        self.pool.withdraw(1)
+        self.rig.later(self.pool.context.limits.connect_timeout_ms)
+        self.send(2)
+        self.assertEqual(self.outcomes, [(2, api.AttemptStatus.CONNECTION_REFUSED)])
+        self.assertEqual(self.pool.upstreams["edge1"].waiting, {})
