--- a/tests/net/upstream/pool_case.py
+++ b/tests/net/upstream/pool_case.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from typing import Any
 
-from fakes.loopback_environment import ShelfStandIn
+from fakes.loopback_environment import FakeCacheServerConnection, LoopbackEnvironment
 from twisted.internet import reactor, tcp
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import Rig
+from tests.loopback import make_loopback_environment
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, Content, UpstreamRequest
 from thornjunction.net.upstream.connection_pool import ConnectionPool
@@ -50,14 +50,14 @@
     timeout = 30
 
     def setUp(self) -> None:
-        self.rig = Rig()
-        self.addCleanup(self.rig.stop)
+        self.environment: LoopbackEnvironment = make_loopback_environment()
+        self.addCleanup(self.environment.stop)
         self.outcomes: list[tuple[int, api.AttemptStatus]] = []
         self.pool.report_to(self)
 
     @property
     def pool(self) -> ConnectionPool:
-        return self.rig.pool
+        return self.environment.pool
 
     def attempt_ended(
         self,
@@ -79,18 +79,18 @@
     @inlineCallbacks
     def send_unanswered(self, number: int, **details: Any) -> Any:
         """Send an attempt that its server receives and does not answer; return the server's connection."""
-        self.rig.script = [None]
-        received = self.rig.next_want()
+        self.environment.script = [None]
+        received = self.environment.next_request()
         self.send(number, **details)
         yield received
-        server_connection: ShelfStandIn = self.rig.asked[-1][0]
+        server_connection: FakeCacheServerConnection = self.environment.received_requests[-1][0]
         return server_connection
 
     @inlineCallbacks
     def wait_for_outcomes(self, count: int = 1) -> Any:
         """Turn the reactor until so many outcomes were reported."""
-        yield self.rig.until(lambda: len(self.outcomes) >= count)
+        yield self.environment.wait_until(lambda: len(self.outcomes) >= count)
 
     def received_transaction_ids(self) -> list[bytes]:
         """Transaction ids of all attempts that servers received."""
-        return [want[1] for want in self.rig.wants()]
+        return [command.request_id for command in self.environment.forwarded_requests()]
--- a/tests/net/upstream/test_broken_connections.py
+++ b/tests/net/upstream/test_broken_connections.py
@@ -6,7 +6,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from fakes.loopback_environment import ShelfStandIn
+from fakes.loopback_environment import FakeCacheServerConnection
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.error import ConnectionDone
 
@@ -26,13 +26,15 @@
 
 class BrokenConnectionTest(PoolTestCase):
     @inlineCallbacks
-    def assert_reset(self, break_connection: Callable[[ShelfStandIn], None], also_sent: int = 0) -> Any:
+    def assert_reset(
+        self, break_connection: Callable[[FakeCacheServerConnection], None], also_sent: int = 0
+    ) -> Any:
         """Attempts in flight may have run, and the next attempt succeeds on another connection."""
         server_connection = yield self.send_unanswered(1)
         break_connection(server_connection)
         for number in range(2, 2 + also_sent):
             self.send(number)
-        yield self.rig.until(lambda: not len(self.pool.connections))
+        yield self.environment.wait_until(lambda: not len(self.pool.connections))
         in_flight = range(1, 2 + also_sent)
         self.assertEqual(
             self.outcomes, [(number, api.AttemptStatus.CONNECTION_RESET) for number in in_flight]
@@ -48,7 +50,7 @@
 
     @inlineCallbacks
     def test_server_closes_within_a_response(self) -> Any:
-        def close(server_connection: ShelfStandIn) -> None:
+        def close(server_connection: FakeCacheServerConnection) -> None:
             server_connection.transport.write(UNKNOWN_RESPONSE[:7])
             server_connection.transport.loseConnection()
 
@@ -94,7 +96,7 @@
     def test_a_cancelled_attempt_is_not_sent_to_a_server_that_reads_late(self) -> Any:
         server_connection = yield self.send_unanswered(0)
         server_connection.transport.pauseProducing()
-        self.rig.script = [None] * 999
+        self.environment.script = [None] * 999
         (connection,) = self.pool.connections
         self.set_limits(max_streams=999)
         number = 0
@@ -104,13 +106,13 @@
                 self.send(number, body=b"x" * 100_000)
             self.assertFalse(connection.can_take("new"))
             self.pool.cancel(number)
-            self.rig.later(MAX_STALLED_WRITE_MS)
+            self.environment.run_pool_deadlines(MAX_STALLED_WRITE_MS)
             yield self.wait_for_outcomes()
         self.assertEqual(
             self.outcomes, [(sent, api.AttemptStatus.CONNECTION_RESET) for sent in range(number)]
         )
         server_connection.transport.resumeProducing()
-        yield self.rig.until(lambda: server_connection.ended)
+        yield self.environment.wait_until(lambda: server_connection.disconnect_error)
         self.assertNotIn(f"t{number}".encode(), self.received_transaction_ids())
 
 
@@ -118,11 +120,11 @@
     @inlineCallbacks
     def test_does_not_end_the_next_attempt_of_the_same_transaction(self) -> Any:
         first = yield self.send_unanswered(1, transaction_id="same")
-        first.say(b"same", b"WAIT")
+        first.send_answer(b"same", b"WAIT")
         yield self.wait_for_outcomes()
         second = yield self.send_unanswered(2, transaction_id="same")
-        first.say(b"same", b"WAIT")
-        second.say(b"same", b"DONE", b"x")
+        first.send_answer(b"same", b"WAIT")
+        second.send_answer(b"same", b"DONE", b"x")
         yield self.wait_for_outcomes(2)
         self.assertEqual(self.outcomes, [(1, api.AttemptStatus.OVERLOADED), (2, api.AttemptStatus.SUCCEEDED)])
 
@@ -133,9 +135,9 @@
         """Close an idle connection while a part of a response is on its way; return the server's side."""
         self.send(1)
         yield self.wait_for_outcomes()
-        server_connection = self.rig.links[-1]
+        server_connection = self.environment.server_connections[-1]
         (connection,) = self.pool.connections
-        self.rig.later(IDLE_TIMEOUT_SHARE * self.pool.context.limits.idle_timeout_ms)
+        self.environment.run_pool_deadlines(IDLE_TIMEOUT_SHARE * self.pool.context.limits.idle_timeout_ms)
         server_connection.transport.write(encode_array((b"t1", b"DONE", b"x", b""))[:9])
         self.assertFalse(connection.can_take("new"))
         return server_connection
@@ -143,14 +145,14 @@
     @inlineCallbacks
     def test_bytes_that_cross_it_do_not_reset_the_server(self) -> Any:
         server_connection = yield self.close_idle_connection()
-        yield self.rig.until(lambda: not len(self.pool.connections))
-        yield self.rig.until(lambda: server_connection.ended)
-        self.assertIsInstance(server_connection.ended, ConnectionDone)
+        yield self.environment.wait_until(lambda: not len(self.pool.connections))
+        yield self.environment.wait_until(lambda: server_connection.disconnect_error)
+        self.assertIsInstance(server_connection.disconnect_error, ConnectionDone)
 
     @inlineCallbacks
     def test_ends_in_bounded_time_where_the_server_does_not_read(self) -> Any:
         server_connection = yield self.close_idle_connection()
         server_connection.transport.pauseProducing()
         idle_close_ms = IDLE_TIMEOUT_SHARE * self.pool.context.limits.idle_timeout_ms
-        self.rig.later(idle_close_ms + MAX_LINGER_MS)
-        yield self.rig.until(lambda: not len(self.pool.connections))
+        self.environment.run_pool_deadlines(idle_close_ms + MAX_LINGER_MS)
+        yield self.environment.wait_until(lambda: not len(self.pool.connections))
--- a/tests/net/upstream/test_ended_requests.py
+++ b/tests/net/upstream/test_ended_requests.py
@@ -7,9 +7,10 @@
 from typing import Any
 
 from fakes.clients import FastCgiClient
+from fakes.loopback_environment import PortIndex
 from twisted.internet.defer import inlineCallbacks
 
-from tests.loopback import SETTINGS_HERE
+from tests.loopback import LOOPBACK_SETTINGS
 from tests.net.upstream.pool_case import PoolTestCase
 from tests.net.wire.test_codecs import PARAMS, asked
 from thornjunction.net.wire import fastcgi
@@ -23,30 +24,30 @@
 class EndedRequestTest(PoolTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.engine = self.rig.engine
+        self.engine = self.environment.engine
         self.pool.report_to(self.engine)
         self.set_limits(connect_timeout_ms=9000.0)
-        self.engine.feed(replace(SETTINGS_HERE, may_cancel=False))
+        self.engine.feed(replace(LOOPBACK_SETTINGS, may_cancel=False))
 
     @inlineCallbacks
     def assert_not_begun_after(self, end_request: Callable[[FastCgiClient], None]) -> Any:
         """Nothing runs where a keyed request ends while its attempt waits for a connect to the origin."""
-        listener = self.rig.deafen("origin")  # where keyed requests go straight
+        listener = self.environment.make_unresponsive("origin")  # where keyed requests go straight
         executions = self.engine.router.executions.by_key
-        client = yield self.rig.client(3, FastCgiClient)
+        client = yield self.environment.connect_client(PortIndex.FASTCGI_FRONT, FastCgiClient)
         client.transport.write(asked(params=KEYED_PARAMS))
         origin = self.pool.upstreams["origin"]
-        yield self.rig.until(lambda: origin.waiting and executions)
+        yield self.environment.wait_until(lambda: origin.waiting and executions)
         end_request(client)
-        yield self.rig.until(lambda: not origin.waiting)
+        yield self.environment.wait_until(lambda: not origin.waiting)
         self.assertFalse(executions)
         self.assertEqual(len(self.engine.attempts), 0)
-        listener.open()
-        yield self.rig.until(lambda: len(self.pool.connections))
+        listener.start_accepting()
+        yield self.environment.wait_until(lambda: len(self.pool.connections))
         self.pool.probe("origin")  # it is the first that comes on that connection
-        yield self.rig.until(lambda: self.rig.heard)
-        self.assertEqual(self.rig.heard[0][0], "busy")
-        yield self.rig.part()
+        yield self.environment.wait_until(lambda: self.environment.received_commands)
+        self.assertEqual(self.environment.received_commands[0].verb, "busy")
+        yield self.environment.close_upstream_connections()
 
     @inlineCallbacks
     def test_client_aborts_its_request(self) -> Any:
--- a/tests/net/upstream/test_full_table.py
+++ b/tests/net/upstream/test_full_table.py
@@ -27,10 +27,10 @@
         limits = PoolLimits(
             max_streams=4, connect_timeout_ms=400.0, idle_timeout_ms=15_000.0, max_connections=capacity
         )
-        deadlines = self.rig.alarm.deadlines
-        self.rig.pool = ConnectionPool(reactor, limits, deadlines, core_ms, ByteBudget(1_000_000))
+        deadlines = self.environment.timer_service.deadlines
+        self.environment.pool = ConnectionPool(reactor, limits, deadlines, core_ms, ByteBudget(1_000_000))
         self.pool.report_to(self)
-        address = ("127.0.0.1", self.rig.ports[0].getHost().port)
+        address = ("127.0.0.1", self.environment.ports[0].getHost().port)
         state = api.ServerState.SERVING
         hosts = (Host(f"e{number}", address, "here", "x", 0, state, 8.0, 0.0) for number in range(count))
         self.pool.update(tuple(hosts), True)
@@ -39,7 +39,7 @@
     def send_and_wait(self, number: int, server: str) -> Any:
         """Send an attempt and turn the reactor until it has ended."""
         self.send(number, server=server, **DETAILS)
-        yield self.rig.until(lambda: number in dict(self.outcomes))
+        yield self.environment.wait_until(lambda: number in dict(self.outcomes))
 
     @inlineCallbacks
     def test_more_servers_than_slots_are_all_reached_within_the_bound(self) -> Any:
@@ -51,8 +51,17 @@
             most_connections = max(most_connections, len(self.pool.connections))
         self.assertEqual(dict(self.outcomes), dict.fromkeys(range(80), api.AttemptStatus.SUCCEEDED))
         self.assertLessEqual(most_connections, 16 + 16 // 8)
-        yield self.rig.until(lambda: sum(link.ended is not None for link in self.rig.links) == 80 - 16)
-        ended = [link.ended for link in self.rig.links if link.ended is not None]
+        yield self.environment.wait_until(
+            lambda: (
+                sum(each.disconnect_error is not None for each in self.environment.server_connections)
+                == 80 - 16
+            )
+        )
+        ended = [
+            each.disconnect_error
+            for each in self.environment.server_connections
+            if each.disconnect_error is not None
+        ]
         self.assertEqual({type(reason) for reason in ended}, {ConnectionDone})
 
     @inlineCallbacks
@@ -64,7 +73,7 @@
         yield self.send_unanswered(3, server="e2", **DETAILS)
         self.send(4, server="e3", **DETAILS)
         self.assertEqual(self.outcomes.pop(), (4, api.AttemptStatus.NOT_STARTED))  # none is idle
-        busy.say(b"t0", b"DONE", b"x")
-        yield self.rig.until(lambda: 0 in dict(self.outcomes))
+        busy.send_answer(b"t0", b"DONE", b"x")
+        yield self.environment.wait_until(lambda: 0 in dict(self.outcomes))
         yield self.send_and_wait(5, "e3")
         self.assertEqual(dict(self.outcomes), dict.fromkeys((0, 1, 2, 5), api.AttemptStatus.SUCCEEDED))
--- a/tests/net/upstream/test_remaining_time.py
+++ b/tests/net/upstream/test_remaining_time.py
@@ -24,7 +24,7 @@
         self.pool.context.clock = lambda: start_ms + connect_ms
         yield self.wait_for_outcomes()
         self.pool.context.clock = core_ms
-        yield self.rig.part()
+        yield self.environment.close_upstream_connections()
         return self.outcomes.pop()
 
     @inlineCallbacks
@@ -32,11 +32,14 @@
         for number, connect_ms in enumerate((0.0, 150.0, 400.0, 890.0)):
             outcome = yield self.send_before_slow_connect(number, connect_ms)
             self.assertEqual(outcome, (number, api.AttemptStatus.SUCCEEDED))
-            fields = dict(pair.split(b"=") for pair in self.rig.wants()[-1][2].split(b","))
+            fields = dict(
+                pair.split(b"=")
+                for pair in self.environment.forwarded_requests()[-1].arguments[0].split(b",")
+            )
             self.assertEqual(fields[b"max"], b"%d" % (TIMEOUT_MS - connect_ms), connect_ms)
 
     @inlineCallbacks
     def test_under_5_ms_keeps_the_attempt_from_beginning(self) -> Any:
         outcome = yield self.send_before_slow_connect(1, 896.0)
         self.assertEqual(outcome, (1, api.AttemptStatus.NOT_STARTED))
-        self.assertEqual(self.rig.wants(), [])
+        self.assertEqual(self.environment.forwarded_requests(), [])
