--- a/packages/fakes/src/fakes/watch_environment.py
+++ b/packages/fakes/src/fakes/watch_environment.py
@@ -11,7 +11,10 @@
 from fakes.fake_discovery import ScriptedDiscovery, Step
 from fakes.manual_clock import ManualClock
 from thornjunction import interface as api
-from thornjunction.net.discovery.watch_client import MOST_AGAIN_MS, WatchClient
+from thornjunction.net.discovery.retry_policy import MAX_RETRY_DELAY_MS
+from thornjunction.net.discovery.watch import WatchHandlers
+from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.wire.commands import Command
 from thornjunction.runtime.service import Service
 
@@ -39,14 +42,9 @@
 
     def build_watch_client(self, address: tuple[str, int]) -> WatchClient:
         """Put a watch client that knows nothing in the place of the earlier one."""
-        self.watch_client = WatchClient(
-            reactor,
-            address,
-            self.deadlines,
-            lambda: self.now_ms,
-            self.received_events.append,
-            lambda: None,
-        )
+        context = WatchContext(reactor, self.deadlines, lambda: self.now_ms)
+        handlers = WatchHandlers(self.received_events.append)
+        self.watch_client = WatchClient(context, address, handlers)
         return self.watch_client
 
     @inlineCallbacks
@@ -76,24 +74,27 @@
     def wait_for_failures(self, count: int) -> Steps[None]:
         """Wait until ``count`` connections in a row have failed; then let the backoff pass."""
         for failures in range(1, count + 1):
-            yield wait_until(lambda failures=failures: self.watch_client.failures == failures)  # type: ignore[misc]
-            while self.watch_client._dialling is None and failures < count:
+            yield wait_until(lambda failures=failures: self.watch_client.retries.failures == failures)  # type: ignore[misc]
+            while not self.watch_client.is_connecting and failures < count:
                 self.advance(CONNECT_CHECK_MS)
-        self.advance(MOST_AGAIN_MS)
+        self.advance(MAX_RETRY_DELAY_MS)
 
     @inlineCallbacks
     def wait_for_disconnect(self, backoff_ms: float) -> Steps[None]:
         """Wait until the connection has ended; then let the backoff pass."""
-        yield wait_until(lambda: self.watch_client.link is None)
+        yield wait_until(lambda: self.watch_client.connection is None)
         self.advance(backoff_ms)
 
     @inlineCallbacks
     def close_watch(self) -> Steps[None]:
         """Stop the watch client, and wait until it has no connection."""
-        self.watch_client.stopped = True
-        if self.watch_client.link is not None:
-            self.watch_client.link.close("test")
-        yield wait_until(lambda: self.watch_client.link is None and self.watch_client._dialling is None)
+        self.watch_client.stop()
+        if self.watch_client.connection is not None:
+            self.watch_client.connection.close("test")
+        yield wait_until(self._is_disconnected)
+
+    def _is_disconnected(self) -> bool:
+        return self.watch_client.connection is None and not self.watch_client.is_connecting
 
     @inlineCallbacks
     def stop(self) -> Steps[None]:
--- a/tests/net/wire/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -12,7 +12,7 @@
 from fakes.event_log import encode_events
 from fakes.watch_messages import edge_entry, purge_event, purge_events
 
-from tests.net.discovery.test_watch import service_of
+from tests.net.discovery.builders import build_service
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.command_stream import CommandStreamParser
 from thornjunction.net.wire.commands import Commands, Purge, decode_commands
@@ -23,7 +23,7 @@
 
 
 def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
-    service = service_of()
+    service = build_service()
     takes_ms, now_ms = service.config.settings.purge_propagation_ms, time.time() * 1000.0
     with patch.object(service.engine, "feed") as feed:
         for number, age_ms in enumerate((takes_ms + 3_600_000.0, takes_ms + 1000.0, takes_ms - 1000.0), 1):
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -31,9 +31,9 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.gossip.replay_gossip import ReplayGossip
+from thornjunction.net.gossip.replay_gossip import GossipGroup, ReplayGossip
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
-from thornjunction.net.upstream import connect_attempt as server_dial
+from thornjunction.net.upstream import connect_attempt
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
@@ -149,9 +149,10 @@
     """Raised out of a deadline, the error would end the figures, and the deadlines that are due with it."""
     deadlines = Deadlines()
     window = ReplayWindow()
-    gossip = ReplayGossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
+    group = GossipGroup((("127.0.0.1", 9),), b"secret" * 8)
+    gossip = ReplayGossip(window, group, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
-    gossip.tell(ReplayEntry(b"k" * 16, 99.0))
+    gossip.announce(ReplayEntry(b"k" * 16, 99.0))
     metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
     metrics._collectd = ("127.0.0.1", 9)
     metrics._udp = SocketWithoutWay()
@@ -170,7 +171,7 @@
         told = list[api.AttemptStatus]()
         self.addCleanup(rig.stop)
         pool = rig.pool
-        pool.ends = SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status))
+        pool.report_to(SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status)))
         ends = {
             errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
             errno.EADDRNOTAVAIL: [],
@@ -178,7 +179,7 @@
         }
         for number, end in ends.items():
             failed = getConnectError((number, "failed"))
-            with patch.object(server_dial, "dial", lambda *_, failed=failed: fail(failed)):
+            with patch.object(connect_attempt, "connect_by_deadline", lambda *_, failed=failed: fail(failed)):
                 call = ClientRequest("t1", "films", "00000000000000ff", 900.0)
                 pool.send(UpstreamRequest(1, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
                 self.assertEqual(told, [])
@@ -186,5 +187,5 @@
                 self.assertEqual(told, end)
                 self.assertEqual(pool.withdraw(1), not end)
                 rig.run_pool_deadlines(900.0)  # nobody waits any more
-            self.assertIsNone(pool.shelves["edge1"].dial)
+            self.assertIsNone(pool.upstreams["edge1"].connect_attempt)
             told.clear()
