--- a/tests/net/event_loop/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -18,7 +18,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from tests.runtime.test_handover import Program
+from tests.program.router_program import RouterProgram
 from thornjunction.net.event_loop.client_priority import ClientPriorityReactor
 from thornjunction.net.event_loop.transport import BuildFactory
 
@@ -124,7 +124,7 @@
             bound_address(shelf.listening),
             client_timeout_ms=600.0,
         )
-        program = Program(tmp_path, shared, config)
+        program = RouterProgram(tmp_path, shared, config)
         try:
             client = RawSocketClient(shared.getsockname()[1])
             client.send(encode_request(1, "clips", ttl_ms=9000))
@@ -134,7 +134,7 @@
             shelf.send_answer(ident, b"BROKE")
             client.close()
             program.process.send_signal(signal.SIGCONT)
-            call_admin(program.door, "check")  # behind the turn that heard both
+            call_admin(program.admin_address, "check")  # behind the turn that heard both
             assert shelf.connection is not None
             given_up = shelf.reader.feed(shelf.connection.recv(65_536))
             assert [command.verb for command in given_up] == ["never_mind"]
--- /dev/null
+++ b/tests/program/test_clock_steps_router.py
@@ -0,0 +1,168 @@
+"""The wall clock is stepped under a router: no timer, deadline, backoff or age of it moves."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import time
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import pytest
+from control_harness.environment import Environment
+
+from tests.program.clock_environment import (
+    PURGE_PROPAGATION_S,
+    SLOW_START_S,
+    STEPS_S,
+    TOLERANCE_S,
+    RecordingCacheServer,
+    SilentDiscovery,
+    SteppedClock,
+    SteppedRouter,
+    assert_duration,
+    run_scenario,
+    wait_for_exit,
+)
+from thornjunction.net.discovery.retry_policy import MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS
+from thornjunction.net.discovery.watch_client import RESPONSE_GRACE_MS
+from thornjunction.net.discovery.watch_connection import IMMEDIATE_BLOCK_MS
+from thornjunction.runtime.service import INITIAL_LIST_TIMEOUT_MS
+from thornjunction.runtime.shutdown import CHECK_INTERVAL_MS
+
+# Seconds that a request to a cache in slow start may take.
+SLOW_START_TTL_S = 0.3
+
+# Log events that tell when to step.
+CONNECT_FAILURE_EVENT = "dial-failed"
+DRAINING_EVENT = '"draining"'
+
+# Requests that show whether a cache gets all of them.
+REQUEST_COUNT = 20
+
+
+async def step_before_the_first_answer(stepped: SteppedRouter) -> None:
+    """Discovery never answers: the router serves the list that it has, and polls again, in time."""
+    silent_discovery = SilentDiscovery()
+    await silent_discovery.start()
+    try:
+        await stepped.start(silent_discovery.address)
+        await stepped.environment.wait_until(lambda: silent_discovery.poll_count == 1, "the first poll")
+        polled_s = time.monotonic()
+        stepped.step()
+        await stepped.wait_until_ready(INITIAL_LIST_TIMEOUT_MS / 1000.0 + TOLERANCE_S)
+        max_wait_s = (IMMEDIATE_BLOCK_MS + RESPONSE_GRACE_MS + MIN_RETRY_DELAY_MS) / 1000.0
+        remaining_s = polled_s + max_wait_s + TOLERANCE_S - time.monotonic()
+        await stepped.environment.wait_until(
+            lambda: silent_discovery.poll_count == 2, "the next poll", remaining_s
+        )
+    finally:
+        await silent_discovery.stop()
+
+
+async def step_during_a_request(stepped: SteppedRouter) -> None:
+    """A request is answered at its deadline."""
+    check_answer = await stepped.start_hanging_request(0.5)
+    stepped.step()
+    await check_answer()
+
+
+async def step_during_slow_start(stepped: SteppedRouter) -> None:
+    """A cache that has just started gets little, and all once it is warm."""
+    ttl_ms = int(SLOW_START_TTL_S * 1000)
+    new_cache = RecordingCacheServer("new")
+    started_unix_s = time.time()
+    stepped.environment.cache_servers.append(new_cache)
+    await new_cache.start()
+    stepped.step()
+    entry = new_cache.host_entry() | {"born_ms": started_unix_s * 1000.0}
+    await stepped.environment.discovery.publish_hosts([stepped.edge.host_entry("left"), entry])
+
+    async def is_listed() -> bool:
+        return await stepped.router.request(1, ttl_ms=ttl_ms) != "edge"
+
+    async def serves_everything() -> bool:
+        requests = (stepped.router.request(number, ttl_ms=ttl_ms) for number in range(REQUEST_COUNT))
+        return set(await asyncio.gather(*requests)) == {"new"}
+
+    await stepped.environment.wait_until(is_listed, "the new cache is listed")
+    assert not await serves_everything()
+    stepped.step()
+    remaining_s = started_unix_s + SLOW_START_S - time.time()
+    timeout_s = remaining_s + SLOW_START_TTL_S + TOLERANCE_S
+    await stepped.environment.wait_until(serves_everything, "the warm cache serves everything", timeout_s)
+    stepped.edge = new_cache
+
+
+async def step_during_a_purge(stepped: SteppedRouter) -> None:
+    """The age of copies is bounded from the moment when the purge arrives until it is propagated."""
+    stepped.step()
+    purged_s = time.monotonic()
+    await stepped.environment.discovery.publish_purges(1)
+
+    async def is_bounded() -> bool:
+        await stepped.router.request(1)
+        return "cap=" in stepped.edge.descriptions[-1]
+
+    async def is_over() -> bool:
+        return not await is_bounded()
+
+    await stepped.environment.wait_until(is_bounded, "the purge is in force", PURGE_PROPAGATION_S / 2)
+    stepped.step()
+    await stepped.environment.wait_until(is_over, "the purge is propagated")
+    assert_duration(time.monotonic() - purged_s, PURGE_PROPAGATION_S)
+
+
+async def step_during_connect_backoff(stepped: SteppedRouter) -> None:
+    """The router polls again once discovery listens, after its backoff at the latest."""
+    discovery = stepped.environment.discovery
+    await discovery.stop()
+    await stepped.environment.wait_until(
+        lambda: CONNECT_FAILURE_EVENT in stepped.router.log_text(), "a connect fails"
+    )
+    stepped.step()
+    poll_count = discovery.poll_count
+    await discovery.start()
+    timeout_s = MAX_RETRY_DELAY_MS / 1000.0 + TOLERANCE_S
+    await stepped.environment.wait_until(lambda: discovery.poll_count > poll_count, "a poll", timeout_s)
+
+
+async def step_during_draining(stepped: SteppedRouter) -> None:
+    """A draining router answers what is open in time, and exits."""
+    check_answer = await stepped.start_hanging_request(0.9)
+    stepped.router.send_signal(signal.SIGTERM)
+    await stepped.environment.wait_until(
+        lambda: DRAINING_EVENT in stepped.router.log_text(), "the router drains"
+    )
+    stepped.step()
+    await check_answer()
+    await wait_for_exit(stepped.environment, stepped.router, 2 * CHECK_INTERVAL_MS / 1000.0)
+
+
+# Steps in the life of one router, in order.
+LIFE = (
+    step_during_a_request,
+    step_during_slow_start,
+    step_during_a_purge,
+    step_during_connect_backoff,
+    step_during_draining,
+)
+
+
+@pytest.mark.parametrize("step_s", STEPS_S)
+@pytest.mark.parametrize("moments", [(step_before_the_first_answer,), LIFE], ids=["start", "life"])
+def test_a_router(
+    moments: tuple[Callable[[SteppedRouter], Awaitable[None]], ...],
+    step_s: float,
+    tmp_path: Path,
+    clock: SteppedClock,
+) -> None:
+    async def scenario(environment: Environment) -> None:
+        stepped = SteppedRouter(environment, clock, step_s)
+        if moments is LIFE:
+            await stepped.start(environment.discovery.address)
+            await stepped.wait_until_ready()
+        for step_at_moment in moments:
+            await step_at_moment(stepped)
+
+    run_scenario(tmp_path, scenario)
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -1,9 +1,12 @@
-"""Socket calls that fail for this machine's own reasons, or for those of the way there, in the real program:
-``tests/program/errno_launcher.py`` makes them fail, and a server closes its connection after each answer.
+"""Socket calls that fail for this machine's own reasons, or because no route leads to the server.
+
+``tests/program/errno_launcher.py`` makes them fail in the real program, and a server closes its connection
+after each answer.
 """
 
 from __future__ import annotations
 
+import contextlib
 import errno
 import json
 import select
@@ -12,21 +15,21 @@
 import time
 from collections import Counter
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import closing, contextmanager
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
 from unittest.mock import patch
 
 import pytest
-from fakes.config import platform_config
-from fakes.raw_socket import RawSocketClient, bound_address, encode_request
+from fakes.cache_server_messages import DONE, CommandReader, encode_server_answer
+from fakes.loopback_environment import LoopbackEnvironment
+from fakes.raw_socket import RawSocketClient, encode_request
 from twisted.internet.defer import fail
 from twisted.internet.error import getConnectError
 from twisted.trial.unittest import TestCase
 
 from tests.loopback import make_loopback_environment
-from tests.runtime.test_handover import Program
+from tests.program.router_program import RouterProgram, listen_on_loopback, loopback_config
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
@@ -35,157 +38,175 @@
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
 from thornjunction.net.upstream import connect_attempt
 from thornjunction.net.wire import fastcgi
-from thornjunction.net.wire.resp import ArrayReader, encode_array
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
-WAIT_S = 5.0  # for one answer
-LOCAL = "EADDRNOTAVAIL", "EAGAIN", "EINTR", "ENOBUFS"
-PATH = "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT"
+# Seconds to wait for one answer.
+ANSWER_TIMEOUT_S = 5.0
+
+# Seconds for which accepts fail while a request waits.
+FAILING_ACCEPTS_S = 1.2
+
+# Seconds that the server's thread may block.
+SERVER_TIMEOUT_S = 20.0
+
+READ_BYTES = 65_536
+
+# Where an answer's status begins and ends in the first record.
+STATUS_SLICE = slice(8, 11)
+
+# Errors of a connect that this machine causes, and those that the route causes.
+LOCAL_ERRORS = ("EADDRNOTAVAIL", "EAGAIN", "EINTR", "ENOBUFS")
+ROUTE_ERRORS = ("ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT")
 
 
 class ClosingServer:
-    """Answers one request a connection, then closes it; one thread, which ends with its listening socket."""
+    """Answers one request per connection, then closes it, in a thread that ends with its listening socket."""
 
     def __init__(self) -> None:
-        self.listening = socket.create_server(("127.0.0.1", 0))
-        self.thread = threading.Thread(target=self._serve, daemon=True)
-        self.thread.start()
-
-    def _serve(self) -> None:
-        while True:
-            try:
-                connection, _ = self.listening.accept()
-            except OSError:
-                return
-            with connection:
-                connection.settimeout(20.0)
-                reader = ArrayReader()
-                wants = []
-                while not wants and (data := connection.recv(65_536)):
-                    wants = [items for items in reader.feed(data) if items[0] == b"want"]
-                for want in wants:
-                    connection.sendall(encode_array((want[1], b"DONE", b"rev=t1,since=5", b"x")))
+        self.listening = listen_on_loopback()
+        self._thread = threading.Thread(target=self._serve, daemon=True)
+        self._thread.start()
 
     def close(self) -> None:
+        """Close the listening socket, and wait for the thread."""
         self.listening.shutdown(socket.SHUT_RDWR)
         self.listening.close()
-        self.thread.join(20.0)
+        self._thread.join(SERVER_TIMEOUT_S)
+
+    def _serve(self) -> None:
+        with contextlib.suppress(OSError):
+            while True:
+                connection, _ = self.listening.accept()
+                with connection:
+                    self._answer(connection)
+
+    def _answer(self, connection: socket.socket) -> None:
+        connection.settimeout(SERVER_TIMEOUT_S)
+        reader = CommandReader()
+        while data := connection.recv(READ_BYTES):
+            requests = [command for command in reader.feed(data) if command.is_request]
+            for request in requests:
+                connection.sendall(encode_server_answer(request.request_id, DONE, b"rev=t1,since=5", b"x"))
+            if requests:
+                return
 
 
 @contextmanager
-def program(folder: Path, *faults: dict[str, Any]) -> Iterator[int]:
-    """The real program under these faults, before a server; the port of its front."""
-    server = ClosingServer()
+def program_with_faults(folder: Path, **fault: object) -> Iterator[int]:
+    """Run the real program under a fault, before a server; yields the port of its front."""
     with (
-        socket.create_server(("127.0.0.1", 0)) as shared,
-        socket.create_server(("127.0.0.1", 0)) as channel,
+        closing(ClosingServer()) as server,
+        listen_on_loopback() as shared,
+        listen_on_loopback() as channel,
     ):
-        config = platform_config(
-            bound_address(shared),
-            bound_address(channel),
-            bound_address(server.listening),
-            client_timeout_ms=1500.0,
-        )
-        run = Program(
-            folder, shared, config, "tests.program.errno_launcher", SOCKET_FAULTS=json.dumps(faults)
-        )
-        try:
+        config = loopback_config(shared, channel, server.listening, client_timeout_ms=1500.0)
+        faults = json.dumps([fault])
+        module = "tests.program.errno_launcher"
+        with RouterProgram(folder, shared, config, module, SOCKET_FAULTS=faults):
             yield shared.getsockname()[1]
-        finally:
-            run.process.kill()
-            run.process.wait()
-            server.close()
 
 
 def wait_for_answer(client: RawSocketClient) -> None:
-    end = time.monotonic() + WAIT_S
-    while not client.answer_count() and not client.connection_end and time.monotonic() < end:
+    """Wait until the client has an answer or its connection has ended."""
+    deadline_s = time.monotonic() + ANSWER_TIMEOUT_S
+    while not client.answer_count() and not client.connection_end and time.monotonic() < deadline_s:
         select.select([client.socket], [], [], 0.1)
 
 
-def status_of(port: int, number: int, class_name: str = "clips") -> bytes:
-    """The status of one request on a connection of its own."""
+def fetch_status(port: int, request_id: int, class_name: str = "clips") -> bytes:
+    """Send one request on a connection of its own, and return the status."""
     client = RawSocketClient(port)
-    client.send(encode_request(number, class_name))
+    client.send(encode_request(request_id, class_name))
     wait_for_answer(client)
     client.close()
     records = fastcgi.RecordReader().feed(bytes(client.received))
-    return next((record.content[8:11] for record in records if record.content), b"")
+    return next((record.content[STATUS_SLICE] for record in records if record.content), b"")
 
 
-@pytest.mark.parametrize("call", [*LOCAL, *PATH])
-def test_a_connect_that_fails_now_and_then_refuses_nothing(tmp_path: Path, call: str) -> None:
-    with program(tmp_path, {"call": "connect_ex", "errno": call, "every": 2}) as port:
-        assert [status_of(port, number) for number in range(1, 13)] == [b"200"] * 12
+@pytest.mark.parametrize("error", [*LOCAL_ERRORS, *ROUTE_ERRORS])
+def test_a_connect_that_fails_now_and_then_refuses_nothing(tmp_path: Path, error: str) -> None:
+    with program_with_faults(tmp_path, call="connect_ex", errno=error, every=2) as port:
+        assert [fetch_status(port, number) for number in range(1, 13)] == [b"200"] * 12
 
 
-@pytest.mark.parametrize("name", ["EMFILE", "ENFILE", "ENOBUFS"])
-def test_a_request_behind_failing_accepts_is_served(tmp_path: Path, name: str) -> None:
+@pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "ENOBUFS"])
+def test_a_request_behind_failing_accepts_is_served(tmp_path: Path, error: str) -> None:
     flag = tmp_path / "failing"
-    with program(tmp_path, {"call": "accept", "errno": name, "flag": str(flag)}) as port:
-        assert status_of(port, 1) == b"200"
+    with program_with_faults(tmp_path, call="accept", errno=error, flag=str(flag)) as port:
+        assert fetch_status(port, 1) == b"200"
         flag.touch()
         client = RawSocketClient(port)
         client.send(encode_request(2, "clips"))
-        end = time.monotonic() + 1.2
-        while time.monotonic() < end:
+        deadline_s = time.monotonic() + FAILING_ACCEPTS_S
+        while time.monotonic() < deadline_s:
             assert not client.has_ended()
             time.sleep(0.01)
         flag.unlink()
-        assert status_of(port, 3) == b"200"
+        assert fetch_status(port, 3) == b"200"
         wait_for_answer(client)
         assert client.answer_count() == 1
         client.close()
 
 
-class SocketWithoutWay:
+class FailingDatagramTransport:
     """A datagram transport whose every write fails."""
 
     def write(self, datagram: bytes, peer: tuple[str, int]) -> None:
+        """Fail for lack of buffers."""
         raise OSError(errno.ENOBUFS, "no buffer")
 
 
 def test_datagrams_that_cannot_be_sent_are_lost_and_nothing_else() -> None:
-    """Raised out of a deadline, the error would end the figures, and the deadlines that are due with it."""
+    """Raised out of a deadline, the error would end the metrics, and the deadlines that are due with it."""
     deadlines = Deadlines()
-    window = ReplayWindow()
     group = GossipGroup((("127.0.0.1", 9),), b"secret" * 8)
-    gossip = ReplayGossip(window, group, deadlines, lambda: 0.0, lambda: 0.0)
-    gossip.transport = SocketWithoutWay()
+    gossip = ReplayGossip(ReplayWindow(), group, deadlines, lambda: 0.0, lambda: 0.0)
+    gossip.transport = FailingDatagramTransport()
     gossip.announce(ReplayEntry(b"k" * 16, 99.0))
     metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
     metrics._collectd = ("127.0.0.1", 9)
-    metrics._udp = SocketWithoutWay()
+    metrics._udp = FailingDatagramTransport()
     metrics.start()
     deadlines.run_due(10_000.0)
     assert gossip.counts["unsent"] == 1
     assert deadlines.next_due() == 10_000.0
 
 
-class DialTest(TestCase):
+# What an attempt is told that waits for connects which go on failing: a missing route is the server's fault
+# once the time is over, and this machine's own lack is not.
+FAULT_ATTRIBUTION = {
+    errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
+    errno.EADDRNOTAVAIL: [],
+    errno.EMFILE: [],
+}
+
+
+class FailingConnectTest(TestCase):
     timeout = 30
 
-    def test_who_is_blamed_for_dials_that_go_on_failing(self) -> None:
-        """No way there is a dial that never came up, once its time is over; our own lack is nobody's."""
-        rig = make_loopback_environment()
-        told = list[api.AttemptStatus]()
-        self.addCleanup(rig.stop)
-        pool = rig.pool
-        pool.report_to(SimpleNamespace(attempt_ended=lambda _, status, *more: told.append(status)))
-        ends = {
-            errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
-            errno.EADDRNOTAVAIL: [],
-            errno.EMFILE: [],
-        }
-        for number, end in ends.items():
-            failed = getConnectError((number, "failed"))
-            with patch.object(connect_attempt, "connect_by_deadline", lambda *_, failed=failed: fail(failed)):
-                call = ClientRequest("t1", "films", "00000000000000ff", 900.0)
-                pool.send(UpstreamRequest(1, call, api.StartAttempt("r", "edge1", 900.0, "origin")))
-                self.assertEqual(told, [])
-                rig.run_pool_deadlines(400.0)
-                self.assertEqual(told, end)
-                self.assertEqual(pool.withdraw(1), not end)
-                rig.run_pool_deadlines(900.0)  # nobody waits any more
-            self.assertIsNone(pool.upstreams["edge1"].connect_attempt)
-            told.clear()
+    def setUp(self) -> None:
+        self.environment: LoopbackEnvironment = make_loopback_environment()
+        self.addCleanup(self.environment.stop)
+        self.statuses: list[api.AttemptStatus] = []
+        outcomes = SimpleNamespace(attempt_ended=lambda _, status, *_more: self.statuses.append(status))
+        self.environment.pool.report_to(outcomes)
+
+    def test_who_is_at_fault_for_connects_that_go_on_failing(self) -> None:
+        for number, statuses in FAULT_ATTRIBUTION.items():
+            self.check_failing_connects(number, statuses)
+
+    def check_failing_connects(self, error_number: int, statuses: list[api.AttemptStatus]) -> None:
+        """Let all connects of one attempt fail, and check its statuses."""
+        pool = self.environment.pool
+        self.statuses.clear()
+        error = getConnectError((error_number, "failed"))
+        with patch.object(connect_attempt, "connect_by_deadline", lambda *_: fail(error)):
+            request = ClientRequest("t1", "films", "00000000000000ff", 900.0)
+            pool.send(UpstreamRequest(1, request, api.StartAttempt("r", "edge1", 900.0, "origin")))
+            assert self.statuses == []
+            self.environment.run_pool_deadlines(400.0)
+            assert self.statuses == statuses
+            assert pool.withdraw(1) == (not statuses)
+            # No attempt waits any more.
+            self.environment.run_pool_deadlines(900.0)
+        assert pool.upstreams["edge1"].connect_attempt is None
--- /dev/null
+++ b/tests/program/test_upstream_outcomes.py
@@ -0,0 +1,176 @@
+"""Outcomes of attempts on real sockets, and how many connections and streams they take."""
+
+from __future__ import annotations
+
+from typing import Any
+from unittest.mock import patch
+
+from fakes.event_loop import Steps
+from fakes.loopback_environment import LoopbackEnvironment, ScriptedAnswer
+from twisted.internet.defer import inlineCallbacks
+from twisted.trial.unittest import TestCase
+
+from tests.loopback import make_loopback_environment
+from thornjunction import interface as api
+from thornjunction.core.ports import ClientRequest, UpstreamRequest
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.net.upstream.dispatcher import MAX_CONNECTIONS_IF_EXHAUSTED
+from thornjunction.net.upstream.stream_ids import MAX_CANCELLED_IDS
+
+# The entity tag of the copy that the fake cache server sends.
+COPY_TAG = "t1"
+
+# What a cache server answers, the copy that the client has, and the outcome.
+OUTCOMES: list[tuple[ScriptedAnswer, str, api.AttemptStatus]] = [
+    ((b"DONE", b"x"), "", api.AttemptStatus.SUCCEEDED),
+    ((b"LACK", b""), "", api.AttemptStatus.CACHE_MISS),
+    ((b"WAIT", b""), "", api.AttemptStatus.OVERLOADED),
+    ((b"BROKE", b""), "", api.AttemptStatus.ERROR),
+    ((b"PAST", b""), "", api.AttemptStatus.NOT_STARTED),
+    # The client has no copy that it could keep.
+    ((b"KEEP", b""), "", api.AttemptStatus.ERROR),
+    # The answer names no copy.
+    ((b"KEEP", b""), COPY_TAG, api.AttemptStatus.ERROR),
+    # The answer names the client's copy.
+    ((b"KEEP", b"x"), COPY_TAG, api.AttemptStatus.SUCCEEDED),
+]
+
+
+class UpstreamOutcomesTest(TestCase):
+    timeout = 20
+
+    def setUp(self) -> None:
+        self.environment: LoopbackEnvironment = make_loopback_environment()
+        self.addCleanup(self.environment.stop)
+        self.pool = self.environment.pool
+        self.pool.report_to(self)
+        self.outcomes: list[tuple[int, api.AttemptStatus, bytes | None]] = []
+
+    def attempt_ended(
+        self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
+    ) -> None:
+        """Keep the outcome that the pool reports."""
+        self.outcomes.append((number, status, content.body if content else None))
+
+    def send(self, number: int, name: str, **fields: Any) -> None:
+        """Send an attempt to the edge."""
+        request = ClientRequest(name, "films", "00000000000000ff", 900.0, **fields)
+        self.pool.send(UpstreamRequest(number, request, api.StartAttempt("r", "edge1", 900.0, "origin")))
+
+    @inlineCallbacks
+    def send_without_answer(self, number: int, name: str) -> Steps[None]:
+        """Send an attempt that the edge does not answer, and wait until it has come there."""
+        self.environment.script = [None]
+        received = self.environment.next_request()
+        self.send(number, name)
+        yield received
+
+    @inlineCallbacks
+    def send_one_by_one(self, count: int) -> Steps[None]:
+        """Send attempts, each once the one before has come to the edge and no connect is open."""
+        for number in range(count):
+            self.send(number, f"t{number}")
+            yield self.environment.wait_until(
+                lambda number=number: len(self.environment.received_requests) == number + 1
+            )
+            yield self.environment.wait_until(lambda: self.pool.upstreams["edge1"].connect_attempt is None)
+
+    def stream_counts(self) -> list[int]:
+        """Return the streams in flight on each connection."""
+        return [len(connection.streams) for connection in self.pool.connections]
+
+    @inlineCallbacks
+    def test_each_word_has_its_end(self) -> Steps[None]:
+        for number, (answer, client_copy, status) in enumerate(OUTCOMES):
+            self.environment.script = [answer]
+            self.send(number, f"t{number}", if_none_match=client_copy)
+            yield self.environment.wait_until(lambda number=number: len(self.outcomes) > number)
+            assert self.outcomes[number][:2] == (number, status)
+
+    @inlineCallbacks
+    def test_a_broken_connection_may_have_run_and_a_refused_one_did_not(self) -> Steps[None]:
+        yield self.send_without_answer(1, "a")
+        yield self.environment.ports[0].stopListening()
+        self.environment.server_connections[0].transport.abortConnection()
+        yield self.environment.wait_until(lambda: len(self.outcomes) == 1)
+        self.send(2, "b")
+        yield self.environment.wait_until(lambda: len(self.outcomes) == 2)
+        statuses = [status for _, status, _ in self.outcomes]
+        assert statuses == [api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.CONNECTION_REFUSED]
+
+    @inlineCallbacks
+    def test_a_late_answer_is_not_taken_for_the_next_attempt_of_its_name(self) -> Steps[None]:
+        yield self.send_without_answer(1, "same")
+        self.pool.cancel(1)
+        first_connection, first_id = self.environment.received_requests[0]
+        self.environment.script = [None]
+        received = self.environment.next_request()
+        self.send(2, "same")
+        first_connection.send_answer(first_id, b"DONE", b"late")
+        yield received
+        second_connection, second_id = self.environment.received_requests[1]
+        assert second_connection is not first_connection
+        second_connection.send_answer(second_id, b"DONE", b"right")
+        yield self.environment.wait_until(lambda: self.outcomes)
+        assert self.outcomes == [(2, api.AttemptStatus.SUCCEEDED, b"right")]
+
+    @inlineCallbacks
+    def test_garbage_from_a_cache_server_ends_its_connection(self) -> Steps[None]:
+        yield self.send_without_answer(1, "a")
+        self.environment.server_connections[0].transport.write(b"*9999\r\n")
+        yield self.environment.wait_until(lambda: self.outcomes)
+        assert self.outcomes == [(1, api.AttemptStatus.CONNECTION_RESET, None)]
+
+    @inlineCallbacks
+    def test_a_length_that_swallows_the_answers_behind_it_ends_the_connection(self) -> Steps[None]:
+        """Bytes that never make an answer are no sign of life; what was in flight may have been executed."""
+        self.environment.script = [None, None]
+        for number, name in enumerate("ab"):
+            self.send(number, name)
+        yield self.environment.wait_until(lambda: len(self.environment.received_requests) == 2)
+        connection, _ = self.environment.received_requests[0]
+        connection.transport.write(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$99999\r\n")
+        connection.send_answer(b"b", b"DONE", b"swallowed")
+        yield self.environment.wait_until(
+            lambda: any(each.has_partial_response for each in self.pool.connections)
+        )
+        with patch.object(self.pool.context, "clock", lambda: core_ms() + 500.0):
+            assert self.outcomes == []
+            self.environment.timer_service.deadlines.run_due(core_ms() + 500.0)
+        yield self.environment.wait_until(lambda: len(self.outcomes) == 2)
+        assert {outcome[1:] for outcome in self.outcomes} == {(api.AttemptStatus.CONNECTION_RESET, None)}
+
+    @inlineCallbacks
+    def test_connections_share_what_is_in_flight(self) -> Steps[None]:
+        """A spoilt answer ends its connection, so not all may be in flight on one."""
+        self.environment.script = [None] * 8
+        yield self.send_one_by_one(8)
+        assert sorted(self.stream_counts()) == [2, 3, 3]
+
+    @inlineCallbacks
+    def test_where_no_connection_has_capacity_more_are_opened_up_to_a_bound(self) -> Steps[None]:
+        """Four of 32 streams are less than a large cache server's share at the peak; others were rejected."""
+        streams = self.pool.context.limits.max_streams
+        capacity = streams * MAX_CONNECTIONS_IF_EXHAUSTED
+        self.environment.script = [None] * (capacity + 1)
+        yield self.send_one_by_one(capacity)
+        assert self.stream_counts() == [streams] * MAX_CONNECTIONS_IF_EXHAUSTED
+        self.send(capacity, "past")
+        assert self.outcomes == [(capacity, api.AttemptStatus.NOT_STARTED, None)]
+
+    @inlineCallbacks
+    def test_a_connection_is_exhausted_by_what_is_cancelled_on_it(self) -> Steps[None]:
+        """The ids of what was cancelled are kept for its late answers; so many, and no more."""
+        for number in range(MAX_CANCELLED_IDS + 1):
+            self.environment.script = [None]
+            self.send(number, f"t{number}")
+            yield self.environment.wait_until(
+                lambda number=number: len(self.environment.received_requests) == number + 1
+            )
+            if number:
+                self.pool.cancel(number)
+        self.environment.script = [(b"DONE", b"x")]
+        self.send(9999, "next")
+        yield self.environment.wait_until(lambda: self.outcomes)
+        requests = self.environment.received_requests
+        assert requests[-1][0] is not requests[0][0]
--- a/tests/runtime/test_control_settings.py
+++ b/tests/runtime/test_control_settings.py
@@ -1,9 +1,10 @@
-"""The operators' ``[relay]`` and ``[control]`` sections: what is taken, and that a fault names its key."""
+"""The operators' ``[relay]`` and ``[control]`` sections: what is taken, and that a fault named_key its key."""
 
 from __future__ import annotations
 
 import json
 import os
+import re
 import subprocess
 import sys
 from pathlib import Path
@@ -20,32 +21,48 @@
 from thornjunction.settings import SettingsReader, WireError
 
 ROOT = Path(__file__).resolve().parents[2]
-RELAY: dict[str, Any] = {"listen": "127.0.0.1:8600", "name": "relay-1", "upstreams": ["127.0.0.1:8700"]}
-
-
-def written(folder: Path, more: dict[str, Any], rest: str = "") -> Path:
-    """An operators' file with a whole ``[relay]``, but for what is given."""
-    lines = [f"{key} = {json.dumps(value)}" for key, value in (RELAY | more).items() if value is not None]
+COMPLETE_RELAY: dict[str, Any] = {
+    "listen": "127.0.0.1:8600",
+    "name": "relay-1",
+    "upstreams": ["127.0.0.1:8700"],
+}
+
+
+def write_operators_file(folder: Path, changes: dict[str, Any], other_section: str = "") -> Path:
+    """Write an operators' file whose ``[relay]`` is complete except for the changes."""
+    lines = [
+        f"{key} = {json.dumps(value)}"
+        for key, value in (COMPLETE_RELAY | changes).items()
+        if value is not None
+    ]
     path = folder / "extras.toml"
-    path.write_text("\n".join(["[relay]", *lines, rest, ""]))
+    path.write_text("\n".join(["[relay]", *lines, other_section, ""]))
     return path
 
 
-def test_a_whole_relay_is_taken(tmp_path: Path) -> None:
-    more = {
+def test_a_complete_relay_is_accepted(tmp_path: Path) -> None:
+    changes = {
         "siblings": ["127.0.0.1:8601"],
         "routers": ["r1", "r2"],
         "join_ms": 0,
         "admin_addr": "127.0.0.1:9",
     }
-    told = load_relay(written(tmp_path, more), {})
-    assert told is not None
-    assert (told.listen, told.upstreams) == (("127.0.0.1", 8600), (("127.0.0.1", 8700),))
-    assert (told.siblings, told.routers, told.name) == ((("127.0.0.1", 8601),), ("r1", "r2"), "relay-1")
-    assert (told.batch_window_ms, told.purge_retention_ms, told.admin) == (0.0, 10_000.0, ("127.0.0.1", 9))
-    told = load_relay(written(tmp_path, {}), {"PROXY_ADMIN_ADDR": "127.0.0.1:7"})
-    assert told is not None
-    assert (told.batch_window_ms, told.admin) == (150.0, ("127.0.0.1", 7))
+    settings = load_relay(write_operators_file(tmp_path, changes), {})
+    assert settings is not None
+    assert (settings.listen, settings.upstreams) == (("127.0.0.1", 8600), (("127.0.0.1", 8700),))
+    assert (settings.siblings, settings.routers, settings.name) == (
+        (("127.0.0.1", 8601),),
+        ("r1", "r2"),
+        "relay-1",
+    )
+    assert (settings.batch_window_ms, settings.purge_retention_ms, settings.admin) == (
+        0.0,
+        10_000.0,
+        ("127.0.0.1", 9),
+    )
+    settings = load_relay(write_operators_file(tmp_path, {}), {"PROXY_ADMIN_ADDR": "127.0.0.1:7"})
+    assert settings is not None
+    assert (settings.batch_window_ms, settings.admin) == (150.0, ("127.0.0.1", 7))
 
 
 def test_a_file_without_the_section_is_no_relay(tmp_path: Path) -> None:
@@ -55,16 +72,16 @@
 
 
 def test_private_addresses_only_where_the_operators_say_so(tmp_path: Path) -> None:
-    more = {"listen": "10.0.0.4:8600", "private": True, "upstreams": ["10.0.0.1:8700"]}
-    told = load_relay(written(tmp_path, more), {})
-    assert told is not None
-    assert told.upstreams == (("10.0.0.1", 8700),)
-    with pytest.raises(ConfigError, match="relay.listen"):
-        load_relay(written(tmp_path, more | {"private": False}), {})
+    changes = {"listen": "10.0.0.4:8600", "private": True, "upstreams": ["10.0.0.1:8700"]}
+    settings = load_relay(write_operators_file(tmp_path, changes), {})
+    assert settings is not None
+    assert settings.upstreams == (("10.0.0.1", 8700),)
+    with pytest.raises(ConfigError, match=re.escape("relay.listen")):
+        load_relay(write_operators_file(tmp_path, changes | {"private": False}), {})
 
 
 @pytest.mark.parametrize(
-    ("more", "names"),
+    ("changes", "named_key"),
     [
         ({"listen": None}, "relay.listen"),
         ({"listen": "0.0.0.0:8600", "private": True}, "relay.listen"),
@@ -91,37 +108,37 @@
         ({"upstream": ["127.0.0.1:1"]}, "relay.upstream: no such key"),
     ],
 )
-def test_a_faulty_relay_is_named(more: dict[str, Any], names: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=names):
-        load_relay(written(tmp_path, more), {})
+def test_a_faulty_relay_is_named(changes: dict[str, Any], named_key: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=re.escape(named_key)):
+        load_relay(write_operators_file(tmp_path, changes), {})
 
 
 @pytest.mark.parametrize("other", control_settings.ROUTER_SECTIONS)
 def test_a_relay_is_nothing_else(other: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf"leave out \[{other}\]"):
-        load_relay(written(tmp_path, {}, f"[{other}]"), {})
+        load_relay(write_operators_file(tmp_path, {}, f"[{other}]"), {})
 
 
 def test_a_faulty_relay_ends_with_two(tmp_path: Path) -> None:
-    path = written(tmp_path, {"hold_ms": 5})
+    path = write_operators_file(tmp_path, {"hold_ms": 5})
     command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(path)]
-    ended = subprocess.run(
+    completed = subprocess.run(
         command, env=dict(os.environ), cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert ended.returncode == 2
-    assert "relay.hold_ms" in ended.stderr
-    assert "extras.toml" in ended.stderr
+    assert completed.returncode == 2
+    assert "relay.hold_ms" in completed.stderr
+    assert "extras.toml" in completed.stderr
 
 
 def test_a_relay_is_checked_without_starting(tmp_path: Path) -> None:
     """It has no configuration of the platform; a router does."""
-    path = written(tmp_path, {})
+    path = write_operators_file(tmp_path, {})
     runner = CliRunner()
-    checked = runner.invoke(main, ["check", "--extras", str(path)])
-    assert (checked.exit_code, checked.output) == (0, "relay-1: a relay of 1 upstreams; ok\n")
-    checked = runner.invoke(main, ["check", "--extras", str(written(tmp_path, {"listen": "x"}))])
-    assert checked.exit_code == 2
-    assert "relay.listen" in checked.output
+    result = runner.invoke(main, ["check", "--extras", str(path)])
+    assert (result.exit_code, result.output) == (0, "relay-1: a relay of 1 upstreams; ok\n")
+    result = runner.invoke(main, ["check", "--extras", str(write_operators_file(tmp_path, {"listen": "x"}))])
+    assert result.exit_code == 2
+    assert "relay.listen" in result.output
     path.write_text("")
     assert runner.invoke(main, ["check", "--extras", str(path)]).exit_code == 2
 
@@ -129,26 +146,26 @@
 def test_control_is_read_with_the_other_sections(tmp_path: Path) -> None:
     path = tmp_path / "extras.toml"
     path.write_text("[control]\nsources = ['127.0.0.1:1', '127.0.0.1:2']\n")
-    told = load_extras(path).control
-    assert told is not None
-    assert len(told.sources) == 2
+    settings = load_extras(path).control
+    assert settings is not None
+    assert len(settings.sources) == 2
     path.write_text("[control]\nsources = ['127.0.0.1:1', '8.8.8.8:2']\n")
-    with pytest.raises(ConfigError, match="control.sources"):
+    with pytest.raises(ConfigError, match=re.escape("control.sources")):
         load_extras(path)
 
 
-def control(**told: Any) -> control_settings.ControlSettings:
-    return read_control(SettingsReader(told, "control."))
+def read_section(**settings: Any) -> control_settings.ControlSettings:
+    return read_control(SettingsReader(settings, "control."))
 
 
-def test_a_whole_control_is_taken() -> None:
-    told = control(name="r1", sources=["127.0.0.1:1", "127.0.0.1:2"])
-    assert (told.name, told.sources) == ("r1", (("127.0.0.1", 1), ("127.0.0.1", 2)))
-    assert control(sources=["10.0.0.1:1"], private=True).name == ""
+def test_a_complete_control_is_accepted() -> None:
+    settings = read_section(name="r1", sources=["127.0.0.1:1", "127.0.0.1:2"])
+    assert (settings.name, settings.sources) == ("r1", (("127.0.0.1", 1), ("127.0.0.1", 2)))
+    assert read_section(sources=["10.0.0.1:1"], private=True).name == ""
 
 
 @pytest.mark.parametrize(
-    ("told", "names"),
+    ("settings", "named_key"),
     [
         ({}, "control.sources"),
         ({"sources": []}, "control.sources"),
@@ -158,6 +175,6 @@
         ({"sources": ["127.0.0.1:1"], "nam": "ab"}, "control.nam: no such key"),
     ],
 )
-def test_a_faulty_control_is_named(told: dict[str, Any], names: str) -> None:
-    with pytest.raises((ConfigError, WireError), match=names):
-        control(**told)
+def test_a_faulty_control_is_named(settings: dict[str, Any], named_key: str) -> None:
+    with pytest.raises((ConfigError, WireError), match=re.escape(named_key)):
+        read_section(**settings)
--- a/tests/runtime/test_durable.py
+++ b/tests/runtime/test_durable.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import errno
+import itertools
 import os
 from pathlib import Path
 from typing import Any
@@ -10,51 +11,64 @@
 
 import pytest
 
-from tests.runtime.test_fleet import life
+from tests.runtime.test_fleet import start_incarnation
 from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.incarnation import INCARNATION_STEP
 
-OLD = b"old" * 1000
-NEW = b"new" * 1000
+OLD_CONTENT = b"old" * 1000
+NEW_CONTENT = b"new" * 1000
+
+# Bytes that a short write takes.
+SHORT_WRITE_BYTES = 10
+
+# The steps of a replacement: a call of ``os``, and which of its uses.
 STEPS = [("open", 0), ("write", 0), ("write", 1), ("fsync", 0), ("replace", 0), ("open", 1), ("fsync", 1)]
-LAST = STEPS[5:]  # behind the rename
+
+# The steps after the rename.
+STEPS_AFTER_RENAME = STEPS[5:]
 
 
-class Killed(BaseException):
-    """The process ends here."""
+class ProcessKilledError(BaseException):
+    """The process ends at this step."""
 
 
-FAULTS = [OSError(errno.ENOSPC, "full"), OSError(errno.EIO, "broken"), Killed()]
+FAULTS = {
+    "full": OSError(errno.ENOSPC, "full"),
+    "broken": OSError(errno.EIO, "broken"),
+    "killed": ProcessKilledError(),
+}
 
 
-def failing(name: str, at: int, fault: BaseException) -> Any:
-    """The call of ``os`` in its so-manieth use; each write before it is short."""
-    real = getattr(os, name)
-    used = [0]
+def fail_at(name: str, use: int, fault: BaseException) -> Any:
+    """Patch a call of ``os`` so that it fails from that use on; each write before is short."""
+    real_call = getattr(os, name)
+    uses = itertools.count()
 
-    def call(*args: Any, **more: Any) -> Any:
-        used[0] += 1
-        if used[0] > at:
+    def call(*arguments: Any, **options: Any) -> Any:
+        if next(uses) >= use:
             raise fault
-        return real(args[0], args[1][:10]) if name == "write" else real(*args, **more)
+        if name == "write":
+            descriptor, data = arguments
+            return real_call(descriptor, data[:SHORT_WRITE_BYTES])
+        return real_call(*arguments, **options)
 
     return patch.object(os, name, call)
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=["full", "broken", "killed"])
-@pytest.mark.parametrize(("name", "at"), STEPS)
+@pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
+@pytest.mark.parametrize(("name", "use"), STEPS)
 def test_a_reader_finds_the_old_content_or_the_new(
-    name: str, at: int, fault: BaseException, tmp_path: Path
+    name: str, use: int, fault: BaseException, tmp_path: Path
 ) -> None:
     path = tmp_path / "file"
-    replace_file(path, OLD)
-    with failing(name, at, fault), pytest.raises(type(fault)):
-        replace_file(path, NEW)
-    assert path.read_bytes() == (NEW if (name, at) in LAST else OLD)
+    replace_file(path, OLD_CONTENT)
+    with fail_at(name, use, fault), pytest.raises(type(fault)):
+        replace_file(path, NEW_CONTENT)
+    assert path.read_bytes() == (NEW_CONTENT if (name, use) in STEPS_AFTER_RENAME else OLD_CONTENT)
     if isinstance(fault, OSError):
         assert [found.name for found in tmp_path.iterdir()] == ["file"]
-    replace_file(path, NEW, mode=0o600)
-    assert (path.read_bytes(), path.stat().st_mode & 0o777) == (NEW, 0o600)
+    replace_file(path, NEW_CONTENT, mode=0o600)
+    assert (path.read_bytes(), path.stat().st_mode & 0o777) == (NEW_CONTENT, 0o600)
 
 
 def test_short_writes_are_gone_on_with_and_the_order_is_durable(tmp_path: Path) -> None:
@@ -69,20 +83,20 @@
         ),
         patch.object(os, "replace", lambda old, new: (done.append("rename"), os.rename(old, new))),
     ):
-        replace_file(tmp_path / "file", OLD)
-    assert (tmp_path / "file").read_bytes() == OLD
+        replace_file(tmp_path / "file", OLD_CONTENT)
+    assert (tmp_path / "file").read_bytes() == OLD_CONTENT
     assert done == ["file", "rename", "folder"]
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=["full", "broken", "killed"])
-@pytest.mark.parametrize(("name", "at"), STEPS)
-def test_lives_go_on_above_what_was_kept(name: str, at: int, fault: BaseException, tmp_path: Path) -> None:
-    """What one life could not write costs no start and leaves the next one above all that was kept."""
-    life(tmp_path, 5e6)
+@pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
+@pytest.mark.parametrize(("name", "use"), STEPS)
+def test_lives_go_on_above_what_was_kept(name: str, use: int, fault: BaseException, tmp_path: Path) -> None:
+    """What one start_incarnation could not write costs no start and leaves the next one above all that was kept."""
+    start_incarnation(tmp_path, 5e6)
     try:
-        with failing(name, at, fault):
-            life(tmp_path, 4e6)
-    except Killed:
+        with fail_at(name, use, fault):
+            start_incarnation(tmp_path, 4e6)
+    except ProcessKilledError:
         pass
-    kept = 5_000_000 + INCARNATION_STEP * ((name, at) in LAST)
-    assert life(tmp_path, 4e6) == kept + INCARNATION_STEP
+    last_kept = 5_000_000 + INCARNATION_STEP * ((name, use) in STEPS_AFTER_RENAME)
+    assert start_incarnation(tmp_path, 4e6) == last_kept + INCARNATION_STEP
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import re
 from pathlib import Path
 from typing import Any
 from unittest.mock import Mock
@@ -20,7 +21,7 @@
 from thornjunction.runtime.extras import load_extras
 from thornjunction.runtime.incarnation import INCARNATION_STEP, next_incarnation
 
-FULL: dict[str, Any] = {
+COMPLETE_SECTION: dict[str, Any] = {
     "listen": "127.0.0.1:8500",
     "fleet": "north",
     "secret_file": "key",
@@ -36,10 +37,10 @@
     return json.dumps(value)
 
 
-def written(folder: Path, secret: bytes = b"s" * 32, **more: Any) -> Path:
-    """An operators' file with a whole section, but for what is given."""
-    told = FULL | more
-    lines = ["[fleet]", *(f"{key} = {toml(value)}" for key, value in told.items() if value is not None)]
+def write_operators_file(folder: Path, secret: bytes = b"s" * 32, **changes: Any) -> Path:
+    """Write an operators' file whose section is complete except for the changes."""
+    settings = COMPLETE_SECTION | changes
+    lines = ["[fleet]", *(f"{key} = {toml(value)}" for key, value in settings.items() if value is not None)]
     (folder / "key").write_bytes(secret)
     path = folder / "extras.toml"
     path.write_text(
@@ -48,18 +49,20 @@
     return path
 
 
-def test_a_whole_section_is_taken(tmp_path: Path) -> None:
-    told = load_extras(written(tmp_path, timings={"probe_every_ms": 200.5, "indirect": 2})).fleet
-    assert told is not None
-    assert told.advertise == told.listen == ("127.0.0.1", 8500)
-    assert (told.fleet, told.name, told.data) == ("north", "", tmp_path / "data")
-    assert told.timings == {"probe_every_ms": 200.5, "indirect": 2}
-    assert told.voters == ("r1", "r2", "r3")
-    assert "sss" not in repr(told)
+def test_a_complete_section_is_accepted(tmp_path: Path) -> None:
+    settings = load_extras(
+        write_operators_file(tmp_path, timings={"probe_every_ms": 200.5, "indirect": 2})
+    ).fleet
+    assert settings is not None
+    assert settings.advertise == settings.listen == ("127.0.0.1", 8500)
+    assert (settings.fleet, settings.name, settings.data) == ("north", "", tmp_path / "data")
+    assert settings.timings == {"probe_every_ms": 200.5, "indirect": 2}
+    assert settings.voters == ("r1", "r2", "r3")
+    assert "sss" not in repr(settings)
 
 
 @pytest.mark.parametrize(
-    ("more", "names"),
+    ("changes", "named_key"),
     [
         ({"listen": "10.0.0.4:8500"}, "fleet.listen"),
         ({"listen": "0.0.0.0:8500", "private": True}, "fleet.listen"),
@@ -77,26 +80,26 @@
         ({"timings": {"indirect": "x"}}, "timings.indirect"),
     ],
 )
-def test_a_faulty_section_is_named(more: dict[str, Any], names: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=names):
-        load_extras(written(tmp_path, **more))
+def test_a_faulty_section_is_named(changes: dict[str, Any], named_key: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=re.escape(named_key)):
+        load_extras(write_operators_file(tmp_path, **changes))
 
 
 def test_private_addresses_only_where_the_operators_say_so(tmp_path: Path) -> None:
-    path = written(tmp_path, listen="10.0.0.4:8500", private=True, advertise="10.0.0.5:8501")
-    told = load_extras(path).fleet
-    assert told is not None
-    assert (told.listen, told.advertise) == (("10.0.0.4", 8500), ("10.0.0.5", 8501))
+    path = write_operators_file(tmp_path, listen="10.0.0.4:8500", private=True, advertise="10.0.0.5:8501")
+    settings = load_extras(path).fleet
+    assert settings is not None
+    assert (settings.listen, settings.advertise) == (("10.0.0.4", 8500), ("10.0.0.5", 8501))
 
 
-def life(folder: Path, now: float = 5e6, fleet: str = "north", name: str = "r1") -> int:
+def start_incarnation(folder: Path, now: float = 5e6, fleet: str = "north", name: str = "r1") -> int:
     return next_incarnation(folder, fleet, name, lambda: now)
 
 
 def test_each_life_has_a_higher_incarnation(tmp_path: Path) -> None:
     """Also where the clock stands or was set back; and the file holds what was taken."""
     folder = tmp_path / "data"
-    first, second, third, fourth = (life(folder, now) for now in (5e6, 5e6, 4e6, 9e6))
+    first, second, third, fourth = (start_incarnation(folder, now) for now in (5e6, 5e6, 4e6, 9e6))
     assert (first, second, third, fourth) == (
         5_000_000,
         first + INCARNATION_STEP,
@@ -105,11 +108,10 @@
     )
 
 
-NEWER = {"format": 2, "fleet": "north", "name": "r1", "incarnation": 1}
-SPOILT: dict[str, Any] = {
+SPOILT_FILES: dict[str, Any] = {
     "missing": lambda path: path.unlink(),
     "torn": lambda path: path.write_bytes(path.read_bytes()[:20]),
-    "of another": lambda path: life(path.parent, 1e9, name="r2"),
+    "of another": lambda path: start_incarnation(path.parent, 1e9, name="r2"),
     "of format": lambda path: incarnation._write(
         path, {"format": 2, "fleet": "", "name": "", "incarnation": 1}
     ),
@@ -117,33 +119,33 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
+@pytest.mark.parametrize("spoilt", SPOILT_FILES)
 def test_a_file_that_can_not_be_used_is_named_and_the_clock_stands_in(spoilt: str, tmp_path: Path) -> None:
-    life(tmp_path, 5e6)
-    SPOILT[spoilt](tmp_path / "incarnation")
-    with pytest.raises(incarnation.IncarnationError, match=spoilt):
+    start_incarnation(tmp_path, 5e6)
+    SPOILT_FILES[spoilt](tmp_path / "incarnation")
+    with pytest.raises(incarnation.IncarnationError, match=re.escape(spoilt)):
         incarnation._read(tmp_path / "incarnation", incarnation.Member("north", "r1"))
-    assert life(tmp_path, 6e6) == 6_000_000
-    assert life(tmp_path, 6e6) == 6_000_000 + INCARNATION_STEP
+    assert start_incarnation(tmp_path, 6e6) == 6_000_000
+    assert start_incarnation(tmp_path, 6e6) == 6_000_000 + INCARNATION_STEP
 
 
 def test_a_folder_that_can_not_be_written_costs_no_start(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    assert life(tmp_path / "file", 6e6) == 6_000_000
+    assert start_incarnation(tmp_path / "file", 6e6) == 6_000_000
 
 
-class Reactor:
-    """Hands out one UDP port, which is taken at first."""
+class FakeUdpReactor:
+    """Gives out one UDP port, after so many refusals."""
 
     def __init__(self, refusals: int = 0) -> None:
         self.refusals = refusals
-        self.asked = 0
+        self.listen_count = 0
         self.sent = list[tuple[bytes, Any]]()
         self.closed = False
 
-    def listenUDP(self, port: int, protocol: Any, **_: Any) -> Reactor:  # noqa: N802
-        self.asked += 1
-        if self.asked <= self.refusals:
+    def listenUDP(self, port: int, protocol: Any, **_: Any) -> FakeUdpReactor:  # noqa: N802
+        self.listen_count += 1
+        if self.listen_count <= self.refusals:
             raise CannotListenError("127.0.0.1", port, OSError("taken"))
         protocol.makeConnection(self)
         return self
@@ -158,63 +160,65 @@
         self.closed = True
 
 
-class Member:
-    """A router's membership on a fake reactor, and its log."""
+class LoggedMember:
+    """A router's membership on a fake reactor, with the log events that it writes."""
 
-    def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch, refusals: int = 0, **more: Any) -> None:
+    def __init__(
+        self, folder: Path, monkeypatch: pytest.MonkeyPatch, refusals: int = 0, **changes: Any
+    ) -> None:
         self.log = Mock()
-        self.reactor = Reactor(refusals)
+        self.reactor = FakeUdpReactor(refusals)
         self.deadlines = Deadlines()
         monkeypatch.setattr(fleet, "log", self.log)
-        told = load_extras(written(folder, **more)).fleet
-        assert told is not None
-        self.fleet = fleet.FleetMember(told, "r1", self.deadlines)
+        settings = load_extras(write_operators_file(folder, **changes)).fleet
+        assert settings is not None
+        self.fleet = fleet.FleetMember(settings, "r1", self.deadlines)
         self.fleet.listen(self.reactor)
 
-    def noted(self, word: str) -> list[dict[str, Any]]:
+    def logged(self, event: str) -> list[dict[str, Any]]:
         calls = self.log.info.call_args_list + self.log.warning.call_args_list
-        return [call.kwargs for call in calls if call.args[0] == word]
+        return [call.kwargs for call in calls if call.args[0] == event]
 
 
 def test_a_router_joins_and_leaves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    member = Member(tmp_path, monkeypatch)
+    member = LoggedMember(tmp_path, monkeypatch)
     assert {to for _, to in member.reactor.sent} == {("127.0.0.1", 8501)}
     lines = member.fleet.view().decode().splitlines()
     number = member.fleet.membership.view(core_ms()).members["r1"].incarnation
     assert lines == ["ACK", f"member r1 alive {number}", "mode rejoining", "majority 0", "--"]
     member.fleet.leave()
     assert member.reactor.closed
-    assert member.noted("member")[-1]["state"] == "left"
+    assert member.logged("member")[-1]["state"] == "left"
 
 
 def test_a_port_that_another_process_still_holds_is_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    member = Member(tmp_path, monkeypatch, refusals=2)
+    member = LoggedMember(tmp_path, monkeypatch, refusals=2)
     for _ in range(2):
         assert not member.reactor.sent
         member.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
     assert member.reactor.sent
-    assert len(member.noted("fleet-listening")) == 1
-    gone = Member(tmp_path, monkeypatch, refusals=9)
+    assert len(member.logged("fleet-listening")) == 1
+    gone = LoggedMember(tmp_path, monkeypatch, refusals=9)
     gone.fleet.leave()
     gone.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
-    assert gone.reactor.asked == 1
+    assert gone.reactor.listen_count == 1
     assert gone.fleet.port.counters == EndpointCounters()
 
 
 def test_what_is_refused_is_logged_sparsely(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    member = Member(tmp_path, monkeypatch)
+    member = LoggedMember(tmp_path, monkeypatch)
     for _ in range(9):
         member.fleet.port.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
     member.fleet.port.on_notice(Notice("unknown", {}))
-    assert [noted["times"] for noted in member.noted("refused")] == [1, 2, 4, 8]
-    assert not member.noted("unknown")
+    assert [noted["times"] for noted in member.logged("refused")] == [1, 2, 4, 8]
+    assert not member.logged("unknown")
 
 
 def test_timings_that_the_machine_does_not_take_are_named(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for timings in ({"probe_ever_ms": 5}, {"probe_timeout_ms": 5000}, {"secret": 5}):
-        with pytest.raises(ConfigError, match="fleet.timings"):
-            Member(tmp_path, monkeypatch, timings=timings)
+        with pytest.raises(ConfigError, match=re.escape("fleet.timings")):
+            LoggedMember(tmp_path, monkeypatch, timings=timings)
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -1,23 +1,16 @@
-"""Two processes on one listening socket: who has a successor leaves new connections to it."""
+"""Two processes on one listening socket: the one that has a successor leaves new connections to it."""
 
 from __future__ import annotations
 
 import errno
-import json
-import os
 import signal
-import socket
-import subprocess
-import sys
 from pathlib import Path
 from unittest.mock import patch
 
-from fakes.raw_socket import bound_address, call_admin, connect_when_listening
+from fakes.raw_socket import bound_address, connect_when_listening
 
 from tests.core.test_engine import CONFIG
-from tests.net.wire.test_codecs import asked
-from tests.program.test_program import ROOT
-from thornjunction.net.wire import fastcgi
+from tests.program.router_program import EXIT_TIMEOUT_S, RouterProgram, fetch_check, listen_on_loopback
 from thornjunction.runtime.handover import Handover
 
 
@@ -57,67 +50,18 @@
         assert not alone.has_successor()
 
 
-def check(client: socket.socket) -> bytes:
-    """What /check says on this connection."""
-    client.sendall(asked(1, {"SCRIPT_NAME": "/check"}, b""))
-    records = []
-    reader = fastcgi.RecordReader()
-    while not records or records[-1].kind != fastcgi.RecordType.END:
-        records += reader.feed(client.recv(4096))
-    return records[0].content
-
-
-class Program:
-    """The program on a listening socket that it inherits, with a door of its own."""
-
-    def __init__(
-        self,
-        folder: Path,
-        shared: socket.socket,
-        config: dict[str, object],
-        module: str = "thornjunction",
-        **environ: str,
-    ) -> None:
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            self.door = bound_address(free)
-        path = folder / "config.json"
-        path.write_text(json.dumps(config))
-        env = os.environ | {"PROXY_CONFIG": str(path), "PROXY_ADMIN_ADDR": self.door, "TMPDIR": str(folder)}
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", module],
-            env=env | {"PROXY_SOCKET_FD": str(shared.fileno())} | environ,
-            cwd=ROOT,
-            pass_fds=[shared.fileno()],
-            stderr=subprocess.DEVNULL,
-        )
-        connect_when_listening(self.door).close()
-        while call_admin(self.door, "check") != "ACK\n":  # the command channel never answers here
-            pass
-
-
 def test_a_process_is_replaced_on_its_listening_socket(tmp_path: Path) -> None:
-    """The old one exits, the socket stays, and a connection that it still holds hears no 'no'."""
-    with (
-        socket.create_server(("127.0.0.1", 0)) as shared,
-        socket.create_server(("127.0.0.1", 0)) as channel,
-    ):
+    """The old one exits, the socket stays, and a connection that it has open is closed in order."""
+    with listen_on_loopback() as shared, listen_on_loopback() as channel:
         config = CONFIG | {"listen": bound_address(shared), "channel": bound_address(channel)}
-        old = Program(tmp_path, shared, config)
-        programs = [old.process]
-        try:
-            kept = connect_when_listening(bound_address(shared))
-            assert check(kept) == b"Status: 200\r\n\r\n"
-            new = Program(tmp_path, shared, config)
-            programs.append(new.process)
-            old.process.send_signal(signal.SIGTERM)
-            assert kept.recv(1) == b""
-            kept.close()
-            assert old.process.wait(20) == 0
-            with connect_when_listening(bound_address(shared)) as client:
-                assert check(client) == b"Status: 200\r\n\r\n"
-            assert new.process.poll() is None
-        finally:
-            for process in programs:
-                process.kill()
-                process.wait()
+        with RouterProgram(tmp_path, shared, config) as old:
+            open_connection = connect_when_listening(bound_address(shared))
+            assert fetch_check(open_connection) == b"Status: 200\r\n\r\n"
+            with RouterProgram(tmp_path, shared, config) as new:
+                old.process.send_signal(signal.SIGTERM)
+                assert open_connection.recv(1) == b""
+                open_connection.close()
+                assert old.process.wait(EXIT_TIMEOUT_S) == 0
+                with connect_when_listening(bound_address(shared)) as client:
+                    assert fetch_check(client) == b"Status: 200\r\n\r\n"
+                assert new.process.poll() is None
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -63,23 +63,23 @@
     assert set(latencies) == set(sizes) == {"keyed", "order"}
 
 
-def config_with(**changed: Any) -> bytes:
-    """The configuration with changes, by the path of a key; None takes the key away."""
-    told = json.loads(json.dumps(CONFIG))
-    for path, value in changed.items():
-        *way, last = path.split("__")
-        place: Any = told
-        for step in way:
+def config_with(**changes: Any) -> bytes:
+    """Return the configuration with changes, by the path of a key; None removes the key."""
+    config = json.loads(json.dumps(CONFIG))
+    for path, value in changes.items():
+        *parents, key = path.split("__")
+        place: Any = config
+        for step in parents:
             place = place[int(step) if step.isdigit() else step]
         if value is None:
-            del place[last]
+            del place[key]
         else:
-            place[last] = value
-    return json.dumps(told).encode()
+            place[key] = value
+    return json.dumps(config).encode()
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "named_key"),
     [
         ("settings", None, "settings"),
         ("channel", None, "channel"),
@@ -105,13 +105,13 @@
         ("known__cmds", [{"cursor": 1, "nodes": {"hosts": [{"host": "a"}]}}], "known"),
     ],
 )
-def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named: str) -> None:
+def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named_key: str) -> None:
     running = parse_config(config_with(), {})
-    with pytest.raises(ConfigError, match=named):
+    with pytest.raises(ConfigError, match=named_key):
         check_complete(running, parse_config(config_with(**{path: value}), {}))
 
 
-def test_a_whole_file_is_taken() -> None:
+def test_a_complete_file_is_accepted() -> None:
     running = parse_config(config_with(), {})
     fresh = parse_config(config_with(settings__allowed__attemptsCap=2, channel="127.0.0.1:5"), {})
     check_complete(running, fresh)
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -1,21 +1,22 @@
-"""TLS of the second front: a certificate changed in service reaches new connections only, and a broken pair
-changes nothing.
-"""
+"""TLS of the signed front: a new certificate reaches new connections only, a faulty pair changes nothing."""
 
 from __future__ import annotations
 
 import datetime
 import socket
 import tempfile
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 from unittest.mock import patch
 
+import pytest
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 from fakes.clients import HttpClient
+from fakes.event_loop import Steps
+from fakes.loopback_environment import LoopbackEnvironment
 from OpenSSL import SSL
 from twisted.internet import protocol, reactor, ssl, threads
 from twisted.internet.defer import Deferred, inlineCallbacks
@@ -30,162 +31,196 @@
 from thornjunction.runtime.signed_settings import TlsFiles
 from thornjunction.runtime.tls import CertificateReloader
 
+# The moment from which certificates are valid, and for how long.
+VALID_FROM = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
+VALIDITY = datetime.timedelta(days=3650)
 
-def pair(name: str) -> tuple[bytes, bytes]:
-    """A self-signed certificate for a name, and its key, as PEM."""
-    key = ec.generate_private_key(ec.SECP256R1())
-    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-    now = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
-    built = x509.CertificateBuilder().subject_name(subject).issuer_name(subject).public_key(key.public_key())
-    built = built.serial_number(1).not_valid_before(now).not_valid_after(now + datetime.timedelta(days=3650))
-    cert = built.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
-    pem = serialization.Encoding.PEM
-    pkcs8 = serialization.PrivateFormat.PKCS8
-    return cert, key.private_bytes(pem, pkcs8, serialization.NoEncryption())
-
+READ_BYTES = 10
 
-class Echo(protocol.Protocol):
-    """Echoes; ``made`` is called once the TLS connection exists and before its handshake is done."""
 
-    def __init__(self, made: Any) -> None:
-        self.made = made
+def make_key_pair(name: str) -> tuple[bytes, bytes]:
+    """Return a self-signed certificate for a name, and its key, as PEM."""
+    key = ec.generate_private_key(ec.SECP256R1())
+    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
+    builder = (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(subject)
+        .public_key(key.public_key())
+        .serial_number(1)
+        .not_valid_before(VALID_FROM)
+        .not_valid_after(VALID_FROM + VALIDITY)
+    )
+    certificate = builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+    key_text = key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
+    return certificate, key_text
+
+
+class EchoServer(protocol.Protocol):
+    """Echoes; ``on_accept`` is called once the TLS connection exists and before its handshake is done."""
+
+    def __init__(self, on_accept: Callable[[], None]) -> None:
+        self._on_accept = on_accept
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.made()
+        """Call ``on_accept``."""
+        self._on_accept()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Send the bytes back."""
         self.transport.write(data)
 
 
-class Asker(protocol.Protocol):
-    """Sends a word and keeps the name on the server's certificate once the echo is back."""
+class CertificateClient(protocol.Protocol):
+    """Sends bytes; ``certificate_name`` fires with the name on the server's certificate at each echo."""
 
     def __init__(self) -> None:
-        self.heard: Deferred[str] = Deferred()
+        self.certificate_name: Deferred[str] = Deferred()
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Send the first bytes."""
         self.transport.write(b"ping")
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Fire with the name, and prepare for the next echo."""
         subject = self.transport.getPeerCertificate().to_cryptography().subject
         name = subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
-        heard = self.heard
-        self.heard = Deferred()
-        heard.callback(name)
+        waiter = self.certificate_name
+        self.certificate_name = Deferred()
+        waiter.callback(name)
 
 
 class TlsTest(TestCase):
     timeout = 20
 
     def setUp(self) -> None:
-        temporary = tempfile.TemporaryDirectory()  # trial's own mktemp() leaves keys in the working folder
+        # Trial's own mktemp() leaves keys in the working folder.
+        temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
-        self.folder = Path(temporary.name)
-        self.files = TlsFiles(self.folder / "cert.pem", self.folder / "key.pem")
-        self.write("one")
-        self.watch = CertificateReloader(self.files)
-        self.swap_at_accept = ""
-        server = protocol.Factory.forProtocol(lambda: Echo(self._swap))
-        self.port = reactor.listenSSL(0, server, self.watch, interface="127.0.0.1")
+        folder = Path(temporary.name)
+        self.files = TlsFiles(folder / "cert.pem", folder / "key.pem")
+        self.write_pair("one")
+        self.reloader = CertificateReloader(self.files)
+        self.pair_at_accept = ""
+        server = protocol.Factory.forProtocol(lambda: EchoServer(self.swap_pair))
+        self.port = reactor.listenSSL(0, server, self.reloader, interface="127.0.0.1")
         self.addCleanup(self.port.stopListening)
 
-    def write(self, name: str, key_of: str = "") -> None:
-        cert, key = pair(name)
-        self.files.cert.write_bytes(cert)
-        self.files.key.write_bytes(pair(key_of)[1] if key_of else key)
+    def write_pair(self, name: str, key_of: str = "") -> None:
+        """Write the certificate for a name, with the key of that name or another one."""
+        certificate, key = make_key_pair(name)
+        self.files.cert.write_bytes(certificate)
+        self.files.key.write_bytes(make_key_pair(key_of)[1] if key_of else key)
 
-    def _swap(self) -> None:
-        if self.swap_at_accept:
-            self.write(self.swap_at_accept)
-            self.watch.reload()
-            self.swap_at_accept = ""
+    def reload_pair(self, name: str, key_of: str = "") -> None:
+        """Write a pair and have it read."""
+        self.write_pair(name, key_of)
+        self.reloader.reload()
+
+    def swap_pair(self) -> None:
+        """Reload another pair during a handshake, where the test asks for it."""
+        if self.pair_at_accept:
+            self.reload_pair(self.pair_at_accept)
+            self.pair_at_accept = ""
 
     @inlineCallbacks
-    def connect(self) -> Any:
-        asker = Asker()
-        factory = protocol.ClientFactory.forProtocol(lambda: asker)
-        connector = reactor.connectSSL(
-            "127.0.0.1", self.port.getHost().port, factory, ssl.CertificateOptions()
-        )
+    def connect(self) -> Steps[tuple[CertificateClient, str]]:
+        """Connect, and return the client and the name on the server's certificate."""
+        client = CertificateClient()
+        factory = protocol.ClientFactory.forProtocol(lambda: client)
+        options = ssl.CertificateOptions()
+        connector = reactor.connectSSL("127.0.0.1", self.port.getHost().port, factory, options)
         self.addCleanup(connector.disconnect)
-        name = yield asker.heard
-        return asker, name
+        name = yield client.certificate_name
+        return client, name
 
     @inlineCallbacks
-    def test_new_connections_take_the_new_pair_and_open_ones_keep_theirs(self) -> Any:
+    def test_new_connections_take_the_new_pair_and_open_ones_keep_theirs(self) -> Steps[None]:
         first, name = yield self.connect()
-        self.assertEqual(name, "one")
-        self.write("two")
-        self.watch.reload()
-        heard = first.heard
+        assert name == "one"
+        self.reload_pair("two")
+        name_of_open_connection = first.certificate_name
         first.transport.write(b"again")
-        self.assertEqual((yield heard), "one")  # not dropped, and still the old certificate
+        assert (yield name_of_open_connection) == "one"
         _, name = yield self.connect()
-        self.assertEqual(name, "two")
-        self.write("three", key_of="else")  # a key that is not the certificate's
-        self.watch.reload()
+        assert name == "two"
+        self.reload_pair("three", key_of="else")
         _, name = yield self.connect()
-        self.assertEqual(name, "two")
-        self.swap_at_accept = "four"  # swapped while the handshake is under way
+        assert name == "two"
+        self.pair_at_accept = "four"
         _, name = yield self.connect()
-        _, after = yield self.connect()
-        self.assertEqual((name, after), ("two", "four"))
-        self.assertEqual(dict(self.watch.counts), {"accepted": 3, "refused": 1})
+        _, next_name = yield self.connect()
+        assert (name, next_name) == ("two", "four")
+        assert dict(self.reloader.counts) == {"accepted": 3, "refused": 1}
 
     @inlineCallbacks
-    def test_the_second_front_serves_a_signed_url_over_tls(self) -> Any:
-        rig = make_loopback_environment()
-        self.addCleanup(rig.stop)
-        build = BuildFactory(
-            lambda: SignedConnection(
-                rig.downstream_table, rig.timer_service.deadlines, core_ms, rig.signed_context
-            )
+    def connect_to_signed_front(self, environment: LoopbackEnvironment) -> Steps[HttpClient]:
+        """Listen for TLS with a signed front of the environment, and connect a client."""
+        deadlines = environment.timer_service.deadlines
+        table = environment.downstream_table
+        factory = BuildFactory(
+            lambda: SignedConnection(table, deadlines, core_ms, environment.signed_context)
         )
-        rig.ports.append(reactor.listenSSL(0, build, self.watch, interface="127.0.0.1"))
-        port = rig.ports[-1].getHost().port
-        endpoint = SSL4ClientEndpoint(reactor, "127.0.0.1", port, ssl.CertificateOptions())
+        port = reactor.listenSSL(0, factory, self.reloader, interface="127.0.0.1")
+        environment.ports.append(port)
+        options = ssl.CertificateOptions()
+        endpoint = SSL4ClientEndpoint(reactor, "127.0.0.1", port.getHost().port, options)
         client = yield endpoint.connect(protocol.Factory.forProtocol(HttpClient))
-        client.send_request(rig.sign_target(CLIP))
+        return client
+
+    @inlineCallbacks
+    def test_the_second_front_serves_a_signed_url_over_tls(self) -> Steps[None]:
+        environment = make_loopback_environment()
+        self.addCleanup(environment.stop)
+        client = yield self.connect_to_signed_front(environment)
+        client.send_request(environment.sign_target(CLIP))
         (response,) = yield client.wait_for_answers(1)
-        self.assertEqual((response.status, response.body), (200, b"wave"))
-        below = client.transport.transport  # a request and its client's end lie there before the router looks
-        with patch.object(rig.engine, "open") as opened:
-            client.send_request(rig.sign_target(CLIP))
-            client.transport._aggregator.flush()  # Twisted puts small writes together
-            below.doWrite()
-            below.socket.shutdown(socket.SHUT_WR)
-            yield rig.wait_until(lambda: not rig.downstream_table.connected)
+        assert (response.status, response.body) == (200, b"wave")
+        with patch.object(environment.engine, "open") as opened:
+            self.send_request_and_shut_down(client, environment.sign_target(CLIP))
+            yield environment.wait_until(lambda: not environment.downstream_table.connected)
         opened.assert_not_called()
         client.transport.loseConnection()
         yield client.connection_lost
 
+    def send_request_and_shut_down(self, client: HttpClient, target: str) -> None:
+        """Let a request and its client's end arrive before the router reads either."""
+        tcp_transport = client.transport.transport
+        client.send_request(target)
+        # Twisted puts small writes together.
+        client.transport._aggregator.flush()
+        tcp_transport.doWrite()
+        tcp_transport.socket.shutdown(socket.SHUT_WR)
+
     @inlineCallbacks
-    def test_renegotiation_is_refused_and_the_server_goes_on(self) -> Any:
-        """A client that asks to renegotiate TLS 1.2 is told no and its connection ends; others go on."""
-        told = yield threads.deferToThread(renegotiate, ("127.0.0.1", self.port.getHost().port))
-        self.assertEqual(told, ("a", "no renegotiation"))
+    def test_renegotiation_is_refused_and_the_server_goes_on(self) -> Steps[None]:
+        """The connection of a client that asks to renegotiate TLS 1.2 ends; others go on."""
+        result = yield threads.deferToThread(renegotiate, ("127.0.0.1", self.port.getHost().port))
+        assert result == ("a", "no renegotiation")
         _, name = yield self.connect()
-        self.assertEqual(name, "one")
+        assert name == "one"
 
     def test_a_pair_that_cannot_serve_stops_the_start(self) -> None:
-        self.write("five", key_of="else")
-        with self.assertRaises(TlsError):
+        self.write_pair("five", key_of="else")
+        with pytest.raises(TlsError):
             CertificateReloader(self.files)
 
 
 def renegotiate(address: tuple[str, int]) -> tuple[str, str]:
-    """A blocking TLS 1.2 client: what it heard first, and the error of its renegotiation."""
+    """Act as a blocking TLS 1.2 client; return its first echo, and the error of its renegotiation."""
     context = SSL.Context(SSL.TLS_CLIENT_METHOD)
     context.set_max_proto_version(SSL.TLS1_2_VERSION)
-    with socket.create_connection(address) as plain:
-        client = SSL.Connection(context, plain)
+    with socket.create_connection(address) as tcp_connection:
+        client = SSL.Connection(context, tcp_connection)
         client.set_connect_state()
         client.send(b"a")
-        heard = client.recv(10).decode()
+        echo = client.recv(READ_BYTES).decode()
         client.renegotiate()
         try:
             client.do_handshake()
             client.send(b"b")
-            return heard, client.recv(10).decode()
+            return echo, client.recv(READ_BYTES).decode()
         except SSL.Error as error:
-            return heard, str(error.args[0][0][2])
+            return echo, str(error.args[0][0][2])
