--- a/thornjunction/net/upstream/dispatcher.py
+++ b/thornjunction/net/upstream/dispatcher.py
@@ -36,6 +36,8 @@
 class Dispatcher:
     """Writes each stream to the least loaded connection, or opens one for it.
 
+    It is the owner of all connections, and the listener of the connector.
+
     Args:
         context: surroundings of the pool's parts.
         upstreams: the servers of the endpoint list, by name; the caller changes them.
--- a/thornjunction/net/upstream/health_checks.py
+++ b/thornjunction/net/upstream/health_checks.py
@@ -33,12 +33,12 @@
         self._upstreams = upstreams
         self._dispatcher = dispatcher
         self._outcomes = outcomes
-        self._sent = 0
+        self._checks_sent = 0
 
     def send(self, server: str) -> None:
         """Send a health check, which has the connect timeout for all it takes."""
-        self._sent += 1
-        stream = Stream(server, f"probe-{self._sent}", None, self._context.clock())
+        self._checks_sent += 1
+        stream = Stream(server, f"probe-{self._checks_sent}", None, self._context.clock())
         due_ms = stream.accepted_ms + self._context.limits.connect_timeout_ms
         stream.timeout = self._context.deadlines.add(due_ms, lambda: self._time_out(stream))
         self._dispatcher.dispatch(stream)
