--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -11,7 +11,7 @@
 
 from tests.core.test_engine import CONFIG
 from thornjunction.core.counters import Counters
-from thornjunction.net.discovery.watch_connection import ConnectionState
+from thornjunction.net.discovery.connection_state import ConnectionState
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.service import Service
 
--- a/tests/net/discovery/sources_environment.py
+++ b/tests/net/discovery/sources_environment.py
@@ -11,9 +11,9 @@
 from twisted.trial.unittest import TestCase
 
 from tests.net.discovery.scripted_source import OK, ScriptedSource
+from thornjunction.net.discovery.connection_state import ConnectionState
 from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch, PollIdentity
 from thornjunction.net.discovery.watch import WatchHandlers
-from thornjunction.net.discovery.watch_connection import ConnectionState
 from thornjunction.net.discovery.watch_context import WatchContext
 from thornjunction.net.wire.commands import Command, ListChange
 
--- a/tests/net/discovery/test_incomplete_resynchronization.py
+++ b/tests/net/discovery/test_incomplete_resynchronization.py
@@ -25,7 +25,7 @@
     ResynchronizationTestCase,
 )
 from thornjunction.net.discovery import watch_client, watch_connection
-from thornjunction.net.discovery.watch_connection import ConnectionState
+from thornjunction.net.discovery.connection_state import ConnectionState
 from thornjunction.net.wire.commands import Commands
 
 BEFORE_MIDDLE = LONG_BODY[:MIDDLE]
--- a/thornjunction/net/discovery/resynchronization.py
+++ b/thornjunction/net/discovery/resynchronization.py
@@ -122,7 +122,7 @@
             del self._unparsed[:SLICE_BYTES]
             completed = self._parser.feed(data)
             parsed_bytes += len(data)
-            list_changes += sum(_is_list_change(event) for event in completed)
+            list_changes += sum(isinstance(event, dict) and "nodes" in event for event in completed)
             events += completed
             if self._parser.fault or self._clock() >= deadline_ms:
                 break
@@ -133,7 +133,3 @@
             return parse_head(self._parser.head)
         except ProtocolError:
             return None
-
-
-def _is_list_change(event: Any) -> bool:
-    return isinstance(event, dict) and "nodes" in event
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from enum import Enum
 from http import HTTPStatus
 from typing import Any, Protocol
 
@@ -11,6 +9,8 @@
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline
+from thornjunction.net.discovery.connection_state import ConnectionState
+from thornjunction.net.discovery.response_timeout import ResponseTimeout
 from thornjunction.net.discovery.resynchronization import (
     MAX_BODY_BYTES,
     MAX_BUFFERED_BODY_BYTES,
@@ -24,8 +24,6 @@
 
 # How long a poll asks to be held where the response is wanted at once: the first one, and after a failure.
 IMMEDIATE_BLOCK_MS = 1
-# A response that is late may be late by this much more where this process was late itself.
-MAX_OWN_DELAY_MS = 800.0
 # Time for the last bytes to a source that is polled no longer.
 CLOSE_TIMEOUT_MS = 400.0
 # Pause after a part of a long response, as a share of the time that the part took: it belongs to requests.
@@ -36,22 +34,6 @@
 MAX_RESYNCHRONIZATION_MS = 30_000.0
 
 
-class ConnectionState(Enum):
-    """What a connection is doing."""
-
-    PAUSED = "paused"
-    """No poll is open; the next one follows after a pause."""
-
-    POLLING = "polling"
-    """A poll is open; its response is awaited."""
-
-    RESYNCHRONIZING = "resynchronizing"
-    """A long response to the open poll is read and applied in parts."""
-
-    CLOSING = "closing"
-    """The connection was closed by this side; its end is still to be reported."""
-
-
 class ConnectionOwner(Protocol):
     """What a connection asks of the watch that owns it, and reports to it."""
 
@@ -109,7 +91,6 @@
         polls: polls that were answered.
         fruitless_polls: polls in a row that the source answered early and without a new event.
         resynchronization: the long response that is being read.
-        response_due_ms: when the response, or its next part, is due.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -122,17 +103,22 @@
         self.polls = 0
         self.fruitless_polls = 0
         self.resynchronization: Resynchronization | None = None
-        self.response_due_ms = 0.0
         self._owner = owner
         self._clock = context.clock
         self._deadlines = context.deadlines
         self._created_ms = context.clock()
-        self._timer: Deadline | None = None  # the next poll, the response's deadline, or the end of closing
+        self._response_timeout = ResponseTimeout(context, self._time_out)
+        self._timer: Deadline | None = None  # the next poll, or the end of closing
         self._part_timer: Deadline | None = None
         self._is_keep_alive = True
         self._block_ms = 0.0
         self._poll_sent_ms = 0.0
 
+    @property
+    def response_due_ms(self) -> float:
+        """When the response, or its next part, is due."""
+        return self._response_timeout.due_ms
+
     def connectionMade(self) -> None:  # noqa: N802
         """Report the connection, and send the first poll."""
         self.transport.setTcpNoDelay(True)
@@ -158,11 +144,14 @@
         if self.state is ConnectionState.CLOSING:
             return
         self._begin_closing(reason)
-        self._set_timer(self._clock() + CLOSE_TIMEOUT_MS, self.transport.abortConnection)
+        self._response_timeout.cancel()
+        self._deadlines.cancel(self._timer)
+        self._timer = self._deadlines.add(self._clock() + CLOSE_TIMEOUT_MS, self.transport.abortConnection)
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         """Report the end of the connection."""
+        self._response_timeout.cancel()
         self._deadlines.cancel(self._timer)
         self._deadlines.cancel(self._part_timer)
         is_stable = self._was_stable()
@@ -188,22 +177,12 @@
 
     def _await_response(self, expected_ms: float) -> None:
         """Set the deadline of the response, or of its next part, from when it is expected."""
-        self._deadlines.cancel(self._timer)
+        self._response_timeout.cancel()
         self._owner.handle_response_awaited()
-        self.response_due_ms = expected_ms + self._owner.response_grace_ms()
+        due_ms = expected_ms + self._owner.response_grace_ms()
         if self.resynchronization is not None:
-            self.response_due_ms = min(self.response_due_ms, self.resynchronization.deadline_ms)
-        self._timer = self._deadlines.add(self.response_due_ms, self._wait_for_own_delay)
-
-    def _wait_for_own_delay(self) -> None:
-        """Guards a source that has responded against a delay of this process, also of its poll."""
-        now_ms = self._clock()
-        own_delay_ms = min(now_ms - self.response_due_ms, MAX_OWN_DELAY_MS)
-        self._timer = self._deadlines.add(now_ms + own_delay_ms, self._wait_for_sockets)
-
-    def _wait_for_sockets(self) -> None:
-        """Wait one more turn of the event loop, for it runs deadlines before it reads sockets."""
-        self._timer = self._deadlines.add(self._clock(), self._time_out)
+            due_ms = min(due_ms, self.resynchronization.deadline_ms)
+        self._response_timeout.start(due_ms)
 
     def _time_out(self) -> None:
         if self.resynchronization is not None and self._clock() >= self.resynchronization.deadline_ms:
@@ -212,10 +191,6 @@
         self._owner.handle_silence()
         self.close(DisconnectReason.SILENT)
 
-    def _set_timer(self, due_ms: float, callback: Callable[[], None]) -> None:
-        self._deadlines.cancel(self._timer)
-        self._timer = self._deadlines.add(due_ms, callback)
-
     # Responses
 
     def _read(self, data: bytes) -> None:
@@ -241,7 +216,7 @@
     def _handle_response(self, commands: Commands) -> None:
         now_ms = self._clock()
         resynchronization = self.resynchronization
-        self._deadlines.cancel(self._timer)
+        self._response_timeout.cancel()
         self.polls += 1
         self.state = ConnectionState.PAUSED
         self.resynchronization = None
