--- a/packages/control-client/src/control_client/__init__.py
+++ b/packages/control-client/src/control_client/__init__.py
@@ -25,6 +25,7 @@
     SwitchReason,
     SyncStatus,
 )
+from control_client.notices import SelectorNotice
 from control_client.selection_timings import InvalidTimingError, SelectionTimings
 from control_client.source_health import SourceHealth
 from control_client.source_pool import InvalidSourcesError
@@ -50,6 +51,7 @@
     "SelectionTimings",
     "SelectorAction",
     "SelectorEvent",
+    "SelectorNotice",
     "SelectorState",
     "SendProbe",
     "SourceHealth",
--- /dev/null
+++ b/packages/control-client/src/control_client/notices.py
@@ -0,0 +1,14 @@
+"""The names of a source selector's notices, which are events of the log (table in ``docs/ON-CALL.md``)."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class SelectorNotice(StrEnum):
+    """What a source selector reports to the log."""
+
+    SOURCE_FAILED = "source_failed"
+    """The source that was polled is given up."""
+    SOURCE_SELECTED = "source_selected"
+    """A source is polled from now on."""
--- a/packages/control-client/src/control_client/source_selection.py
+++ b/packages/control-client/src/control_client/source_selection.py
@@ -28,6 +28,7 @@
     StopPolling,
     SwitchReason,
 )
+from control_client.notices import SelectorNotice
 from control_client.probe_scheduler import ProbeScheduler
 from control_client.response_timeout import ResponseTimeout
 from control_client.selection_timings import SelectionTimings
@@ -131,7 +132,7 @@
         source.penalties += 1
         source.retry_at_ms = now + jittered(retry_ms, self.draw)
         source.mark_unhealthy()
-        self._notify("source-left", source, reason)
+        self._notify(SelectorNotice.SOURCE_FAILED, source, reason)
         self._poll_first_available(now, reason)
 
     def _poll_first_available(self, now: float, reason: str) -> None:
@@ -152,7 +153,7 @@
         source.clear_probes()
         source.mark_unhealthy()
         self._actions.append(StartPolling(source.address))
-        self._notify("source-asked", source, reason)
+        self._notify(SelectorNotice.SOURCE_SELECTED, source, reason)
         for other in self._pool:
             self._plan_probe(other, now)
 
@@ -287,5 +288,5 @@
             self._timer_token += 1
             self._actions.append(SetTimer(max(due_ms - now, MIN_TIMER_MS), self._timer_token))
 
-    def _notify(self, name: str, source: SourceHealth, reason: str) -> None:
-        self._actions.append(Notice(name, {"source": source.name, "why": str(reason)}))
+    def _notify(self, name: SelectorNotice, source: SourceHealth, reason: str) -> None:
+        self._actions.append(Notice(name, {"source": source.name, "cause": str(reason)}))
--- a/packages/control-client/tests/selection_simulation.py
+++ b/packages/control-client/tests/selection_simulation.py
@@ -15,6 +15,7 @@
     ProbeAnswered,
     ProbeFailed,
     SelectionTimings,
+    SelectorNotice,
     SendProbe,
     SourceSelector,
     StartPolling,
@@ -112,10 +113,10 @@
             case SendProbe(source):
                 self.probes.append(ProbeSent(self.now, self.addresses.index(source)))
                 self._call_later(LATENCY_MS, lambda: self._answer_probe(source))
-            case Notice(name, fields) if name == "source-asked":
+            case Notice(name, fields) if name == SelectorNotice.SOURCE_SELECTED:
                 names = [f"{host}:{port}" for host, port in self.addresses]
                 index = names.index(str(fields["source"]))
-                self.poll_starts.append(PollStart(self.now, index, str(fields["why"])))
+                self.poll_starts.append(PollStart(self.now, index, str(fields["cause"])))
 
     def _call_later(self, ms: float, call: Callable[[], None]) -> None:
         self._scheduled += 1
--- a/packages/control-harness/tests/test_control_lagging_relay.py
+++ b/packages/control-harness/tests/test_control_lagging_relay.py
@@ -61,7 +61,7 @@
             proxy.unblock()
         await environment.wait_until_propagated(*environment.relays)
         for relay in environment.relays:
-            assert "purges-joined" not in relay.log_text()
+            assert "purges_merged" not in relay.log_text()
             assert 0 < int((await relay.status())["purges"]) < HOUR_PURGES / 10
 
     run_scenario(scenario)
--- a/packages/control-harness/tests/test_control_propagation.py
+++ b/packages/control-harness/tests/test_control_propagation.py
@@ -101,8 +101,8 @@
         assert head in reply
         await environment.wait_for_exit(first)
         assert first.exit_code == 0
-        assert '"relay-ended"' in first.log_text()
-        assert '"unread": 0' in first.log_text(), first.log_text()
+        assert '"relay_stopped"' in first.log_text()
+        assert '"unread_connections": 0' in first.log_text(), first.log_text()
         await environment.publish_change()
         await environment.wait_until_propagated(second)
         first.start()
--- /dev/null
+++ b/packages/control-relay/src/control_relay/notices.py
@@ -0,0 +1,16 @@
+"""The names of a relay's notices, which are events of the log (table in ``docs/ON-CALL.md``)."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class RelayNotice(StrEnum):
+    """What a relay reports to the log."""
+
+    PURGES_MERGED = "purges_merged"
+    """Too many purges are active, so that the oldest were replaced by purges of their groups."""
+    RELAY_INPUT_REJECTED = "relay_input_rejected"
+    """Input of the relay's upstream can't be applied."""
+    RELAY_READY = "relay_ready"
+    """The relay has a state to serve."""
--- a/packages/control-relay/src/control_relay/relay.py
+++ b/packages/control-relay/src/control_relay/relay.py
@@ -25,6 +25,7 @@
 )
 from control_relay.low_water_marks import LowWaterMarks
 from control_relay.members import MemberTable
+from control_relay.notices import RelayNotice
 from control_relay.poll_handling import PollHandler, connection_name
 from control_relay.relay_state import RelayState
 from control_relay.settings import RelaySettings
@@ -138,7 +139,7 @@
         if self.readiness is Readiness.READY or not has_state:
             return []
         self.readiness = Readiness.READY
-        return [Notice("relay-ready", {"epoch": self.epoch}), *self.delivery.deliver_batch(now)]
+        return [Notice(RelayNotice.RELAY_READY, {"epoch": self.epoch}), *self.delivery.deliver_batch(now)]
 
     # Events of members
 
--- a/packages/control-relay/src/control_relay/relay_state.py
+++ b/packages/control-relay/src/control_relay/relay_state.py
@@ -22,6 +22,7 @@
 from control_relay.event_log import EventLog
 from control_relay.events import EndpointListUpdate, PurgeReceived
 from control_relay.low_water_marks import PropagatingPurge
+from control_relay.notices import RelayNotice
 from control_relay.settings import RelaySettings
 from control_relay.validation import age_or_none, int_or_default, unix_ms_or_infinity
 
@@ -123,7 +124,7 @@
             active = self.purges.get(group)
             if active is None or not active.is_as_late_as(issued_unix_ms):
                 self._add_purge(group, group, issued_unix_ms, now + self._settings.purge_retention_ms)
-        return Notice("purges-joined", {"objects": len(oldest), "groups": len(latest_by_group)})
+        return Notice(RelayNotice.PURGES_MERGED, {"objects": len(oldest), "groups": len(latest_by_group)})
 
     def _count_fault(self, code: str) -> list[Notice]:
         """Count a fault; a notice for the 1st, 2nd, 4th and so on bounds the log under bad input."""
@@ -131,4 +132,4 @@
         count = self.faults[code]
         if count.bit_count() > 1:
             return []
-        return [Notice("relay-fault", {"code": code, "count": count})]
+        return [Notice(RelayNotice.RELAY_INPUT_REJECTED, {"code": code, "count": count})]
--- a/packages/control-relay/tests/test_purge_retention.py
+++ b/packages/control-relay/tests/test_purge_retention.py
@@ -50,7 +50,7 @@
     relay.advance(150)
     status = relay.relay.status(relay.now)
     assert status.purges == 65 - 16 + 256
-    assert any(notice.name == "purges-joined" for notice in relay.notices)
+    assert any(notice.name == "purges_merged" for notice in relay.notices)
     response = relay.poll(1, 0, "x")
     assert response is not None
     objects = {c["drop"]["id"] for c in response["cmds"] if "id" in c.get("drop", {})}
--- a/packages/control-relay/tests/test_resource_bounds.py
+++ b/packages/control-relay/tests/test_resource_bounds.py
@@ -215,7 +215,7 @@
     relay = RelayDriver().make_ready()
     for _ in range(1_000):
         relay.purge("no number")
-    assert len([notice for notice in relay.notices if notice.name == "relay-fault"]) == 10
+    assert len([notice for notice in relay.notices if notice.name == "relay_input_rejected"]) == 10
     assert relay.relay.status(0).faults == {"purge-form": 1_000}
 
 
--- a/packages/control-sim/tests/test_control_sim.py
+++ b/packages/control-sim/tests/test_control_sim.py
@@ -86,7 +86,7 @@
     assert main(["--seeds", "3"]) == 0
     assert capsys.readouterr().out.startswith("3 seeds, 0 failed")
     assert main(["--seed", "2"]) == 0
-    assert "relay-ready" in capsys.readouterr().out
+    assert "relay_ready" in capsys.readouterr().out
     with MUTANTS["unreachable routers count as acknowledged"]():
         assert main(["--seeds", "20", "--keep-going"]) == 1
     output = capsys.readouterr().out
--- a/packages/fleet-harness/src/fleet_harness/environment.py
+++ b/packages/fleet-harness/src/fleet_harness/environment.py
@@ -18,6 +18,7 @@
 from fleet_harness.router_process import EXIT_EVENT, RouterProcess
 from fleet_harness.udp_relay import UdpRelay
 from fleet_harness.waiting import ConditionWaiter
+from thornjunction.log_events import LogEvent
 
 EXIT_TIMEOUT_MS = 10_000.0
 """Milliseconds from a signal to the exit, a graceful shutdown between them."""
@@ -167,7 +168,7 @@
     def _on_log(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
         self.events.add_log_entry(name, event, fields)
         self.on_event()
-        if event == "fleet-listening":
+        if event == LogEvent.FLEET_LISTENING:
             self.relay.set_router_address(name, ("127.0.0.1", int(fields["port"])))
         elif event == EXIT_EVENT:
             self._on_exit(name)
@@ -184,5 +185,5 @@
 
     def _can_start_again(self, name: str) -> bool:
         """Return whether a router ended because one of its ports was taken, and may draw new ones."""
-        port_taken = "cannot-listen" in self.events.views[name].events
+        port_taken = LogEvent.LISTEN_FAILED in self.events.views[name].events
         return port_taken and self._start_attempts[name] < MAX_START_ATTEMPTS and not self._stopping
--- a/packages/fleet-harness/src/fleet_harness/event_record.py
+++ b/packages/fleet-harness/src/fleet_harness/event_record.py
@@ -10,26 +10,28 @@
 from sansio_core import Notice
 
 from fleet_harness.router_process import EXIT_EVENT, TEXT_EVENT
+from thornjunction.log_events import LogEvent
 
 LOG_FIELDS = frozenset({"level", "logger", "ts", "pid"})
 """Fields that each line of the log has beside the event's own."""
 
-TRACED_EVENTS = frozenset(
-    {
-        "cannot-listen",
-        "fleet-waits",
-        "incarnation-not-kept",
-        "incarnation-unknown",
-        "link",
-        "majority",
-        "member",
-        "mode",
-        "paused",
-        "refused",
-        EXIT_EVENT,
-    }
-)
-"""Events of the log that a timeline shows and that a scenario may expect."""
+TRACED_EVENTS: dict[str, str] = {
+    LogEvent.FLEET_BIND_FAILED: "fleet_bind_failed",
+    LogEvent.FLEET_DATAGRAM_REJECTED: "refused",
+    LogEvent.FLEET_LINK_CHANGED: "link",
+    LogEvent.FLEET_MAJORITY_CHANGED: "majority",
+    LogEvent.FLEET_MEMBER_CHANGED: "member",
+    LogEvent.FLEET_MODE_CHANGED: "mode",
+    LogEvent.FLEET_PROCESS_PAUSED: "paused",
+    LogEvent.INCARNATION_UNKNOWN: "incarnation_unknown",
+    LogEvent.INCARNATION_WRITE_FAILED: "incarnation_write_failed",
+    LogEvent.LISTEN_FAILED: "listen_failed",
+    EXIT_EVENT: EXIT_EVENT,
+}
+"""Events of the log that a timeline shows and that a scenario may expect, with their words in a scenario.
+
+What the membership reports has the names of its notices, as in a simulated fleet.
+"""
 
 MAX_TEXT_LINES = 8
 """Lines of a router's tracebacks that the timeline shows, the last ones."""
@@ -88,15 +90,16 @@
         if event == TEXT_EVENT or "exception" in fields:
             text = str(fields.get("line", fields.get("exception")))
             self._texts.setdefault(name, []).append(text)
-        if event == "member":
+        if event == LogEvent.FLEET_MEMBER_CHANGED:
             member = str(fields["name"])
             view.states[member] = str(fields["state"])
             view.incarnations[member] = int(fields["incarnation"])
-        if event == "majority":
-            view.has_majority = bool(fields["held"])
-        if event in TRACED_EVENTS:
+        if event == LogEvent.FLEET_MAJORITY_CHANGED:
+            view.has_majority = bool(fields["has_majority"])
+        word = TRACED_EVENTS.get(event)
+        if word is not None:
             own_fields = {key: value for key, value in fields.items() if key not in LOG_FIELDS}
-            text = notice_text(Notice(event, own_fields))
+            text = notice_text(Notice(word, own_fields))
             self.entries.append(TraceEntry(self.clock_ms(), EntryKind.NOTICE, name, text))
 
     def notices(self, name: str, first_entry: int) -> Iterator[str]:
--- a/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
+++ b/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
@@ -150,5 +150,5 @@
             name=update.name,
             state=update.state.name.lower(),
             incarnation=update.incarnation,
-            why=reason,
+            cause=reason,
         )
--- a/packages/fleet-membership/src/fleet_membership/membership.py
+++ b/packages/fleet-membership/src/fleet_membership/membership.py
@@ -51,8 +51,9 @@
 class Membership:
     """One member; ``Started`` is its first event, and it ignores all events after ``ShutdownRequested``.
 
-    Notices: ``member`` (name, state, incarnation, why), ``link`` (name, link; hold_ms if it flaps),
-    ``majority`` (held), ``mode`` (mode), ``paused`` (late_ms, health) and ``refused`` (why, source).
+    Notices: ``member`` (name, state, incarnation, cause), ``link`` (name, link; hold_ms if it flaps),
+    ``majority`` (has_majority), ``mode`` (mode), ``paused`` (late_ms, health) and ``refused`` (cause,
+    source).
     """
 
     def __init__(
@@ -158,7 +159,7 @@
         for member in voters + context.sample(others, MAX_LEAVE_RECIPIENTS):
             context.send_to_member(member, UpdateBatch(), (update,))
         context.notify(
-            "member", name=context.name, state="left", incarnation=update.incarnation, why="leaving"
+            "member", name=context.name, state="left", incarnation=update.incarnation, cause="leaving"
         )
         self._phase = Phase.LEFT
 
--- a/packages/fleet-membership/src/fleet_membership/message_handling.py
+++ b/packages/fleet-membership/src/fleet_membership/message_handling.py
@@ -76,7 +76,7 @@
 
     def _notify_rejected(self, reason: str, source: Address) -> None:
         host, port = source
-        self._context.notify("refused", why=reason, source=f"{host}:{port}")
+        self._context.notify("refused", cause=reason, source=f"{host}:{port}")
 
     def _apply_updates(self, now: float, envelope: Envelope) -> None:
         table_sender = envelope.sender if isinstance(envelope.message, UpdateBatch) else ""
--- a/packages/fleet-membership/src/fleet_membership/quorum.py
+++ b/packages/fleet-membership/src/fleet_membership/quorum.py
@@ -97,7 +97,7 @@
             self.has_majority = has_majority
             self.majority_since_ms = now
             context.table.bump_version()
-            context.notify("majority", held=int(has_majority))
+            context.notify("majority", has_majority=int(has_majority))
         mode = self._mode(now)
         if mode is not self.mode:
             self.mode = mode
--- a/packages/fleet-membership/tests/test_membership_scenarios.py
+++ b/packages/fleet-membership/tests/test_membership_scenarios.py
@@ -78,7 +78,8 @@
     cluster.heal_partition()
     assert cluster.converges_within(20_000.0)
     assert cluster.view("r2").majority_since_ms - lost_ms > 40_000.0
-    assert {observed.observer for observed in cluster.notices("majority", held=0)} == {"r2", "r3", "r4"}
+    without_majority = cluster.notices("majority", has_majority=0)
+    assert {observed.observer for observed in without_majority} == {"r2", "r3", "r4"}
 
 
 def test_a_partition_that_outlasts_tombstones_merges_through_seeds() -> None:
@@ -179,7 +180,7 @@
     cluster.inject("r0", STRANGER, b"?")
     cluster.inject("r0", STRANGER, cluster.network.recorded("r1", "r0")[-1].data)
     cluster.run_for(0.0)
-    reasons = [observed.notice.fields["why"] for observed in cluster.notices("refused")]
+    reasons = [observed.notice.fields["cause"] for observed in cluster.notices("refused")]
     assert reasons == ["fleet", "tag", "size", "replay"]
     assert cluster.view("r0") is view
 
--- a/packages/fleet-sim/src/fleet_sim/membership_invariants.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_invariants.py
@@ -165,7 +165,7 @@
             if failed and connected_for_ms(cluster, node, failed) >= CONNECTED_MS:
                 counts["failed in steady reach"] += 1
         elif notice.name == "refused":
-            counts[f"refused {notice.fields['why']}"] += 1
+            counts[f"refused {notice.fields['cause']}"] += 1
 
     cluster.listeners.append(count)
 
--- a/packages/gossip-transport/src/gossip_transport/endpoint.py
+++ b/packages/gossip-transport/src/gossip_transport/endpoint.py
@@ -28,6 +28,8 @@
 )
 from twisted.internet import protocol
 
+from gossip_transport.log_events import TransportLogEvent
+
 TIMER_RETRY_MS = 1_000.0
 """Milliseconds until a timer whose handling failed fires again; short beside the fleet's own periods."""
 
@@ -169,7 +171,7 @@
     def _send(self, to: Address, data: bytes) -> None:
         if len(data) > MAX_DATAGRAM_BYTES:
             self.counters.oversize_unsent += 1
-            _log.error("fleet datagram of %d bytes is not sent: over %d", len(data), MAX_DATAGRAM_BYTES)
+            _log.error(TransportLogEvent.DATAGRAM_OVERSIZED, extra={"size_bytes": len(data)})
             return
         try:
             cast(Any, self.transport).write(data, to)
@@ -187,6 +189,9 @@
         except Exception:
             self.counters.faults += 1
             if self.counters.faults.bit_count() == 1:
-                _log.exception("fleet fault in %s, %d so far", step, self.counters.faults)
+                _log.exception(
+                    TransportLogEvent.ENDPOINT_FAILED,
+                    extra={"step": step, "failures": self.counters.faults},
+                )
             return False
         return True
--- a/tests/program/test_clock_steps.py
+++ b/tests/program/test_clock_steps.py
@@ -311,7 +311,7 @@
 async def in_a_drain(world: World) -> None:
     answered_in_time = await world.hung_request(0.9)
     world.router.send_signal(signal.SIGTERM)
-    await world.rig.wait_until(lambda: '"draining"' in world.router.log_text(), "the drain")
+    await world.rig.wait_until(lambda: '"shutdown_started"' in world.router.log_text(), "the drain")
     world.step()
     await answered_in_time()
     await exits(world.rig, world.router, 2 * CHECK_INTERVAL_MS / 1000.0)
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -245,7 +245,7 @@
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
-            while b"reload refused" not in (line := program.stderr.readline()):
+            while b"reload_rejected" not in (line := program.stderr.readline()):
                 assert line, "ended on SIGHUP"
             assert str(path).encode() in line
             moved.settimeout(20)
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -175,7 +175,7 @@
     number = member.fleet.membership.view(core_ms()).members["r1"].incarnation
     assert lines == ["ACK", f"member r1 alive {number}", "mode rejoining", "majority 0", "--"]
     member.fleet.leave()
-    assert member.reactor.closed and member.noted("member")[-1]["state"] == "left"
+    assert member.reactor.closed and member.noted("fleet_member_changed")[-1]["state"] == "left"
 
 
 def test_a_port_that_another_process_still_holds_is_waited_for(
@@ -185,7 +185,7 @@
     for _ in range(2):
         assert not member.reactor.sent
         member.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
-    assert member.reactor.sent and len(member.noted("fleet-listening")) == 1
+    assert member.reactor.sent and len(member.noted("fleet_listening")) == 1
     gone = Member(tmp_path, monkeypatch, refusals=9)
     gone.fleet.leave()
     gone.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
@@ -197,7 +197,7 @@
     for _ in range(9):
         member.fleet.port.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
     member.fleet.port.on_notice(Notice("unknown", {}))
-    assert [noted["times"] for noted in member.noted("refused")] == [1, 2, 4, 8]
+    assert [noted["count"] for noted in member.noted("fleet_datagram_rejected")] == [1, 2, 4, 8]
     assert not member.noted("unknown")
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -16,12 +16,12 @@
         logs.to_stream(stream)
         token = "eyJhbGciOiJIUzI1NiJ9.eyJpc3MiOiJSIn0.c2ln"
         logs.get_logger("thornjunction.t").info(
-            "rejected", status=401, code="token-forged", seen=f"/a?p={token}"
+            "request_rejected", status=401, code="token-forged", seen=f"/a?p={token}"
         )
         logging.getLogger("twisted").warning("plain %s", token)
     finally:
         root.handlers[:], _ = kept[0], root.setLevel(kept[1])
     first, second = (json.loads(line) for line in stream.getvalue().splitlines())
     told = [first[name] for name in ("event", "status", "code", "level", "seen")]
-    assert told == ["rejected", 401, "token-forged", "info", "/a?p=[token]"]
+    assert told == ["request_rejected", 401, "token-forged", "info", "/a?p=[token]"]
     assert second["event"] == "plain [token]" and "pid" in second and token not in stream.getvalue()
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -24,6 +24,7 @@
     UpstreamRequest,
     Upstreams,
 )
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.memory.slots import SlotTable
@@ -158,7 +159,7 @@
         try:
             actions = self.router.handle(self.clock(), event)
         except Exception:  # an event that the router fails on must not end the process
-            log.exception("module-failed", event_kind=type(event).__name__)
+            log.exception(LogEvent.DECISION_FAILED, event_kind=type(event).__name__)
             return
         for action in actions:
             self._carry_out(action)
--- a/thornjunction/logs.py
+++ b/thornjunction/logs.py
@@ -53,6 +53,9 @@
 ]
 """Processors of every record, in their order; redaction comes last, so that it sees all text."""
 
+FOREIGN_PROCESSORS: list[Any] = [structlog.stdlib.ExtraAdder(), *PROCESSORS]
+"""Processors of records of the standard library's loggers; their ``extra`` holds an event's fields."""
+
 structlog.configure(
     processors=[
         structlog.stdlib.filter_by_level,
@@ -66,14 +69,14 @@
 
 
 def get_logger(name: str) -> Any:
-    """Return a logger whose calls take an event and its fields: ``log.info("rejected", status=401)``."""
+    """Return a logger whose calls take an event and its fields: ``log.info(LogEvent.DRAIN_STARTED)``."""
     return structlog.stdlib.get_logger(name)
 
 
 def to_stream(stream: IO[str] = sys.stderr, level: int = logging.INFO) -> None:
     """Write every record of the process, from a level on, to a stream as JSON lines."""
     renderer = structlog.processors.JSONRenderer(sort_keys=False)
-    formatter = structlog.stdlib.ProcessorFormatter(processor=renderer, foreign_pre_chain=PROCESSORS)
+    formatter = structlog.stdlib.ProcessorFormatter(processor=renderer, foreign_pre_chain=FOREIGN_PROCESSORS)
     handler = logging.StreamHandler(stream)
     handler.setFormatter(formatter)
     root = logging.getLogger()
--- a/thornjunction/net/admin/admin_endpoint.py
+++ b/thornjunction/net/admin/admin_endpoint.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason, log_disconnect
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import LineReader, encode_reply
@@ -74,7 +74,7 @@
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         self.door.deadlines.cancel(self.timer)
         self.door.links.pop(self, None)
-        log_disconnect("operators", None, self.code or disconnect_reason(reason))
+        log_disconnect(ConnectionKind.ADMIN, None, self.code or disconnect_reason(reason))
 
     def close(self, code: str) -> None:
         self.door.links.pop(self, None)
--- a/thornjunction/net/discovery/multi_source_watch.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -19,6 +19,7 @@
     PurgeEvent,
     SelectorAction,
     SelectorEvent,
+    SelectorNotice,
     SendProbe,
     SourceSelector,
     StartPolling,
@@ -31,6 +32,7 @@
 from sansio_core import Address, Notice, SetTimer, Started, TimerFired
 
 from thornjunction import interface as api
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.discovery.source_probe import Done, probe
@@ -118,7 +120,7 @@
 
     def move(self, address: Address) -> None:
         """The configuration's own channel is not polled here."""
-        log.info("channel-not-used", channel=f"{address[0]}:{address[1]}", why="[control]")
+        log.info(LogEvent.CHANNEL_IGNORED, channel=f"{address[0]}:{address[1]}", cause="[control]")
 
     @property
     def doubtful(self) -> bool:
@@ -145,7 +147,8 @@
         if commands.faults:
             self.faulty += 1
             if should_log(self.faulty):
-                log.error("channel-faults", told=commands.cursor, faults=",".join(commands.faults))
+                faults = ",".join(commands.faults)
+                log.error(LogEvent.DISCOVERY_EVENTS_REJECTED, response_cursor=commands.cursor, faults=faults)
         status = self._take(commands.events, commands.cursor)
         now, follower = self.clock(), self.follower
         if status is SyncStatus.IN_SYNC:
@@ -195,7 +198,7 @@
         try:
             self.take(event)
         except Exception:  # Guards the events behind one that the program stumbles over, and its repeat
-            log.exception("event-failed", cursor=event.cursor)
+            log.exception(LogEvent.DISCOVERY_EVENT_FAILED, cursor=event.cursor)
 
     def lost(self, steady: bool, code: str, polls: int = 0) -> None:
         """The connection or dial has ended.  One that was left ends by itself, and the next may begin."""
@@ -233,7 +236,7 @@
             case SetTimer(in_ms, token):
                 self.deadlines.add(self.clock() + in_ms, lambda: self._feed_machine(TimerFired(token)))
             case Notice(name, fields):
-                self._fails += name == "source-left"
+                self._fails += name == SelectorNotice.SOURCE_FAILED
                 if should_log(max(self._fails, 1)):
                     log.info(name, failures=self._fails, **fields)
 
--- a/thornjunction/net/discovery/watch_client.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -13,13 +13,14 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.discovery.epoch_change import EpochChangeDetector, RemovedEndpoints, is_new_start
 from thornjunction.net.discovery.resynchronization import SHORT
 from thornjunction.net.discovery.watch_connection import BLOCK_MS, SILENT_MS, WatchConnection
 from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
-from thornjunction.net.event_loop.disconnect_reasons import log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, log_disconnect
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
@@ -101,7 +102,12 @@
         faults = commands.faults + ("behind",) * behind
         self.faulty = self.faulty + 1 if faults else 0
         if faults and should_log(self.faulty):
-            log.error("channel-faults", cursor=self.cursor, told=commands.cursor, faults=",".join(faults))
+            log.error(
+                LogEvent.DISCOVERY_EVENTS_REJECTED,
+                cursor=self.cursor,
+                response_cursor=commands.cursor,
+                faults=",".join(faults),
+            )
         self.apply(commands)
         self._renewing = False
         self._numbers.heard(behind and self.still, self.clock())
@@ -139,7 +145,7 @@
         try:
             self.take(event)
         except Exception:  # Guards the events behind one that the program stumbles over, and its repeat
-            log.exception("event-failed", cursor=event.cursor)
+            log.exception(LogEvent.DISCOVERY_EVENT_FAILED, cursor=event.cursor)
 
     def _settle(self, told: int | None, begun: Commands) -> None:
         """Where this was asked from 0: go on by new numbers, or by those that stand."""
@@ -147,7 +153,12 @@
             return
         self._renewing = is_new_start(told, self.cursor, begun)
         self._numbers.settled(self._renewing)
-        log.error("channel-asked-anew", cursor=self.cursor, told=told, new_start=self._renewing)
+        log.error(
+            LogEvent.WATCH_RESTARTED,
+            cursor=self.cursor,
+            response_cursor=told,
+            discovery_restarted=self._renewing,
+        )
         if self._renewing:
             self.cursor = self._asked = 0
 
@@ -203,6 +214,6 @@
         self.failures = 0 if steady else self.failures + 1
         count = self.failures
         if should_log(count):
-            log_disconnect("channel", None, code, polls=polls, failures=count)
+            log_disconnect(ConnectionKind.CHANNEL, None, code, polls=polls, failures=count)
         # Guards a channel that comes back against all routers at one moment.
         self.deadlines.add(self.clock() + self.pause_ms(count, spread=True), self.start)
--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -16,7 +16,7 @@
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.memory.slots import SlotTable
 from thornjunction.net.downstream.request_scheduler import RequestScheduler
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason, log_disconnect
 from thornjunction.net.event_loop.ports import Transport
 
 LOOK_MS = 500.0  # between looks at a connection's times
@@ -113,7 +113,7 @@
     """One connection; a front's own kind says what is asked on it."""
 
     transport: Transport  # type: ignore[assignment]
-    kind = "client"
+    kind: ConnectionKind
 
     def __init__(self, table: DownstreamTable, deadlines: Deadlines, clock: Callable[[], float]):
         self.table, self.deadlines, self.clock = table, deadlines, clock
@@ -150,7 +150,7 @@
         self.table.remove(self)
         self._hold(0)
         owed = self._owed or self.is_open()
-        log_disconnect(self.kind, self.slot, self.code, answered=self.answered, owed=owed)
+        log_disconnect(self.kind, self.slot, self.code, answered=self.answered, request_open=owed)
         self.forget()
 
     def is_open(self) -> bool:
--- a/thornjunction/net/downstream/fastcgi_front.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -17,6 +17,7 @@
 )
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.downstream.connection import DownstreamConnection, DownstreamTable
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind
 from thornjunction.net.wire import ProtocolError, cgi, fastcgi
 
 MAX_OPEN = fastcgi.MAX_OPEN_REQUESTS  # requests on one connection: as many as the platform's fronts have
@@ -42,7 +43,7 @@
 class FastCgiConnection(DownstreamConnection):
     """One connection of the platform's web servers."""
 
-    kind = "fastcgi"
+    kind = ConnectionKind.CLIENT_FASTCGI
 
     def __init__(
         self,
--- a/thornjunction/net/downstream/request_scheduler.py
+++ b/thornjunction/net/downstream/request_scheduler.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
 
@@ -79,5 +80,5 @@
             try:
                 self._work(link, since)
             except Exception:  # ends its connection, as Twisted does, and not all that waits for this alarm
-                log.exception("turn-failed")
+                log.exception(LogEvent.QUEUED_REQUEST_FAILED)
                 link.close("failed")
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -10,10 +10,12 @@
 
 from thornjunction import interface as api
 from thornjunction.core.ports import Answer, Failed, RequestTableFullError
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.downstream.connection import DownstreamConnection, DownstreamTable
 from thornjunction.net.downstream.fastcgi_front import Core
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.net.wire import ProtocolError, http1, signed
 from thornjunction.signing import tokens
@@ -42,7 +44,7 @@
 class SignedConnection(DownstreamConnection):
     """One HTTP connection: one request at a time, the next ones wait in order."""
 
-    kind = "signed"
+    kind = ConnectionKind.CLIENT_SIGNED
 
     def __init__(
         self,
@@ -145,10 +147,10 @@
             grant = tokens.verify(token, door.base + target, door.trust, door.replays, now, client)
             call = signed.decode_request(request, target, secrets.token_hex(8), door.classes)
         except signed.RequestError as error:
-            log.info("rejected", slot=self.slot, status=error.status, code=error.code)
+            log.info(LogEvent.REQUEST_REJECTED, slot=self.slot, status=error.status, code=error.code)
             return self._write(signed.encode_rejection(error.status, request.keep_alive))
         except tokens.TokenError as error:
-            log.info("rejected", slot=self.slot, status=error.status, code=error.code)
+            log.info(LogEvent.REQUEST_REJECTED, slot=self.slot, status=error.status, code=error.code)
             return self._write(signed.encode_rejection(error.status, request.keep_alive, error.retry_after_s))
         if grant.replay_entry is not None and self.door.gossip is not None:
             self.door.gossip.tell(grant.replay_entry)
--- a/thornjunction/net/event_loop/disconnect_reasons.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -8,11 +8,31 @@
 from twisted.internet.error import ConnectionAborted, ConnectionDone
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 
 log = get_logger("thornjunction.connection")
 
 
+class ConnectionKind(StrEnum):
+    """Whose connection has ended, as the log names it."""
+
+    ADMIN = "admin"
+    """A caller's connection to the admin endpoint."""
+    CHANNEL = "channel"
+    """A connection to discovery or to a relay, for the command channel."""
+    CLIENT_FASTCGI = "fastcgi"
+    """A client's connection to the FastCGI front."""
+    CLIENT_SIGNED = "signed"
+    """A client's connection to the signed front."""
+    GRAPHITE = "graphite"
+    """The connection to Graphite."""
+    POLLER = "poller"
+    """The connection of a router or relay that polls this relay."""
+    SERVER = "server"
+    """A connection to a cache server, a parent or the origin."""
+
+
 class DisconnectReason(StrEnum):
     """Why a connection ended, as the log names it.  A violation of a protocol is logged by its own code."""
 
@@ -78,9 +98,9 @@
     """The system did not take the bytes of a cancelled attempt in time."""
 
 
-def log_disconnect(kind: str, number: int | None, code: str, **facts: Any) -> None:
-    """Write the log line of a connection that has ended.  Facts must hold no secrets and no client's text."""
-    log.info("end", kind=kind, slot=number, code=str(code), **facts)
+def log_disconnect(kind: ConnectionKind, number: int | None, code: str, **fields: Any) -> None:
+    """Log that a connection has ended.  The fields must hold no secrets and no client's text."""
+    log.info(LogEvent.CONNECTION_CLOSED, kind=kind, slot=number, code=str(code), **fields)
 
 
 def disconnect_reason(reason: Failure | None) -> DisconnectReason:
--- a/thornjunction/net/event_loop/listening_port.py
+++ b/thornjunction/net/event_loop/listening_port.py
@@ -16,6 +16,7 @@
 from twisted.internet.posixbase import PosixReactorBase
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
 
@@ -80,7 +81,7 @@
         self._failures += 1
         if should_log(self._failures):
             name = errno.errorcode.get(failure.errno or 0, "unknown")
-            log.warning("accept_failed", error=name, failures=self._failures)
+            log.warning(LogEvent.ACCEPT_FAILED, error=name, failures=self._failures)
         if not self.disconnecting:
             self.stopReading()
             wait_ms = exponential_backoff(REST_MS, self._failures - 1, MOST_REST_MS)
--- a/thornjunction/net/event_loop/timer_service.py
+++ b/thornjunction/net/event_loop/timer_service.py
@@ -6,6 +6,7 @@
 import time
 from typing import Any
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import DeadlineCallbackErrors, Deadlines
 
@@ -49,7 +50,7 @@
         try:
             self.deadlines.run_due(now)
         except DeadlineCallbackErrors:
-            log.exception("deadline_failed")
+            log.exception(LogEvent.DEADLINE_FAILED)
         due = self.deadlines.next_due()
         if due < math.inf:
             self._arm(due)
--- a/thornjunction/net/gossip/replay_gossip.py
+++ b/thornjunction/net/gossip/replay_gossip.py
@@ -13,6 +13,7 @@
 
 from twisted.internet import protocol
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.wire import ProtocolError, gossip
@@ -75,7 +76,12 @@
         except ProtocolError as error:
             self.counts[str(error)] += 1
             if self.counts[str(error)].bit_count() == 1:  # the 1st, 2nd, 4th, 8th...: a flood logs little
-                log.info("gossip refused", peer=addr[0], code=str(error), times=self.counts[str(error)])
+                log.info(
+                    LogEvent.REPLAY_GOSSIP_REJECTED,
+                    peer=addr[0],
+                    code=str(error),
+                    count=self.counts[str(error)],
+                )
             return
         now = self.unix_s()
         for entry in entries:
--- a/thornjunction/net/relay/poll_endpoint.py
+++ b/thornjunction/net/relay/poll_endpoint.py
@@ -14,10 +14,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.polls import Poll, decode_poll
@@ -92,7 +93,13 @@
         """Guards the log against a flood of ends: of each code the 1st, 2nd, 4th, 8th... is written."""
         self.ends[code] += 1
         if self.ends[code].bit_count() == 1:
-            log.info("end", kind="poller", code=code, times=self.ends[code], open=len(self.links))
+            log.info(
+                LogEvent.CONNECTION_CLOSED,
+                kind=ConnectionKind.POLLER,
+                code=code,
+                count=self.ends[code],
+                open_connections=len(self.links),
+            )
 
     def _look(self) -> None:
         now = self.clock()
--- a/thornjunction/net/telemetry/metrics_exporter.py
+++ b/thornjunction/net/telemetry/metrics_exporter.py
@@ -13,7 +13,7 @@
 
 from thornjunction.core.counters import Counters, CountersSnapshot
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason, log_disconnect
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire import collectd, graphite
@@ -45,7 +45,7 @@
         self.transport.registerProducer(self, True)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        log_disconnect("graphite", None, disconnect_reason(reason))
+        log_disconnect(ConnectionKind.GRAPHITE, None, disconnect_reason(reason))
         self.lost()
 
     def send(self, data: bytes) -> None:
@@ -122,7 +122,7 @@
 
     def _down(self, _: Failure) -> None:
         self._dialling = False
-        log_disconnect("graphite", None, "dial-failed")
+        log_disconnect(ConnectionKind.GRAPHITE, None, "dial-failed")
 
     def _lost(self) -> None:
         self._link = None
--- a/thornjunction/net/upstream/connect_attempt.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -10,6 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
@@ -92,7 +93,7 @@
         self._failures += 1
         if should_log(self._failures):
             number = getattr(reason.value, "osError", None)
-            log.warning("dial_failed", server=self.target.name, why=failure.value, errno=number)
+            log.warning(LogEvent.CONNECT_FAILED, server=self.target.name, cause=failure.value, errno=number)
         when = now + exponential_backoff(AGAIN_MS, self._failures - 1, MOST_AGAIN_MS)
         if failure is ConnectFailure.LOCAL:
             again = self._after_local_failure
--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -19,7 +19,7 @@
 from thornjunction.core.ports import UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason, log_disconnect
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.upstream.connection_table import ConnectionTable
 from thornjunction.net.wire import ProtocolError, upstream
@@ -141,7 +141,14 @@
             self.pool.deadlines.cancel(timer)
         self.pool.budget.reserve(self.close, 0)
         self.code = self.code or disconnect_reason(reason)
-        log_disconnect("shelf", self.slot, self.code, shelf=self.name, served=self.served, open=len(self.out))
+        log_disconnect(
+            ConnectionKind.SERVER,
+            self.slot,
+            self.code,
+            server=self.name,
+            served=self.served,
+            open_streams=len(self.out),
+        )
         self.pool.lost(self)
 
     def free(self) -> bool:
--- a/thornjunction/net/upstream/connection_pool.py
+++ b/thornjunction/net/upstream/connection_pool.py
@@ -16,7 +16,7 @@
 from thornjunction.core.ports import Content, UpstreamRequest
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, log_disconnect
 from thornjunction.net.upstream.connect_attempt import ConnectAttempt, ConnectTarget
 from thornjunction.net.upstream.connect_errors import ConnectFailure
 from thornjunction.net.upstream.connection import Limits, Sent, UpstreamConnection
@@ -252,7 +252,7 @@
         def down(failure: ConnectFailure) -> None:
             found.dial = None
             self.links.release()
-            log_disconnect("shelf", None, "dial-failed", shelf=name)
+            log_disconnect(ConnectionKind.SERVER, None, "dial-failed", server=name)
             self._undialled(found, dialling.since, failure)
 
         dialling.up, dialling.down = up, down
--- a/thornjunction/runtime/admin_calls.py
+++ b/thornjunction/runtime/admin_calls.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.wire.admin import encode_counters, encode_reply
 from thornjunction.runtime.drain import Drain
@@ -46,7 +47,7 @@
     def start_drain(self) -> bytes:
         """Send clients away until ``drain-off``."""
         if not self._drain.is_active:
-            log.info("drain-on")
+            log.info(LogEvent.DRAIN_STARTED)
             self._drain.start(DRAIN_WAIT_MS)
         return encode_reply(True)
 
@@ -54,6 +55,6 @@
         """Take clients again; refused once the process shuts down."""
         if self._is_shutting_down():
             return encode_reply(False, "ending")
-        log.info("drain-off")
+        log.info(LogEvent.DRAIN_STOPPED)
         self._drain.stop()
         return encode_reply(True)
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -16,6 +16,7 @@
 from sansio_core import Notice
 from twisted.internet.error import CannotListenError
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.event_loop.timer_service import core_ms
@@ -28,7 +29,14 @@
 BIND_RETRY_MS = 500.0
 """Between attempts to bind: the process that this one replaces may still hold the port."""
 
-LOGGED_NOTICES = ("member", "link", "majority", "mode", "paused")
+EVENTS_BY_NOTICE = {
+    "member": LogEvent.FLEET_MEMBER_CHANGED,
+    "link": LogEvent.FLEET_LINK_CHANGED,
+    "majority": LogEvent.FLEET_MAJORITY_CHANGED,
+    "mode": LogEvent.FLEET_MODE_CHANGED,
+    "paused": LogEvent.FLEET_PROCESS_PAUSED,
+}
+"""The event that each notice of the membership is logged as; ``refused`` is logged less often."""
 
 SECTIONS = "fleet, fleet.timings"
 """Named where the membership refuses a value of either."""
@@ -60,12 +68,12 @@
             self._failed_binds += 1
             if _is_logged(self._failed_binds):
                 log.error(  # noqa: TRY400  the traceback says nothing more
-                    "fleet-waits", reason=str(error.socketError), times=self._failed_binds
+                    LogEvent.FLEET_BIND_FAILED, cause=str(error.socketError), failures=self._failed_binds
                 )
             self._schedule(BIND_RETRY_MS, lambda: self.listen(reactor))
             return
         address = self._bound.getHost()
-        log.info("fleet-listening", name=self.name, host=address.host, port=address.port)
+        log.info(LogEvent.FLEET_LISTENING, name=self.name, host=address.host, port=address.port)
 
     def leave(self) -> None:
         """Leave the fleet and free the port, for the process that comes next."""
@@ -90,13 +98,15 @@
         return self._deadlines.add(core_ms() + delay_ms, call)
 
     def _note(self, notice: Notice) -> None:
-        if notice.name in LOGGED_NOTICES:
-            log.info(notice.name, **notice.fields)
+        event = EVENTS_BY_NOTICE.get(notice.name)
+        if event is not None:
+            log.info(event, **notice.fields)
         elif notice.name == "refused":
-            reason = str(notice.fields.get("why"))
+            reason = str(notice.fields.get("cause"))
             self._rejected[reason] += 1
             if _is_logged(self._rejected[reason]):
-                log.warning("refused", **notice.fields, times=self._rejected[reason])
+                count = self._rejected[reason]
+                log.warning(LogEvent.FLEET_DATAGRAM_REJECTED, **notice.fields, count=count)
 
 
 def _membership_settings(settings: FleetSettings, name: str) -> MembershipSettings:
--- a/thornjunction/runtime/handover.py
+++ b/thornjunction/runtime/handover.py
@@ -7,6 +7,7 @@
 from contextlib import suppress
 from pathlib import Path
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 
 TOKEN_CHARACTERS = 16
@@ -35,7 +36,7 @@
             temporary.write_text(self.token, encoding="ascii")
             os.replace(temporary, self.path)
         except OSError as error:
-            log.error("no mark for the process that comes next", reason=error.strerror)  # noqa: TRY400
+            log.error(LogEvent.HANDOVER_TOKEN_FAILED, cause=error.strerror)  # noqa: TRY400
             # Guards the last connections: the token of the process before is no successor's.
             self.token = self._read()
             with suppress(OSError):
--- a/thornjunction/runtime/incarnation.py
+++ b/thornjunction/runtime/incarnation.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.runtime.durable import replace_file
 
@@ -69,12 +70,12 @@
     try:
         incarnation = max(_read(path, member) + INCARNATION_STEP, now_ms)
     except IncarnationError as error:
-        log.warning("incarnation-unknown", file=path.name, reason=str(error), taken=now_ms)
+        log.warning(LogEvent.INCARNATION_UNKNOWN, file=path.name, cause=str(error), incarnation=now_ms)
         incarnation = now_ms
     try:
         _write(path, {"format": FORMAT, "fleet": fleet, "name": name, "incarnation": incarnation})
     except OSError as error:
-        log.error("incarnation-not-kept", file=path.name, reason=error.strerror)  # noqa: TRY400
+        log.error(LogEvent.INCARNATION_WRITE_FAILED, file=path.name, cause=error.strerror)  # noqa: TRY400
     return incarnation
 
 
--- a/thornjunction/runtime/key_set.py
+++ b/thornjunction/runtime/key_set.py
@@ -10,6 +10,7 @@
 from dataclasses import replace
 from typing import Protocol
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.downstream.signed_front import SignedRequestContext
 from thornjunction.runtime.errors import ConfigError
@@ -54,9 +55,10 @@
             return
         self._digest = key_set.digest
         self.counts["accepted"] += 1
-        log.info("keys", version=key_set.digest, changes=keyset.describe_changes(trust.keys, key_set.keys))
+        changes = keyset.describe_changes(trust.keys, key_set.keys)
+        log.info(LogEvent.KEY_SET_ACCEPTED, version=key_set.digest, changes=changes)
         self._front.trust = replace(trust, keys=key_set.keys)
 
     def _refuse(self, reason: str) -> None:
         self.counts["refused"] += 1
-        log.error("keys refused, nothing changed", reason=reason)
+        log.error(LogEvent.KEY_SET_REJECTED, cause=reason)
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -8,6 +8,7 @@
 
 from twisted.internet import protocol
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.event_loop.listening_port import adopt
 from thornjunction.net.event_loop.transport import BuildFactory, server_endpoint
@@ -44,5 +45,5 @@
             self._fail(error)
 
     def _fail(self, error: object) -> None:
-        log.error("cannot-listen", reason=str(error))
+        log.error(LogEvent.LISTEN_FAILED, cause=str(error))
         self._on_failure()
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -35,6 +35,7 @@
 from control_relay import RelaySettings as CoreSettings
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
 from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
@@ -130,7 +131,7 @@
         """Listen at once: who polls before there is a state is told so, and goes elsewhere."""
         self._state = Lifecycle.SERVING
         self.feed(Started())
-        log.info("relay-start", name=self._settings.name, connections=self._pollers.most)
+        log.info(LogEvent.RELAY_STARTED, name=self._settings.name, max_connections=self._pollers.most)
         self._listeners.listen(*self._settings.listen, self._pollers.build)
         if self._settings.admin is not None:
             self._listeners.listen(*self._settings.admin, lambda: AdminConnection(self._admin_endpoint))
@@ -153,7 +154,7 @@
         """
         self._faults += 1
         if self._faults.bit_count() == 1:  # the 1st, 2nd, 4th, 8th...
-            log.exception("relay-fault", kind=type(event).__name__, times=self._faults)
+            log.exception(LogEvent.RELAY_EVENT_FAILED, event_kind=type(event).__name__, failures=self._faults)
         if isinstance(event, TimerFired):
             self._schedule(FAILED_TIMER_RETRY_MS, lambda: self.feed(event))
 
@@ -189,7 +190,7 @@
 
     def deregister(self, name: str) -> None:
         """Wait no more for a router or relay that was taken out of service."""
-        log.info("dismissed", name=name)
+        log.info(LogEvent.MEMBER_DEREGISTERED, name=name)
         self.feed(MemberDeregistered(name))
 
     def handle_command(self, command: Command) -> None:
@@ -236,7 +237,7 @@
             return
         self._state = Lifecycle.SHUTTING_DOWN
         self._upstream.stopped = True
-        log.info("relay-ending", open=len(self._pollers.links))
+        log.info(LogEvent.RELAY_SHUTDOWN_STARTED, open_connections=len(self._pollers.links))
         for port in self._listeners.ports:
             port.stopListening()
         self._pollers.end()
@@ -246,7 +247,7 @@
         if self._pollers.links and core_ms() < until_ms:
             self._schedule(FLUSH_CHECK_INTERVAL_MS, lambda: self._stop_once_flushed(until_ms))
             return
-        log.info("relay-ended", unread=len(self._pollers.links))
+        log.info(LogEvent.RELAY_STOPPED, unread_connections=len(self._pollers.links))
         self._state = Lifecycle.STOPPED
         self._reactor.stop()
 
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -10,6 +10,7 @@
 
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
 from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
@@ -124,7 +125,10 @@
     def start(self) -> None:
         """Take in what is known, and hear what is new, before clients are served."""
         log.info(
-            "start", name=self.config.name, sockets=self.config.sockets, shelves=str(self.config.pool_limits)
+            LogEvent.ROUTER_STARTED,
+            name=self.config.name,
+            client_connections=self.config.sockets,
+            server_connections=str(self.config.pool_limits),
         )
         self.channel.replay(self.config.initial_commands)
         if self.config.admin is not None:
@@ -189,7 +193,7 @@
             check_complete(self.config, reloaded)
         except ConfigError as error:
             self._reloads["invalid"] += 1
-            log.error("reload refused, nothing changed", reason=str(error))  # noqa: TRY400
+            log.error(LogEvent.RELOAD_REJECTED, cause=str(error))  # noqa: TRY400
             return
         self._reloads["accepted"] += 1
         self._log_reload(reloaded)
@@ -210,7 +214,7 @@
             if getattr(reloaded, field) != getattr(self.config, field)
         ]
         log.info(
-            "reloaded",
+            LogEvent.RELOAD_ACCEPTED,
             channel=f"{reloaded.discovery.host}:{reloaded.discovery.port}",
             need_restart=",".join(need_restart) or "none",
         )
@@ -242,7 +246,7 @@
         was_serving = self.state is Lifecycle.SERVING
         self.state = Lifecycle.SHUTTING_DOWN
         self.has_successor = self._handover.has_successor()
-        log.info("draining", succeeded=self.has_successor)
+        log.info(LogEvent.SHUTDOWN_STARTED, has_successor=self.has_successor)
         if self.fleet is not None:
             self.fleet.leave()
         if not was_serving:  # no client was accepted
@@ -256,7 +260,7 @@
     def _stop(self) -> None:
         """End the reactor.  The state stays: where there is a successor, this process is ready to the end."""
         self.channel.stopped = True
-        log.info("drained")
+        log.info(LogEvent.SHUTDOWN_FINISHED)
         self.reactor.stop()
 
     def _fail(self) -> None:
--- a/thornjunction/runtime/tls.py
+++ b/thornjunction/runtime/tls.py
@@ -19,6 +19,7 @@
 from twisted.internet.interfaces import IOpenSSLContextFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.runtime.errors import TlsError
 from thornjunction.runtime.signed_settings import TlsFiles
@@ -100,8 +101,8 @@
             return
         self._digest = digest
         self.counts["accepted"] += 1
-        log.info("tls", version=digest)
+        log.info(LogEvent.CERTIFICATE_ACCEPTED, version=digest)
 
     def _refuse(self, reason: str) -> None:
         self.counts["refused"] += 1
-        log.error("tls refused, nothing changed", reason=reason)
+        log.error(LogEvent.CERTIFICATE_REJECTED, cause=reason)
