--- a/packages/control-relay/src/control_relay/relay_state.py
+++ b/packages/control-relay/src/control_relay/relay_state.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 from sansio_core import Notice
+from sansio_core.log_thinning import is_power_of_two
 
 from control_relay.active_purges import (
     GROUP_COUNT,
@@ -130,6 +131,6 @@
         """Count a fault; a notice for the 1st, 2nd, 4th and so on bounds the log under bad input."""
         self.faults[code] += 1
         count = self.faults[code]
-        if count.bit_count() > 1:
+        if not is_power_of_two(count):
             return []
         return [Notice(RelayNotice.RELAY_INPUT_REJECTED, {"code": code, "count": count})]
--- a/packages/gossip-transport/src/gossip_transport/endpoint.py
+++ b/packages/gossip-transport/src/gossip_transport/endpoint.py
@@ -26,6 +26,7 @@
     StateMachine,
     TimerFired,
 )
+from sansio_core.log_thinning import is_power_of_two
 from twisted.internet import protocol
 
 from gossip_transport.log_events import TransportLogEvent
@@ -188,7 +189,7 @@
             call()
         except Exception:
             self.counters.faults += 1
-            if self.counters.faults.bit_count() == 1:
+            if is_power_of_two(self.counters.faults):
                 _log.exception(
                     TransportLogEvent.ENDPOINT_FAILED,
                     extra={"step": step, "failures": self.counters.faults},
--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -65,10 +65,10 @@
 
 def test_callers_that_say_nothing_neither_stay_nor_keep_others_out() -> None:
     callers = Callers()
-    silent = [callers.connect(b"che" if number % 2 else b"") for number in range(operators.MOST_OPEN)]
+    silent = [callers.connect(b"che" if number % 2 else b"") for number in range(operators.MAX_CONNECTIONS)]
     assert callers.connect(b"check\n").transport.value() == b"ACK\n" and silent[0].code == "evicted"
-    callers.hall.wait(operators.SILENT_MS)
-    assert {link.code for link in silent[1:]} == {"silent"} and not callers.door.links
+    callers.hall.wait(operators.CALL_TIMEOUT_MS)
+    assert {link.code for link in silent[1:]} == {"silent"} and not callers.door.connections
 
 
 def test_figures_are_lines_between_a_yes_and_the_end() -> None:
--- a/tests/net/downstream/test_connection_end.py
+++ b/tests/net/downstream/test_connection_end.py
@@ -230,7 +230,7 @@
             patch("thornjunction.net.event_loop.timer_service.core_ms", late),
         ):
             self.rig.timer_service._call.cancel()
-            self.rig.timer_service._ring()
+            self.rig.timer_service._on_expiry()
             await self.clients.wait_until_gone()
         self.assertEqual(len(self.rig.forwarded_requests()), 1)
 
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -31,7 +31,7 @@
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
-from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 from thornjunction.net.upstream import connect_attempt as server_dial
 from thornjunction.net.wire import fastcgi
 from thornjunction.net.wire.resp import ArrayReader, encode_array
@@ -149,8 +149,10 @@
     gossip = ReplayGossip(window, (("127.0.0.1", 9),), b"secret" * 8, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = SocketWithoutWay()
     gossip.tell(ReplayEntry(b"k" * 16, 99.0))
-    metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
-    metrics._collectd, metrics._udp = ("127.0.0.1", 9), SocketWithoutWay()
+    source = MetricsSource(Counters(Counter(a=1)), "n1", 10.0)
+    reactor: Any = None
+    metrics = MetricsExporter(reactor, deadlines, lambda: 0.0, lambda: 0.0, source)
+    metrics.set_collectd_port(SocketWithoutWay(), ("127.0.0.1", 9))
     metrics.start()
     deadlines.run_due(10_000.0)
     assert gossip.counts["unsent"] == 1 and deadlines.next_due() == 10_000.0
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -26,7 +26,8 @@
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
-from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+from thornjunction.net.telemetry.graphite_client import ConnectionState
+from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 from thornjunction.net.upstream import connection as shelf_link
 from thornjunction.net.upstream import connection_pool as shelves
 from thornjunction.net.wire import fastcgi
@@ -195,21 +196,21 @@
 
         tcp = reactor.listenTCP(0, BuildFactory(Graphite), interface="127.0.0.1")
         udp = reactor.listenUDP(0, Collectd(), interface="127.0.0.1")
-        metrics = MetricsExporter(
-            reactor, rig.timer_service.deadlines, core_ms, lambda: 10.5, counters, "n1", 10.0
-        )
-        metrics.to_graphite(("127.0.0.1", tcp.getHost().port), "tj")
-        metrics.to_collectd(("127.0.0.1", udp.getHost().port))
+        source = MetricsSource(counters, "n1", 10.0)
+        deadlines = rig.timer_service.deadlines
+        metrics = MetricsExporter(reactor, deadlines, core_ms, lambda: 10.5, source)
+        metrics.add_graphite(("127.0.0.1", tcp.getHost().port), "tj")
+        metrics.add_collectd(("127.0.0.1", udp.getHost().port))
         metrics.start()
-        yield rig.wait_until(lambda: metrics._link is not None)
-        metrics._tick()
+        yield rig.wait_until(lambda: metrics.graphite.state is ConnectionState.CONNECTED)
+        metrics.export()
         told = yield lines
         self.assertIn("tj.n1.attempts.done.count 1 10\n", told)
         self.assertIn("tj.n1.attempts.done.mean_ms 12.5 10\n", told)
         packet = yield packets
         self.assertEqual(collectd_values(packet), [1, 12.5, 12.5])
-        yield rig.wait_until(lambda: metrics._link is None)
-        for port in (tcp, udp, metrics._udp):
+        yield rig.wait_until(lambda: metrics.graphite.state is ConnectionState.DISCONNECTED)
+        for port in (tcp, udp, metrics.collectd_port):
             yield port.stopListening()
 
 
--- a/thornjunction/net/admin/admin_endpoint.py
+++ b/thornjunction/net/admin/admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: an address of its own, where each connection carries one call and its reply."""
+"""The admin endpoint: an address for operators, where a connection carries one call and its reply."""
 
 from __future__ import annotations
 
@@ -8,75 +8,113 @@
 from twisted.python.failure import Failure
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import (
+    ConnectionKind,
+    DisconnectReason,
+    disconnect_reason,
+    log_disconnect,
+)
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import LineReader, encode_reply
 
-MOST_OPEN, SILENT_MS = 16, 3_000.0  # callers at once; for a whole call to come and its reply to be read
+# Connections at the same time.
+MAX_CONNECTIONS = 16
+
+# Milliseconds for a whole call to arrive and its reply to be read.
+CALL_TIMEOUT_MS = 3_000.0
+
+Call = Callable[[], bytes]
+CallWithArgument = Callable[[str], bytes]
 
 
 class AdminEndpoint:
-    """The calls by name, and the callers that are connected, in the order in which they came."""
+    """The calls by name, and the connections in the order in which they were accepted.
+
+    ``calls_with_argument`` are calls of two words, the second of which is their argument.
+    """
 
     def __init__(
         self,
-        calls: Mapping[str, Callable[[], bytes]],
+        calls: Mapping[str, Call],
         deadlines: Deadlines,
         clock: Callable[[], float],
-        named: Mapping[str, Callable[[str], bytes]] | None = None,
+        calls_with_argument: Mapping[str, CallWithArgument] | None = None,
     ) -> None:
-        self.calls, self.deadlines, self.clock = calls, deadlines, clock
-        self.named = named or {}  # calls of two words: the second is handed on
-        self.links: dict[AdminConnection, None] = {}
-
-    def add(self, link: AdminConnection) -> None:
-        # Guards real calls against callers that connect and say nothing: the one who waits longest goes.
-        if len(self.links) >= MOST_OPEN:
-            next(iter(self.links)).close("evicted")
-        self.links[link] = None
+        self.deadlines = deadlines
+        self.clock = clock
+        self.connections: dict[AdminConnection, None] = {}
+        self._calls = calls
+        self._calls_with_argument = calls_with_argument or {}
+
+    def add(self, connection: AdminConnection) -> None:
+        """Add a connection; where there are too many, the oldest is evicted.
+
+        Guards real calls against callers that connect and send nothing.
+        """
+        if len(self.connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            oldest.abort(DisconnectReason.EVICTED)
+        self.connections[connection] = None
+
+    def remove(self, connection: AdminConnection) -> None:
+        """Remove a connection, if it is still here."""
+        self.connections.pop(connection, None)
 
     def reply(self, line: str) -> bytes:
-        if (call := self.calls.get(line)) is not None:
+        """Make the call that a line names and return the encoded reply."""
+        call = self._calls.get(line)
+        if call is not None:
             return call()
-        word, _, rest = line.partition(" ")
-        if rest and (named := self.named.get(word)) is not None:
-            return named(rest)
+        name, _, argument = line.partition(" ")
+        call_with_argument = self._calls_with_argument.get(name)
+        if argument and call_with_argument is not None:
+            return call_with_argument(argument)
         return encode_reply(False, "no such call")
 
 
 class AdminConnection(protocol.Protocol):
-    """One caller."""
+    """The connection of one caller; ``code`` says why it ends, and is empty until that is known."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, door: AdminEndpoint) -> None:
-        self.door, self.reader, self.code = door, LineReader(), ""
-        self.timer: Deadline | None = None
+    def __init__(self, endpoint: AdminEndpoint) -> None:
+        self.code = ""
+        self._endpoint = endpoint
+        self._reader = LineReader()
+        self._timeout: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.door.add(self)
-        when = self.door.clock() + SILENT_MS
-        self.timer = self.door.deadlines.add(when, lambda: self.close("silent"))
+        """Start the time limit of the call (called by Twisted)."""
+        self._endpoint.add(self)
+        due_ms = self._endpoint.clock() + CALL_TIMEOUT_MS
+        self._timeout = self._endpoint.deadlines.add(due_ms, self._on_timeout)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Read the call, and reply once it has arrived in full (called by Twisted)."""
         if self.code:
             return
         try:
-            line = self.reader.feed(data)
+            line = self._reader.feed(data)
         except ProtocolError as error:
-            return self.close(str(error))
+            self.abort(str(error))
+            return
         if line is not None:
-            self.code = "answered"
-            self.transport.write(self.door.reply(line))
+            self.code = DisconnectReason.ANSWERED
+            self.transport.write(self._endpoint.reply(line))
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        self.door.deadlines.cancel(self.timer)
-        self.door.links.pop(self, None)
+        """Log the end of the connection (called by Twisted)."""
+        self._endpoint.deadlines.cancel(self._timeout)
+        self._endpoint.remove(self)
         log_disconnect(ConnectionKind.ADMIN, None, self.code or disconnect_reason(reason))
 
-    def close(self, code: str) -> None:
-        self.door.links.pop(self, None)
+    def abort(self, code: str) -> None:
+        """Cut the connection off; a code that is known already stays."""
+        self._endpoint.remove(self)
         self.code = self.code or code
         self.transport.abortConnection()
+
+    def _on_timeout(self) -> None:
+        self.abort(DisconnectReason.SILENT)
--- a/thornjunction/net/discovery/multi_source_watch.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -33,11 +33,11 @@
 
 from thornjunction import interface as api
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.discovery.source_probe import Done, probe
 from thornjunction.net.discovery.watch_client import WatchClient
-from thornjunction.net.event_loop.backoff import should_log
 from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
--- a/thornjunction/net/discovery/watch_client.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -14,12 +14,13 @@
 from twisted.python.failure import Failure
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.discovery.epoch_change import EpochChangeDetector, RemovedEndpoints, is_new_start
 from thornjunction.net.discovery.resynchronization import SHORT
 from thornjunction.net.discovery.watch_connection import BLOCK_MS, SILENT_MS, WatchConnection
-from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.backoff import exponential_backoff
 from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, log_disconnect
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
--- a/thornjunction/net/event_loop/backoff.py
+++ b/thornjunction/net/event_loop/backoff.py
@@ -1,15 +1,11 @@
-"""How long to wait before the next try, and which of many failures are told."""
+"""How long to wait before an operation that failed is retried."""
 
 from __future__ import annotations
 
-LOG_EACH = 256  # of failures in a row, so many are one line: some 100 s at the longest wait
+# Doublings after which the wait no longer grows, whatever its bound is.
+MAX_DOUBLINGS = 10
 
 
-def exponential_backoff(first: float, times: int, most: float) -> float:
-    """Doubled so many times, up to a bound."""
-    return min(first * 2.0 ** min(times, 10), most)
-
-
-def should_log(count: int) -> bool:
-    """Of so many in a row: the first, the second, the fourth and so on, later one in LOG_EACH."""
-    return count & (count - 1) == 0 or count % LOG_EACH == 0
+def exponential_backoff(initial: float, doublings: int, maximum: float) -> float:
+    """Return the initial wait, doubled this many times, up to a maximum."""
+    return min(initial * 2.0 ** min(doublings, MAX_DOUBLINGS), maximum)
--- a/thornjunction/net/event_loop/client_priority.py
+++ b/thornjunction/net/event_loop/client_priority.py
@@ -1,8 +1,10 @@
-"""A reactor that hears clients before servers.
+"""A reactor that handles the events of clients before those of servers.
 
-An answer of a server may lead to a retry, and a finished dial to a first attempt, while the end of the client
-that asked for it lies unread in another socket.  So each turn first handles the events of accepted
-connections, then spends a bounded time on all others; late timers wait for one more look at the clients."""
+A response of a server may lead to a retry, and an established connection to a first attempt, while the
+disconnect of the client that asked for it lies unread in another socket.  So each iteration first handles the
+events of accepted connections, then spends a bounded time on all others; timers that are late wait until the
+accepted connections have been polled once more.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +16,28 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.python import log
 
-OTHERS_S = 0.03  # spent on other events in a turn; no attempt may begin 0.1 s after its client has left
-FRESH_S = 0.03  # since accepted connections were looked at: timers run without another look
+# Time spent on events of other sockets in an iteration; no attempt may start 0.1 s after its client has left.
+MAX_OTHER_EVENTS_S = 0.03
+
+# Age of the last poll of the accepted connections up to which timers run without another poll.
+MAX_POLL_AGE_S = 0.03
 
 
 class ClientPriorityReactor(EPollReactor):
-    """Twisted's epoll reactor; what is left over of a turn comes first in the next one, behind clients."""
+    """Twisted's epoll reactor with clients first.
+
+    Events that an iteration had no time for come next in the following one, after those of clients.
+    """
 
     clock = staticmethod(time.monotonic)
-    _looked_at = 0.0  # at accepted connections
+    _polled_at_s = 0.0
 
     def __init__(self) -> None:
-        self._left_over: list[int] = []
+        self._deferred_descriptors: list[int] = []
         super().__init__()  # type: ignore[no-untyped-call]
 
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
-        """Wait for events, and handle them by priority."""
+        """Wait for events and handle them by priority (called by Twisted)."""
         events = self._poll(timeout)
         self._handle_clients(events)
         self._handle_others(events)
@@ -37,40 +45,43 @@
     doIteration = doPoll  # noqa: N815
 
     def runUntilCurrent(self) -> None:  # noqa: N802
-        """Run timers, behind the clients' events where the turn before was long."""
-        if self.clock() - self._looked_at > FRESH_S:
+        """Run due timers, after the clients' events if the last poll is old (called by Twisted)."""
+        if self.clock() - self._polled_at_s > MAX_POLL_AGE_S:
             self._handle_clients(self._poll(0.0))
         super().runUntilCurrent()
 
     def _poll(self, timeout: float | None) -> dict[int, int]:
-        """Events by descriptor, with those left over at the front."""
+        """Return the events by descriptor, deferred descriptors first."""
+        wait_s = -1 if timeout is None else timeout
         try:
-            ready = dict(
-                self._poller.poll(-1 if timeout is None else timeout, max(len(self._selectables), 1))
-            )
+            ready = dict(self._poller.poll(wait_s, max(len(self._selectables), 1)))
         except OSError as error:
             if error.errno != errno.EINTR:
                 raise
             ready = {}
-        self._looked_at = self.clock()
-        first = {fd: ready[fd] for fd in self._left_over if fd in ready}
-        return first | ready
+        self._polled_at_s = self.clock()
+        deferred = {
+            descriptor: ready[descriptor] for descriptor in self._deferred_descriptors if descriptor in ready
+        }
+        return deferred | ready
 
     def _handle_clients(self, events: dict[int, int]) -> None:
-        for fd in [fd for fd in events if isinstance(self._selectables.get(fd), tcp.Server)]:
-            self._handle(fd, events.pop(fd))
+        selectables = self._selectables
+        clients = [descriptor for descriptor in events if isinstance(selectables.get(descriptor), tcp.Server)]
+        for descriptor in clients:
+            self._handle(descriptor, events.pop(descriptor))
 
     def _handle_others(self, events: dict[int, int]) -> None:
-        until = self.clock() + OTHERS_S
+        end_s = self.clock() + MAX_OTHER_EVENTS_S
         while events:
-            fd = next(iter(events))
-            self._handle(fd, events.pop(fd))
-            if self.clock() > until:
+            descriptor = next(iter(events))
+            self._handle(descriptor, events.pop(descriptor))
+            if self.clock() > end_s:
                 break
-        self._left_over = list(events)
+        self._deferred_descriptors = list(events)
 
-    def _handle(self, fd: int, event: int) -> None:
-        selectable = self._selectables.get(fd)
+    def _handle(self, descriptor: int, event: int) -> None:
+        selectable = self._selectables.get(descriptor)
         if selectable is not None:
-            call_logged: Any = log.callWithLogger
-            call_logged(selectable, self._doReadOrWrite, selectable, fd, event)
+            call_with_logger: Any = log.callWithLogger
+            call_with_logger(selectable, self._doReadOrWrite, selectable, descriptor, event)
--- a/thornjunction/net/event_loop/listening_port.py
+++ b/thornjunction/net/event_loop/listening_port.py
@@ -1,8 +1,9 @@
-"""A listening socket that rests while the system has no room for another connection.
+"""A listening port that pauses accepting, with backoff, while the system cannot accept a connection.
 
-Twisted's port asks again at once, for as long as a client waits: that takes the whole core, and the admission
-of requests shuts though nothing was asked.  Out of descriptors, it also accepts who waits and closes them
-unread.  Here they stay in the system's queue until there is room."""
+Twisted's port tries again at once for as long as a client waits: that takes a whole core, and the admission
+of requests closes although there was no request.  Out of descriptors, it also accepts waiting clients and
+closes them unread.  Here they stay in the system's queue until there is room.
+"""
 
 from __future__ import annotations
 
@@ -12,121 +13,132 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet import tcp
+from twisted.internet import protocol, tcp
 from twisted.internet.posixbase import PosixReactorBase
 from twisted.python.failure import Failure
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
-from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.backoff import exponential_backoff
+from thornjunction.net.event_loop.ports import DelayedCall, Reactor
 
-REST_MS, MOST_REST_MS = 5.0, 100.0  # before accepting again; as that grows with failures in a row
-NONE_WAITS = {errno.EAGAIN, errno.EWOULDBLOCK}
-OF_ONE_CLIENT = {
-    errno.ECONNABORTED,
-    errno.EPERM,
-    errno.EINTR,
-}  # who is behind it may be accepted
+# Milliseconds without accepting after the first failure, doubled with each failure in a row.
+INITIAL_PAUSE_MS = 5.0
+MAX_PAUSE_MS = 100.0
+
+# Errors of ``accept`` when no client waits.
+EMPTY_QUEUE_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
+
+# Errors of ``accept`` that concern one client alone: the next one may be accepted.
+SINGLE_CLIENT_ERRORS = frozenset({errno.ECONNABORTED, errno.EPERM, errno.EINTR})
 
 log = get_logger(__name__)
 
 
 class AcceptingSocket(socket.socket):
-    """Reports a failed accept, and looks empty then."""
+    """A listening socket that reports a failed ``accept``, and then looks as if no client waits."""
 
     on_failure: Callable[[OSError], None]
     on_success: Callable[[], None]
 
     def accept(self) -> tuple[socket.socket, Any]:
+        """Accept a connection; report a failure of this machine, and raise ``BlockingIOError`` for it."""
         try:
             accepted = super().accept()
-        except OSError as failed:
-            if failed.errno in NONE_WAITS or failed.errno in OF_ONE_CLIENT:
+        except OSError as failure:
+            if failure.errno in EMPTY_QUEUE_ERRORS or failure.errno in SINGLE_CLIENT_ERRORS:
                 raise
-            self.on_failure(failed)
-            raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN)) from failed
+            self.on_failure(failure)
+            raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN)) from failure
         self.on_success()
         return accepted
 
 
-TwistedPort: Any = tcp.Port  # Twisted's classes have no types of their own
+# Twisted's classes have no types of their own.
+TwistedPort: Any = tcp.Port
 
 
-class RestingPort(TwistedPort):  # type: ignore[misc]
-    """Twisted's port on such a socket."""
+class PausingPort(TwistedPort):  # type: ignore[misc]
+    """Twisted's port on such a socket, which is not read while accepting is paused."""
 
-    _failures = 0  # in a row
-    _rest: Any = None
+    _consecutive_failures = 0
+    _pause_end: DelayedCall | None = None
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802
-        """Of one that listens by itself."""
-        return self._accepting(super().createInternetSocket())
+        """Return the socket to listen on (called by Twisted)."""
+        return self._accepting_socket(super().createInternetSocket())
 
-    def adopt(self, listening: int) -> None:
+    def adopt(self, descriptor: int) -> None:
         """Take over a copy of a socket that listens already."""
-        self._preexistingSocket = self._accepting(
-            socket.fromfd(listening, self.addressFamily, self.socketType)
-        )
-
-    def _accepting(self, plain: socket.socket) -> AcceptingSocket:
-        made = AcceptingSocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
-        made.setblocking(False)
-        made.on_failure, made.on_success = self._failed, self._succeeded
-        return made
-
-    def _succeeded(self) -> None:
-        self._failures = 0
-
-    def _failed(self, failure: OSError) -> None:
-        self._failures += 1
-        if should_log(self._failures):
-            name = errno.errorcode.get(failure.errno or 0, "unknown")
-            log.warning(LogEvent.ACCEPT_FAILED, error=name, failures=self._failures)
-        if not self.disconnecting:
-            self.stopReading()
-            wait_ms = exponential_backoff(REST_MS, self._failures - 1, MOST_REST_MS)
-            self._rest = self.reactor.callLater(wait_ms / 1000.0, self._accept_again)
-
-    def _accept_again(self) -> None:
-        self._rest = None
-        self.startReading()
+        listening = socket.fromfd(descriptor, self.addressFamily, self.socketType)
+        self._preexistingSocket = self._accepting_socket(listening)
 
-    def loseConnection(self, *given: Any) -> Any:  # noqa: N802
-        self._end_rest()
-        return super().loseConnection(*given)
+    def loseConnection(self, *arguments: Any) -> Any:  # noqa: N802
+        """Stop listening (called by Twisted)."""
+        self._cancel_pause()
+        return super().loseConnection(*arguments)
 
     stopListening = loseConnection  # noqa: N815 - Twisted's second name for it
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        self._end_rest()
+        """Close the socket (called by Twisted)."""
+        self._cancel_pause()
         super().connectionLost(reason)
 
-    def _end_rest(self) -> None:
-        if self._rest is not None and self._rest.active():
-            self._rest.cancel()
-        self._rest = None
+    def _accepting_socket(self, plain: socket.socket) -> AcceptingSocket:
+        accepting = AcceptingSocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
+        accepting.setblocking(False)
+        accepting.on_failure = self._on_accept_failed
+        accepting.on_success = self._on_accepted
+        return accepting
+
+    def _on_accepted(self) -> None:
+        self._consecutive_failures = 0
+
+    def _on_accept_failed(self, failure: OSError) -> None:
+        self._consecutive_failures += 1
+        if should_log(self._consecutive_failures):
+            error_name = errno.errorcode.get(failure.errno or 0, "unknown")
+            log.warning(LogEvent.ACCEPT_FAILED, error=error_name, failures=self._consecutive_failures)
+        if not self.disconnecting:
+            self.stopReading()
+            pause_ms = exponential_backoff(INITIAL_PAUSE_MS, self._consecutive_failures - 1, MAX_PAUSE_MS)
+            self._pause_end = self.reactor.callLater(pause_ms / 1000.0, self._resume)
+
+    def _resume(self) -> None:
+        self._pause_end = None
+        self.startReading()
+
+    def _cancel_pause(self) -> None:
+        if self._pause_end is not None and self._pause_end.active():
+            self._pause_end.cancel()
+        self._pause_end = None
 
 
-class RestingReactor:
-    """What an endpoint asks its reactor for.  A reactor without sockets, as of a test, listens by itself."""
+class PausingPortReactor:
+    """The reactor that an endpoint listens by.  A reactor without sockets, as of a test, listens itself."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:  # noqa: N802
+        """Listen on a port and return it (called by Twisted's endpoint)."""
         if not isinstance(self.reactor, PosixReactorBase):
             return self.reactor.listenTCP(port, factory, backlog=backlog, interface=interface)
-        listening = RestingPort(port, factory, backlog, interface, self.reactor)
+        listening = PausingPort(port, factory, backlog, interface, self.reactor)
         listening.startListening()
         return listening
 
 
-def adopt(reactor: Any, descriptor: int, factory: Any) -> Any:
-    """Accept on a socket that listens already and is perhaps shared; OSError where it is none."""
-    name = socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM)
-    with name:
-        interface = name.getsockname()[0]
-    port = RestingPort(None, factory, None, interface, reactor)
+def listen_on_descriptor(reactor: Reactor, descriptor: int, factory: protocol.Factory) -> PausingPort:
+    """Accept on a socket that listens already and may be shared with other processes.
+
+    Raises ``OSError`` where the descriptor is no such socket.
+    """
+    with socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM) as duplicate:
+        interface = duplicate.getsockname()[0]
+    port = PausingPort(None, factory, None, interface, reactor)
     port.adopt(descriptor)
     port.startListening()
     return port
--- a/thornjunction/net/event_loop/ports.py
+++ b/thornjunction/net/event_loop/ports.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from twisted.internet.defer import Deferred
+
 
 class DelayedCall(Protocol):
     """A call that the reactor makes later."""
@@ -26,10 +28,17 @@
         """Close the port."""
 
 
+class ServerEndpoint(Protocol):
+    """An address at which connections can be accepted."""
+
+    def listen(self, factory: Any) -> Deferred[Any]:
+        """Accept connections; the result is the port."""
+
+
 class Reactor(Protocol):
     """What the endpoints ask of Twisted's reactor."""
 
-    def callLater(self, delay: float, callable: Callable[..., object], *args: object) -> DelayedCall:  # noqa: A002, N802
+    def callLater(self, _delay_s: float, _call: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802
         """Make a call after so many seconds."""
 
     def connectTCP(self, host: str, port: int, factory: Any, **more: Any) -> Any:  # noqa: N802
--- a/thornjunction/net/event_loop/reactor.py
+++ b/thornjunction/net/event_loop/reactor.py
@@ -1,7 +1,8 @@
-"""The program's reactor: the platform's own, on the system's monotonic clock; on Linux with clients first.
+"""The program's reactor: the platform's own on the monotonic clock; on Linux it handles clients first.
 
 Twisted's reactors count by the wall clock.  A step of that clock back by an hour would put off every delayed
-call by an hour, and with them deadlines, graces and the exit; a step forward would run them all at once."""
+call by an hour, and with them deadlines, grace periods and the exit; a step forward would run all at once.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +19,17 @@
 
 
 class MonotonicReactor(PlatformReactor):
-    """Delayed calls are spans of the monotonic clock."""
+    """The platform's reactor, whose delayed calls count by the monotonic clock."""
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> Any:
-    """The process's ``MonotonicReactor``, installed by the first call.
+    """Return the process's ``MonotonicReactor``, which the first call installs.
 
-    It has to come before the first import of ``twisted.internet.reactor``, which installs Twisted's own:
-    ReactorAlreadyInstalledError after that."""
+    The first call has to come before the first import of ``twisted.internet.reactor``, which installs
+    Twisted's own reactor; after that it raises ``ReactorAlreadyInstalledError``.
+    """
     installed = sys.modules.get("twisted.internet.reactor")
     if not isinstance(installed, MonotonicReactor):
         make_reactor: Any = MonotonicReactor
--- a/thornjunction/net/event_loop/single_connect.py
+++ b/thornjunction/net/event_loop/single_connect.py
@@ -1,7 +1,8 @@
-"""An outgoing TCP connection that asks the system to connect once.
+"""An outgoing TCP connection that calls ``connect`` once.
 
-Twisted's client calls ``connect`` a second time to learn whether the first has succeeded, and gives up on
-EINTR, though the system goes on with the connection.  This one asks for the peer's address instead."""
+Twisted's client calls ``connect`` a second time to learn whether the first call has succeeded, and gives up
+on EINTR, although the system goes on with the connection.  This client asks for the peer's address instead.
+"""
 
 from __future__ import annotations
 
@@ -13,60 +14,68 @@
 from twisted.internet import error, tcp
 from twisted.internet.posixbase import PosixReactorBase
 
-UNDER_WAY = {errno.EINPROGRESS, errno.EINTR}
+from thornjunction.net.event_loop.ports import Reactor
 
+# Errors of ``connect`` after which the system goes on with the connection.
+IN_PROGRESS_ERRORS = frozenset({errno.EINPROGRESS, errno.EINTR})
 
-TwistedClient: Any = tcp.Client  # Twisted's classes have no types of their own
+# Seconds until Twisted gives up a connect where its caller names no other timeout.
+DEFAULT_TIMEOUT_S = 30.0
+
+# Twisted's classes and functions have no types of their own.
+TwistedClient: Any = tcp.Client
 TwistedConnector: Any = tcp.Connector
 connect_error: Any = error.getConnectError
 
 
 class SingleConnectClient(TwistedClient):  # type: ignore[misc]
-    """Connects by one call, and waits for its result."""
+    """Twisted's client, which calls ``connect`` once and waits for its result."""
 
-    _begun = False
+    _has_started = False
 
     def doConnect(self) -> None:  # noqa: N802
-        """Begin, or look at what became of it; also Twisted's ``doRead`` and ``doWrite`` until it is up."""
-        self.doWrite = self.doRead = self.doConnect
-        if not hasattr(self, "connector"):  # it was cancelled before it began
+        """Start to connect, or look for the result (called by Twisted on each event until then)."""
+        self.doRead = self.doConnect
+        self.doWrite = self.doConnect
+        if not hasattr(self, "connector"):  # cancelled before it started
             return
-        if self._begun:
-            self._look()
+        if self._has_started:
+            self._check_result()
         else:
-            self._begun = True
-            self._begin()
+            self._has_started = True
+            self._start()
 
-    def _begin(self) -> None:
-        number = self.socket.connect_ex(self.realAddress)
-        if number in UNDER_WAY:
+    def _start(self) -> None:
+        error_number = self.socket.connect_ex(self.realAddress)
+        if error_number in IN_PROGRESS_ERRORS:
             self.startReading()
             self.startWriting()
         else:
-            self._end(number)
+            self._finish(error_number)
 
-    def _look(self) -> None:
-        number = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if not number:
+    def _check_result(self) -> None:
+        error_number = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if not error_number:
             try:
                 self.socket.getpeername()
-            except OSError as lacking:
-                if lacking.errno == errno.ENOTCONN:  # it was woken early
+            except OSError as failure:
+                if failure.errno == errno.ENOTCONN:  # woken before there is a result
                     return
-                number = lacking.errno or errno.EIO
-        self._end(number)
+                error_number = failure.errno or errno.EIO
+        self._finish(error_number)
 
-    def _end(self, number: int) -> None:
-        if number:
-            self.failIfNotConnected(connect_error((number, os.strerror(number))))
+    def _finish(self, error_number: int) -> None:
+        if error_number:
+            self.failIfNotConnected(connect_error((error_number, os.strerror(error_number))))
             return
-        del self.doWrite, self.doRead
+        del self.doWrite
+        del self.doRead
         self.stopReading()
         self.stopWriting()
         self._connectDone()
 
 
-class Connector(TwistedConnector):  # type: ignore[misc]
+class SingleConnectConnector(TwistedConnector):  # type: ignore[misc]
     """Twisted's connector with this client."""
 
     def _makeTransport(self) -> SingleConnectClient:  # noqa: N802
@@ -74,14 +83,16 @@
 
 
 class SingleConnectReactor:
-    """What an endpoint asks its reactor for.  A reactor without sockets, as of a test, connects by itself."""
+    """The reactor that an endpoint connects by.  A reactor without sockets, as of a test, connects itself."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
 
-    def connectTCP(self, host: str, port: int, factory: Any, **more: Any) -> Any:  # noqa: N802
+    def connectTCP(self, host: str, port: int, factory: Any, **options: Any) -> Any:  # noqa: N802
+        """Connect to an address and return the connector (called by Twisted's endpoint)."""
         if not isinstance(self.reactor, PosixReactorBase):
-            return self.reactor.connectTCP(host, port, factory, **more)
-        connector = Connector(host, port, factory, more.get("timeout", 30.0), None, self.reactor)
+            return self.reactor.connectTCP(host, port, factory, **options)
+        timeout_s = options.get("timeout", DEFAULT_TIMEOUT_S)
+        connector = SingleConnectConnector(host, port, factory, timeout_s, None, self.reactor)
         connector.connect()
         return connector
--- a/thornjunction/net/event_loop/timer_service.py
+++ b/thornjunction/net/event_loop/timer_service.py
@@ -1,60 +1,68 @@
-"""Wakes the deadlines, by one reactor call for the nearest of them; and the core's clock."""
+"""The core's clock, and the service that runs its deadlines by one delayed call of the reactor."""
 
 from __future__ import annotations
 
 import math
 import time
-from typing import Any
 
 from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import DeadlineCallbackErrors, Deadlines
+from thornjunction.net.event_loop.ports import DelayedCall, Reactor
 
-log = get_logger("net")
+# Added to the monotonic clock: a server's start before this machine's boot keeps a time above zero, which the
+# decisions read as "long ago".
+CLOCK_OFFSET_MS = 1e9
 
-EARLY_MS = 1e9  # keeps starts before this machine's own boot above zero, which the module reads as "long ago"
+# Lag of the event loop above which sockets are read once before deadlines run: half of the 0.1 s after which
+# no attempt may start for a client that has left.
+MAX_LAG_MS = 50.0
 
-LATE_MS = 50.0  # of a ring: half of the 0.1 s after which no attempt may begin for a client that has left
+log = get_logger("net")
 
 
 def core_ms() -> float:
-    """The core's clock: monotonic milliseconds."""
-    return time.monotonic() * 1000.0 + EARLY_MS
+    """Return the time of the core's clock: monotonic milliseconds."""
+    return time.monotonic() * 1000.0 + CLOCK_OFFSET_MS
 
 
 class TimerService:
-    """Runs ``deadlines`` from the reactor."""
+    """Runs the callbacks of ``deadlines`` when they are due, by one delayed call for the earliest of them."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
-        self.deadlines = Deadlines(self._arm)
-        self._call: Any = None
-        self._at, self._late = math.inf, False
+        self.deadlines = Deadlines(self._schedule)
+        self._call: DelayedCall | None = None
+        self._due_ms = math.inf
+        self._has_yielded = False
+
+    def stop(self) -> None:
+        """Run no further deadlines, until the next one is added."""
+        if self._call is not None and self._call.active():
+            self._call.cancel()
 
-    def _arm(self, when: float) -> None:
+    def _schedule(self, due_ms: float) -> None:
         if self._call is not None and self._call.active():
-            if self._at <= when:
+            if self._due_ms <= due_ms:
                 return
             self._call.cancel()
-        self._at = when
-        self._call = self.reactor.callLater(max(when - core_ms(), 0.0) / 1000.0, self._ring)
-
-    def _ring(self) -> None:
-        now, self._call = core_ms(), None
-        if now - self._at > LATE_MS and not self._late:
-            # Guards clients that have left meanwhile against a retry, and answers that have come against a
-            # time-out: after a long turn the event loop goes to its sockets first, once.
-            self._late, self._call = True, self.reactor.callLater(0, self._ring)
+        self._due_ms = due_ms
+        self._call = self.reactor.callLater(max(due_ms - core_ms(), 0.0) / 1000.0, self._on_expiry)
+
+    def _on_expiry(self) -> None:
+        now = core_ms()
+        self._call = None
+        if now - self._due_ms > MAX_LAG_MS and not self._has_yielded:
+            # Guards clients that have left meanwhile against a retry, and responses that have come against a
+            # timeout: after a long iteration the event loop reads its sockets first, once.
+            self._has_yielded = True
+            self._call = self.reactor.callLater(0, self._on_expiry)
             return
-        self._late = False
+        self._has_yielded = False
         try:
             self.deadlines.run_due(now)
         except DeadlineCallbackErrors:
             log.exception(LogEvent.DEADLINE_FAILED)
-        due = self.deadlines.next_due()
-        if due < math.inf:
-            self._arm(due)
-
-    def stop(self) -> None:
-        if self._call is not None and self._call.active():
-            self._call.cancel()
+        next_due_ms = self.deadlines.next_due()
+        if next_due_ms < math.inf:
+            self._schedule(next_due_ms)
--- a/thornjunction/net/event_loop/transport.py
+++ b/thornjunction/net/event_loop/transport.py
@@ -1,19 +1,26 @@
-"""Connecting by a deadline, and listening, with the endpoints of Twisted."""
+"""Connecting by a deadline, and listening, by Twisted's endpoints."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeVar
 
 from twisted.internet import protocol
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint
 
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.listening_port import RestingReactor
+from thornjunction.net.event_loop.listening_port import PausingPortReactor
+from thornjunction.net.event_loop.ports import Reactor, ServerEndpoint
 from thornjunction.net.event_loop.single_connect import SingleConnectReactor
 
-OWN_TIMER = 3600  # seconds: our deadline ends a dial long before Twisted's would
+# Seconds until Twisted itself would give up a connect; the deadline of the caller ends it long before.
+ENDPOINT_TIMEOUT_S = 3600
+
+# Connections that the system accepts before this process does.
+LISTEN_BACKLOG = 1024
+
+ResultT = TypeVar("ResultT")
 
 
 class BuildFactory(protocol.Factory):
@@ -24,30 +31,35 @@
     def __init__(self, build: Callable[[], protocol.Protocol]) -> None:
         self.build = build
 
-    def buildProtocol(self, addr: object) -> protocol.Protocol:  # noqa: N802
+    def buildProtocol(self, addr: object) -> protocol.Protocol:  # noqa: ARG002, N802
+        """Return a protocol for a new connection (called by Twisted)."""
         return self.build()
 
 
 def connect_by_deadline(
-    reactor: Any,
+    reactor: Reactor,
     address: tuple[str, int],
     build: Callable[[], protocol.Protocol],
     deadlines: Deadlines,
-    until: float,
+    until_ms: float,
 ) -> Deferred[Any]:
-    """Connect, or fail at that time."""
-    endpoint: Any = TCP4ClientEndpoint(SingleConnectReactor(reactor), *address, timeout=OWN_TIMER)
+    """Connect, or fail at a time of the core's clock; the result is the protocol that was built."""
+    endpoint: Any = TCP4ClientEndpoint(SingleConnectReactor(reactor), *address, timeout=ENDPOINT_TIMEOUT_S)
     connecting: Deferred[Any] = endpoint.connect(BuildFactory(build))
-    timer = deadlines.add(until, connecting.cancel)
+    deadline = deadlines.add(until_ms, connecting.cancel)
 
-    def over(result: Any) -> Any:
-        deadlines.cancel(timer)
+    def cancel_deadline(result: ResultT) -> ResultT:
+        deadlines.cancel(deadline)
         return result
 
-    return connecting.addBoth(over)
+    return connecting.addBoth(cancel_deadline)
 
 
-def server_endpoint(reactor: Any, address: tuple[str, int]) -> Any:
-    """Where a front listens; port 0 takes any free one."""
-    build: Any = TCP4ServerEndpoint
-    return build(RestingReactor(reactor), address[1], backlog=1024, interface=address[0])
+def server_endpoint(reactor: Reactor, address: tuple[str, int]) -> ServerEndpoint:
+    """Return the endpoint that listens at an address; port 0 takes any free one."""
+    host, port = address
+    build_endpoint: Any = TCP4ServerEndpoint
+    endpoint: ServerEndpoint = build_endpoint(
+        PausingPortReactor(reactor), port, backlog=LISTEN_BACKLOG, interface=host
+    )
+    return endpoint
--- a/thornjunction/net/event_loop/unix_clock.py
+++ b/thornjunction/net/event_loop/unix_clock.py
@@ -1,4 +1,4 @@
-"""Unix times that discovery tells, on the core's clock (``docs/design/clocks.md``)."""
+"""Unix times that discovery states, on the core's clock (``docs/design/clocks.md``)."""
 
 from __future__ import annotations
 
@@ -8,42 +8,46 @@
 
 from thornjunction.net.event_loop.timer_service import core_ms
 
-SKEW_MS = 1000.0  # by which the clocks of discovery and of this machine may differ while both are right
+# Milliseconds by which the clocks of discovery and of this machine may differ while both are right.
+MAX_SKEW_MS = 1000.0
 
 
 class UnixClock:
-    """The offset between Unix time and the core's clock, taken once: a step of this machine's clock does not
-    move it.
+    """Maps Unix time to the core's clock by an offset that a step of this machine's clock does not change.
 
-    It is taken anew only where a told time speaks against it, and for the machine's clock as that reads now:
-    then that clock was wrong when the offset was taken, or discovery's was stepped with it."""
+    The offset is measured once.  It is measured again only where a stated time contradicts it and agrees
+    with this machine's clock as it reads now: then that clock was wrong at the first measurement, or it was
+    stepped together with discovery's.
+    """
 
     def __init__(
         self, clock: Callable[[], float] = core_ms, unix_s: Callable[[], float] | None = None
     ) -> None:
-        self._clock, self._unix_s = clock, unix_s or time.time
-        self._offset_ms = self._read_offset_ms()
+        self._clock = clock
+        self._unix_s = unix_s or time.time
+        self._offset_ms = self._measure_offset_ms()
 
     def now_ms(self) -> float:
-        """Unix milliseconds, by the offset that is kept."""
+        """Return the Unix time in milliseconds, by the stored offset."""
         return self._clock() + self._offset_ms
 
     def to_core(self, unix_ms: float, recent_ms: float = math.inf) -> float:
-        """The time of something that has happened, on the core's clock: this moment at the latest.
+        """Return the time on the core's clock of something that has happened: now at the latest.
 
-        ``recent_ms``: of what was told just now; what is older than that matters no more.  Where both offsets
-        make it a recent one, it counts as the younger: to take a purge or a start for older than it is breaks
-        a rule, to take it for younger costs a little work."""
-        read_ms = self._read_offset_ms()
+        What is older than ``recent_ms`` no longer matters.  Where both offsets make it recent, the younger
+        age counts: to take a purge or a start for older than it is breaks a rule, to take it for younger
+        costs a little work.
+        """
+        measured_ms = self._measure_offset_ms()
         credible = [
             offset_ms
-            for offset_ms in (self._offset_ms, read_ms)
-            if -SKEW_MS <= self._clock() + offset_ms - unix_ms <= recent_ms
+            for offset_ms in (self._offset_ms, measured_ms)
+            if -MAX_SKEW_MS <= self._clock() + offset_ms - unix_ms <= recent_ms
         ]
         if credible and self._offset_ms not in credible:
-            self._offset_ms = read_ms
+            self._offset_ms = measured_ms
         offset_ms = min(credible) if credible and math.isfinite(recent_ms) else self._offset_ms
         return min(unix_ms - offset_ms, self._clock())
 
-    def _read_offset_ms(self) -> float:
+    def _measure_offset_ms(self) -> float:
         return self._unix_s() * 1000.0 - self._clock()
--- a/thornjunction/net/gossip/replay_gossip.py
+++ b/thornjunction/net/gossip/replay_gossip.py
@@ -14,6 +14,7 @@
 from twisted.internet import protocol
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.wire import ProtocolError, gossip
@@ -75,7 +76,7 @@
             entries = gossip.decode(data, self.secret)
         except ProtocolError as error:
             self.counts[str(error)] += 1
-            if self.counts[str(error)].bit_count() == 1:  # the 1st, 2nd, 4th, 8th...: a flood logs little
+            if is_power_of_two(self.counts[str(error)]):
                 log.info(
                     LogEvent.REPLAY_GOSSIP_REJECTED,
                     peer=addr[0],
--- a/thornjunction/net/relay/poll_endpoint.py
+++ b/thornjunction/net/relay/poll_endpoint.py
@@ -15,6 +15,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
@@ -92,7 +93,7 @@
     def noted(self, code: str) -> None:
         """Guards the log against a flood of ends: of each code the 1st, 2nd, 4th, 8th... is written."""
         self.ends[code] += 1
-        if self.ends[code].bit_count() == 1:
+        if is_power_of_two(self.ends[code]):
             log.info(
                 LogEvent.CONNECTION_CLOSED,
                 kind=ConnectionKind.POLLER,
--- a/thornjunction/net/telemetry/metrics_exporter.py
+++ b/thornjunction/net/telemetry/metrics_exporter.py
@@ -1,28 +1,23 @@
-"""Sends the counters to Graphite and collectd at a fixed pace; what can't be sent now is let go."""
+"""Exports the metrics to Graphite and collectd in fixed intervals; what can't be sent at once is dropped."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any
+from dataclasses import dataclass
+from typing import Protocol
 
 from twisted.internet import protocol
-from twisted.internet.interfaces import IPushProducer
-from twisted.python.failure import Failure
-from zope.interface import implementer  # type: ignore[import-untyped]
 
 from thornjunction.core.counters import Counters, CountersSnapshot
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, disconnect_reason, log_disconnect
-from thornjunction.net.event_loop.ports import Transport
-from thornjunction.net.event_loop.transport import connect_by_deadline
+from thornjunction.net.event_loop.ports import Reactor
+from thornjunction.net.telemetry.graphite_client import GraphiteClient
 from thornjunction.net.wire import collectd, graphite
 
-DIAL_MS = 1000.0
-
 
 def samples_of(snapshot: CountersSnapshot) -> list[graphite.Sample]:
-    """Counts since the start; mean and greatest latency of the interval."""
+    """Return the counts since the start, and the mean and maximum latencies of the interval."""
     samples = [
         graphite.Sample(f"{name}.count", value, counter=True) for name, value in snapshot.counts.items()
     ]
@@ -32,97 +27,78 @@
     return samples
 
 
-@implementer(IPushProducer)
-class GraphiteConnection(protocol.Protocol):
-    """One connection; while its buffer is full, figures are dropped."""
-
-    transport: Transport  # type: ignore[assignment]
-
-    def __init__(self, lost: Callable[[], None]) -> None:
-        self.lost, self.full = lost, False
-
-    def connectionMade(self) -> None:  # noqa: N802
-        self.transport.registerProducer(self, True)
-
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        log_disconnect(ConnectionKind.GRAPHITE, None, disconnect_reason(reason))
-        self.lost()
+class DatagramSender(Protocol):
+    """What the exporter uses of a bound UDP port."""
 
-    def send(self, data: bytes) -> None:
-        if not self.full:
-            self.transport.write(data)
+    def write(self, data: bytes, address: tuple[str, int], /) -> object:
+        """Send a datagram; raises ``OSError`` where the system does not take it."""
 
-    def pauseProducing(self) -> None:  # noqa: N802
-        self.full = True
 
-    def resumeProducing(self) -> None:  # noqa: N802
-        self.full = False
+@dataclass(frozen=True, slots=True)
+class MetricsSource:
+    """The counters to export, the router's name in the metrics, and the seconds between exports."""
 
-    def stopProducing(self) -> None:  # noqa: N802
-        self.full = True
+    counters: Counters
+    router_name: str
+    interval_s: float
 
 
 class MetricsExporter:
-    """Takes the counters' figures each interval."""
+    """Takes a snapshot of the counters in each interval and sends it to each target that was added."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         deadlines: Deadlines,
         clock: Callable[[], float],
         unix_s: Callable[[], float],
-        counters: Counters,
-        name: str,
-        interval_s: float,
+        source: MetricsSource,
     ) -> None:
-        self.reactor, self.deadlines, self.clock, self.unix_s = reactor, deadlines, clock, unix_s
-        self.counters, self.name, self.interval_s = counters, name, interval_s
-        self._graphite: tuple[str, int] | None = None
-        self._prefix = ""
-        self._collectd: tuple[str, int] | None = None
-        self._udp: Any = None
-        self._link: GraphiteConnection | None = None
-        self._dialling = False
-
-    def to_graphite(self, address: tuple[str, int], prefix: str) -> None:
-        self._graphite, self._prefix = address, prefix
-
-    def to_collectd(self, address: tuple[str, int]) -> None:
-        self._collectd = address
-        self._udp = self.reactor.listenUDP(0, protocol.DatagramProtocol(), interface="127.0.0.1")
+        self.graphite: GraphiteClient | None = None
+        self.collectd_port: DatagramSender | None = None
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._clock = clock
+        self._unix_s = unix_s
+        self._source = source
+        self._graphite_prefix = ""
+        self._collectd_address = ("", 0)
+
+    def add_graphite(self, address: tuple[str, int], prefix: str) -> None:
+        """Export to Graphite, with the prefix before each metric's name."""
+        self.graphite = GraphiteClient(self._reactor, self._deadlines, self._clock, address)
+        self._graphite_prefix = prefix
+
+    def add_collectd(self, address: tuple[str, int]) -> None:
+        """Export to collectd."""
+        port = self._reactor.listenUDP(0, protocol.DatagramProtocol(), interface="127.0.0.1")
+        self.set_collectd_port(port, address)
+
+    def set_collectd_port(self, port: DatagramSender, address: tuple[str, int]) -> None:
+        """Export to collectd by a UDP port that is bound already."""
+        self.collectd_port = port
+        self._collectd_address = address
 
     def start(self) -> None:
-        if self._graphite is not None and self._link is None:
-            self._dial()
-        self.deadlines.add(self.clock() + self.interval_s * 1000.0, self._tick)
-
-    def _tick(self) -> None:
-        samples, now = samples_of(self.counters.take_snapshot()), self.unix_s()
-        if self._link is not None:
-            self._link.send(graphite.encode_lines(f"{self._prefix}.{self.name}", samples, now))
-        if self._collectd is not None:
-            for packet in collectd.encode_packets(self.name, samples, now, self.interval_s):
-                with suppress(OSError):  # no buffer, no way there: these figures are let go
-                    self._udp.write(packet, self._collectd)
+        """Connect to Graphite and export after each interval."""
+        if self.graphite is not None:
+            self.graphite.connect()
+        due_ms = self._clock() + self._source.interval_s * 1000.0
+        self._deadlines.add(due_ms, self.export)
+
+    def export(self) -> None:
+        """Send a snapshot, and schedule the next one."""
+        samples = samples_of(self._source.counters.take_snapshot())
+        unix_s = self._unix_s()
+        if self.graphite is not None:
+            path = f"{self._graphite_prefix}.{self._source.router_name}"
+            self.graphite.send(graphite.encode_lines(path, samples, unix_s))
+        if self.collectd_port is not None:
+            self._send_to_collectd(self.collectd_port, samples, unix_s)
         self.start()
 
-    def _dial(self) -> None:
-        """A dead Graphite costs one dial an interval."""
-        if self._dialling or self._graphite is None:
-            return
-        self._dialling = True
-        until = self.clock() + DIAL_MS
-        connecting = connect_by_deadline(
-            self.reactor, self._graphite, lambda: GraphiteConnection(self._lost), self.deadlines, until
-        )
-        connecting.addCallbacks(self._up, self._down)
-
-    def _up(self, link: GraphiteConnection) -> None:
-        self._dialling, self._link = False, link
-
-    def _down(self, _: Failure) -> None:
-        self._dialling = False
-        log_disconnect(ConnectionKind.GRAPHITE, None, "dial-failed")
-
-    def _lost(self) -> None:
-        self._link = None
+    def _send_to_collectd(self, port: DatagramSender, samples: list[graphite.Sample], unix_s: float) -> None:
+        name = self._source.router_name
+        for packet in collectd.encode_packets(name, samples, unix_s, self._source.interval_s):
+            with suppress(OSError):  # no buffer or no route: this packet is dropped
+                port.write(packet, self._collectd_address)
--- a/thornjunction/net/upstream/connect_attempt.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -11,9 +11,10 @@
 from twisted.python.failure import Failure
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.backoff import exponential_backoff
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.upstream.connect_errors import ConnectFailure, connect_failure
 
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -87,14 +87,15 @@
     """What sends metrics out, where the operators' file names a target."""
     if extras is None or extras.metrics is None:
         return None
-    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 
     settings = extras.metrics
-    metrics = MetricsExporter(reactor, deadlines, core_ms, time.time, counters, name, settings.interval_s)
+    source = MetricsSource(counters, name, settings.interval_s)
+    metrics = MetricsExporter(reactor, deadlines, core_ms, time.time, source)
     if settings.graphite is not None:
-        metrics.to_graphite(settings.graphite, settings.prefix)
+        metrics.add_graphite(settings.graphite, settings.prefix)
     if settings.collectd is not None:
-        metrics.to_collectd(settings.collectd)
+        metrics.add_collectd(settings.collectd)
     return metrics
 
 
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -17,6 +17,7 @@
 from twisted.internet.error import CannotListenError
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.event_loop.timer_service import core_ms
@@ -66,7 +67,7 @@
             self._bound = self.port.listen(reactor, self._settings.listen)
         except CannotListenError as error:
             self._failed_binds += 1
-            if _is_logged(self._failed_binds):
+            if is_power_of_two(self._failed_binds):
                 log.error(  # noqa: TRY400  the traceback says nothing more
                     LogEvent.FLEET_BIND_FAILED, cause=str(error.socketError), failures=self._failed_binds
                 )
@@ -104,7 +105,7 @@
         elif notice.name == "refused":
             reason = str(notice.fields.get("cause"))
             self._rejected[reason] += 1
-            if _is_logged(self._rejected[reason]):
+            if is_power_of_two(self._rejected[reason]):
                 count = self._rejected[reason]
                 log.warning(LogEvent.FLEET_DATAGRAM_REJECTED, **notice.fields, count=count)
 
@@ -124,8 +125,3 @@
         )
     except (TypeError, ValueError) as error:
         raise FaultyKeyError(SECTIONS, error) from error
-
-
-def _is_logged(count: int) -> bool:
-    """Whether to log this occurrence: the 1st, 2nd, 4th, 8th..., so that a flood logs little."""
-    return count.bit_count() == 1
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -10,7 +10,7 @@
 
 from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
-from thornjunction.net.event_loop.listening_port import adopt
+from thornjunction.net.event_loop.listening_port import listen_on_descriptor
 from thornjunction.net.event_loop.transport import BuildFactory, server_endpoint
 
 log = get_logger(__name__)
@@ -39,7 +39,7 @@
         try:
             # A blocking accept behind the last connection would stop the process.
             os.set_blocking(descriptor, False)
-            self.ports.append(adopt(self._reactor, descriptor, BuildFactory(build)))
+            self.ports.append(listen_on_descriptor(self._reactor, descriptor, BuildFactory(build)))
             os.close(descriptor)  # the port has a duplicate of its own
         except OSError as error:
             self._fail(error)
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -36,6 +36,7 @@
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
 from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
 from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch
@@ -153,7 +154,7 @@
         A timer in whose handling the core failed may have been its last: it fires again.
         """
         self._faults += 1
-        if self._faults.bit_count() == 1:  # the 1st, 2nd, 4th, 8th...
+        if is_power_of_two(self._faults):
             log.exception(LogEvent.RELAY_EVENT_FAILED, event_kind=type(event).__name__, failures=self._faults)
         if isinstance(event, TimerFired):
             self._schedule(FAILED_TIMER_RETRY_MS, lambda: self.feed(event))
