--- a/thornjunction/net/discovery/follower_feed.py
+++ b/thornjunction/net/discovery/follower_feed.py
@@ -15,9 +15,10 @@
 )
 
 from thornjunction import interface as api
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.net.discovery.event_feed import HandleCommand, pass_on
-from thornjunction.net.event_loop.backoff import should_log
 from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
@@ -145,7 +146,8 @@
             return
         self._faulty_responses += 1
         if should_log(self._faulty_responses):
-            log.error("channel-faults", told=commands.cursor, faults=",".join(commands.faults))
+            faults = ",".join(commands.faults)
+            log.error(LogEvent.DISCOVERY_EVENTS_REJECTED, response_cursor=commands.cursor, faults=faults)
 
     def _accept(self, commands: Commands) -> list[StateEvent]:
         """Offer the follower these events, and return those that it accepts."""
--- a/thornjunction/net/discovery/watch_client.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -10,11 +10,11 @@
 
 from typing import Any
 
+from thornjunction.log_thinning import should_log
 from thornjunction.net.discovery.event_feed import EventFeed
 from thornjunction.net.discovery.watch import Watch, WatchHandlers
 from thornjunction.net.discovery.watch_context import WatchContext, WatchTimings
-from thornjunction.net.event_loop.backoff import should_log
-from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason, log_disconnect
 from thornjunction.net.wire.commands import Address, Commands
 
 # How long discovery may hold a poll.
@@ -103,7 +103,7 @@
         self.retries.failures = 0 if is_stable else self.retries.failures + 1
         failures = self.retries.failures
         if should_log(failures):
-            log_disconnect("channel", None, reason, polls=polls, failures=failures)
+            log_disconnect(ConnectionKind.CHANNEL, None, reason, polls=polls, failures=failures)
         # Guards a source that comes back against all routers connecting at one moment.
         delay_ms = self.retries.retry_delay_ms(failures, is_jittered=True)
         self._context.deadlines.add(self._context.clock() + delay_ms, self.start)
--- a/thornjunction/net/upstream/connect_attempt.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -10,9 +10,11 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.backoff import exponential_backoff
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.upstream.connect_errors import ConnectFailure, connect_failure
 
@@ -92,7 +94,7 @@
         self._failures += 1
         if should_log(self._failures):
             number = getattr(reason.value, "osError", None)
-            log.warning("dial_failed", server=self.target.name, why=failure.value, errno=number)
+            log.warning(LogEvent.CONNECT_FAILED, server=self.target.name, cause=failure.value, errno=number)
         when = now + exponential_backoff(AGAIN_MS, self._failures - 1, MOST_AGAIN_MS)
         if failure is ConnectFailure.LOCAL:
             again = self._after_local_failure
