--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
@@ -82,7 +82,7 @@
     @property
     def is_connected(self) -> bool:
         """Whether the command channel has a connection."""
-        return self.channel.link is not None
+        return self.channel.connection is not None
 
     def list_digest(self) -> str:
         """The digest of the endpoint list as the decisions hold it."""
@@ -92,7 +92,7 @@
     def end(self) -> None:
         """End at once, as a process that is killed: no peer is notified."""
         self.state = Lifecycle.STOPPED
-        self.channel.stopped = True
+        self.channel.stop()
         self.reset_connection()
         if self.fleet is not None:
             self.fleet.port.closed = True
@@ -101,8 +101,8 @@
 
     def reset_connection(self) -> None:
         """Reset the connection of the command channel."""
-        if self.channel.link is not None:
-            self.channel.link.transport.abortConnection()
+        if self.channel.connection is not None:
+            self.channel.connection.transport.abortConnection()
 
 
 def build_fleet_settings(member: MemberSettings, name: str, folder: Path) -> FleetSettings:
--- a/thornjunction/net/event_loop/client_priority.py
+++ b/thornjunction/net/event_loop/client_priority.py
@@ -39,8 +39,11 @@
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
         """Wait for events and handle them by priority (called by Twisted)."""
         events = self._poll(timeout)
-        self._handle_clients(events)
-        self._handle_others(events)
+        if events:  # most iterations of an idle process only run timers
+            self._handle_clients(events)
+            self._handle_others(events)
+        else:
+            self._deferred_descriptors.clear()
 
     doIteration = doPoll  # noqa: N815
 
@@ -60,6 +63,8 @@
                 raise
             ready = {}
         self._polled_at_s = self.clock()
+        if not self._deferred_descriptors:
+            return ready
         deferred = {
             descriptor: ready[descriptor] for descriptor in self._deferred_descriptors if descriptor in ready
         }
