--- /dev/null
+++ b/tests/net/upstream/test_ended_requests.py
@@ -0,0 +1,69 @@
+"""Attempts that wait for a connect while their request ends: none begins any more."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from fakes.clients import FastCgiClient
+from fakes.loopback_environment import PortIndex
+from twisted.internet.defer import inlineCallbacks
+
+from tests.loopback import LOOPBACK_SETTINGS
+from tests.net.upstream.pool_case import PoolTestCase
+from tests.net.wire.test_codecs import PARAMS, asked
+from thornjunction.net.wire import fastcgi
+
+KEYED_PARAMS = PARAMS | {"SCRIPT_NAME": "/do/keyed", "HTTP_X_TXN_KEY": "0" * 32}
+
+# Of the request that the client sends.
+REQUEST_ID = 7
+
+
+class EndedRequestTest(PoolTestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.engine = self.environment.engine
+        self.pool.report_to(self.engine)
+        self.set_limits(connect_timeout_ms=9000.0)
+        self.engine.feed(replace(LOOPBACK_SETTINGS, may_cancel=False))
+
+    @inlineCallbacks
+    def assert_not_begun_after(self, end_request: Callable[[FastCgiClient], None]) -> Any:
+        """Nothing runs where a keyed request ends while its attempt waits for a connect to the origin."""
+        listener = self.environment.make_unresponsive("origin")  # where keyed requests go straight
+        executions = self.engine.router.executions.by_key
+        client = yield self.environment.connect_client(PortIndex.FASTCGI_FRONT, FastCgiClient)
+        client.transport.write(asked(params=KEYED_PARAMS))
+        origin = self.pool.upstreams["origin"]
+        yield self.environment.wait_until(lambda: origin.waiting and executions)
+        end_request(client)
+        yield self.environment.wait_until(lambda: not origin.waiting)
+        self.assertFalse(executions)
+        self.assertEqual(len(self.engine.attempts), 0)
+        listener.start_accepting()
+        yield self.environment.wait_until(lambda: len(self.pool.connections))
+        self.pool.probe("origin")  # it is the first that comes on that connection
+        yield self.environment.wait_until(lambda: self.environment.received_commands)
+        self.assertEqual(self.environment.received_commands[0].verb, "busy")
+        yield self.environment.close_upstream_connections()
+
+    @inlineCallbacks
+    def test_client_aborts_its_request(self) -> Any:
+        record = fastcgi.encode_record(fastcgi.RecordType.ABORT, REQUEST_ID, b"")
+        yield self.assert_not_begun_after(lambda client: client.transport.write(record))
+
+    @inlineCallbacks
+    def test_client_closes_its_connection(self) -> Any:
+        yield self.assert_not_begun_after(lambda client: client.transport.loseConnection())
+
+    @inlineCallbacks
+    def test_all_requests_are_answered_at_shutdown(self) -> Any:
+        yield self.assert_not_begun_after(lambda _: self.engine.answer_all_now())
+
+    @inlineCallbacks
+    def test_request_passes_its_deadline(self) -> Any:
+        yield self.assert_not_begun_after(
+            lambda _: self.engine._backstop_due(next(iter(self.engine.requests)))
+        )
