--- a/thornjunction/net/event_loop/client_priority.py
+++ b/thornjunction/net/event_loop/client_priority.py
@@ -39,7 +39,7 @@
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
         """Wait for events and handle them by priority (called by Twisted)."""
         events = self._poll(timeout)
-        if events:  # most turns of an idle process only run timers
+        if events:  # most iterations of an idle process only run timers
             self._handle_clients(events)
             self._handle_others(events)
         else:
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -133,9 +133,8 @@
         """Listen at once: who polls before there is a state is told so, and goes elsewhere."""
         self._state = Lifecycle.SERVING
         self.feed(Started())
-        log.info(
-            LogEvent.RELAY_STARTED, name=self._settings.name, max_connections=self._pollers.max_connections
-        )
+        max_connections = self._pollers.max_connections
+        log.info(LogEvent.RELAY_STARTED, name=self._settings.name, max_connections=max_connections)
         self._listeners.listen(*self._settings.listen, self._pollers.build_connection)
         if self._settings.admin is not None:
             self._listeners.listen(*self._settings.admin, lambda: AdminConnection(self._admin_endpoint))
