--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -41,7 +41,7 @@
         self.discovery = self.environment.discovery
         self.addCleanup(self.environment.stop)
 
-    def passed_on_cursors(self) -> list[int]:
+    def delivered_cursors(self) -> list[int]:
         """Numbers of the events that the watch client has passed on."""
         return [event.cursor for event in self.environment.received_events]
 
--- a/tests/net/discovery/test_address_change.py
+++ b/tests/net/discovery/test_address_change.py
@@ -73,7 +73,7 @@
         yield self.environment.wait_until_due(lambda: len(other.polls) == 2)
         assert 0 < cursor < EVENT_COUNT
         assert other.polls == [(cursor, 1), (EVENT_COUNT, 1200)]
-        assert self.passed_on_cursors() == list(range(1, EVENT_COUNT + 1))
+        assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 1))
 
     @inlineCallbacks
     def test_a_new_address_while_an_attempt_to_connect_hangs(self) -> Steps[None]:
--- a/tests/net/discovery/test_incomplete_resynchronization.py
+++ b/tests/net/discovery/test_incomplete_resynchronization.py
@@ -67,11 +67,11 @@
             for cut_response in cut_responses:
                 yield self.environment.restart_watch(respond(cut_response, then=close_write_side))
                 yield self.environment.wait_until_due(self.is_disconnected_after_polls)
-                assert self.passed_on_cursors() == CURSORS_BEFORE_MIDDLE
+                assert self.delivered_cursors() == CURSORS_BEFORE_MIDDLE
                 self.environment.advance(MIN_RETRY_MS)  # the response brought many events
                 yield self.environment.wait_for_polls(3)
                 assert self.resume_positions() == [0, CURSOR_BEFORE_MIDDLE, EVENT_COUNT]
-                assert self.passed_on_cursors() == list(range(1, EVENT_COUNT + 1))
+                assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 1))
 
     @inlineCallbacks
     def test_a_response_that_is_malformed_in_its_middle_ends_there(self) -> Steps[None]:
@@ -83,7 +83,7 @@
                 yield self.environment.restart_watch(respond(response))
                 yield self.environment.wait_until_due(self.is_disconnected_after_polls)
             assert log_disconnect.call_args.args[2] == code, name
-            cursors = self.passed_on_cursors()
+            cursors = self.delivered_cursors()
             assert cursors == CURSORS_BEFORE_MIDDLE[: len(cursors)], name
             min_events = 1600 if code == "commands-faults" else CURSOR_BEFORE_MIDDLE
             assert len(cursors) >= min_events, name
@@ -104,7 +104,7 @@
         assert log_disconnect.call_args.args[2] == "http-body-size"
         cursor = self.environment.watch_client.cursor
         assert 1000 < cursor <= EVENT_COUNT  # less two parts
-        assert self.passed_on_cursors() == list(range(1, cursor + 1))
+        assert self.delivered_cursors() == list(range(1, cursor + 1))
 
     @inlineCallbacks
     def test_complete_events_keep_a_long_response_alive_up_to_a_bound(self) -> Steps[None]:
--- a/tests/net/discovery/test_resynchronization.py
+++ b/tests/net/discovery/test_resynchronization.py
@@ -76,7 +76,7 @@
         request_count = yield self.send_requests_until(client, EVENTS_OF_AN_HOUR, fastcgi_client)
         yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 2)
         assert self.discovery.polls == [(0, 1), (EVENTS_OF_AN_HOUR, 1200)]
-        assert self.passed_on_cursors() == list(range(1, EVENTS_OF_AN_HOUR + 1))
+        assert self.delivered_cursors() == list(range(1, EVENTS_OF_AN_HOUR + 1))
         assert self.max_taken_bytes() <= READ_BYTES
         assert self.max_buffered_bytes() <= 2 * READ_BYTES
         assert sorted(set(recorder.turns)) == recorder.turns  # never two parts in one turn
@@ -106,7 +106,7 @@
             yield self.environment.restart_watch(respond(encode_chunked(LONG_BODY, size)), hold_poll)
             yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 2)
             assert self.discovery.polls == [(0, 1), (EVENT_COUNT, 1200)], size
-            assert self.passed_on_cursors() == list(range(1, EVENT_COUNT + 1)), size
+            assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 1)), size
             assert self.max_taken_bytes() <= READ_BYTES
 
     @inlineCallbacks
@@ -118,7 +118,7 @@
                 respond(encode_answer(LONG_BODY)), respond(encode_answer(next_body)), hold_poll
             )
             yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 3)
-        assert self.passed_on_cursors() == list(range(1, EVENT_COUNT + 2))
+        assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 2))
         assert self.max_buffered_bytes() <= READ_BYTES + OPEN_HEAD_BYTES
         assert self.max_taken_bytes() <= READ_BYTES // 4
 
@@ -134,7 +134,7 @@
                 yield self.environment.wait_until_due(self.is_disconnected_after_polls)
             assert log_disconnect.call_args.args[2] == reason
             assert self.environment.watch_client.cursor == cursor
-            assert self.passed_on_cursors() == list(range(1, cursor + 1))
+            assert self.delivered_cursors() == list(range(1, cursor + 1))
 
     @inlineCallbacks
     def test_a_response_of_the_size_of_a_part_is_parsed_at_once(self) -> Steps[None]:
@@ -151,7 +151,7 @@
             response = encode_answer(body + padding + more)
             yield self.environment.restart_watch(respond(response), respond(next_response), hold_poll)
             yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 3)
-            assert (self.passed_on_cursors(), len(self.parts)) == (list(range(1, 153)), part_count)
+            assert (self.delivered_cursors(), len(self.parts)) == (list(range(1, 153)), part_count)
 
     @inlineCallbacks
     def test_a_turn_takes_a_bounded_number_of_events(self) -> Steps[None]:
@@ -162,7 +162,7 @@
         client.start()
         yield self.environment.wait_until_due(lambda: client.cursor == EVENT_COUNT)
         assert sum(recorder.event_counts) == EVENT_COUNT
-        assert self.passed_on_cursors() == list(range(1, EVENT_COUNT + 1))
+        assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 1))
         assert max(recorder.event_counts) <= 200 + SLICE_BYTES // MIN_EVENT_BYTES
 
     @inlineCallbacks
@@ -173,7 +173,7 @@
         response = encode_answer({"cursor": EVENT_COUNT, "cmds": events})
         yield self.environment.restart_watch(respond(response), hold_poll)
         yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 2)
-        cursors = self.passed_on_cursors()
+        cursors = self.delivered_cursors()
         assert cursors[:4] == [61, 1, 2, 3]
         position = cursors.index(2991)
         assert position < 2990
--- a/thornjunction/net/discovery/event_feed.py
+++ b/thornjunction/net/discovery/event_feed.py
@@ -16,7 +16,7 @@
 HandleCommand = Callable[[Command], None]
 
 
-def pass_on(handle_command: HandleCommand, event: Command) -> None:
+def deliver(handle_command: HandleCommand, event: Command) -> None:
     """Pass an event on.
 
     Guards the events after one whose handling fails: they are passed on too, and it is not repeated.
@@ -84,7 +84,7 @@
             if event.cursor <= known_cursor:
                 continue
             self.cursor = event.cursor
-            self._pass_on(event)
+            self._deliver(event)
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
         """Pass on what is new in a part of a long response, drains before purges.
@@ -102,16 +102,16 @@
             self._reconcile(head.cursor if head else None, parse_partial(events, 0))
         part = parse_partial(events, self.cursor)
         for event in part.events:
-            self._pass_on(event)
+            self._deliver(event)
         self.cursor = part.cursor
         return part
 
-    def _pass_on(self, event: Command) -> None:
+    def _deliver(self, event: Command) -> None:
         if isinstance(event, ListChange):
             if self._is_reading_new_epoch:
                 event = self._removed_endpoints.keep_draining(event)
             self._removed_endpoints.record(event)
-        pass_on(self.handle_command, event)
+        deliver(self.handle_command, event)
 
     def _reconcile(self, reported_cursor: int | None, first_events: Commands) -> None:
         """Decide, where discovery was polled from 0, whether its numbers or the known ones count."""
--- a/thornjunction/net/discovery/follower_feed.py
+++ b/thornjunction/net/discovery/follower_feed.py
@@ -18,7 +18,7 @@
 from thornjunction.log_events import LogEvent
 from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
-from thornjunction.net.discovery.event_feed import HandleCommand, pass_on
+from thornjunction.net.discovery.event_feed import HandleCommand, deliver
 from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
@@ -80,7 +80,7 @@
     def replay(self, known: Commands) -> None:
         """Pass on the events that are known at the start; their list counts as confirmed now by discovery."""
         for event in known.events:
-            pass_on(self._handle_command, event)
+            deliver(self._handle_command, event)
         lists = [event for event in known.events if isinstance(event, ListChange)]
         if lists:
             self.follower.seed(self._clock(), known.cursor, lists[-1].seq)
@@ -107,7 +107,7 @@
         self._report_faults(commands)
         accepted = self._accept(commands)
         outcome = self.follower.end_response(commands.cursor)
-        self._pass_on(accepted, outcome.merged_list)
+        self._deliver(accepted, outcome.merged_list)
         return outcome.status
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
@@ -124,7 +124,7 @@
             self._begin_response(head)
             self._is_reading_parts = True
         part = parse_partial(events, self.follower.cursor)
-        self._pass_on(self._accept(part), None)
+        self._deliver(self._accept(part), None)
         return part
 
     def abandon_response(self) -> None:
@@ -154,12 +154,12 @@
         events = [to_state_event(command, self._received_unix_ms) for command in commands.events]
         return [event for event in events if self.follower.accept_event(event)]
 
-    def _pass_on(self, accepted: Iterable[StateEvent], merged_list: EndpointListEvent | None) -> None:
+    def _deliver(self, accepted: Iterable[StateEvent], merged_list: EndpointListEvent | None) -> None:
         """Pass events on, drains before purges."""
         lists: list[StateEvent] = [event for event in accepted if isinstance(event, EndpointListEvent)]
         purges = [event for event in accepted if isinstance(event, PurgeEvent)]
         if merged_list is not None:
             lists.append(merged_list)
         for event in (*lists, *purges):
-            pass_on(self._handle_command, to_command(event))
+            deliver(self._handle_command, to_command(event))
         self.cursor = self.follower.cursor
