--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -16,6 +16,7 @@
 
 from thornjunction.memory.deadlines import Deadline
 from thornjunction.net.event_loop.disconnect_reasons import (
+    ConnectionKind,
     DisconnectReason,
     disconnect_reason,
     log_disconnect,
@@ -138,12 +139,12 @@
         self._partial_response_timer.stop()
         self._begin_closing(disconnect_reason(reason))
         log_disconnect(
-            "shelf",
+            ConnectionKind.SERVER,
             self.slot,
             self._close_reason,
-            shelf=self.server,
+            server=self.server,
             served=self._answered_streams,
-            open=len(self.streams),
+            open_streams=len(self.streams),
         )
         self._owner.connection_lost(self)
 
