--- a/tests/net/event_loop/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -1,5 +1,4 @@
-"""The order in which a turn of the reactor hears its sockets, on real ones: no server is heard while a
-client's end that was there before lies unread."""
+"""The order in which an iteration of the reactor handles real sockets: clients before servers."""
 
 from __future__ import annotations
 
@@ -7,7 +6,7 @@
 import signal
 import socket
 from collections.abc import Callable, Iterator
-from contextlib import closing
+from contextlib import ExitStack, closing
 from pathlib import Path
 from typing import Any
 
@@ -19,128 +18,163 @@
 from twisted.python.failure import Failure
 
 from tests.runtime.test_handover import Program
-from thornjunction.net.event_loop.client_priority import ClientPriorityReactor
+from thornjunction.net.event_loop.client_priority import (
+    MAX_OTHER_EVENTS_S,
+    MAX_POLL_AGE_S,
+    ClientPriorityReactor,
+)
 from thornjunction.net.event_loop.transport import BuildFactory
 
-SLOW_S = 0.05  # longer than a turn may spend on servers, and than a look at the clients holds
+# Longer than an iteration may spend on servers, and than a poll of the clients is recent.
+SLOW_HANDLER_S = 0.02 + max(MAX_OTHER_EVENTS_S, MAX_POLL_AGE_S)
 
+SERVER_COUNT = 3
 
-class Recorder(protocol.Protocol):
-    def __init__(self, loop: Loop, name: str) -> None:
-        self.loop, self.name = loop, name
+ITERATIONS_TO_ACCEPT = 10
+
+ITERATIONS_TO_CONNECT = 3
+
+
+class EventRecorder(protocol.Protocol):
+    """Records data and the end of a connection under a name."""
+
+    def __init__(self, loop: SteppedLoop, name: str) -> None:
+        self.loop = loop
+        self.name = name
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.loop.heard.append(self.name)
-        self.loop.slow()
+        self.loop.events.append(self.name)
+        self.loop.on_data()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        self.loop.heard.append(self.name)
+        self.loop.events.append(self.name)
 
 
-class Loop:
-    """A reactor that is turned by hand, on a clock of its own, with a client and three servers."""
+class SteppedLoop:
+    """A reactor that the test iterates, on a clock of its own, with one client and three servers.
+
+    ``events`` holds the names of the sockets that were handled; ``on_data`` is called with each data event.
+    """
 
     def __init__(self) -> None:
-        self.now, self.heard, self.slow = 0.0, list[str](), lambda: None  # type: ignore[var-annotated]
-        make: Any = ClientPriorityReactor
-        self.reactor: Any = make()
-        self.reactor.clock = lambda: self.now
-        port = self.reactor.listenTCP(
-            0, BuildFactory(lambda: Recorder(self, "client")), interface="127.0.0.1"
-        )
+        self.now_s = 0.0
+        self.events: list[str] = []
+        self.on_data: Callable[[], None] = lambda: None
+        make_reactor: Any = ClientPriorityReactor
+        self.reactor: Any = make_reactor()
+        self.reactor.clock = lambda: self.now_s
+        factory = BuildFactory(lambda: EventRecorder(self, "client"))
+        port = self.reactor.listenTCP(0, factory, interface="127.0.0.1")
         self.client = socket.create_connection(("127.0.0.1", port.getHost().port))
         self.listening = socket.create_server(("127.0.0.1", 0))
-        self.servers = [self._server(f"server {number}") for number in range(3)]
-        self.turn(10)
+        self.servers = [self._connect_server(f"server {number}") for number in range(SERVER_COUNT)]
+        self.iterate(ITERATIONS_TO_ACCEPT)
 
-    def _server(self, name: str) -> socket.socket:
-        factory = protocol.ClientFactory.forProtocol(lambda: Recorder(self, name))
-        self.reactor.connectTCP(*self.listening.getsockname(), factory)
-        self.turn(3)
-        return self.listening.accept()[0]
-
-    def turn(self, times: int = 1) -> list[str]:
-        """What is heard in so many turns, timers before sockets."""
-        self.heard = []
-        for _ in range(times):
+    def iterate(self, count: int = 1) -> list[str]:
+        """Return the names of the sockets that so many iterations handle; timers run before sockets."""
+        self.events = []
+        for _ in range(count):
             self.reactor.iterate(0.0)
-        return self.heard
+        return self.events
 
     def close(self) -> None:
+        """Close every socket."""
         for selectable in (*self.reactor.removeAll(), *self.reactor._internalReaders):
             selectable.connectionLost(Failure(ConnectionDone()))
         for each in (self.client, self.listening, *self.servers):
             each.close()
 
-
-@pytest.fixture
-def loop() -> Iterator[Loop]:
-    made = Loop()
-    yield made
-    made.close()
+    def _connect_server(self, name: str) -> socket.socket:
+        factory = protocol.ClientFactory.forProtocol(lambda: EventRecorder(self, name))
+        self.reactor.connectTCP(*self.listening.getsockname(), factory)
+        self.iterate(ITERATIONS_TO_CONNECT)
+        return self.listening.accept()[0]
 
 
-def once(call: Callable[[], None]) -> Callable[[], None]:
-    calls = [call]
-    return lambda: calls.pop()() if calls else None
+@pytest.fixture
+def loop() -> Iterator[SteppedLoop]:
+    stepped = SteppedLoop()
+    yield stepped
+    stepped.close()
 
 
-def test_a_client_that_left_is_heard_before_a_server_that_had_answered(loop: Loop) -> None:
+def test_a_client_that_left_is_handled_before_a_server_that_had_answered(loop: SteppedLoop) -> None:
     loop.servers[0].send(b"answer")
     loop.client.close()
-    assert loop.turn() == ["client", "server 0"]
+    assert loop.iterate() == ["client", "server 0"]
 
 
-def test_a_slow_turn_ends_before_all_servers_are_heard_and_the_next_begins_with_clients(loop: Loop) -> None:
+def test_a_slow_iteration_ends_early_and_the_next_begins_with_clients(loop: SteppedLoop) -> None:
     for server in loop.servers:
         server.send(b"answer")
 
-    def leave() -> None:
-        loop.now += SLOW_S
+    def leave_once() -> None:
+        loop.on_data = lambda: None
+        loop.now_s += SLOW_HANDLER_S
         loop.client.close()
 
-    loop.slow = once(leave)
-    assert loop.turn() == ["server 0"]
+    loop.on_data = leave_once
+    assert loop.iterate() == ["server 0"]
     loop.servers[0].send(b"more")
-    assert loop.turn() == ["client", "server 1", "server 2", "server 0"]
+    assert loop.iterate() == ["client", "server 1", "server 2", "server 0"]
 
 
-def test_timers_behind_a_slow_turn_wait_for_a_look_at_the_clients(loop: Loop) -> None:
-    loop.reactor.callLater(0.0, loop.heard.append, "timer")
+def test_timers_after_a_slow_iteration_wait_for_a_poll_of_the_clients(loop: SteppedLoop) -> None:
+    loop.reactor.callLater(0.0, loop.events.append, "timer")
     loop.client.close()
     loop.servers[0].send(b"answer")
-    loop.now += SLOW_S
+    loop.now_s += SLOW_HANDLER_S
     loop.reactor.runUntilCurrent()
-    assert loop.heard == ["client", "timer"]
+    assert loop.events == ["client", "timer"]
+
 
+class PausedProgram:
+    """The program with one cache server and a client whose request that server has received."""
 
-def test_a_program_that_stood_still_tries_nothing_again_for_a_client_that_has_left(tmp_path: Path) -> None:
-    """The server's error lies there first, the client's end behind it, both before the program goes on."""
-    server = lambda: socket.create_server(("127.0.0.1", 0))  # noqa: E731
-    with server() as shared, server() as channel, closing(RawSocketCacheServer()) as shelf:
+    def __init__(self, folder: Path, stack: ExitStack) -> None:
+        shared = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
+        channel = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
+        self.server = stack.enter_context(closing(RawSocketCacheServer()))
         config = platform_config(
             bound_address(shared),
             bound_address(channel),
-            bound_address(shelf.listening),
+            bound_address(self.server.listening),
             client_timeout_ms=600.0,
         )
-        program = Program(tmp_path, shared, config)
-        try:
-            client = RawSocketClient(shared.getsockname()[1])
-            client.send(encode_request(1, "clips", ttl_ms=9000))
-            ident = shelf.wait_for_request()
-            program.process.send_signal(signal.SIGSTOP)
-            os.waitid(os.P_PID, program.process.pid, os.WSTOPPED)
-            shelf.send_answer(ident, b"BROKE")
-            client.close()
-            program.process.send_signal(signal.SIGCONT)
-            call_admin(program.door, "check")  # behind the turn that heard both
-            assert shelf.connection is not None
-            given_up = shelf.reader.feed(shelf.connection.recv(65_536))
-            assert [command.verb for command in given_up] == ["never_mind"]
-            shelf.listening.setblocking(False)
-            with pytest.raises(BlockingIOError):  # nor does a dial for another attempt come up
-                shelf.listening.accept()
-        finally:
-            program.process.kill()
-            program.process.wait()
+        self.program = Program(folder, shared, config)
+        stack.callback(self._kill)
+        self.client = RawSocketClient(shared.getsockname()[1])
+        self.client.send(encode_request(1, "clips", ttl_ms=9000))
+        self.request_id = self.server.wait_for_request()
+
+    def pause(self) -> None:
+        """Stop the process, and return once it has stopped."""
+        process = self.program.process
+        process.send_signal(signal.SIGSTOP)
+        os.waitid(os.P_PID, process.pid, os.WSTOPPED)
+
+    def resume(self) -> None:
+        """Let the process go on, and return once it has handled what had arrived before."""
+        self.program.process.send_signal(signal.SIGCONT)
+        call_admin(self.program.door, "check")
+
+    def _kill(self) -> None:
+        self.program.process.kill()
+        self.program.process.wait()
+
+
+def test_a_program_that_was_paused_retries_nothing_for_a_client_that_has_left(tmp_path: Path) -> None:
+    """The server's error arrives first and the client's end after it, both before the program goes on."""
+    with ExitStack() as stack:
+        paused = PausedProgram(tmp_path, stack)
+        server = paused.server
+        paused.pause()
+        server.send_answer(paused.request_id, b"BROKE")
+        paused.client.close()
+        paused.resume()
+        assert server.connection is not None
+        cancelled = server.reader.feed(server.connection.recv(65_536))
+        assert [command.verb for command in cancelled] == ["never_mind"]
+        server.listening.setblocking(False)
+        with pytest.raises(BlockingIOError):  # nor is there a connect for another attempt
+            server.listening.accept()
--- a/thornjunction/net/event_loop/disconnect_reasons.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -1,4 +1,4 @@
-"""Why connections end, and the one log line that is written for each connection that has ended."""
+"""Why connections end, and the log line of a connection that has ended."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
 
 
 def disconnect_reason(reason: Failure | None) -> DisconnectReason:
-    """The reason for the failure with which Twisted reports the end of a connection."""
+    """Return the reason for the failure with which Twisted reports the end of a connection."""
     if reason is None or isinstance(reason.value, ConnectionDone):
         return DisconnectReason.CLOSED_BY_PEER
     if isinstance(reason.value, ConnectionAborted):
--- a/thornjunction/net/event_loop/ports.py
+++ b/thornjunction/net/event_loop/ports.py
@@ -1,4 +1,4 @@
-"""Typed interfaces of what the endpoints use of Twisted: its zope interfaces tell a type checker nothing."""
+"""Typed interfaces of what the endpoints use of Twisted, whose zope interfaces a type checker cannot read."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
         """Whether the call is neither made nor cancelled yet."""
 
     def cancel(self) -> None:
-        """Take the call back."""
+        """Cancel the call."""
 
 
 class ListeningPort(Protocol):
     """A port on which the reactor accepts connections or receives datagrams."""
 
     def getHost(self) -> Any:  # noqa: N802
-        """The address that the port is bound to, with ``host`` and ``port``."""
+        """Return the address that the port is bound to, with ``host`` and ``port``."""
 
     def stopListening(self) -> Any:  # noqa: N802
         """Close the port."""
@@ -39,7 +39,7 @@
     """What the endpoints ask of Twisted's reactor."""
 
     def callLater(self, _delay_s: float, _call: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802
-        """Make a call after so many seconds."""
+        """Make a call after a delay."""
 
     def connectTCP(self, host: str, port: int, factory: Any, **more: Any) -> Any:  # noqa: N802
         """Connect to an address and build a protocol for the connection by the factory."""
@@ -54,37 +54,38 @@
 class Transport(Protocol):
     """What a protocol may do with its connection."""
 
-    dataBuffer: bytes  # noqa: N815 - after ``doWrite``: empty where the system took all that was written
+    # Bytes that wait to be written; after ``doWrite`` empty where the system has accepted all of them.
+    dataBuffer: bytes  # noqa: N815
 
     def write(self, data: bytes) -> None:
-        """Send bytes, or keep them until the system takes them."""
+        """Send bytes, or buffer them until the system accepts them."""
 
     def getHandle(self) -> object:  # noqa: N802
-        """The socket below."""
+        """Return the socket."""
 
     def doWrite(self) -> object:  # noqa: N802
-        """Hand what is kept to the system now."""
+        """Pass the buffered bytes to the system now."""
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close the connection once all bytes have been sent."""
+        """Close the connection once the buffered bytes have been sent."""
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Shut the sending side once all bytes have been sent."""
+        """Shut down the sending side once the buffered bytes have been sent."""
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Cut the connection off."""
+        """Close the connection at once and drop the buffered bytes."""
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Read no further bytes for now."""
+        """Stop reading until ``resumeProducing`` is called."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on."""
+        """Read again."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
-        """Whether small writes go out at once."""
+        """Set whether small writes are sent at once."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802
-        """Notify a producer when bytes are kept and when they have been sent."""
+        """Notify a producer when bytes are buffered and when they have been sent."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Notify the producer no longer."""
+        """Stop notifying the producer."""
