--- a/tests/program/clock_environment.py
+++ b/tests/program/clock_environment.py
@@ -100,7 +100,7 @@
         super().__init__()
         self.poll_count = 0
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:  # noqa: ARG002
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Count the polls of one connection."""
         while await reader.read(READ_BYTES):
             self.poll_count += 1
--- a/tests/program/test_clock_steps_router.py
+++ b/tests/program/test_clock_steps_router.py
@@ -33,9 +33,9 @@
 # Seconds that a request to a cache in slow start may take.
 SLOW_START_TTL_S = 0.3
 
-# Log events that tell when to step.
-CONNECT_FAILURE_EVENT = "dial-failed"
-DRAINING_EVENT = '"draining"'
+# A cause and an event in the log that tell when to step.
+CONNECT_FAILURE_CAUSE = "dial-failed"
+DRAINING_EVENT = '"shutdown_started"'
 
 # Requests that show whether a cache gets all of them.
 REQUEST_COUNT = 20
@@ -118,7 +118,7 @@
     discovery = stepped.environment.discovery
     await discovery.stop()
     await stepped.environment.wait_until(
-        lambda: CONNECT_FAILURE_EVENT in stepped.router.log_text(), "a connect fails"
+        lambda: CONNECT_FAILURE_CAUSE in stepped.router.log_text(), "a connect fails"
     )
     stepped.step()
     poll_count = discovery.poll_count
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -18,6 +18,7 @@
 from contextlib import closing, contextmanager
 from pathlib import Path
 from types import SimpleNamespace
+from typing import Any
 from unittest.mock import patch
 
 import pytest
@@ -35,7 +36,7 @@
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.gossip.replay_gossip import GossipGroup, ReplayGossip
-from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 from thornjunction.net.upstream import connect_attempt
 from thornjunction.net.wire import fastcgi
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
@@ -163,9 +164,10 @@
     gossip = ReplayGossip(ReplayWindow(), group, deadlines, lambda: 0.0, lambda: 0.0)
     gossip.transport = FailingDatagramTransport()
     gossip.announce(ReplayEntry(b"k" * 16, 99.0))
-    metrics = MetricsExporter(None, deadlines, lambda: 0.0, lambda: 0.0, Counters(Counter(a=1)), "n1", 10.0)
-    metrics._collectd = ("127.0.0.1", 9)
-    metrics._udp = FailingDatagramTransport()
+    source = MetricsSource(Counters(Counter(a=1)), "n1", 10.0)
+    reactor: Any = None
+    metrics = MetricsExporter(reactor, deadlines, lambda: 0.0, lambda: 0.0, source)
+    metrics.set_collectd_port(FailingDatagramTransport(), ("127.0.0.1", 9))
     metrics.start()
     deadlines.run_due(10_000.0)
     assert gossip.counts["unsent"] == 1
--- a/tests/program/test_metrics.py
+++ b/tests/program/test_metrics.py
@@ -15,7 +15,8 @@
 from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
-from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+from thornjunction.net.telemetry.graphite_client import ConnectionState
+from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 
 # The Unix time that the metrics carry, and how long an attempt has taken.
 UNIX_S = 10.5
@@ -57,9 +58,8 @@
         counters = Counters()
         counters.attempt_ended(api.AttemptStatus.SUCCEEDED, ELAPSED_MS)
         deadlines = self.environment.timer_service.deadlines
-        self.metrics = MetricsExporter(
-            reactor, deadlines, core_ms, lambda: UNIX_S, counters, "n1", INTERVAL_S
-        )
+        source = MetricsSource(counters, "n1", INTERVAL_S)
+        self.metrics = MetricsExporter(reactor, deadlines, core_ms, lambda: UNIX_S, source)
 
     def listen(self, received_lines: Deferred[str], received_packet: Deferred[bytes]) -> None:
         """Start both servers, and export to them."""
@@ -68,8 +68,8 @@
         udp_port: ListeningPort = reactor.listenUDP(0, CollectdServer(received_packet), interface="127.0.0.1")
         self.addCleanup(tcp_port.stopListening)
         self.addCleanup(udp_port.stopListening)
-        self.metrics.to_graphite(("127.0.0.1", tcp_port.getHost().port), "tj")
-        self.metrics.to_collectd(("127.0.0.1", udp_port.getHost().port))
+        self.metrics.add_graphite(("127.0.0.1", tcp_port.getHost().port), "tj")
+        self.metrics.add_collectd(("127.0.0.1", udp_port.getHost().port))
 
     @inlineCallbacks
     def test_figures_arrive_at_both(self) -> Steps[None]:
@@ -77,12 +77,12 @@
         received_packet: Deferred[bytes] = Deferred()
         self.listen(received_lines, received_packet)
         self.metrics.start()
-        self.addCleanup(self.metrics._udp.stopListening)
-        yield self.environment.wait_until(lambda: self.metrics._link is not None)
-        self.metrics._tick()
+        self.addCleanup(self.metrics.collectd_port.stopListening)
+        yield self.environment.wait_until(lambda: self.metrics.graphite.state is ConnectionState.CONNECTED)
+        self.metrics.export()
         lines = yield received_lines
         assert "tj.n1.attempts.done.count 1 10\n" in lines
         assert "tj.n1.attempts.done.mean_ms 12.5 10\n" in lines
         packet = yield received_packet
         assert collectd_values(packet) == [1, ELAPSED_MS, ELAPSED_MS]
-        yield self.environment.wait_until(lambda: self.metrics._link is None)
+        yield self.environment.wait_until(lambda: self.metrics.graphite.state is ConnectionState.DISCONNECTED)
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -32,7 +32,7 @@
 FIRST_POLL = b"GET /cmd/next?resume=3&bl"
 
 # The log event of a configuration that was rejected.
-RELOAD_REJECTED_EVENT = b"reload refused"
+RELOAD_REJECTED_EVENT = b"reload_rejected"
 
 # Modules of a router without extras: neither these libraries nor our packages and modules for them.
 EXTRA_LIBRARIES = {"click", "ijson", "joserfc", "msgspec", "re2"}
--- a/tests/runtime/test_control_settings.py
+++ b/tests/runtime/test_control_settings.py
@@ -1,4 +1,4 @@
-"""The operators' ``[relay]`` and ``[control]`` sections: what is taken, and that a fault named_key its key."""
+"""The operators' ``[relay]`` and ``[control]`` sections: accepted values, and faults that name a key."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_durable.py
+++ b/tests/runtime/test_durable.py
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
 @pytest.mark.parametrize(("name", "use"), STEPS)
 def test_lives_go_on_above_what_was_kept(name: str, use: int, fault: BaseException, tmp_path: Path) -> None:
-    """What one start_incarnation could not write costs no start and leaves the next one above all that was kept."""
+    """What one process could not write costs no start, and leaves the next one above all that was kept."""
     start_incarnation(tmp_path, 5e6)
     try:
         with fail_at(name, use, fault):
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -188,7 +188,7 @@
     assert lines == ["ACK", f"member r1 alive {number}", "mode rejoining", "majority 0", "--"]
     member.fleet.leave()
     assert member.reactor.closed
-    assert member.logged("member")[-1]["state"] == "left"
+    assert member.logged("fleet_member_changed")[-1]["state"] == "left"
 
 
 def test_a_port_that_another_process_still_holds_is_waited_for(
@@ -199,7 +199,7 @@
         assert not member.reactor.sent
         member.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
     assert member.reactor.sent
-    assert len(member.logged("fleet-listening")) == 1
+    assert len(member.logged("fleet_listening")) == 1
     gone = LoggedMember(tmp_path, monkeypatch, refusals=9)
     gone.fleet.leave()
     gone.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
@@ -212,7 +212,7 @@
     for _ in range(9):
         member.fleet.port.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
     member.fleet.port.on_notice(Notice("unknown", {}))
-    assert [noted["times"] for noted in member.logged("refused")] == [1, 2, 4, 8]
+    assert [fields["count"] for fields in member.logged("fleet_datagram_rejected")] == [1, 2, 4, 8]
     assert not member.logged("unknown")
 
 
--- a/thornjunction/net/upstream/connect_attempt.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -8,9 +8,11 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline
-from thornjunction.net.event_loop.backoff import exponential_backoff, should_log
+from thornjunction.net.event_loop.backoff import exponential_backoff
 from thornjunction.net.event_loop.transport import connect_by_deadline
 from thornjunction.net.upstream.connect_errors import ConnectFailure, connect_failure
 from thornjunction.net.upstream.connection import UpstreamConnection
@@ -121,7 +123,8 @@
         self._failures += 1
         if should_log(self._failures):
             number = getattr(reason.value, "osError", None)
-            log.warning("dial_failed", server=self._target.server, why=failure.value, errno=number)
+            server = self._target.server
+            log.warning(LogEvent.CONNECT_FAILED, server=server, cause=failure.value, errno=number)
         retry_at_ms = now_ms + exponential_backoff(INITIAL_BACKOFF_MS, self._failures - 1, MAX_BACKOFF_MS)
         deadlines = self._context.deadlines
         if failure is ConnectFailure.LOCAL:
--- a/thornjunction/net/upstream/connector.py
+++ b/thornjunction/net/upstream/connector.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason, log_disconnect
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason, log_disconnect
 from thornjunction.net.upstream.connect_attempt import ConnectAttempt, ConnectTarget
 from thornjunction.net.upstream.connect_errors import ConnectFailure
 from thornjunction.net.upstream.connection import UpstreamConnection
@@ -101,5 +101,5 @@
         upstream.connect_attempt = None
         self._table.release()
         server = upstream.host.name
-        log_disconnect("shelf", None, DisconnectReason.CONNECT_FAILED, shelf=server)
+        log_disconnect(ConnectionKind.SERVER, None, DisconnectReason.CONNECT_FAILED, server=server)
         self._listener.connect_failed(upstream, failure, started_ms)
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -8,8 +8,9 @@
 
 from twisted.internet import protocol
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
-from thornjunction.net.event_loop.listening_port import adopt
+from thornjunction.net.event_loop.listening_port import listen_on_descriptor
 from thornjunction.net.event_loop.transport import BuildFactory, server_endpoint
 
 log = get_logger(__name__)
@@ -38,11 +39,11 @@
         try:
             # A blocking accept behind the last connection would stop the process.
             os.set_blocking(descriptor, False)
-            self.ports.append(adopt(self._reactor, descriptor, BuildFactory(build)))
+            self.ports.append(listen_on_descriptor(self._reactor, descriptor, BuildFactory(build)))
             os.close(descriptor)  # the port has a duplicate of its own
         except OSError as error:
             self._fail(error)
 
     def _fail(self, error: object) -> None:
-        log.error("cannot-listen", reason=str(error))
+        log.error(LogEvent.LISTEN_FAILED, cause=str(error))
         self._on_failure()
