--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -18,8 +18,8 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
 from thornjunction.memory.budget import ByteBudget
-from thornjunction.net.downstream.connection import DownstreamTable
-from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection, FastCgiRequestContext
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
@@ -94,13 +94,8 @@
         self.door = SignedRequestContext(self.engine, by_name, base, trust, ReplayWindow(), lambda: self.now)
         self.ports = [self.listen(lambda: ShelfStandIn(self)) for _ in range(2)]
         self.ports.append(self.listen(lambda: SignedConnection(self.clients, deadlines, core_ms, self.door)))
-        self.ports.append(
-            self.listen(
-                lambda: FastCgiConnection(
-                    self.clients, deadlines, core_ms, self.engine, lambda: True, bytes, print, float
-                )
-            )
-        )
+        context = FastCgiRequestContext(self.engine, lambda: True, bytes, print, float)
+        self.ports.append(self.listen(lambda: FastCgiConnection(self.clients, deadlines, core_ms, context)))
         self.list_servers()
 
     def listen(self, build: Any) -> Any:
@@ -178,8 +173,8 @@
         self.alarm.stop()
         for port in (*self.ports, *self.doors):
             yield port.stopListening()
-        for link in (*self.clients, *self.clients.lingering):
-            link.close("test")
+        for connection in (*self.clients, *self.clients.lingering):
+            connection.abort("test")
         yield self.part()
-        yield self.until(lambda: not self.clients.connected)
+        yield self.until(lambda: not self.clients.connection_count)
         self.alarm.stop()
--- a/packages/fakes/src/fakes/raw_socket.py
+++ b/packages/fakes/src/fakes/raw_socket.py
@@ -148,7 +148,7 @@
         (link,) = set(self.rig.clients) - known
         if data:
             client.send(data)
-            yield self.rig.until(lambda: link.answered)
+            yield self.rig.until(lambda: link.response_count)
         return client, link
 
     @inlineCallbacks
@@ -156,8 +156,10 @@
         """A client that asked for so much, all answered, and reads nothing of it."""
         client = self.connect(receive_buffer=4096)
         client.send(burst)
-        yield self.rig.until(lambda: not count or any(link._paused for link in self.rig.clients))
-        yield self.rig.until(lambda: sum(link.answered for link in self.rig.clients) == count)
+        yield self.rig.until(
+            lambda: not count or any(link.buffered.is_write_paused for link in self.rig.clients)
+        )
+        yield self.rig.until(lambda: sum(link.response_count for link in self.rig.clients) == count)
         return client
 
     @inlineCallbacks
@@ -165,7 +167,7 @@
         """Turn the reactor until the router holds nothing of any client."""
         engine = self.rig.engine
         yield self.rig.until(lambda: not len(engine.requests) and not len(engine.attempts))
-        yield self.rig.until(lambda: not self.rig.clients.connected)
+        yield self.rig.until(lambda: not self.rig.clients.connection_count)
 
     def http(self, target: str, *headers: str) -> bytes:
         """A request of the signed front."""
--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import replace
 from typing import Any
 
 import pytest
@@ -115,7 +116,7 @@
     hall = Hall()
     link: Any = hall.connect("fastcgi")
     link.dataReceived(asked(params=PARAMS | {"HTTP_X_ROW": "no object"}))
-    link.busy = lambda: b"Status: 503\r\n\r\n"
+    link.context = replace(link.context, refusal=lambda: b"Status: 503\r\n\r\n")
     link.dataReceived(asked())
     assert hall.turned_away == [("clips", Failed(False)), ("clips", Rejected(0.0))]
 
@@ -130,20 +131,20 @@
     hall.replies[0](Served(Content(b"x")))
     busy.dataReceived(REQUESTS[kind]())
     drain.start(100.0)
-    assert drain.is_active and [link.code for link in (idle, busy, new)] == ["", "", ""]
+    assert drain.is_active and [link.end_reason for link in (idle, busy, new)] == ["", "", ""]
     hall.wait(100.0)
-    assert [link.code for link in (idle, busy, new)] == ["drained", "", ""]
+    assert [link.end_reason for link in (idle, busy, new)] == ["drained", "", ""]
     assert not drain.is_refusing
     hall.wait(REFUSE_AFTER_MS - 100.0)
     assert drain.is_refusing
     hall.replies[1](Served(Content(b"x")))
     hall.wait(SWEEP_INTERVAL_MS)
-    assert busy.code == "drained" and new.code == ""
+    assert busy.end_reason == "drained" and new.end_reason == ""
     drain.stop()
     new.dataReceived(REQUESTS[kind]())
     hall.replies[2](Served(Content(b"x")))
     hall.wait(5 * SWEEP_INTERVAL_MS)
-    assert new.code == "" and not (drain.is_active or drain.is_refusing)
+    assert new.end_reason == "" and not (drain.is_active or drain.is_refusing)
 
 
 def test_a_drain_hurries_what_is_stuck_once_it_refuses() -> None:
@@ -169,4 +170,4 @@
     link.dataReceived(asked())
     hall.replies[0](Served(Content(b"x")))
     hall.wait(600.0)
-    assert (link.code == "drained") is answered
+    assert (link.end_reason == "drained") is answered
--- a/tests/net/downstream/test_clients.py
+++ b/tests/net/downstream/test_clients.py
@@ -23,15 +23,15 @@
 )
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.downstream.connection import (
-    LINGER_MS,
-    MAX_CROSSED,
-    DownstreamConnection,
-    DownstreamTable,
-)
-from thornjunction.net.downstream.fastcgi_front import MISUSES, FastCgiConnection
-from thornjunction.net.downstream.request_scheduler import SLICE_MS
-from thornjunction.net.downstream.signed_front import MAX_WAITING, SignedConnection, SignedRequestContext
+from thornjunction.net.downstream.connection import DownstreamConnection
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.fastcgi_front import MAX_MALFORMED_REQUESTS as MISUSES
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection, FastCgiRequestContext
+from thornjunction.net.downstream.lingering_close import LINGER_TIMEOUT_MS as LINGER_MS
+from thornjunction.net.downstream.lingering_close import MAX_DISCARDED_BYTES as MAX_CROSSED
+from thornjunction.net.downstream.request_scheduler import TIME_SLICE_MS as SLICE_MS
+from thornjunction.net.downstream.signed_front import MAX_QUEUED_REQUESTS as MAX_WAITING
+from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
 from thornjunction.net.wire import fastcgi
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
@@ -77,8 +77,8 @@
     def connect(self, kind: str) -> DownstreamConnection:
         link: DownstreamConnection
         if kind == "fastcgi":
-            turns = (lambda: True, bytes, self.turn_away, lambda: 0.0)
-            link = FastCgiConnection(self.table, self.deadlines, lambda: self.now, self, *turns)
+            context = FastCgiRequestContext(self, lambda: True, bytes, self.turn_away, lambda: 0.0)
+            link = FastCgiConnection(self.table, self.deadlines, lambda: self.now, context)
         else:
             link = SignedConnection(self.table, self.deadlines, lambda: self.now, self.door)
         link.makeConnection(Transport())
@@ -114,12 +114,12 @@
     used.dataReceived(REQUESTS[kind]())
     hall.replies[0](Served(Content(b"x")))
     for _ in range(4):  # a byte now and then is no progress
-        half.dataReceived(REQUESTS[kind]()[:1] if half.held() == 0 else REQUESTS[kind]()[1:2])
+        half.dataReceived(REQUESTS[kind]()[:1] if half.half_received_bytes() == 0 else REQUESTS[kind]()[1:2])
         hall.wait(625.0)
-    assert (silent.code, half.code, used.code) == ("silent", "half-request", "")
+    assert (silent.end_reason, half.end_reason, used.end_reason) == ("silent", "half-request", "")
     used.dataReceived(REQUESTS[kind]()[:-1])
     hall.wait(2500.0)
-    assert used.code == "half-request"
+    assert used.end_reason == "half-request"
 
 
 @both
@@ -132,7 +132,7 @@
         "fastcgi": fastcgi.encode_end(7, fastcgi.ProtocolStatus.OVERLOADED),
         "signed": b"HTTP/1.1 503 ",
     }
-    assert rejected[kind] in link.transport.value() and not link.is_open() and link.code == ""  # type: ignore[attr-defined]
+    assert rejected[kind] in link.transport.value() and not link.has_open_request() and link.end_reason == ""  # type: ignore[attr-defined]
 
 
 @both
@@ -143,14 +143,20 @@
         link.dataReceived(REQUESTS[kind]())
     late: Any = hall.connect(kind)  # each of them has an open request
     late.dataReceived(REQUESTS[kind]()[:20])
-    assert late.code == "" and not late.transport.ended
+    assert late.end_reason == "" and not late.transport.ended
     late.dataReceived(REQUESTS[kind]()[20:])
-    assert late.code == "table-full" and late.transport.ended and REFUSED[kind] in late.transport.value()
+    assert (
+        late.end_reason == "table-full" and late.transport.ended and REFUSED[kind] in late.transport.value()
+    )
     for place in (2, 0, 1):
         hall.replies[place](Rejected(0.0))
     links[2].dataReceived(REQUESTS[kind]())
-    assert hall.connect(kind).code == "" and [link.code for link in links] == ["evicted", "", ""]
-    assert hall.connect(kind).code == "" and [link.code for link in links] == ["evicted", "evicted", ""]
+    assert hall.connect(kind).end_reason == "" and [link.end_reason for link in links] == ["evicted", "", ""]
+    assert hall.connect(kind).end_reason == "" and [link.end_reason for link in links] == [
+        "evicted",
+        "evicted",
+        "",
+    ]
     assert len(hall.table) == 3
 
 
@@ -167,9 +173,9 @@
     large.dataReceived(
         part + b"x" * 4000 if kind == "signed" else b"\x01\x04\x00\x01\xff\xff\x00\x00" + bytes(4000)
     )
-    assert (small.code, large.code, reader.code) == ("", "memory", "")
+    assert (small.end_reason, large.end_reason, reader.end_reason) == ("", "memory", "")
     reader.resumeProducing()
-    small.close("done")
+    small.abort("done")
     for link in (small, large, reader):
         link.connectionLost()
     assert hall.table.budget.reserved_bytes == 0 and len(hall.table) == 0
@@ -187,29 +193,29 @@
     assert link.transport.value() == b"" or more == "part"
     link.dataReceived(b"x")
     assert link.transport.ended and link.transport.value().count(FAILED[kind]) == 1
-    assert not link.is_open() and hall.table.budget.reserved_bytes == 0
+    assert not link.has_open_request() and hall.table.budget.reserved_bytes == 0
 
 
 def test_requests_behind_one_another_are_answered_up_to_a_bound_and_then_refused() -> None:
     hall = Hall()
     link: Any = hall.connect("signed")
     link.dataReceived(http_request() * (MAX_WAITING + 3))
-    while link.serving is not None:
+    while link._current is not None:
         hall.replies[-1](Served(Content(b"x")))
     said = link.transport.value()
     assert (said.count(b"HTTP/1.1 200"), said.count(b"HTTP/1.1 503")) == (MAX_WAITING, 1)
-    assert link.code == "pipeline" and b"Connection: close" in said[said.index(b"HTTP/1.1 503") :]
+    assert link.end_reason == "pipeline" and b"Connection: close" in said[said.index(b"HTTP/1.1 503") :]
 
 
 def test_a_queued_turn_that_fails_ends_its_connection_and_no_other() -> None:
     hall = Hall()
     failing, other = (hall.connect("fastcgi") for _ in range(2))
-    hall.table.turns._spent = SLICE_MS  # of this turn: both wait for the next one
+    hall.table.scheduler._slice_used_ms = SLICE_MS  # of this turn: both wait for the next one
     for link in (failing, other):
         link.dataReceived(REQUESTS["fastcgi"]())
-    with patch.object(failing, "step", side_effect=RuntimeError("a fault in the core")):
+    with patch.object(failing, "dispatch_next", side_effect=RuntimeError("a fault in the core")):
         hall.wait(1.0)
-    assert (failing.code, other.code, len(hall.replies)) == ("failed", "", 1)
+    assert (failing.end_reason, other.end_reason, len(hall.replies)) == ("failed", "", 1)
 
 
 @both
@@ -221,7 +227,7 @@
         hall.replies[-1](Served(Content(b"x")))
         link.pauseProducing()
         hall.wait(2500.0)
-    assert link.code == "stalled"
+    assert link.end_reason == "stalled"
 
 
 def test_the_same_misuse_again_and_again_ends_the_connection() -> None:
@@ -229,13 +235,13 @@
     link, bad = hall.connect("fastcgi"), asked(params=PARAMS | {"HTTP_X_ROW": "no object"})
     for _ in range(MISUSES - 1):
         link.dataReceived(bad)
-    assert link.code == ""
+    assert link.end_reason == ""
     link.dataReceived(asked())
     hall.replies[0](Served(Content(b"x")))
     for _ in range(MISUSES):
         link.dataReceived(bad * 2)
     transport: Any = link.transport
-    assert link.code == "misuse" and transport.value().count(b"Status: 400") == 2 * MISUSES - 1
+    assert link.end_reason == "misuse" and transport.value().count(b"Status: 400") == 2 * MISUSES - 1
 
 
 @both
@@ -245,14 +251,14 @@
     link: Any = hall.connect(kind)
     link.dataReceived(REQUESTS[kind]())
     hall.replies[0](Served(Content(b"x")))
-    link.leave()
-    link.leave()
+    link.close_if_idle()
+    link.close_if_idle()
     assert link.transport.ended and not link.transport.disconnecting and not link.transport.disconnected
     said = link.transport.value()
     link.dataReceived(REQUESTS[kind]())
-    assert link.transport.value() == said and len(hall.replies) == 1 and link.held() == 0
+    assert link.transport.value() == said and len(hall.replies) == 1 and link.half_received_bytes() == 0
     hall.wait(LINGER_MS)
-    assert link.transport.disconnected and link.code == "drained"
+    assert link.transport.disconnected and link.end_reason == "drained"
 
 
 @both
@@ -261,7 +267,7 @@
     link: Any = hall.connect(kind)
     link.dataReceived(REQUESTS[kind]())
     hall.replies[0](Served(Content(b"x")))
-    link.leave()
+    link.close_if_idle()
     link.dataReceived(bytes(MAX_CROSSED))
     assert not link.transport.disconnected
     link.dataReceived(b"x")
--- a/tests/net/downstream/test_connection_end.py
+++ b/tests/net/downstream/test_connection_end.py
@@ -13,7 +13,10 @@
 
 from tests.loopback import CLIP, Rig
 from thornjunction import interface as api
-from thornjunction.net.downstream.connection import IDLE_MS, SILENT_MS, DownstreamTable
+from thornjunction.net.downstream.connection_state import ConnectionState
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.request_times import IDLE_TIMEOUT_MS as IDLE_MS
+from thornjunction.net.downstream.request_times import REQUEST_TIMEOUT_MS as SILENT_MS
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire import fastcgi
 from thornjunction.runtime.drain import Drain
@@ -39,20 +42,22 @@
             for (code, late_ms, first, part), crosses in product(cases, (True, False)):
                 client, link = await self.clients.rested(first, front)
                 client.send(part)
-                await self.until(lambda link=link, part=part: link.held() or not part)
+                await self.until(lambda link=link, part=part: link.half_received_bytes() or not part)
                 sent = len(self.rig.wants())
                 rest = request[len(part) :]
                 client.send(b"" if crosses else rest)
                 with patch.object(link, "clock", lambda late_ms=late_ms: core_ms() + late_ms):
-                    link._look()
+                    link._check_times()
                 client.send(rest if crosses else b"")
                 if crosses:
                     await self.until(client.ended)
-                    self.assertEqual((link.code, client.end, link.answered), (code, "fin", bool(first)))
+                    self.assertEqual(
+                        (link.end_reason, client.end, link.response_count), (code, "fin", bool(first))
+                    )
                     self.assertEqual(len(self.rig.wants()), sent)
                 else:
-                    await self.until(lambda link=link, first=first: link.answered == 1 + bool(first))
-                    self.assertEqual((link.code, len(self.rig.wants())), ("", sent + 1))
+                    await self.until(lambda link=link, first=first: link.response_count == 1 + bool(first))
+                    self.assertEqual((link.end_reason, len(self.rig.wants())), ("", sent + 1))
                 client.leave()
                 await self.clients.gone()
 
@@ -64,14 +69,14 @@
         shutdown._stop_at_ms = core_ms() + 9000.0
         for front, request in ((3, asked(7)), (2, self.clients.http(CLIP))):
             for ends_at, look in (
-                (math.inf, lambda link: link.leave()),
+                (math.inf, lambda link: link.close_if_idle()),
                 (0.0, lambda _: shutdown._check_done()),
             ):
                 client, link = await self.clients.rested(request, front)
                 client.send(request)
                 self.engine.shutdown_at_ms = ends_at
                 look(link)
-                await self.until(lambda link=link: link.answered == 2)
+                await self.until(lambda link=link: link.response_count == 2)
                 self.engine.shutdown_at_ms = math.inf
                 client.leave()
                 await self.clients.gone()
@@ -106,7 +111,7 @@
             self.rig.script, sent = [BIG, None], sent + 2
             client, link = await self.clients.rested(first, front)
             client.send(more + b"no record, and no request either\r\n\r\n" + first + first)
-            await self.until(lambda link=link: link.deaf)
+            await self.until(lambda link=link: link.state is ConnectionState.HALF_CLOSED)
             await self.until(lambda sent=sent: len(self.rig.wants()) == sent)
             shelf, ident = self.rig.asked[-1]
             shelf.say(ident, b"DONE", b"x" * 5_000)
@@ -125,7 +130,7 @@
         (refused,) = self.rig.clients.lingering
         self.assertTrue(link.transport.getTcpNoDelay() and refused.transport.getTcpNoDelay())
         await self.until(second.ended)
-        self.assertEqual((refused.code, second.end, second.answers()), ("table-full", "fin", 1))
+        self.assertEqual((refused.end_reason, second.end, second.answers()), ("table-full", "fin", 1))
         self.assertEqual(len(self.rig.wants()), 1)
 
     async def test_idle_clients_in_all_places_make_room_for_one_who_asks(self) -> None:
@@ -136,9 +141,9 @@
         for number in range(3):
             self.clients.connect().send(asked(30 + number))
             self.rig.ports[3].doRead()
-            self.assertLessEqual(self.rig.clients.connected, 11)
+            self.assertLessEqual(self.rig.clients.connection_count, 11)
         await self.until(lambda: len(self.rig.wants()) == sent + 4)
-        self.assertEqual([link.code for _, link in idle[:5]], ["evicted", "evicted", "", "evicted", ""])
+        self.assertEqual([link.end_reason for _, link in idle[:5]], ["evicted", "evicted", "", "evicted", ""])
         await self.until(lambda: all(idle[place][0].ended() for place in (0, 1, 3)))
         self.assertEqual([idle[place][0].end for place in (1, 3)], ["reset", "fin"])
 
@@ -192,7 +197,7 @@
         late = patch("fakes.loopback_environment.core_ms", lambda: core_ms() + slow[0])
         with late, patch.object(self.engine, "open", decide):
             client.send(b"".join(asked(number + 1) for number in range(20)))
-            await self.until(lambda: opened and not self.rig.clients.connected)
+            await self.until(lambda: opened and not self.rig.clients.connection_count)
         self.assertEqual((len(opened), len(self.engine.requests)), (2, 0))
 
     async def test_a_process_that_was_held_up_looks_who_left_before_it_tries_again(self) -> None:
@@ -219,7 +224,9 @@
             client.send(burst)
             await self.until(client.ended)
             client.send(asked(3) if front == 3 else http(CLIP))
-            await self.until(lambda: any(link._crossed for link in self.rig.clients.lingering))
+            await self.until(
+                lambda: any(link.lingering_close.discarded_bytes for link in self.rig.clients.lingering)
+            )
             self.assertEqual((client.end, len(self.rig.wants())), ("fin", sent + owed))
             self.assertEqual(client.answers() if front == 3 else 2, 2)
             client.leave()
@@ -238,7 +245,7 @@
             client.leave(how)
         hog, held = await self.clients.rested()
         hog.send(fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0) + bytes(6_000))
-        await self.until(lambda: held.code == "memory")
+        await self.until(lambda: held.end_reason == "memory")
         for number in range(10, 22):
             (idle := self.clients.connect()).send(asked(number))
             await self.until(idle.answers)
@@ -251,7 +258,7 @@
         shelf, ident = self.rig.asked[0]
         shelf.say(ident, b"DONE", b"late")
         await self.until(bystander.answers)
-        self.assertEqual((link.code, bystander.answers(), bystander.got.count(b"late")), ("", 1, 1))
+        self.assertEqual((link.end_reason, bystander.answers(), bystander.got.count(b"late")), ("", 1, 1))
 
     async def test_a_resting_connection_that_its_server_ends_or_forgets_costs_no_answer(self) -> None:
         """Just before a request: closed, reset, and no more heard of; who is forgotten costs one request."""
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -146,7 +146,7 @@
             client.transport._aggregator.flush()  # Twisted puts small writes together
             below.doWrite()
             below.socket.shutdown(socket.SHUT_WR)
-            yield rig.until(lambda: not rig.clients.connected)
+            yield rig.until(lambda: not rig.clients.connection_count)
         opened.assert_not_called()
         client.transport.loseConnection()
         yield client.ended
--- a/thornjunction/net/downstream/fastcgi_front.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -1,46 +1,68 @@
-"""The platform's front: FastCGI connections, kept thin."""
+"""The platform's front: FastCGI connections, on which requests are multiplexed."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol as Port
-
-from thornjunction.core.ports import (
-    Answer,
-    ClientRequest,
-    Failed,
-    Rejected,
-    ReplyCallback,
-    RequestTableFullError,
-)
+
+from thornjunction.core.ports import Answer, Failed, Rejected, RequestTableFullError
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.downstream.connection import DownstreamConnection, DownstreamTable
+from thornjunction.net.downstream.connection import DownstreamConnection
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.ports import RequestCore
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.net.wire import ProtocolError, cgi, fastcgi
 
-MAX_OPEN = fastcgi.MAX_OPEN_REQUESTS  # requests on one connection: as many as the platform's fronts have
-MISUSES = 16  # requests in a row that can't be used, after which their connection is closed
+# Malformed requests in a row, after which their connection is closed.
+MAX_MALFORMED_REQUESTS = 16
+
+# Messages that a complete request makes.
+COMPLETE_REQUESTS = (fastcgi.Request, fastcgi.RequestDeclined)
 
 
-class Core(Port):
-    """What a front asks of the engine."""
+@dataclass(frozen=True, slots=True)
+class FastCgiRequestContext:
+    """What all connections of this front share.
 
-    def open(self, call: ClientRequest, reply: ReplyCallback) -> int: ...
+    Attributes:
+        core: takes the requests.
+        is_ready: the answer to the platform's health check.
+        refusal: the response for requests while new work is refused; empty while it is admitted.
+        count_refused: counts a request, by its class, that was answered without the core.
+        read_delay_ms: how long requests may have waited on their sockets for the event loop.
+    """
 
-    def abandon(self, number: int) -> None: ...
+    core: RequestCore
+    is_ready: Callable[[], bool]
+    refusal: Callable[[], bytes]
+    count_refused: Callable[[str, Answer], None]
+    read_delay_ms: Callable[[], float]
 
 
 @dataclass(slots=True)
-class Pending:
-    """A request of this connection that is owed its answer."""
+class QueuedRequest:
+    """A request that waits for its turn at the core."""
+
+    request: fastcgi.Request
+    queued_at_ms: float
 
-    keep: bool
-    number: int | None = None
+
+@dataclass(slots=True)
+class AdmittedRequest:
+    """A request that was given to the core.
+
+    Attributes:
+        keep_alive: whether the connection stays open after the response.
+        core_number: its number in the core; None while the core takes it.
+    """
+
+    keep_alive: bool
+    core_number: int | None = None
 
 
 class FastCgiConnection(DownstreamConnection):
-    """One connection of the platform's web servers."""
+    """A connection of one of the platform's web servers."""
 
     kind = "fastcgi"
 
@@ -49,153 +71,191 @@
         table: DownstreamTable,
         deadlines: Deadlines,
         clock: Callable[[], float],
-        core: Core,
-        ready: Callable[[], bool],
-        busy: Callable[[], bytes],
-        turned_away: Callable[[str, Answer], None],
-        spent_ms: Callable[[], float],
+        context: FastCgiRequestContext,
     ) -> None:
         super().__init__(table, deadlines, clock)
-        self.core, self.ready, self.busy, self.spent_ms = core, ready, busy, spent_ms
-        self.turned_away = turned_away
-        self.reader = fastcgi.RequestReader()
-        self.pending: dict[int, Pending] = {}
-        self.waiting: deque[tuple[fastcgi.Request, float]] = deque()  # for the core, and since when
-        self.misuses = 0
-        self._batch = False  # requests that came together: the connection ends behind all of them
+        self.context = context
+        self._reader = fastcgi.RequestReader()
+        self._queued: deque[QueuedRequest] = deque()
+        self._admitted: dict[int, AdmittedRequest] = {}
+        self._malformed_in_a_row = 0
+        # While requests that arrived together are read: the connection ends behind all of them.
+        self._is_reading = False
 
-    def is_open(self) -> bool:
-        return bool(self.pending or self.waiting)
+    def has_open_request(self) -> bool:
+        """Whether a request is queued or in the core."""
+        return bool(self._admitted or self._queued)
 
-    def held(self) -> int:
-        return self.reader.held
+    def half_received_bytes(self) -> int:
+        """Bytes of requests that have come in part."""
+        return self._reader.held
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.code or self.deaf:
-            return self.pass_over(data)
+        """Read requests, and dispatch them when it is the connection's turn."""
+        if not self.state.reads_requests:
+            self.discard(data)
+            return
         self._read(data)
-        if self.waiting:
-            self.table.turns.take(self)
+        if self._queued:
+            self.table.scheduler.submit(self)
 
-    def look_again(self) -> None:
-        data = self.read_on()
-        if data and not self.code and not self.deaf:
+    def queue_pending_input(self) -> None:
+        """Read what has arrived since, and queue its requests."""
+        data = self.receive_pending()
+        if data and self.state.reads_requests:
             self._read(data)
 
-    def step(self) -> bool:
-        if self.waiting:
-            asked, since = self.waiting.popleft()
-            self._ask(asked, self.clock() - since)
-        return bool(self.waiting)
+    def dispatch_next(self) -> bool:
+        """Give the next queued request to the core; False where none is left."""
+        if self._queued:
+            queued = self._queued.popleft()
+            self._dispatch(queued.request, self.clock() - queued.queued_at_ms)
+        return bool(self._queued)
 
-    def drop_part(self) -> None:
-        self.reader = fastcgi.RequestReader()
+    def drop_half_request(self) -> None:
+        """Forget the requests that have come in part."""
+        self._reader = fastcgi.RequestReader()
 
-    def answer_open(self) -> None:
+    def answer_open_requests(self) -> None:
+        """Reject what is queued, and answer what is in the core as failed."""
         failed = cgi.encode_response(Failed(timed_out=False))
-        while self.waiting:
-            asked, _ = self.waiting.popleft()
-            self._overloaded(asked)
-        while self.pending:
-            ident, pending = self.pending.popitem()
-            if pending.number is not None:
-                self.core.abandon(pending.number)
-            self._write(ident, fastcgi.encode_answer(ident, failed), pending.keep)
-
-    def forget(self) -> None:
-        self.table.turns.leave(self)
-        self.waiting.clear()
-        self.drop_part()
-        pending, self.pending = self.pending, {}
-        for request in pending.values():
-            if request.number is not None:
-                self.core.abandon(request.number)
+        while self._queued:
+            self._reject_overloaded(self._queued.popleft().request)
+        while self._admitted:
+            request_id, admitted = self._admitted.popitem()
+            if admitted.core_number is not None:
+                self.context.core.abandon(admitted.core_number)
+            self._write_end(fastcgi.encode_answer(request_id, failed), admitted.keep_alive)
+
+    def abandon_requests(self) -> None:
+        """Forget what is queued or has come in part, and abandon what is in the core."""
+        self.table.scheduler.remove(self)
+        self._queued.clear()
+        self.drop_half_request()
+        abandoned = self._admitted
+        self._admitted = {}
+        for admitted in abandoned.values():
+            if admitted.core_number is not None:
+                self.context.core.abandon(admitted.core_number)
 
     def _read(self, data: bytes) -> None:
-        whole, fault, self._batch = False, "", True
+        """Read all messages, then update the connection once."""
+        has_completed_request = False
+        violation = ""
+        self._is_reading = True
         try:
-            while messages := self.reader.feed(data):
+            while messages := self._reader.feed(data):
                 data = b""
                 for message in messages:
-                    self._take(message)
-                    whole = whole or isinstance(message, fastcgi.Request | fastcgi.RequestDeclined)
+                    self._handle(message)
+                    has_completed_request = has_completed_request or isinstance(message, COMPLETE_REQUESTS)
         except ProtocolError as error:
-            fault = str(error)
-        self._batch = False
-        if fault:
-            return self.stop_reading(fault)
-        self.turned(whole)
+            violation = str(error)
+        self._is_reading = False
+        if violation:
+            self.half_close(violation)
+            self.note_progress()
+        else:
+            self.note_progress(has_completed_request)
 
-    def _take(self, message: fastcgi.Message) -> None:
+    def _handle(self, message: fastcgi.Message) -> None:
         match message:
-            case fastcgi.Request() if self.refuses or len(self.pending) + len(self.waiting) >= MAX_OPEN:
-                self._overloaded(message)
+            case fastcgi.Request() if self._is_full():
+                self._reject_overloaded(message)
             case fastcgi.Request():
-                self.waiting.append((message, self.clock()))
+                self._queued.append(QueuedRequest(message, self.clock()))
             case fastcgi.RequestAborted(request_id):
-                kept = [entry for entry in self.waiting if entry[0].request_id != request_id]
-                self.waiting = deque(kept)
-                gone = self.pending.pop(request_id, None)
-                if gone is not None and gone.number is not None:
-                    self.core.abandon(gone.number)
-            case fastcgi.RequestDeclined(request_id, protocol_status, keep):
-                self._write(request_id, fastcgi.encode_end(request_id, protocol_status), keep)
+                self._abort_request(request_id)
+            case fastcgi.RequestDeclined(request_id, protocol_status, keep_alive):
+                self._write_end(fastcgi.encode_end(request_id, protocol_status), keep_alive)
             case fastcgi.ManagementReply(reply):
                 self.transport.write(reply)
 
-    def _overloaded(self, asked: fastcgi.Request) -> None:
-        self._count(asked, Rejected(0.0))
-        end = fastcgi.encode_end(asked.request_id, fastcgi.ProtocolStatus.OVERLOADED)
-        self._write(asked.request_id, end, asked.keep_alive)
-
-    def _ask(self, asked: fastcgi.Request, waited_ms: float) -> None:
-        ident = asked.request_id
-        if ident in self.pending:
-            return self.stop_reading("fastcgi-id-twice")  # and not answerable beside the first
-        if asked.params.get("SCRIPT_NAME") == cgi.HEALTH_CHECK_PATH:
-            said = cgi.READY if self.ready() else cgi.NOT_READY
-            return self._write(ident, fastcgi.encode_answer(ident, said), asked.keep_alive)
-        busy = self.busy()
-        if busy:
-            self._count(asked, Rejected(0.0))
-            return self._write(ident, fastcgi.encode_answer(ident, busy), asked.keep_alive)
+    def _is_full(self) -> bool:
+        """Whether a further request is rejected: over capacity, or as many as may be are open."""
+        return self.slot is None or len(self._admitted) + len(self._queued) >= fastcgi.MAX_OPEN_REQUESTS
+
+    def _abort_request(self, request_id: int) -> None:
+        """The web server no longer waits for a response."""
+        self._queued = deque(queued for queued in self._queued if queued.request.request_id != request_id)
+        admitted = self._admitted.pop(request_id, None)
+        if admitted is not None and admitted.core_number is not None:
+            self.context.core.abandon(admitted.core_number)
+
+    def _dispatch(self, request: fastcgi.Request, waited_ms: float) -> None:
+        """Answer a request here, or give it to the core."""
+        if request.request_id in self._admitted:  # and it can't be answered beside the first
+            self.half_close(DisconnectReason.DUPLICATE_REQUEST_ID)
+            self.note_progress()
+            return
+        if request.params.get("SCRIPT_NAME") == cgi.HEALTH_CHECK_PATH:
+            self._respond(request, cgi.READY if self.context.is_ready() else cgi.NOT_READY)
+            return
+        refusal = self.context.refusal()
+        if refusal:
+            self._count_refused(request, Rejected(0.0))
+            self._respond(request, refusal)
+            return
+        self._admit(request, waited_ms)
+
+    def _admit(self, request: fastcgi.Request, waited_ms: float) -> None:
+        """Give a request to the core, which may answer it at once."""
+        delay_ms = max(self.context.read_delay_ms(), waited_ms)
         try:
-            call = cgi.decode_request(asked.params, asked.body, max(self.spent_ms(), waited_ms))
+            call = cgi.decode_request(request.params, request.body, delay_ms)
         except ProtocolError:
-            self._count(asked, Failed(timed_out=False))
-            return self._misused(ident, asked.keep_alive)
-        self.misuses = 0
-        pending = self.pending[ident] = Pending(asked.keep_alive)
+            self._reject_malformed(request)
+            return
+        self._malformed_in_a_row = 0
+        request_id = request.request_id
+        admitted = AdmittedRequest(request.keep_alive)
+        self._admitted[request_id] = admitted
         try:
-            number = self.core.open(call, lambda answer: self._reply(ident, pending, answer))
+            number = self.context.core.open(call, lambda answer: self._reply(request_id, admitted, answer))
         except RequestTableFullError:
-            if self.pending.pop(ident, None) is pending:
-                self._overloaded(asked)
+            if self._admitted.pop(request_id, None) is admitted:
+                self._reject_overloaded(request)
             return
-        if self.pending.get(ident) is pending:
-            pending.number = number
+        if self._admitted.get(request_id) is admitted:
+            admitted.core_number = number
         else:  # answered, or its connection ended while the core decided
-            self.core.abandon(number)
+            self.context.core.abandon(number)
+
+    def _reply(self, request_id: int, admitted: AdmittedRequest, answer: Answer) -> None:
+        """Write the core's answer, unless nobody waits for it any more."""
+        if self._admitted.get(request_id) is admitted:
+            del self._admitted[request_id]
+            response = fastcgi.encode_answer(request_id, cgi.encode_response(answer))
+            self._write_end(response, admitted.keep_alive)
+
+    def _reject_overloaded(self, request: fastcgi.Request) -> None:
+        """There is no room for a request, here or in the core."""
+        self._count_refused(request, Rejected(0.0))
+        end = fastcgi.encode_end(request.request_id, fastcgi.ProtocolStatus.OVERLOADED)
+        self._write_end(end, request.keep_alive)
 
-    def _count(self, asked: fastcgi.Request, answer: Answer) -> None:
-        """A request that never reached the core, which counts the others."""
-        self.turned_away(asked.params.get("SCRIPT_NAME", "").removeprefix(cgi.REQUEST_PREFIX), answer)
+    def _reject_malformed(self, request: fastcgi.Request) -> None:
+        """Guards the core's time against a client that repeats a bad request as soon as it is rejected."""
+        self._count_refused(request, Failed(timed_out=False))
+        self._malformed_in_a_row += 1
+        self._respond(request, cgi.BAD_REQUEST)
+        may_end = not (self.has_open_request() or self.state.has_ended)
+        if may_end and self._malformed_in_a_row >= MAX_MALFORMED_REQUESTS:
+            self.close_lingering(DisconnectReason.MALFORMED_REQUESTS)
 
-    def _misused(self, ident: int, keep: bool) -> None:
-        """Guards the core's time against a client that sends the same again as soon as it is turned away."""
-        self.misuses += 1
-        self._write(ident, fastcgi.encode_answer(ident, cgi.BAD_REQUEST), keep)
-        if self.misuses >= MISUSES and not self.is_open() and not self.code:
-            self.finish("misuse")
+    def _count_refused(self, request: fastcgi.Request, answer: Answer) -> None:
+        """Count a request that never reached the core, which counts all others."""
+        class_name = request.params.get("SCRIPT_NAME", "").removeprefix(cgi.REQUEST_PREFIX)
+        self.context.count_refused(class_name, answer)
 
-    def _reply(self, ident: int, pending: Pending, answer: Answer) -> None:
-        if self.pending.get(ident) is pending:
-            del self.pending[ident]
-            self._write(ident, fastcgi.encode_answer(ident, cgi.encode_response(answer)), pending.keep)
+    def _respond(self, request: fastcgi.Request, response: bytes) -> None:
+        """Answer a request that is not in the core."""
+        self._write_end(fastcgi.encode_answer(request.request_id, response), request.keep_alive)
 
-    def _write(self, ident: int, data: bytes, keep: bool) -> None:
+    def _write_end(self, data: bytes, keep_alive: bool) -> None:
+        """Write the last bytes for a request."""
         self.write(data)
-        if not keep:
-            self.ending = self.ending or "no-keep-conn"
-        if not self._batch:
-            self.turned()
+        if not keep_alive:
+            self.plan_end(DisconnectReason.NO_KEEP_CONN)
+        if not self._is_reading:
+            self.note_progress()
--- /dev/null
+++ b/thornjunction/net/downstream/pending_input.py
@@ -0,0 +1,50 @@
+"""Reading what has arrived on a socket since the event loop last read it."""
+
+from __future__ import annotations
+
+import select
+import socket
+from collections.abc import Callable
+
+from thornjunction.net.downstream.lingering_close import MAX_DISCARDED_BYTES
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
+from thornjunction.net.event_loop.ports import Transport
+
+# Bytes of one read, as in Twisted.
+READ_BYTES = 65_536
+
+
+def receive_pending(transport: Transport, on_peer_gone: Callable[[DisconnectReason], None]) -> bytes:
+    """Read the bytes that have arrived since the event loop last read.
+
+    ``on_peer_gone`` is called where the client has closed or reset the connection.  Guards against work for
+    a client that has gone: the end of its connection shows only behind all that it sent.
+    """
+    handle = transport.getHandle()
+    if not isinstance(handle, socket.socket):  # TLS, which buffers bytes of its own
+        if _tls_peer_has_closed(transport):
+            on_peer_gone(DisconnectReason.CLOSED_BY_PEER)
+        return b""
+    received = bytearray()
+    try:
+        while len(received) < MAX_DISCARDED_BYTES:
+            data = handle.recv(READ_BYTES)
+            if not data:  # Twisted reads the same, and ends the connection
+                on_peer_gone(DisconnectReason.CLOSED_BY_PEER)
+                break
+            received += data
+    except BlockingIOError:
+        pass
+    except OSError:
+        on_peer_gone(DisconnectReason.RESET)
+    return bytes(received)
+
+
+def _tls_peer_has_closed(transport: object) -> bool:
+    """Whether the client of a TLS connection has shut its socket, even with bytes of it still unread."""
+    tcp_transport = getattr(transport, "transport", None)
+    if tcp_transport is None:
+        return False
+    poller = select.poll()
+    poller.register(tcp_transport.fileno(), select.POLLRDHUP)
+    return bool(poller.poll(0))
--- a/thornjunction/net/downstream/request_scheduler.py
+++ b/thornjunction/net/downstream/request_scheduler.py
@@ -1,4 +1,4 @@
-"""Shares the core's time between clients' connections, so that the event loop hears who leaves meanwhile."""
+"""Shares the core's time between client connections, so that the event loop notices in time who has left."""
 
 from __future__ import annotations
 
@@ -7,77 +7,89 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
-SLICE_MS = 20.0  # of decisions between two looks at the sockets; 100 ms after a client left none may begin
+# Of decisions between two polls of the sockets: no request may begin 100 ms after its client has left.
+TIME_SLICE_MS = 20.0
 
 log = get_logger(__name__)
 
 
 class SchedulableConnection(Protocol):
-    """A connection with requests that wait for the core."""
+    """A connection with requests that are queued for the core."""
 
     deadlines: Deadlines
     clock: Callable[[], float]
 
-    def look_again(self) -> None:
-        """Read what has come since."""
+    def queue_pending_input(self) -> None:
+        """Read what has arrived since, and queue its requests."""
 
-    def step(self) -> bool:
-        """Hand the next request to the core; False where none waits."""
+    def dispatch_next(self) -> bool:
+        """Give the next queued request to the core; False where none is left."""
 
-    def close(self, code: str) -> None: ...
+    def abort(self, reason: str) -> None:
+        """Cut the connection off."""
 
 
 class RequestScheduler:
-    """Connections take turns at the core.  Guards against bursts that keep the process from its sockets: a
-    client that had gone by then was still served."""
+    """Connections with queued requests take turns at the core.
 
-    def __init__(self) -> None:
-        self._waiting: dict[SchedulableConnection, float] = {}  # and since when
-        self._spent = 0.0  # of this slice
-        self._next: Deadline | None = None
-
-    def late_ms(self, now: float) -> float:
-        """How long the one that waits longest has waited."""
-        return now - min(self._waiting.values(), default=now)
+    Guards against bursts that keep the process from polling its sockets: a client that had left meanwhile was
+    still served.
+    """
 
-    def take(self, link: SchedulableConnection) -> None:
-        """Its requests go to the core now, where no other waits and the slice allows; else in order."""
-        if link in self._waiting:
+    def __init__(self) -> None:
+        # Since when each connection waits, in ms of the core's clock.
+        self._waiting_since: dict[SchedulableConnection, float] = {}
+        self._slice_used_ms = 0.0
+        self._next_slice: Deadline | None = None
+
+    def longest_wait_ms(self, now_ms: float) -> float:
+        """How long the connection that waits longest has waited."""
+        return now_ms - min(self._waiting_since.values(), default=now_ms)
+
+    def submit(self, connection: SchedulableConnection) -> None:
+        """Dispatch a connection's requests now, if no other one waits and time is left; else in order."""
+        if connection in self._waiting_since:
             return
-        if self._waiting:
-            self._waiting[link] = link.clock()
+        if self._waiting_since:
+            self._waiting_since[connection] = connection.clock()
         else:
-            self._work(link, link.clock())
-
-    def leave(self, link: SchedulableConnection) -> None:
-        self._waiting.pop(link, None)
-
-    def _work(self, link: SchedulableConnection, since: float) -> None:
-        began, more = link.clock(), True
-        link.look_again()
-        while more and self._spent < SLICE_MS:
-            more = link.step()
-            now = link.clock()
-            self._spent, began = self._spent + now - began, now
-        if more:
-            self._waiting[link] = since
-            self._arm(link)
-
-    def _arm(self, link: SchedulableConnection) -> None:
-        if self._next is None:
-            self._next = link.deadlines.add(link.clock(), self._go_on)
-
-    def _go_on(self) -> None:
-        """The next slice, after the event loop has been to its sockets."""
-        self._next, self._spent = None, 0.0
-        for link, since in list(self._waiting.items()):
-            if self._spent >= SLICE_MS:
-                return self._arm(link)
-            if self._waiting.pop(link, None) is None:  # it has left meanwhile
+            self._dispatch(connection, connection.clock())
+
+    def remove(self, connection: SchedulableConnection) -> None:
+        """Forget a connection that has ended."""
+        self._waiting_since.pop(connection, None)
+
+    def _dispatch(self, connection: SchedulableConnection, since_ms: float) -> None:
+        began_ms = connection.clock()
+        has_more = True
+        connection.queue_pending_input()
+        while has_more and self._slice_used_ms < TIME_SLICE_MS:
+            has_more = connection.dispatch_next()
+            now_ms = connection.clock()
+            self._slice_used_ms += now_ms - began_ms
+            began_ms = now_ms
+        if has_more:
+            self._waiting_since[connection] = since_ms
+            self._schedule_slice(connection)
+
+    def _schedule_slice(self, connection: SchedulableConnection) -> None:
+        if self._next_slice is None:
+            self._next_slice = connection.deadlines.add(connection.clock(), self._run_slice)
+
+    def _run_slice(self) -> None:
+        """Use the next time slice, after the event loop has polled its sockets."""
+        self._next_slice = None
+        self._slice_used_ms = 0.0
+        for connection, since_ms in list(self._waiting_since.items()):
+            if self._slice_used_ms >= TIME_SLICE_MS:
+                self._schedule_slice(connection)
+                return
+            if self._waiting_since.pop(connection, None) is None:  # it has ended meanwhile
                 continue
             try:
-                self._work(link, since)
-            except Exception:  # ends its connection, as Twisted does, and not all that waits for this alarm
+                self._dispatch(connection, since_ms)
+            except Exception:  # ends its connection, as in Twisted, and not all that share this slice
                 log.exception("turn-failed")
-                link.close("failed")
+                connection.abort(DisconnectReason.HANDLER_FAILED)
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -1,42 +1,85 @@
-"""The second front: HTTP/1.1 with signed URLs.  A token is checked when its request has come whole; what it
-admitted runs to its end, and the next request on the connection needs a token that holds then."""
+"""The second front: HTTP/1.1 with signed URLs.
+
+A token is verified when its request has come completely.  What it admitted runs to its end; the next request
+on the connection needs a token that is valid by then.
+"""
 
 from __future__ import annotations
 
 import secrets
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, field, replace
 
 from thornjunction import interface as api
-from thornjunction.core.ports import Answer, Failed, RequestTableFullError
+from thornjunction.core.ports import Answer, ClientRequest, Failed, RequestTableFullError
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.downstream.connection import DownstreamConnection, DownstreamTable
-from thornjunction.net.downstream.fastcgi_front import Core
+from thornjunction.net.downstream.connection import DownstreamConnection
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.ports import RequestCore
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.net.wire import ProtocolError, http1, signed
 from thornjunction.signing import tokens
 from thornjunction.signing.address import Forwarding, client_address
 from thornjunction.signing.replay import ReplayWindow
 
-MAX_BODY, MAX_WAITING = 65_536, 8  # bytes of a request; requests behind the one that is being answered
+# Body of one request.
+MAX_BODY_BYTES = 65_536
+
+# Requests that wait behind the one that is being answered.
+MAX_QUEUED_REQUESTS = 8
+
+# Random bytes of the number that this front gives a request, as its client gives none.
+TRANSACTION_ID_BYTES = 8
+
+# Status of the response to a protocol violation that has none of its own.
+BAD_REQUEST = 400
 
 log = get_logger(__name__)
 
 
 @dataclass(slots=True)
 class SignedRequestContext:
-    """What all connections of this front share; ``trust`` is replaced whole when the keys change."""
+    """What all connections of this front share.
+
+    Attributes:
+        core: takes the requests.
+        classes: the request classes by name.
+        base: scheme and authority that the signed URIs begin with.
+        trust: the keys that are accepted; replaced as a whole when the key set changes.
+        replays: the tokens with a ``jti`` that were used.
+        unix_s: the Unix time.
+        forwarding: whose headers name the client's address.
+        gossip: sends each used ``jti`` to the peers; None: to nobody.
+    """
 
-    core: Core
+    core: RequestCore
     classes: Mapping[str, api.RequestClass]
-    base: str  # scheme and authority that the signed URIs begin with
+    base: str
     trust: tokens.Trust
     replays: ReplayWindow
     unix_s: Callable[[], float]
-    forwarding: Forwarding = Forwarding()
-    gossip: ReplayGossip | None = None  # peers told of each jti taken here
+    forwarding: Forwarding = field(default_factory=Forwarding)
+    gossip: ReplayGossip | None = None
+
+
+@dataclass(slots=True)
+class VerifiedRequest:
+    """A request whose token was verified.
+
+    Attributes:
+        request: the request itself.
+        target: its path and query without the token.
+        grant: what the token allows.
+        call: the request for the core.
+    """
+
+    request: http1.HttpRequest
+    target: str
+    grant: tokens.Grant
+    call: ClientRequest
 
 
 class SignedConnection(DownstreamConnection):
@@ -49,136 +92,184 @@
         table: DownstreamTable,
         deadlines: Deadlines,
         clock: Callable[[], float],
-        door: SignedRequestContext,
+        context: SignedRequestContext,
     ) -> None:
         super().__init__(table, deadlines, clock)
-        self.door = door
-        self.reader = http1.RequestReader(MAX_BODY)
-        self.waiting: deque[http1.HttpRequest] = deque()
-        self.serving: http1.HttpRequest | None = None  # is being answered
-        self.last_words: http1.HttpResponse | None = None  # behind all answers
-        self.number: int | None = None  # in the core
+        self.context = context
+        self._reader = http1.RequestReader(MAX_BODY_BYTES)
+        self._queued: deque[http1.HttpRequest] = deque()
+        # The request that is being answered, and its number in the core.
+        self._current: http1.HttpRequest | None = None
+        self._core_number: int | None = None
+        # Follows the responses to all earlier requests, and ends the connection.
+        self._final_response: http1.HttpResponse | None = None
 
     @property
-    def peer(self) -> str:
-        """The connection's far address, as text; empty before it is connected."""
-        get = getattr(self.transport, "getPeer", None)
-        return str(getattr(get(), "host", "")) if get is not None else ""
+    def peer_host(self) -> str:
+        """The address of the connection's other side; empty before it is connected."""
+        get_peer = getattr(self.transport, "getPeer", None)
+        return "" if get_peer is None else str(getattr(get_peer(), "host", ""))
 
-    def is_open(self) -> bool:
-        return self.serving is not None or bool(self.waiting) or self.last_words is not None
+    def has_open_request(self) -> bool:
+        """Whether a response is owed, the final one too."""
+        return self._current is not None or bool(self._queued) or self._final_response is not None
 
-    def held(self) -> int:
-        return self.reader.held
+    def half_received_bytes(self) -> int:
+        """Bytes of the request that has come in part."""
+        return self._reader.held
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.code or self.deaf:
-            return self.pass_over(data)
-        before = len(self.waiting)
+        """Read requests and dispatch the first one, where none is being answered."""
+        if not self.state.reads_requests:
+            self.discard(data)
+            return
+        queued_before = len(self._queued)
         self._read(data)
-        if self.waiting and self.serving is None:
-            self._read(self.read_on())
-        whole = len(self.waiting) > before
-        self._next()
-        self.turned(whole)
+        if self._queued and self._current is None:
+            self._read(self.receive_pending())
+        has_completed_request = len(self._queued) > queued_before
+        self._dispatch_queued()
+        self.note_progress(has_completed_request)
+
+    def drop_half_request(self) -> None:
+        """Forget the request that has come in part."""
+        self._reader = http1.RequestReader(MAX_BODY_BYTES)
+
+    def answer_open_requests(self) -> None:
+        """Answer what is in the core as failed, and reject what is queued."""
+        request = self._current
+        self._current = None
+        if request is not None:
+            self._abandon_current()
+            failed = signed.encode_answer(Failed(timed_out=False), request, {})
+            self._respond(replace(failed, keep_alive=bool(self._queued)))
+        while self._queued:
+            self._queued.popleft()
+            self._respond(signed.encode_unavailable(0.0, keep_alive=bool(self._queued)))
+
+    def abandon_requests(self) -> None:
+        """Forget what is queued or has come in part, and abandon what is in the core."""
+        self._queued.clear()
+        self.drop_half_request()
+        self._current = None
+        self._final_response = None
+        self._abandon_current()
+
+    def _abandon_current(self) -> None:
+        number = self._core_number
+        self._core_number = None
+        if number is not None:
+            self.context.core.abandon(number)
 
     def _read(self, data: bytes) -> None:
-        if self.code or self.deaf:
+        """Queue the requests; the first violation ends the connection behind the responses to all of them."""
+        if not self.state.reads_requests:
             return
         try:
-            while requests := self.reader.feed(data):
-                self.waiting.extend(requests)
+            while requests := self._reader.feed(data):
+                self._queued.extend(requests)
                 data = b""
         except ProtocolError as error:
-            status = http1.STATUS_OF.get(str(error), 400)
-            return self._end_behind(http1.HttpResponse(status, {}, b"", False), str(error))
-        if len(self.waiting) > MAX_WAITING:
-            while len(self.waiting) > MAX_WAITING:
-                self.waiting.pop()
-            self._end_behind(signed.encode_unavailable(0.0, keep_alive=False), "pipeline")
-
-    def _end_behind(self, last_words: http1.HttpResponse, code: str) -> None:
-        """The first thing that is wrong ends the connection, with an answer of its own behind those that are
-        owed to earlier requests."""
-        self.last_words, self.ending, self.deaf = last_words, code, True
-        self.drop_part()
-
-    def drop_part(self) -> None:
-        self.reader = http1.RequestReader(MAX_BODY)
-
-    def answer_open(self) -> None:
-        request, self.serving = self.serving, None
-        if request is not None:
-            self._abandon()
-            failed = signed.encode_answer(Failed(timed_out=False), request, {})
-            self._write(replace(failed, keep_alive=bool(self.waiting)))
-        while self.waiting:
-            self.waiting.popleft()
-            self._write(signed.encode_unavailable(0.0, keep_alive=bool(self.waiting)))
-
-    def forget(self) -> None:
-        self.waiting.clear()
-        self.drop_part()
-        self.serving = self.last_words = None
-        self._abandon()
-
-    def _abandon(self) -> None:
-        number, self.number = self.number, None
-        if number is not None:
-            self.door.core.abandon(number)
-
-    def _next(self) -> None:
-        while self.waiting and self.serving is None and not self.code:
-            self._ask(self.waiting.popleft())
-        last_words = self.last_words
-        if last_words is not None and self.serving is None and not self.code:
-            self.last_words = None
-            self._write(last_words)
-
-    def _ask(self, request: http1.HttpRequest) -> None:
-        if self.refuses:
-            return self._write(signed.encode_unavailable(0.0, keep_alive=False))
+            code = str(error)
+            status = http1.STATUS_OF.get(code, BAD_REQUEST)
+            self._end_after_responses(http1.HttpResponse(status, {}, b"", False), code)
+            return
+        if len(self._queued) > MAX_QUEUED_REQUESTS:
+            while len(self._queued) > MAX_QUEUED_REQUESTS:
+                self._queued.pop()
+            unavailable = signed.encode_unavailable(0.0, keep_alive=False)
+            self._end_after_responses(unavailable, DisconnectReason.PIPELINE_TOO_LONG)
+
+    def _end_after_responses(self, final_response: http1.HttpResponse, reason: str) -> None:
+        """Read no more, and end with this response behind those to all earlier requests."""
+        self._final_response = final_response
+        self.half_close(reason)
+
+    def _dispatch_queued(self) -> None:
+        """Dispatch the next requests up to one that the core does not answer at once."""
+        while self._queued and self._current is None and not self.state.has_ended:
+            self._dispatch(self._queued.popleft())
+        final_response = self._final_response
+        if final_response is not None and self._current is None and not self.state.has_ended:
+            self._final_response = None
+            self._respond(final_response)
+
+    def _dispatch(self, request: http1.HttpRequest) -> None:
+        """Answer a request here, or give it to the core."""
+        if self.slot is None:  # over capacity
+            self._respond(signed.encode_unavailable(0.0, keep_alive=False))
+            return
         try:
-            target, token = signed.split_token(request)
-            door, now = self.door, self.door.unix_s()
-            client = client_address(self.peer, request.headers, door.forwarding)
-            grant = tokens.verify(token, door.base + target, door.trust, door.replays, now, client)
-            call = signed.decode_request(request, target, secrets.token_hex(8), door.classes)
+            verified = self._verify(request)
         except signed.RequestError as error:
-            log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_rejection(error.status, request.keep_alive))
+            self._reject(error.status, error.code, request.keep_alive)
         except tokens.TokenError as error:
-            log.info("rejected", slot=self.slot, status=error.status, code=error.code)
-            return self._write(signed.encode_rejection(error.status, request.keep_alive, error.retry_after_s))
-        if grant.replay_entry is not None and self.door.gossip is not None:
-            self.door.gossip.tell(grant.replay_entry)
-        self.serving, answered = request, self.answered
+            self._reject(error.status, error.code, request.keep_alive, error.retry_after_s)
+        else:
+            self._admit(verified)
+
+    def _verify(self, request: http1.HttpRequest) -> VerifiedRequest:
+        """Verify a request's token and decode the request.
+
+        Raises:
+            RequestError: the request can't be used.
+            TokenError: its token does not admit it.
+        """
+        context = self.context
+        target, token = signed.split_token(request)
+        now_s = context.unix_s()
+        client = client_address(self.peer_host, request.headers, context.forwarding)
+        grant = tokens.verify(token, context.base + target, context.trust, context.replays, now_s, client)
+        transaction_id = secrets.token_hex(TRANSACTION_ID_BYTES)
+        call = signed.decode_request(request, target, transaction_id, context.classes)
+        return VerifiedRequest(request, target, grant, call)
+
+    def _reject(self, status: int, code: str, keep_alive: bool, retry_after_s: float = 0.0) -> None:
+        """Answer a request that was not admitted."""
+        log.info("rejected", slot=self.slot, status=status, code=code)
+        self._respond(signed.encode_rejection(status, keep_alive, retry_after_s))
+
+    def _admit(self, verified: VerifiedRequest) -> None:
+        """Give a request to the core, which may answer it at once."""
+        core = self.context.core
+        replay_entry = verified.grant.replay_entry
+        if replay_entry is not None and self.context.gossip is not None:
+            self.context.gossip.tell(replay_entry)
+        self._current = verified.request
+        responses_before = self.response_count
         try:
-            number = self.door.core.open(call, lambda answer: self._reply(request, target, grant, answer))
+            number = core.open(verified.call, lambda answer: self._reply(verified, answer))
         except RequestTableFullError:
-            self.serving = None
-            return self._write(http1.HttpResponse(503, {"Retry-After": "1"}, b"", request.keep_alive))
-        if self.code:  # its connection ended while the core decided
-            self.door.core.abandon(number)
-        elif self.answered == answered:  # else it was answered at once, and the next one may be in the core
-            self.number = number
-
-    def _reply(self, request: http1.HttpRequest, target: str, grant: tokens.Grant, answer: Answer) -> None:
-        if self.code:  # the client left while the core decided
+            self._current = None
+            self._respond(signed.encode_unavailable(0.0, verified.request.keep_alive))
+            return
+        if self.state.has_ended:  # while the core decided
+            core.abandon(number)
+        elif self.response_count == responses_before:  # else answered at once: the next may be in the core
+            self._core_number = number
+
+    def _reply(self, verified: VerifiedRequest, answer: Answer) -> None:
+        """Write the core's answer, and go on with the next request."""
+        if self.state.has_ended:  # while the core decided
             return
-        self.serving = self.number = None
-        self._write(signed.encode_answer(answer, request, self._renewal(target, grant)))
-        self._next()
+        self._current = None
+        self._core_number = None
+        self._respond(signed.encode_answer(answer, verified.request, self._renewal_headers(verified)))
+        self._dispatch_queued()
 
-    def _renewal(self, target: str, grant: tokens.Grant) -> dict[str, str]:
+    def _renewal_headers(self, verified: VerifiedRequest) -> dict[str, str]:
+        """The cookie with a new token, where the grant asks for one."""
+        grant = verified.grant
         if not grant.renewal_s:
             return {}
-        token = tokens.renew(self.door.trust, grant, self.door.unix_s())
-        return {"Set-Cookie": signed.renewal_cookie(token, target, grant.renewal_depth, grant.renewal_s)}
+        token = tokens.renew(self.context.trust, grant, self.context.unix_s())
+        cookie = signed.renewal_cookie(token, verified.target, grant.renewal_depth, grant.renewal_s)
+        return {"Set-Cookie": cookie}
 
-    def _write(self, response: http1.HttpResponse) -> None:
+    def _respond(self, response: http1.HttpResponse) -> None:
+        """Write a response, and end the connection where it is the last one."""
         self.write(http1.encode_response(response))
         if response.keep_alive:
-            self.turned()
+            self.note_progress()
         else:
-            self.finish(self.ending or "no-keep-alive")
+            self.close_lingering(self._planned_end_reason or DisconnectReason.NO_KEEP_ALIVE)
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -18,7 +18,7 @@
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.discovery.watch_client import WatchClient
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
--- a/thornjunction/runtime/drain.py
+++ b/thornjunction/runtime/drain.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 
 SWEEP_INTERVAL_MS = 10.0
 """Between looks for idle connections."""
@@ -96,7 +96,7 @@
         if self._phase is DrainPhase.HURRYING:
             self._answer_all_now()
         for connection in self._clients:
-            connection.leave()
+            connection.close_if_idle()
         self._sweep_deadline = self._deadlines.add(now_ms + SWEEP_INTERVAL_MS, self._sweep)
 
     def _phase_at(self, now_ms: float) -> DrainPhase:
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -12,7 +12,7 @@
 from thornjunction.core.counters import Counters
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
-from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection, FastCgiRequestContext
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire.commands import Command
 from thornjunction.runtime import assembly
@@ -80,11 +80,18 @@
         self.engine = path.engine
         self.router = path.router
         self.admission = FrontAdmission(path.drain, path.load_shedder, path.engine, self._counters)
+        self._platform_context = FastCgiRequestContext(
+            core=path.engine,
+            is_ready=self.is_ready,
+            refusal=self.admission.refusal,
+            count_refused=self.admission.count_refused,
+            read_delay_ms=path.load_shedder.read_delay_ms,
+        )
         self.commands = CommandHandler(
             path.engine, path.pool, self.config.roles, lambda: self.config.settings, core_ms
         )
         self._load_sampler = LoadSampler(
-            path.load_shedder, path.alarm.deadlines, core_ms, path.clients.turns.late_ms
+            path.load_shedder, path.alarm.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
         )
         self._classes: dict[str, api.RequestClass] = {}
 
@@ -152,16 +159,7 @@
             self.fleet.listen(self.reactor)
 
     def _build_platform_connection(self) -> FastCgiConnection:
-        return FastCgiConnection(
-            self._path.clients,
-            self.alarm.deadlines,
-            core_ms,
-            self.engine,
-            self.is_ready,
-            self.admission.refusal,
-            self.admission.count_refused,
-            self._path.load_shedder.read_delay_ms,
-        )
+        return FastCgiConnection(self._path.clients, self.alarm.deadlines, core_ms, self._platform_context)
 
     def is_ready(self) -> bool:
         """Whether the platform may send clients.
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -12,7 +12,8 @@
 
 from thornjunction.core.engine import Engine
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.runtime.drain import REFUSE_AFTER_MS, Drain
 
 ACCEPT_WINDOW_MS = 800.0
@@ -94,7 +95,7 @@
         """Stop where nothing is left to do or the time is over; else check again soon."""
         now_ms = self._clock()
         open_requests = len(self._engine.requests)
-        if self._is_time_over(now_ms, open_requests) or not (open_requests or self._clients.connected):
+        if self._is_time_over(now_ms, open_requests) or not (open_requests or self._clients.connection_count):
             self._stop()
             return
         if now_ms >= self._engine.shutdown_at_ms:
@@ -108,9 +109,9 @@
 
     def _end_idle_connections(self) -> None:
         for connection in self._clients:
-            connection.read_now()
-            if not connection.is_open():
-                connection.finish("drained")
+            connection.handle_pending_input()
+            if not connection.has_open_request():
+                connection.close_lingering(DisconnectReason.DRAINED)
 
 
 def accept_pending(port: Any) -> None:
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -15,7 +15,7 @@
 from thornjunction import interface as api
 from thornjunction.core.engine import Engine
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
