--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -12,7 +12,13 @@
 
 from tests.helpers import EDGES, Bench, fetch_of
 from tests.loopback import Rig
-from tests.net.downstream.test_clients import REQUESTS, Hall, Transport, both
+from tests.net.downstream.builders import (
+    FASTCGI,
+    ClientConnections,
+    FakeTransport,
+    Front,
+    both_fronts,
+)
 from tests.net.wire.test_codecs import PARAMS, asked, fixed
 from thornjunction import interface as api
 from thornjunction.core.ports import Content, Failed, Rejected, RequestOutcome, Served
@@ -41,13 +47,13 @@
     """A door with one call, and its callers."""
 
     def __init__(self) -> None:
-        self.hall = Hall()
+        self.clients = ClientConnections()
         calls = {"check": lambda: encode_reply(True)}
-        self.door = AdminEndpoint(calls, self.hall.deadlines, lambda: self.hall.now)
+        self.door = AdminEndpoint(calls, self.clients.clock.deadlines, self.clients.clock)
 
     def connect(self, data: bytes = b"") -> Any:
         link: Any = AdminConnection(self.door)
-        link.makeConnection(Transport())
+        link.makeConnection(FakeTransport())
         if data:
             link.dataReceived(data)
         return link
@@ -68,7 +74,7 @@
     callers = Callers()
     silent = [callers.connect(b"che" if number % 2 else b"") for number in range(operators.MOST_OPEN)]
     assert callers.connect(b"check\n").transport.value() == b"ACK\n" and silent[0].code == "evicted"
-    callers.hall.wait(operators.SILENT_MS)
+    callers.clients.clock.advance(operators.SILENT_MS)
     assert {link.code for link in silent[1:]} == {"silent"} and not callers.door.links
 
 
@@ -113,61 +119,63 @@
 
 
 def test_what_a_front_answers_itself_is_counted() -> None:
-    hall = Hall()
-    link: Any = hall.connect("fastcgi")
+    clients = ClientConnections()
+    link: Any = clients.connect(FASTCGI)
     link.dataReceived(asked(params=PARAMS | {"HTTP_X_ROW": "no object"}))
     link.context = replace(link.context, refusal=lambda: b"Status: 503\r\n\r\n")
     link.dataReceived(asked())
-    assert hall.turned_away == [("clips", Failed(False)), ("clips", Rejected(0.0))]
+    assert clients.refused == [("clips", Failed(False)), ("clips", Rejected(0.0))]
 
 
-@both
-def test_a_drain_ends_idle_connections_and_then_all(kind: str) -> None:
+@both_fronts
+def test_a_drain_ends_idle_connections_and_then_all(front: Front) -> None:
     """Idle ones at the first look, a busy one with its answer, a new one not before it has asked."""
-    hall = Hall()
-    drain = Drain(hall.table, hall.deadlines, lambda: hall.now, lambda: None)
-    idle, busy, new = (hall.connect(kind) for _ in range(3))
-    idle.dataReceived(REQUESTS[kind]())
-    hall.replies[0](Served(Content(b"x")))
-    busy.dataReceived(REQUESTS[kind]())
+    clients = ClientConnections()
+    drain = Drain(clients.table, clients.clock.deadlines, clients.clock, lambda: None)
+    idle, busy, new = (clients.connect(front) for _ in range(3))
+    idle.dataReceived(front.request())
+    clients.core.replies[0](Served(Content(b"x")))
+    busy.dataReceived(front.request())
     drain.start(100.0)
     assert drain.is_active and [link.end_reason for link in (idle, busy, new)] == ["", "", ""]
-    hall.wait(100.0)
+    clients.clock.advance(100.0)
     assert [link.end_reason for link in (idle, busy, new)] == ["drained", "", ""]
     assert not drain.is_refusing
-    hall.wait(REFUSE_AFTER_MS - 100.0)
+    clients.clock.advance(REFUSE_AFTER_MS - 100.0)
     assert drain.is_refusing
-    hall.replies[1](Served(Content(b"x")))
-    hall.wait(SWEEP_INTERVAL_MS)
+    clients.core.replies[1](Served(Content(b"x")))
+    clients.clock.advance(SWEEP_INTERVAL_MS)
     assert busy.end_reason == "drained" and new.end_reason == ""
     drain.stop()
-    new.dataReceived(REQUESTS[kind]())
-    hall.replies[2](Served(Content(b"x")))
-    hall.wait(5 * SWEEP_INTERVAL_MS)
+    new.dataReceived(front.request())
+    clients.core.replies[2](Served(Content(b"x")))
+    clients.clock.advance(5 * SWEEP_INTERVAL_MS)
     assert new.end_reason == "" and not (drain.is_active or drain.is_refusing)
 
 
 def test_a_drain_hurries_what_is_stuck_once_it_refuses() -> None:
     """One request that waited for a lost answer had its connection refuse all others to its deadline."""
-    hall = Hall()
+    clients = ClientConnections()
     hurried: list[float] = []
-    drain = Drain(hall.table, hall.deadlines, lambda: hall.now, lambda: hurried.append(hall.now))
-    since = hall.now
+    drain = Drain(
+        clients.table, clients.clock.deadlines, clients.clock, lambda: hurried.append(clients.clock.now_ms)
+    )
+    since = clients.clock.now_ms
     drain.start(0.0)
-    hall.wait(REFUSE_AFTER_MS + HURRY_DELAY_MS - 1.0)
+    clients.clock.advance(REFUSE_AFTER_MS + HURRY_DELAY_MS - 1.0)
     assert drain.is_refusing and not hurried
-    hall.wait(SWEEP_INTERVAL_MS + 1.0)
+    clients.clock.advance(SWEEP_INTERVAL_MS + 1.0)
     assert hurried and hurried[0] >= since + REFUSE_AFTER_MS + HURRY_DELAY_MS
 
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_drain_that_is_asked_for_twice_starts_anew(answered: bool) -> None:
-    hall = Hall()
-    drain = Drain(hall.table, hall.deadlines, lambda: hall.now, lambda: None)
+    clients = ClientConnections()
+    drain = Drain(clients.table, clients.clock.deadlines, clients.clock, lambda: None)
     drain.start(500.0)
     drain.start(0.0 if answered else 900.0)
-    link = hall.connect("fastcgi")
+    link = clients.connect(FASTCGI)
     link.dataReceived(asked())
-    hall.replies[0](Served(Content(b"x")))
-    hall.wait(600.0)
+    clients.core.replies[0](Served(Content(b"x")))
+    clients.clock.advance(600.0)
     assert (link.end_reason == "drained") is answered
--- /dev/null
+++ b/tests/net/downstream/builders.py
@@ -0,0 +1,186 @@
+"""Client connections of both fronts with a fake clock, core and transport."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import pytest
+from twisted.internet.testing import StringTransport
+
+from tests.loopback import BASE, CLIP, TRUST
+from tests.net.wire.test_codecs import PARAMS, asked
+from thornjunction import interface as api
+from thornjunction.core.ports import (
+    Answer,
+    ClientRequest,
+    Content,
+    ReplyCallback,
+    RequestTableFullError,
+    Served,
+)
+from thornjunction.memory.budget import ByteBudget
+from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.downstream.connection import DownstreamConnection
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection, FastCgiRequestContext
+from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
+from thornjunction.net.wire import fastcgi
+from thornjunction.signing import tokens
+from thornjunction.signing.replay import ReplayWindow
+
+UNIX_S = 5.0
+"""Unix time at which tokens are issued and verified."""
+
+TOKEN_LIFETIME_S = 60
+"""Validity of the tokens."""
+
+FASTCGI_REQUEST_ID = 7
+"""Identifier of the requests on the platform's front."""
+
+FILMS = api.RequestClass("films", 500.0, 5000.0, api.Idempotency.IDEMPOTENT)
+SERVED = Served(Content(b"x"))
+
+
+def signed_request() -> bytes:
+    """A request of the signed front with a token that admits it."""
+    token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(BASE + CLIP), UNIX_S, TOKEN_LIFETIME_S)
+    return f"GET {CLIP}?URISigningPackage={token} HTTP/1.1\r\nHost: h\r\n\r\n".encode()
+
+
+def malformed_fastcgi_request() -> bytes:
+    """A complete request of the platform's front that names no object."""
+    return asked(params=PARAMS | {"HTTP_X_ROW": "no object"})
+
+
+@dataclass(frozen=True, slots=True)
+class Front:
+    """A front as its clients see it: what they send, and what its responses contain."""
+
+    name: str
+    request: Callable[[], bytes]
+    half_request: bytes
+    rejected_response: bytes
+    failed_response: bytes
+
+
+FASTCGI = Front(
+    name="fastcgi",
+    request=asked,
+    half_request=fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0),
+    rejected_response=fastcgi.encode_end(FASTCGI_REQUEST_ID, fastcgi.ProtocolStatus.OVERLOADED),
+    failed_response=b"Status: 502",
+)
+SIGNED = Front(
+    name="signed",
+    request=signed_request,
+    half_request=signed_request()[:30],
+    rejected_response=b"HTTP/1.1 503 ",
+    failed_response=b"HTTP/1.1 502",
+)
+both_fronts = pytest.mark.parametrize("front", [FASTCGI, SIGNED], ids=lambda front: front.name)
+
+
+class FakeTransport(StringTransport):
+    """Keeps what is written; ``is_write_shut`` once the sending side is shut."""
+
+    is_write_shut = False
+
+    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
+        pass
+
+    def getHandle(self) -> None:  # noqa: N802
+        pass
+
+    def loseWriteConnection(self) -> None:  # noqa: N802
+        self.is_write_shut = True
+
+
+class FakeClock:
+    """The core's clock and its deadlines, which run as the time advances."""
+
+    def __init__(self) -> None:
+        self.now_ms = 1000.0
+        self.deadlines = Deadlines()
+
+    def __call__(self) -> float:
+        return self.now_ms
+
+    def advance(self, span_ms: float) -> None:
+        """Let time pass, and run each deadline at its time."""
+        end_ms = self.now_ms + span_ms
+        while (due_ms := self.deadlines.next_due()) <= end_ms:
+            self.now_ms = max(due_ms, self.now_ms)
+            self.deadlines.run_due(self.now_ms)
+        self.now_ms = end_ms
+
+
+@dataclass(slots=True)
+class FakeCore:
+    """A core that answers when the test calls a reply.
+
+    Attributes:
+        replies: the callbacks of all requests, in order; the number of a request is its place from 1.
+        abandoned: numbers of the requests that were abandoned.
+        is_full: whether further requests find no room.
+        answers_at_once: numbers of the requests that are answered before ``open`` returns, and the answers.
+    """
+
+    replies: list[ReplyCallback] = field(default_factory=list)
+    abandoned: list[int] = field(default_factory=list)
+    is_full: bool = False
+    answers_at_once: dict[int, Answer] = field(default_factory=dict)
+
+    def open(self, call: ClientRequest, reply: ReplyCallback) -> int:
+        if self.is_full:
+            raise RequestTableFullError
+        self.replies.append(reply)
+        number = len(self.replies)
+        if number in self.answers_at_once:
+            reply(self.answers_at_once[number])
+        return number
+
+    def abandon(self, number: int) -> None:
+        self.abandoned.append(number)
+
+
+class ClientConnections:
+    """A table of connections with a fake clock and core.
+
+    Attributes:
+        refused: class and answer of each request that the platform's front refused by itself.
+    """
+
+    def __init__(self, capacity: int = 3, limit_bytes: int = 1_000_000) -> None:
+        self.clock = FakeClock()
+        self.core = FakeCore()
+        self.refused: list[tuple[str, Answer]] = []
+        self.table = DownstreamTable(capacity, ByteBudget(limit_bytes))
+        self.platform_context = FastCgiRequestContext(
+            self.core, lambda: True, bytes, self._count_refused, lambda: 0.0
+        )
+        self.signed_context = SignedRequestContext(
+            self.core, {"films": FILMS}, BASE, TRUST, ReplayWindow(), lambda: UNIX_S
+        )
+
+    def connect(self, front: Front) -> Any:
+        """A new connection on a front."""
+        connection: DownstreamConnection
+        common = (self.table, self.clock.deadlines, self.clock)
+        if front is FASTCGI:
+            connection = FastCgiConnection(*common, self.platform_context)
+        else:
+            connection = SignedConnection(*common, self.signed_context)
+        connection.makeConnection(FakeTransport())
+        return connection
+
+    def connect_served(self, front: Front) -> Any:
+        """A connection whose first request was answered."""
+        connection = self.connect(front)
+        connection.dataReceived(front.request())
+        self.core.replies[-1](SERVED)
+        return connection
+
+    def _count_refused(self, class_name: str, answer: Answer) -> None:
+        self.refused.append((class_name, answer))
--- /dev/null
+++ b/tests/net/downstream/test_lingering_close.py
@@ -0,0 +1,38 @@
+"""Lingering close of client connections, with a fake clock and transport."""
+
+from __future__ import annotations
+
+from tests.net.downstream.builders import ClientConnections, Front, both_fronts
+from thornjunction.net.downstream.lingering_close import LINGER_TIMEOUT_MS, MAX_DISCARDED_BYTES
+
+
+@both_fronts
+def test_a_close_discards_a_request_that_crosses_it_and_lets_the_last_response_arrive(
+    clients: ClientConnections, front: Front
+) -> None:
+    """A request left unread would reset the connection, and the client would lose a response on its way."""
+    connection = clients.connect_served(front)
+    connection.close_if_idle()
+    connection.close_if_idle()
+    transport = connection.transport
+    assert transport.is_write_shut
+    assert not transport.disconnecting
+    assert not transport.disconnected
+    written = transport.value()
+    connection.dataReceived(front.request())
+    assert transport.value() == written
+    assert len(clients.core.replies) == 1
+    assert connection.half_received_bytes() == 0
+    clients.clock.advance(LINGER_TIMEOUT_MS)
+    assert transport.disconnected
+    assert connection.end_reason == "drained"
+
+
+@both_fronts
+def test_a_client_that_sends_on_after_a_close_is_cut_off(clients: ClientConnections, front: Front) -> None:
+    connection = clients.connect_served(front)
+    connection.close_if_idle()
+    connection.dataReceived(bytes(MAX_DISCARDED_BYTES))
+    assert not connection.transport.disconnected
+    connection.dataReceived(b"x")
+    assert connection.transport.disconnected
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -19,7 +19,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from tests.core.test_engine import CONFIG
-from tests.net.downstream.test_clients import Hall
+from tests.net.downstream.builders import FASTCGI, ClientConnections
 from tests.program.test_program import ROOT
 from tests.runtime.test_handover import Program
 from thornjunction.core.counters import Counters
@@ -37,17 +37,21 @@
 
 @pytest.mark.parametrize("longest_ms", [30.0, 600.0, 3_000.0, 9_000.0])
 def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(longest_ms: float) -> None:
-    hall, at = Hall(), dict[str, float]()
-    mark = lambda what: lambda: at.setdefault(what, hall.now - 1000.0)  # noqa: E731
+    clients = ClientConnections()
+    at = dict[str, float]()
+    mark = lambda what: lambda: at.setdefault(what, clients.clock.now_ms - 1000.0)  # noqa: E731
     engine: Any = SimpleNamespace(requests=[1], shutdown_at_ms=0.0)
     drain = Drain(
-        hall.table, hall.deadlines, lambda: hall.now, lambda: [mark("hurry")(), engine.requests.clear()]
+        clients.table,
+        clients.clock.deadlines,
+        clients.clock,
+        lambda: [mark("hurry")(), engine.requests.clear()],
     )  # type: ignore[func-returns-value]
-    shutdown = Shutdown(hall.table, drain, engine, hall.deadlines, lambda: hall.now, mark("stop"))
-    hall.connect("fastcgi")  # and never asks
+    shutdown = Shutdown(clients.table, drain, engine, clients.clock.deadlines, clients.clock, mark("stop"))
+    clients.connect(FASTCGI)  # and never asks
     shutdown.start(longest_ms, [SimpleNamespace(stopListening=mark("close"))], accept_new=True)
     killed_at = min(longest_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS
-    hall.wait(killed_at)
+    clients.clock.advance(killed_at)
     assert 500.0 < at["close"] <= ACCEPT_WINDOW_MS and at["hurry"] == engine.shutdown_at_ms - 1000.0
     assert (
         killed_at - 200.0 <= at["hurry"] < at["stop"] <= killed_at - 3 * CHECK_INTERVAL_MS
