--- /dev/null
+++ b/tests/net/downstream/signed_front_case.py
@@ -0,0 +1,36 @@
+"""Base of the tests of the signed front on loopback, over the real core."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from twisted.trial.unittest import TestCase
+
+from tests.loopback import Rig
+
+
+class SignedFrontTestCase(TestCase):
+    """A router on loopback, with an HTTP client for each request."""
+
+    timeout = 20
+
+    def setUp(self) -> None:
+        self.rig = Rig()
+        self.addCleanup(self.rig.stop)
+
+    async def request(self, target: str, method: str = "GET", **headers: str) -> Any:
+        """The only response on a new connection."""
+        client = await self.rig.client()
+        client.ask(target, method, **headers)
+        (response,) = await client.has(1)
+        await self.disconnect(client)
+        self.assertEqual(len(client.responses), 1)
+        return response
+
+    async def disconnect(self, client: Any) -> None:
+        client.transport.loseConnection()
+        await client.ended
+
+    async def until_cancelled(self) -> None:
+        """Turn the reactor until a server is told that nobody waits for an attempt."""
+        await self.rig.until(lambda: any(heard[0] == "never_mind" for heard in self.rig.heard))
--- /dev/null
+++ b/tests/net/downstream/test_full_table.py
@@ -0,0 +1,44 @@
+"""A full table of client connections on loopback: idle ones make room, and nobody is reset."""
+
+from __future__ import annotations
+
+from fakes.raw_socket import asked
+
+from tests.net.downstream.loopback_case import PLATFORM_PORT, LoopbackTestCase
+from thornjunction.net.downstream.connection_table import DownstreamTable
+
+
+class FullTableTest(LoopbackTestCase):
+    async def test_accepted_sockets_hold_no_small_write_back_and_a_rejected_client_is_not_reset(self) -> None:
+        self.rig.clients = DownstreamTable(1, self.rig.clients.budget)
+        self.rig.script = [None]
+        first, connection = await self.clients.rested()
+        first.send(asked(1))
+        await self.until(self.rig.wants)
+        second = self.clients.connect()
+        second.send(asked(2))
+        await self.until(lambda: self.rig.clients.lingering)
+        (rejected,) = self.rig.clients.lingering
+        self.assertTrue(connection.transport.getTcpNoDelay())
+        self.assertTrue(rejected.transport.getTcpNoDelay())
+        await self.until(second.ended)
+        self.assertEqual(rejected.end_reason, "table-full")
+        self.assertEqual(second.end, "fin")
+        self.assertEqual(second.answers(), 1)
+        self.assertEqual(self.forwarded_count(), 1)
+
+    async def test_idle_clients_in_all_slots_make_room_for_new_requests(self) -> None:
+        """One whose request is unread is not idle; lingering ones take an eighth more than the slots."""
+        idle = [await self.clients.rested(asked(number + 1)) for number in range(10)]
+        self.rig.script = [None] * 4
+        forwarded_before = self.forwarded_count()
+        idle[2][0].send(asked(20))
+        for number in range(3):
+            self.clients.connect().send(asked(30 + number))
+            self.rig.ports[PLATFORM_PORT].doRead()
+            self.assertLessEqual(self.rig.clients.connection_count, 11)
+        await self.until_forwarded(forwarded_before + 4)
+        reasons = [connection.end_reason for _, connection in idle[:5]]
+        self.assertEqual(reasons, ["evicted", "evicted", "", "evicted", ""])
+        await self.until(lambda: all(idle[place][0].ended() for place in (0, 1, 3)))
+        self.assertEqual([idle[place][0].end for place in (1, 3)], ["reset", "fin"])
--- /dev/null
+++ b/tests/net/downstream/test_open_requests_answered.py
@@ -0,0 +1,106 @@
+"""Trouble elsewhere on loopback: each open request keeps its response."""
+
+from __future__ import annotations
+
+from fakes.raw_socket import asked
+
+from tests.net.downstream.loopback_case import LoopbackTestCase
+from thornjunction.net.wire import fastcgi
+
+BROKEN_CLIENTS = (
+    (asked(2) + b"garbage" * 9, "half-close"),
+    (asked(3)[:30], "reset"),
+    (b"", "close"),
+)
+"""What a client sends, and how it leaves."""
+
+ENDLESS_REQUEST = fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0) + bytes(6_000)
+"""A part of a request that exceeds the budget of buffered bytes."""
+
+
+class OpenRequestsAnsweredTest(LoopbackTestCase):
+    async def test_the_trouble_of_other_clients_takes_no_response_from_a_request(self) -> None:
+        """Garbage, a reset, a part that takes up the memory, idle clients, then busy ones in all slots."""
+        self.rig.script = [None]
+        self.rig.clients.budget.limit_bytes = 5_000
+        bystander, connection = await self.clients.rested()
+        bystander.send(asked(1, ttl_ms=9_000))
+        await self.until(self.rig.wants)
+        await self.connect_broken_clients()
+        await self.connect_idle_clients()
+        await self.connect_busy_clients()
+        server, ident = self.rig.asked[0]
+        server.say(ident, b"DONE", b"late")
+        await self.until(bystander.answers)
+        self.assertEqual(connection.end_reason, "")
+        self.assertEqual(bystander.answers(), 1)
+        self.assertEqual(bystander.got.count(b"late"), 1)
+
+    async def connect_broken_clients(self) -> None:
+        for data, how in BROKEN_CLIENTS:
+            client, _ = await self.clients.rested()
+            client.send(data)
+            client.leave(how)
+        endless, connection = await self.clients.rested()
+        endless.send(ENDLESS_REQUEST)
+        await self.until(lambda: connection.end_reason == "memory")
+
+    async def connect_idle_clients(self) -> None:
+        for number in range(10, 22):
+            idle = self.clients.connect()
+            idle.send(asked(number))
+            await self.until(idle.answers)
+
+    async def connect_busy_clients(self) -> None:
+        """Open requests in all slots; one more is rejected."""
+        self.rig.script = [None] * 9
+        forwarded_before = self.forwarded_count()
+        for number in range(30, 39):
+            self.clients.connect().send(asked(number, ttl_ms=9_000))
+        await self.until_forwarded(forwarded_before + 9)
+        late = self.clients.connect()
+        late.send(asked(40))
+        await self.until(late.answers)
+
+    async def test_an_idle_connection_that_its_server_closes_or_resets_costs_no_response(self) -> None:
+        """It ends just before a request."""
+        for how in ("loseConnection", "abortConnection"):
+            client, _ = await self.clients.rested(asked(1))
+            server, _ = self.rig.asked[-1]
+            getattr(server.transport, how)()
+            await self.check_served_responses(client, 3)
+
+    async def test_an_idle_connection_that_its_server_forgets_costs_one_request(self) -> None:
+        client, _ = await self.clients.rested(asked(1))
+        server, _ = self.rig.asked[-1]
+        server.dataReceived = lambda data: None
+        await self.check_served_responses(client, 2)
+
+    async def check_served_responses(self, client: object, served: int) -> None:
+        """After the first request, two more are answered; so many of the three are served."""
+        for number in (2, 3):
+            client.send(asked(number, ttl_ms=600))  # type: ignore[attr-defined]
+            await self.until(lambda number=number: client.answers() == number)  # type: ignore[attr-defined]
+        self.assertEqual(client.got.count(b"Status: 200"), served)  # type: ignore[attr-defined]
+        await self.until_gone(client)
+
+    async def test_a_request_with_next_to_no_time_is_answered_and_not_begun(self) -> None:
+        """Servers may drop such without a response."""
+        for ttl_ms in (1, 5):
+            await self.check_short_request(ttl_ms, forwarded=0)
+
+    async def test_a_request_with_little_time_is_sent_and_answered_in_time(self) -> None:
+        for ttl_ms in (60, 200):
+            await self.check_short_request(ttl_ms, forwarded=1)
+
+    async def check_short_request(self, ttl_ms: int, forwarded: int) -> None:
+        """A request whose server is silent."""
+        self.rig.script = [None]
+        forwarded_before = self.forwarded_count()
+        client = self.clients.connect()
+        client.send(asked(ttl_ms, ttl_ms=ttl_ms))
+        await self.until(client.answers)
+        self.assertEqual(client.answers(), 1)
+        self.assertEqual(self.forwarded_count() - forwarded_before, forwarded)
+        self.assertEqual(len(self.engine.requests), 0)
+        await self.until_gone(client)
--- /dev/null
+++ b/tests/net/downstream/test_pending_requests.py
@@ -0,0 +1,121 @@
+"""Requests around the end of an idle connection: answered if they arrived before it, else not sent on."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+from unittest.mock import patch
+
+from fakes.raw_socket import BareClient, asked
+
+from tests.loopback import CLIP
+from tests.net.downstream.loopback_case import PLATFORM_PORT, SIGNED_PORT, LoopbackTestCase
+from thornjunction.net.downstream.connection import DownstreamConnection
+from thornjunction.net.downstream.request_times import IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS
+from thornjunction.net.event_loop.timer_service import core_ms
+
+CheckConnection = Callable[[DownstreamConnection], None]
+
+
+@dataclass(frozen=True, slots=True)
+class TimeLimitCase:
+    """A connection that reaches a time limit.
+
+    Attributes:
+        port: the front's place among the rig's ports.
+        request: a request of that front, sent around the check of the limit.
+        reason: why the connection ends.
+        limit_ms: the limit.
+        first_request: what was sent and answered before; empty: nothing.
+        half_request: how much of ``request`` came before.
+    """
+
+    port: int
+    request: bytes
+    reason: str
+    limit_ms: float
+    first_request: bytes = b""
+    half_request: bytes = b""
+
+    @property
+    def rest_of_request(self) -> bytes:
+        return self.request[len(self.half_request) :]
+
+    @property
+    def responses_before(self) -> int:
+        return 1 if self.first_request else 0
+
+
+class PendingRequestTest(LoopbackTestCase):
+    def requests_by_port(self) -> dict[int, bytes]:
+        return {PLATFORM_PORT: asked(7), SIGNED_PORT: self.clients.http(CLIP)}
+
+    def time_limit_cases(self) -> list[TimeLimitCase]:
+        cases = []
+        for port, request in self.requests_by_port().items():
+            cases.append(TimeLimitCase(port, request, "idle", IDLE_TIMEOUT_MS, first_request=request))
+            cases.append(TimeLimitCase(port, request, "silent", REQUEST_TIMEOUT_MS))
+            cases.append(
+                TimeLimitCase(port, request, "half-request", REQUEST_TIMEOUT_MS, half_request=request[:20])
+            )
+        return cases
+
+    async def connect(self, case: TimeLimitCase) -> tuple[BareClient, Any]:
+        """A client in the case's situation, and the router's side of its connection."""
+        client, connection = await self.clients.rested(case.first_request, case.port)
+        client.send(case.half_request)
+        await self.until(lambda: connection.half_received_bytes() or not case.half_request)
+        return client, connection
+
+    def check_times_at_limit(self, connection: Any, case: TimeLimitCase) -> None:
+        with patch.object(connection, "clock", lambda: core_ms() + case.limit_ms):
+            connection._check_times()
+
+    async def test_a_request_that_crosses_an_idle_close_is_not_sent_on_and_nothing_is_reset(self) -> None:
+        for case in self.time_limit_cases():
+            client, connection = await self.connect(case)
+            forwarded_before = self.forwarded_count()
+            self.check_times_at_limit(connection, case)
+            client.send(case.rest_of_request)
+            await self.until(client.ended)
+            self.assertEqual(connection.end_reason, case.reason)
+            self.assertEqual(client.end, "fin")
+            self.assertEqual(connection.response_count, case.responses_before)
+            self.assertEqual(self.forwarded_count(), forwarded_before)
+            await self.until_gone(client)
+
+    async def test_a_request_that_arrived_before_an_idle_close_is_answered(self) -> None:
+        """In a process that was held up, it may have been unread for long."""
+        for case in self.time_limit_cases():
+            client, connection = await self.connect(case)
+            forwarded_before = self.forwarded_count()
+            client.send(case.rest_of_request)
+            self.check_times_at_limit(connection, case)
+            await self.until_responses(connection, case.responses_before + 1)
+            self.assertEqual(connection.end_reason, "")
+            self.assertEqual(self.forwarded_count(), forwarded_before + 1)
+            await self.until_gone(client)
+
+    async def test_a_request_that_arrived_before_a_drain_closes_its_connection_is_answered(self) -> None:
+        await self.check_pending_request_is_answered(lambda connection: connection.close_if_idle(), math.inf)
+
+    async def test_a_request_that_arrived_before_the_process_ends_is_answered(self) -> None:
+        shutdown = self.build_shutdown(self.build_drain())
+        shutdown._stop_at_ms = core_ms() + 9000.0
+        await self.check_pending_request_is_answered(lambda _: shutdown._check_done(), 0.0)
+
+    async def check_pending_request_is_answered(self, check: CheckConnection, shutdown_at_ms: float) -> None:
+        """A second request is unread as ``check`` decides whether its connection ends."""
+        for port, request in self.requests_by_port().items():
+            client, connection = await self.clients.rested(request, port)
+            client.send(request)
+            self.engine.shutdown_at_ms = shutdown_at_ms
+            check(connection)
+            await self.until_responses(connection, 2)
+            self.engine.shutdown_at_ms = math.inf
+            await self.until_gone(client)
+
+    async def until_responses(self, connection: Any, count: int) -> None:
+        await self.until(lambda: connection.response_count == count)
--- a/tests/net/downstream/test_signed_front.py
+++ b/tests/net/downstream/test_signed_front.py
@@ -1,202 +1,86 @@
-"""The second front on loopback, from request to answer, over the real core."""
+"""Requests and responses of the signed front, and of the platform's front beside it."""
 
 from __future__ import annotations
 
-from dataclasses import replace
-from typing import Any
+from fakes.clients import FastCgiClient
 
-from fakes.clients import FastCgiClient as FcgiClient
-from twisted.internet.defer import inlineCallbacks
-from twisted.trial.unittest import TestCase
-
-from tests.loopback import ALERT, CLIP, TRUST, Rig
+from tests.loopback import ALERT, CLIP
+from tests.net.downstream.loopback_case import PLATFORM_PORT
+from tests.net.downstream.signed_front_case import SignedFrontTestCase
 from tests.net.wire.test_codecs import PARAMS, asked
 from thornjunction.net.wire import fastcgi
-from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow
-
-
-class SignedFrontTest(TestCase):
-    timeout = 20
-
-    def setUp(self) -> None:
-        self.rig = Rig()
-        self.addCleanup(self.rig.stop)
-
-    def connect(self) -> Any:
-        return self.rig.client()
 
-    @inlineCallbacks
-    def ask(self, target: str, method: str = "GET", **headers: str) -> Any:
-        client = yield self.connect()
-        client.ask(target, method, **headers)
-        (response,) = yield client.has(1)
-        client.transport.loseConnection()
-        yield client.ended
-        self.assertEqual(len(client.responses), 1)
-        return response
 
-    @inlineCallbacks
-    def test_signed_is_served_once(self) -> Any:
-        response = yield self.ask(self.rig.signed(CLIP))
-        self.assertEqual((response.status, response.body, response.headers["etag"]), (200, b"wave", '"t1"'))
-        self.assertIn(b"profile=films,thing=7f3a9c21e0b4d655,nth=0", self.rig.wants()[0][2])
-
-    @inlineCallbacks
-    def test_what_is_not_admitted_never_reaches_the_core(self) -> Any:
-        good, other = self.rig.token(CLIP), self.rig.token(CLIP.replace("/0", "/1"))
-        bad = {
-            CLIP: 401,
-            f"{CLIP}?URISigningPackage={good}&URISigningPackag%65={good}": 401,
-            f"{CLIP}?URISigningPackage={other}": 403,
-            f"{CLIP}?x=1&URISigningPackage={good}": 403,
-        }
-        for target, status in bad.items():
-            response = yield self.ask(target)
-            self.assertEqual(response.status, status, target[:60])
-            self.assertNotIn("retry-after", response.headers)
-        self.assertEqual((self.rig.heard, dict(self.rig.counters.counts)), ([], {}))
-
-    @inlineCallbacks
-    def test_a_token_that_expires_or_whose_key_retires_midway_admits_its_answer_and_nothing_new(self) -> Any:
-        retired = replace(TRUST, keys={kid: key for kid, key in TRUST.keys.items() if kid != "new"})
-        expire = lambda: setattr(self.rig, "now", self.rig.now + 100.0)  # noqa: E731
-        retire = lambda: setattr(self.rig.door, "trust", retired)  # noqa: E731  # as a new key set would
-        for spoil in (expire, retire):
-            self.rig.script, self.rig.asked, self.rig.door.trust = [None], [], TRUST
-            client, wanted = (yield self.connect()), self.rig.next_want()
-            target = self.rig.signed(CLIP)
-            client.ask(target)
-            yield wanted
-            spoil()
-            client.ask(target)
-            link, ident = self.rig.asked[0]
-            link.say(ident, b"DONE", b"w" * 240_000)
-            first, second = yield client.has(2)
-            self.assertEqual((first.status, len(first.body), second.status), (200, 240_000, 401))
-            client.transport.loseConnection()
-            yield client.ended
-        self.assertEqual(len(self.rig.wants()), 2)
-
-    @inlineCallbacks
-    def test_a_cookie_renews_and_is_taken(self) -> Any:
-        response = yield self.ask(self.rig.signed(CLIP, cdniets=30, cdnistt=1, cdnistd=2))
-        cookie = response.headers["set-cookie"]
-        self.assertIn("; Path=/films/17; Max-Age=30;", cookie)
-        self.rig.now += 20.0
-        response = yield self.ask(CLIP, Cookie=cookie.partition(";")[0])
+class SignedFrontTest(SignedFrontTestCase):
+    async def test_a_signed_request_is_served_once(self) -> None:
+        response = await self.request(self.rig.signed(CLIP))
         self.assertEqual(response.status, 200)
-        self.rig.now += 100.0
-        response = yield self.ask(CLIP, Cookie=cookie.partition(";")[0])
-        self.assertEqual(response.status, 401)
+        self.assertEqual(response.body, b"wave")
+        self.assertEqual(response.headers["etag"], '"t1"')
+        self.assertIn(b"profile=films,thing=7f3a9c21e0b4d655,nth=0", self.rig.wants()[0][2])
 
-    @inlineCallbacks
-    def test_a_deadline_is_a_504_and_the_attempt_is_called_off(self) -> Any:
+    async def test_a_deadline_is_a_504_and_the_attempt_is_cancelled(self) -> None:
         self.rig.script = [None] * 9
-        response = yield self.ask(self.rig.signed(ALERT), "POST", X_Ttl_Ms="80", Idempotency_Key="k1")
+        response = await self.request(self.rig.signed(ALERT), "POST", X_Ttl_Ms="80", Idempotency_Key="k1")
         self.assertEqual(response.status, 504)
-        yield self.rig.until(lambda: any(heard[0] == "never_mind" for heard in self.rig.heard))
+        await self.until_cancelled()
 
-    @inlineCallbacks
-    def test_a_refusal_says_when_to_come_back_and_a_failure_does_not(self) -> Any:
+    async def test_a_rejection_says_when_to_retry(self) -> None:
         self.rig.script = [(b"LACK", b"")]
-        response = yield self.ask(self.rig.signed(CLIP))
-        self.assertEqual((response.status, response.headers["retry-after"]), (503, "1"))
+        response = await self.request(self.rig.signed(CLIP))
+        self.assertEqual(response.status, 503)
+        self.assertEqual(response.headers["retry-after"], "1")
+
+    async def test_a_failure_does_not_say_when_to_retry(self) -> None:
         self.rig.script = [(b"BROKE", b"")] * 9
-        response = yield self.ask(self.rig.signed(ALERT), "POST", Idempotency_Key="k2")
+        response = await self.request(self.rig.signed(ALERT), "POST", Idempotency_Key="k2")
         self.assertEqual(response.status, 502)
         self.assertNotIn("retry-after", response.headers)
 
-    @inlineCallbacks
-    def test_a_client_that_leaves_cancels(self) -> Any:
+    async def test_a_client_that_leaves_cancels(self) -> None:
         self.rig.script = [None]
-        client, wanted = (yield self.connect()), self.rig.next_want()
+        client = await self.rig.client()
+        next_attempt = self.rig.next_want()
         client.ask(self.rig.signed(CLIP))
-        yield wanted
+        await next_attempt
         client.transport.abortConnection()
-        yield self.rig.until(lambda: any(heard[0] == "never_mind" for heard in self.rig.heard))
-        link, ident = self.rig.asked[0]
-        link.say(ident, b"DONE", b"late")
+        await self.until_cancelled()
+        server, ident = self.rig.asked[0]
+        server.say(ident, b"DONE", b"late")
         self.assertEqual(len(self.rig.engine.requests), 0)
         self.assertEqual(self.rig.counters.counts["requests.films.abandoned"], 1)
 
-    @inlineCallbacks
-    def test_a_rejected_try_of_an_alert_sends_nothing_and_forgets_nothing(self) -> Any:
-        self.rig.script = [None]
-        target, how = self.rig.signed(ALERT), {"X_Ttl_Ms": "60", "Idempotency_Key": "k3"}
-        response = yield self.ask(target, "POST", **how)
-        self.assertEqual(response.status, 504)
-        for unsigned in (ALERT, f"{ALERT}?URISigningPackage={self.rig.token(CLIP)}"):
-            response = yield self.ask(unsigned, "POST", **how)
-            self.assertIn(response.status, (401, 403))
-            self.assertNotIn("retry-after", response.headers)
-        self.assertEqual(len(self.rig.wants()), 1)
-        executions = self.rig.engine.router.executions.by_key
-        for key, ran in list(executions.items()):
-            executions[key] = replace(
-                ran, sent_at_ms=ran.sent_at_ms - 10_000.0
-            )  # the archive has forgotten the first try by now
-        response = yield self.ask(target, "POST", **how)
-        self.assertIn(response.status, (502, 504))
-        self.assertEqual(len(self.rig.wants()), 1)
-
-    @inlineCallbacks
-    def test_malformed_input_ends_its_connection_only(self) -> Any:
-        client = yield self.connect()
+    async def test_malformed_input_ends_its_connection_only(self) -> None:
+        client = await self.rig.client()
         client.transport.write(b"\x00\xff junk\r\n\r\n")
-        (response,) = yield client.has(1)
+        (response,) = await client.has(1)
         self.assertEqual(response.status, 400)
-        yield client.ended
-        response = yield self.ask(self.rig.signed(CLIP))
+        await client.ended
+        response = await self.request(self.rig.signed(CLIP))
         self.assertEqual(response.status, 200)
 
-    @inlineCallbacks
-    def test_pipelined_requests_are_answered_in_order_and_a_forged_second_spoils_nothing(self) -> Any:
-        client = yield self.connect()
-        good, forged = self.rig.token(CLIP), self.rig.token(CLIP)[:-4] + "AAAA"
-        client.ask(f"{CLIP}?URISigningPackage={good}")
-        client.ask(f"{CLIP}?URISigningPackage={forged}")
-        client.ask(f"/films/17/URISigningPackage={good}/7f3a9c21e0b4d655/0")
-        statuses = [response.status for response in (yield client.has(3))]
-        self.assertEqual(statuses, [200, 401, 200])
-        client.transport.loseConnection()
-        yield client.ended
-
-    @inlineCallbacks
-    def test_ranges_of_a_clip(self) -> Any:
-        part = yield self.ask(self.rig.signed(CLIP), Range="bytes=1-2")
-        none = yield self.ask(self.rig.signed(CLIP), Range="bytes=9-")
-        self.assertEqual((part.status, part.body, part.headers["content-range"]), (206, b"av", "bytes 1-2/4"))
-        self.assertEqual((none.status, none.headers["content-range"]), (416, "bytes */4"))
-
-    @inlineCallbacks
-    def test_a_token_bound_to_an_address_admits_that_client_alone(self) -> Any:
-        """RFC 9246 §2.1.10 over loopback: the connection's peer is 127.0.0.1."""
-        here = yield self.ask(self.rig.signed(CLIP, cdniip="127.0.0.1"))
-        there = yield self.ask(self.rig.signed(CLIP, cdniip="192.0.2.9"))
-        self.assertEqual((here.status, there.status), (200, 403))
-
-    @inlineCallbacks
-    def test_a_full_replay_window_refuses_and_says_when_to_come_back(self) -> Any:
-        self.rig.door.replays = ReplayWindow(cap_bytes=ENTRY_BYTES, slot_s=10.0, horizon_s=600.0)
-        first = yield self.ask(self.rig.signed(CLIP, jti="a"))
-        again = yield self.ask(self.rig.signed(CLIP, jti="a"))
-        other = yield self.ask(self.rig.signed(CLIP, jti="b"))
-        self.assertEqual((first.status, again.status, other.status), (200, 403, 503))
-        self.assertGreaterEqual(int(other.headers["retry-after"]), 1)
-
-    @inlineCallbacks
-    def test_the_platforms_front_shares_the_core(self) -> Any:
-        client = yield self.rig.client(3, FcgiClient)
+    async def test_ranges_of_an_object(self) -> None:
+        part = await self.request(self.rig.signed(CLIP), Range="bytes=1-2")
+        unsatisfiable = await self.request(self.rig.signed(CLIP), Range="bytes=9-")
+        self.assertEqual(part.status, 206)
+        self.assertEqual(part.body, b"av")
+        self.assertEqual(part.headers["content-range"], "bytes 1-2/4")
+        self.assertEqual(unsatisfiable.status, 416)
+        self.assertEqual(unsatisfiable.headers["content-range"], "bytes */4")
+
+    async def test_the_platforms_front_shares_the_core(self) -> None:
+        client = await self.rig.client(PLATFORM_PORT, FastCgiClient)
         params = PARAMS | {"SCRIPT_NAME": "/do/films"}
         client.transport.write(asked(7, params, b"") + asked(9, {"SCRIPT_NAME": "/check"}, b""))
-        yield self.rig.until(lambda: len(client.ends()) == 2)
+        await self.rig.until(lambda: len(client.ends()) == 2)
         self.assertEqual(client.output(7), b"Status: 200\r\n\r\nwave")
         self.assertEqual(client.output(9), b"Status: 200\r\n\r\n")
-        self.rig.script, wanted = [None], self.rig.next_want()
+        self.rig.script = [None]
+        next_attempt = self.rig.next_want()
         client.transport.write(asked(11, params, b""))
-        yield wanted
+        await next_attempt
         client.transport.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 11, b""))
-        yield self.rig.until(lambda: any(heard[0] == "never_mind" for heard in self.rig.heard))
+        await self.until_cancelled()
         self.assertEqual(len(client.ends()), 2)
         client.transport.write(b"junk that is no record")
-        yield client.ended
+        await client.ended
--- /dev/null
+++ b/tests/net/downstream/test_signed_tokens.py
@@ -0,0 +1,123 @@
+"""Admission by tokens on the signed front, from request to response."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+
+from tests.loopback import ALERT, CLIP, TRUST
+from tests.net.downstream.signed_front_case import SignedFrontTestCase
+from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow
+
+LARGE_BODY = b"w" * 240_000
+
+
+class SignedTokensTest(SignedFrontTestCase):
+    async def test_what_is_not_admitted_never_reaches_the_core(self) -> None:
+        good = self.rig.token(CLIP)
+        other = self.rig.token(CLIP.replace("/0", "/1"))
+        status_by_target = {
+            CLIP: 401,
+            f"{CLIP}?URISigningPackage={good}&URISigningPackag%65={good}": 401,
+            f"{CLIP}?URISigningPackage={other}": 403,
+            f"{CLIP}?x=1&URISigningPackage={good}": 403,
+        }
+        for target, status in status_by_target.items():
+            response = await self.request(target)
+            self.assertEqual(response.status, status, target[:60])
+            self.assertNotIn("retry-after", response.headers)
+        self.assertEqual(self.rig.heard, [])
+        self.assertEqual(dict(self.rig.counters.counts), {})
+
+    async def test_a_token_that_expires_midway_admits_its_response_and_nothing_new(self) -> None:
+        def expire() -> None:
+            self.rig.now += 100.0
+
+        await self.check_token_invalid_midway(expire)
+
+    async def test_a_token_whose_key_retires_midway_admits_its_response_and_nothing_new(self) -> None:
+        def retire() -> None:  # as a new key set would
+            keys = {kid: key for kid, key in TRUST.keys.items() if kid != "new"}
+            self.rig.door.trust = replace(TRUST, keys=keys)
+
+        await self.check_token_invalid_midway(retire)
+
+    async def check_token_invalid_midway(self, invalidate: Callable[[], None]) -> None:
+        """The token becomes invalid while its request is at a server, before it is used again."""
+        self.rig.script = [None]
+        client = await self.rig.client()
+        next_attempt = self.rig.next_want()
+        target = self.rig.signed(CLIP)
+        client.ask(target)
+        await next_attempt
+        invalidate()
+        client.ask(target)
+        server, ident = self.rig.asked[0]
+        server.say(ident, b"DONE", LARGE_BODY)
+        first, second = await client.has(2)
+        self.assertEqual(first.status, 200)
+        self.assertEqual(len(first.body), len(LARGE_BODY))
+        self.assertEqual(second.status, 401)
+        await self.disconnect(client)
+        self.assertEqual(len(self.rig.wants()), 1)
+
+    async def test_a_cookie_renews_a_token_and_is_accepted(self) -> None:
+        response = await self.request(self.rig.signed(CLIP, cdniets=30, cdnistt=1, cdnistd=2))
+        cookie = response.headers["set-cookie"]
+        self.assertIn("; Path=/films/17; Max-Age=30;", cookie)
+        self.rig.now += 20.0
+        response = await self.request(CLIP, Cookie=cookie.partition(";")[0])
+        self.assertEqual(response.status, 200)
+        self.rig.now += 100.0
+        response = await self.request(CLIP, Cookie=cookie.partition(";")[0])
+        self.assertEqual(response.status, 401)
+
+    async def test_a_rejected_retry_of_an_alert_sends_nothing_and_forgets_nothing(self) -> None:
+        self.rig.script = [None]
+        target = self.rig.signed(ALERT)
+        headers = {"X_Ttl_Ms": "60", "Idempotency_Key": "k3"}
+        response = await self.request(target, "POST", **headers)
+        self.assertEqual(response.status, 504)
+        for unsigned in (ALERT, f"{ALERT}?URISigningPackage={self.rig.token(CLIP)}"):
+            response = await self.request(unsigned, "POST", **headers)
+            self.assertIn(response.status, (401, 403))
+            self.assertNotIn("retry-after", response.headers)
+        self.assertEqual(len(self.rig.wants()), 1)
+        self.end_deduplication_window()
+        response = await self.request(target, "POST", **headers)
+        self.assertIn(response.status, (502, 504))
+        self.assertEqual(len(self.rig.wants()), 1)
+
+    def end_deduplication_window(self) -> None:
+        """The servers have forgotten the first execution by now."""
+        executions = self.rig.engine.router.executions.by_key  # type: ignore[attr-defined]
+        for key, execution in list(executions.items()):
+            executions[key] = replace(execution, sent_at_ms=execution.sent_at_ms - 10_000.0)
+
+    async def test_a_token_bound_to_an_address_admits_that_client_alone(self) -> None:
+        """RFC 9246 §2.1.10 over loopback: the connection's peer is 127.0.0.1."""
+        same_address = await self.request(self.rig.signed(CLIP, cdniip="127.0.0.1"))
+        other_address = await self.request(self.rig.signed(CLIP, cdniip="192.0.2.9"))
+        self.assertEqual(same_address.status, 200)
+        self.assertEqual(other_address.status, 403)
+
+    async def test_a_full_replay_window_rejects_and_says_when_to_retry(self) -> None:
+        self.rig.door.replays = ReplayWindow(cap_bytes=ENTRY_BYTES, slot_s=10.0, horizon_s=600.0)
+        first = await self.request(self.rig.signed(CLIP, jti="a"))
+        repeated = await self.request(self.rig.signed(CLIP, jti="a"))
+        other = await self.request(self.rig.signed(CLIP, jti="b"))
+        self.assertEqual(first.status, 200)
+        self.assertEqual(repeated.status, 403)
+        self.assertEqual(other.status, 503)
+        self.assertGreaterEqual(int(other.headers["retry-after"]), 1)
+
+    async def test_a_forged_second_token_of_a_pipeline_spoils_nothing(self) -> None:
+        client = await self.rig.client()
+        good = self.rig.token(CLIP)
+        forged = self.rig.token(CLIP)[:-4] + "AAAA"
+        client.ask(f"{CLIP}?URISigningPackage={good}")
+        client.ask(f"{CLIP}?URISigningPackage={forged}")
+        client.ask(f"/films/17/URISigningPackage={good}/7f3a9c21e0b4d655/0")
+        statuses = [response.status for response in await client.has(3)]
+        self.assertEqual(statuses, [200, 401, 200])
+        await self.disconnect(client)
