--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -5,6 +5,7 @@
 import math
 import re
 from collections.abc import Mapping
+from enum import StrEnum
 from typing import NamedTuple
 from urllib.parse import unquote
 
@@ -36,15 +37,34 @@
 """Milliseconds of a second."""
 
 
+class RejectionCause(StrEnum):
+    """Why a request was rejected, as the log names it; ``TokenError`` has the causes of its token."""
+
+    IDEMPOTENCY_KEY = "idempotency-key"
+    """The idempotency key is malformed, or missing where the class needs one."""
+    METHOD = "method"
+    """The class is not asked for with this method."""
+    MALFORMED_SIZE = "field-size"
+    """The header with the object's size is no number within its range."""
+    MALFORMED_TTL = "field-ttl"
+    """The header with the client's remaining time is no number within its range."""
+    NO_SUCH_PATH = "no-such-path"
+    """The path names no class, group, object and part."""
+    TOKEN_MISSING = "token-missing"
+    """Neither the URI nor a cookie has a token."""
+    TOKEN_TWICE = "token-twice"
+    """The URI, or the cookies, have more than one token."""
+
+
 class RequestError(Exception):
     """A request was rejected before it reached the core.
 
     Attributes:
         status: status of the response.
-        code: reason for the log.
+        code: cause for the log.
     """
 
-    def __init__(self, status: int, code: str) -> None:
+    def __init__(self, status: int, code: RejectionCause) -> None:
         super().__init__(code)
         self.status = status
         self.code = code
@@ -79,10 +99,10 @@
     uri_tokens = [_value(item) for item in (*pairs, *segments) if _is_package(item)]
     cookie_tokens = _cookie_tokens(request)
     if len(uri_tokens) > 1 or len(cookie_tokens) > 1:
-        raise RequestError(401, "token-twice")
+        raise RequestError(401, RejectionCause.TOKEN_TWICE)
     tokens = uri_tokens or cookie_tokens
     if not tokens or not tokens[0]:
-        raise RequestError(401, "token-missing")
+        raise RequestError(401, RejectionCause.TOKEN_MISSING)
     target = "/".join(segment for segment in segments if not _is_package(segment))
     remaining_pairs = [pair for pair in pairs if not _is_package(pair)]
     if remaining_pairs:
@@ -120,10 +140,10 @@
     match = PATH.fullmatch(target)
     request_class = classes.get(match[1]) if match else None
     if match is None or request_class is None or int(match[2]) > MAX_GROUP or int(match[4]) > MAX_PART:
-        raise RequestError(404, "no-such-path")
+        raise RequestError(404, RejectionCause.NO_SUCH_PATH)
     methods = READ_METHODS if request_class.idempotency is api.Idempotency.IDEMPOTENT else WRITE_METHODS
     if request.method not in methods:
-        raise RequestError(405, "method")
+        raise RequestError(405, RejectionCause.METHOD)
     idempotency_key = _idempotency_key(request, request_class)
     left_ms = _number_header(
         request, "x-ttl-ms", str(request_class.client_timeout_ms), MAX_CLIENT_TIME_MS, "ttl"
@@ -149,7 +169,7 @@
     key = request.headers.get("idempotency-key", "").strip('"')
     is_required = request_class.idempotency is api.Idempotency.KEYED
     if (is_required or key) and not WORD.fullmatch(key):
-        raise RequestError(400, "idempotency-key")
+        raise RequestError(400, RejectionCause.IDEMPOTENCY_KEY)
     return "" if request_class.idempotency is api.Idempotency.IDEMPOTENT else key
 
 
@@ -157,7 +177,7 @@
     try:
         return parse_number(request.headers.get(name, default), largest, code)
     except ProtocolError as error:
-        raise RequestError(400, str(error)) from error
+        raise RequestError(400, RejectionCause(str(error))) from error
 
 
 def encode_answer(answer: Answer, request: HttpRequest, served_headers: Mapping[str, str]) -> HttpResponse:
