--- a/tests/net/downstream/loopback_case.py
+++ b/tests/net/downstream/loopback_case.py
@@ -2,21 +2,15 @@
 
 from __future__ import annotations
 
-from fakes.raw_socket import BareClients
+from fakes.raw_socket_clients import RawSocketClients
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import Rig
+from tests.loopback import make_loopback_environment
 from thornjunction import interface as api
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.runtime.drain import Drain
 from thornjunction.runtime.shutdown import Shutdown
 
-SIGNED_PORT = 2
-"""Place of the signed front among the rig's ports."""
-
-PLATFORM_PORT = 3
-"""Place of the platform's front among the rig's ports."""
-
 LARGE_RESPONSE = (b"DONE", b"w" * 240_000)
 """A step of the servers' script: more than the sockets between router and client take."""
 
@@ -27,17 +21,17 @@
     timeout = 10
 
     def setUp(self) -> None:
-        self.rig = Rig()
+        self.rig = make_loopback_environment()
         self.addCleanup(self.rig.stop)
         self.engine = self.rig.engine
-        self.clients = BareClients(self.rig)
+        self.clients = RawSocketClients(self.rig)
         self.addCleanup(self.clients.close)
-        self.until = self.rig.until
+        self.until = self.rig.wait_until
         self.stop_calls: list[bool] = []
 
     def forwarded_count(self) -> int:
         """Attempts that servers have received."""
-        return len(self.rig.wants())
+        return len(self.rig.forwarded_requests())
 
     async def until_forwarded(self, count: int) -> None:
         """Turn the reactor until servers have received so many attempts."""
@@ -46,20 +40,22 @@
     async def until_gone(self, *clients: object) -> None:
         """Let the clients leave, and turn the reactor until the router holds nothing of any client."""
         for client in clients:
-            client.leave()  # type: ignore[attr-defined]
-        await self.clients.gone()
+            client.close()  # type: ignore[attr-defined]
+        await self.clients.wait_until_gone()
 
     def build_drain(self) -> Drain:
         """A drain that is not started."""
-        return Drain(self.rig.clients, self.rig.alarm.deadlines, core_ms, self.engine.answer_all_now)
+        return Drain(
+            self.rig.downstream_table, self.rig.timer_service.deadlines, core_ms, self.engine.answer_all_now
+        )
 
     def build_shutdown(self, drain: Drain) -> Shutdown:
         """A shutdown that is not started; ``stop_calls`` has an entry once it would end the process."""
         return Shutdown(
-            self.rig.clients,
+            self.rig.downstream_table,
             drain,
             self.engine,
-            self.rig.alarm.deadlines,
+            self.rig.timer_service.deadlines,
             core_ms,
             lambda: self.stop_calls.append(True),
         )
--- a/tests/net/downstream/signed_front_case.py
+++ b/tests/net/downstream/signed_front_case.py
@@ -6,7 +6,7 @@
 
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import Rig
+from tests.loopback import make_loopback_environment
 
 
 class SignedFrontTestCase(TestCase):
@@ -15,22 +15,24 @@
     timeout = 20
 
     def setUp(self) -> None:
-        self.rig = Rig()
+        self.rig = make_loopback_environment()
         self.addCleanup(self.rig.stop)
 
     async def request(self, target: str, method: str = "GET", **headers: str) -> Any:
         """The only response on a new connection."""
-        client = await self.rig.client()
-        client.ask(target, method, **headers)
-        (response,) = await client.has(1)
+        client = await self.rig.connect_client()
+        client.send_request(target, method, **headers)
+        (response,) = await client.wait_for_answers(1)
         await self.disconnect(client)
         self.assertEqual(len(client.responses), 1)
         return response
 
     async def disconnect(self, client: Any) -> None:
         client.transport.loseConnection()
-        await client.ended
+        await client.connection_lost
 
     async def until_cancelled(self) -> None:
         """Turn the reactor until a server is told that nobody waits for an attempt."""
-        await self.rig.until(lambda: any(heard[0] == "never_mind" for heard in self.rig.heard))
+        await self.rig.wait_until(
+            lambda: any(command.verb == "never_mind" for command in self.rig.received_commands)
+        )
--- a/tests/net/downstream/test_open_requests_answered.py
+++ b/tests/net/downstream/test_open_requests_answered.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from fakes.raw_socket import asked
+from fakes.raw_socket import encode_request
 
 from tests.net.downstream.loopback_case import LoopbackTestCase
 from thornjunction.net.wire import fastcgi
 
 BROKEN_CLIENTS = (
-    (asked(2) + b"garbage" * 9, "half-close"),
-    (asked(3)[:30], "reset"),
+    (encode_request(2) + b"garbage" * 9, "half-close"),
+    (encode_request(3)[:30], "reset"),
     (b"", "close"),
 )
 """What a client sends, and how it leaves."""
@@ -22,66 +22,66 @@
     async def test_the_trouble_of_other_clients_takes_no_response_from_a_request(self) -> None:
         """Garbage, a reset, a part that takes up the memory, idle clients, then busy ones in all slots."""
         self.rig.script = [None]
-        self.rig.clients.budget.limit_bytes = 5_000
-        bystander, connection = await self.clients.rested()
-        bystander.send(asked(1, ttl_ms=9_000))
-        await self.until(self.rig.wants)
+        self.rig.downstream_table.budget.limit_bytes = 5_000
+        bystander, connection = await self.clients.connect_accepted()
+        bystander.send(encode_request(1, ttl_ms=9_000))
+        await self.until(self.rig.forwarded_requests)
         await self.connect_broken_clients()
         await self.connect_idle_clients()
         await self.connect_busy_clients()
-        server, ident = self.rig.asked[0]
-        server.say(ident, b"DONE", b"late")
-        await self.until(bystander.answers)
+        server, ident = self.rig.received_requests[0]
+        server.send_answer(ident, b"DONE", b"late")
+        await self.until(bystander.answer_count)
         self.assertEqual(connection.end_reason, "")
-        self.assertEqual(bystander.answers(), 1)
-        self.assertEqual(bystander.got.count(b"late"), 1)
+        self.assertEqual(bystander.answer_count(), 1)
+        self.assertEqual(bystander.received.count(b"late"), 1)
 
     async def connect_broken_clients(self) -> None:
         for data, how in BROKEN_CLIENTS:
-            client, _ = await self.clients.rested()
+            client, _ = await self.clients.connect_accepted()
             client.send(data)
-            client.leave(how)
-        endless, connection = await self.clients.rested()
+            client.close(how)
+        endless, connection = await self.clients.connect_accepted()
         endless.send(ENDLESS_REQUEST)
         await self.until(lambda: connection.end_reason == "memory")
 
     async def connect_idle_clients(self) -> None:
         for number in range(10, 22):
             idle = self.clients.connect()
-            idle.send(asked(number))
-            await self.until(idle.answers)
+            idle.send(encode_request(number))
+            await self.until(idle.answer_count)
 
     async def connect_busy_clients(self) -> None:
         """Open requests in all slots; one more is rejected."""
         self.rig.script = [None] * 9
         forwarded_before = self.forwarded_count()
         for number in range(30, 39):
-            self.clients.connect().send(asked(number, ttl_ms=9_000))
+            self.clients.connect().send(encode_request(number, ttl_ms=9_000))
         await self.until_forwarded(forwarded_before + 9)
         late = self.clients.connect()
-        late.send(asked(40))
-        await self.until(late.answers)
+        late.send(encode_request(40))
+        await self.until(late.answer_count)
 
     async def test_an_idle_connection_that_its_server_closes_or_resets_costs_no_response(self) -> None:
         """It ends just before a request."""
         for how in ("loseConnection", "abortConnection"):
-            client, _ = await self.clients.rested(asked(1))
-            server, _ = self.rig.asked[-1]
+            client, _ = await self.clients.connect_accepted(encode_request(1))
+            server, _ = self.rig.received_requests[-1]
             getattr(server.transport, how)()
             await self.check_served_responses(client, 3)
 
     async def test_an_idle_connection_that_its_server_forgets_costs_one_request(self) -> None:
-        client, _ = await self.clients.rested(asked(1))
-        server, _ = self.rig.asked[-1]
+        client, _ = await self.clients.connect_accepted(encode_request(1))
+        server, _ = self.rig.received_requests[-1]
         server.dataReceived = lambda data: None
         await self.check_served_responses(client, 2)
 
     async def check_served_responses(self, client: object, served: int) -> None:
         """After the first request, two more are answered; so many of the three are served."""
         for number in (2, 3):
-            client.send(asked(number, ttl_ms=600))  # type: ignore[attr-defined]
-            await self.until(lambda number=number: client.answers() == number)  # type: ignore[attr-defined]
-        self.assertEqual(client.got.count(b"Status: 200"), served)  # type: ignore[attr-defined]
+            client.send(encode_request(number, ttl_ms=600))  # type: ignore[attr-defined]
+            await self.until(lambda number=number: client.answer_count() == number)  # type: ignore[attr-defined]
+        self.assertEqual(client.received.count(b"Status: 200"), served)  # type: ignore[attr-defined]
         await self.until_gone(client)
 
     async def test_a_request_with_next_to_no_time_is_answered_and_not_begun(self) -> None:
@@ -98,9 +98,9 @@
         self.rig.script = [None]
         forwarded_before = self.forwarded_count()
         client = self.clients.connect()
-        client.send(asked(ttl_ms, ttl_ms=ttl_ms))
-        await self.until(client.answers)
-        self.assertEqual(client.answers(), 1)
+        client.send(encode_request(ttl_ms, ttl_ms=ttl_ms))
+        await self.until(client.answer_count)
+        self.assertEqual(client.answer_count(), 1)
         self.assertEqual(self.forwarded_count() - forwarded_before, forwarded)
         self.assertEqual(len(self.engine.requests), 0)
         await self.until_gone(client)
--- a/tests/net/downstream/test_pending_requests.py
+++ b/tests/net/downstream/test_pending_requests.py
@@ -8,10 +8,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from fakes.raw_socket import BareClient, asked
+from fakes.loopback_environment import PortIndex
+from fakes.raw_socket import RawSocketClient, encode_request
 
 from tests.loopback import CLIP
-from tests.net.downstream.loopback_case import PLATFORM_PORT, SIGNED_PORT, LoopbackTestCase
+from tests.net.downstream.loopback_case import LoopbackTestCase
 from thornjunction.net.downstream.connection import DownstreamConnection
 from thornjunction.net.downstream.request_times import IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS
 from thornjunction.net.event_loop.timer_service import core_ms
@@ -50,7 +51,10 @@
 
 class PendingRequestTest(LoopbackTestCase):
     def requests_by_port(self) -> dict[int, bytes]:
-        return {PLATFORM_PORT: asked(7), SIGNED_PORT: self.clients.http(CLIP)}
+        return {
+            PortIndex.FASTCGI_FRONT: encode_request(7),
+            PortIndex.SIGNED_FRONT: self.clients.encode_signed_request(CLIP),
+        }
 
     def time_limit_cases(self) -> list[TimeLimitCase]:
         cases = []
@@ -62,9 +66,9 @@
             )
         return cases
 
-    async def connect(self, case: TimeLimitCase) -> tuple[BareClient, Any]:
+    async def connect(self, case: TimeLimitCase) -> tuple[RawSocketClient, Any]:
         """A client in the case's situation, and the router's side of its connection."""
-        client, connection = await self.clients.rested(case.first_request, case.port)
+        client, connection = await self.clients.connect_accepted(case.first_request, case.port)
         client.send(case.half_request)
         await self.until(lambda: connection.half_received_bytes() or not case.half_request)
         return client, connection
@@ -79,9 +83,9 @@
             forwarded_before = self.forwarded_count()
             self.check_times_at_limit(connection, case)
             client.send(case.rest_of_request)
-            await self.until(client.ended)
+            await self.until(client.has_ended)
             self.assertEqual(connection.end_reason, case.reason)
-            self.assertEqual(client.end, "fin")
+            self.assertEqual(client.connection_end, "fin")
             self.assertEqual(connection.response_count, case.responses_before)
             self.assertEqual(self.forwarded_count(), forwarded_before)
             await self.until_gone(client)
@@ -109,7 +113,7 @@
     async def check_pending_request_is_answered(self, check: CheckConnection, shutdown_at_ms: float) -> None:
         """A second request is unread as ``check`` decides whether its connection ends."""
         for port, request in self.requests_by_port().items():
-            client, connection = await self.clients.rested(request, port)
+            client, connection = await self.clients.connect_accepted(request, port)
             client.send(request)
             self.engine.shutdown_at_ms = shutdown_at_ms
             check(connection)
--- a/tests/net/downstream/test_shutdown_with_clients.py
+++ b/tests/net/downstream/test_shutdown_with_clients.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from fakes.raw_socket import asked
+from fakes.loopback_environment import PortIndex
+from fakes.raw_socket import encode_request
 
-from tests.net.downstream.loopback_case import PLATFORM_PORT, LoopbackTestCase
+from tests.net.downstream.loopback_case import LoopbackTestCase
 from thornjunction.net.event_loop.timer_service import core_ms
 
 
@@ -14,21 +15,21 @@
         drain = self.build_drain()
         shutdown = self.build_shutdown(drain)
         self.rig.script = [None]
-        client, _ = await self.clients.rested()
-        client.send(asked(1, ttl_ms=3_000))
-        await self.until(self.rig.wants)
+        client, _ = await self.clients.connect_accepted()
+        client.send(encode_request(1, ttl_ms=3_000))
+        await self.until(self.rig.forwarded_requests)
         shutdown.start(3_000.0, [], accept_new=False)
         self.drain_servers()
-        client.send(asked(2, ttl_ms=300))
-        await self.until(lambda: client.answers() == 1)
-        server, ident = self.rig.asked[-1]
-        server.say(ident, b"DONE", b"x")
-        await self.until(client.ended)
-        self.assertEqual(client.end, "fin")
-        self.assertEqual(client.answers(), 2)
-        self.assertEqual(client.got.count(b"Status: 200"), 1)
+        client.send(encode_request(2, ttl_ms=300))
+        await self.until(lambda: client.answer_count() == 1)
+        server, ident = self.rig.received_requests[-1]
+        server.send_answer(ident, b"DONE", b"x")
+        await self.until(client.has_ended)
+        self.assertEqual(client.connection_end, "fin")
+        self.assertEqual(client.answer_count(), 2)
+        self.assertEqual(client.received.count(b"Status: 200"), 1)
         self.assertEqual(self.forwarded_count(), 1)
-        client.leave()
+        client.close()
         await self.until(lambda: self.stop_calls)
         drain.stop()
 
@@ -36,16 +37,16 @@
         drain = self.build_drain()
         shutdown = self.build_shutdown(drain)
         drain.start(0.0)
-        shutdown._ports = self.rig.ports[PLATFORM_PORT:]
+        shutdown._ports = self.rig.ports[PortIndex.FASTCGI_FRONT :]
         shutdown._stop_at_ms = core_ms() + 9000.0
-        self.rig.ports[PLATFORM_PORT].numberAccepts = 1
+        self.rig.ports[PortIndex.FASTCGI_FRONT].numberAccepts = 1
         for number in range(3):
-            self.clients.connect().send(asked(number + 1))
+            self.clients.connect().send(encode_request(number + 1))
         shutdown._close_ports()
-        for client in self.clients.all:
-            await self.until(client.ended)
-            self.assertEqual(client.end, "fin")
-            self.assertEqual(client.answers(), 1)
-            client.leave()
+        for client in self.clients.clients:
+            await self.until(client.has_ended)
+            self.assertEqual(client.connection_end, "fin")
+            self.assertEqual(client.answer_count(), 1)
+            client.close()
         await self.until(lambda: self.stop_calls)
         drain.stop()
--- a/tests/program/test_clock_steps.py
+++ b/tests/program/test_clock_steps.py
@@ -25,15 +25,22 @@
 from control_harness.loopback_server import LoopbackServer
 from control_harness.participants import Participant, RelayParticipant, RouterParticipant, free_addresses
 from control_harness.poller import Poller
-from fakes.config import config_at
-from fakes.fake_discovery import line
-from fakes.raw_socket import BareClient, BareShelf, address, asked, connect
-
-from tests.net.discovery.test_watch import commands, service_of
+from fakes.config import platform_config
+from fakes.raw_socket import (
+    RawSocketCacheServer,
+    RawSocketClient,
+    bound_address,
+    connect_when_listening,
+    encode_request,
+)
+from fakes.watch_messages import edge_entry
+
+from tests.net.discovery.builders import build_service, encode_commands
 from tests.runtime.test_handover import Program, check
-from thornjunction.net.discovery.multi_source_watch import POLL_MS
-from thornjunction.net.discovery.watch_client import AGAIN_MS, MOST_AGAIN_MS
-from thornjunction.net.discovery.watch_connection import AT_ONCE_MS, SILENT_MS
+from thornjunction.net.discovery.multi_source_watch import BLOCK_MS
+from thornjunction.net.discovery.retry_policy import MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS
+from thornjunction.net.discovery.watch_client import RESPONSE_GRACE_MS
+from thornjunction.net.discovery.watch_connection import IMMEDIATE_BLOCK_MS
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.unix_clock import UnixClock
 from thornjunction.net.wire.commands import Purge, decode_commands
@@ -124,11 +131,11 @@
     """An hour ahead, it would make each purge over and each cold cache warm for good."""
     true_s, off_s, fed = time.time, [3600.0], list[Any]()
     with patch("time.time", lambda: true_s() + off_s[0]):
-        service, off_s[0] = service_of(), 0.0
+        service, off_s[0] = build_service(), 0.0
     settings = replace(service.config.settings, purge_propagation_ms=6000.0)
     service.config = replace(service.config, settings=settings)
-    host = line("c1", born_ms=true_s() * 1000.0)
-    (change,) = decode_commands(commands({"cursor": 1, "nodes": {"hosts": [host]}})).events
+    host = edge_entry("c1", born_ms=true_s() * 1000.0)
+    (change,) = decode_commands(encode_commands({"cursor": 1, "nodes": {"hosts": [host]}})).events
     purge = Purge(1, 1, 0, true_s() * 1000.0)
     with patch.object(service.engine, "feed", fed.append):
         service.handle_command(purge if what == "purge" else change)
@@ -238,7 +245,7 @@
         since = time.monotonic()
         world.step()
         await world.ready(INITIAL_LIST_TIMEOUT_MS / 1000.0 + SLACK_S)
-        most_s = (AT_ONCE_MS + SILENT_MS + AGAIN_MS) / 1000.0
+        most_s = (IMMEDIATE_BLOCK_MS + RESPONSE_GRACE_MS + MIN_RETRY_DELAY_MS) / 1000.0
         left_s = since + most_s + SLACK_S - time.monotonic()
         await world.rig.wait_until(lambda: silent.polls == 2, "the next poll", left_s)
     finally:
@@ -304,7 +311,7 @@
     polls = discovery.poll_count
     await discovery.start()
     await world.rig.wait_until(
-        lambda: discovery.poll_count > polls, "a poll", MOST_AGAIN_MS / 1000.0 + SLACK_S
+        lambda: discovery.poll_count > polls, "a poll", MAX_RETRY_DELAY_MS / 1000.0 + SLACK_S
     )
 
 
@@ -354,25 +361,30 @@
 def test_a_handover(step_s: float, tmp_path: Path, clock: Clock) -> None:
     """The old process answers what is open in its time and ends; the new one serves."""
     server = lambda: socket.create_server(("127.0.0.1", 0))  # noqa: E731
-    with server() as shared, server() as channel, closing(BareShelf()) as shelf:
-        config = config_at(address(shared), address(channel), address(shelf.listening), longest_ms=600.0)
+    with server() as shared, server() as channel, closing(RawSocketCacheServer()) as shelf:
+        config = platform_config(
+            bound_address(shared),
+            bound_address(channel),
+            bound_address(shelf.listening),
+            client_timeout_ms=600.0,
+        )
         programs = [Program(tmp_path, shared, config)]
         try:
-            client = BareClient(shared.getsockname()[1])
+            client = RawSocketClient(shared.getsockname()[1])
             programs.append(Program(tmp_path, shared, config))
             old, new = (program.process for program in programs)
-            client.send(asked(1, "clips", ttl_ms=400))
-            shelf.wanted()
+            client.send(encode_request(1, "clips", ttl_ms=400))
+            shelf.wait_for_request()
             since = time.monotonic()
             old.send_signal(signal.SIGTERM)
             while is_open(programs[0].door):  # it is closed with the front
                 pass
             clock.step(step_s)
-            assert client.wait() == ("fin", 1)
+            assert client.wait_for_end() == ("fin", 1)
             assert_near(time.monotonic() - since, 0.4)
-            client.leave()
+            client.close()
             assert old.wait(2 * CHECK_INTERVAL_MS / 1000.0 + SLACK_S) == 0
-            with connect(address(shared)) as another:
+            with connect_when_listening(bound_address(shared)) as another:
                 assert check(another) == b"Status: 200\r\n\r\n"
             assert new.poll() is None and clock.is_seen_by(old) and clock.is_seen_by(new)
         finally:
@@ -415,7 +427,7 @@
         polling.cancel()
         before, polls = time.monotonic(), discovery.poll_count
         await held_poll(relay, f"resume={poller.cursor}&epoch={poller.epoch}", clock, step_s)
-        left_s = before + POLL_MS / 1000.0 + SLACK_S - time.monotonic()
+        left_s = before + BLOCK_MS / 1000.0 + SLACK_S - time.monotonic()
         await rig.wait_until(lambda: discovery.poll_count > polls, "a poll", left_s)
         relay.send_signal(signal.SIGTERM)
         await exits(rig, relay, FLUSH_TIMEOUT_MS / 1000.0)
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -234,7 +234,7 @@
         core = self.context.core
         replay_entry = verified.grant.replay_entry
         if replay_entry is not None and self.context.gossip is not None:
-            self.context.gossip.tell(replay_entry)
+            self.context.gossip.announce(replay_entry)
         self._current = verified.request
         responses_before = self.response_count
         try:
