--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -32,7 +32,8 @@
 from thornjunction.net.event_loop.ports import ListeningPort, Transport
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
-from thornjunction.net.upstream.connection_pool import ConnectionPool, Limits
+from thornjunction.net.upstream.connection_pool import ConnectionPool
+from thornjunction.net.upstream.context import PoolLimits
 from thornjunction.net.wire.commands import Host
 from thornjunction.policy.router import Router
 from thornjunction.signing import tokens
@@ -56,7 +57,9 @@
 # The weight of each listed server.
 SERVER_WEIGHT = 8.0
 
-POOL_LIMITS = Limits(max_streams=4, dial_ms=400.0, idle_ms=15_000.0, connections=20)
+POOL_LIMITS = PoolLimits(
+    max_streams=4, connect_timeout_ms=400.0, idle_timeout_ms=15_000.0, max_connections=20
+)
 
 # A status word and a body; None leaves the request unanswered.
 ScriptedAnswer = tuple[bytes, bytes] | None
@@ -142,7 +145,7 @@
         self.counters = Counters(classes={request_class.name for request_class in classes})
         router = Router(settings, RANDOM_SEED)
         self.engine = Engine(router, settings.max_attempts, core_ms, deadlines, self.pool, self.counters)
-        self.pool.ends = self.engine
+        self.pool.report_to(self.engine)
         self.downstream_table = DownstreamTable(MAX_CLIENTS, budget)
 
     def _build_fronts(self, classes: tuple[api.RequestClass, ...]) -> None:
@@ -203,17 +206,18 @@
 
     def run_pool_deadlines(self, elapsed_ms: float) -> None:
         """Run what would be due after that time, with the pool's clock advanced meanwhile."""
-        clock = self.pool.clock
-        self.pool.clock = lambda: core_ms() + elapsed_ms
+        context = self.pool.context
+        clock = context.clock
+        context.clock = lambda: core_ms() + elapsed_ms
         self.timer_service.deadlines.run_due(core_ms() + elapsed_ms)
-        self.pool.clock = clock
+        context.clock = clock
 
     @inlineCallbacks
     def close_upstream_connections(self) -> Steps[None]:
         """Close the pool's connections."""
-        for connection in self.pool.links:
-            connection.close("test")
-        yield wait_until(lambda: not len(self.pool.links))
+        for connection in self.pool.connections:
+            connection.abort("test")
+        yield wait_until(lambda: not len(self.pool.connections))
 
     def handle_command(self, connection: FakeCacheServerConnection, command: CacheServerCommand) -> None:
         """Keep a command that a cache server has received; answer a request by the script."""
