--- a/tests/net/downstream/test_client_disconnect.py
+++ b/tests/net/downstream/test_client_disconnect.py
@@ -137,6 +137,6 @@
             patch("thornjunction.net.event_loop.timer_service.core_ms", late_ms),
         ):
             self.environment.timer_service._call.cancel()
-            self.environment.timer_service._ring()
+            self.environment.timer_service._on_expiry()
             await self.clients.wait_until_gone()
         assert self.forwarded_count() == 1
--- a/thornjunction/net/discovery/event_feed.py
+++ b/thornjunction/net/discovery/event_feed.py
@@ -5,9 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.net.discovery.epoch_change import EpochChangeDetector, RemovedEndpoints, is_new_epoch
-from thornjunction.net.event_loop.backoff import should_log
 from thornjunction.net.wire.commands import Command, Commands, ListChange, parse_partial
 
 log = get_logger(__name__)
@@ -15,7 +16,7 @@
 HandleCommand = Callable[[Command], None]
 
 
-def pass_on(handle_command: HandleCommand, event: Command) -> None:
+def deliver(handle_command: HandleCommand, event: Command) -> None:
     """Pass an event on.
 
     Guards the events after one whose handling fails: they are passed on too, and it is not repeated.
@@ -23,7 +24,7 @@
     try:
         handle_command(event)
     except Exception:
-        log.exception("event-failed", cursor=event.cursor)
+        log.exception(LogEvent.DISCOVERY_EVENT_FAILED, cursor=event.cursor)
 
 
 class EventFeed:
@@ -83,7 +84,7 @@
             if event.cursor <= known_cursor:
                 continue
             self.cursor = event.cursor
-            self._pass_on(event)
+            self._deliver(event)
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
         """Pass on what is new in a part of a long response, drains before purges.
@@ -101,16 +102,16 @@
             self._reconcile(head.cursor if head else None, parse_partial(events, 0))
         part = parse_partial(events, self.cursor)
         for event in part.events:
-            self._pass_on(event)
+            self._deliver(event)
         self.cursor = part.cursor
         return part
 
-    def _pass_on(self, event: Command) -> None:
+    def _deliver(self, event: Command) -> None:
         if isinstance(event, ListChange):
             if self._is_reading_new_epoch:
                 event = self._removed_endpoints.keep_draining(event)
             self._removed_endpoints.record(event)
-        pass_on(self.handle_command, event)
+        deliver(self.handle_command, event)
 
     def _reconcile(self, reported_cursor: int | None, first_events: Commands) -> None:
         """Decide, where discovery was polled from 0, whether its numbers or the known ones count."""
@@ -119,10 +120,10 @@
         self._is_reading_new_epoch = is_new_epoch(reported_cursor, self.cursor, first_events)
         self._epoch_change.record_reconciled(self._is_reading_new_epoch)
         log.error(
-            "channel-asked-anew",
+            LogEvent.WATCH_RESTARTED,
             cursor=self.cursor,
-            told=reported_cursor,
-            new_start=self._is_reading_new_epoch,
+            response_cursor=reported_cursor,
+            discovery_restarted=self._is_reading_new_epoch,
         )
         if self._is_reading_new_epoch:
             self.cursor = 0
@@ -132,4 +133,9 @@
         faults = (*commands.faults, "behind") if is_stale else commands.faults
         self._faulty_responses = self._faulty_responses + 1 if faults else 0
         if faults and should_log(self._faulty_responses):
-            log.error("channel-faults", cursor=self.cursor, told=commands.cursor, faults=",".join(faults))
+            log.error(
+                LogEvent.DISCOVERY_EVENTS_REJECTED,
+                cursor=self.cursor,
+                response_cursor=commands.cursor,
+                faults=",".join(faults),
+            )
--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -21,6 +21,7 @@
 from thornjunction.net.downstream.pending_input import receive_pending
 from thornjunction.net.downstream.request_times import CHECK_INTERVAL_MS, RequestTimes
 from thornjunction.net.event_loop.disconnect_reasons import (
+    ConnectionKind,
     DisconnectReason,
     disconnect_reason,
     log_disconnect,
@@ -40,7 +41,7 @@
     """
 
     transport: Transport  # type: ignore[assignment]
-    kind = "client"
+    kind: ConnectionKind
 
     def __init__(self, table: DownstreamTable, deadlines: Deadlines, clock: Callable[[], float]) -> None:
         self.table = table
@@ -104,8 +105,14 @@
         self.end_reason = self.end_reason or disconnect_reason(reason)
         self.table.remove(self)
         self.buffered.release(self._free_buffers)
-        owed = self._ended_with_open_request or self.has_open_request()
-        log_disconnect(self.kind, self.slot, self.end_reason, answered=self.response_count, owed=owed)
+        request_open = self._ended_with_open_request or self.has_open_request()
+        log_disconnect(
+            self.kind,
+            self.slot,
+            self.end_reason,
+            answered=self.response_count,
+            request_open=request_open,
+        )
         self.abandon_requests()
 
     # Progress
--- a/thornjunction/net/downstream/fastcgi_front.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -11,7 +11,7 @@
 from thornjunction.net.downstream.connection import DownstreamConnection
 from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.downstream.ports import RequestCore
-from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason
 from thornjunction.net.wire import ProtocolError, cgi, fastcgi
 
 # Malformed requests in a row, after which their connection is closed.
@@ -64,7 +64,7 @@
 class FastCgiConnection(DownstreamConnection):
     """A connection of one of the platform's web servers."""
 
-    kind = "fastcgi"
+    kind = ConnectionKind.CLIENT_FASTCGI
 
     def __init__(
         self,
--- a/thornjunction/net/downstream/request_scheduler.py
+++ b/thornjunction/net/downstream/request_scheduler.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
@@ -91,5 +92,5 @@
             try:
                 self._dispatch(connection, since_ms)
             except Exception:  # ends its connection, as in Twisted, and not all that share this slice
-                log.exception("turn-failed")
+                log.exception(LogEvent.QUEUED_REQUEST_FAILED)
                 connection.abort(DisconnectReason.HANDLER_FAILED)
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -13,12 +13,13 @@
 
 from thornjunction import interface as api
 from thornjunction.core.ports import Answer, ClientRequest, Failed, RequestTableFullError
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.downstream.connection import DownstreamConnection
 from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.downstream.ports import RequestCore
-from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.net.wire import ProtocolError, http1, signed
 from thornjunction.signing import tokens
@@ -85,7 +86,7 @@
 class SignedConnection(DownstreamConnection):
     """One HTTP connection: one request at a time, the next ones wait in order."""
 
-    kind = "signed"
+    kind = ConnectionKind.CLIENT_SIGNED
 
     def __init__(
         self,
@@ -226,7 +227,7 @@
 
     def _reject(self, status: int, code: str, keep_alive: bool, retry_after_s: float = 0.0) -> None:
         """Answer a request that was not admitted."""
-        log.info("rejected", slot=self.slot, status=status, code=code)
+        log.info(LogEvent.REQUEST_REJECTED, slot=self.slot, status=status, code=code)
         self._respond(signed.encode_rejection(status, keep_alive, retry_after_s))
 
     def _admit(self, verified: VerifiedRequest) -> None:
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -35,6 +35,8 @@
 from control_relay import RelaySettings as CoreSettings
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
 from thornjunction.net.discovery.multi_source_watch import MultiSourceWatch, PollIdentity
@@ -131,7 +133,8 @@
         """Listen at once: who polls before there is a state is told so, and goes elsewhere."""
         self._state = Lifecycle.SERVING
         self.feed(Started())
-        log.info("relay-start", name=self._settings.name, connections=self._pollers.max_connections)
+        max_connections = self._pollers.max_connections
+        log.info(LogEvent.RELAY_STARTED, name=self._settings.name, max_connections=max_connections)
         self._listeners.listen(*self._settings.listen, self._pollers.build_connection)
         if self._settings.admin is not None:
             self._listeners.listen(*self._settings.admin, lambda: AdminConnection(self._admin_endpoint))
@@ -153,8 +156,8 @@
         A timer in whose handling the core failed may have been its last: it fires again.
         """
         self._faults += 1
-        if self._faults.bit_count() == 1:  # the 1st, 2nd, 4th, 8th...
-            log.exception("relay-fault", kind=type(event).__name__, times=self._faults)
+        if is_power_of_two(self._faults):
+            log.exception(LogEvent.RELAY_EVENT_FAILED, event_kind=type(event).__name__, failures=self._faults)
         if isinstance(event, TimerFired):
             self._schedule(FAILED_TIMER_RETRY_MS, lambda: self.feed(event))
 
@@ -190,7 +193,7 @@
 
     def deregister(self, name: str) -> None:
         """Wait no more for a router or relay that was taken out of service."""
-        log.info("dismissed", name=name)
+        log.info(LogEvent.MEMBER_DEREGISTERED, name=name)
         self.feed(MemberDeregistered(name))
 
     def handle_command(self, command: Command) -> None:
@@ -237,7 +240,7 @@
             return
         self._state = Lifecycle.SHUTTING_DOWN
         self._upstream.stop()
-        log.info("relay-ending", open=len(self._pollers.connections))
+        log.info(LogEvent.RELAY_SHUTDOWN_STARTED, open_connections=len(self._pollers.connections))
         for port in self._listeners.ports:
             port.stopListening()
         self._pollers.drain()
@@ -247,7 +250,7 @@
         if self._pollers.connections and core_ms() < until_ms:
             self._schedule(FLUSH_CHECK_INTERVAL_MS, lambda: self._stop_once_flushed(until_ms))
             return
-        log.info("relay-ended", unread=len(self._pollers.connections))
+        log.info(LogEvent.RELAY_STOPPED, unread_connections=len(self._pollers.connections))
         self._state = Lifecycle.STOPPED
         self._reactor.stop()
 
