--- /dev/null
+++ b/benchmarks/benchmark_tools/connection_model.py
@@ -0,0 +1,130 @@
+"""A model of the connections that a router holds: the decisions, and the pool's rules for new connections."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from dataclasses import dataclass, field, replace
+
+from benchmark_tools.decision_servers import FILMS, KEYED, LOCAL_ZONE, ORIGIN, SETTINGS, edge, parent
+from thornjunction import interface as api
+from thornjunction.net.upstream.connection_pool import CROWDED, NEEDED, PREFERRED
+from thornjunction.policy.router import Router
+
+ROUTERS_PER_SITE = 21
+EDGES_PER_SITE = 7
+PARENTS = 33
+# Requests a second of a router, and the share of them that run at the origin.
+REQUESTS_PER_S = 742.0
+KEYED_SHARE = 0.04
+STREAMS_PER_CONNECTION = 32
+START_MS = 1_000.0
+RUN_MS = 300.0
+TIMEOUT_MS = 5_000.0
+OBJECT_KB = 477.0
+
+
+class PoolModel:
+    """Connections to each server by the rules of ``ConnectionPool``.
+
+    Another connection opens beside crowded ones, up to ``PREFERRED``, and beside full ones up to ``NEEDED``.
+    None closes: a run is shorter than their idle time.
+    """
+
+    def __init__(self) -> None:
+        self._streams: dict[str, list[int]] = {}  # by server: the streams of each connection
+        self._connection_by_request: dict[str, tuple[str, int]] = {}
+
+    def begin(self, request_id: str, server: str) -> None:
+        """Begin an attempt on the connection with the fewest streams."""
+        streams = self._streams.setdefault(server, [0])
+        index = min(range(len(streams)), key=streams.__getitem__)
+        if streams[index] >= STREAMS_PER_CONNECTION and len(streams) < NEEDED:
+            streams.append(0)
+            index = len(streams) - 1
+        streams[index] += 1
+        self._connection_by_request[request_id] = server, index
+        if streams[index] > CROWDED and len(streams) < PREFERRED:
+            streams.append(0)
+
+    def end(self, request_id: str) -> None:
+        """End an attempt."""
+        server, index = self._connection_by_request.pop(request_id)
+        self._streams[server][index] -= 1
+
+    def connections(self) -> dict[str, int]:
+        """How many connections each server has."""
+        return {server: len(streams) for server, streams in self._streams.items()}
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class DueEvent:
+    """An event that a router receives at a time; events of one time in the order of their numbers."""
+
+    due_ms: float
+    number: int
+    event: api.Event = field(compare=False)
+
+
+@dataclass(frozen=True, slots=True)
+class RouterConnections:
+    """Connections of a router by server, and the health checks that it sent."""
+
+    by_server: dict[str, int]
+    health_checks: int
+
+
+def _requests(generator: random.Random) -> list[DueEvent]:
+    count = int(REQUESTS_PER_S * RUN_MS / 1_000)
+    requests = []
+    for number in range(count):
+        request_class = KEYED if generator.random() < KEYED_SHARE else FILMS
+        request = api.Request(
+            f"r{number}",
+            request_class.name,
+            generator.getrandbits(40),
+            TIMEOUT_MS,
+            size_kb=OBJECT_KB,
+            idempotency_key=f"{number}",
+        )
+        requests.append(DueEvent(START_MS + generator.uniform(0.0, RUN_MS), number + 1, request))
+    return requests
+
+
+def simulate_router(seed: int, answer_ms: float, routers: int) -> RouterConnections:
+    """One router of a site under its share of the peak, for a time; every attempt takes ``answer_ms``."""
+    settings = replace(
+        SETTINGS,
+        router_count=routers,
+        routers_by_zone={LOCAL_ZONE: ROUTERS_PER_SITE},
+        may_bypass_caches=True,
+    )
+    router = Router(settings, seed)
+    pool = PoolModel()
+    edges = [edge(f"edge{number}") for number in range(EDGES_PER_SITE)]
+    parents = [parent(f"parent{number}") for number in range(PARENTS)]
+    endpoint_list = api.EndpointListUpdate((*edges, *parents, ORIGIN))
+    due = [DueEvent(START_MS, 0, endpoint_list), *_requests(random.Random(seed))]
+    number = len(due) - 1
+    health_checks = 0
+    heapq.heapify(due)
+    while due and due[0].due_ms < START_MS + RUN_MS:
+        now = heapq.heappop(due)
+        if isinstance(now.event, api.AttemptEnded):
+            pool.end(now.event.request_id)
+        for action in router.handle(now.due_ms, now.event):
+            number += 1
+            if isinstance(action, api.StartAttempt):
+                pool.begin(action.request_id, action.server)
+                heapq.heappush(due, DueEvent(now.due_ms + answer_ms, number, _success(action, answer_ms)))
+            elif isinstance(action, api.SetTimer):
+                fired = api.TimerFired(action.token)
+                heapq.heappush(due, DueEvent(now.due_ms + action.in_ms, number, fired))
+            elif isinstance(action, api.CheckHealth):
+                health_checks += 1
+    return RouterConnections(pool.connections(), health_checks)
+
+
+def _success(attempt: api.StartAttempt, answer_ms: float) -> api.AttemptEnded:
+    succeeded = api.AttemptStatus.SUCCEEDED
+    return api.AttemptEnded(attempt.request_id, 0, attempt.server, succeeded, answer_ms, final=True)
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -1,12 +1,13 @@
-"""What the fleet layer costs a member by the members there are: membership in simulation, a voter's leases.
+"""What the fleet layer costs a member by the number of members: membership, and a voter's leases.
 
-    PYTHONPATH=. python benchmarks/capacity_membership.py [--members N...] [PART...]
+    PYTHONPATH=. python benchmarks/capacity_membership.py [--members N,N] [PART...]
 
-Parts: ``voter`` (processor time of a lease that a voter is asked for), ``door`` (the reply to the operators'
-call ``fleet``) and ``steady`` (datagrams, bytes and processor time of a member, seconds to spread; the fleet
-of ``fleet_figures.py``, shares of the budgets on the same datagrams).  Processor time there is that of the
-members' own machines: without sockets, and without the simulated network.  A fleet of voters alone is no
-point of a fit."""
+Parts: ``voter`` (processor time of a lease that a voter is asked for), ``door`` (the reply to the
+operators' call ``fleet``) and ``steady`` (datagrams, bytes and processor time of a member, and seconds to
+spread; quota leases are on the same datagrams); all of them by default. Processor time of ``steady`` is
+that of the members' own state machines: without sockets, and without the simulated network. A fleet of
+voters alone is no point of a fit.
+"""
 
 from __future__ import annotations
 
@@ -14,160 +15,225 @@
 import statistics
 import time
 import tracemalloc
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import astuple, dataclass
 from types import SimpleNamespace
 from typing import Any
 
-import fleet_figures as figures
-from capacity_fit import fit, row, sized_main, table
+import click
+from benchmark_tools.command_line import NumberList, run_parts
+from benchmark_tools.line_fit import fit_line
+from benchmark_tools.membership_fleet import (
+    JOIN_MS,
+    all_have_met,
+    build_fleet,
+    run_until,
+    sent_totals,
+    spread_restart,
+)
+from benchmark_tools.tables import markdown_table, print_table
 from fleet_membership import MembershipView, MemberView, PartitionMode
 from fleet_sim import LinkQuality, SimulatedCluster, node_names
-from fleet_sim.membership_invariants import view_of
 from gossip_codec import MemberState
 from msgspec import msgpack
 from quota_leases import LeaseExchange, QuotaSettings
 
 from thornjunction.runtime.fleet import FleetMember
 
-MEMBERS, VOTER_MEMBERS = (5, 20, 50, 100, 200, 400), (50, 200, 600, 1_200)
-WANTED, VOTERS, STEADY_MS, ASKS, CHANGES, TRACED = 1_200, 5, 10_000.0, 400, 5, 400
-
-
-class Timed:
-    """A member's machine, and how long it worked."""
+DEFAULT_MEMBERS = (5, 20, 50, 100, 200, 400)
+# Sizes of the fleet in ``voter`` and ``door``.
+FLEET_SIZES = (50, 200, 600, 1_200)
+# The size for which the fits are evaluated.
+FULL_FLEET = 1_200
+VOTERS = 5
+STEADY_MS = 10_000.0
+# Restarts of which the median time to spread is taken.
+RESTARTS = 5
+# Members up to which memory is measured: tracing takes too long in a larger fleet.
+MAX_TRACED_MEMBERS = 400
+LEASE_REQUESTS = 400
+LEASE_ROUNDS = 3
+LEASE_REQUESTS_PER_LEASE = 4
+VIEW_REPLIES = 20
+
+
+class TimedMachine:
+    """A member's state machine, and the processor time that it used."""
 
     def __init__(self, machine: Any) -> None:
-        self.machine, self.used = machine, 0.0
+        self.machine = machine
+        self.cpu_s = 0.0
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.machine, name)
 
-    def handle(self, now: float, event: Any) -> Any:
-        begun = time.process_time()
-        actions = self.machine.handle(now, event)
-        self.used += time.process_time() - begun
+    def handle(self, now_ms: float, event: Any) -> Any:
+        """Handle an event and count the time."""
+        begin_s = time.process_time()
+        actions = self.machine.handle(now_ms, event)
+        self.cpu_s += time.process_time() - begin_s
         return actions
 
 
-def all_met(world: SimulatedCluster, count: int) -> bool:
-    views = (view_of(world, node) for node in world.nodes.values())
-    return all(view is not None and len(view.members) >= count for view in views)
-
-
-def spread_s(world: SimulatedCluster, count: int) -> float:
-    """Seconds until all know that one has begun a new life: the median of CHANGES."""
-    changed = node_names(count)[-CHANGES:]
-    return statistics.median(spread_of(world, name, count) for name in changed)
+@dataclass(frozen=True, slots=True)
+class SteadyCost:
+    """What a member sends and uses a second, the same of a voter, memory, and the time to spread a restart.
+
+    ``member_kb`` is NaN in fleets that are too large to trace.
+    """
+
+    datagrams: float
+    sent_bytes: float
+    cpu_us: float
+    voter_bytes: float
+    voter_cpu_us: float
+    member_kb: float
+    spread_s: float
+
+
+# The units of ``SteadyCost``, in its order.
+STEADY_UNITS = ("datagrams/s", "bytes/s", "us/s", "voter's bytes/s", "voter's us/s", "KB", "s")
+
+
+def measure_steady_costs(fleet_sizes: Sequence[int]) -> None:
+    """Print the costs of a steady fleet by its size, and their fits."""
+    costs = {count: _steady_cost(count) for count in fleet_sizes}
+    columns = (
+        "members", "datagrams a s", "bytes a s", "us of processor a s", "a voter: bytes a s", "us a s",
+        "KB a member holds", "s until all know of a new life",
+    )  # fmt: skip
+    rows = []
+    for count, cost in costs.items():
+        datagrams, *others, spread_s = astuple(cost)
+        rows.append((count, f"{datagrams:.2f}", *(f"{value:.0f}" for value in others), f"{spread_s:.1f}"))
+    print_table(columns, rows)
+    for index, unit in enumerate(STEADY_UNITS):
+        values = {count: astuple(cost)[index] for count, cost in costs.items() if count > VOTERS}
+        _print_fit(values, unit, "member", float)
+        _print_fit(values, unit, "doubling of the members", math.log2)
+    print()
 
 
-def spread_of(world: SimulatedCluster, changed: str, count: int) -> float:
-    watch = figures.Watch(world, changed)
-    world.kill(changed)
-    world.start(changed)
-    took = figures.until(world, lambda: len(watch.first) == count - 1)
-    world.listeners.pop()
-    return took / 1_000
+def _print_fit(values: dict[int, float], unit: str, per: str, scale: Callable[[float], float]) -> None:
+    line = fit_line([(scale(count), value) for count, value in values.items() if not math.isnan(value)])
+    print(f"fit: {line.text(unit, f'a {per}', 3)}; at {FULL_FLEET}: {line.at(scale(FULL_FLEET)):.1f}")
 
 
-def steady_of(count: int) -> tuple[float, ...]:
-    """Of a member that is no voter: datagrams and bytes it sends a second, us of processor time a second; of
-    a voter the same bytes and time; KB that a member holds (NaN with more than TRACED: tracing takes too
-    long), and seconds until all know of a new life."""
-    if count <= TRACED:
+def _steady_cost(count: int) -> SteadyCost:
+    is_traced = count <= MAX_TRACED_MEMBERS
+    if is_traced:
         tracemalloc.start()
-    world = figures.fleet(count, 1, LinkQuality())
-    figures.until(world, lambda: all_met(world, count))
-    held_kb = tracemalloc.get_traced_memory()[0] / count / 1_024 if count <= TRACED else math.nan
+    cluster = build_fleet(count, 1, LinkQuality())
+    run_until(cluster, lambda: all_have_met(cluster, count))
+    traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    world.run_until(world.now + 3 * figures.JOIN_MS)
-    before = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
-    machines = [Timed(node.machine) for node in world.nodes.values()]
-    for node, machine in zip(world.nodes.values(), machines, strict=True):
+    cluster.run_until(cluster.now + 3 * JOIN_MS)  # the news of the joining is no longer sent
+    before = sent_totals(cluster)
+    cpu_us = _cpu_us_per_s(cluster)
+    after = sent_totals(cluster)
+    datagrams = [(new[0] - old[0]) / STEADY_MS * 1_000 for old, new in zip(before, after, strict=True)]
+    sent_bytes = [(new[1] - old[1]) / STEADY_MS * 1_000 for old, new in zip(before, after, strict=True)]
+    plain_members = slice(VOTERS, None) if count > VOTERS else slice(None)
+    voters = slice(VOTERS)
+    spreads = [spread_restart(cluster, name, count) for name in node_names(count)[-RESTARTS:]]
+    return SteadyCost(
+        datagrams=statistics.mean(datagrams[plain_members]),
+        sent_bytes=statistics.mean(sent_bytes[plain_members]),
+        cpu_us=statistics.mean(cpu_us[plain_members]),
+        voter_bytes=statistics.mean(sent_bytes[voters]),
+        voter_cpu_us=statistics.mean(cpu_us[voters]),
+        member_kb=traced_bytes / count / 1_024 if is_traced else math.nan,
+        spread_s=statistics.median(spread.all_learned_ms for spread in spreads) / 1_000,
+    )
+
+
+def _cpu_us_per_s(cluster: SimulatedCluster) -> list[float]:
+    """Run for ``STEADY_MS`` and return the processor time of each member, in us a second."""
+    nodes = list(cluster.nodes.values())
+    machines = [TimedMachine(node.machine) for node in nodes]
+    for node, machine in zip(nodes, machines, strict=True):
         node.machine = machine
-    world.run_until(world.now + STEADY_MS)
-    used = [machine.used / STEADY_MS * 1e9 for machine in machines]
-    for node, machine in zip(world.nodes.values(), machines, strict=True):
+    cluster.run_until(cluster.now + STEADY_MS)
+    for node, machine in zip(nodes, machines, strict=True):
         node.machine = machine.machine
-    after = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
-    sent, octets = (
-        [(b[i] - a[i]) / STEADY_MS * 1_000 for a, b in zip(before, after, strict=True)] for i in (0, 1)
-    )
-    plain, voting = slice(VOTERS, None) if count > VOTERS else slice(None), slice(VOTERS)
-    told = (
-        statistics.mean(one)
-        for one in (sent[plain], octets[plain], used[plain], octets[voting], used[voting])
-    )
-    return *told, held_kb, spread_s(world, count)
-
-
-def steady(counts: tuple[int, ...]) -> None:
-    found = {count: steady_of(count) for count in counts}
-    rows = [
-        row(count, f"{sent:.2f}", *(f"{one:.0f}" for one in told), f"{spread:.1f}")
-        for count, (sent, *told, spread) in found.items()
-    ]
-    head = "members | datagrams a s | bytes a s | us of processor a s | a voter: bytes a s | us a s "
-    print(table(head + "| KB a member holds | s until all know of a new life", rows) + "\n")
-    for at, unit in enumerate(
-        ("datagrams/s", "bytes/s", "us/s", "voter's bytes/s", "voter's us/s", "KB", "s")
-    ):
-        for name, scale in (("member", float), ("doubling of the members", math.log2)):
-            points = [(scale(count), told[at]) for count, told in found.items() if count > VOTERS]
-            line = fit([point for point in points if not math.isnan(point[1])])
-            at_wanted = line.at(scale(WANTED))
-            print(f"fit: {line.text(unit, f'a {name}', 3)}; at {WANTED}: {at_wanted:.1f}")
-    print()
+    return [machine.cpu_s / STEADY_MS * 1e9 for machine in machines]
+
 
+def measure_leases(_fleet_sizes: Sequence[int]) -> None:
+    """What a voter's leases cost it by the number of routers."""
+    costs_us = {count: min(_lease_us(count) for _ in range(LEASE_ROUNDS)) for count in FLEET_SIZES}
+    request_interval_s = QuotaSettings(("a",), ("a",)).lease_ms / 1_000 / LEASE_REQUESTS_PER_LEASE
+    rows = []
+    for count, cost_us in costs_us.items():
+        requests_per_s = count / request_interval_s
+        rows.append(
+            (count, f"{requests_per_s:.0f}", f"{cost_us:.0f}", f"{cost_us * requests_per_s / 1e6:.1%}")
+        )
+    print(markdown_table(("routers", "asks a s at a voter", "us an ask", "of a core"), rows))
+    print(f"\nfit: {fit_line(list(costs_us.items())).text('us', 'a router')}\n")
 
-def lease_us(count: int) -> float:
-    """A voter is asked by each router in turn, all of them holding leases: us of processor an ask."""
+
+def _lease_us(count: int) -> float:
+    """Every router, all of which hold leases, asks a voter in turn: the processor time of one request."""
     names = node_names(count)
     settings = QuotaSettings(names, names[:VOTERS])
     voter = LeaseExchange(settings, names[0], 1, 0.0)
-    # As a router's own asks are written: life, number, after the tag of their kind.
-    asks = [msgpack.encode((1, 1, number)) for number in range(1, 3)]
-    now = settings.issuer_lease_ms + 1.0
+    # Requests as a router encodes them, after the tag of their kind: incarnation, and number.
+    first_request, second_request = (msgpack.encode((1, 1, number)) for number in (1, 2))
+    now_ms = settings.issuer_lease_ms + 1.0
     for name in names:
-        assert voter.handle_message(now, name, asks[0], names) is not None
-    begun = time.process_time()
-    for number in range(ASKS):
-        voter.handle_message(now + number, names[number % count], asks[1], names)
-    return (time.process_time() - begun) / ASKS * 1e6
-
-
-def voter(_: tuple[int, ...]) -> None:
-    found = {count: min(lease_us(count) for _ in range(3)) for count in VOTER_MEMBERS}
-    every_s = QuotaSettings(("a",), ("a",)).lease_ms / 4_000
-    rows = [
-        row(count, f"{count / every_s:.0f}", f"{us:.0f}", f"{us * count / every_s / 1e6:.1%}")
-        for count, us in found.items()
-    ]
-    print(table("routers | asks a s at a voter | us an ask | of a core", rows))
-    line = fit(list(found.items()))
-    print(f"\nfit: {line.text('us', 'a router')}\n")
-
-
-def door(_: tuple[int, ...]) -> None:
-    """The reply alone: the machine keeps its view until somebody's state changes."""
-    found = {}
-    for count in VOTER_MEMBERS:
-        names = node_names(count)
-        members = {name: MemberView(name, ("10.0.0.1", 1), 1 << 40, MemberState.ALIVE) for name in names}
-        told = MembershipView(1, members, True, 0.0, PartitionMode.WITH_MAJORITY, 0)
-        asked: Any = SimpleNamespace(membership=SimpleNamespace(view=lambda now, told=told: told))
-        begun = time.process_time()
-        replies = [FleetMember.view(asked) for _ in range(20)]
-        found[count] = len(replies[0]) / 1e3, (time.process_time() - begun) / 20 * 1e6
-    rows = [row(count, f"{kb:.1f}", f"{us:.0f}") for count, (kb, us) in found.items()]
-    print(table("members | KB a reply | us a reply", rows) + "\n")
-    for at, unit in enumerate(("KB", "us")):
-        line = fit([(count, told[at]) for count, told in found.items()])
-        print(f"fit: {line.text(unit, 'a member', 3)}")
-    print()
+        assert voter.handle_message(now_ms, name, first_request, names) is not None
+    begin_s = time.process_time()
+    for number in range(LEASE_REQUESTS):
+        voter.handle_message(now_ms + number, names[number % count], second_request, names)
+    return (time.process_time() - begin_s) / LEASE_REQUESTS * 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class ReplyCost:
+    """Size and processor time of a reply."""
+
+    size_kb: float
+    cpu_us: float
+
+
+def measure_view_replies(_fleet_sizes: Sequence[int]) -> None:
+    """The reply of the call ``fleet`` alone: a member keeps its view until a state changes."""
+    costs = {count: _view_reply_cost(count) for count in FLEET_SIZES}
+    rows = [(count, f"{cost.size_kb:.1f}", f"{cost.cpu_us:.0f}") for count, cost in costs.items()]
+    print_table(("members", "KB a reply", "us a reply"), rows)
+    size_line = fit_line([(count, cost.size_kb) for count, cost in costs.items()])
+    cpu_line = fit_line([(count, cost.cpu_us) for count, cost in costs.items()])
+    print(f"fit: {size_line.text('KB', 'a member', 3)}")
+    print(f"fit: {cpu_line.text('us', 'a member', 3)}\n")
+
+
+def _view_reply_cost(count: int) -> ReplyCost:
+    members = {
+        name: MemberView(name, ("10.0.0.1", 1), 1 << 40, MemberState.ALIVE) for name in node_names(count)
+    }
+    view = MembershipView(1, members, True, 0.0, PartitionMode.WITH_MAJORITY, 0)
+    member: Any = SimpleNamespace(membership=SimpleNamespace(view=lambda _now_ms: view))
+    begin_s = time.process_time()
+    replies = [FleetMember.view(member) for _ in range(VIEW_REPLIES)]
+    cpu_s = time.process_time() - begin_s
+    return ReplyCost(len(replies[0]) / 1e3, cpu_s / VIEW_REPLIES * 1e6)
+
+
+PARTS: dict[str, Callable[[Sequence[int]], None]] = {
+    "voter": measure_leases,
+    "door": measure_view_replies,
+    "steady": measure_steady_costs,
+}
 
 
-PARTS: dict[str, Callable[[tuple[int, ...]], None]] = {"voter": voter, "door": door, "steady": steady}
+@click.command(help=__doc__)
+@click.option("--members", type=NumberList(), default=DEFAULT_MEMBERS, help="sizes of the fleet, of steady")
+@click.argument("parts", nargs=-1, type=click.Choice(list(PARTS)))
+def main(members: tuple[int, ...], parts: tuple[str, ...]) -> None:
+    """Measure the selected parts."""
+    run_parts(PARTS, parts, members)
 
 
 if __name__ == "__main__":
-    sized_main(__doc__, "--members", MEMBERS, PARTS)
+    main()
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -1,207 +1,195 @@
-"""Membership in figures, all in simulation: writes the tables of docs/FLEET-FIGURES.md.
+"""Membership in figures, in simulation: writes the tables of docs/FLEET-FIGURES.md.
 
-python benchmarks/fleet_figures.py [--members 5 20 50 200 500] [--write docs/FLEET-FIGURES.md]
+PYTHONPATH=. python benchmarks/fleet_figures.py [--members N,N] [--write docs/FLEET-FIGURES.md]
 """
 
 from __future__ import annotations
 
-import argparse
 import math
 import time
-from collections.abc import Callable, Iterable
 from functools import partial
 from pathlib import Path
 
-from fleet_sim import LinkQuality, Node, SimulatedCluster, node_names
+import click
+from benchmark_tools.command_line import NumberList, time_limit
+from benchmark_tools.membership_fleet import (
+    JOIN_MS,
+    MemberWatch,
+    all_have_met,
+    build_fleet,
+    run_until,
+    sent_totals,
+    spread_restart,
+)
+from benchmark_tools.tables import markdown_table
+from fleet_sim import LinkQuality, node_names
 from fleet_sim.command import percentile
-from fleet_sim.membership import subject
-from fleet_sim.membership_invariants import view_of
-from fleet_sim.run import make_cluster
-from sansio_core import Notice
-
-JOIN_MS = 10_000.0
-LIMIT_MS = 120_000.0
-TRIALS = 40  # of a detection, for each row
-FLEET = 20  # members of a fleet in which something is detected
-WATCHED = 2  # fleets, for each row
-ALARM_MS = 300_000.0  # for which a fleet without a failure is watched
-CHANGES = 5  # of which the median spread is taken
-STEADY_MS = 20_000.0  # over which bytes are counted
-LOOK_MS = 100.0
-
-
-class Watch:
-    """Who was told what of one member, and every verdict of failure."""
-
-    def __init__(self, world: SimulatedCluster, about: str = "") -> None:
-        self.world, self._about = world, about
-        self.first: dict[str, float] = {}  # by observer: when it held `about` as failed, or in a new life
-        self.failed: list[tuple[str, str]] = []
-        world.listeners.append(self._listen)
-
-    def _listen(self, node: Node, told: Notice) -> None:
-        if told.name == "member" and told.fields["name"] != node.name:
-            if told.fields["state"] == "failed":
-                self.failed.append((node.name, str(told.fields["name"])))
-            anew = told.fields["state"] == "alive" and told.fields["incarnation"] != 1
-            if told.fields["name"] == self._about and (anew or told.fields["state"] == "failed"):
-                self.first.setdefault(node.name, self.world.now)
-
-
-def fleet(count: int, seed: int, quality: LinkQuality) -> SimulatedCluster:
-    """A fleet of `count` that had JOIN_MS to meet. No invariants: they are tested elsewhere."""
-    names = node_names(count)
-    world = make_cluster(subject(names, base_quality=quality, checked=False), seed, names, trace=False)
-    world.listeners.append(lambda node, told: world.trace.clear())  # no timeline is wanted
-    for index, name in enumerate(names):
-        world.schedule(index * JOIN_MS / 2 / count, partial(world.start, name))
-    world.run_until(JOIN_MS)
-    return world
-
-
-def until(world: SimulatedCluster, done: Callable[[], bool], limit: float = LIMIT_MS) -> float:
-    """Run until something is so; returns how long that took, or inf."""
-    begun = world.now
-    while not done():
-        if world.now - begun >= limit:
-            return math.inf
-        world.run_until(world.now + LOOK_MS)
-    return world.now - begun
-
-
-def detection(loss: float) -> str:
-    """One of FLEET is killed: how long until the first, and until the last, holds it as failed."""
-    firsts, lasts, false = [], [], 0
-    for seed in range(TRIALS):
-        world = fleet(FLEET, seed, LinkQuality(loss=loss))
-        victim = node_names(FLEET)[-1]
-        watch = Watch(world, victim)
-        killed = world.now
-        world.kill(victim)
-        until(world, lambda watch=watch: len(watch.first) == FLEET - 1)  # type: ignore[misc]
-        firsts.append(min(watch.first.values(), default=math.inf) - killed)
-        lasts.append(max(watch.first.values()) - killed if len(watch.first) == FLEET - 1 else math.inf)
-        false += sum(name != victim for _, name in watch.failed)
-    return row(
-        f"{loss:.0%}",
-        *(f"{percentile(v, s) / 1_000:.1f}" for v in (firsts, lasts) for s in (0.5, 0.99)),
-        false,
-    )
 
+DEFAULT_MEMBERS = (5, 20, 50, 200, 500)
+# Members of a fleet in which something is detected.
+FLEET_MEMBERS = 20
+# Crashes of each row.
+CRASHES = 40
+LOSS_SHARES = (0.0, 0.05, 0.2)
+# Fleets of each row in which nothing fails, how long they run, and how many of their members are paused.
+WATCHED_FLEETS = 2
+WATCH_MS = 300_000.0
+PAUSED_COUNTS = (0, 2)
+PAUSE_MS = 2_500
+PAUSE_INTERVAL_MS = 15_000
+FIRST_PAUSE_MS = 10_000
+HOUR_MS = 3.6e6
+# Restarts of which the median time to spread is taken.
+RESTARTS = 5
+# Span over which bytes are counted.
+STEADY_MS = 20_000.0
+PROBE_PERIOD_MS = 1_000
 
-def alarms(loss: float, paused: int) -> str:
-    """Nothing fails; some are paused again and again, shorter than a suspicion: all verdicts are false."""
-    false = about = 0
-    for seed in range(WATCHED):
-        world = fleet(FLEET, seed, LinkQuality(loss=loss))
-        watch = Watch(world)
-        names = node_names(FLEET)[-paused:] if paused else ()
-        for start in range(10_000, int(ALARM_MS), 15_000):
-            for name in names:
-                world.schedule(world.now + start, partial(world.pause, name))
-                world.schedule(world.now + start + 2_500, partial(world.resume, name))
-        world.run_until(world.now + ALARM_MS)
-        false += sum(name not in names for _, name in watch.failed)
-        about += sum(name in names for _, name in watch.failed)
-    return row(f"{loss:.0%}", paused, f"{WATCHED * ALARM_MS * FLEET / 3.6e6:.1f}", false, about)
-
-
-def cost(count: int) -> str:
-    """A steady fleet: bytes and datagrams that a member sends; then rounds until all know of a new life."""
-    begun = time.perf_counter()
-    world = fleet(count, 1, LinkQuality())
-    met = until(world, lambda: all(_known(node, world) >= count for node in world.nodes.values()))
-    world.run_until(world.now + 3 * JOIN_MS)  # rumours of the joining die down
-    before = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
-    world.run_until(world.now + STEADY_MS)
-    after = [(node.sent_datagrams, node.sent_bytes) for node in world.nodes.values()]
-    sent, octets = (
-        (sum(new[i] - old[i] for new, old in zip(after, before, strict=True)) / count / STEADY_MS * 1_000)
-        for i in (0, 1)
-    )
-    spread = _spread(world, count)
-    took = time.perf_counter() - begun
-    joined = f"{(JOIN_MS + met) / 1_000:.1f}"
-    return row(
-        count, joined, f"{sent:.2f}", f"{octets:.0f}", spread, f"{math.log2(count):.1f}", f"{took:.0f}"
-    )
+# The page, with a place for each table.
+PAGE = f"""# The fleet in figures
+
+Made by `benchmarks/fleet_figures.py` in simulation (`docs/design/fleet-sim.md`) with the default
+timings; delays of 0.2 to 2 ms, clocks within 500 ppm. Seeds are fixed.
+Real networks lose in bursts and share their links; that is not shown here.
+
+## Detection of a crash: {FLEET_MEMBERS} members, {CRASHES} crashes a row
+
+The p99 of so few is the slowest. Lost datagrams are drawn one by one on every link.
+
+{{detection}}
+
+## False verdicts: {FLEET_MEMBERS} members, nothing fails
+
+Paused members stop for 2.5 s every 15 s, all at the same moments.
+
+{{false_verdicts}}
 
+## Cost and spread by size, without loss
 
-def _known(node: Node, world: SimulatedCluster) -> int:
-    view = view_of(world, node)
-    return len(view.members) if view else 0
+Rounds are probe periods of 1 s, from the restart of one member until half, and all, know its new
+life: the median of five restarts. Shares of the budgets ride on the same datagrams.
 
+{{costs}}
+"""
 
-def _spread(world: SimulatedCluster, count: int) -> str:
-    """Rounds (probe periods of 1 s) until half, and all, know that one has begun a new life: medians."""
-    halves, wholes = zip(
-        *(_spread_one(world, name, count) for name in node_names(count)[:CHANGES]), strict=True
+Row = tuple[object, ...]
+
+
+def measure_detection(loss_share: float) -> Row:
+    """A member is killed: how long until the first other, and until the last, holds it as failed."""
+    first_ms = []
+    last_ms = []
+    false_verdicts = 0
+    victim = node_names(FLEET_MEMBERS)[-1]
+    for seed in range(CRASHES):
+        cluster = build_fleet(FLEET_MEMBERS, seed, LinkQuality(loss=loss_share))
+        watch = MemberWatch(cluster, victim)
+        killed_ms = cluster.now
+        cluster.kill(victim)
+        run_until(cluster, partial(_has_spread, watch))
+        learned_ms = watch.learned_ms.values()
+        first_ms.append(min(learned_ms, default=math.inf) - killed_ms)
+        last_ms.append(max(learned_ms) - killed_ms if _has_spread(watch) else math.inf)
+        false_verdicts += sum(name != victim for name in watch.declared_failed)
+    percentiles_ms = [percentile(values, share) for values in (first_ms, last_ms) for share in (0.5, 0.99)]
+    return f"{loss_share:.0%}", *(f"{value_ms / 1_000:.1f}" for value_ms in percentiles_ms), false_verdicts
+
+
+def _has_spread(watch: MemberWatch) -> bool:
+    return len(watch.learned_ms) == FLEET_MEMBERS - 1
+
+
+def measure_false_verdicts(loss_share: float, paused_count: int) -> Row:
+    """Nothing fails, and some members are paused for less than a suspicion: every verdict is false."""
+    on_others = 0
+    on_paused = 0
+    paused = node_names(FLEET_MEMBERS)[-paused_count:] if paused_count else ()
+    for seed in range(WATCHED_FLEETS):
+        cluster = build_fleet(FLEET_MEMBERS, seed, LinkQuality(loss=loss_share))
+        watch = MemberWatch(cluster)
+        for pause_ms in range(FIRST_PAUSE_MS, int(WATCH_MS), PAUSE_INTERVAL_MS):
+            for name in paused:
+                cluster.schedule(cluster.now + pause_ms, partial(cluster.pause, name))
+                cluster.schedule(cluster.now + pause_ms + PAUSE_MS, partial(cluster.resume, name))
+        cluster.run_until(cluster.now + WATCH_MS)
+        on_others += sum(name not in paused for name in watch.declared_failed)
+        on_paused += sum(name in paused for name in watch.declared_failed)
+    member_hours = WATCHED_FLEETS * WATCH_MS * FLEET_MEMBERS / HOUR_MS
+    return f"{loss_share:.0%}", paused_count, f"{member_hours:.1f}", on_others, on_paused
+
+
+def measure_cost(count: int) -> Row:
+    """A steady fleet: what a member sends; then how long the news of a restart takes to spread."""
+    begin_s = time.perf_counter()
+    cluster = build_fleet(count, 1, LinkQuality())
+    met_ms = run_until(cluster, lambda: all_have_met(cluster, count))
+    cluster.run_until(cluster.now + 3 * JOIN_MS)  # the news of the joining is no longer sent
+    before = sent_totals(cluster)
+    cluster.run_until(cluster.now + STEADY_MS)
+    after = sent_totals(cluster)
+    member_seconds = count * STEADY_MS / 1_000
+    datagrams = sum(new[0] - old[0] for old, new in zip(before, after, strict=True))
+    sent_bytes = sum(new[1] - old[1] for old, new in zip(before, after, strict=True))
+    spreads = [spread_restart(cluster, name, count) for name in node_names(count)[:RESTARTS]]
+    half_ms = percentile([percentile(spread.learned_ms, 0.5) for spread in spreads], 0.5)
+    all_ms = percentile([max(spread.learned_ms) for spread in spreads], 0.5)
+    return (
+        count,
+        f"{(JOIN_MS + met_ms) / 1_000:.1f}",
+        f"{datagrams / member_seconds:.2f}",
+        f"{sent_bytes / member_seconds:.0f}",
+        f"{half_ms / PROBE_PERIOD_MS:.1f} / {all_ms / PROBE_PERIOD_MS:.1f}",
+        f"{math.log2(count):.1f}",
+        f"{time.perf_counter() - begin_s:.0f}",
     )
-    return f"{percentile(halves, 0.5) / 1_000:.1f} / {percentile(wholes, 0.5) / 1_000:.1f}"
-
-
-def _spread_one(world: SimulatedCluster, changed: str, count: int) -> tuple[float, float]:
-    watch = Watch(world, changed)
-    world.kill(changed)
-    world.start(changed)
-    begun = world.now
-    until(world, lambda: len(watch.first) == count - 1)
-    world.listeners.pop()
-    times = [*watch.first.values(), *[math.inf] * (count - 1 - len(watch.first))]
-    return percentile(times, 0.5) - begun, max(times) - begun
-
-
-def row(*cells: object) -> str:
-    return "| " + " | ".join(str(cell) for cell in cells) + " |"
-
-
-def table(head: str, rows: Iterable[str]) -> str:
-    columns = [part.strip() for part in head.split("|")]
-    return "\n".join([row(*columns), "|" + "---|" * len(columns), *rows])
-
-
-def document(members: list[int]) -> str:
-    pauses = [(loss, paused) for loss in (0.0, 0.05, 0.2) for paused in (0, 2)]
-    parts = [
-        "# The fleet in figures\n",
-        "Made by `benchmarks/fleet_figures.py` in simulation (`docs/design/fleet-sim.md`) with the default",
-        "timings; delays of 0.2 to 2 ms, clocks within 500 ppm. Seeds are fixed.",
-        "Real networks lose in bursts and share their links; that is not shown here.\n",
-        f"## Detection of a crash: {FLEET} members, {TRIALS} crashes a row\n",
-        "The p99 of so few is the slowest. Lost datagrams are drawn one by one on every link.\n",
-        table(
-            "loss | first knows, p50 s | p99 s | all know, p50 s | p99 s | false verdicts",
-            [detection(loss) for loss in (0.0, 0.05, 0.2)],
-        ),
-        f"\n## False verdicts: {FLEET} members, nothing fails\n",
-        "Paused members stop for 2.5 s every 15 s, all at the same moments.\n",
-        table(
-            "loss | paused members | member-hours | verdicts on others | verdicts on the paused",
-            [alarms(loss, paused) for loss, paused in pauses],
-        ),
-        "\n## Cost and spread by size, without loss\n",
-        "Rounds are probe periods of 1 s, from the restart of one member until half, and all, know its new",
-        "life: the median of five restarts. Shares of the budgets ride on the same datagrams.\n",
-        table(
-            "members | all met after s | datagrams a member and s | bytes a member and s "
-            "| rounds to half / all | log2 of members | CPU s of this row",
-            [cost(count) for count in members],
-        ),
-        "",
+
+
+def detection_table() -> str:
+    """The table of crashes."""
+    columns = ("loss", "first knows, p50 s", "p99 s", "all know, p50 s", "p99 s", "false verdicts")
+    return markdown_table(columns, [measure_detection(loss_share) for loss_share in LOSS_SHARES])
+
+
+def false_verdict_table() -> str:
+    """The table of fleets in which nothing fails."""
+    columns = ("loss", "paused members", "member-hours", "verdicts on others", "verdicts on the paused")
+    rows = [
+        measure_false_verdicts(loss_share, paused_count)
+        for loss_share in LOSS_SHARES
+        for paused_count in PAUSED_COUNTS
     ]
-    return "\n".join(parts)
+    return markdown_table(columns, rows)
+
+
+def cost_table(members: tuple[int, ...]) -> str:
+    """The table of costs by size."""
+    columns = (
+        "members", "all met after s", "datagrams a member and s", "bytes a member and s",
+        "rounds to half / all", "log2 of members", "CPU s of this row",
+    )  # fmt: skip
+    return markdown_table(columns, [measure_cost(count) for count in members])
+
+
+def build_document(members: tuple[int, ...]) -> str:
+    """Return the page with all tables."""
+    return PAGE.format(
+        detection=detection_table(), false_verdicts=false_verdict_table(), costs=cost_table(members)
+    )
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--members", type=int, nargs="+", default=[5, 20, 50, 200, 500])
-    parser.add_argument("--write", type=Path)
-    args = parser.parse_args()
-    text = document(args.members)
-    if args.write:
-        args.write.write_text(text, encoding="utf-8")
+@click.command(help=__doc__)
+@click.option("--members", type=NumberList(), default=DEFAULT_MEMBERS, help="sizes of the fleet")
+@click.option(
+    "--write", "path", type=click.Path(path_type=Path), help="the file, in place of standard output"
+)
+def main(members: tuple[int, ...], path: Path | None) -> None:
+    """Make the page."""
+    with time_limit():
+        document = build_document(members)
+    if path is not None:
+        path.write_text(document, encoding="utf-8")
     else:
-        print(text)
+        print(document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/front_latency.py
+++ b/benchmarks/front_latency.py
@@ -1,72 +1,128 @@
-"""Latency a request adds at the second front: the real core and pool, a stand-in shelf on loopback, and one
-keep-alive connection a front; requests one after another, in alternating rounds so that both fronts see
-the same machine.  ``PYTHONPATH=. python benchmarks/front_latency.py [ROUNDS]``; prints a Markdown table.
+"""Latency that the second front adds to a request: both fronts side by side in this process.
 
-Bounded: ROUNDS (default 10) rounds of 200 requests a front, and 120 s at most."""
+    PYTHONPATH=. python benchmarks/front_latency.py [ROUNDS]
+
+The real core and connection pool are before a fake cache server on loopback, with one keep-alive connection
+to each front. Requests follow one another, in alternating rounds, so that both fronts see the same machine.
+Prints a Markdown table. Bounded: ROUNDS rounds of 200 requests to each front, and 120 s.
+"""
 
 from __future__ import annotations
 
 import statistics
-import sys
 import time
+from collections.abc import Sequence
+from dataclasses import dataclass, field, replace
 from typing import Any
 
+import click
+from benchmark_tools.decision_servers import FILMS, KEYED, SETTINGS
+from benchmark_tools.tables import print_table
 from fakes.clients import FastCgiClient, HttpClient, encode_fastcgi_request
-from fakes.loopback_environment import LoopbackEnvironment
+from fakes.event_loop import Steps
+from fakes.loopback_environment import LoopbackEnvironment, PortIndex
+from joserfc.jwk import OctKey
 from twisted.internet import task
 from twisted.internet.defer import inlineCallbacks
 
-from tests.loopback import CLIP, make_loopback_environment
-from tests.net.wire.test_codecs import PARAMS
+from thornjunction.signing import tokens
+
+REQUESTS_PER_ROUND = 200
+TIME_LIMIT_S = 120.0
+BASE_URL = "https://cams.example"
+TARGET = "/films/17/7f3a9c21e0b4d655/0"
+SIGNING_KEY = tokens.SigningKey("key", "HS256", OctKey.import_key("s" * 40))
+TRUST = tokens.Trust(frozenset({"Reefline"}), "tj", ("HS256",), {"key": SIGNING_KEY}, "key", 5.0)
+FASTCGI_PARAMS = {
+    "SCRIPT_NAME": "/do/films",
+    "HTTP_X_TXN": "9b1f03aa5c7e2d41",
+    "HTTP_X_ROW": "7f3a9c21e0b4d655",
+    "HTTP_X_TTL_MS": "1500",
+    "HTTP_X_WORKING_SET_KB": "412.5",
+    "LONG": "x" * 300,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class Latencies:
+    """The latencies of all requests to each front, in seconds."""
+
+    platform_s: list[float] = field(default_factory=list)
+    signed_s: list[float] = field(default_factory=list)
 
-PER_ROUND, LIMIT_S = 200, 120.0
-FCGI = PARAMS | {"SCRIPT_NAME": "/do/films", "HTTP_X_ROW": "7f3a9c21e0b4d655"}
+
+@dataclass(frozen=True, slots=True)
+class Percentiles:
+    """Percentiles of latencies."""
+
+    p50_us: float
+    p99_us: float
+
+    @classmethod
+    def of(cls, latencies_s: Sequence[float]) -> Percentiles:
+        """Compute them."""
+        cuts = statistics.quantiles(latencies_s, n=100)
+        return cls(cuts[49] * 1e6, cuts[98] * 1e6)
 
 
 @inlineCallbacks
-def one_round(
-    rig: LoopbackEnvironment, signed: HttpClient, fcgi: FastCgiClient, spent: dict[str, list[float]]
-) -> Any:
-    for number in range(PER_ROUND):
-        target = rig.sign_target(CLIP)  # issued outside the time measured
-        start = time.perf_counter()
+def measure_round(
+    environment: LoopbackEnvironment, signed: HttpClient, fastcgi: FastCgiClient, latencies: Latencies
+) -> Steps[None]:
+    """Send requests to the two fronts in turn."""
+    for number in range(1, REQUESTS_PER_ROUND + 1):
+        target = environment.sign_target(TARGET)  # before the time that is measured
+        begin_s = time.perf_counter()
         signed.send_request(target)
         yield signed.wait_for_answers(len(signed.responses) + 1)
-        spent["signed"].append(time.perf_counter() - start)
-        start, ident = time.perf_counter(), number % 60_000 + 1
-        ended = fcgi.wait_for_answers(len(fcgi.end_records()) + 1)
-        fcgi.transport.write(encode_fastcgi_request(ident, FCGI))
+        latencies.signed_s.append(time.perf_counter() - begin_s)
+        begin_s = time.perf_counter()
+        ended = fastcgi.wait_for_answers(len(fastcgi.end_records()) + 1)
+        fastcgi.transport.write(encode_fastcgi_request(number, FASTCGI_PARAMS))
         yield ended
-        spent["platform"].append(time.perf_counter() - start)
+        latencies.platform_s.append(time.perf_counter() - begin_s)
 
 
 @inlineCallbacks
-def measure(rounds: int) -> Any:
-    rig = make_loopback_environment()
-    signed, fcgi = (yield rig.connect_client()), (yield rig.connect_client(3, FastCgiClient))
-    spent: dict[str, list[float]] = {"platform": [], "signed": []}
-    end = time.monotonic() + LIMIT_S
+def measure(rounds: int) -> Steps[None]:
+    """Print the table and what the second front adds."""
+    settings = replace(SETTINGS, may_bypass_caches=True, may_send_retry_after=True, max_retry_after_ms=500.0)
+    environment = LoopbackEnvironment(settings, (FILMS, KEYED), TRUST, BASE_URL)
+    signed = yield environment.connect_client()
+    fastcgi = yield environment.connect_client(PortIndex.FASTCGI_FRONT, FastCgiClient)
+    latencies = Latencies()
+    until_s = time.monotonic() + TIME_LIMIT_S
     for _ in range(rounds):
-        if time.monotonic() > end:
+        if time.monotonic() > until_s:
             break
-        yield one_round(rig, signed, fcgi, spent)
+        yield measure_round(environment, signed, fastcgi, latencies)
     signed.transport.loseConnection()
-    fcgi.transport.loseConnection()
-    yield rig.stop()
-    print("| front | requests | p50 µs | p99 µs |\n|---|---|---|---|")
-    for name, told in spent.items():
-        cuts = statistics.quantiles(told, n=100)
-        print(f"| {name} | {len(told):,} | {cuts[49] * 1e6:.0f} | {cuts[98] * 1e6:.0f} |")
-    platform, front = (statistics.quantiles(spent[n], n=100) for n in ("platform", "signed"))
+    fastcgi.transport.loseConnection()
+    yield environment.stop()
+    print_latencies(latencies)
+
+
+def print_latencies(latencies: Latencies) -> None:
+    """Print the table and what the second front adds."""
+    platform = Percentiles.of(latencies.platform_s)
+    signed = Percentiles.of(latencies.signed_s)
+    rows = [
+        ("platform", f"{len(latencies.platform_s):,}", f"{platform.p50_us:.0f}", f"{platform.p99_us:.0f}"),
+        ("signed", f"{len(latencies.signed_s):,}", f"{signed.p50_us:.0f}", f"{signed.p99_us:.0f}"),
+    ]
+    print_table(("front", "requests", "p50 µs", "p99 µs"), rows)
     print(
-        f"\nadded by the second front: p50 {(front[49] - platform[49]) * 1e6:.0f} µs, "
-        f"p99 {(front[98] - platform[98]) * 1e6:.0f} µs; ratio of p50 {front[49] / platform[49]:.2f}"
+        f"added by the second front: p50 {signed.p50_us - platform.p50_us:.0f} µs, "
+        f"p99 {signed.p99_us - platform.p99_us:.0f} µs; ratio of p50 {signed.p50_us / platform.p50_us:.2f}"
     )
 
 
-def main() -> None:
-    rounds = int(sys.argv[1]) if len(sys.argv) > 1 else 10
-    task.react(lambda _: measure(rounds))
+@click.command(help=__doc__)
+@click.argument("rounds", default=10)
+def main(rounds: int) -> None:
+    """Measure both fronts."""
+    react: Any = task.react
+    react(lambda _: measure(rounds))
 
 
 if __name__ == "__main__":
