--- a/benchmarks/benchmark_tools/connection_model.py
+++ b/benchmarks/benchmark_tools/connection_model.py
@@ -8,7 +8,11 @@
 
 from benchmark_tools.decision_servers import FILMS, KEYED, LOCAL_ZONE, ORIGIN, SETTINGS, edge, parent
 from thornjunction import interface as api
-from thornjunction.net.upstream.connection_pool import CROWDED, NEEDED, PREFERRED
+from thornjunction.net.upstream.dispatcher import (
+    MAX_CONNECTIONS_IF_CROWDED,
+    MAX_CONNECTIONS_IF_EXHAUSTED,
+    MAX_UNCROWDED_STREAMS,
+)
 from thornjunction.policy.router import Router
 
 ROUTERS_PER_SITE = 21
@@ -27,8 +31,8 @@
 class PoolModel:
     """Connections to each server by the rules of ``ConnectionPool``.
 
-    Another connection opens beside crowded ones, up to ``PREFERRED``, and beside full ones up to ``NEEDED``.
-    None closes: a run is shorter than their idle time.
+    Another connection opens beside crowded ones, up to ``MAX_CONNECTIONS_IF_CROWDED``, and beside full ones up
+    to ``MAX_CONNECTIONS_IF_EXHAUSTED``.  None closes: a run is shorter than their idle time.
     """
 
     def __init__(self) -> None:
@@ -39,12 +43,12 @@
         """Begin an attempt on the connection with the fewest streams."""
         streams = self._streams.setdefault(server, [0])
         index = min(range(len(streams)), key=streams.__getitem__)
-        if streams[index] >= STREAMS_PER_CONNECTION and len(streams) < NEEDED:
+        if streams[index] >= STREAMS_PER_CONNECTION and len(streams) < MAX_CONNECTIONS_IF_EXHAUSTED:
             streams.append(0)
             index = len(streams) - 1
         streams[index] += 1
         self._connection_by_request[request_id] = server, index
-        if streams[index] > CROWDED and len(streams) < PREFERRED:
+        if streams[index] > MAX_UNCROWDED_STREAMS and len(streams) < MAX_CONNECTIONS_IF_CROWDED:
             streams.append(0)
 
     def end(self, request_id: str) -> None:
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -36,7 +36,8 @@
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import FLEET_RESERVE
-from thornjunction.net.upstream.connection_pool import AT_MOST, NEEDED, PREFERRED
+from thornjunction.net.upstream.connector import MAX_CONNECTIONS_PER_SERVER
+from thornjunction.net.upstream.dispatcher import MAX_CONNECTIONS_IF_CROWDED, MAX_CONNECTIONS_IF_EXHAUSTED
 from thornjunction.policy.router import Router
 
 DEFAULT_ROUTERS = (50, 200, 600, 1_200)
@@ -78,10 +79,10 @@
             (
                 routers,
                 fleet.busiest_edge,
-                ROUTERS_PER_SITE * NEEDED,
+                ROUTERS_PER_SITE * MAX_CONNECTIONS_IF_EXHAUSTED,
                 fleet.all_parents,
                 fleet.origin,
-                routers * NEEDED,
+                routers * MAX_CONNECTIONS_IF_EXHAUSTED,
                 fleet.health_checks,
             )
             for routers, fleet in fleets.items()
@@ -90,7 +91,8 @@
         print(f"answers after {answer_ms:.0f} ms\n\n{markdown_table(columns, rows)}")
         print(f"\nfit, origin: {line.text('connections', 'a router', 3)}\n")
     print(
-        f"bounds of a pool: {PREFERRED} beside others with room, {NEEDED} where none has, {AT_MOST} in all\n"
+        f"bounds of a pool: {MAX_CONNECTIONS_IF_CROWDED} beside others with room, "
+        f"{MAX_CONNECTIONS_IF_EXHAUSTED} where none has, {MAX_CONNECTIONS_PER_SERVER} in all\n"
     )
 
 
