--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -18,11 +18,16 @@
 
 from tests import test_fleet_origin as origin_model
 from tests import test_slow_start_fleet as cold_model
-from tests.helpers import ORIGIN, SETTINGS, Bench, edge, only, parent
+from tests.helpers import ORIGIN, SETTINGS, RouterDriver, actions_of, edge, parent
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import FLEET_RESERVE
-from thornjunction.net.upstream.connection_pool import AT_MOST, CROWDED, NEEDED, PREFERRED
+from thornjunction.net.upstream.connector import MAX_CONNECTIONS_PER_SERVER
+from thornjunction.net.upstream.dispatcher import (
+    MAX_CONNECTIONS_IF_CROWDED,
+    MAX_CONNECTIONS_IF_EXHAUSTED,
+    MAX_UNCROWDED_STREAMS,
+)
 from thornjunction.policy.router import Router
 
 ROUTERS = (50, 200, 600, 1_200)
@@ -38,8 +43,8 @@
 
 class Pool:
     """Connections to each server by the rules of ``ConnectionPool``: one more beside those that are crowded,
-    up to PREFERRED, and where none has room, up to NEEDED.  None closes: a run is shorter than their idle
-    time."""
+    up to MAX_CONNECTIONS_IF_CROWDED, and where none has room, up to MAX_CONNECTIONS_IF_EXHAUSTED.  None
+    closes: a run is shorter than their idle time."""
 
     def __init__(self) -> None:
         self.links: dict[str, list[int]] = {}  # by server: what is out on each
@@ -48,12 +53,12 @@
     def send(self, request: str, server: str) -> None:
         links = self.links.setdefault(server, [0])
         at = min(range(len(links)), key=links.__getitem__)
-        if links[at] >= STREAMS and len(links) < NEEDED:
+        if links[at] >= STREAMS and len(links) < MAX_CONNECTIONS_IF_EXHAUSTED:
             links.append(0)
             at = len(links) - 1
         links[at] += 1
         self.where[request] = server, at
-        if links[at] > CROWDED and len(links) < PREFERRED:
+        if links[at] > MAX_UNCROWDED_STREAMS and len(links) < MAX_CONNECTIONS_IF_CROWDED:
             links.append(0)
 
     def ended(self, request: str) -> None:
@@ -112,13 +117,14 @@
             shelf = max(many for name, many in held.items() if name.startswith("edge"))
             parents = sum(many for name, many in held.items() if name.startswith("parent"))
             points.append((routers, held["origin"]))
-            most = SITE_ROUTERS * NEEDED, routers * NEEDED
+            most = SITE_ROUTERS * MAX_CONNECTIONS_IF_EXHAUSTED, routers * MAX_CONNECTIONS_IF_EXHAUSTED
             rows.append(row(routers, shelf, most[0], parents, held["origin"], most[1], probes))
         head = "routers | at the busiest shelf | at most | at all parents | at the origin | at most | probes"
         print(f"answers after {answer_ms:.0f} ms\n\n{table(head, rows)}")
         print(f"\nfit, origin: {fit(points).text('connections', 'a router', 3)}\n")
     print(
-        f"bounds of a pool: {PREFERRED} beside others with room, {NEEDED} where none has, {AT_MOST} in all\n"
+        f"bounds of a pool: {MAX_CONNECTIONS_IF_CROWDED} beside others with room, "
+        f"{MAX_CONNECTIONS_IF_EXHAUSTED} where none has, {MAX_CONNECTIONS_PER_SERVER} in all\n"
     )
 
 
@@ -128,25 +134,25 @@
     more = {"router_count": routers, "routers_by_zone": {"here": zone_fronts}, "may_hedge": True}
     sent: dict[str, list[float]] = {entry.server: [] for entry in cold_model.COLD}
 
-    def play(bench: Bench, actions: list[api.Action]) -> None:
-        for fetch in only(actions, api.StartAttempt):
+    def play(bench: RouterDriver, actions: list[api.Action]) -> None:
+        for fetch in actions_of(actions, api.StartAttempt):
             for name in {fetch.server, fetch.source} & sent.keys():
-                sent[name].append(bench.now)
+                sent[name].append(bench.now_ms)
             if draw.random() < 0.9:
                 status = (
                     api.AttemptStatus.CONNECTION_RESET if draw.random() < 0.2 else api.AttemptStatus.SUCCEEDED
                 )
-                play(bench, bench.answer(fetch, status))
+                play(bench, bench.end_attempt(fetch, status))
 
     for place in range(routers):  # one at a time: none hears another
-        bench = Bench(entries=(*cold_model.WARM, *cold_model.COLD), **more)
+        bench = RouterDriver(entries=(*cold_model.WARM, *cold_model.COLD), **more)
         bench.router.random.seed(place)
         times = [draw.uniform(0.0, 4_000.0) for _ in range(int(rate * 4))]
         for at in sorted([*times, *[1_500.0] * 3, *[2_600.0] * 3]):
-            bench.sent.clear()
-            play(bench, bench.wait(cold_model.START + at - bench.now))
-            bench.log.clear()
-            play(bench, bench.ask(draw.randrange(10_000), size_kb=cold_model.WORK * 5.0))
+            bench.attempts.clear()
+            play(bench, bench.advance(cold_model.START + at - bench.now_ms))
+            bench.action_log.clear()
+            play(bench, bench.request(draw.randrange(10_000), size_kb=cold_model.WORK * 5.0))
     return sent
 
 
@@ -225,7 +231,7 @@
         now += 1_000.0 / rate
         asked += 1
         event = api.Request(f"{asked}", "keyed", asked, 3_000.0, size_kb=10.0, idempotency_key=f"{asked}")
-        for fetch in only(router.handle(now, event), api.StartAttempt):
+        for fetch in actions_of(router.handle(now, event), api.StartAttempt):
             sent.append(now)
             end = api.AttemptEnded(
                 fetch.request_id, 0, fetch.server, api.AttemptStatus.SUCCEEDED, 1.0, final=True
