--- /dev/null
+++ b/tests/repository/test_page_paths.py
@@ -0,0 +1,82 @@
+"""Every path of the repository that a page names exists."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterator
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parents[2]
+FOLDERS = ("benchmarks", "deploy", "docs", "packages", "tests", "thornjunction")
+PAGES = [
+    ROOT / "README.md",
+    ROOT / "CONTRIBUTING.md",
+    *sorted((ROOT / "docs").glob("*.md")),
+    *sorted((ROOT / "docs" / "design").glob("*.md")),
+]
+# Named on pages, but not in the repository: the operators write it where they want its sections.
+OPERATORS_FILES = {"deploy/extras.toml"}
+# Stands for any file in an example: `tests/test_x.py::test_y`.
+PLACEHOLDERS = {"tests/test_x.py"}
+CODE = re.compile(r"`([^`\n]+)`")
+CODE_BLOCK = re.compile(r"^```.*?^```", re.DOTALL | re.MULTILINE)
+
+
+@cache
+def files_and_folders() -> frozenset[str]:
+    """All files and folders of the repository, as paths relative to its root."""
+    paths = [path for folder in FOLDERS for path in (ROOT / folder).rglob("*")]
+    paths += ROOT.glob("*")
+    return frozenset(path.relative_to(ROOT).as_posix() for path in paths)
+
+
+@cache
+def suffixes() -> frozenset[str]:
+    """All those paths and their ends, by which a page may name a file: ``net/wire/resp.py``, ``resp.py``."""
+    found: set[str] = set()
+    for path in files_and_folders():
+        parts = path.split("/")
+        found.update("/".join(parts[start:]) for start in range(len(parts)))
+    return frozenset(found)
+
+
+def named_paths(text: str) -> Iterator[str]:
+    """Paths in backticks: what ends in ``.py``, and what begins with a folder of the repository."""
+    for code in CODE.findall(CODE_BLOCK.sub("", text)):
+        for word in code.split():
+            path = word.partition("::")[0].rstrip("/,;")
+            if path.endswith(".py") or path.split("/")[0] in FOLDERS:
+                yield path
+
+
+def exists(path: str) -> bool:
+    """Whether a path, or one that a pattern with ``*`` stands for, is in the repository."""
+    if path in OPERATORS_FILES | PLACEHOLDERS:
+        return True
+    if "*" in path:
+        return any(ROOT.glob(path))
+    return path in suffixes()
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_paths_on_the_page_exist(page: Path) -> None:
+    missing = [path for path in named_paths(page.read_text(encoding="utf-8")) if not exists(path)]
+    assert missing == []
+
+
+@pytest.mark.parametrize(
+    ("text", "missing"),
+    [
+        ("`thornjunction/net/wire/resp.py`, `net/wire/resp.py` and `resp.py`", []),
+        ("`thornjunction/net/wire/none.py`", ["thornjunction/net/wire/none.py"]),
+        ("`none.py` and `docs/none.md`", ["none.py", "docs/none.md"]),
+        ("`python benchmarks/none.py --seconds 1`", ["benchmarks/none.py"]),
+        ("`tests/none.py::test_x`", ["tests/none.py"]),
+        ("`benchmarks/capacity_*.py` and `benchmarks/none_*.py`", ["benchmarks/none_*.py"]),
+    ],
+)
+def test_a_path_that_does_not_exist_is_found(text: str, missing: list[str]) -> None:
+    assert [path for path in named_paths(text) if not exists(path)] == missing
