--- a/thornjunction/net/discovery/multi_source_watch.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -19,6 +19,7 @@
     ProbeFailed,
     SelectorAction,
     SelectorEvent,
+    SelectorNotice,
     SendProbe,
     SourceSelector,
     StartPolling,
@@ -27,13 +28,14 @@
 )
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import should_log
 from thornjunction.logs import get_logger
 from thornjunction.net.discovery.departure_notices import MIN_NOTICE_DELAY_MS, DepartureNotices
 from thornjunction.net.discovery.follower_feed import FollowerFeed
 from thornjunction.net.discovery.source_probe import OnProbeResult, probe_source
 from thornjunction.net.discovery.watch import Watch, WatchHandlers, WatchState
 from thornjunction.net.discovery.watch_context import WatchContext, WatchTimings
-from thornjunction.net.event_loop.backoff import should_log
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.net.wire.commands import Address, Commands
 
@@ -112,7 +114,7 @@
 
     def move(self, address: Address) -> None:
         """Report that the configuration's own address is not used."""
-        log.info("channel-not-used", channel=f"{address[0]}:{address[1]}", why="[control]")
+        log.info(LogEvent.CHANNEL_IGNORED, channel=f"{address[0]}:{address[1]}", cause="[control]")
 
     def replay(self, known: Commands) -> None:
         """Take in the events that are known at the start; the watch resumes after them."""
@@ -195,7 +197,7 @@
                 due_ms = self._context.clock() + delay_ms
                 self._context.deadlines.add(due_ms, lambda: self._select(TimerFired(token)))
             case Notice(name, fields):
-                self._source_failures += name == "source-left"
+                self._source_failures += name == SelectorNotice.SOURCE_FAILED
                 if should_log(max(self._source_failures, 1)):
                     log.info(name, failures=self._source_failures, **fields)
 
--- a/thornjunction/net/gossip/replay_gossip.py
+++ b/thornjunction/net/gossip/replay_gossip.py
@@ -15,6 +15,8 @@
 
 from twisted.internet import protocol
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.wire import ProtocolError, gossip
@@ -133,5 +135,5 @@
         """
         self.counts[code] += 1
         count = self.counts[code]
-        if count.bit_count() == 1:
-            log.info("gossip refused", peer=addr[0], code=code, times=count)
+        if is_power_of_two(count):
+            log.info(LogEvent.REPLAY_GOSSIP_REJECTED, peer=addr[0], code=code, count=count)
--- a/thornjunction/net/relay/poller_table.py
+++ b/thornjunction/net/relay/poller_table.py
@@ -8,10 +8,12 @@
 
 from twisted.internet import protocol
 
+from thornjunction.log_events import LogEvent
+from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
+from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason
 from thornjunction.net.relay.poller_connection import PollerConnection, PollerState
 from thornjunction.net.wire.polls import Poll
 
@@ -108,8 +110,14 @@
         """
         self.end_counts[reason] += 1
         count = self.end_counts[reason]
-        if count.bit_count() == 1:
-            log.info("end", kind="poller", code=str(reason), times=count, open=len(self.connections))
+        if is_power_of_two(count):
+            log.info(
+                LogEvent.CONNECTION_CLOSED,
+                kind=ConnectionKind.POLLER,
+                code=str(reason),
+                count=count,
+                open_connections=len(self.connections),
+            )
 
     def _evict_idle(self) -> bool:
         """Close the connection that is idle longest, and return whether there was one without a poll.
