--- a/conftest.py
+++ b/conftest.py
@@ -1,8 +1,8 @@
 """Known red tests: ``KNOWN-RED.txt`` at the root lists tests that fail for a fault which is not mended yet.
 
-Each line has the form ``test, cause, issue``.  Each test is a strict xfail: one that passes fails the run; so do
-more lines than are allowed, a line of another form, and one that names no collected test of a
-complete run.
+Each line has the form ``test, cause, issue``.  Each test is a strict xfail: one that passes fails the run.
+So do more lines than are allowed, a line of another form, and one that names no collected test of a complete
+run.
 """
 
 from __future__ import annotations
--- a/packages/fakes/src/fakes/raw_socket_clients.py
+++ b/packages/fakes/src/fakes/raw_socket_clients.py
@@ -37,14 +37,14 @@
 
         Returns the client, and the router's side of its connection.
         """
-        table = self.environment.downstream_table
+        table: Any = self.environment.downstream_table
         known = set(table)
         client = self.connect(front)
         yield self.environment.wait_until(lambda: set(table) - known)
         (connection,) = set(table) - known
         if data:
             client.send(data)
-            yield self.environment.wait_until(lambda: connection.answered)
+            yield self.environment.wait_until(lambda: connection.response_count)
         return client, connection
 
     @inlineCallbacks
@@ -54,9 +54,11 @@
         client = self.connect(receive_buffer_bytes=SMALL_RECEIVE_BUFFER_BYTES)
         client.send(data)
         if request_count:
-            yield self.environment.wait_until(lambda: any(connection._paused for connection in table))
+            yield self.environment.wait_until(
+                lambda: any(connection.buffered.is_write_paused for connection in table)
+            )
         yield self.environment.wait_until(
-            lambda: sum(connection.answered for connection in table) == request_count
+            lambda: sum(connection.response_count for connection in table) == request_count
         )
         return client
 
@@ -65,7 +67,7 @@
         """Wait until the router has no request, attempt or connection of any client."""
         engine = self.environment.engine
         yield self.environment.wait_until(lambda: not len(engine.requests) and not len(engine.attempts))
-        yield self.environment.wait_until(lambda: not self.environment.downstream_table.connected)
+        yield self.environment.wait_until(lambda: not self.environment.downstream_table.connection_count)
 
     def encode_signed_request(self, target: str, *headers: str) -> bytes:
         """Encode a request of the signed front."""
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -18,7 +18,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from tests.core.test_engine import CONFIG
-from tests.net.downstream.test_clients import Hall
+from tests.net.downstream.builders import FASTCGI, ClientConnections
 from tests.program.router_program import (
     EXIT_TIMEOUT_S,
     ROOT,
@@ -38,7 +38,7 @@
     Shutdown,
 )
 
-# Where the hall's clock starts.
+# Where the clock of the connections starts.
 START_MS = 1000.0
 
 # Milliseconds before SIGKILL within which requests without an answer are answered.
@@ -49,29 +49,27 @@
 def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(
     max_deadline_ms: float,
 ) -> None:
-    hall = Hall()
+    clients = ClientConnections()
+    clock = clients.clock
     moments_ms: dict[str, float] = {}
     engine: Any = SimpleNamespace(requests=[1], shutdown_at_ms=0.0)
 
     def record(moment: str) -> None:
-        moments_ms.setdefault(moment, hall.now - START_MS)
+        moments_ms.setdefault(moment, clock.now_ms - START_MS)
 
     def answer_all_now() -> None:
         record("final answers")
         engine.requests.clear()
 
-    def clock() -> float:
-        return hall.now
-
-    drain = Drain(hall.table, hall.deadlines, clock, answer_all_now)
+    drain = Drain(clients.table, clock.deadlines, clock, answer_all_now)
     stop = partial(record, "stop")
-    shutdown = Shutdown(hall.table, drain, engine, hall.deadlines, clock, stop)
+    shutdown = Shutdown(clients.table, drain, engine, clock.deadlines, clock, stop)
     # A client that never sends anything.
-    hall.connect("fastcgi")
+    clients.connect(FASTCGI)
     port = SimpleNamespace(stopListening=partial(record, "close"))
     shutdown.start(max_deadline_ms, [port], accept_new=True)
     killed_ms = min(max_deadline_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS
-    hall.wait(killed_ms)
+    clock.advance(killed_ms)
     assert 500.0 < moments_ms["close"] <= ACCEPT_WINDOW_MS
     assert moments_ms["final answers"] == engine.shutdown_at_ms - START_MS
     assert killed_ms - FINAL_ANSWERS_MS <= moments_ms["final answers"] < moments_ms["stop"]
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -180,7 +180,7 @@
         assert (response.status, response.body) == (200, b"wave")
         with patch.object(environment.engine, "open") as opened:
             self.send_request_and_shut_down(client, environment.sign_target(CLIP))
-            yield environment.wait_until(lambda: not environment.downstream_table.connected)
+            yield environment.wait_until(lambda: not environment.downstream_table.connection_count)
         opened.assert_not_called()
         client.transport.loseConnection()
         yield client.connection_lost
