--- a/benchmarks/relay_core.py
+++ b/benchmarks/relay_core.py
@@ -217,13 +217,13 @@
 @click.option("--routers", type=NumberList(), default=(100, 300, 600, 1200), help="sizes of the fleet")
 @click.option("--seconds", default=20.0, help="of simulated time")
 @click.option("--purges", default=34.0, help="a second")
-@click.option("--shelfs", default=440, help="cache servers listed")
-def main(routers: tuple[int, ...], seconds: float, purges: float, shelfs: int) -> None:
+@click.option("--shelfs", "cache_servers", default=440, help="cache servers listed")
+def main(routers: tuple[int, ...], seconds: float, purges: float, cache_servers: int) -> None:
     """Measure a relay's core."""
     print(markdown_head(COLUMNS))
     with time_limit():
         for count in routers:
-            print(markdown_row(measure(count, seconds, purges, shelfs)), flush=True)
+            print(markdown_row(measure(count, seconds, purges, cache_servers)), flush=True)
 
 
 if __name__ == "__main__":
--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
@@ -97,7 +97,7 @@
         if self.fleet is not None:
             self.fleet.port.closed = True
             self.fleet.close()
-        self.alarm.stop()
+        self.timer_service.stop()
 
     def reset_connection(self) -> None:
         """Reset the connection of the command channel."""
--- a/packages/fleet-sim/tests/counter_gossip.py
+++ b/packages/fleet-sim/tests/counter_gossip.py
@@ -88,15 +88,15 @@
     name = "monotonic counts"
 
     def __init__(self) -> None:
-        self._seen: dict[tuple[str, int, str], int] = {}
+        self._observed_counts: dict[tuple[str, int, str], int] = {}
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
         assert isinstance(node.machine, CounterGossip)
         for name, count in node.machine.counts.items():
             key = (node.name, node.incarnation, name)
-            if count < self._seen.get(key, 0):
+            if count < self._observed_counts.get(key, 0):
                 return f"{name} went back to {count}"
-            self._seen[key] = count
+            self._observed_counts[key] = count
         return None
 
 
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -67,10 +67,10 @@
 
 def test_a_failing_deadline_costs_no_other_its_turn() -> None:
     reactor, ran = Clock(), list[str]()
-    alarm = TimerService(reactor)
+    timer_service = TimerService(reactor)
     for callback in (lambda: 1 / 0, lambda: ran.append("due")):
-        alarm.deadlines.add(core_ms() - 1.0, callback)
-    alarm.deadlines.add(core_ms() + 60_000.0, lambda: ran.append("later"))
+        timer_service.deadlines.add(core_ms() - 1.0, callback)
+    timer_service.deadlines.add(core_ms() + 60_000.0, lambda: ran.append("later"))
     reactor.advance(0.0)
     assert ran == ["due"]
     assert len(reactor.getDelayedCalls()) == 1  # for the later one
--- a/tests/net/discovery/test_control_section.py
+++ b/tests/net/discovery/test_control_section.py
@@ -36,7 +36,7 @@
         source = ScriptedSource("A").publish_list(5, c1="active")
         self.addCleanup(source.kill)
         service = build_service(Extras(control=ControlSettings("r7", (source.address,))))
-        self.addCleanup(service.alarm.stop)
+        self.addCleanup(service.timer_service.stop)
         service.state = Lifecycle.SERVING  # no fronts are opened
         service.channel.start()
         yield wait_until(lambda: len(source.polls) == 2)
@@ -50,7 +50,7 @@
 
     def test_a_router_without_the_section_polls_discovery_and_shows_no_metrics_of_sources(self) -> None:
         service = build_service(Extras())
-        self.addCleanup(service.alarm.stop)
+        self.addCleanup(service.timer_service.stop)
         assert type(service.channel) is WatchClient
         assert service.channel.poll_target(1200.0) == "/cmd/next?resume=0&block=1200"
         assert b"control_" not in service.admin_calls.metrics()
--- a/tests/net/discovery/test_epoch_change.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -33,7 +33,7 @@
         super().setUp()
         self.watch_client = self.environment.watch_client
         self.service = build_service()
-        self.addCleanup(self.service.alarm.stop)
+        self.addCleanup(self.service.timer_service.stop)
         self.watch_client.feed.handle_command = self.handle_command
         self.lists: list[str] = []
         self.stale_cursor: int | None = None  # what discovery reports to a poll that is not from 0
--- a/tests/net/discovery/test_watch_client.py
+++ b/tests/net/discovery/test_watch_client.py
@@ -113,7 +113,7 @@
         environment = self.environment
         client = environment.watch_client
         service = build_service()
-        self.addCleanup(service.alarm.stop)
+        self.addCleanup(service.timer_service.stop)
         client.feed.handle_command = service.handle_command
         entries = [edge_entry("c1"), edge_entry("c2"), ORIGIN_ENTRY]
         self.discovery.publish(nodes={"whole": True, "hosts": entries})
--- a/tests/net/downstream/test_signed_tokens.py
+++ b/tests/net/downstream/test_signed_tokens.py
@@ -36,11 +36,11 @@
         await self.check_token_invalid_midway(expire)
 
     async def test_a_token_whose_key_retires_midway_admits_its_response_and_nothing_new(self) -> None:
-        def retire() -> None:  # as a new key set would
+        def remove_key() -> None:  # as a new key set would
             keys = {kid: key for kid, key in TRUST.keys.items() if kid != "new"}
             self.environment.signed_context.trust = replace(TRUST, keys=keys)
 
-        await self.check_token_invalid_midway(retire)
+        await self.check_token_invalid_midway(remove_key)
 
     async def check_token_invalid_midway(self, invalidate: Callable[[], None]) -> None:
         """The token becomes invalid while its request is at a server, before it is used again."""
--- a/tests/net/wire/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -29,7 +29,7 @@
         for number, age_ms in enumerate((takes_ms + 3_600_000.0, takes_ms + 1000.0, takes_ms - 1000.0), 1):
             service.handle_command(Purge(number, number, 0, now_ms - age_ms))
     assert [call.args[0].key for call in feed.call_args_list] == [3]
-    service.alarm.stop()
+    service.timer_service.stop()
 
 
 def test_what_a_relay_tells_more_is_kept_and_else_is_none() -> None:
--- a/tests/policy/test_cache_choice.py
+++ b/tests/policy/test_cache_choice.py
@@ -104,9 +104,9 @@
 def test_w_leans_to_the_strained_resource_and_back() -> None:
     driver = RouterDriver()
 
-    def second(wait: float, link: float | None = None) -> float:
+    def second(wait: float, link_utilization: float | None = None) -> float:
         for _ in range(20):
-            report = None if link is None else api.LoadReport(link_utilization=link)
+            report = None if link_utilization is None else api.LoadReport(link_utilization=link_utilization)
             attempt = attempt_of(driver.request())
             note, took = (FILLED, wait) if attempt.source != attempt.server else (api.FillResult.HIT, 50.0)
             driver.end_attempt(
@@ -121,7 +121,7 @@
     for _ in range(80):
         rested = second(50.0)
     assert rested == 0.5  # back, and no further, without reports of the link
-    assert second(50.0, link=1.2) < 0.5
+    assert second(50.0, link_utilization=1.2) < 0.5
 
 
 def test_where_nothing_is_told_the_parent_in_the_own_hub_comes_first() -> None:
--- a/tests/program/test_clock_offset.py
+++ b/tests/program/test_clock_offset.py
@@ -84,7 +84,7 @@
     events: list[api.Event] = []
     with patch.object(service.engine, "feed", events.append):
         service.handle_command(command)
-    service.alarm.stop()
+    service.timer_service.stop()
     (event,) = events
     return event
 
--- a/tests/runtime/test_command_events.py
+++ b/tests/runtime/test_command_events.py
@@ -38,4 +38,4 @@
     assert first is second is third is not fourth
     service.handle_command(ListChange(2, True, ()))
     assert not service.commands.process_starts._by_server
-    service.alarm.stop()
+    service.timer_service.stop()
--- a/thornjunction/net/event_loop/listening_port.py
+++ b/thornjunction/net/event_loop/listening_port.py
@@ -30,7 +30,7 @@
 # Errors of ``accept`` when no client waits.
 EMPTY_QUEUE_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 
-# Errors of ``accept`` that concern one client alone: the next one may be accepted.
+# Errors of ``accept`` that concern one client alone: the next one may be bound_socket.
 SINGLE_CLIENT_ERRORS = frozenset({errno.ECONNABORTED, errno.EPERM, errno.EINTR})
 
 log = get_logger(__name__)
@@ -86,8 +86,10 @@
         self._cancel_pause()
         super().connectionLost(reason)
 
-    def _accepting_socket(self, plain: socket.socket) -> AcceptingSocket:
-        accepting = AcceptingSocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
+    def _accepting_socket(self, bound_socket: socket.socket) -> AcceptingSocket:
+        accepting = AcceptingSocket(
+            bound_socket.family, bound_socket.type, bound_socket.proto, fileno=bound_socket.detach()
+        )
         accepting.setblocking(False)
         accepting.on_failure = self._on_accept_failed
         accepting.on_success = self._on_accepted
--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -211,7 +211,7 @@
             self.state = ConnectionState.UNRESPONSIVE
         self.end_or_become_idle()
 
-    def retire(self) -> None:
+    def stop_new_streams(self) -> None:
         """Take no new streams and close after the streams in flight."""
         if not self.is_closing:
             self.state = ConnectionState.RETIRING
--- a/thornjunction/net/upstream/connection_pool.py
+++ b/thornjunction/net/upstream/connection_pool.py
@@ -92,7 +92,7 @@
         if host.address is None:
             host = replace(host, address=upstream.host.address)
         elif host.address != upstream.host.address:
-            ended += self._retire(upstream)
+            ended += self._take_out_of_service(upstream)
         upstream.host = host
         if host.state is api.ServerState.DRAINING:
             ended += self._dispatcher.cancel_waiting(upstream)
@@ -102,9 +102,9 @@
 
     def _remove(self, server: str) -> list[Stream]:
         upstream = self.upstreams.pop(server, None)
-        return self._retire(upstream) if upstream is not None else []
+        return self._take_out_of_service(upstream) if upstream is not None else []
 
-    def _retire(self, upstream: Upstream) -> list[Stream]:
+    def _take_out_of_service(self, upstream: Upstream) -> list[Stream]:
         upstream.retire_connections()
         return self._dispatcher.cancel_waiting(upstream)
 
--- a/thornjunction/net/upstream/upstream.py
+++ b/thornjunction/net/upstream/upstream.py
@@ -69,4 +69,4 @@
     def retire_connections(self) -> None:
         """Give the connections no new streams; each closes after its streams in flight."""
         for connection in list(self.connections):
-            connection.retire()
+            connection.stop_new_streams()
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -43,7 +43,7 @@
 class RequestPath:
     """The parts that each request passes, from the client's connection to the cache server's."""
 
-    alarm: TimerService
+    timer_service: TimerService
     clients: DownstreamTable
     engine: Engine
     router: Router
@@ -54,20 +54,20 @@
 
 def build_request_path(config: Config, reactor: Any, counters: Counters) -> RequestPath:
     """Build and connect the parts that each request passes."""
-    alarm = TimerService(reactor)
+    timer_service = TimerService(reactor)
     buffer_budget = ByteBudget(config.buffer_bytes)
-    pool = ConnectionPool(reactor, config.pool_limits, alarm.deadlines, core_ms, buffer_budget)
+    pool = ConnectionPool(reactor, config.pool_limits, timer_service.deadlines, core_ms, buffer_budget)
     router = Router(config.settings, config.seed, config.name)
-    engine = Engine(router, config.settings.max_attempts, core_ms, alarm.deadlines, pool, counters)
+    engine = Engine(router, config.settings.max_attempts, core_ms, timer_service.deadlines, pool, counters)
     pool.report_to(engine)
     clients = DownstreamTable(max(config.sockets // CLIENT_SOCKETS_DIVISOR, 1), buffer_budget)
     return RequestPath(
-        alarm=alarm,
+        timer_service=timer_service,
         clients=clients,
         engine=engine,
         router=router,
         pool=pool,
-        drain=Drain(clients, alarm.deadlines, core_ms, engine.answer_all_now),
+        drain=Drain(clients, timer_service.deadlines, core_ms, engine.answer_all_now),
         load_shedder=LoadShedder(random.Random(config.seed).random, config.cores),
     )
 
@@ -80,7 +80,7 @@
         return None
     from thornjunction.runtime.signed_front import SignedFront
 
-    return SignedFront(extras.signed, path.engine, classes, path.clients, path.alarm.deadlines)
+    return SignedFront(extras.signed, path.engine, classes, path.clients, path.timer_service.deadlines)
 
 
 def build_metrics(
--- a/thornjunction/runtime/process_starts.py
+++ b/thornjunction/runtime/process_starts.py
@@ -45,9 +45,9 @@
             self._by_server[host.name] = start
         return start.core_ms
 
-    def forget_unlisted(self, hosts: Iterable[Host], whole: bool) -> None:
-        """Drop the servers that have gone, by a whole list or by a change."""
-        if whole:
+    def forget_unlisted(self, hosts: Iterable[Host], is_complete: bool) -> None:
+        """Drop the servers that have gone, by a complete list or by a change."""
+        if is_complete:
             listed = {host.name for host in hosts}
             self._by_server = {name: start for name, start in self._by_server.items() if name in listed}
         for host in hosts:
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -95,8 +95,8 @@
         self._exit_code = EXIT_OK
         self._faults = 0
         self._unix = UnixClock()
-        self._alarm = TimerService(reactor)
-        self._deadlines = self._alarm.deadlines
+        self._timer_service = TimerService(reactor)
+        self._deadlines = self._timer_service.deadlines
         self._listeners = Listeners(reactor, self._fail)
         self._relay = _build_core(settings)
         self._pollers = PollerTable(
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -77,7 +77,7 @@
     def _build_request_path(self) -> None:
         path = assembly.build_request_path(self.config, self.reactor, self._counters)
         self._path = path
-        self.alarm = path.alarm
+        self.timer_service = path.timer_service
         self.engine = path.engine
         self.router = path.router
         self.admission = FrontAdmission(path.drain, path.load_shedder, path.engine, self._counters)
@@ -92,12 +92,12 @@
             path.engine, path.pool, self.config.roles, lambda: self.config.settings, core_ms
         )
         self._load_sampler = LoadSampler(
-            path.load_shedder, path.alarm.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
+            path.load_shedder, path.timer_service.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
         )
         self._classes: dict[str, api.RequestClass] = {}
 
     def _build_extras(self, extras: Extras | None) -> None:
-        deadlines = self.alarm.deadlines
+        deadlines = self.timer_service.deadlines
         name = self.config.name
         self.channel = assembly.build_channel(
             extras, self.config, self.reactor, deadlines, self.handle_command, self.begin_serving
@@ -108,7 +108,7 @@
 
     def _build_control(self) -> None:
         path = self._path
-        deadlines = path.alarm.deadlines
+        deadlines = path.timer_service.deadlines
         self._listeners = Listeners(self.reactor, self._fail)
         self._handover = Handover(self.config.handover_folder, self.config.name)
         self._shutdown = Shutdown(path.clients, path.drain, path.engine, deadlines, core_ms, self._stop)
@@ -142,7 +142,7 @@
             self._listeners.listen(*self.config.admin, lambda: AdminConnection(self._admin_endpoint))
         self.channel.start()
         # Guards a process that replaces another against the list of its start, which may be long out of date.
-        self.alarm.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
+        self.timer_service.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
 
     def begin_serving(self) -> None:
         """Open the fronts: the list of endpoints is current, or its time is over."""
@@ -163,7 +163,9 @@
             self.fleet.listen(self.reactor)
 
     def _build_platform_connection(self) -> FastCgiConnection:
-        return FastCgiConnection(self._path.clients, self.alarm.deadlines, core_ms, self._platform_context)
+        return FastCgiConnection(
+            self._path.clients, self.timer_service.deadlines, core_ms, self._platform_context
+        )
 
     def is_ready(self) -> bool:
         """Whether the platform may send clients.
