--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -5,23 +5,27 @@
 import json
 import os
 import signal
-import socket
 import subprocess
 import sys
 from contextlib import closing
+from functools import partial
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
 
 import pytest
-from fakes.config import platform_config
-from fakes.raw_socket import RawSocketCacheServer, RawSocketClient, bound_address, call_admin, encode_request
+from fakes.raw_socket import RawSocketCacheServer, RawSocketClient, encode_request
 from twisted.internet.testing import MemoryReactorClock
 
 from tests.core.test_engine import CONFIG
 from tests.net.downstream.builders import FASTCGI, ClientConnections
-from tests.program.test_program import ROOT
-from tests.runtime.test_handover import Program
+from tests.program.router_program import (
+    EXIT_TIMEOUT_S,
+    ROOT,
+    RouterProgram,
+    listen_on_loopback,
+    loopback_config,
+)
 from thornjunction.core.counters import Counters
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.drain import Drain
@@ -34,73 +38,89 @@
     Shutdown,
 )
 
+# Where the clock of the connections starts.
+START_MS = 1000.0
+
+# Milliseconds before SIGKILL within which requests without an answer are answered.
+FINAL_ANSWERS_MS = 200.0
+
 
-@pytest.mark.parametrize("longest_ms", [30.0, 600.0, 3_000.0, 9_000.0])
-def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(longest_ms: float) -> None:
+@pytest.mark.parametrize("max_deadline_ms", [30.0, 600.0, 3_000.0, 9_000.0])
+def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(
+    max_deadline_ms: float,
+) -> None:
     clients = ClientConnections()
-    at = dict[str, float]()
-    mark = lambda what: lambda: at.setdefault(what, clients.clock.now_ms - 1000.0)  # noqa: E731
+    clock = clients.clock
+    moments_ms: dict[str, float] = {}
     engine: Any = SimpleNamespace(requests=[1], shutdown_at_ms=0.0)
-    drain = Drain(
-        clients.table,
-        clients.clock.deadlines,
-        clients.clock,
-        lambda: [mark("hurry")(), engine.requests.clear()],
-    )  # type: ignore[func-returns-value]
-    shutdown = Shutdown(clients.table, drain, engine, clients.clock.deadlines, clients.clock, mark("stop"))
-    clients.connect(FASTCGI)  # and never asks
-    shutdown.start(longest_ms, [SimpleNamespace(stopListening=mark("close"))], accept_new=True)
-    killed_at = min(longest_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS
-    clients.clock.advance(killed_at)
-    assert 500.0 < at["close"] <= ACCEPT_WINDOW_MS and at["hurry"] == engine.shutdown_at_ms - 1000.0
-    assert (
-        killed_at - 200.0 <= at["hurry"] < at["stop"] <= killed_at - 3 * CHECK_INTERVAL_MS
-        and drain.is_refusing
-    )
-
-
-def test_requests_at_a_shelf_that_hangs_a_retry_that_waits_and_one_that_crosses(tmp_path: Path) -> None:
-    """Also one whose own time goes past SIGKILL, a connection that never asks, and a second signal."""
-    server = lambda: socket.create_server(("127.0.0.1", 0))  # noqa: E731
-    with server() as shared, server() as channel, closing(RawSocketCacheServer()) as shelf:
-        config = platform_config(
-            bound_address(shared),
-            bound_address(channel),
-            bound_address(shelf.listening),
-            client_timeout_ms=600.0,
-        )
-        program = Program(tmp_path, shared, config)
-        try:
-            clients = [RawSocketClient(shared.getsockname()[1]) for _ in range(4)]  # the last one never asks
-            clients[0].send(encode_request(1, "clips", ttl_ms=9000))
-            shelf.wait_for_request()
-            clients[1].send(encode_request(5, "orders"))
-            shelf.send_answer(shelf.wait_for_request(), b"WAIT")
+
+    def record(moment: str) -> None:
+        moments_ms.setdefault(moment, clock.now_ms - START_MS)
+
+    def answer_all_now() -> None:
+        record("final answers")
+        engine.requests.clear()
+
+    drain = Drain(clients.table, clock.deadlines, clock, answer_all_now)
+    stop = partial(record, "stop")
+    shutdown = Shutdown(clients.table, drain, engine, clock.deadlines, clock, stop)
+    # A client that never sends anything.
+    clients.connect(FASTCGI)
+    port = SimpleNamespace(stopListening=partial(record, "close"))
+    shutdown.start(max_deadline_ms, [port], accept_new=True)
+    killed_ms = min(max_deadline_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS
+    clock.advance(killed_ms)
+    assert 500.0 < moments_ms["close"] <= ACCEPT_WINDOW_MS
+    assert moments_ms["final answers"] == engine.shutdown_at_ms - START_MS
+    assert killed_ms - FINAL_ANSWERS_MS <= moments_ms["final answers"] < moments_ms["stop"]
+    assert moments_ms["stop"] <= killed_ms - 3 * CHECK_INTERVAL_MS
+    assert drain.is_refusing
+
+
+def test_open_requests_are_answered_though_a_cache_server_hangs(tmp_path: Path) -> None:
+    """One at a server that hangs, one that waits for its retry, one that arrives during the shutdown.
+
+    The first has a time that goes past SIGKILL; a fourth client sends nothing, and SIGTERM comes twice.
+    """
+    with (
+        listen_on_loopback() as shared,
+        listen_on_loopback() as channel,
+        closing(RawSocketCacheServer()) as cache_server,
+    ):
+        config = loopback_config(shared, channel, cache_server.listening, client_timeout_ms=600.0)
+        with RouterProgram(tmp_path, shared, config) as program:
+            port = shared.getsockname()[1]
+            hanging, retrying, late, silent = (RawSocketClient(port) for _ in range(4))
+            hanging.send(encode_request(1, "clips", ttl_ms=9000))
+            cache_server.wait_for_request()
+            retrying.send(encode_request(5, "orders"))
+            cache_server.send_answer(cache_server.wait_for_request(), b"WAIT")
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGTERM)
-            while call_admin(program.door, "check") != "NAK\n":
+            while program.call("check") != "NAK\n":
                 pass
-            clients[2].send(encode_request(6, "clips", ttl_ms=600))
-            assert [client.wait_for_end() for client in clients] == [("fin", 1)] * 3 + [("fin", 0)]
-            assert program.process.wait(20) == 0
-        finally:
-            program.process.kill()
-            program.process.wait()
+            late.send(encode_request(6, "clips", ttl_ms=600))
+            assert [client.wait_for_end() for client in (hanging, retrying, late)] == [("fin", 1)] * 3
+            assert silent.wait_for_end() == ("fin", 0)
+            assert program.process.wait(EXIT_TIMEOUT_S) == 0
 
 
 def test_before_it_is_ready_it_ends_at_once_and_opens_no_port() -> None:
-    config, reactor = parse_config(json.dumps(CONFIG).encode(), {}), MemoryReactorClock()
+    config = parse_config(json.dumps(CONFIG).encode(), {})
+    reactor = MemoryReactorClock()
     service = Service(config, None, reactor, Counters(), lambda: config)
     service.start()
     service.shut_down()
     service.begin_serving()  # the command channel's first answer, or half a second without one
-    assert reactor.hasStopped and not reactor.tcpServers
+    assert reactor.hasStopped
+    assert not reactor.tcpServers
 
 
 def test_before_it_has_read_its_configuration_it_ends_with_0_too(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    command, env = [sys.executable, "-m", "thornjunction"], os.environ | {"PROXY_CONFIG": str(path)}
+    command = [sys.executable, "-m", "thornjunction"]
+    env = os.environ | {"PROXY_CONFIG": str(path)}
     with subprocess.Popen(command, env=env, cwd=ROOT) as program, path.open("w"):  # opens once it is read
         program.send_signal(signal.SIGTERM)
-        assert program.wait(20) == 0
+        assert program.wait(EXIT_TIMEOUT_S) == 0
