--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -151,7 +151,7 @@
             client.transport._aggregator.flush()  # Twisted puts small writes together
             below.doWrite()
             below.socket.shutdown(socket.SHUT_WR)
-            yield rig.wait_until(lambda: not rig.downstream_table.connected)
+            yield rig.wait_until(lambda: not rig.downstream_table.connection_count)
         opened.assert_not_called()
         client.transport.loseConnection()
         yield client.connection_lost
