--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -11,7 +11,7 @@
 
 from tests.core.test_engine import CONFIG
 from thornjunction.core.counters import Counters
-from thornjunction.net.discovery.watch_connection import ConnectionState
+from thornjunction.net.discovery.connection_state import ConnectionState
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.service import Service
 
@@ -41,7 +41,7 @@
         self.discovery = self.environment.discovery
         self.addCleanup(self.environment.stop)
 
-    def passed_on_cursors(self) -> list[int]:
+    def delivered_cursors(self) -> list[int]:
         """Numbers of the events that the watch client has passed on."""
         return [event.cursor for event in self.environment.received_events]
 
