--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -105,8 +105,14 @@
         self.end_reason = self.end_reason or disconnect_reason(reason)
         self.table.remove(self)
         self.buffered.release(self._free_buffers)
-        owed = self._ended_with_open_request or self.has_open_request()
-        log_disconnect(self.kind, self.slot, self.end_reason, answered=self.response_count, request_open=owed)
+        request_open = self._ended_with_open_request or self.has_open_request()
+        log_disconnect(
+            self.kind,
+            self.slot,
+            self.end_reason,
+            answered=self.response_count,
+            request_open=request_open,
+        )
         self.abandon_requests()
 
     # Progress
