--- a/thornjunction/net/event_loop/disconnect_reasons.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import Any
 
 from twisted.internet.error import ConnectionAborted, ConnectionDone
 from twisted.python.failure import Failure
@@ -102,7 +101,7 @@
     """The system did not take the bytes of a cancelled attempt in time."""
 
 
-def log_disconnect(kind: ConnectionKind, number: int | None, code: str, **fields: Any) -> None:
+def log_disconnect(kind: ConnectionKind, number: int | None, code: str, **fields: object) -> None:
     """Log that a connection has ended.  The fields must hold no secrets and no client's text."""
     log.info(LogEvent.CONNECTION_CLOSED, kind=kind, slot=number, code=str(code), **fields)
 
--- a/thornjunction/net/event_loop/ports.py
+++ b/thornjunction/net/event_loop/ports.py
@@ -18,11 +18,18 @@
         """Cancel the call."""
 
 
+class BoundAddress(Protocol):
+    """The address that a port is bound to."""
+
+    host: str
+    port: int
+
+
 class ListeningPort(Protocol):
     """A port on which the reactor accepts connections or receives datagrams."""
 
-    def getHost(self) -> Any:  # noqa: N802
-        """Return the address that the port is bound to, with ``host`` and ``port``."""
+    def getHost(self) -> BoundAddress:  # noqa: N802
+        """Return the address that the port is bound to."""
 
     def stopListening(self) -> Any:  # noqa: N802
         """Close the port."""
@@ -41,7 +48,7 @@
     def callLater(self, _delay_s: float, _call: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802
         """Make a call after a delay."""
 
-    def connectTCP(self, host: str, port: int, factory: Any, **more: Any) -> Any:  # noqa: N802
+    def connectTCP(self, host: str, port: int, factory: Any, **options: Any) -> Any:  # noqa: N802
         """Connect to an address and build a protocol for the connection by the factory."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:  # noqa: N802
