--- /dev/null
+++ b/thornjunction/interface/__init__.py
@@ -0,0 +1,79 @@
+"""Events and actions of the router's decisions, and the settings they follow.
+
+All times are floats in milliseconds: spans, or points of the caller's own monotonic clock, whose zero is
+arbitrary.  All sizes are in KB.
+
+A caller builds one ``Router(settings, seed, name)`` (``thornjunction.policy.router``) per process start,
+hands it each event together with the time at which it happened, and carries out the returned actions at that
+same time and in their order.  Routers read no clock, do no I/O and share no state.
+"""
+
+from thornjunction.interface.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+)
+from thornjunction.interface.enums import (
+    AttemptStatus,
+    DeduplicationScope,
+    FillReporting,
+    FillResult,
+    Idempotency,
+    PeerFill,
+    Role,
+    ServerState,
+)
+from thornjunction.interface.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    HealthCheckEnded,
+    PurgeReceived,
+    Request,
+    RequestExpired,
+    TimerFired,
+)
+from thornjunction.interface.servers import (
+    LoadReport,
+    ServerEntry,
+)
+from thornjunction.interface.settings import (
+    RequestClass,
+    Settings,
+)
+
+__all__ = [
+    "Action",
+    "AttemptEnded",
+    "AttemptStatus",
+    "CancelAttempt",
+    "CheckHealth",
+    "ClientDisconnected",
+    "DeduplicationScope",
+    "EndpointListUpdate",
+    "Event",
+    "FailRequest",
+    "FillReporting",
+    "FillResult",
+    "HealthCheckEnded",
+    "Idempotency",
+    "LoadReport",
+    "PeerFill",
+    "PurgeReceived",
+    "RejectRequest",
+    "Request",
+    "RequestClass",
+    "RequestExpired",
+    "Role",
+    "ServerEntry",
+    "ServerState",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "TimerFired",
+]
--- /dev/null
+++ b/thornjunction/interface/actions.py
@@ -0,0 +1,104 @@
+"""Actions: what a router returns for the caller to carry out, in their order."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class StartAttempt:
+    """Send the request to a server.  The attempts of one request are numbered from 0 in the order sent.
+
+    Attributes:
+        request_id: the request's identifier.
+        server: where to send it.
+        timeout_ms: time limit of the attempt, from now.
+        source: the server from which a miss is filled; ``server`` itself: a miss is not filled.
+        retention_rank: retention priority at which the copy is cached, 1 to 3, where 3 is kept longest; 0:
+            not cached.
+        max_age_ms: greatest age of a copy that may be served, at the server or the source; 0: the class's
+            fresh time.
+        coalesce: whether to wait for a fill that is in progress.
+        refresh_in_background: whether to serve an ageing copy and refresh it in the background.
+        cached_only: whether the source may give only what it has in its cache.
+        start_within_ms: an attempt that has not begun this long after the decision ends NOT_STARTED and
+            never runs.
+    """
+
+    request_id: str
+    server: str
+    timeout_ms: float
+    source: str
+    retention_rank: int = 0
+    max_age_ms: float = 0.0
+    coalesce: bool = False
+    refresh_in_background: bool = False
+    cached_only: bool = False
+    start_within_ms: float = math.inf
+
+
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Stop waiting for an attempt.
+
+    Proves nothing about whether it ran; an attempt that had not begun ends NOT_STARTED and never ran.
+
+    Attributes:
+        request_id: the request's identifier.
+        attempt_number: the attempt's number.
+    """
+
+    request_id: str
+    attempt_number: int
+
+
+@dataclass(frozen=True, slots=True)
+class RejectRequest:
+    """Final answer: not served, and safe to retry.
+
+    Attributes:
+        request_id: the request's identifier.
+        retry_after_ms: Retry-After time for the client; 0: none.
+    """
+
+    request_id: str
+    retry_after_ms: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class FailRequest:
+    """Final answer: not served, and the request may have run.
+
+    Attributes:
+        request_id: the request's identifier.
+    """
+
+    request_id: str
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Deliver ``TimerFired(token)`` after a time.
+
+    Attributes:
+        in_ms: time from now.
+        token: identifies the timer.
+    """
+
+    in_ms: float
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class CheckHealth:
+    """Send a health check to a server.
+
+    Attributes:
+        server: the server's name.
+    """
+
+    server: str
+
+
+Action = StartAttempt | CancelAttempt | RejectRequest | FailRequest | SetTimer | CheckHealth
--- /dev/null
+++ b/thornjunction/interface/servers.py
@@ -0,0 +1,47 @@
+"""What is known of one server: its line of the server list, and its load."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from thornjunction.interface.enums import Role, ServerState
+
+
+@dataclass(frozen=True, slots=True)
+class LoadReport:
+    """A server's load report; a value that was not reported is None.
+
+    Attributes:
+        cpu_utilization: share of its cores in use, 0 to 1.
+        hit_ratio: share of recent requests that were cache hits, 0 to 1.
+        link_utilization: of an edge cache server, the utilization of its zone's inbound link: transfers in
+            progress over those that fit at full rate.
+    """
+
+    cpu_utilization: float | None = None
+    hit_ratio: float | None = None
+    link_utilization: float | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class ServerEntry:
+    """One line of the server list.
+
+    Attributes:
+        server: the server's name, an opaque identifier.
+        role: its kind.
+        zone: the zone in which it stands.
+        state: whether it may get new work.
+        weight: its capacity relative to other servers; with ``Settings.servers_weighted``, in concurrent
+            transfers.
+        cell: the cell whose servers discard each other's repeats (``DeduplicationScope.CELL``).
+        started_ms: time of its last start on the caller's clock; 0: long ago.
+    """
+
+    server: str
+    role: Role
+    zone: str
+    state: ServerState = ServerState.SERVING
+    weight: float = 1.0
+    cell: int = 0
+    started_ms: float = 0.0
--- a/thornjunction/policy/__init__.py
+++ b/thornjunction/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the router; ``Router`` turns events into actions (thornjunction/interface.py)."""
+"""The decisions of the router; ``Router`` turns events into actions (``thornjunction.interface``)."""
