--- a/thornjunction/net/wire/admin.py
+++ b/thornjunction/net/wire/admin.py
@@ -6,20 +6,20 @@
 
 from thornjunction.net.wire import ProtocolError
 
+# Length of a command: they are short words.
 MAX_LINE_BYTES = 128
-"""Length of a command: they are short words."""
 
+# The command is accepted, or its result follows.
 ACK = "ACK"
-"""The command is accepted, or its result follows."""
 
+# The command is rejected.
 NAK = "NAK"
-"""The command is rejected."""
 
+# First word of each counter's name.
 COUNTER_PREFIX = "router"
-"""First word of each counter's name."""
 
+# The line after the last line of a result.
 END_OF_LINES = "--"
-"""The line after the last line of a result."""
 
 
 class LineReader:
--- a/thornjunction/net/wire/cgi.py
+++ b/thornjunction/net/wire/cgi.py
@@ -9,44 +9,44 @@
 from thornjunction.core.ports import Answer, ClientRequest, Failed, Rejected, Served
 from thornjunction.net.wire import ProtocolError
 
+# Transaction and object ids.
 HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII)
-"""Transaction and object ids."""
 
+# What may stand in a field of a request to a cache server.
 WORD = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)
-"""What may stand in a field of a request to a cache server."""
 
+# Path of requests, before the name of their class.
 REQUEST_PREFIX = "/do/"
-"""Path of requests, before the name of their class."""
 
+# Path of the platform's health check.
 HEALTH_CHECK_PATH = "/check"
-"""Path of the platform's health check."""
 
+# Response to a health check of a ready router.
 READY = b"Status: 200\r\n\r\n"
-"""Response to a health check of a ready router."""
 
+# Response to a health check of a router that is not ready, or drains.
 NOT_READY = b"Status: 503\r\n\r\n"
-"""Response to a health check of a router that is not ready, or drains."""
 
+# Response to a request that cannot be decoded.
 BAD_REQUEST = b"Status: 400\r\n\r\n"
-"""Response to a request that cannot be decoded."""
 
+# Largest part of an object.
 MAX_PART = 1 << 20
-"""Largest part of an object."""
 
+# Largest group: it is one byte.
 MAX_GROUP = 255
-"""Largest group: it is one byte."""
 
+# Longest time that a client waits, in milliseconds.
 MAX_LEFT_MS = 600_000.0
-"""Longest time that a client waits, in milliseconds."""
 
+# Largest size of a part, in kilobytes.
 MAX_SIZE_KB = 1e9
-"""Largest size of a part, in kilobytes."""
 
+# Time left of a request whose time is over: it is decided like any other.
 MIN_LEFT_MS = 1.0
-"""Time left of a request whose time is over: it is decided like any other."""
 
+# What a parameter's name has before the name of an HTTP header (RFC 3875 §4.1.18).
 HEADER_PREFIX = "HTTP_"
-"""What a parameter's name has before the name of an HTTP header (RFC 3875 §4.1.18)."""
 
 
 def decode_request(params: Mapping[str, str], body: bytes, spent_ms: float = 0.0) -> ClientRequest:
--- a/thornjunction/net/wire/collectd.py
+++ b/thornjunction/net/wire/collectd.py
@@ -8,29 +8,29 @@
 
 from thornjunction.net.wire.graphite import Sample
 
+# Size of a datagram, by the protocol: no Ethernet network fragments it.
 MAX_PACKET_BYTES = 1452
-"""Size of a datagram, by the protocol: no Ethernet network fragments it."""
 
+# Length of a name, by the protocol: 64 bytes with the terminating zero.
 MAX_TEXT_BYTES = 63
-"""Length of a name, by the protocol: 64 bytes with the terminating zero."""
 
+# The plugin that all values belong to.
 PLUGIN_NAME = "thornjunction"
-"""The plugin that all values belong to."""
 
+# Units of a high-resolution time.
 TICKS_PER_S = 1 << 30
-"""Units of a high-resolution time."""
 
+# Type and length of a part; the length includes this header.
 PART_HEADER = struct.Struct(">HH")
-"""Type and length of a part; the length includes this header."""
 
+# Header and ticks.
 TIME_PART = struct.Struct(">HHQ")
-"""Header and ticks."""
 
+# Header, number of values and data source type of a part with one value.
 VALUES_HEADER = struct.Struct(">HHHB")
-"""Header, number of values and data source type of a part with one value."""
 
+# Size of a value of each type.
 VALUE_BYTES = 8
-"""Size of a value of each type."""
 
 
 class PartType(IntEnum):
--- a/thornjunction/net/wire/command_stream.py
+++ b/thornjunction/net/wire/command_stream.py
@@ -12,29 +12,29 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Commands, parse_head
 
+# Bytes between the ends of two events: a list of 6,000 endpoints.
 MAX_EVENT_BYTES = 1_000_000
-"""Bytes between the ends of two events: a list of 6,000 endpoints."""
 
+# Values, names and brackets of one event; the worst such event takes some 10 MB of memory.
 MAX_EVENT_NODES = 1 << 17
-"""Values, names and brackets of one event; the worst such event takes some 10 MB of memory."""
 
+# Depth of nesting; an event of the protocol has four levels.
 MAX_DEPTH = 16
-"""Depth of nesting; an event of the protocol has four levels."""
 
+# Depth within the response.
 RESPONSE_DEPTH = 1
-"""Depth within the response."""
 
+# Depth within its list of events.
 EVENTS_DEPTH = 2
-"""Depth within its list of events."""
 
+# Change of the depth by the kind of a parser's call; others change nothing.
 DEPTH_CHANGES = {"start_map": 1, "start_array": 1, "end_map": -1, "end_array": -1}
-"""Change of the depth by the kind of a parser's call; others change nothing."""
 
+# Keys of what a response says beside its events.
 HEAD_KEYS = ("cursor", "epoch", "age")
-"""Keys of what a response says beside its events."""
 
+# Key of the list of events.
 EVENTS_KEY = "cmds"
-"""Key of the list of events."""
 
 Builder = Generator[None, tuple[str, Any], None]
 
--- /dev/null
+++ b/thornjunction/net/wire/commands/events.py
@@ -0,0 +1,114 @@
+"""Reading of one event from parsed JSON: all that is readable of it, on the side that breaks no rule."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Mapping
+from typing import Any, TypeVar
+
+from thornjunction import interface as api
+from thornjunction.net.wire.commands.address import Address, parse_address
+from thornjunction.net.wire.commands.messages import STATES, Command, Host, ListChange, Purge
+from thornjunction.net.wire.commands.values import (
+    UNREADABLE,
+    Faults,
+    MalformedValueError,
+    optional_unsigned,
+    signed,
+    unsigned,
+)
+
+# Object ids are below it: they have 64 bits.
+MAX_OBJECT_ID = 1 << 64
+
+# Base of an object id's digits.
+HEX = 16
+
+T = TypeVar("T")
+
+
+def read_event(event: Any, cursor: int, faults: Faults) -> Command | None:
+    """Read an event; None for one that is unknown, or cannot be read."""
+    try:
+        if "nodes" in event:
+            return _read_list_change(cursor, event["nodes"], faults)
+        if "drop" in event:
+            return _read_purge(cursor, event["drop"], faults)
+    except UNREADABLE:
+        faults.add("event-form")
+    return None
+
+
+def _read_list_change(cursor: int, nodes: Mapping[str, Any], faults: Faults) -> ListChange:
+    lines = nodes["hosts"]
+    if not isinstance(lines, list):
+        raise MalformedValueError
+    hosts = [host for line in lines if (host := _read_host(line, faults)) is not None]
+    if lines and not hosts:
+        # A complete list of nothing but malformed lines would otherwise end all endpoints.
+        raise MalformedValueError
+    seq = optional_unsigned(nodes, "seq")
+    is_complete = bool(nodes.get("whole", False))
+    return ListChange(cursor, is_complete, tuple(hosts), None if seq is None else int(seq))
+
+
+def _read_host(line: Any, faults: Faults) -> Host | None:
+    """Read a line of the list; None for one without a name.
+
+    A host with any other malformed value is leaving, except for the weight, on which no rule depends.
+    """
+    if not isinstance(line, Mapping) or not isinstance(line.get("host"), str):
+        faults.add("host-name")
+        return None
+    weight = _read_value(line, "share", unsigned, 1.0, faults)
+    harmless_faults = len(faults.codes)
+    state = _read_value(line, "health", STATES.__getitem__, api.ServerState.DRAINING, faults)
+    address = _read_value(line, "dial", _optional_address, None, faults)
+    started_unix_ms = _read_value(line, "born_ms", signed, 0.0, faults)
+    cell = _read_value(line, "block", signed, 0.0, faults)
+    if "health" not in line:
+        faults.add("host-health")
+    if state is api.ServerState.SERVING and len(faults.codes) > harmless_faults:
+        state = api.ServerState.DRAINING
+    return Host(
+        name=line["host"],
+        address=address,
+        site=str(line.get("site", "")),
+        kind=str(line.get("class", "")),
+        cell=int(cell),
+        state=state,
+        weight=float(weight),
+        started_unix_ms=float(started_unix_ms),
+    )
+
+
+def _read_value(
+    line: Mapping[str, Any], key: str, convert: Callable[[Any], T], default: T, faults: Faults
+) -> T:
+    """Read one value of a line; the default where it is missing or malformed."""
+    try:
+        return convert(line[key]) if key in line else default
+    except UNREADABLE:
+        faults.add(f"host-{key}")
+        return default
+
+
+def _optional_address(text: Any) -> Address | None:
+    return parse_address(text) if text else None
+
+
+def _read_purge(cursor: int, drop: Mapping[str, Any], faults: Faults) -> Purge:
+    key: int | None = None
+    group = 0
+    if "id" in drop:
+        key = int(drop["id"], HEX)
+        if not 0 <= key < MAX_OBJECT_ID:
+            raise MalformedValueError
+    else:
+        group = int(unsigned(drop["family"]))
+    try:
+        issued_unix_ms = float(unsigned(drop["when"]))
+    except UNREADABLE:
+        faults.add("drop-when")
+        issued_unix_ms = math.inf
+    return Purge(cursor, key, group, issued_unix_ms)
--- a/thornjunction/net/wire/gossip.py
+++ b/thornjunction/net/wire/gossip.py
@@ -15,32 +15,32 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.signing.replay import KEY_BYTES, ReplayEntry
 
+# The format and its version.
 MAGIC = b"TJG1"
-"""The format and its version."""
 
+# Length of HMAC-SHA256.
 MAC_BYTES = 32
-"""Length of HMAC-SHA256."""
 
+# Number of entries.
 COUNT = struct.Struct(">H")
-"""Number of entries."""
 
+# Key and expiry in Unix seconds.
 ENTRY = struct.Struct(f">{KEY_BYTES}sI")
-"""Key and expiry in Unix seconds."""
 
+# Bytes before the entries.
 HEADER_BYTES = len(MAGIC) + COUNT.size
-"""Bytes before the entries."""
 
+# Entries of a datagram: 1,318 bytes at most, below the usual MTU.
 MAX_ENTRIES = 64
-"""Entries of a datagram: 1,318 bytes at most, below the usual MTU."""
 
+# A datagram without entries.
 MIN_DATAGRAM_BYTES = HEADER_BYTES + MAC_BYTES
-"""A datagram without entries."""
 
+# A datagram of ``MAX_ENTRIES``.
 MAX_DATAGRAM_BYTES = MIN_DATAGRAM_BYTES + MAX_ENTRIES * ENTRY.size
-"""A datagram of ``MAX_ENTRIES``."""
 
+# The largest expiry that the wire holds.
 LAST_EXPIRY_S = 0xFFFFFFFF
-"""The largest expiry that the wire holds."""
 
 
 class TooManyEntriesError(ValueError):
--- a/thornjunction/net/wire/graphite.py
+++ b/thornjunction/net/wire/graphite.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+# Characters that a path must not contain; each is replaced by an underscore.
 UNSAFE = re.compile(r"[^0-9A-Za-z_.-]", re.ASCII)
-"""Characters that a path must not contain; each is replaced by an underscore."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/thornjunction/net/wire/polls.py
+++ b/thornjunction/net/wire/polls.py
@@ -11,32 +11,32 @@
 
 from thornjunction.net.wire import ProtocolError
 
+# Path of a poll.
 PATH = "/cmd/next"
-"""Path of a poll."""
 
+# Path and query of a poll: some times what a relay sends with all its lagging routers.
 MAX_TARGET_CHARACTERS = 1024
-"""Path and query of a poll: some times what a relay sends with all its lagging routers."""
 
+# Parameters of a poll: twice those that are known, because the protocol may grow.
 MAX_PAIRS = 16
-"""Parameters of a poll: twice those that are known, because the protocol may grow."""
 
+# Lagging routers that a relay names.
 MAX_NAMES = 8
-"""Lagging routers that a relay names."""
 
+# Longest time that a poll may wait, by the protocol.
 MAX_BLOCK_MS = 5_000
-"""Longest time that a poll may wait, by the protocol."""
 
+# Values of ``as``.
 ROLES = ("router", "relay", "sibling", "probe")
-"""Values of ``as``."""
 
+# Name of a router, a relay or an epoch.
 NAME = re.compile(r"[A-Za-z0-9._-]{1,32}")
-"""Name of a router, a relay or an epoch."""
 
+# A number's digits.
 NUMBER = re.compile(r"[0-9]{1,16}")
-"""A number's digits."""
 
+# The largest integer that all JSON readers agree on.
 MAX_NUMBER = 1 << 53
-"""The largest integer that all JSON readers agree on."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/thornjunction/net/wire/ranges.py
+++ b/thornjunction/net/wire/ranges.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+# One range with its first and last byte (§14.1.2); either may be missing.
 SINGLE_RANGE = re.compile(r"bytes=(\d{0,15})-(\d{0,15})", re.ASCII)
-"""One range with its first and last byte (§14.1.2); either may be missing."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/thornjunction/net/wire/resp.py
+++ b/thornjunction/net/wire/resp.py
@@ -7,26 +7,26 @@
 
 from thornjunction.net.wire import ProtocolError
 
+# Items of an array: a cache server's longest message has four.
 MAX_ITEMS = 8
-"""Items of an array: a cache server's longest message has four."""
 
+# Length of a bulk string, the body of a response among them, where the caller names no other.
 MAX_BULK = 240_000
-"""Length of a bulk string, the body of a response among them, where the caller names no other."""
 
+# Length of a line with a count, its end included.
 MAX_LINE_BYTES = 32
-"""Length of a line with a count, its end included."""
 
+# First byte of the line that opens an array.
 ARRAY_MARK = b"*"
-"""First byte of the line that opens an array."""
 
+# First byte of the line that opens a bulk string.
 BULK_MARK = b"$"
-"""First byte of the line that opens a bulk string."""
 
+# End of each line and of each bulk string.
 LINE_END = b"\r\n"
-"""End of each line and of each bulk string."""
 
+# Memory counted for an open array beside its items.
 ARRAY_OVERHEAD_BYTES = 64
-"""Memory counted for an open array beside its items."""
 
 
 class _State(Enum):
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -14,26 +14,26 @@
 from thornjunction.net.wire.cgi import MAX_GROUP, MAX_PART, MAX_SIZE_KB, WORD, parse_number
 from thornjunction.net.wire.http1 import HttpRequest, HttpResponse
 
+# Name of the URI attribute and of the cookie that carry a token (RFC 9246 §2.1.14).
 PACKAGE = "URISigningPackage"
-"""Name of the URI attribute and of the cookie that carry a token (RFC 9246 §2.1.14)."""
 
+# Class, group, object and part.
 PATH = re.compile(r"/([0-9A-Za-z_-]{1,64})/(0|[1-9]\d{0,2})/([0-9a-f]{16})/(0|[1-9]\d{0,6})", re.ASCII)
-"""Class, group, object and part."""
 
+# Largest time that a client may say it waits; its class bounds it further.
 MAX_CLIENT_TIME_MS = 1e9
-"""Largest time that a client may say it waits; its class bounds it further."""
 
+# ``Retry-After`` is in whole seconds (RFC 9110 §10.2.3), and 0 would bring the client back at once.
 MIN_RETRY_AFTER_S = 1
-"""``Retry-After`` is in whole seconds (RFC 9110 §10.2.3), and 0 would bring the client back at once."""
 
+# Methods of a class whose requests are idempotent.
 READ_METHODS = ("GET", "HEAD")
-"""Methods of a class whose requests are idempotent."""
 
+# Methods of the other classes.
 WRITE_METHODS = ("POST",)
-"""Methods of the other classes."""
 
+# Milliseconds of a second.
 MS_PER_S = 1000
-"""Milliseconds of a second."""
 
 
 class RequestError(Exception):
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -16,17 +16,17 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.resp import encode_array
 
+# Items of a response.
 RESPONSE_ITEMS = 4
-"""Items of a response."""
 
+# Fields of a response, the load report among them.
 MAX_FIELDS_BYTES = 4096
-"""Fields of a response, the load report among them."""
 
+# Fields of a response that has none.
 NO_FIELDS = (b"-", b"")
-"""Fields of a response that has none."""
 
+# Times are sent in whole milliseconds, rounded down; 0 would mean none.
 MIN_TIME_MS = 1
-"""Times are sent in whole milliseconds, rounded down; 0 would mean none."""
 
 
 class ResponseCode(Enum):
