--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -4,11 +4,14 @@
 
 import io
 import json
+import sys
 from typing import Any
 
 import pytest
 
 from thornjunction import adapter
+from thornjunction.policy.router import Router
+from thornjunction.settings import WireError
 
 PARAMS: dict[str, Any] = {
     "allowed": {"attemptsCap": 4, "cancel": True, "probing": False},
@@ -47,7 +50,7 @@
 
 def run(text: str) -> tuple[list[str], str]:
     output, complaints = io.StringIO(), io.StringIO()
-    adapter.Host(output, complaints).run(io.StringIO(text))
+    adapter.Session(output, complaints).run(io.StringIO(text))
     return output.getvalue().splitlines(), complaints.getvalue()
 
 
@@ -111,9 +114,9 @@
 )
 def test_a_malformed_line_ends_the_run(text: str, monkeypatch: pytest.MonkeyPatch) -> None:
     output, complaints = io.StringIO(), io.StringIO()
-    monkeypatch.setattr(adapter.sys, "stdin", io.StringIO(text))
-    monkeypatch.setattr(adapter.sys, "stdout", output)
-    monkeypatch.setattr(adapter.sys, "stderr", complaints)
+    monkeypatch.setattr(sys, "stdin", io.StringIO(text))
+    monkeypatch.setattr(sys, "stdout", output)
+    monkeypatch.setattr(sys, "stderr", complaints)
     assert adapter.main() != 0
     assert complaints.getvalue().startswith("thornjunction: ")
     assert "Traceback" not in complaints.getvalue()
@@ -131,7 +134,7 @@
 def test_missing_or_impossible_settings_are_named(section: str | None, name: str, bad: Any) -> None:
     params = json.loads(json.dumps(PARAMS))
     (params[section] if section else params)[name] = bad
-    with pytest.raises(adapter.WireError, match=name):
+    with pytest.raises(WireError, match=name):
         run(batch(begin(params)))
 
 
@@ -139,6 +142,6 @@
     def broken(self: object, now: float, event: object) -> list[object]:
         raise IndexError("out of range")
 
-    monkeypatch.setattr(adapter.Router, "handle", broken)
+    monkeypatch.setattr(Router, "handle", broken)
     lines, _ = run(batch(begin()))
     assert lines[0] == "FATAL who=3 bodyText=IndexError: out of range"
--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -10,7 +10,6 @@
 from __future__ import annotations
 
 import itertools
-import string
 import zlib
 from collections.abc import Iterator
 from typing import Generic, TypeVar
@@ -27,6 +26,8 @@
 SHRINK_MARGIN = 1.25
 # Routers that ask a block in the mean, at least: of few, some block would have none, and its caches idle.
 MIN_ROUTERS_PER_BLOCK = 2
+# Digits of a number at the end of a router's name; the module ``string`` is slow to import.
+DIGITS = "0123456789"
 # Last digits of a router's name that count as its number.
 ORDINAL_DIGITS = 18
 HASH_VALUES = 1 << 64
@@ -45,7 +46,7 @@
     """
     if not name:
         return mix64(seed)
-    prefix = name.rstrip(string.digits)
+    prefix = name.rstrip(DIGITS)
     ordinal = int(name[len(prefix) :][-ORDINAL_DIGITS:] or 0)
     return (mix64(zlib.crc32(prefix.encode())) + ordinal * GOLDEN_RATIO_64) % HASH_VALUES
 
