--- a/thornjunction/signing/address.py
+++ b/thornjunction/signing/address.py
@@ -12,14 +12,14 @@
 
 Address = IPv4Address | IPv6Address
 
+# Header of RFC 7239, in lower case.
 FORWARDED = "forwarded"
-"""Header of RFC 7239, in lower case."""
 
+# The header that proxies set before RFC 7239, in lower case.
 X_FORWARDED_FOR = "x-forwarded-for"
-"""The header that proxies set before RFC 7239, in lower case."""
 
+# Headers that can be configured; empty: none is read.
 HEADERS = ("", FORWARDED, X_FORWARDED_FOR)
-"""Headers that can be configured; empty: none is read."""
 
 
 class ForwardingHeaderError(ValueError):
--- a/thornjunction/signing/keyset.py
+++ b/thornjunction/signing/keyset.py
@@ -17,17 +17,17 @@
 from thornjunction.settings import WireError, parse_json
 from thornjunction.signing.tokens import Key, SigningKey
 
+# Keys in a set: some times more than a rotation needs, so that a wrong file stays cheap.
 MAX_KEYS = 64
-"""Keys in a set: some times more than a rotation needs, so that a wrong file stays cheap."""
 
+# Size of a key set's file: ``MAX_KEYS`` keys with certificate chains stay below it.
 MAX_FILE_BYTES = 1 << 20
-"""Size of a key set's file: ``MAX_KEYS`` keys with certificate chains stay below it."""
 
+# Length of a ``kid``, which each log line on a key carries.
 MAX_KID_CHARACTERS = 64
-"""Length of a ``kid``, which each log line on a key carries."""
 
+# Hex digits of SHA-256 that tell one version of a file from another.
 DIGEST_HEX_DIGITS = 16
-"""Hex digits of SHA-256 that tell one version of a file from another."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +38,8 @@
     importer: type[ECKey] | type[OctKey]
 
 
+# The type of key that each supported ``alg`` needs.
 KEY_TYPES: dict[str, KeyType] = {"ES256": KeyType("EC", ECKey), "HS256": KeyType("oct", OctKey)}
-"""The type of key that each supported ``alg`` needs."""
 
 
 class KeySetError(Exception):
--- a/thornjunction/signing/replay.py
+++ b/thornjunction/signing/replay.py
@@ -15,20 +15,20 @@
 import math
 from dataclasses import dataclass
 
+# Memory of one entry, a key in a dict and in a slot's list: the most that was measured with tracemalloc.
 ENTRY_BYTES = 320
-"""Memory of one entry, a key in a dict and in a slot's list: the most that was measured with tracemalloc."""
 
+# Length of a replay key: by chance, no two tokens of a fleet's whole life have the same one.
 KEY_BYTES = 16
-"""Length of a replay key: by chance, no two tokens of a fleet's whole life have the same one."""
 
+# Memory for about 26,000 tokens.
 DEFAULT_CAPACITY_BYTES = 8 << 20
-"""Memory for about 26,000 tokens."""
 
+# Seconds by which an expired entry may be removed late.
 DEFAULT_SLOT_S = 10.0
-"""Seconds by which an expired entry may be removed late."""
 
+# Longest lifetime of a token, in seconds: one day.
 DEFAULT_HORIZON_S = 86_400.0
-"""Longest lifetime of a token, in seconds: one day."""
 
 
 class ReplayWindowSizeError(ValueError):
@@ -69,14 +69,14 @@
         return not self.code
 
 
+# The token's first use.
 ACCEPTED = Verdict()
-"""The token's first use."""
 
+# The token was used before, here or at a peer.
 REPLAYED = Verdict("token-replayed")
-"""The token was used before, here or at a peer."""
 
+# The token lives longer than the window remembers.
 BEYOND_HORIZON = Verdict("token-replay-horizon")
-"""The token lives longer than the window remembers."""
 
 
 def replay_key(issuer: str, jti: str) -> bytes:
