--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,10 +1,12 @@
-"""The adapter on hand-written wire text."""
+"""The simulator's adapter on hand-written wire text."""
 
 from __future__ import annotations
 
+import copy
 import io
 import json
 import sys
+from dataclasses import dataclass
 from typing import Any
 
 import pytest
@@ -39,65 +41,93 @@
 REQUEST = "REQ who=3 requestId=aa kind=files key=77 graceMs=2500.0 sizeKb=640 batchId=11 chunk=3 odd=1\n"
 
 
+@dataclass(frozen=True, slots=True)
+class Transcript:
+    """What the adapter wrote: lines of replies, and warnings as one text."""
+
+    replies: list[str]
+    warnings: str
+
+
 def begin(params: dict[str, Any] = PARAMS) -> str:
+    """Messages that start instance 3 and give it the list of servers."""
     members = "MEMBERS who=3 index=1 kind=C slot=0\n"
     return f"BEGIN who=3 randomSeed=5 params={json.dumps(params)}\n{LIST}{members}"
 
 
-def batch(body: str, turn: int = 1, now: float = 100.0) -> str:
-    return f"CLOCK nowMs={now} turn={turn}\n{body}GO\n"
+def batch(messages: str, turn: int = 1, now_ms: float = 100.0) -> str:
+    """The lines of one turn."""
+    return f"CLOCK nowMs={now_ms} turn={turn}\n{messages}GO\n"
+
 
+def verdict(status: str, **fields: object) -> str:
+    """The outcome of the first attempt of request ``aa``."""
+    more = "".join(f" {name}={value}" for name, value in fields.items())
+    return f"VERDICT who=3 requestId=aa status={status} roundNo=0 cache=c1{more}\n"
 
-def run(text: str) -> tuple[list[str], str]:
-    output, complaints = io.StringIO(), io.StringIO()
-    adapter.Session(output, complaints).run(io.StringIO(text))
-    return output.getvalue().splitlines(), complaints.getvalue()
+
+def run(text: str) -> Transcript:
+    """Run a session on this input."""
+    output = io.StringIO()
+    warnings = io.StringIO()
+    adapter.Session(output, warnings).run(io.StringIO(text))
+    return Transcript(output.getvalue().splitlines(), warnings.getvalue())
 
 
 def test_an_empty_batch_is_answered() -> None:
-    assert run("CLOCK nowMs=8412.25 turn=1\nGO\n") == (["OK turn=1"], "")
+    assert run("CLOCK nowMs=8412.25 turn=1\nGO\n") == Transcript(["OK turn=1"], warnings="")
 
 
 def test_a_request_is_sent_with_all_terms() -> None:
-    lines, complaints = run(batch(begin()) + batch(REQUEST, 2, 150.0))
-    (sent,) = [line for line in lines if line.startswith("OBTAIN")]
-    fields = dict(part.split("=") for part in sent.split(" ")[1:])
-    assert fields["who"] == "3" and fields["requestId"] == "aa" and fields["cache"] == "c1"
-    assert fields["missFrom"] in ("p1", "o1") and fields["rank"] in "123" and fields["how"] == "9"
+    transcript = run(batch(begin()) + batch(REQUEST, turn=2, now_ms=150.0))
+    (attempt,) = [line for line in transcript.replies if line.startswith("OBTAIN")]
+    fields = dict(part.split("=") for part in attempt.split(" ")[1:])
+    assert fields["who"] == "3"
+    assert fields["requestId"] == "aa"
+    assert fields["cache"] == "c1"
+    assert fields["missFrom"] in ("p1", "o1")
+    assert fields["rank"] in "123"
+    assert fields["how"] == "9"
     assert 0 < float(fields["allowForMs"]) <= 2500.0
-    assert [line for line in lines if line.startswith("OK")] == ["OK turn=1", "OK turn=2"]
-    assert complaints == ""
+    ends = [line for line in transcript.replies if line.startswith("OK")]
+    assert ends == ["OK turn=1", "OK turn=2"]
+    assert transcript.warnings == ""
 
 
 def test_outcomes_reach_the_router() -> None:
-    outcome = "VERDICT who=3 requestId=aa waitTimeMs=18.5 status={} detail={} roundNo=0 cache=c1 {}\n"
-    served = outcome.format("done", 2, "sourceWaitMs=9.4 terminal=1 report=0.5,0.9")
-    lines, _ = run(batch(begin()) + batch(REQUEST, 2) + batch(served, 3))
-    assert lines[-1] == "OK turn=3" and lines[-2] == "OK turn=2"
-    failed = outcome.format("err", 7, "")
-    lines, _ = run(batch(begin()) + batch(REQUEST, 2) + batch(failed, 3))
-    assert lines[-2].startswith("OBTAIN")
+    request = batch(begin()) + batch(REQUEST, turn=2)
+    served = verdict("done", waitTimeMs=18.5, detail=2, sourceWaitMs=9.4, terminal=1, report="0.5,0.9")
+    assert run(request + batch(served, turn=3)).replies[-2:] == ["OK turn=2", "OK turn=3"]
+    failed = verdict("err", waitTimeMs=18.5, detail=7)
+    assert run(request + batch(failed, turn=3)).replies[-2].startswith("OBTAIN")
 
 
 def test_unsafe_writes_fail_after_an_error() -> None:
     write = REQUEST.replace("kind=files", "kind=writes")
-    error = "VERDICT who=3 requestId=aa waitTimeMs=5 status=econnreset roundNo=0 cache=c1\n"
-    lines, _ = run(batch(begin()) + batch(write, 2) + batch(error, 3))
-    assert lines[-2] == "RESPOND_ERROR who=3 requestId=aa"
+    error = verdict("econnreset", waitTimeMs=5)
+    transcript = run(batch(begin()) + batch(write, turn=2) + batch(error, turn=3))
+    assert transcript.replies[-2] == "RESPOND_ERROR who=3 requestId=aa"
+
+
+def test_a_stopped_instance_is_silent() -> None:
+    transcript = run(batch(begin()) + batch("KILL who=3\n" + REQUEST, turn=2) + batch(begin(), turn=3))
+    assert "OBTAIN" not in "".join(transcript.replies)
+    assert "not running" in transcript.warnings
 
 
-def test_a_restart_forgets_and_a_stopped_instance_is_silent() -> None:
-    lines, complaints = run(batch(begin()) + batch("KILL who=3\n" + REQUEST, 2) + batch(begin(), 3))
-    assert "OBTAIN" not in "".join(lines) and "not running" in complaints
-    late = "VERDICT who=3 requestId=aa waitTimeMs=5 status=done roundNo=0 cache=c1 terminal=1\n"
-    lines, _ = run(batch(begin()) + batch(REQUEST, 2) + batch("KILL who=3\n" + begin() + late, 3))
-    assert not [line for line in lines[lines.index("OK turn=2") :] if "requestId" in line]
+def test_a_restarted_instance_has_no_earlier_requests() -> None:
+    late = verdict("done", waitTimeMs=5, terminal=1)
+    restart = "KILL who=3\n" + begin() + late
+    replies = run(batch(begin()) + batch(REQUEST, turn=2) + batch(restart, turn=3)).replies
+    after_restart = replies[replies.index("OK turn=2") :]
+    assert not [line for line in after_restart if "requestId" in line]
 
 
-def test_an_unknown_message_is_ignored_with_a_complaint() -> None:
-    lines, complaints = run(batch(begin() + "NOVELTY who=3 a=1\nODD b=2\n"))
-    assert lines[-1] == "OK turn=1"
-    assert "NOVELTY" in complaints and "ODD" in complaints
+def test_an_unknown_message_is_ignored_with_a_warning() -> None:
+    transcript = run(batch(begin() + "NOVELTY who=3 a=1\nODD b=2\n"))
+    assert transcript.replies[-1] == "OK turn=1"
+    assert "NOVELTY" in transcript.warnings
+    assert "ODD" in transcript.warnings
 
 
 @pytest.mark.parametrize(
@@ -113,17 +143,17 @@
     ],
 )
 def test_a_malformed_line_ends_the_run(text: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    output, complaints = io.StringIO(), io.StringIO()
+    errors = io.StringIO()
     monkeypatch.setattr(sys, "stdin", io.StringIO(text))
-    monkeypatch.setattr(sys, "stdout", output)
-    monkeypatch.setattr(sys, "stderr", complaints)
+    monkeypatch.setattr(sys, "stdout", io.StringIO())
+    monkeypatch.setattr(sys, "stderr", errors)
     assert adapter.main() != 0
-    assert complaints.getvalue().startswith("thornjunction: ")
-    assert "Traceback" not in complaints.getvalue()
+    assert errors.getvalue().startswith("thornjunction: ")
+    assert "Traceback" not in errors.getvalue()
 
 
 @pytest.mark.parametrize(
-    ("section", "name", "bad"),
+    ("section", "name", "value"),
     [
         ("safety", "coldMs", "soon"),
         ("safety", "fallMs", -1),
@@ -131,17 +161,17 @@
         (None, "zones", 3),
     ],
 )
-def test_missing_or_impossible_settings_are_named(section: str | None, name: str, bad: Any) -> None:
-    params = json.loads(json.dumps(PARAMS))
-    (params[section] if section else params)[name] = bad
+def test_missing_or_impossible_settings_are_named(section: str | None, name: str, value: object) -> None:
+    params = copy.deepcopy(PARAMS)
+    settings = params if section is None else params[section]
+    settings[name] = value
     with pytest.raises(WireError, match=name):
         run(batch(begin(params)))
 
 
-def test_an_exception_in_the_module_is_reported_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, event: object) -> list[object]:
+def test_an_exception_in_the_router_is_reported_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_index_error(self: object, now_ms: float, event: object) -> list[object]:
         raise IndexError("out of range")
 
-    monkeypatch.setattr(Router, "handle", broken)
-    lines, _ = run(batch(begin()))
-    assert lines[0] == "FATAL who=3 bodyText=IndexError: out of range"
+    monkeypatch.setattr(Router, "handle", raise_index_error)
+    assert run(batch(begin())).replies[0] == "FATAL who=3 bodyText=IndexError: out of range"
