--- /dev/null
+++ b/tests/net/wire/builders.py
@@ -0,0 +1,100 @@
+"""Builders of wire messages for tests."""
+
+from __future__ import annotations
+
+import json
+import struct
+from typing import Any
+
+from fakes.clients import fastcgi_request
+
+from thornjunction import interface as api
+from thornjunction.core.ports import ClientRequest, UpstreamRequest
+from thornjunction.net.wire import collectd
+
+# Parameters of a complete request on the platform's front; one value needs a long length.
+PARAMS = {
+    "SCRIPT_NAME": "/do/clips",
+    "HTTP_X_TXN": "9b1f03aa5c7e2d41",
+    "HTTP_X_ROW": "7f3a9c21e0b4d655",
+    "HTTP_X_TTL_MS": "1500",
+    "HTTP_X_WORKING_SET_KB": "412.5",
+    "LONG": "x" * 300,
+}
+
+# Time of each packet that ``collectd_values`` reads, in seconds.
+COLLECTD_TIME_S = 10.5
+
+# Bytes before the content of a collectd part: its type and its size.
+COLLECTD_PART_HEADER = struct.Struct(">HH")
+
+
+def encoded_fastcgi_request(
+    request_id: int = 7,
+    params: dict[str, str] = PARAMS,
+    body: bytes = b"body",
+    keep_alive: int = 1,
+) -> bytes:
+    """The records of a complete request."""
+    return fastcgi_request(request_id, params, body, keep_alive)
+
+
+def upstream_request(**fetch_fields: Any) -> UpstreamRequest:
+    """An attempt at server ``s1`` with source ``p1``; with fields given, one without a source."""
+    client_request = ClientRequest(
+        "id", "readings", "7f3a9c21e0b4d655", 900.0, if_none_match="tag", body=b"b"
+    )
+    if fetch_fields:
+        fetch = api.StartAttempt("1", "s1", 900.7, "s1", **fetch_fields)
+    else:
+        fetch = api.StartAttempt(
+            "1",
+            "s1",
+            900.7,
+            "p1",
+            retention_rank=2,
+            max_age_ms=0.4,
+            refresh_in_background=True,
+            cached_only=True,
+        )
+    return UpstreamRequest(1, client_request, fetch)
+
+
+def purge_event(cursor: int) -> dict[str, Any]:
+    """An event that purges one object."""
+    return {"cursor": cursor, "drop": {"id": f"{cursor:016x}", "when": 1_764_576_000_123 + cursor}}
+
+
+def host_line(name: str, **fields: Any) -> dict[str, Any]:
+    """A line of the endpoint list: an edge cache server."""
+    line = {
+        "host": name,
+        "dial": "127.0.0.1:9",
+        "site": "z1",
+        "class": "box",
+        "block": 0,
+        "health": "active",
+        "share": 8.0,
+    }
+    return line | fields
+
+
+def commands_body(events: list[Any], cursor: int, **fields: Any) -> bytes:
+    """The body of a response of the command channel."""
+    return json.dumps({"cursor": cursor, "cmds": events} | fields).encode()
+
+
+def collectd_values(packet: bytes) -> list[float]:
+    """Values of a packet, by a reader that follows the protocol's description."""
+    values: list[float] = []
+    position = 0
+    while position < len(packet):
+        part_type, size = COLLECTD_PART_HEADER.unpack_from(packet, position)
+        if part_type == collectd.PartType.VALUES:
+            (source_type,) = struct.unpack_from("B", packet, position + 6)
+            value_format = ">q" if source_type == collectd.DataSourceType.DERIVE else "<d"
+            values.append(struct.unpack_from(value_format, packet, position + 7)[0])
+        elif part_type == collectd.PartType.TIME_HR:
+            assert struct.unpack_from(">Q", packet, position + 4)[0] == int(COLLECTD_TIME_S * 2**30)
+        position += size
+    return values
--- a/tests/net/wire/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -1,100 +1,86 @@
-"""The parser of long answers, what a relay tells beside its events, and which purges are fed on."""
+"""The parser of responses that arrive in parts."""
 
 from __future__ import annotations
 
 import json
 import random
-import time
-from typing import Any
-from unittest.mock import patch
 
 import pytest
-from fakes.fake_discovery import line, purge, purges, told
 
-from tests.net.discovery.test_watch import service_of
+from tests.net.wire.builders import commands_body, host_line, purge_event
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.command_stream import CommandStreamParser
-from thornjunction.net.wire.commands import Commands, Purge, decode_commands
-
-ODD = [b"9" * 19, b"9" * 5000, b"1e400", b"-", b"1.", b"NaN", b"nul", b"0" * 50, b"/*", b"\x00", b"[" * 40]
-ODD += [b"\xff", b"\xed\xa0\x80", b"\xef\xbb\xbf", b"\xf0\x9f", b"\\ud800", b"\\u00", b"\\"]
-ODD += [letter.encode() for letter in '"[]{},:']
-
-
-def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
-    service = service_of()
-    takes_ms, now_ms = service.config.settings.purge_propagation_ms, time.time() * 1000.0
-    with patch.object(service.engine, "feed") as feed:
-        for number, age_ms in enumerate((takes_ms + 3_600_000.0, takes_ms + 1000.0, takes_ms - 1000.0), 1):
-            service.handle_command(Purge(number, number, 0, now_ms - age_ms))
-    assert [call.args[0].key for call in feed.call_args_list] == [3]
-    service.alarm.stop()
-
-
-def test_what_a_relay_tells_more_is_kept_and_else_is_none() -> None:
-    change = {"cursor": 1, "nodes": {"seq": 7, "whole": True, "hosts": [line("c1")]}}
-    told = decode_commands(
-        json.dumps({"cursor": 1, "cmds": [change], "epoch": "r-1.a_B", "age": 12.5}).encode()
-    )
-    assert (told.epoch, told.age_ms, told.events[0].seq) == ("r-1.a_B", 12.5, 7)  # type: ignore[union-attr]
-    plain = decode_commands(
-        json.dumps({"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"hosts": []}}]}).encode()
-    )
-    assert (plain.epoch, plain.age_ms, plain.events[0].seq) == (None, None, None)  # type: ignore[union-attr]
-    for epoch in ("", "x" * 33, "a b", "\n", 7, None):
-        assert decode_commands(json.dumps({"cursor": 1, "cmds": [], "epoch": epoch}).encode()).epoch is None
-    for age in (-1, "3", True, None, [], float("nan")):
-        assert decode_commands(json.dumps({"cursor": 1, "cmds": [], "age": age}).encode()).age_ms is None
-
-
-def test_a_long_answer_says_what_a_short_one_does() -> None:
-    """Byte by byte, and in whatever order it comes."""
-    listed = {"cursor": 2, "nodes": {"hosts": [line("a", share=0.5, born_ms=5)]}}
-    events = [purge(1), listed, 7, "x", [], None, {}]
-    beside = {"more": {"cursor": 3, "cmds": [4]}, "age": 0.5, "cursor": 9}
-    long, taken = CommandStreamParser(), list[Any]()
-    for byte in json.dumps({"epoch": "e1", "cmds": events} | beside).encode():
-        taken += long.feed(bytes([byte]))
-    assert taken == events and long.fault == ""
-    assert long.finish() == Commands(9, (), epoch="e1", age_ms=0.5)
+from thornjunction.net.wire.commands import Commands
+
+# What is put into a response to spoil it: numbers, texts and brackets that parsers have failed on.
+ODD_NUMBERS = [b"9" * 19, b"9" * 5000, b"1e400", b"-", b"1.", b"NaN", b"0" * 50]
+ODD_TEXTS = [b"\xff", b"\xed\xa0\x80", b"\xef\xbb\xbf", b"\xf0\x9f", b"\\ud800", b"\\u00", b"\\"]
+ODD_TOKENS = [b"nul", b"/*", b"\x00", b"[" * 40, *(mark.encode() for mark in '"[]{},:')]
+ODD_BYTES = [*ODD_NUMBERS, *ODD_TEXTS, *ODD_TOKENS]
+
+# Spoilt responses that are parsed.
+SPOILT_RESPONSES = 3000
+
+
+def test_a_response_in_parts_reads_as_one_at_once() -> None:
+    """Byte by byte, whatever the order of its keys."""
+    listed = {"cursor": 2, "nodes": {"hosts": [host_line("a", share=0.5, born_ms=5)]}}
+    events = [purge_event(1), listed, 7, "x", [], None, {}]
+    document = {"epoch": "e1", "cmds": events, "more": {"cursor": 3, "cmds": [4]}, "age": 0.5, "cursor": 9}
+    parser = CommandStreamParser()
+    parsed_events: list[object] = []
+    for byte in json.dumps(document).encode():
+        parsed_events += parser.feed(bytes([byte]))
+    assert parsed_events == events
+    assert parser.fault == ""
+    assert parser.finish() == Commands(9, (), epoch="e1", age_ms=0.5)
 
 
 @pytest.mark.parametrize(
     "text", ["[1]", "7", '{"cmds": {}, "cursor": 1}', '{"cmds": []}', '{"cursor": 1, "cmds": [1']
 )
-def test_what_is_no_answer_is_none_in_pieces(text: str) -> None:
-    long = CommandStreamParser()
-    long.feed(text.encode())
+def test_what_is_no_response_is_refused(text: str) -> None:
+    parser = CommandStreamParser()
+    parser.feed(text.encode())
     with pytest.raises(ProtocolError, match="commands-form"):
-        long.finish()
+        parser.finish()
 
 
-def spoilt(body: bytes, draw: random.Random) -> bytes:
-    """With one to four places changed, cut out or filled with what is odd."""
-    changed = bytearray(body)
+def spoil(data: bytes, draw: random.Random) -> bytes:
+    """Change, cut out or fill one to four places."""
+    changed = bytearray(data)
     for _ in range(draw.choice((1, 1, 2, 4))):
-        place = draw.randrange(len(changed))
-        changed[place : place + draw.choice((0, 1, 20))] = draw.choice(
-            [*ODD, b"", bytes([draw.randrange(256)])]
-        )
+        position = draw.randrange(len(changed))
+        removed_bytes = draw.choice((0, 1, 20))
+        inserted = draw.choice([*ODD_BYTES, b"", bytes([draw.randrange(256)])])
+        changed[position : position + removed_bytes] = inserted
     return bytes(changed)
 
 
-def test_what_is_spoilt_anywhere_ends_with_a_code_and_nothing_else() -> None:
-    """Guards the process against the parser: each of its faults ended it, or raised what nobody expects."""
-    draw, ends = random.Random(1), set[str]()
+def parse_in_pieces(data: bytes, piece_bytes: int) -> str:
+    """Parse a response; its cursor, or the code of the fault or the error that ended it."""
+    parser = CommandStreamParser()
+    for start in range(0, len(data), piece_bytes):
+        if not parser.fault:
+            parser.feed(data[start : start + piece_bytes])
+    if parser.fault:
+        return parser.fault
+    try:
+        return str(parser.finish().cursor)
+    except ProtocolError as error:
+        return str(error)
+
+
+def test_a_response_spoilt_anywhere_ends_with_a_code_and_nothing_else() -> None:
+    """Faults of the parser's library have ended the process, or raised what no caller expects."""
+    draw = random.Random(1)
     listed = {
         "cursor": 8,
-        "nodes": {"seq": 3, "whole": True, "hosts": [line("a", share=0.5), line("\u00e9")]},
+        "nodes": {"seq": 3, "whole": True, "hosts": [host_line("a", share=0.5), host_line("\u00e9")]},
     }
-    body = told([*purges(1, 7), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}], 9)
-    for _ in range(3000):
-        long, text, size = CommandStreamParser(), spoilt(body, draw), draw.choice((1, 7, 100, 8192))
-        for start in range(0, len(text), size):
-            if not long.fault:
-                long.feed(text[start : start + size])
-        try:
-            ends.add(long.fault or str(long.finish().cursor))
-        except ProtocolError as error:
-            ends.add(str(error))
-    assert {"9", "commands-form", "commands-depth"} <= ends
+    events = [*map(purge_event, range(1, 8)), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}]
+    data = commands_body(events, cursor=9)
+    results: set[str] = set()
+    for _ in range(SPOILT_RESPONSES):
+        results.add(parse_in_pieces(spoil(data, draw), draw.choice((1, 7, 100, 8192))))
+    assert {"9", "commands-form", "commands-depth"} <= results
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,6 +8,7 @@
 import sys
 from dataclasses import dataclass
 from typing import Any
+from unittest.mock import Mock
 
 import pytest
 
@@ -170,8 +171,5 @@
 
 
 def test_an_exception_in_the_router_is_reported_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
-    def raise_index_error(self: object, now_ms: float, event: object) -> list[object]:
-        raise IndexError("out of range")
-
-    monkeypatch.setattr(Router, "handle", raise_index_error)
+    monkeypatch.setattr(Router, "handle", Mock(side_effect=IndexError("out of range")))
     assert run(batch(begin())).replies[0] == "FATAL who=3 bodyText=IndexError: out of range"
