--- a/tests/signing/test_key_sets.py
+++ b/tests/signing/test_key_sets.py
@@ -4,20 +4,22 @@
 
 import json
 import logging
+from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
 from joserfc.jwk import OctKey
 
 from tests.loopback import BASE, TRUST
-from thornjunction.net.downstream.signed_front import SignedRequestContext
 from thornjunction.runtime.errors import ConfigError
 from thornjunction.runtime.extras import load_extras
 from thornjunction.runtime.key_set import KeySetReloader
+from thornjunction.runtime.signed_settings import SignedFrontSettings
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
 URI = BASE + "/films/17/7f3a9c21e0b4d655/0"
+NOW_S = 1000.0
 EXTRAS = """[signed]
 listen = "127.0.0.1:8480"
 base = "https://cams.example"
@@ -34,66 +36,117 @@
 b = 2026-12-31T00:00:00Z
 """
 
+# 2026-12-31 in Unix seconds.
+KEY_B_RETIRED_AFTER_S = 1_798_675_200.0
+
+
+@dataclass(slots=True)
+class Front:
+    """What the reloader knows of the front."""
+
+    trust: tokens.Trust
+
 
 def key(kid: str, secret: str) -> dict[str, str]:
+    """A key of an HMAC secret, as JSON Web Key."""
     return {"kid": kid, "alg": "HS256", **OctKey.import_key(secret * 40).as_dict()}
 
 
-def write(folder: Path, *keys: dict[str, str]) -> None:
+KEY_A = key("a", "x")
+KEY_B = key("b", "y")
+
+
+def write_keys(folder: Path, *keys: dict[str, str]) -> None:
     (folder / "keys.json").write_text(json.dumps({"keys": list(keys)}))
 
 
-def test_a_new_key_is_taken_between_requests_and_a_broken_file_changes_nothing(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
-    assert load_extras(tmp_path / "none.toml").signed is None  # off without the operators' file
-    (tmp_path / "a.json").write_text(json.dumps(key("a", "x")))
-    one_file_a_key = EXTRAS.replace(
-        'keyset = "keys.json"', 'keys = [{kid = "a", algorithm = "HS256", file = "a.json"}]'
-    )
-    (tmp_path / "extras.toml").write_text(one_file_a_key.replace("gossip =", "# gossip ="))
-    assert set(load_extras(tmp_path / "extras.toml").signed.trust.keys) == {"a"}  # type: ignore[union-attr]
-    write(tmp_path, key("a", "x"))
+@pytest.fixture
+def settings(tmp_path: Path) -> SignedFrontSettings:
+    """Settings of a front whose key set has key ``a``."""
+    write_keys(tmp_path, KEY_A)
     (tmp_path / "extras.toml").write_text(EXTRAS)
-    front = load_extras(tmp_path / "extras.toml").signed
-    assert front is not None and front.keyset is not None
-    assert (front.keyset.reload_interval_s, front.replays.capacity, front.forwarding.header) == (
-        30,
-        3276,
-        "x-forwarded-for",
-    )
-    door = SignedRequestContext(None, {}, BASE, front.trust, ReplayWindow(), lambda: 1000.0)  # type: ignore[arg-type]
-    watch = KeySetReloader(door, front.keyset)
-    watch.reload()
-    write(tmp_path, key("a", "x"), key("b", "y"))
-    signer = tokens.Trust(
-        TRUST.issuers,
-        "tj",
-        ("HS256",),
-        {"b": tokens.SigningKey("b", "HS256", OctKey.import_key("y" * 40))},
-        "b",
+    signed = load_extras(tmp_path / "extras.toml").signed
+    assert signed is not None
+    return signed
+
+
+@pytest.fixture
+def front(settings: SignedFrontSettings) -> Front:
+    return Front(settings.trust)
+
+
+@pytest.fixture
+def reloader(settings: SignedFrontSettings, front: Front) -> KeySetReloader:
+    """A reloader that has read the key set of key ``a``."""
+    assert settings.keyset is not None
+    reloader = KeySetReloader(front, settings.keyset)
+    reloader.reload()
+    return reloader
+
+
+def token_of_key_b() -> str:
+    """A token for ``URI`` that is signed with key ``b``."""
+    signing_key = tokens.SigningKey("b", "HS256", OctKey.import_key("y" * 40))
+    trust = tokens.Trust(TRUST.issuers, "tj", ("HS256",), {"b": signing_key}, "b")
+    return tokens.issue(trust, "hash:" + tokens.uri_hash(URI), NOW_S, 60)
+
+
+def test_without_the_operators_file_there_is_no_signed_front(tmp_path: Path) -> None:
+    assert load_extras(tmp_path / "none.toml").signed is None
+
+
+def test_keys_may_stand_in_a_file_each(tmp_path: Path) -> None:
+    (tmp_path / "a.json").write_text(json.dumps(KEY_A))
+    extras = EXTRAS.replace(
+        'keyset = "keys.json"', 'keys = [{kid = "a", algorithm = "HS256", file = "a.json"}]'
     )
-    token = tokens.issue(signer, "hash:" + tokens.uri_hash(URI), 1000.0, 60)
+    (tmp_path / "extras.toml").write_text(extras.replace("gossip =", "# gossip ="))
+    signed = load_extras(tmp_path / "extras.toml").signed
+    assert signed is not None
+    assert set(signed.trust.keys) == {"a"}
+
+
+def test_settings_of_the_front_are_read(settings: SignedFrontSettings) -> None:
+    assert settings.keyset is not None
+    assert settings.keyset.reload_interval_s == 30
+    assert settings.replays.capacity == 3276
+    assert settings.forwarding.header == "x-forwarded-for"
+
+
+def test_a_new_key_is_accepted_from_the_next_reload(
+    tmp_path: Path, front: Front, reloader: KeySetReloader
+) -> None:
+    token = token_of_key_b()
+    replays = ReplayWindow()
+    write_keys(tmp_path, KEY_A, KEY_B)
     with pytest.raises(tokens.TokenError, match="token-key"):
-        tokens.verify(token, URI, door.trust, door.replays, 1000.0)
-    watch.reload()
-    assert tokens.verify(token, URI, door.trust, door.replays, 1000.0)
-    assert door.trust.keys["b"].retired_after_s == 1798675200.0
+        tokens.verify(token, URI, front.trust, replays, NOW_S)
+    reloader.reload()
+    assert tokens.verify(token, URI, front.trust, replays, NOW_S)
+    assert front.trust.keys["b"].retired_after_s == KEY_B_RETIRED_AFTER_S
+
+
+def test_a_faulty_file_changes_nothing_and_is_logged_without_a_secret(
+    tmp_path: Path, front: Front, reloader: KeySetReloader, caplog: pytest.LogCaptureFixture
+) -> None:
+    write_keys(tmp_path, KEY_A, KEY_B)
+    reloader.reload()
     with caplog.at_level(logging.INFO):
         (tmp_path / "keys.json").write_text("{")
-        watch.reload()
-        write(tmp_path, key("b", "y"))  # without the key that signs
-        watch.reload()
-        write(tmp_path, key("a", "x"), key("b", "y"))
-        watch.reload()
-    assert set(door.trust.keys) == {"a", "b"}
-    assert dict(watch.counts) == {"accepted": 2, "refused": 2, "same": 1}
-    assert "keys.json: key set: not JSON" in caplog.text and "sign_with 'a' is not in the set" in caplog.text
+        reloader.reload()
+        write_keys(tmp_path, KEY_B)  # without the key that signs
+        reloader.reload()
+        write_keys(tmp_path, KEY_A, KEY_B)
+        reloader.reload()
+    assert set(front.trust.keys) == {"a", "b"}
+    assert dict(reloader.counts) == {"accepted": 2, "refused": 2, "same": 1}
+    assert "keys.json: key set: not JSON" in caplog.text
+    assert "sign_with 'a' is not in the set" in caplog.text
     assert "x" * 40 not in caplog.text
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "fault"),
     [
         ("keys_every_s = 0.5", "signed.keys_every_s"),
         ("replay_cap_mb = 0", "signed.replay_cap_mb"),
@@ -106,10 +159,11 @@
         ('gossip = { listen = "127.0.0.1:1", peers = [], secret_file = "keys.json" }', "signed.gossip"),
     ],
 )
-def test_faulty_settings_of_the_keys_are_named(tmp_path: Path, line: str, named: str) -> None:
-    write(tmp_path, key("a", "x"))
+def test_faulty_settings_of_the_keys_are_named(tmp_path: Path, line: str, fault: str) -> None:
+    write_keys(tmp_path, KEY_A)
     name = line.partition(" ")[0]
-    told = "\n".join(kept for kept in EXTRAS.splitlines() if not kept.startswith(name + " "))
-    (tmp_path / "extras.toml").write_text(told.replace("[signed.retire]", line + "\n[signed.retire]"))
-    with pytest.raises(ConfigError, match=named):
+    other_lines = [other for other in EXTRAS.splitlines() if not other.startswith(name + " ")]
+    extras = "\n".join(other_lines).replace("[signed.retire]", line + "\n[signed.retire]")
+    (tmp_path / "extras.toml").write_text(extras)
+    with pytest.raises(ConfigError, match=fault):
         load_extras(tmp_path / "extras.toml")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,11 +12,13 @@
 import time
 import urllib.error
 import urllib.request
+from collections.abc import Iterator
+from http.client import HTTPResponse
 from pathlib import Path
-from typing import Any
 from unittest.mock import patch
 
-from click.testing import CliRunner
+import pytest
+from click.testing import CliRunner, Result
 from joserfc.jwk import OctKey
 
 from tests.signing.test_key_sets import EXTRAS
@@ -24,70 +26,133 @@
 
 CLIP = "/films/17/7f3a9c21e0b4d655/0"
 ROOT = Path(__file__).resolve().parent.parent
+SECRET = "x" * 40
+KEY_A = {"kid": "a", "alg": "HS256", **OctKey.import_key(SECRET).as_dict()}
 
+# How long the demo may take until its signed front listens.
+START_TIMEOUT_S = 20.0
 
-def test_tokens_are_issued_verified_and_inspected_and_keys_rotated(tmp_path: Path) -> None:
-    secret = {"kid": "a", "alg": "HS256", **OctKey.import_key("x" * 40).as_dict()}
-    (tmp_path / "keys.json").write_text(json.dumps({"keys": [secret]}))
-    extras = tmp_path / "extras.toml"
-    extras.write_text(EXTRAS.replace("gossip =", "# gossip ="))
-    runner, at = CliRunner(), ["--extras", str(extras)]
-    url = runner.invoke(main, ["token", "issue", CLIP, *at, "--jti", "j1"]).output.strip()
-    assert url.startswith("https://cams.example" + CLIP + "?URISigningPackage=")
-    assert runner.invoke(main, ["token", "verify", url, *at]).output == "admitted\n"
-    spoilt = runner.invoke(main, ["token", "verify", url[:-3] + "AAA", *at])
-    assert (spoilt.exit_code, spoilt.output) == (1, "refused 401 token-forged\n")
-    inspected = json.loads(runner.invoke(main, ["token", "inspect", url]).output)
-    assert (inspected["header"]["kid"], inspected["claims"]["jti"]) == ("a", "j1")
-    rotation = ["keys", "rotate", *at, "--kid", "b", "--algorithm", "HS256"]
-    with patch("os.fsync", side_effect=OSError(errno.ENOSPC, "full")):
-        assert runner.invoke(main, rotation).output == "Error: keys.json stays as it was: full\n"
-    assert json.loads((tmp_path / "keys.json").read_text()) == {"keys": [secret]}
-    rotated = runner.invoke(main, rotation)
+# How long the demo may take to end.
+STOP_TIMEOUT_S = 20.0
+
+
+def invoke(*arguments: str) -> Result:
+    """Run a sub-command in this process."""
+    return CliRunner().invoke(main, list(arguments))
+
+
+@pytest.fixture
+def extras(tmp_path: Path) -> str:
+    """Path of an operators' file with a key set of key ``a``."""
+    (tmp_path / "keys.json").write_text(json.dumps({"keys": [KEY_A]}))
+    path = tmp_path / "extras.toml"
+    path.write_text(EXTRAS.replace("gossip =", "# gossip ="))
+    return str(path)
+
+
+@pytest.fixture
+def signed_url(extras: str) -> str:
+    return invoke("token", "issue", CLIP, "--extras", extras, "--jti", "j1").output.strip()
+
+
+def test_an_issued_url_names_the_front_and_the_path(signed_url: str) -> None:
+    assert signed_url.startswith("https://cams.example" + CLIP + "?URISigningPackage=")
+
+
+def test_an_issued_url_is_admitted(signed_url: str, extras: str) -> None:
+    assert invoke("token", "verify", signed_url, "--extras", extras).output == "admitted\n"
+
+
+def test_a_spoilt_url_is_refused_with_its_reason(signed_url: str, extras: str) -> None:
+    result = invoke("token", "verify", signed_url[:-3] + "AAA", "--extras", extras)
+    assert result.exit_code == 1
+    assert result.output == "refused 401 token-forged\n"
+
+
+def test_a_token_is_inspected(signed_url: str) -> None:
+    inspected = json.loads(invoke("token", "inspect", signed_url).output)
+    assert inspected["header"]["kid"] == "a"
+    assert inspected["claims"]["jti"] == "j1"
+
+
+def test_keys_are_rotated_and_listed_without_a_secret(extras: str) -> None:
+    rotated = invoke("keys", "rotate", "--extras", extras, "--kid", "b", "--algorithm", "HS256")
     assert rotated.output == "added b HS256 to keys.json; 2 keys\n"
-    listed = runner.invoke(main, ["keys", "list", *at]).output.splitlines()
-    assert listed == ["a HS256 until=- signs", "b HS256 until=1798675200.0"]
-    assert "x" * 40 not in rotated.output + "".join(listed)
+    listed = invoke("keys", "list", "--extras", extras)
+    assert listed.output.splitlines() == ["a HS256 until=- signs", "b HS256 until=1798675200.0"]
+    assert SECRET not in rotated.output + listed.output
+
+
+def test_a_rotation_that_cannot_be_written_changes_nothing(extras: str, tmp_path: Path) -> None:
+    with patch("os.fsync", side_effect=OSError(errno.ENOSPC, "full")):
+        result = invoke("keys", "rotate", "--extras", extras, "--kid", "b", "--algorithm", "HS256")
+    assert result.output == "Error: keys.json stays as it was: full\n"
+    assert json.loads((tmp_path / "keys.json").read_text()) == {"keys": [KEY_A]}
 
 
-def test_faults_are_named_and_exit_with_two(tmp_path: Path) -> None:
+def test_a_faulty_configuration_is_named(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     config.write_text("{}")
-    runner = CliRunner()
-    checked = runner.invoke(main, ["check", str(config), "--extras", str(tmp_path / "none.toml")])
-    assert checked.exit_code == 2 and "'limits' is missing" in checked.output
-    (tmp_path / "extras.toml").write_text("[signed]\n")
-    issued = runner.invoke(main, ["token", "issue", CLIP, "--extras", str(tmp_path / "extras.toml")])
-    assert issued.exit_code == 2 and "signed" in issued.output
-    assert runner.invoke(main, ["token", "inspect", "nothing"]).exit_code == 1
+    result = invoke("check", str(config), "--extras", str(tmp_path / "none.toml"))
+    assert result.exit_code == 2
+    assert "'limits' is missing" in result.output
 
 
-def test_run_without_a_configuration_serves_the_demo_and_ends_on_sigterm() -> None:
-    env = {k: v for k, v in os.environ.items() if k != "PROXY_CONFIG"}
+def test_a_faulty_operators_file_is_named(tmp_path: Path) -> None:
+    extras = tmp_path / "extras.toml"
+    extras.write_text("[signed]\n")
+    result = invoke("token", "issue", CLIP, "--extras", str(extras))
+    assert result.exit_code == 2
+    assert "signed" in result.output
+
+
+def test_a_text_that_is_no_token_is_refused() -> None:
+    assert invoke("token", "inspect", "nothing").exit_code == 1
+
+
+@pytest.fixture
+def demo() -> Iterator[subprocess.Popen[bytes]]:
+    """The program started without a configuration."""
+    environment = {name: value for name, value in os.environ.items() if name != "PROXY_CONFIG"}
     command = [sys.executable, "-m", "thornjunction", "run"]
-    program = subprocess.Popen(command, env=env, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+    program = subprocess.Popen(
+        command, env=environment, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
+    )
     try:
-        assert program.stdout is not None
-        said = b""
-        while b"URISigningPackage" not in said:
-            line = program.stdout.readline()
-            assert line, "ended before it said where to ask"
-            said += line
-        url = re.search(rb"'(http://127\.0\.0\.1:\d+/clips/[^']+)'", said)
-        assert url is not None
-        answer = ask(url[1].decode())
-        assert (answer.status, len(answer.read())) == (200, 16_384)
-        program.send_signal(signal.SIGTERM)
-        assert program.wait(20) == 0
+        yield program
     finally:
         program.kill()
         program.communicate()
 
 
-def ask(url: str) -> Any:
-    end = time.monotonic() + 20.0
+def read_demo_url(program: subprocess.Popen[bytes]) -> str:
+    """Read the demo's output up to the signed URL that it prints."""
+    assert program.stdout is not None
+    output = b""
+    while b"URISigningPackage" not in output:
+        line = program.stdout.readline()
+        assert line, "the demo ended before it printed a URL"
+        output += line
+    url = re.search(rb"'(http://127\.0\.0\.1:\d+/clips/[^']+)'", output)
+    assert url is not None
+    return url[1].decode()
+
+
+def fetch_when_listening(url: str) -> HTTPResponse:
+    """Fetch a URL, again and again until its server listens."""
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             return urllib.request.urlopen(url, timeout=10)
         except urllib.error.URLError:
-            assert time.monotonic() < end, "the signed front never listened"
+            assert time.monotonic() < deadline_s, "the signed front never listened"
+
+
+def test_run_without_a_configuration_serves_the_demo_and_ends_on_sigterm(
+    demo: subprocess.Popen[bytes],
+) -> None:
+    response = fetch_when_listening(read_demo_url(demo))
+    assert response.status == 200
+    assert len(response.read()) == 16_384
+    demo.send_signal(signal.SIGTERM)
+    assert demo.wait(STOP_TIMEOUT_S) == 0
--- a/thornjunction/runtime/key_set.py
+++ b/thornjunction/runtime/key_set.py
@@ -11,10 +11,9 @@
 from typing import Protocol
 
 from thornjunction.logs import get_logger
-from thornjunction.net.downstream.signed_front import SignedRequestContext
 from thornjunction.runtime.errors import ConfigError
 from thornjunction.runtime.signed_settings import KeySetFile
-from thornjunction.signing import keyset
+from thornjunction.signing import keyset, tokens
 
 log = get_logger(__name__)
 
@@ -23,23 +22,38 @@
     """A file that is read again while the router serves."""
 
     def reload(self) -> None:
-        """Read the file, and take what is new and valid."""
+        """Read the file and use its content where that is new and valid."""
+
+
+class TrustHolder(Protocol):
+    """The signed front, as far as its keys go.
+
+    Attributes:
+        trust: whose tokens it accepts.
+    """
+
+    trust: tokens.Trust
 
 
 class KeySetReloader:
-    """Keeps ``front.trust.keys`` as the file says.
+    """Keeps the keys in the front's trust equal to those in the key set file.
+
+    Args:
+        front: whose trust is replaced.
+        source: the file.
 
-    ``counts`` has the reads that were ``accepted``, ``refused`` and the ``same``.
+    Attributes:
+        counts: reads of the file by result: ``accepted``, ``refused`` or ``same``.
     """
 
-    def __init__(self, front: SignedRequestContext, source: KeySetFile) -> None:
+    def __init__(self, front: TrustHolder, source: KeySetFile) -> None:
         self.counts = Counter[str]()
         self._front = front
         self._source = source
         self._digest = ""
 
     def reload(self) -> None:
-        """Read the file; take its keys where they are new and valid."""
+        """Read the file and use its keys where they are new and valid."""
         trust = self._front.trust
         try:
             key_set = self._source.read(trust.algorithms)
