--- /dev/null
+++ b/tests/core/scripted_ports.py
@@ -0,0 +1,72 @@
+"""The engine between a scripted router and ports that record what they are given."""
+
+from __future__ import annotations
+
+from thornjunction import interface as api
+from thornjunction.core.counters import Counters
+from thornjunction.core.engine import Engine
+from thornjunction.core.ports import Answer, ClientRequest, UpstreamRequest
+from thornjunction.memory.deadlines import Deadlines
+
+REQUEST = ClientRequest("t1", "films", "00000000000000ff", 1000.0)
+
+
+class ScriptedPorts:
+    """An engine with its router and its upstreams, which are this object.
+
+    Attributes:
+        now_ms: the engine's clock.
+        events: what the router was given.
+        steps: what the router returns for the next events; afterwards, nothing.
+        sent: attempts that were sent.
+        cancelled: numbers of attempts that were cancelled.
+        waits: whether attempts wait for a connection.
+        answers: final answers to clients.
+    """
+
+    def __init__(self) -> None:
+        self.now_ms = 0.0
+        self.events: list[api.Event] = []
+        self.steps: list[list[api.Action]] = []
+        self.sent: list[UpstreamRequest] = []
+        self.cancelled: list[int] = []
+        self.waits = False
+        self.answers: list[Answer] = []
+        self.deadlines = Deadlines()
+        self.counters = Counters(classes={"films"})
+        self.engine = Engine(self, 2, lambda: self.now_ms, self.deadlines, self, self.counters)
+
+    def handle(self, _now_ms: float, event: api.Event) -> list[api.Action]:
+        """Return the next step of the script, as the router."""
+        self.events.append(event)
+        return self.steps.pop(0) if self.steps else []
+
+    def send(self, request: UpstreamRequest) -> None:
+        """Record an attempt, as the upstreams."""
+        self.sent.append(request)
+
+    def withdraw(self, _number: int) -> bool:
+        """Return whether an attempt had not begun, as the upstreams."""
+        return self.waits
+
+    def cancel(self, number: int) -> None:
+        """Record a cancelled attempt, as the upstreams."""
+        self.cancelled.append(number)
+
+    def probe(self, server: str) -> None:
+        """Refuse a health check, which no script asks for."""
+        raise NotImplementedError
+
+    def open(self) -> int:
+        """Open a request whose first attempt goes to server ``s`` for 500 ms."""
+        self.steps = [[api.StartAttempt("0", "s", 500.0, "s")]]
+        return self.engine.open(REQUEST, self.answers.append)
+
+    def elapse(self, time_ms: float) -> None:
+        """Move the clock and run what is due."""
+        self.now_ms += time_ms
+        self.deadlines.run_due(self.now_ms)
+
+    def outcomes(self) -> list[api.AttemptEnded]:
+        """The ends of attempts that the router was given."""
+        return [event for event in self.events if isinstance(event, api.AttemptEnded)]
