--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -20,7 +20,7 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import MAX_LINE_BYTES, LineReader, encode_counters, encode_reply
 from thornjunction.runtime.admin_metrics import collect_admin_metrics
-from thornjunction.runtime.drain import HURRY_DELAY_MS, REFUSE_AFTER_MS, SWEEP_INTERVAL_MS, Drain
+from thornjunction.runtime.drain import ANSWER_DELAY_MS, REFUSE_AFTER_MS, SWEEP_INTERVAL_MS, Drain
 
 
 @given(cuts=st.lists(st.integers(0, 9), max_size=5), junk=st.binary(max_size=200))
@@ -153,10 +153,10 @@
     drain = Drain(hall.table, hall.deadlines, lambda: hall.now, lambda: hurried.append(hall.now))
     since = hall.now
     drain.start(0.0)
-    hall.wait(REFUSE_AFTER_MS + HURRY_DELAY_MS - 1.0)
+    hall.wait(REFUSE_AFTER_MS + ANSWER_DELAY_MS - 1.0)
     assert drain.is_refusing and not hurried
     hall.wait(SWEEP_INTERVAL_MS + 1.0)
-    assert hurried and hurried[0] >= since + REFUSE_AFTER_MS + HURRY_DELAY_MS
+    assert hurried and hurried[0] >= since + REFUSE_AFTER_MS + ANSWER_DELAY_MS
 
 
 @pytest.mark.parametrize("answered", [False, True])
--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -1,6 +1,7 @@
 """The command line: ``thornjunction [run|sim|check|token|keys]``; without a sub-command it serves.
 
-A faulty file exits with 2 and a message that names the key.  Nothing here logs a token or a key.
+A faulty file ends the program with ``ExitCode.FAULTY_CONFIGURATION`` and a message that names the key.
+Nothing here logs a token or a key.
 """
 
 from __future__ import annotations
@@ -17,24 +18,36 @@
 import click
 from joserfc.jwk import ECKey, OctKey
 
-from thornjunction.program import EXIT_FAULTY_CONFIGURATION, EXTRAS_PATH, run_program
+from thornjunction.program import EXTRAS_PATH, run_program
 from thornjunction.runtime.config import load_config
 from thornjunction.runtime.control_settings import RelaySettings, load_relay
 from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.errors import ConfigError
+from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.extras import load_extras
 from thornjunction.runtime.signed_settings import SignedFrontSettings
 from thornjunction.signing import keyset, tokens
 from thornjunction.signing.replay import ReplayWindow
 
-EXIT_REFUSED = 1
+# Exit code of ``token verify`` for a token that the front would refuse.
+TOKEN_REFUSED_EXIT_CODE = 1
+
+# Longest lifetime of an issued token: 31 days.
 MAX_LIFETIME_S = 31 * 86_400
+
+# Lifetime of an issued token, unless given: an hour.
 DEFAULT_LIFETIME_S = 3_600
+
+# Parts of a JWT: header, claims and signature, divided by dots (RFC 7515).
 JWT_PARTS = 3
-"""Header, claims and signature, divided by dots (RFC 7515)."""
+
+# Size of a new HMAC key.
 OCT_KEY_BITS = 256
+
+# Permissions of the key set: it holds private keys, and its owner alone reads it.
 KEY_FILE_MODE = 0o600
-"""The key set holds private keys: its owner alone reads it."""
+
+# URI attribute that carries a token (RFC 9246 §2.1.14).
 QUERY_PARAMETER = "URISigningPackage"
 
 Result = TypeVar("Result")
@@ -55,7 +68,7 @@
 
 
 class NoKeySetError(click.ClickException):
-    """The operators' file lists its keys one file each."""
+    """The operators' file lists its keys one file each, so that there is no set to rotate."""
 
     def __init__(self) -> None:
         super().__init__("no signed.keyset in the extras: keys are listed one file each")
@@ -82,9 +95,12 @@
         super().__init__("not a signed JWT")
 
 
+# Option of the commands that read the operators' file.
 EXTRAS_OPTION = click.option(
     "--extras", type=click.Path(path_type=Path), default=EXTRAS_PATH, show_default=True
 )
+
+# Type of an argument that is an existing file.
 CONFIG_TYPE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
@@ -181,7 +197,7 @@
         tokens.verify(signed_token, uri, front.trust, ReplayWindow(), time.time(), parse_address(client))
     except (signed.RequestError, tokens.TokenError) as error:
         click.echo(f"refused {error.status} {error.code}")
-        sys.exit(EXIT_REFUSED)
+        sys.exit(TOKEN_REFUSED_EXIT_CODE)
     click.echo("admitted")
 
 
@@ -239,13 +255,13 @@
 
 
 def _generate_key(kid: str, algorithm: str) -> dict[str, Any]:
-    """A new private key as a JSON Web Key (RFC 7517)."""
+    """Generate a private key as a JSON Web Key (RFC 7517)."""
     key = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.generate_key(OCT_KEY_BITS)
     return {"kid": kid, "alg": algorithm, "use": "sig", **key.as_dict(private=True)}
 
 
 def _decode_part(text: str) -> Any:
-    """A part of a JWT: JSON in base64url without padding (RFC 7515).  Raises ValueError."""
+    """Decode a part of a JWT: JSON in base64url without padding (RFC 7515).  Raises ValueError."""
     padding = "=" * (-len(text) % 4)
     return json.loads(base64.urlsafe_b64decode(text + padding))
 
@@ -257,7 +273,7 @@
 
 
 def _load_signed_front(extras: Path) -> SignedFrontSettings:
-    """The signed-URL front of the operators' file, which must have one."""
+    """Load the signed-URL front of the operators' file, which must have one."""
     front = _exit_if_faulty(lambda: load_extras(extras)).signed
     if front is None:
         raise NoSignedFrontError(extras)
@@ -265,9 +281,9 @@
 
 
 def _exit_if_faulty(load: Callable[[], Result]) -> Result:
-    """What ``load`` returns; the fault of a file is named on standard error and ends the program."""
+    """Return what ``load`` returns; a fault of a file is named on standard error and ends the program."""
     try:
         return load()
     except (ConfigError, keyset.KeySetError) as error:
         click.echo(f"thornjunction: {error}", err=True)
-        sys.exit(EXIT_FAULTY_CONFIGURATION)
+        sys.exit(ExitCode.FAULTY_CONFIGURATION)
--- a/thornjunction/core/attempts.py
+++ b/thornjunction/core/attempts.py
@@ -18,8 +18,11 @@
 from thornjunction.memory.deadlines import Deadline
 from thornjunction.memory.slots import SlotTable
 
-ATTEMPT_CAPACITY = 8192  # entries only: what holds bytes is bounded at the connections
-NO_NUMBER = -1  # until the attempt is in the table
+# Attempts in flight; their bytes are bounded at the connections.
+ATTEMPT_CAPACITY = 8192
+
+# Number of an attempt that is not in the table yet.
+NO_NUMBER = -1
 
 
 class AttemptState(Enum):
--- a/thornjunction/core/counters.py
+++ b/thornjunction/core/counters.py
@@ -8,8 +8,11 @@
 from thornjunction import interface as api
 from thornjunction.core.ports import RequestOutcome
 
-MAX_METRICS = 256  # class names come from the settings, so the table never gets near this
-UNKNOWN_CLASS = "unknown"  # stands for all class names that are in no settings
+# Metrics that are counted; class names come from the settings, so that there are far fewer.
+MAX_METRICS = 256
+
+# Name under which requests of classes are counted that are in no settings.
+UNKNOWN_CLASS = "unknown"
 
 
 @dataclass(slots=True)
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -28,8 +28,11 @@
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.memory.slots import SlotTable
 
-DEADLINES_PER_REQUEST = 8  # free places in the queue of deadlines, below which no request is taken on
-NEAR_DEADLINE_MS = 50.0  # a failure this close to the client's deadline counts as caused by it
+# Free entries in the queue of deadlines, below which no request is accepted.
+DEADLINES_PER_REQUEST = 8
+
+# A failure this close to the client's deadline counts as caused by it.
+NEAR_DEADLINE_MS = 50.0
 
 log = get_logger(__name__)
 
--- a/thornjunction/core/load_shedding.py
+++ b/thornjunction/core/load_shedding.py
@@ -9,20 +9,42 @@
 
 from collections.abc import Callable
 
-SAMPLE_INTERVAL_MS = 20.0  # between samples of the event loop's lag
-LATE_LAG_MS = 20.0  # lag of a sample that counts as late
-MAX_LATE_WEIGHT = 4.0  # one very late sample counts as so many late ones at most
-MIN_BUSY_USAGE = 0.5  # a late sample with less of the core in use is not the doing of our own work
-FULL_USAGE = 0.85  # smoothed use of the core past which fewer are admitted; near 1 queues grow without end
-USAGE_GAIN = (
-    0.1  # of a sample in the smoothed use: the last ten; single samples of a healthy core are often full
-)
-LAG_DECAY = 0.98  # of the greatest lag, kept from sample to sample
-MAX_OPEN_REQUESTS = 384  # half as many again as under an ordinary load; past it all requests get later
-LATE_FACTOR = 0.9  # by which a late sample lowers the admitted share
-FULL_FACTOR = 0.97  # by which a sample with the core full lowers it
-RECOVERY_STEP = 0.01  # by which any other sample raises it
-MIN_ADMITTED_SHARE = 0.1  # so that there is always some work to learn from
+# Time between samples of the event loop's lag.
+SAMPLE_INTERVAL_MS = 20.0
+
+# Lag from which a sample counts as late.
+LATE_LAG_MS = 20.0
+
+# Weight of a very late sample, in samples that are just late.
+MAX_LATE_WEIGHT = 4.0
+
+# Use of the core below which lag is not caused by this process's own work.
+MIN_BUSY_USAGE = 0.5
+
+# Smoothed use of the core from which fewer requests are admitted; near 1, queues grow without end.
+FULL_USAGE = 0.85
+
+# Weight of a sample in the smoothed use, which so covers about the last ten.
+# Single samples of a healthy core are often full.
+USAGE_GAIN = 0.1
+
+# Share of the greatest lag that is kept from sample to sample.
+LAG_DECAY = 0.98
+
+# Open requests: half as many again as under an ordinary load.  Beyond it all requests get later.
+MAX_OPEN_REQUESTS = 384
+
+# Factor by which a late sample lowers the admitted share.
+LATE_FACTOR = 0.9
+
+# Factor by which a sample with the core full lowers the admitted share.
+FULL_FACTOR = 0.97
+
+# Amount by which any other sample raises the admitted share.
+RECOVERY_STEP = 0.01
+
+# Smallest admitted share: some work must be left whose lag is measured.
+MIN_ADMITTED_SHARE = 0.1
 
 
 class LoadShedder:
--- a/thornjunction/core/open_requests.py
+++ b/thornjunction/core/open_requests.py
@@ -8,8 +8,11 @@
 from thornjunction.core.ports import ClientRequest, ReplyCallback
 from thornjunction.memory.deadlines import Deadline
 
-REQUEST_CAPACITY = 4096  # entries only: what holds bytes is bounded at the connections
-NO_NUMBER = -1  # until the request is in the table
+# Open requests; their bytes are bounded at the connections.
+REQUEST_CAPACITY = 4096
+
+# Number of a request that is not in the table yet.
+NO_NUMBER = -1
 
 
 @dataclass(slots=True, eq=False)
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -28,15 +28,22 @@
 if TYPE_CHECKING:
     from thornjunction.runtime.service import Service
 
+# Class, group, object and part of the request that the greeting proposes.
 EXAMPLE_PATH = "/clips/1/00000000000000ff/0"
-"""Class, group, object and part of the request that the greeting proposes."""
 
+# Source folder of the fakes, in a tree where they are not installed.
 FAKES_FOLDER = Path(__file__).resolve().parents[2] / "packages" / "fakes" / "src"
+
+# Sockets of the demo's router: it serves one newcomer.
 SOCKETS = 90
-"""Limit of the demo's router: it serves one newcomer."""
 
+# Lifetime of the token in the greeting.
 TOKEN_LIFETIME_S = 3600
+
+# Size of the key that signs it.
 SECRET_BYTES = 32
+
+# Memory of the demo's replay window.
 REPLAY_WINDOW_BYTES = 1 << 20
 
 
--- a/thornjunction/logs.py
+++ b/thornjunction/logs.py
@@ -16,14 +16,14 @@
 
 import structlog
 
+# How each JWT begins: base64url of ``{"``.
 JWT_MARK = "eyJ"
-"""How each JWT begins: base64url of ``{"``."""
 
+# A JWT in compact serialization (RFC 7519 §3).
 JWT = re.compile(JWT_MARK + r"[0-9A-Za-z_-]{4,}\.[0-9A-Za-z_-]+\.[0-9A-Za-z_-]*")
-"""A JWT in compact serialization (RFC 7519 §3)."""
 
+# What is written in place of a JWT.
 REDACTED = "[token]"
-"""What is written in place of a JWT."""
 
 EventDict = MutableMapping[str, Any]
 
@@ -42,6 +42,7 @@
     return event
 
 
+# Processors of every record, in their order; redaction comes last, so that it sees all text.
 PROCESSORS: list[Any] = [
     structlog.stdlib.add_log_level,
     structlog.stdlib.add_logger_name,
@@ -51,7 +52,6 @@
     structlog.processors.format_exc_info,
     _redact_tokens,
 ]
-"""Processors of every record, in their order; redaction comes last, so that it sees all text."""
 
 structlog.configure(
     processors=[
--- a/thornjunction/memory/budget.py
+++ b/thornjunction/memory/budget.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable
 
-EVICTION_REASON = "memory"  # the connection's end as the operators' pages name it in the log
+# Reason of the connection's end, as the operators' pages name it.
+EVICTION_REASON = "memory"
 
 Evict = Callable[[str], None]
 
--- a/thornjunction/memory/deadlines.py
+++ b/thornjunction/memory/deadlines.py
@@ -7,8 +7,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-MAX_DEADLINES = 1 << 17  # a few for each open request, attempt and connection, whose tables are all bounded
-MIN_CANCELLED_TO_COMPACT = 256  # fewer cancelled entries are not worth a rebuild of the heap
+# Pending deadlines: a few for each open request, attempt and connection, whose tables are bounded.
+MAX_DEADLINES = 1 << 17
+
+# Cancelled entries below which the heap is not rebuilt.
+MIN_CANCELLED_TO_COMPACT = 256
 
 
 class DeadlineCallbackErrors(ExceptionGroup[Exception]):
--- a/thornjunction/program.py
+++ b/thornjunction/program.py
@@ -1,4 +1,4 @@
-"""What a process is: a relay, a request router or a demo, chosen by its files and environment."""
+"""Chooses what a process is by its files and environment: a relay, a request router or a demo."""
 
 from __future__ import annotations
 
@@ -8,31 +8,29 @@
 
 from thornjunction import logs
 from thornjunction.runtime.errors import ConfigError
+from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.start import Process, build_relay, build_router, run_process
 
+# The operators' own file, unless the command line names another.
 EXTRAS_PATH = Path(__file__).resolve().parent.parent / "deploy" / "extras.toml"
-"""The operators' own file."""
-
-EXIT_FAULTY_CONFIGURATION = 2
 
 
 def run_program(environ: Mapping[str, str], extras_path: Path = EXTRAS_PATH) -> int:
     """Run until SIGTERM and return the exit code.
 
-    The code is 0, or 1 where a port could not be opened.  A faulty configuration is named on standard error
-    and gives 2.
+    The code is an ``ExitCode``.  A faulty configuration is named on standard error.
     """
     logs.to_stream(sys.stderr)
     try:
         process = _build_process(environ, extras_path)
     except ConfigError as error:
         print(f"thornjunction: {error}", file=sys.stderr)
-        return EXIT_FAULTY_CONFIGURATION
+        return ExitCode.FAULTY_CONFIGURATION
     return run_process(process)
 
 
 def _build_process(environ: Mapping[str, str], extras_path: Path) -> Process:
-    """A relay where the operators' file has its section; without ``PROXY_CONFIG`` a demo."""
+    """Build a relay where the operators' file has its section; without ``PROXY_CONFIG``, a demo."""
     if extras_path.exists():
         # Imported only where there is such a file: a router without one loads nothing of a relay.
         from thornjunction.runtime.control_settings import load_relay
--- a/thornjunction/runtime/addresses.py
+++ b/thornjunction/runtime/addresses.py
@@ -9,9 +9,11 @@
 from thornjunction.net.wire.commands import parse_address
 from thornjunction.runtime.errors import FaultyKeyError
 
+# A name that fits datagrams, polls and lines of the admin endpoint.
 NAME = re.compile(r"[A-Za-z0-9._-]{1,32}")
-SHOWN_CHARACTERS = 40
-"""Of a faulty name in an error's message."""
+
+# Characters of a faulty name that an error shows.
+MAX_SHOWN_CHARACTERS = 40
 
 
 class Address(NamedTuple):
@@ -48,5 +50,5 @@
 def check_name(section: str, name: str) -> None:
     """Raise FaultyKeyError for a name that does not fit datagrams, polls and lines of the admin endpoint."""
     if not NAME.fullmatch(name):
-        shown = name[:SHOWN_CHARACTERS]
+        shown = name[:MAX_SHOWN_CHARACTERS]
         raise FaultyKeyError(section, f"a name is 1 to 32 letters, digits, dots and dashes, not {shown!r}")
--- a/thornjunction/runtime/admin_calls.py
+++ b/thornjunction/runtime/admin_calls.py
@@ -1,4 +1,4 @@
-"""What operators may call on a router's admin endpoint."""
+"""Calls of a router's admin endpoint."""
 
 from __future__ import annotations
 
@@ -8,14 +8,18 @@
 from thornjunction.net.wire.admin import encode_counters, encode_reply
 from thornjunction.runtime.drain import Drain
 
+# Time from the call until connections are closed: new ones come for 0.2 s past the first ``NAK``.
 DRAIN_WAIT_MS = 600.0
-"""After the call: new connections come for 0.2 s past the first ``NAK``."""
 
 log = get_logger(__name__)
 
 
 class AdminCalls:
-    """Answers each call; ``by_name`` has them all."""
+    """Answers the operators' calls.
+
+    Attributes:
+        by_name: the calls by the name that operators use.
+    """
 
     def __init__(
         self,
@@ -36,22 +40,22 @@
         }
 
     def check(self) -> bytes:
-        """Whether this router takes clients."""
+        """Reply whether this router accepts clients."""
         return encode_reply(self._is_ready())
 
     def metrics(self) -> bytes:
-        """All metrics, one a line."""
+        """Reply with all metrics, one a line."""
         return encode_counters(self._collect_metrics())
 
     def start_drain(self) -> bytes:
-        """Send clients away until ``drain-off``."""
+        """Drain until ``drain-off``."""
         if not self._drain.is_active:
             log.info("drain-on")
             self._drain.start(DRAIN_WAIT_MS)
         return encode_reply(True)
 
     def stop_drain(self) -> bytes:
-        """Take clients again; refused once the process shuts down."""
+        """End a drain; refused once the process shuts down."""
         if self._is_shutting_down():
             return encode_reply(False, "ending")
         log.info("drain-off")
--- a/thornjunction/runtime/admin_metrics.py
+++ b/thornjunction/runtime/admin_metrics.py
@@ -9,8 +9,8 @@
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
 
+# Names of the metrics of each class, and the outcomes that they count.
 OUTCOME_METRICS = {"fulfilled": "served", "throttled": "refused", "faulted": "failed"}
-"""Names of the metrics of each class, and the outcomes that they count."""
 
 
 def collect_admin_metrics(
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -33,8 +33,8 @@
     from thornjunction.runtime.fleet import FleetMember
     from thornjunction.runtime.signed_front import SignedFront
 
+# One third of the sockets is for clients.
 CLIENT_SOCKETS_DIVISOR = 3
-"""A third of the sockets is for clients."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/thornjunction/runtime/command_events.py
+++ b/thornjunction/runtime/command_events.py
@@ -14,9 +14,17 @@
 
 
 class CommandHandler:
-    """Feeds endpoint lists and purges, with their times on the core's clock.
+    """Feeds endpoint lists and purges to the engine and the pool, with their times on the core's clock.
 
-    ``settings`` gives those in force.
+    Args:
+        engine: is fed lists and purges.
+        pool: is given the addresses of listed servers.
+        roles: roles of servers, by the kinds that the endpoint list names.
+        settings: returns the settings in force.
+        clock: the core's clock, in ms.
+
+    Attributes:
+        process_starts: when the listed servers were started.
     """
 
     def __init__(
@@ -36,7 +44,7 @@
         self.process_starts = ProcessStarts(self._unix)
 
     def handle(self, command: Command) -> None:
-        """Take in one event."""
+        """Feed one event."""
         if isinstance(command, ListChange):
             self._change_list(command)
         else:
@@ -57,7 +65,7 @@
             self._engine.feed(api.PurgeReceived(purge.group, age_ms, purge.key))
 
     def _longest_warm_up_ms(self) -> float:
-        """Of a change, no start that lies further back matters."""
+        """Return how long a start of a server matters: the longest slow start of any role."""
         settings = self._settings()
         return max(settings.slow_start_ms, settings.parent_slow_start_ms)
 
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -26,26 +26,45 @@
 )
 from thornjunction.settings import SettingsReader, WireError, parse_json, read_roles, read_settings
 
+# Fewest sockets: one each for clients, cache servers, and the command channel.
 MIN_SOCKETS = 3
-"""A third for clients, one for cache servers, one for the command channel and the program's own."""
 
+# Sockets that the process may open, unless configured.
 DEFAULT_SOCKETS = 1024
+
+# One third of the sockets is for connections to cache servers.
 UPSTREAM_SOCKETS_DIVISOR = 3
+
+# Share of a processor that the process may use, unless configured.
 DEFAULT_CORES = 1.0
+
+# Smallest share of a processor; a smaller one is taken as this.
 MIN_CORES = 0.05
+
+# Greatest share of a processor: the process has one thread.
 MAX_CORES = 1.0
-"""The process runs on one core."""
 
+# Memory that the process may use, unless configured.
 DEFAULT_MEMORY_MB = 64.0
+
+# Bytes of a megabyte, as the platform's configuration counts memory.
 BYTES_PER_MB = 1e6
+
+# Share of the memory for buffers; of the smallest memory that the platform gives, the program itself
+# takes half.
 BUFFER_SHARE = 0.2
-"""Of the memory; half of the least that the platform gives is the program itself."""
 
+# Requests on one connection to a cache server at a time, unless configured.
 DEFAULT_MAX_STREAMS = 32
+
+# Timeout of an attempt to connect to a cache server, unless configured.
 DEFAULT_CONNECT_TIMEOUT_MS = 400.0
+
+# How long a connection to a cache server may be idle, unless configured.
 DEFAULT_IDLE_MS = 15_000.0
-SHOWN_CHARACTERS = 80
-"""Of a faulty text in an error's message."""
+
+# Characters of a faulty text that an error shows.
+MAX_SHOWN_CHARACTERS = 80
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,23 +72,24 @@
     """All that the platform tells a request router.
 
     Attributes:
-        name: the router's.
-        listen: where clients connect.
-        seed: of the random numbers.
+        name: the router's name.
+        listen: the address where clients connect.
+        seed: seed of the random numbers.
         cores: share of a processor that the process may use.
-        sockets: how many the process may open.
-        buffer_bytes: of all connections together.
-        discovery: where the command channel connects.
+        sockets: number of sockets that the process may open.
+        buffer_bytes: bytes that all connections may buffer together.
+        discovery: the address where the command channel connects.
         initial_commands: the events that are known before the command channel's first response.
-        settings: of the decisions.
-        roles: of servers, by the names that the endpoint list uses.
-        pool_limits: of the upstream connection pool.
-        longest_wait_ms: the longest that any client waits.
-        flow_bytes_per_ms: of one transfer, as ``settings.flow_kb_per_ms`` counts it; 0: not known.
-        admin: where the admin endpoint listens.
-        listening_descriptor: the clients' listening socket, where the platform holds it.
-        handover_folder: shared with the process that this one replaces; empty where it replaces none.
-        key_paths: of all keys in the file.
+        settings: the settings of the decisions.
+        roles: roles of servers, by the names that the endpoint list uses.
+        pool_limits: limits of the upstream connection pool.
+        longest_wait_ms: the longest time that any client waits.
+        flow_bytes_per_ms: rate of one transfer, which ``settings.transfer_rate_kb_per_ms`` has in KB; 0: not
+            known.
+        admin: the address of the admin endpoint; None: there is none.
+        listening_descriptor: descriptor of the clients' listening socket, where the platform opened it.
+        handover_folder: folder shared with the process that this one replaces; empty: it replaces none.
+        key_paths: paths of all keys in the file.
     """
 
     name: str
@@ -179,9 +199,9 @@
 
 
 def _key_paths(value: Any, prefix: str = "") -> Iterator[str]:
-    """The keys of nested objects.
+    """Yield the paths of the keys of nested objects.
 
-    Those in lists don't count, nor those below ``known``, which may differ from file to file.
+    Keys in lists are left out, and those below ``known``, which may differ from file to file.
     """
     if not isinstance(value, Mapping):
         return
@@ -204,7 +224,7 @@
     if not text:
         return None
     if not (text.isdigit() and text.isascii()):
-        raise FaultyKeyError(key, f"not a descriptor: {text[:SHOWN_CHARACTERS]!r}")
+        raise FaultyKeyError(key, f"not a descriptor: {text[:MAX_SHOWN_CHARACTERS]!r}")
     return int(text)
 
 
@@ -212,7 +232,7 @@
     try:
         return int(text, 16)
     except ValueError as error:
-        raise FaultyKeyError("seed", f"not a hexadecimal number: {text[:SHOWN_CHARACTERS]!r}") from error
+        raise FaultyKeyError("seed", f"not a hexadecimal number: {text[:MAX_SHOWN_CHARACTERS]!r}") from error
 
 
 def _initial_commands(data: Any) -> Commands:
--- a/thornjunction/runtime/control_settings.py
+++ b/thornjunction/runtime/control_settings.py
@@ -15,23 +15,34 @@
 from thornjunction.runtime.errors import ConfigError, FaultyFileError, FaultyKeyError, MissingPackageError
 from thornjunction.settings import SettingsReader, WireError
 
+# Sources that one router or relay may poll.
 MAX_SOURCES = 16
-"""That one router or relay polls."""
 
+# Routers that a relay may expect.
 MAX_ROUTERS = 2048
-"""That a relay expects."""
 
+# How long a relay holds the first event to send others with it, unless configured.
 DEFAULT_BATCH_WINDOW_MS = 150.0
-"""How long the first event waits for others."""
 
+# Longest batch window that may be configured.
 MAX_BATCH_WINDOW_MS = 1_000.0
+
+# How long a relay keeps a purge, unless configured.
 DEFAULT_PURGE_RETENTION_MS = 10_000.0
+
+# Shortest purge retention that may be configured.
 MIN_PURGE_RETENTION_MS = 1_000.0
+
+# Longest purge retention that may be configured.
 MAX_PURGE_RETENTION_MS = 60_000.0
+
+# Sections that a relay's file may not have.
 ROUTER_SECTIONS = ("signed", "metrics", "fleet", "control")
-"""Sections that a relay's file may not have."""
 
+# Keys of ``[control]``.
 CONTROL_KEYS = ("name", "sources", "private")
+
+# Keys of ``[relay]``.
 RELAY_KEYS = (
     "listen",
     "name",
@@ -47,9 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlSettings:
-    """``[control]``: whom this router polls instead of the configuration's ``channel``.
+    """``[control]``: the sources that this router polls instead of the configuration's ``channel``.
 
-    The sources are in the operators' order.  ``name`` is empty where the router's own counts.
+    Attributes:
+        name: the router's name in its polls; empty: its name in the configuration.
+        sources: addresses of discovery services or relays, in the operators' order.
     """
 
     name: str
@@ -61,14 +74,14 @@
     """``[relay]``: this process is a relay and nothing else.
 
     Attributes:
-        listen: where routers and relays poll.
-        name: the relay's.
-        upstreams: whom it polls, in the operators' order.
-        siblings: asked for a whole state where no upstream has any.
-        routers: names that are expected, and missed where they never came.
-        batch_window_ms: how long the first event waits for others.
+        listen: the address that routers and relays poll.
+        name: the relay's name.
+        upstreams: addresses that it polls, in the operators' order.
+        siblings: relays that are asked for a complete state where no upstream has one.
+        routers: names of the expected routers, reported as missing until they poll.
+        batch_window_ms: how long the first event is held to send others with it.
         purge_retention_ms: how long a purge is kept.
-        admin: where the admin endpoint listens.
+        admin: the address of the admin endpoint; None: there is none.
     """
 
     listen: Address
--- a/thornjunction/runtime/drain.py
+++ b/thornjunction/runtime/drain.py
@@ -1,4 +1,4 @@
-"""Draining: connections close where nothing is open on them; later all new work is refused."""
+"""Draining: connections are closed once they have no open request; later all new work is refused."""
 
 from __future__ import annotations
 
@@ -8,37 +8,45 @@
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.downstream.connection import DownstreamTable
 
+# Time between two searches for idle connections.
 SWEEP_INTERVAL_MS = 10.0
-"""Between looks for idle connections."""
 
+# Time from the start of a drain until new work is refused.
+# Without refusals a connection that always has an open request would never close.  4 s after an operator's
+# call no connection may hold a request of the last 2 s.  An earlier start costs clients: they retry on the
+# same connection.
 REFUSE_AFTER_MS = 1_900.0
-"""Until new work is refused, for a connection with always something open would never end.
 
-4 s after an operators' call none may hold a request of the last 2 s.  Sooner costs clients: they retry on the
-same connection.
-"""
-
-HURRY_DELAY_MS = 100.0
-"""From the first refusals to the end of what is still open.
-
-What is open by then is stuck, and its connection refuses all the others.
-"""
+# Time from the first refusals until what is still open is answered at once.
+# A request that is open by then is stuck, and its connection refuses all others.
+ANSWER_DELAY_MS = 100.0
 
 
 class DrainPhase(Enum):
-    """How far a drain has come."""
+    """Phases of a drain; each does what the one before it does.
+
+    Attributes:
+        INACTIVE: nothing is done.
+        CLOSING_IDLE: connections without an open request are closed.
+        REFUSING: also, new work is refused.
+        ANSWERING: also, open requests are answered at once.
+    """
 
     INACTIVE = auto()
     CLOSING_IDLE = auto()
-    """Connections without an open request are closed."""
     REFUSING = auto()
-    """Also, new work is refused."""
-    HURRYING = auto()
-    """Also, what is open is answered at once."""
+    ANSWERING = auto()
 
 
 class Drain:
-    """Inactive until it is started; may be stopped and started again."""
+    """Drains clients' connections; inactive until it is started, and may be stopped and started again.
+
+    Args:
+        clients: the connections to drain.
+        deadlines: the queue of deadlines.
+        clock: the core's clock, in ms.
+        answer_all_now: answers all open requests at once.
+    """
 
     def __init__(
         self,
@@ -54,54 +62,57 @@
         self._phase = DrainPhase.INACTIVE
         self._sweep_deadline: Deadline | None = None
         self._refuse_at_ms = 0.0
-        self._hurry_at_ms = 0.0
+        self._answer_at_ms = 0.0
 
     @property
     def is_active(self) -> bool:
-        """Whether clients are sent away."""
+        """Whether connections are drained."""
         return self._phase is not DrainPhase.INACTIVE
 
     @property
     def is_refusing(self) -> bool:
         """Whether new work is refused."""
-        return self._phase in (DrainPhase.REFUSING, DrainPhase.HURRYING)
+        return self._phase in (DrainPhase.REFUSING, DrainPhase.ANSWERING)
 
     def start(
         self,
         wait_ms: float,
         refuse_after_ms: float = REFUSE_AFTER_MS,
-        hurry_after_ms: float = REFUSE_AFTER_MS + HURRY_DELAY_MS,
+        answer_after_ms: float = REFUSE_AFTER_MS + ANSWER_DELAY_MS,
     ) -> None:
-        """Drain; all times count from now.  An active drain starts anew.
+        """Start a drain; an active one starts anew.
 
-        Connections are left alone for ``wait_ms``: new ones come until all know that this process leaves.
-        Then idle ones are closed, later new work is refused, and last what is open is hurried.
+        Args:
+            wait_ms: time from now until idle connections are closed; until then clients learn that this
+                process leaves.
+            refuse_after_ms: time from now until new work is refused.
+            answer_after_ms: time from now until open requests are answered at once.
         """
         if self.is_active:
             self.stop()
         now_ms = self._clock()
         self._phase = DrainPhase.CLOSING_IDLE
         self._refuse_at_ms = now_ms + refuse_after_ms
-        self._hurry_at_ms = now_ms + hurry_after_ms
+        self._answer_at_ms = now_ms + answer_after_ms
         self._sweep_deadline = self._deadlines.add(now_ms + wait_ms, self._sweep)
 
     def stop(self) -> None:
-        """Leave clients alone again."""
+        """End the drain; new work is accepted again."""
         self._deadlines.cancel(self._sweep_deadline)
         self._phase = DrainPhase.INACTIVE
 
     def _sweep(self) -> None:
         now_ms = self._clock()
         self._phase = self._phase_at(now_ms)
-        if self._phase is DrainPhase.HURRYING:
+        if self._phase is DrainPhase.ANSWERING:
             self._answer_all_now()
         for connection in self._clients:
             connection.leave()
         self._sweep_deadline = self._deadlines.add(now_ms + SWEEP_INTERVAL_MS, self._sweep)
 
     def _phase_at(self, now_ms: float) -> DrainPhase:
-        if now_ms >= self._hurry_at_ms:
-            return DrainPhase.HURRYING
+        if now_ms >= self._answer_at_ms:
+            return DrainPhase.ANSWERING
         if now_ms >= self._refuse_at_ms:
             return DrainPhase.REFUSING
         return DrainPhase.CLOSING_IDLE
--- a/thornjunction/runtime/durable.py
+++ b/thornjunction/runtime/durable.py
@@ -1,7 +1,7 @@
-"""Files that outlive the process, replaced whole.
+"""Atomic replacement of files that outlive the process.
 
-After a full disk, an I/O error or a kill at any moment a reader finds the old content or the new, never a
-part.
+After a full disk, an I/O error or a kill at any moment a reader finds the old content or the new one, never
+a part.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import os
 from pathlib import Path
 
+# Permissions of a file: its owner writes it, and everybody may read it.
 DEFAULT_MODE = 0o644
 
 
--- a/thornjunction/runtime/errors.py
+++ b/thornjunction/runtime/errors.py
@@ -1,4 +1,4 @@
-"""What may be wrong with the configuration or the operators' file."""
+"""Errors of the configuration and of the operators' file."""
 
 from __future__ import annotations
 
--- a/thornjunction/runtime/extras.py
+++ b/thornjunction/runtime/extras.py
@@ -20,14 +20,26 @@
     from thornjunction.runtime.control_settings import ControlSettings
     from thornjunction.runtime.fleet_settings import FleetSettings
 
+# Time between two exports of metrics, unless configured.
 DEFAULT_METRICS_INTERVAL_S = 10.0
+
+# Shortest export interval; a shorter one is taken as this.
 MIN_METRICS_INTERVAL_S = 0.1
+
+# Prefix of the metrics' names, unless configured.
 DEFAULT_METRICS_PREFIX = "thornjunction"
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSettings:
-    """Where metrics are sent, and how often."""
+    """Export of metrics.
+
+    Attributes:
+        interval_s: time between two exports.
+        prefix: prefix of their names in Graphite.
+        graphite: address of Graphite; None: not exported to it.
+        collectd: address of collectd; None: not exported to it.
+    """
 
     interval_s: float
     prefix: str
@@ -37,7 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Extras:
-    """What the operators' file turns on; all is off where there is no file."""
+    """The features that the operators' file turns on; all are off where there is no file.
+
+    Attributes:
+        signed: the signed-URL front.
+        metrics: the export of metrics.
+        fleet: the membership of a fleet.
+        control: the sources of the command channel.
+    """
 
     signed: SignedFrontSettings | None = None
     metrics: MetricsSettings | None = None
@@ -57,7 +76,7 @@
 
 
 def _read(top: SettingsReader, folder: Path) -> Extras:
-    """The sections that the file has; paths in them are relative to its folder."""
+    """Read the sections that the file has; paths in them are relative to its folder."""
     return Extras(
         signed=read_signed_front(top.section("signed"), folder) if "signed" in top.data else None,
         metrics=_read_metrics(top.section("metrics")) if "metrics" in top.data else None,
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -25,19 +25,24 @@
 from thornjunction.runtime.fleet_settings import FleetSettings
 from thornjunction.runtime.incarnation import next_incarnation
 
+# Time between attempts to bind: the process that this one replaces may still hold the port.
 BIND_RETRY_MS = 500.0
-"""Between attempts to bind: the process that this one replaces may still hold the port."""
 
+# Notices of the membership that are logged each time.
 LOGGED_NOTICES = ("member", "link", "majority", "mode", "paused")
 
+# Sections that an error names where the membership refuses a value of either.
 SECTIONS = "fleet, fleet.timings"
-"""Named where the membership refuses a value of either."""
 
 log = get_logger(__name__)
 
 
 class FleetMember:
-    """One member.  Raises ConfigError where the membership does not take the settings."""
+    """This router's membership and its port.
+
+    Raises:
+        ConfigError: the membership refuses the settings.
+    """
 
     def __init__(self, settings: FleetSettings, router_name: str, deadlines: Deadlines) -> None:
         self.name = settings.name or router_name
@@ -51,7 +56,7 @@
         self._bound: Any = None
 
     def listen(self, reactor: Any) -> None:
-        """Bind and join; where the port is taken, retry until it is free or this process leaves."""
+        """Bind and join; while the port is in use, retry until it is free or this process leaves."""
         if self.port.closed:
             return
         try:
@@ -68,12 +73,12 @@
         log.info("fleet-listening", name=self.name, host=address.host, port=address.port)
 
     def leave(self) -> None:
-        """Leave the fleet and free the port, for the process that comes next."""
+        """Leave the fleet and free the port for this process's successor."""
         self.port.shut_down()
         self.close()
 
     def close(self) -> None:
-        """Free the port without a word to the others."""
+        """Free the port without notice to the other members."""
         if self._bound is not None:
             self._bound.stopListening()
 
@@ -117,5 +122,5 @@
 
 
 def _is_logged(count: int) -> bool:
-    """Whether to log this occurrence: the 1st, 2nd, 4th, 8th..., so that a flood logs little."""
+    """Return whether to log this occurrence: the 1st, 2nd, 4th, 8th and so on."""
     return count.bit_count() == 1
--- a/thornjunction/runtime/fleet_settings.py
+++ b/thornjunction/runtime/fleet_settings.py
@@ -13,24 +13,26 @@
 from thornjunction.runtime.errors import FaultyKeyError
 from thornjunction.settings import SettingsReader
 
+# Smallest secret of a fleet: as long as the digest that it keys.
 MIN_SECRET_BYTES = 32
+
+# Greatest value of a timing, in ms or as a count.
 MAX_TIMING = 3_600_000
-"""In ms, or of a count."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """Which fleet this router belongs to, where it listens, and whom it contacts first.
+    """The fleet of this router, its addresses and its first contacts.
 
     Attributes:
-        listen: where it receives datagrams; port 0: any free one.
-        advertise: where the others reach it.
-        name: the member's; empty where the router's own counts.
+        listen: the address where it receives datagrams; port 0: any free one.
+        advertise: the address where the other members reach it.
+        name: the member's name; empty: the router's name.
         fleet: the fleet's name.
-        secret: that the fleet shares.
-        seeds: contacted first.
-        voters: names, of which a majority decides.
-        data: folder of what outlives the process.
+        secret: the secret that the fleet shares.
+        seeds: addresses of the members that are contacted first.
+        voters: names of the members of which a majority decides.
+        data: folder of the files that outlive the process.
         timings: values that override defaults of the membership, by its settings' names.
     """
 
@@ -70,7 +72,7 @@
 
 
 def _read_listen(text: str, is_advertised: bool, allow_private: bool) -> Address:
-    """Where to listen; any free port will do where the others know the one that is advertised."""
+    """Read the address to listen at; port 0 is accepted where another address is advertised."""
     if is_advertised and text.endswith(":0"):
         with_a_port = text.removesuffix("0") + "1"
         return Address(read_local_address("fleet.listen", with_a_port, allow_private).host, 0)
--- a/thornjunction/runtime/front_admission.py
+++ b/thornjunction/runtime/front_admission.py
@@ -1,4 +1,4 @@
-"""What the platform's front refuses by itself, before a request reaches the decisions."""
+"""Requests that the platform's front refuses by itself, before they reach the decisions."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
         self._refusal = b""
 
     def apply(self, settings: api.Settings) -> None:
-        """Take the settings of the refusal's Retry-After."""
+        """Set the Retry-After time of refusals."""
         wait_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
         self._refusal = cgi.encode_response(Rejected(wait_ms))
 
     def refusal(self) -> bytes:
-        """The response for a request that is refused now; empty where it is admitted."""
+        """Return the response for a request that is refused now; empty: a request is admitted."""
         is_admitted = not self._drain.is_refusing and self._load_shedder.admits(len(self._engine.requests))
         return b"" if is_admitted else self._refusal
 
--- a/thornjunction/runtime/handover.py
+++ b/thornjunction/runtime/handover.py
@@ -9,16 +9,16 @@
 
 from thornjunction.logs import get_logger
 
+# Hexadecimal digits of a token; a file with fewer was not written whole.
 TOKEN_CHARACTERS = 16
-"""Hexadecimal digits; a file with fewer was not written whole."""
 
 log = get_logger(__name__)
 
 
 class Handover:
-    """A token in a folder that both processes see: the last one to get ready has written it.
+    """A token in a folder that both processes see: the process that became ready last has written it.
 
-    Process ids would not do: they may be the same in two name spaces.
+    Process ids cannot tell them apart: they may be the same in two name spaces.
     """
 
     def __init__(self, folder: str, name: str) -> None:
@@ -47,7 +47,7 @@
         return len(token) == TOKEN_CHARACTERS and token != self.token
 
     def _read(self) -> str:
-        """The token in the folder; empty where there is none."""
+        """Return the token in the folder; empty: there is none."""
         if self.path is None:
             return ""
         try:
--- a/thornjunction/runtime/incarnation.py
+++ b/thornjunction/runtime/incarnation.py
@@ -16,10 +16,15 @@
 from thornjunction.logs import get_logger
 from thornjunction.runtime.durable import replace_file
 
+# Name of the file in the operators' folder.
 FILE_NAME = "incarnation"
+
+# Version of the file format.
 FORMAT = 1
+
+# Distance from the stored incarnation to the next one.
+# A member raises its own while it runs, to refute a suspicion.
 INCARNATION_STEP = 1_000
-"""Above the last stored one: a member raises its own while it runs to refute a suspicion."""
 
 log = get_logger(__name__)
 
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -45,50 +45,59 @@
 from thornjunction.net.wire.polls import Poll
 from thornjunction.runtime.control_settings import RelaySettings
 from thornjunction.runtime.errors import FaultyKeyError
+from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.lifecycle import Lifecycle
 from thornjunction.runtime.listeners import Listeners
 from thornjunction.runtime.relay_status import RelayStatusCalls
 
+# Connections of routers and relays, where the descriptors allow as many.
 MAX_CONNECTIONS = 4096
+
+# Descriptors for the program, its upstream and its admin endpoint.
 OWN_DESCRIPTORS = 64
-"""Of the program, its upstream and its admin endpoint."""
 
+# Fewest descriptors with which a relay starts.
 MIN_DESCRIPTORS = 2 * OWN_DESCRIPTORS
+
+# How long the end of the process waits until the last responses are read.
 FLUSH_TIMEOUT_MS = 500.0
-"""For the last responses to be read."""
 
+# Time between checks whether the last responses were read.
 FLUSH_CHECK_INTERVAL_MS = 10.0
+
+# Timings of the choice of an upstream.  Relays are few: they may probe often and notice soon that
+# discovery is back.
 SELECTION_TIMINGS = SelectionTimings(max_probe_interval_ms=2_000.0)
-"""Relays are few: they may notice soon that discovery is back."""
 
+# How far discovery's clock may differ from this machine's.
 MAX_CLOCK_SKEW_MS = 60_000.0
-"""By which discovery's clock may differ from this machine's."""
 
+# Time until a timer is fired again in whose handling the core failed.
 FAILED_TIMER_RETRY_MS = 1_000.0
-"""Until a timer in whose handling the core failed fires once more."""
 
+# Random bytes of an epoch's name.
 EPOCH_BYTES = 8
-FIRST_NUMBER_SHIFT = 20
-"""Numbers of events that a second of Unix time covers, as a power of two.
 
-A relay starts above the numbers of earlier processes, so that a plain router that comes from elsewhere takes
-what it is sent.
-"""
-
-EXIT_OK = 0
-EXIT_NO_PORT = 1
+# Event numbers for each second of Unix time, as a power of two.
+# A relay starts above the numbers of earlier processes, so that a router that polled one of them accepts
+# its events.
+FIRST_NUMBER_SHIFT = 20
 
 log = get_logger(__name__)
 
 
 class RelayProcess:
-    """One relay.  Raises ConfigError where the process may open too few descriptors."""
+    """One relay from its start to its exit.
+
+    Raises:
+        ConfigError: the process may open too few descriptors.
+    """
 
     def __init__(self, settings: RelaySettings, reactor: Any) -> None:
         self._settings = settings
         self._reactor = reactor
         self._state = Lifecycle.STARTING
-        self._exit_code = EXIT_OK
+        self._exit_code = ExitCode.STOPPED
         self._faults = 0
         self._unix = UnixClock()
         self._alarm = TimerService(reactor)
@@ -127,7 +136,7 @@
         return self._exit_code
 
     def start(self) -> None:
-        """Listen at once: who polls before there is a state is told so, and goes elsewhere."""
+        """Listen at once: a poll before there is a state is rejected, and the poller tries another source."""
         self._state = Lifecycle.SERVING
         self.feed(Started())
         log.info("relay-start", name=self._settings.name, connections=self._pollers.most)
@@ -147,7 +156,7 @@
             self._carry_out(action)
 
     def _handle_fault(self, event: RelayEvent) -> None:
-        """Guards the process against a fault of the core, which must neither end it nor fill its log.
+        """Log a failure of the core, which must neither end the process nor fill its log.
 
         A timer in whose handling the core failed may have been its last: it fires again.
         """
@@ -188,12 +197,12 @@
         self.feed(PollerDisconnected(poller))
 
     def deregister(self, name: str) -> None:
-        """Wait no more for a router or relay that was taken out of service."""
+        """Stop waiting for a router or relay that was taken out of service."""
         log.info("dismissed", name=name)
         self.feed(MemberDeregistered(name))
 
     def handle_command(self, command: Command) -> None:
-        """Take in an event of the upstream."""
+        """Feed an event of the upstream to the core."""
         if isinstance(command, ListChange):
             hosts = tuple(encode_host(host) for host in command.hosts)
             self.feed(EndpointListUpdate(command.cursor, command.seq, command.is_complete, hosts))
@@ -201,9 +210,10 @@
             self._handle_purge(command)
 
     def _handle_purge(self, purge: Purge) -> None:
-        """Guards routers against an hour of purges that no cache keeps any more, and the bound on those kept.
+        """Feed a purge to the core, unless it is past its retention.
 
-        The numbers of those that are dropped count with the response's end.
+        Old purges would be sent to routers in vain and fill the table of purges.  Their numbers count as
+        received with the end of the response.
         """
         retention_ms = self._settings.purge_retention_ms
         issued_ms = self._unix.to_core(purge.issued_unix_ms, retention_ms + MAX_CLOCK_SKEW_MS)
@@ -215,12 +225,12 @@
         self.feed(PurgeReceived(purge.cursor, key, group, purge.issued_unix_ms, age_ms))
 
     def _handle_confirmation(self, age_ms: float, number: int) -> None:
-        """All up to this number of the upstream was in force, so long ago."""
+        """Feed that the upstream's state up to this number was in force that long ago."""
         if math.isfinite(age_ms):
             self.feed(UpstreamConfirmed(age_ms, number))
 
     def _poll_query(self, sibling: bool) -> str:
-        """What this relay's own polls say of itself, and of what all below it have acknowledged."""
+        """Return the query of this relay's own polls: its name, and what all below it have acknowledged."""
         if sibling:
             return f"&as=sibling&name={self._settings.name}"
         progress = self._relay.upstream_progress()
@@ -231,7 +241,7 @@
         return query
 
     def shut_down(self) -> None:
-        """SIGTERM: take no new polls, answer pending ones with what there is, then exit with 0."""
+        """Handle SIGTERM: accept no new polls, answer pending ones with what there is, then exit."""
         if self._state in (Lifecycle.SHUTTING_DOWN, Lifecycle.STOPPED):
             return
         self._state = Lifecycle.SHUTTING_DOWN
@@ -251,8 +261,8 @@
         self._reactor.stop()
 
     def _fail(self) -> None:
-        """A port can't be opened: the program ends."""
-        self._exit_code = EXIT_NO_PORT
+        """End the program because a port cannot be opened."""
+        self._exit_code = ExitCode.PORT_NOT_OPENED
         self._reactor.stop()
 
 
@@ -267,7 +277,11 @@
 
 
 def _max_connections() -> int:
-    """As many as the descriptors that this process may open allow.  Raises ConfigError for too few."""
+    """Return the limit on connections by the descriptors that this process may open.
+
+    Raises:
+        ConfigError: they are too few.
+    """
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if limit == resource.RLIM_INFINITY:
         return MAX_CONNECTIONS
--- a/thornjunction/runtime/relay_status.py
+++ b/thornjunction/runtime/relay_status.py
@@ -11,6 +11,7 @@
 from thornjunction.net.wire.admin import encode_lines, encode_reply
 from thornjunction.net.wire.polls import NAME
 
+# Names of the metrics on the operators' page, and the fields of ``RelayStatus`` with their values.
 STATUS_FIELDS = {
     "ready": "ready",
     "epoch": "epoch",
@@ -27,13 +28,14 @@
     "cut_off": "unreachable_members",
     "forgotten": "evicted_members",
 }
-"""Names of the metrics on the operators' page, and the fields of ``RelayStatus`` with their values."""
 
 
 class RelayStatusCalls:
-    """The admin endpoint's calls: ``by_name``, and ``with_argument`` those of two words.
+    """The admin endpoint's calls; their times of day are Unix ms.
 
-    Times of day are Unix ms.
+    Attributes:
+        by_name: calls of one word.
+        with_argument: calls of a word and an argument.
     """
 
     def __init__(
@@ -99,7 +101,7 @@
 
 
 def _unix_ms(at_ms: float, now_ms: float) -> int:
-    """A time of the core's clock in Unix ms, by what both clocks read now."""
+    """Convert a time of the core's clock to Unix ms, by what both clocks read now."""
     return round(time.time() * 1000.0 - (now_ms - at_ms))
 
 
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -21,6 +21,7 @@
 from thornjunction.runtime.command_events import CommandHandler
 from thornjunction.runtime.config import Config, check_complete
 from thornjunction.runtime.errors import ConfigError
+from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.front_admission import FrontAdmission
 from thornjunction.runtime.handover import Handover
 from thornjunction.runtime.lifecycle import Lifecycle
@@ -31,6 +32,7 @@
 if TYPE_CHECKING:  # what the operators' file turns on is imported where there is one
     from thornjunction.runtime.extras import Extras
 
+# Settings that a reload does not change: their names in the log, and the fields of ``Config``.
 RESTART_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -38,13 +40,10 @@
     "roles": "roles",
     "shelves": "pool_limits",
 }
-"""What a reload does not change: its name in the log, and the field of ``Config``."""
 
+# How long the start waits for the command channel's first response.
+# After it, the configuration's own list is used.
 INITIAL_LIST_TIMEOUT_MS = 500.0
-"""For the command channel's first response; then the configuration's own list is used."""
-
-EXIT_OK = 0
-EXIT_NO_PORT = 1
 
 log = get_logger(__name__)
 
@@ -67,7 +66,7 @@
         self._load = load
         self._counters = counters
         self._reloads = Counter[str]()
-        self._exit_code = EXIT_OK
+        self._exit_code = ExitCode.STOPPED
         self._build_request_path()
         self._build_extras(extras)
         self._build_control()
@@ -261,5 +260,5 @@
 
     def _fail(self) -> None:
         """A port can't be opened: the program ends."""
-        self._exit_code = EXIT_NO_PORT
+        self._exit_code = ExitCode.PORT_NOT_OPENED
         self.reactor.stop()
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -1,6 +1,6 @@
-"""The end of the process after SIGTERM: when it stops to accept, refuses, hurries and exits.
+"""The end of the process after SIGTERM: it stops accepting, refuses, answers what is open, and exits.
 
-All is done by the time that the platform leaves it before SIGKILL.
+All is done within the time that the platform leaves it before SIGKILL.
 """
 
 from __future__ import annotations
@@ -15,33 +15,42 @@
 from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.runtime.drain import REFUSE_AFTER_MS, Drain
 
+# How long connections and requests are accepted after SIGTERM.
+# By the platform's terms new connections come for 400 ms, and requests on open ones for 200 ms more.
 ACCEPT_WINDOW_MS = 800.0
-"""After SIGTERM: new connections come for 400 ms, and requests on open ones for 200 ms more."""
 
+# Longest client deadline that the platform counts.
 MAX_DEADLINE_MS = 3_000.0
-"""The platform counts no client's deadline beyond this."""
 
+# Time from the longest client deadline to SIGKILL.
 KILL_DELAY_MS = 700.0
-"""From the longest deadline to SIGKILL."""
 
+# Time before SIGKILL at which the process exits.
+# Once more before that all requests are answered, so that the last responses can be read.
 EXIT_MARGIN_MS = 80.0
-"""Before SIGKILL for the last connections; and before that once more for the last responses."""
 
+# How long the process stays past the time of SIGKILL while requests are open.
+# A process that exits loses them for certain; one that waits to be killed may still answer.
 OPEN_REQUESTS_GRACE_MS = 500.0
-"""After SIGKILL is due, with requests still open.
-
-A process that exits has lost them for certain; one that waits to be killed may still answer.
-"""
 
+# Time between checks whether all requests are answered.
 CHECK_INTERVAL_MS = 20.0
-"""Between checks whether all is answered."""
 
-BACKLOG = 1024
-"""Connections that the system may hold for this process."""
+# Connections that the system may hold for this process until they are accepted.
+MAX_PENDING_CONNECTIONS = 1024
 
 
 class Shutdown:
-    """Off until it is started; then it calls ``stop`` once, when all is answered or the time is over."""
+    """Ends the process's service once it is started.
+
+    Args:
+        clients: clients' connections.
+        drain: closes them.
+        engine: owns the open requests.
+        deadlines: the queue of deadlines.
+        clock: the core's clock, in ms.
+        stop: is called once, when all requests are answered or the time is over.
+    """
 
     def __init__(
         self,
@@ -66,9 +75,9 @@
         """Begin the shutdown.
 
         Args:
-            longest_wait_ms: the longest that any client waits.
+            longest_wait_ms: the longest time that any client waits.
             ports: the listening ports, closed after the accept window.
-            accept_new: whether new connections are this process's; else a successor accepts them.
+            accept_new: whether this process accepts the new connections; else a successor does.
         """
         now_ms = self._clock()
         self._ports = ports
@@ -77,8 +86,9 @@
         self._engine.shutdown_at_ms = self._stop_at_ms - EXIT_MARGIN_MS
         remaining_ms = self._engine.shutdown_at_ms - now_ms
         accept_ms = min(ACCEPT_WINDOW_MS, remaining_ms) if accept_new else 0.0
-        # What is open keeps its own time to the end; only then is it hurried.  Refusals begin halfway at the
-        # latest, else short deadlines would let a connection with always something open come to none.
+        # Open requests keep their own time to the end; only then are they answered at once.  Refusals begin
+        # halfway at the latest: with short deadlines, a connection that always has an open request would
+        # otherwise get none.
         refuse_after_ms = min(REFUSE_AFTER_MS, (accept_ms + remaining_ms) / 2)
         self._drain.start(accept_ms, refuse_after_ms, remaining_ms)
         self._deadlines.add(now_ms + accept_ms, self._close_ports)
@@ -91,7 +101,7 @@
         self._check_done()
 
     def _check_done(self) -> None:
-        """Stop where nothing is left to do or the time is over; else check again soon."""
+        """Stop if all is answered or the time is over; else check again soon."""
         now_ms = self._clock()
         open_requests = len(self._engine.requests)
         if self._is_time_over(now_ms, open_requests) or not (open_requests or self._clients.connected):
@@ -114,9 +124,9 @@
 
 
 def accept_pending(port: Any) -> None:
-    """Accept what the system holds for a port: closing the port would reset it, with its requests."""
+    """Accept the connections that the system holds for a port: closing it would reset them."""
     last_session = -1
-    for _ in range(BACKLOG):
+    for _ in range(MAX_PENDING_CONNECTIONS):
         if port.sessionno == last_session:
             return
         last_session = port.sessionno
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -26,11 +26,11 @@
 if TYPE_CHECKING:
     from thornjunction.runtime.tls import CertificateReloader
 
+# Connections that the system holds until they are accepted.
 LISTEN_BACKLOG = 1024
-"""Connections that the system holds until they are accepted."""
 
+# Opens a port without TLS: host, port, and what builds the protocol of a connection.
 ListenPlain = Callable[[str, int, Callable[[], protocol.Protocol]], None]
-"""Opens a port without TLS: host, port, and what builds the protocol of a connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,11 @@
 
 
 class SignedFront:
-    """The signed-URL front.  Raises TlsError where its certificate and key can't serve."""
+    """The signed-URL front.
+
+    Raises:
+        TlsError: its certificate and key cannot serve.
+    """
 
     def __init__(
         self,
@@ -95,7 +99,7 @@
         return ports
 
     def reload(self) -> None:
-        """Read the key set and the TLS pair again, now."""
+        """Read the key set and the TLS files again now."""
         for scheduled in self._reloads:
             scheduled.file.reload()
 
--- a/thornjunction/runtime/signed_settings.py
+++ b/thornjunction/runtime/signed_settings.py
@@ -21,24 +21,46 @@
 from thornjunction.signing.replay import ReplayWindow
 from thornjunction.signing.tokens import ALGORITHMS, Key, SigningKey, Trust
 
+# Time between two reads of the key set or the TLS files, unless configured.
 DEFAULT_RELOAD_INTERVAL_S = 60.0
+
+# Shortest reload interval that may be configured.
 MIN_RELOAD_INTERVAL_S = 1.0
+
+# Longest reload interval that may be configured: a day.
 MAX_RELOAD_INTERVAL_S = 86_400.0
-"""A day."""
 
+# Smallest secret of the gossip: as long as the digest that it keys.
 MIN_GOSSIP_SECRET_BYTES = 32
 
+# Bytes of a megabyte, as the operators' file counts memory.
 BYTES_PER_MB = 1 << 20
+
+# Memory of the replay window, unless configured.
 DEFAULT_REPLAY_CAPACITY_MB = 8.0
+
+# Smallest memory of the replay window that may be configured.
 MIN_REPLAY_CAPACITY_MB = 0.01
+
+# Greatest memory of the replay window that may be configured.
 MAX_REPLAY_CAPACITY_MB = 4096.0
+
+# Longest lifetime of a token with a ``jti``, unless configured: a day.
 DEFAULT_REPLAY_HORIZON_S = 86_400.0
+
+# Shortest replay horizon that may be configured.
 MIN_REPLAY_HORIZON_S = 60.0
+
+# Longest replay horizon that may be configured: 30 days.
 MAX_REPLAY_HORIZON_S = 30 * 86_400.0
+
+# Parts of the replay horizon that expire one after the other.
 REPLAY_SLICES = 8640
-"""Parts of the horizon that expire one after the other."""
 
+# Shortest part of the replay horizon.
 MIN_REPLAY_SLICE_S = 1.0
+
+# Seconds by which an issuer's clock may differ, unless configured.
 DEFAULT_CLOCK_SKEW_S = 5.0
 
 
@@ -47,9 +69,9 @@
     """A key set file (RFC 7517 §5).
 
     Attributes:
-        path: of the file.
+        path: path of the file.
         retire: the operators' retirement dates by kid, in Unix seconds.
-        reload_interval_s: how often it is read again.
+        reload_interval_s: time between two reads of it.
     """
 
     path: Path
@@ -69,7 +91,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """PEM files of a certificate chain and its private key, and how often they are read again."""
+    """PEM files of a certificate chain and its private key.
+
+    Attributes:
+        cert: path of the certificate chain.
+        key: path of the private key.
+        reload_interval_s: time between two reads of them.
+    """
 
     cert: Path
     key: Path
@@ -78,7 +106,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """Where this router receives the ids of tokens that its peers took, and whom it tells its own."""
+    """Exchange of the ids of accepted tokens with other routers.
+
+    Attributes:
+        listen: the address where this router receives the ids of others.
+        peers: addresses of the others.
+        secret: the secret that all of them share.
+    """
 
     listen: Address
     peers: tuple[Address, ...]
@@ -87,9 +121,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SignedFrontSettings:
-    """Where the signed-URL front listens, whose tokens it takes, and what it remembers of them.
+    """Settings of the signed-URL front.
 
-    ``base`` is the scheme and authority with which the signed URIs begin.
+    Attributes:
+        listen: the address where it listens.
+        base: scheme and authority with which the signed URIs begin.
+        trust: whose tokens it accepts.
+        replays: the ids of tokens that it accepted.
+        forwarding: which proxies may name a client's address.
+        keyset: the key set file; None: keys have a file each.
+        gossip: the exchange of accepted ids; None: there is none.
+        tls: the TLS files; None: TLS is off.
     """
 
     listen: Address
@@ -208,7 +250,7 @@
 def _read_keys(
     params: SettingsReader, folder: Path, key_set: KeySetFile | None, algorithms: tuple[str, ...]
 ) -> list[SigningKey]:
-    """The keys of the key set file, or those that the section lists one file each."""
+    """Read the keys of the key set file, or those that the section lists one file each."""
     if key_set is not None:
         return list(key_set.read(algorithms).keys.values())
     return [
--- a/thornjunction/runtime/start.py
+++ b/thornjunction/runtime/start.py
@@ -1,4 +1,4 @@
-"""The start of a process: signals, configuration, reactor and collector, up to its run."""
+"""The start of a process: signals, configuration, reactor and garbage collector."""
 
 from __future__ import annotations
 
@@ -16,11 +16,9 @@
     from thornjunction.runtime.control_settings import RelaySettings
     from thornjunction.runtime.extras import Extras
 
+# Thresholds of the garbage collector's three generations, in objects and collections.
+# Few cycles are made; with the interpreter's defaults it would run several times a millisecond.
 GC_THRESHOLDS = (20_000, 50, 100)
-"""Of the three generations, in objects and collections.
-
-Few cycles are made; the interpreter's defaults would look for them several times a millisecond.
-"""
 
 
 class Process(Protocol):
@@ -59,9 +57,9 @@
 
 
 def run_process(process: Process) -> int:
-    """Run what was built, and return its exit code.
+    """Run a process and return its exit code.
 
-    What is loaded by now stays: the collector need not look at it again.
+    Objects that exist by now stay: the garbage collector need not examine them again.
     """
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/thornjunction/runtime/tls.py
+++ b/thornjunction/runtime/tls.py
@@ -23,8 +23,8 @@
 from thornjunction.runtime.errors import TlsError
 from thornjunction.runtime.signed_settings import TlsFiles
 
+# Hexadecimal digits of a digest that distinguish two versions of the files in the log.
 DIGEST_CHARACTERS = 16
-"""Enough to tell versions apart in the log."""
 
 log = get_logger(__name__)
 
@@ -65,7 +65,8 @@
 class CertificateReloader:
     """The context factory of the front's TLS port.
 
-    ``counts`` has the reads that were ``accepted``, ``refused`` and the ``same``.
+    Attributes:
+        counts: reads of the files by result: ``accepted``, ``refused`` or ``same``.
     """
 
     def __init__(self, files: TlsFiles) -> None:
@@ -83,7 +84,7 @@
         return self._context
 
     def reload(self) -> None:
-        """Read both files; take them where they are new and make a pair."""
+        """Read both files and use them where they are new and make a pair."""
         try:
             chain = self._files.cert.read_bytes()
             key = self._files.key.read_bytes()
--- a/thornjunction/settings.py
+++ b/thornjunction/settings.py
@@ -11,9 +11,9 @@
 from thornjunction import interface as api
 
 # Largest number that a setting may have: past it a float no longer holds all whole milliseconds.
-LARGEST_NUMBER = 1e15
+MAX_NUMBER = 1e15
 # Characters of a wrong value that an error shows.
-SHOWN_CHARACTERS = 80
+MAX_SHOWN_CHARACTERS = 80
 # Milliseconds of a second: rates are set a second and used a millisecond.
 MS_PER_S = 1000.0
 
@@ -58,7 +58,7 @@
 
 
 def _shown(value: Any) -> str:
-    return str(value)[:SHOWN_CHARACTERS]
+    return str(value)[:MAX_SHOWN_CHARACTERS]
 
 
 class SettingsReader:
@@ -119,7 +119,7 @@
 
     def _checked(self, name: str, value: Any) -> float:
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
-        if not is_number or not 0 <= value <= LARGEST_NUMBER:
+        if not is_number or not 0 <= value <= MAX_NUMBER:
             raise InvalidSettingError(self.path + name, _shown(value))
         return float(value)
 
