--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -9,7 +9,6 @@
 import random
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from thornjunction.core.counters import Counters
@@ -23,6 +22,8 @@
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
 from thornjunction.runtime.drain import Drain
+from thornjunction.runtime.optional_parts import OptionalParts
+from thornjunction.runtime.request_path import RequestPath
 
 if TYPE_CHECKING:
     from thornjunction import interface as api
@@ -37,19 +38,6 @@
 CLIENT_SOCKETS_DIVISOR = 3
 
 
-@dataclass(frozen=True, slots=True)
-class RequestPath:
-    """The parts that each request passes, from the client's connection to the cache server's."""
-
-    alarm: TimerService
-    clients: DownstreamTable
-    engine: Engine
-    router: Router
-    pool: ConnectionPool
-    drain: Drain
-    load_shedder: LoadShedder
-
-
 def build_request_path(config: Config, reactor: Any, counters: Counters) -> RequestPath:
     """Build and connect the parts that each request passes."""
     alarm = TimerService(reactor)
@@ -67,25 +55,46 @@
         pool=pool,
         drain=Drain(clients, alarm.deadlines, core_ms, engine.answer_all_now),
         load_shedder=LoadShedder(random.Random(config.seed).random, config.cores),
+        counters=counters,
+    )
+
+
+def build_optional_parts(
+    extras: Extras | None,
+    name: str,
+    path: RequestPath,
+    classes: dict[str, api.RequestClass],
+    reactor: Any,
+) -> OptionalParts:
+    """Build what the operators' file turns on.
+
+    Raises:
+        ConfigError: a part cannot be built.
+    """
+    if extras is None:
+        return OptionalParts()
+    deadlines = path.alarm.deadlines
+    return OptionalParts(
+        _build_signed_front(extras, path, classes),
+        _build_metrics(extras, reactor, deadlines, path.counters, name),
+        _build_fleet_member(extras, name, deadlines),
     )
 
 
-def build_signed_front(
-    extras: Extras | None, path: RequestPath, classes: dict[str, api.RequestClass]
+def _build_signed_front(
+    extras: Extras, path: RequestPath, classes: dict[str, api.RequestClass]
 ) -> SignedFront | None:
-    """The signed-URL front, where the operators' file has one.  Raises TlsError where it can't serve."""
-    if extras is None or extras.signed is None:
+    if extras.signed is None:
         return None
     from thornjunction.runtime.signed_front import SignedFront
 
     return SignedFront(extras.signed, path.engine, classes, path.clients, path.alarm.deadlines)
 
 
-def build_metrics(
-    extras: Extras | None, reactor: Any, deadlines: Deadlines, counters: Counters, name: str
+def _build_metrics(
+    extras: Extras, reactor: Any, deadlines: Deadlines, counters: Counters, name: str
 ) -> MetricsExporter | None:
-    """What sends metrics out, where the operators' file names a target."""
-    if extras is None or extras.metrics is None:
+    if extras.metrics is None:
         return None
     from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
 
@@ -98,9 +107,8 @@
     return metrics
 
 
-def build_fleet_member(extras: Extras | None, name: str, deadlines: Deadlines) -> FleetMember | None:
-    """This router's membership of its fleet, where the operators' file has one."""
-    if extras is None or extras.fleet is None:
+def _build_fleet_member(extras: Extras, name: str, deadlines: Deadlines) -> FleetMember | None:
+    if extras.fleet is None:
         return None
     from thornjunction.runtime.fleet import FleetMember
 
@@ -115,9 +123,10 @@
     handle_command: Callable[[Command], None],
     on_current: Callable[[], None],
 ) -> WatchClient:
-    """The command channel: at discovery, or at the sources of ``[control]``.
+    """Build the command channel, to discovery or to the sources of ``[control]``.
 
-    Raises ConfigError where the router's name does not fit a poll.
+    Raises:
+        ConfigError: the router's name does not fit a poll.
     """
     if extras is None or extras.control is None:
         return WatchClient(reactor, config.discovery, deadlines, core_ms, handle_command, on_current)
--- /dev/null
+++ b/thornjunction/runtime/config_reload.py
@@ -0,0 +1,78 @@
+"""The configuration in force, and its reload at SIGHUP."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import replace
+
+from thornjunction.logs import get_logger
+from thornjunction.runtime.config import Config, check_complete
+from thornjunction.runtime.errors import ConfigError
+from thornjunction.runtime.settings_in_force import SettingsInForce
+
+# Settings that a reload does not change: their names in the log, and the fields of ``Config``.
+RESTART_FIELDS = {
+    "name": "name",
+    "listen": "listen",
+    "sockets": "sockets",
+    "roles": "roles",
+    "shelves": "pool_limits",
+}
+
+log = get_logger(__name__)
+
+
+class ConfigReloader:
+    """Replaces the settings of the configuration in force; all else in it needs a restart.
+
+    Args:
+        config: the configuration at the start.
+        load: reads the configuration again.
+        settings_in_force: is given the new settings.
+
+    Attributes:
+        config: the configuration in force.
+        counts: reloads by result: ``accepted`` or ``invalid``.
+    """
+
+    def __init__(
+        self, config: Config, load: Callable[[], Config], settings_in_force: SettingsInForce
+    ) -> None:
+        self.config = config
+        self.counts = Counter[str]()
+        self._load = load
+        self._settings_in_force = settings_in_force
+        settings_in_force.apply(config.settings)
+
+    def reload(self) -> Config | None:
+        """Read the file, apply its settings and return it; None: it is faulty, and nothing changed."""
+        try:
+            reloaded = self._load()
+            check_complete(self.config, reloaded)
+        except ConfigError as error:
+            self.counts["invalid"] += 1
+            log.error("reload refused, nothing changed", reason=str(error))  # noqa: TRY400
+            return None
+        self.counts["accepted"] += 1
+        self._log_accepted(reloaded)
+        self.config = replace(
+            self.config,
+            settings=reloaded.settings,
+            longest_wait_ms=reloaded.longest_wait_ms,
+            key_paths=reloaded.key_paths,
+        )
+        self._settings_in_force.apply(reloaded.settings)
+        return reloaded
+
+    def _log_accepted(self, reloaded: Config) -> None:
+        need_restart = [
+            name
+            for name, field in RESTART_FIELDS.items()
+            if getattr(reloaded, field) != getattr(self.config, field)
+        ]
+        log.info(
+            "reloaded",
+            channel=f"{reloaded.discovery.host}:{reloaded.discovery.port}",
+            need_restart=",".join(need_restart) or "none",
+        )
--- a/thornjunction/runtime/lifecycle.py
+++ b/thornjunction/runtime/lifecycle.py
@@ -6,12 +6,16 @@
 
 
 class Lifecycle(Enum):
-    """In order; a state may be skipped, and none is entered twice."""
+    """The states in their order; a process may skip a state, and never returns to an earlier one.
+
+    Attributes:
+        STARTING: the process waits for its first endpoint list and does not serve yet.
+        SERVING: it accepts clients.
+        SHUTTING_DOWN: it answers the requests that it accepted, and exits then.
+        STOPPED: no request is open any more.
+    """
 
     STARTING = auto()
-    """Not serving yet: the first list of endpoints is awaited."""
     SERVING = auto()
     SHUTTING_DOWN = auto()
-    """What was accepted is answered."""
     STOPPED = auto()
-    """Nothing is owed to anybody."""
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -18,9 +18,14 @@
 
 
 class Listeners:
-    """Opens ports and keeps those that are open, in ``ports``.
+    """Opens ports.
 
-    A port that can't be opened is logged and reported to ``on_failure``.
+    Args:
+        reactor: the event loop.
+        on_failure: is called for a port that cannot be opened, after that is logged.
+
+    Attributes:
+        ports: the open ports.
     """
 
     def __init__(self, reactor: Any, on_failure: Callable[[], None]) -> None:
@@ -34,7 +39,7 @@
         opening.addCallbacks(self.ports.append, lambda failure: self._fail(failure.value))
 
     def adopt(self, descriptor: int, build: BuildProtocol) -> None:
-        """Accept on the platform's own listening socket, which other processes hold too."""
+        """Accept on a listening socket that the platform opened and other processes may share."""
         try:
             # A blocking accept behind the last connection would stop the process.
             os.set_blocking(descriptor, False)
--- a/thornjunction/runtime/load_sampling.py
+++ b/thornjunction/runtime/load_sampling.py
@@ -12,7 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """When a sample was taken, and the processor time that the process had used by then."""
+    """One sample.
+
+    Attributes:
+        at_ms: when it was taken.
+        processor_s: processor time that the process had used by then.
+    """
 
     at_ms: float
     processor_s: float
@@ -21,7 +26,11 @@
 class LoadSampler:
     """Takes a sample at each interval once it is started.
 
-    ``delay_ms`` gives how late the oldest pending work is at a time of the clock.
+    Args:
+        load_shedder: is given the samples.
+        deadlines: the queue of deadlines.
+        clock: the core's clock, in ms.
+        delay_ms: returns how late the oldest pending work is at a time of the clock.
     """
 
     def __init__(
@@ -49,7 +58,7 @@
 
 
 def _processor_share(previous: Sample | None, sample: Sample) -> float:
-    """Of one processor, between two samples."""
+    """Return the share of one processor that the process used between two samples."""
     if previous is None:
         return 0.0
     wall_s = (sample.at_ms - previous.at_ms) / 1000.0
--- /dev/null
+++ b/thornjunction/runtime/optional_parts.py
@@ -0,0 +1,52 @@
+"""The parts of a router that the operators' file turns on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from thornjunction.runtime.listeners import Listeners
+
+if TYPE_CHECKING:  # each is imported only where it is on
+    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+    from thornjunction.runtime.fleet import FleetMember
+    from thornjunction.runtime.signed_front import SignedFront
+
+
+@dataclass(frozen=True, slots=True)
+class OptionalParts:
+    """Parts that are None where they are off.
+
+    Attributes:
+        signed_front: the signed-URL front.
+        metrics: the export of metrics.
+        fleet: the membership of a fleet.
+    """
+
+    signed_front: SignedFront | None = None
+    metrics: MetricsExporter | None = None
+    fleet: FleetMember | None = None
+
+    def start(self, reactor: Any, listeners: Listeners) -> None:
+        """Open the ports of all parts; ``listeners`` keeps those that are closed at the shutdown."""
+        if self.signed_front is not None:
+            listeners.ports += self.signed_front.listen(reactor, listeners.listen)
+        if self.metrics is not None:
+            self.metrics.start()
+        if self.fleet is not None:
+            self.fleet.listen(reactor)
+
+    def reload(self) -> None:
+        """Read the files of the signed front again."""
+        if self.signed_front is not None:
+            self.signed_front.reload()
+
+    def leave_fleet(self) -> None:
+        """Leave the fleet, so that its port is free for a successor."""
+        if self.fleet is not None:
+            self.fleet.leave()
+
+    def admin_calls(self) -> dict[str, Callable[[], bytes]]:
+        """Return the calls that these parts add to the admin endpoint."""
+        return {} if self.fleet is None else {"fleet": self.fleet.view}
--- /dev/null
+++ b/thornjunction/runtime/platform_front.py
@@ -0,0 +1,57 @@
+"""The platform's front of one router: its FastCGI port, which a successor may share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.event_loop.timer_service import core_ms
+from thornjunction.runtime.config import Config
+from thornjunction.runtime.front_admission import FrontAdmission
+from thornjunction.runtime.handover import Handover
+from thornjunction.runtime.listeners import Listeners
+from thornjunction.runtime.request_path import RequestPath
+
+
+class PlatformFront:
+    """Accepts the connections of the platform's web servers.
+
+    Args:
+        config: names the address, or the descriptor of a listening socket.
+        path: the parts that each request passes.
+        admission: refuses requests before they reach the decisions.
+        is_ready: returns whether the platform may send clients.
+    """
+
+    def __init__(
+        self, config: Config, path: RequestPath, admission: FrontAdmission, is_ready: Callable[[], bool]
+    ) -> None:
+        self._config = config
+        self._path = path
+        self._admission = admission
+        self._is_ready = is_ready
+        self._handover = Handover(config.handover_folder, config.name)
+
+    def listen(self, listeners: Listeners) -> None:
+        """Open the port and declare that this process serves."""
+        if self._config.listening_descriptor is not None:
+            listeners.adopt(self._config.listening_descriptor, self._build_connection)
+        else:
+            listeners.listen(*self._config.listen, self._build_connection)
+        self._handover.announce()
+
+    def has_successor(self) -> bool:
+        """Return whether another process serves on the same socket by now."""
+        return self._handover.has_successor()
+
+    def _build_connection(self) -> FastCgiConnection:
+        return FastCgiConnection(
+            self._path.clients,
+            self._path.alarm.deadlines,
+            core_ms,
+            self._path.engine,
+            self._is_ready,
+            self._admission.refusal,
+            self._admission.count_refused,
+            self._path.load_shedder.read_delay_ms,
+        )
--- a/thornjunction/runtime/process_starts.py
+++ b/thornjunction/runtime/process_starts.py
@@ -12,7 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStart:
-    """One start: as listed in Unix ms, and on the core's clock."""
+    """One start of a process.
+
+    Attributes:
+        listed_unix_ms: its time in the endpoint list.
+        core_ms: its time on the core's clock.
+    """
 
     listed_unix_ms: float
     core_ms: float
@@ -33,9 +38,9 @@
         return len(self._by_server)
 
     def started_ms(self, host: Host, recent_ms: float) -> float:
-        """The start on the core's clock; 0: long ago.
+        """Return a server's start on the core's clock; 0: long ago.
 
-        No start that is listed now lies further back than ``recent_ms``.
+        A start that is listed for the first time lies at most ``recent_ms`` back.
         """
         if host.started_unix_ms <= 0:
             return 0.0
@@ -45,9 +50,9 @@
             self._by_server[host.name] = start
         return start.core_ms
 
-    def forget_unlisted(self, hosts: Iterable[Host], whole: bool) -> None:
-        """Drop the servers that have gone, by a whole list or by a change."""
-        if whole:
+    def forget_unlisted(self, hosts: Iterable[Host], is_complete: bool) -> None:
+        """Drop removed servers and, with a complete list, those that it does not name."""
+        if is_complete:
             listed = {host.name for host in hosts}
             self._by_server = {name: start for name, start in self._by_server.items() if name in listed}
         for host in hosts:
--- /dev/null
+++ b/thornjunction/runtime/request_path.py
@@ -0,0 +1,39 @@
+"""The parts that each request passes, from the client's connection to the cache server's."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from thornjunction.core.counters import Counters
+from thornjunction.core.engine import Engine
+from thornjunction.core.load_shedding import LoadShedder
+from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.event_loop.timer_service import TimerService
+from thornjunction.net.upstream.connection_pool import ConnectionPool
+from thornjunction.policy.router import Router
+from thornjunction.runtime.drain import Drain
+
+
+@dataclass(frozen=True, slots=True)
+class RequestPath:
+    """These parts, connected to each other.
+
+    Attributes:
+        alarm: runs the deadlines of all parts.
+        clients: clients' connections.
+        engine: owns open requests and attempts.
+        router: decides.
+        pool: connections to cache servers, parents and the origin.
+        drain: closes clients' connections.
+        load_shedder: rejects requests while the processor is overloaded.
+        counters: count requests and attempts.
+    """
+
+    alarm: TimerService
+    clients: DownstreamTable
+    engine: Engine
+    router: Router
+    pool: ConnectionPool
+    drain: Drain
+    load_shedder: LoadShedder
+    counters: Counters
