--- a/tests/net/wire/builders.py
+++ b/tests/net/wire/builders.py
@@ -6,7 +6,7 @@
 import struct
 from typing import Any
 
-from fakes.clients import fastcgi_request
+from fakes.clients import encode_fastcgi_request
 
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
@@ -33,10 +33,10 @@
     request_id: int = 7,
     params: dict[str, str] = PARAMS,
     body: bytes = b"body",
-    keep_alive: int = 1,
+    keep_alive: bool = True,
 ) -> bytes:
     """The records of a complete request."""
-    return fastcgi_request(request_id, params, body, keep_alive)
+    return encode_fastcgi_request(request_id, params, body, keep_alive)
 
 
 def upstream_request(**fetch_fields: Any) -> UpstreamRequest:
@@ -60,25 +60,6 @@
     return UpstreamRequest(1, client_request, fetch)
 
 
-def purge_event(cursor: int) -> dict[str, Any]:
-    """An event that purges one object."""
-    return {"cursor": cursor, "drop": {"id": f"{cursor:016x}", "when": 1_764_576_000_123 + cursor}}
-
-
-def host_line(name: str, **fields: Any) -> dict[str, Any]:
-    """A line of the endpoint list: an edge cache server."""
-    line = {
-        "host": name,
-        "dial": "127.0.0.1:9",
-        "site": "z1",
-        "class": "box",
-        "block": 0,
-        "health": "active",
-        "share": 8.0,
-    }
-    return line | fields
-
-
 def commands_body(events: list[Any], cursor: int, **fields: Any) -> bytes:
     """The body of a response of the command channel."""
     return json.dumps({"cursor": cursor, "cmds": events} | fields).encode()
--- a/tests/net/wire/test_command_stream.py
+++ b/tests/net/wire/test_command_stream.py
@@ -6,8 +6,9 @@
 import random
 
 import pytest
+from fakes.watch_messages import edge_entry, purge_event, purge_events
 
-from tests.net.wire.builders import commands_body, host_line, purge_event
+from tests.net.wire.builders import commands_body
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.command_stream import CommandStreamParser
 from thornjunction.net.wire.commands import Commands
@@ -24,7 +25,7 @@
 
 def test_a_response_in_parts_reads_as_one_at_once() -> None:
     """Byte by byte, whatever the order of its keys."""
-    listed = {"cursor": 2, "nodes": {"hosts": [host_line("a", share=0.5, born_ms=5)]}}
+    listed = {"cursor": 2, "nodes": {"hosts": [edge_entry("a", share=0.5, born_ms=5)]}}
     events = [purge_event(1), listed, 7, "x", [], None, {}]
     document = {"epoch": "e1", "cmds": events, "more": {"cursor": 3, "cmds": [4]}, "age": 0.5, "cursor": 9}
     parser = CommandStreamParser()
@@ -76,9 +77,9 @@
     draw = random.Random(1)
     listed = {
         "cursor": 8,
-        "nodes": {"seq": 3, "whole": True, "hosts": [host_line("a", share=0.5), host_line("\u00e9")]},
+        "nodes": {"seq": 3, "whole": True, "hosts": [edge_entry("a", share=0.5), edge_entry("\u00e9")]},
     }
-    events = [*map(purge_event, range(1, 8)), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}]
+    events = [*purge_events(1, 7), listed, {"cursor": 9, "x": [None, True, 1.5e3, {}]}]
     data = commands_body(events, cursor=9)
     results: set[str] = set()
     for _ in range(SPOILT_RESPONSES):
--- a/tests/net/wire/test_commands.py
+++ b/tests/net/wire/test_commands.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import pytest
+from fakes.watch_messages import edge_entry
 
-from tests.net.wire.builders import commands_body, host_line
+from tests.net.wire.builders import commands_body
 from thornjunction import interface as api
 from thornjunction.net.wire import commands
 
@@ -31,7 +32,7 @@
 
 
 def test_what_a_relay_reports_beside_the_events_is_read() -> None:
-    event = {"cursor": 1, "nodes": {"seq": 7, "whole": True, "hosts": [host_line("c1")]}}
+    event = {"cursor": 1, "nodes": {"seq": 7, "whole": True, "hosts": [edge_entry("c1")]}}
     data = commands_body([event], cursor=1, epoch="r-1.a_B", age=12.5)
     response = commands.decode_commands(data)
     assert response.epoch == "r-1.a_B"
--- a/tests/net/wire/test_fastcgi.py
+++ b/tests/net/wire/test_fastcgi.py
@@ -10,7 +10,7 @@
 
 
 def test_request_is_read() -> None:
-    (message,) = fastcgi.RequestReader().feed(encoded_fastcgi_request(keep_alive=0))
+    (message,) = fastcgi.RequestReader().feed(encoded_fastcgi_request(keep_alive=False))
     assert message == fastcgi.Request(7, PARAMS, b"body", keep_alive=False)
 
 
