--- a/thornjunction/adapter/instance.py
+++ b/thornjunction/adapter/instance.py
@@ -10,7 +10,7 @@
     optional,
     parse_fill_result,
     parse_flag,
-    parse_whole_number,
+    parse_integer,
     required,
 )
 from thornjunction.policy.router import Router
@@ -128,15 +128,15 @@
         class_name=required(fields, "kind", str),
         key=optional(fields, "key", int, 0),
         remaining_ms=required(fields, "graceMs", float),
-        part=optional(fields, "chunk", parse_whole_number, 0),
-        group=optional(fields, "batchId", parse_whole_number, 0),
+        part=optional(fields, "chunk", parse_integer, 0),
+        group=optional(fields, "batchId", parse_integer, 0),
         size_kb=optional(fields, "sizeKb", float, 0.0),
     )
 
 
 def _purge(fields: Fields) -> api.PurgeReceived:
     return api.PurgeReceived(
-        group=optional(fields, "bucket", parse_whole_number, 0),
+        group=optional(fields, "bucket", parse_integer, 0),
         age_ms=optional(fields, "ageSpanMs", float, 0.0),
         key=optional(fields, "key", int, None),
     )
--- a/thornjunction/adapter/messages.py
+++ b/thornjunction/adapter/messages.py
@@ -41,16 +41,16 @@
     Raises:
         WireError: the line is malformed.
     """
-    name, _, rest = line.partition(" ")
+    name, _, remaining_text = line.partition(" ")
     fields: Fields = {}
-    while rest:
-        field, equals, tail = rest.partition("=")
+    while remaining_text:
+        field, equals, tail = remaining_text.partition("=")
         if not equals or not field or " " in field:
-            raise MalformedFieldError(rest, name)
+            raise MalformedFieldError(remaining_text, name)
         if field in TEXT_FIELDS:
             fields[field] = tail
             break
-        fields[field], _, rest = tail.partition(" ")
+        fields[field], _, remaining_text = tail.partition(" ")
     return Message(name, fields)
 
 
@@ -95,6 +95,6 @@
     return api.FillResult(int(text))
 
 
-def parse_whole_number(text: str) -> int:
+def parse_integer(text: str) -> int:
     """Convert a whole number that may be written with a fraction, which is dropped."""
     return int(float(text))
--- a/thornjunction/core/attempts.py
+++ b/thornjunction/core/attempts.py
@@ -6,7 +6,8 @@
     AWAITED  --- its end is reported, or it is stopped -----------> ENDED
     UNNEEDED --- its end is reported, or it is stopped -----------> ENDED
 
-An attempt that is stopped before it began ends SKIPPED; one that may have begun ends TIMEOUT or CANCELLED.
+An attempt that is stopped before it began ends NOT_STARTED; one that may have begun ends TIMEOUT or
+CANCELLED.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 
 
 class AttemptState(Enum):
-    """Where an attempt is in its life.
+    """State of an attempt.
 
     Attributes:
         AWAITED: in flight, and its request has no answer yet.
-        UNNEEDED: in flight, and its request has ended without it; its end only teaches the router.
+        UNNEEDED: in flight, and its request has ended without it; the router learns from its end only.
         ENDED: its end was reported or it was stopped; nothing that arrives later counts.
     """
 
@@ -56,7 +57,7 @@
         sent_ms: when it was sent.
         number: how the upstream side names it.
         time_limit: the deadline that stops it.
-        state: where it is in its life.
+        state: its state.
     """
 
     key: AttemptKey
@@ -83,7 +84,7 @@
         return self._by_number.full
 
     def add(self, attempt: Attempt) -> None:
-        """Take in an attempt that is sent now, and number it.
+        """Add an attempt that is sent now, and number it.
 
         Raises:
             SlotTableFullError: the table is full.
@@ -96,7 +97,7 @@
         return self._by_key.get((request_id, index))
 
     def mark_unneeded(self, request_id: str, attempts_made: int) -> None:
-        """The request, which has made so many attempts, ended: no answer of them is awaited any more."""
+        """Mark the attempts of an ended request, of which no answer is awaited any more."""
         for index in range(attempts_made):
             attempt = self.find(request_id, index)
             if attempt is not None:
@@ -107,7 +108,7 @@
         return self._by_number.get(number)
 
     def end(self, attempt: Attempt) -> None:
-        """Take out an attempt in flight, whose end is known."""
+        """Remove an attempt whose end is known."""
         self._by_number.remove(attempt.number)
         del self._by_key[attempt.key]
         attempt.state = AttemptState.ENDED
--- a/thornjunction/core/counters.py
+++ b/thornjunction/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts and latencies of requests and attempts, which a reader takes away at its own pace."""
+"""Counts and latencies of requests and attempts, for a reader that polls them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     max_ms: float = 0.0
 
     def add(self, took_ms: float) -> None:
-        """Take in one more."""
+        """Add one latency."""
         self.count += 1
         self.total_ms += took_ms
         self.max_ms = max(self.max_ms, took_ms)
@@ -38,7 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CountersSnapshot:
-    """Counts since the start of the process, and latencies since the last snapshot, by metric."""
+    """State of the counters at one time.
+
+    Attributes:
+        counts: events since the start of the process, by metric.
+        latencies: latencies since the last snapshot, by metric.
+    """
 
     counts: dict[str, int]
     latencies: dict[str, LatencySummary]
@@ -46,7 +51,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """The observer whose figures are sent as metrics.
+    """The observer that counts for the export of metrics.
 
     Attributes:
         counts: events since the start of the process, by metric.
@@ -74,7 +79,7 @@
         self.latencies.setdefault(metric, LatencySummary()).add(took_ms)
 
     def take_snapshot(self) -> CountersSnapshot:
-        """Return the figures, and start to collect latencies anew."""
+        """Return the counts and the latencies, and reset the latencies."""
         snapshot = CountersSnapshot(dict(self.counts), self.latencies)
         self.latencies = {}
         return snapshot
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -40,11 +40,19 @@
 class Engine:
     """Owns open requests and attempts, and carries out what the router decides.
 
-    Single-threaded.  Events that are raised while the router handles another wait for their turn.
+    Single-threaded.  Events that are raised while the router handles another are queued.
+
+    Args:
+        router: decides.
+        max_attempts: attempts that each request may make.
+        clock: the core's clock, in ms.
+        deadlines: the queue of deadlines.
+        upstreams: sends attempts and health checks.
+        observer: is notified of the ends of requests and attempts.
 
     Attributes:
         max_attempts: attempts that each request may make from now on.
-        shutdown_at_ms: when this process has to have answered everything, on the core's clock.
+        shutdown_at_ms: the time by which this process must have answered all requests, on the core's clock.
         kb_per_byte: size in KB of one byte of an answer, as the settings count sizes; 0: not known.
     """
 
@@ -71,10 +79,10 @@
         self._is_handling = False
 
     def open(self, client_request: ClientRequest, reply: ReplyCallback) -> int:
-        """Take a request on, and return its number.  ``reply`` may be called before this returns.
+        """Accept a request and return its number.  ``reply`` may be called before this returns.
 
         Raises:
-            RequestTableFullError: there is no capacity for it, and nothing was taken on.
+            RequestTableFullError: there is no capacity for it.
         """
         free_deadlines = self.deadlines.capacity - len(self.deadlines)
         if self.requests.full or free_deadlines < DEADLINES_PER_REQUEST:
@@ -89,7 +97,7 @@
         return request.number
 
     def abandon(self, number: int) -> None:
-        """The client of a request left; no answer is owed any more."""
+        """End a request whose client left; it gets no answer."""
         request = self.requests.get(number)
         if request is None:
             return
@@ -98,7 +106,7 @@
         self._withdraw_attempts(request)
 
     def answer_all_now(self) -> None:
-        """Have the router answer all open requests at once, by what it knows by now."""
+        """Make the router answer all open requests at once."""
         for number in self.requests.numbers():
             self.feed(api.RequestExpired(str(number)))
 
@@ -109,9 +117,13 @@
         content: Content | None = None,
         report: api.LoadReport | None = None,
     ) -> None:
-        """Take in the end of an attempt; it is ignored if the attempt had ended before.
+        """Report the end of an attempt; a second report of one attempt is ignored.
 
-        ``content`` is what was served, if the status is DONE; ``report`` the server's load report, if any.
+        Args:
+            number: the attempt's number.
+            status: how it ended.
+            content: what was served, if the status is SUCCEEDED.
+            report: the server's load report, if the answer had one.
         """
         attempt = self.attempts.get(number)
         if attempt is None:
@@ -142,11 +154,11 @@
     def probe_ended(
         self, server: str, status: api.AttemptStatus, took_ms: float, report: api.LoadReport | None
     ) -> None:
-        """Take in the result of a health check."""
+        """Report the result of a health check."""
         self.feed(api.HealthCheckEnded(server, status, took_ms, report))
 
     def feed(self, event: api.Event) -> None:
-        """Hand the router an event and carry out what it decides, in order."""
+        """Hand the router an event and carry out its actions, in order."""
         self._pending_events.append(event)
         if self._is_handling:
             return
@@ -217,7 +229,7 @@
             self._stop(attempt, api.AttemptStatus.CANCELLED)
 
     def _stop(self, attempt: Attempt, status_if_begun: api.AttemptStatus) -> None:
-        """Stop waiting for an attempt; one that has not begun never ran, and ends SKIPPED."""
+        """Stop waiting for an attempt; one that has not begun never ran, and ends NOT_STARTED."""
         if self.upstreams.withdraw(attempt.number):
             self.attempt_ended(attempt.number, api.AttemptStatus.NOT_STARTED)
             return
@@ -225,17 +237,14 @@
         self.attempt_ended(attempt.number, status_if_begun)
 
     def _withdraw_attempts(self, request: OpenRequest) -> None:
-        """No attempt of a request that has ended may begin: its effect would be owed to nobody.
-
-        Those that may have begun run on.
-        """
+        """Withdraw the attempts of an ended request that have not begun; all others run on."""
         for index in range(request.attempts_made):
             attempt = self.attempts.find(request.request_id, index)
             if attempt is not None and self.upstreams.withdraw(attempt.number):
                 self.attempt_ended(attempt.number, api.AttemptStatus.NOT_STARTED)
 
     def _backstop_due(self, request: OpenRequest) -> None:
-        """The router has not answered by the client's deadline, as after an error in it."""
+        """Fail a request that the router has not answered by the client's deadline."""
         self._answer(request.number, None)
         self.feed(api.ClientDisconnected(request.request_id))
         self._withdraw_attempts(request)
@@ -246,10 +255,10 @@
             self._withdraw_attempts(request)
 
     def _answer(self, number: int, answer: Answer | None) -> OpenRequest | None:
-        """Give a request its final answer, and return the request.
+        """Give a request its final answer and return the request.
 
-        Returns None if it has ended before: that is what makes its final answer the only one.  Without an
-        answer the request failed, and the clock tells whether its deadline is the reason.
+        Returns None if it has ended before, so that it has one final answer only.  Without an answer the
+        request failed; it timed out if its deadline is near.
         """
         request = self.requests.get(number)
         if request is None:
@@ -263,7 +272,7 @@
         return request
 
     def _close(self, request: OpenRequest, outcome: RequestOutcome, now_ms: float) -> None:
-        """Nothing is owed for a request any more."""
+        """Remove an ended request and report its outcome."""
         self.requests.remove(request.number)
         self.deadlines.cancel(request.backstop)
         self.attempts.mark_unneeded(request.request_id, request.attempts_made)
--- a/thornjunction/core/load_shedding.py
+++ b/thornjunction/core/load_shedding.py
@@ -50,7 +50,12 @@
 class LoadShedder:
     """Admits a share of new requests, by the lag of the event loop and the number of open requests.
 
-    ``draw`` returns random numbers in [0, 1); ``cores`` is the number of cores that the process may use.
+    Args:
+        draw: returns random numbers in [0, 1).
+        cores: number of cores that the process may use.
+
+    Attributes:
+        admitted_share: share of new requests that is admitted, 0 to 1.
     """
 
     def __init__(self, draw: Callable[[], float], cores: float = 1.0) -> None:
@@ -61,11 +66,14 @@
         self.admitted_share = 1.0
 
     def record_sample(self, lag_ms: float, core_usage: float) -> None:
-        """Take in a sample of the event loop.
+        """Adjust the admitted share by a sample of the event loop.
+
+        A late sample with little usage means that the process was kept from running, which rejections do not
+        change.
 
-        ``lag_ms`` is how late the sample came, ``core_usage`` the share of one core that the process used
-        since the last sample.  A late sample with little usage means that the process was kept from running,
-        which no rejection helps against.
+        Args:
+            lag_ms: how late the sample was taken.
+            core_usage: share of one core that the process used since the last sample.
         """
         usage = core_usage / self._cores
         self._lag_ms = max(lag_ms, self._lag_ms * LAG_DECAY)
@@ -84,13 +92,13 @@
     def read_delay_ms(self) -> float:
         """Return how long a request may have waited until it was read: one turn of the event loop.
 
-        Nothing more is taken off the client's time: it counts from the request's last byte, and clients that
-        wait only briefly need every millisecond.
+        Only this is subtracted from the client's time, which counts from the request's last byte: clients
+        with short timeouts need every millisecond.
         """
         return self._lag_ms
 
     def admits(self, open_requests: int) -> bool:
-        """Whether to take on one more request, with so many open."""
+        """Return whether to accept one more request, with this number of open ones."""
         if open_requests >= MAX_OPEN_REQUESTS:
             return False
         return self.admitted_share >= 1.0 or self._draw() < self.admitted_share
--- a/thornjunction/core/open_requests.py
+++ b/thornjunction/core/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are owed their final answer."""
+"""Requests that have no final answer yet."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that is owed its final answer.
+    """A request that has no final answer yet.
 
     Attributes:
         client_request: what the client asked for.
-        reply: takes the final answer.
-        opened_ms: when the engine took it on.
+        reply: is called with the final answer.
+        opened_ms: when the engine accepted it.
         max_attempts: attempts it may make, by the settings at that time.
-        attempts_made: how many it has made, with those that were skipped.
+        attempts_made: attempts so far, with those that were not started.
         backstop: the deadline at which it fails, whatever the router does.
         number: its place in the table of requests.
     """
@@ -39,11 +39,11 @@
 
     @property
     def request_id(self) -> str:
-        """How the router names it."""
+        """The identifier that the router uses."""
         return str(self.number)
 
     def event(self, left_ms: float) -> api.Request:
-        """Return the router's event for it, with so much of the client's time left."""
+        """Return the router's event for it, with this part of the client's time remaining."""
         client_request = self.client_request
         return api.Request(
             request_id=self.request_id,
--- a/thornjunction/core/ports.py
+++ b/thornjunction/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core exchanges with its surroundings: frozen values, and the ports that carry them."""
+"""The core's ports to its surroundings, and the frozen values that pass through them."""
 
 from __future__ import annotations
 
@@ -65,7 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """Final answer: this content."""
+    """Final answer: the content.
+
+    Attributes:
+        content: what an upstream served.
+    """
 
     outcome: ClassVar = RequestOutcome.SERVED
 
@@ -74,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Final answer: nothing ran, and a retry is harmless.
+    """Final answer: the request did not run, and a retry is harmless.
 
     Attributes:
-        retry_after_ms: how long the client is asked to stay away; 0: not at all.
+        retry_after_ms: Retry-After time; 0: none.
     """
 
     outcome: ClassVar = RequestOutcome.REJECTED
@@ -103,12 +107,12 @@
 
 
 class RequestTableFullError(Exception):
-    """The core has no capacity for another request, and took nothing on."""
+    """The core has no capacity for another request."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """One attempt, as the upstream side needs it.
+    """One attempt, with what its transmission needs.
 
     Attributes:
         number: the attempt's number, under which its end is reported.
@@ -125,7 +129,7 @@
     """The decision module."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take in one event at its time in ms; return the actions to carry out, in order."""
+        """Handle an event at its time in ms and return the actions to carry out, in order."""
 
 
 class Upstreams(Protocol):
@@ -135,23 +139,23 @@
         """Send an attempt, or queue it until a connection is up."""
 
     def withdraw(self, number: int) -> bool:
-        """Take back an attempt that has not begun, whose end is then not reported any more.
+        """Withdraw an attempt that has not begun; its end is then not reported.
 
-        Returns False for one that may have begun; it stays as it is.
+        Returns False, without effect, for one that may have begun.
         """
 
     def cancel(self, number: int) -> None:
-        """Stop waiting for an attempt, whose end is then not reported any more."""
+        """Cancel an attempt; its end is then not reported."""
 
     def probe(self, server: str) -> None:
         """Send a health check, and report its end to ``Engine.probe_ended``."""
 
 
 class Observer(Protocol):
-    """Is notified of the end of each request and each attempt; must return at once."""
+    """Is notified of the end of each request and each attempt; must not block."""
 
     def request_ended(self, class_name: str, outcome: RequestOutcome, took_ms: float) -> None:
-        """A request of that class ended."""
+        """Handle the end of a request of that class."""
 
     def attempt_ended(self, status: api.AttemptStatus, took_ms: float) -> None:
-        """An attempt ended."""
+        """Handle the end of an attempt."""
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -71,13 +71,13 @@
 
 
 def make_fakes_importable() -> None:
-    """Guards the demo in a tree built by ``make build``, which doesn't install the fakes beside it."""
+    """Add the fakes' folder to the path in a tree built by ``make build``, which does not install them."""
     if find_spec("fakes") is None:
         sys.path.append(str(FAKES_FOLDER))
 
 
 def _start_fakes(reactor: Any) -> Config:
-    """Start the fake cache servers and discovery; the configuration of a router that uses them."""
+    """Start the fake cache servers and discovery, and return the configuration of a router that uses them."""
     make_fakes_importable()
     from fakes.config import SETTINGS, endpoint_list, free_port, listen_on_free_port
     from fakes.demo_servers import DemoCacheServer, DemoDiscovery
@@ -101,7 +101,7 @@
 
 
 def _signed_front() -> SignedFrontSettings:
-    """A signed-URL front on a free port, with a key that this process alone knows."""
+    """Return the settings of a signed-URL front on a free port, with a new key."""
     from fakes.config import free_port
 
     key = tokens.SigningKey("demo", "HS256", OctKey.import_key(secrets.token_bytes(SECRET_BYTES)))
@@ -112,7 +112,7 @@
 
 
 def _greeting(config: Config, front: SignedFrontSettings) -> str:
-    """What the newcomer reads: where each front listens, and a signed URL to try."""
+    """Return the text that is printed: the address of each front, and a signed URL to try."""
     container = "hash:" + tokens.uri_hash(front.base + EXAMPLE_PATH)
     token = tokens.issue(front.trust, container, time.time(), TOKEN_LIFETIME_S)
     host, port = config.listen
--- a/thornjunction/memory/budget.py
+++ b/thornjunction/memory/budget.py
@@ -1,4 +1,4 @@
-"""One budget for the bytes that all connections buffer: parts of messages, and answers not read yet."""
+"""One budget for the bytes that all connections buffer: incomplete messages, and answers not read yet."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ByteBudget:
-    """Bytes reserved by each connection, which is known by its own bound method that frees them.
+    """Bytes reserved by each connection, which is identified by its method that closes it.
 
-    Past the limit the connection that reserves most is evicted: it is the one that sends without end or does
-    not read, and not one of those that share the budget with it.
+    Beyond the limit the connection with the greatest reservation is evicted: it sends without end or does not
+    read, and must not starve those that share the budget with it.
     """
 
     def __init__(self, limit_bytes: int) -> None:
--- a/thornjunction/memory/deadlines.py
+++ b/thornjunction/memory/deadlines.py
@@ -31,7 +31,12 @@
 
 
 class Deadline:
-    """One entry of the queue: the callback to run when it is due, until it has run or is cancelled."""
+    """One entry of the queue.
+
+    Attributes:
+        callback: what runs when it is due; None: it has run or was cancelled.
+        in_heap: whether the queue still holds it.
+    """
 
     __slots__ = ("callback", "in_heap")
 
@@ -51,8 +56,10 @@
 class Deadlines:
     """A queue of deadlines on the core's clock, in ms; equal times run in the order added.
 
-    ``on_earlier_due`` is called with the time of each new deadline that is due before all others, so that
-    whoever wakes the queue can wake it earlier.
+    Args:
+        on_earlier_due: is called with the time of each new deadline that is due before all others, so that
+            the timer that runs the queue can be set earlier.
+        capacity: number of deadlines that may be pending.
     """
 
     def __init__(
@@ -84,7 +91,7 @@
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Keep a deadline from running; None, or one that ran or was cancelled, is passed over."""
+        """Cancel a deadline; None, or one that ran or was cancelled, is ignored."""
         if deadline is None or deadline.callback is None:
             return
         deadline.callback = None
--- a/thornjunction/net/wire/http1/reader.py
+++ b/thornjunction/net/wire/http1/reader.py
@@ -246,8 +246,8 @@
         return part
 
     def _build(self, head: _Head, body: bytes) -> HttpResponse:
-        version, _, rest = head.start_line.partition(" ")
-        status = rest[:STATUS_DIGITS]
+        version, _, status_and_reason = head.start_line.partition(" ")
+        status = status_and_reason[:STATUS_DIGITS]
         if len(status) < STATUS_DIGITS or not (status.isascii() and status.isdigit()):
             raise ProtocolError("http-status-line")
         return HttpResponse(int(status), head.headers, body, is_keep_alive(version, head.headers))
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -90,11 +90,11 @@
         "profile": client_request.class_name,
         "thing": client_request.object_id,
         "nth": str(client_request.part),
-        "max": _whole_ms(left_ms),
+        "max": _rounded_ms(left_ms),
         "replay": client_request.idempotency_key,
         "up": fetch.source if has_source else "",
         "store": str(fetch.retention_rank) if fetch.retention_rank else "",
-        "cap": _whole_ms(fetch.max_age_ms) if fetch.max_age_ms > 0 else "",
+        "cap": _rounded_ms(fetch.max_age_ms) if fetch.max_age_ms > 0 else "",
         "do": _directives(fetch, has_source),
         "inm": client_request.if_none_match,
     }
@@ -103,7 +103,7 @@
     return encode_array((b"want", transaction_id, text.encode(), client_request.body))
 
 
-def _whole_ms(time_ms: float) -> str:
+def _rounded_ms(time_ms: float) -> str:
     return str(max(math.floor(time_ms), MIN_TIME_MS))
 
 
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -215,7 +215,7 @@
     try:
         return read_settings(params)
     except (TypeError, ValueError, OverflowError) as error:
-        # Guards a running program against a list of the wrong things in a file that a reload brings.
+        # A reloaded file with a list of the wrong things must not end a running program.
         raise FaultyKeyError("settings", f"an impossible value: {error}") from error
 
 
--- a/thornjunction/runtime/control_settings.py
+++ b/thornjunction/runtime/control_settings.py
@@ -167,7 +167,7 @@
 
 
 def _check_keys(params: SettingsReader, known: Sequence[str]) -> None:
-    """Guards against a misspelt key, for which a default would be taken unnoticed."""
+    """Reject unknown keys: for a misspelt one its default would be used unnoticed."""
     unknown = sorted(params.data.keys() - set(known))
     if unknown:
         raise FaultyKeyError(f"{params.path}{unknown[0]}", "no such key")
--- a/thornjunction/runtime/handover.py
+++ b/thornjunction/runtime/handover.py
@@ -36,7 +36,7 @@
             os.replace(temporary, self.path)
         except OSError as error:
             log.error("no mark for the process that comes next", reason=error.strerror)  # noqa: TRY400
-            # Guards the last connections: the token of the process before is no successor's.
+            # The token of the earlier process must not count as a successor's.
             self.token = self._read()
             with suppress(OSError):
                 temporary.unlink(missing_ok=True)
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -54,10 +54,10 @@
 MAX_CONNECTIONS = 4096
 
 # Descriptors for the program, its upstream and its admin endpoint.
-OWN_DESCRIPTORS = 64
+RESERVED_DESCRIPTORS = 64
 
 # Fewest descriptors with which a relay starts.
-MIN_DESCRIPTORS = 2 * OWN_DESCRIPTORS
+MIN_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS
 
 # How long the end of the process waits until the last responses are read.
 FLUSH_TIMEOUT_MS = 500.0
@@ -287,4 +287,4 @@
         return MAX_CONNECTIONS
     if limit < MIN_DESCRIPTORS:
         raise FaultyKeyError("relay", f"{limit} descriptors are too few, {MIN_DESCRIPTORS} at least")
-    return min(limit - OWN_DESCRIPTORS, MAX_CONNECTIONS)
+    return min(limit - RESERVED_DESCRIPTORS, MAX_CONNECTIONS)
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -136,7 +136,7 @@
         self.channel.replay(self.config.initial_commands)
         self._open_admin_endpoint()
         self.channel.start()
-        # Guards a process that replaces another against the list of its start, which may be long out of date.
+        # A process that replaces another has an old endpoint list: it waits for a new one, but not for ever.
         self.alarm.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
 
     def _open_admin_endpoint(self) -> None:
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -104,14 +104,14 @@
         """Stop if all is answered or the time is over; else check again soon."""
         now_ms = self._clock()
         open_requests = len(self._engine.requests)
-        if self._is_time_over(now_ms, open_requests) or not (open_requests or self._clients.connected):
+        if self._is_past_exit_time(now_ms, open_requests) or not (open_requests or self._clients.connected):
             self._stop()
             return
         if now_ms >= self._engine.shutdown_at_ms:
             self._end_idle_connections()
         self._deadlines.add(now_ms + CHECK_INTERVAL_MS, self._check_done)
 
-    def _is_time_over(self, now_ms: float, open_requests: int) -> bool:
+    def _is_past_exit_time(self, now_ms: float, open_requests: int) -> bool:
         if not open_requests:
             return now_ms >= self._stop_at_ms
         return now_ms >= self._stop_at_ms + EXIT_MARGIN_MS + OPEN_REQUESTS_GRACE_MS
