--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -9,7 +9,7 @@
 import random
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
@@ -23,6 +23,7 @@
 from thornjunction.policy.router import Router
 from thornjunction.runtime.drain import Drain
 from thornjunction.runtime.optional_parts import OptionalParts
+from thornjunction.runtime.process_reactor import ProcessReactor
 from thornjunction.runtime.request_path import RequestPath
 
 if TYPE_CHECKING:
@@ -38,7 +39,7 @@
 CLIENT_SOCKETS_DIVISOR = 3
 
 
-def build_request_path(config: Config, reactor: Any, counters: Counters) -> RequestPath:
+def build_request_path(config: Config, reactor: ProcessReactor, counters: Counters) -> RequestPath:
     """Build and connect the parts that each request passes."""
     alarm = TimerService(reactor)
     buffer_budget = ByteBudget(config.buffer_bytes)
@@ -64,7 +65,7 @@
     name: str,
     path: RequestPath,
     classes: dict[str, api.RequestClass],
-    reactor: Any,
+    reactor: ProcessReactor,
 ) -> OptionalParts:
     """Build what the operators' file turns on.
 
@@ -92,7 +93,7 @@
 
 
 def _build_metrics(
-    extras: Extras, reactor: Any, deadlines: Deadlines, counters: Counters, name: str
+    extras: Extras, reactor: ProcessReactor, deadlines: Deadlines, counters: Counters, name: str
 ) -> MetricsExporter | None:
     if extras.metrics is None:
         return None
@@ -118,7 +119,7 @@
 def build_channel(
     extras: Extras | None,
     config: Config,
-    reactor: Any,
+    reactor: ProcessReactor,
     deadlines: Deadlines,
     handle_command: Callable[[Command], None],
     on_current: Callable[[], None],
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -9,7 +9,6 @@
 import time
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
 
 from fleet_membership import Membership, MembershipSettings
 from gossip_transport import DatagramEndpoint
@@ -18,6 +17,7 @@
 
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.event_loop.ports import ListeningPort, Reactor
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire.admin import encode_lines
 from thornjunction.runtime.addresses import check_name
@@ -53,9 +53,9 @@
         self._deadlines = deadlines
         self._rejected = Counter[str]()
         self._failed_binds = 0
-        self._bound: Any = None
+        self._bound: ListeningPort | None = None
 
-    def listen(self, reactor: Any) -> None:
+    def listen(self, reactor: Reactor) -> None:
         """Bind and join; while the port is in use, retry until it is free or this process leaves."""
         if self.port.closed:
             return
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -4,13 +4,14 @@
 
 import os
 from collections.abc import Callable
-from typing import Any
 
 from twisted.internet import protocol
 
 from thornjunction.logs import get_logger
 from thornjunction.net.event_loop.listening_port import adopt
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.transport import BuildFactory, server_endpoint
+from thornjunction.runtime.process_reactor import ProcessReactor
 
 log = get_logger(__name__)
 
@@ -28,8 +29,8 @@
         ports: the open ports.
     """
 
-    def __init__(self, reactor: Any, on_failure: Callable[[], None]) -> None:
-        self.ports: list[Any] = []
+    def __init__(self, reactor: ProcessReactor, on_failure: Callable[[], None]) -> None:
+        self.ports: list[ListeningPort] = []
         self._reactor = reactor
         self._on_failure = on_failure
 
--- a/thornjunction/runtime/optional_parts.py
+++ b/thornjunction/runtime/optional_parts.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from thornjunction.runtime.listeners import Listeners
+from thornjunction.runtime.process_reactor import ProcessReactor
 
 if TYPE_CHECKING:  # each is imported only where it is on
     from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
@@ -28,7 +29,7 @@
     metrics: MetricsExporter | None = None
     fleet: FleetMember | None = None
 
-    def start(self, reactor: Any, listeners: Listeners) -> None:
+    def start(self, reactor: ProcessReactor, listeners: Listeners) -> None:
         """Open the ports of all parts; ``listeners`` keeps those that are closed at the shutdown."""
         if self.signed_front is not None:
             listeners.ports += self.signed_front.listen(reactor, listeners.listen)
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -14,7 +14,6 @@
 import signal
 import time
 from collections.abc import Callable
-from typing import Any
 
 from control_client import SelectionTimings, SourceSelector
 from control_relay import (
@@ -48,6 +47,7 @@
 from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.lifecycle import Lifecycle
 from thornjunction.runtime.listeners import Listeners
+from thornjunction.runtime.process_reactor import ProcessReactor
 from thornjunction.runtime.relay_status import RelayStatusCalls
 
 # Connections of routers and relays, where the descriptors allow as many.
@@ -93,7 +93,7 @@
         ConfigError: the process may open too few descriptors.
     """
 
-    def __init__(self, settings: RelaySettings, reactor: Any) -> None:
+    def __init__(self, settings: RelaySettings, reactor: ProcessReactor) -> None:
         self._settings = settings
         self._reactor = reactor
         self._state = Lifecycle.STARTING
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -4,7 +4,7 @@
 
 import signal
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from thornjunction.core.counters import Counters
 from thornjunction.logs import get_logger
@@ -23,6 +23,7 @@
 from thornjunction.runtime.listeners import Listeners
 from thornjunction.runtime.load_sampling import LoadSampler
 from thornjunction.runtime.platform_front import PlatformFront
+from thornjunction.runtime.process_reactor import ProcessReactor
 from thornjunction.runtime.settings_in_force import SettingsInForce
 from thornjunction.runtime.shutdown import Shutdown
 
@@ -66,7 +67,7 @@
         self,
         config: Config,
         extras: Extras | None,
-        reactor: Any,
+        reactor: ProcessReactor,
         counters: Counters,
         load: Callable[[], Config],
     ) -> None:
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -6,13 +6,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from twisted.internet import tcp
 
 from thornjunction.core.engine import Engine
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.runtime.drain import REFUSE_AFTER_MS, Drain
 
 # How long connections and requests are accepted after SIGTERM.
@@ -67,11 +67,11 @@
         self._deadlines = deadlines
         self._clock = clock
         self._stop = stop
-        self._ports: Sequence[Any] = ()
+        self._ports: Sequence[ListeningPort] = ()
         self._accept_new = True
         self._stop_at_ms = 0.0
 
-    def start(self, longest_wait_ms: float, ports: Sequence[Any], accept_new: bool) -> None:
+    def start(self, longest_wait_ms: float, ports: Sequence[ListeningPort], accept_new: bool) -> None:
         """Begin the shutdown.
 
         Args:
@@ -123,11 +123,11 @@
                 connection.finish("drained")
 
 
-def accept_pending(port: Any) -> None:
+def accept_pending(port: tcp.Port) -> None:
     """Accept the connections that the system holds for a port: closing it would reset them."""
     last_session = -1
     for _ in range(MAX_PENDING_CONNECTIONS):
         if port.sessionno == last_session:
             return
         last_session = port.sessionno
-        port.doRead()
+        port.doRead()  # type: ignore[no-untyped-call]
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from twisted.internet import protocol
 
@@ -17,10 +17,12 @@
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.downstream.connection import DownstreamTable
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.gossip.replay_gossip import ReplayGossip
 from thornjunction.runtime.key_set import KeySetReloader, ReloadableFile
+from thornjunction.runtime.process_reactor import ProcessReactor
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings, TlsFiles
 
 if TYPE_CHECKING:
@@ -76,13 +78,13 @@
             self._reloads.append(ScheduledReload(keys, settings.keyset.reload_interval_s))
         self._certificates = self._build_certificates(settings.tls) if settings.tls is not None else None
 
-    def listen(self, reactor: Any, listen_plain: ListenPlain) -> list[Any]:
+    def listen(self, reactor: ProcessReactor, listen_plain: ListenPlain) -> list[ListeningPort]:
         """Open the front's ports and start its reloads.
 
         The front's own port is opened by ``listen_plain`` where TLS is off.  Returns the other ports, which
         the caller closes at the end.
         """
-        ports: list[Any] = []
+        ports: list[ListeningPort] = []
         if self.shared.gossip is not None and self._settings.gossip is not None:
             gossip_address = self._settings.gossip.listen
             ports.append(
