--- a/thornjunction/runtime/config_reload.py
+++ b/thornjunction/runtime/config_reload.py
@@ -23,56 +23,53 @@
 log = get_logger(__name__)
 
 
+def replace_settings(running: Config, reloaded: Config) -> Config:
+    """Return the running configuration with what a reload changes; all else needs a restart."""
+    return replace(
+        running,
+        settings=reloaded.settings,
+        longest_wait_ms=reloaded.longest_wait_ms,
+        key_paths=reloaded.key_paths,
+    )
+
+
 class ConfigReloader:
-    """Replaces the settings of the configuration in force; all else in it needs a restart.
+    """Reads the configuration again and applies its settings.
 
     Args:
-        config: the configuration at the start.
-        load: reads the configuration again.
+        load: reads the configuration.
         settings_in_force: is given the new settings.
 
     Attributes:
-        config: the configuration in force.
         counts: reloads by result: ``accepted`` or ``invalid``.
     """
 
-    def __init__(
-        self, config: Config, load: Callable[[], Config], settings_in_force: SettingsInForce
-    ) -> None:
-        self.config = config
+    def __init__(self, load: Callable[[], Config], settings_in_force: SettingsInForce) -> None:
         self.counts = Counter[str]()
         self._load = load
         self._settings_in_force = settings_in_force
-        settings_in_force.apply(config.settings)
 
-    def reload(self) -> Config | None:
+    def reload(self, running: Config) -> Config | None:
         """Read the file, apply its settings and return it; None: it is faulty, and nothing changed."""
         try:
             reloaded = self._load()
-            check_complete(self.config, reloaded)
+            check_complete(running, reloaded)
         except ConfigError as error:
             self.counts["invalid"] += 1
             log.error("reload refused, nothing changed", reason=str(error))  # noqa: TRY400
             return None
         self.counts["accepted"] += 1
-        self._log_accepted(reloaded)
-        self.config = replace(
-            self.config,
-            settings=reloaded.settings,
-            longest_wait_ms=reloaded.longest_wait_ms,
-            key_paths=reloaded.key_paths,
-        )
+        _log_accepted(running, reloaded)
         self._settings_in_force.apply(reloaded.settings)
         return reloaded
 
-    def _log_accepted(self, reloaded: Config) -> None:
-        need_restart = [
-            name
-            for name, field in RESTART_FIELDS.items()
-            if getattr(reloaded, field) != getattr(self.config, field)
-        ]
-        log.info(
-            "reloaded",
-            channel=f"{reloaded.discovery.host}:{reloaded.discovery.port}",
-            need_restart=",".join(need_restart) or "none",
-        )
+
+def _log_accepted(running: Config, reloaded: Config) -> None:
+    need_restart = [
+        name for name, field in RESTART_FIELDS.items() if getattr(reloaded, field) != getattr(running, field)
+    ]
+    log.info(
+        "reloaded",
+        channel=f"{reloaded.discovery.host}:{reloaded.discovery.port}",
+        need_restart=",".join(need_restart) or "none",
+    )
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -16,7 +16,7 @@
 from thornjunction.runtime.admin_metrics import collect_admin_metrics
 from thornjunction.runtime.command_events import CommandHandler
 from thornjunction.runtime.config import Config
-from thornjunction.runtime.config_reload import ConfigReloader
+from thornjunction.runtime.config_reload import ConfigReloader, replace_settings
 from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.front_admission import FrontAdmission
 from thornjunction.runtime.lifecycle import Lifecycle
@@ -52,6 +52,7 @@
         load: reads the configuration again.
 
     Attributes:
+        config: the configuration in force.
         reactor: the event loop.
         state: where the process is in its life.
         has_successor: whether another process took over the listening socket.
@@ -71,6 +72,7 @@
         counters: Counters,
         load: Callable[[], Config],
     ) -> None:
+        self.config = config
         self.reactor = reactor
         self.state = Lifecycle.STARTING
         self.has_successor = False
@@ -93,12 +95,8 @@
         self.admin_calls = AdminCalls(
             path.drain, self.is_ready, self._is_shutting_down, self._collect_metrics
         )
-        self._reloader = ConfigReloader(config, load, settings)
-
-    @property
-    def config(self) -> Config:
-        """The configuration in force."""
-        return self._reloader.config
+        self._reloader = ConfigReloader(load, settings)
+        settings.apply(config.settings)
 
     @property
     def alarm(self) -> TimerService:
@@ -180,10 +178,11 @@
         Of the configuration, ``channel`` and ``settings`` are applied; all else in it needs a restart.
         """
         self._parts.reload()
-        reloaded = self._reloader.reload()
+        reloaded = self._reloader.reload(self.config)
         if reloaded is None:
             return
         self.channel.move(reloaded.discovery)
+        self.config = replace_settings(self.config, reloaded)
         self.engine.feed(reloaded.settings)
 
     def _collect_metrics(self) -> dict[str, int]:
@@ -191,7 +190,7 @@
         metrics = collect_admin_metrics(
             path.counters, path.engine, path.pool, path.router, self._reloader.counts
         )
-        return metrics | self.channel.figures()
+        return metrics | self.channel.metrics()
 
     def _is_shutting_down(self) -> bool:
         return self.state in (Lifecycle.SHUTTING_DOWN, Lifecycle.STOPPED)
@@ -215,7 +214,7 @@
 
     def _stop(self) -> None:
         """Stop the reactor; the state stays, since with a successor this process is ready to the end."""
-        self.channel.stopped = True
+        self.channel.stop()
         log.info("drained")
         self.reactor.stop()
 
