--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -29,9 +29,9 @@
 
 def test_a_line_is_json_with_its_fields_and_without_tokens(stream: io.StringIO) -> None:
     logger = logs.get_logger("thornjunction.t")
-    logger.info("rejected", status=401, code="token-forged", seen=f"/a?p={TOKEN}")
+    logger.info("request_rejected", status=401, code="token-forged", seen=f"/a?p={TOKEN}")
     line = json.loads(stream.getvalue())
-    assert line["event"] == "rejected"
+    assert line["event"] == "request_rejected"
     assert line["status"] == 401
     assert line["code"] == "token-forged"
     assert line["level"] == "info"
--- a/thornjunction/net/event_loop/disconnect_reasons.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -1,4 +1,4 @@
-"""Why connections end, and the one log line that is written for each connection that has ended."""
+"""Why connections end, and the log line of a connection that has ended."""
 
 from __future__ import annotations
 
@@ -8,11 +8,31 @@
 from twisted.internet.error import ConnectionAborted, ConnectionDone
 from twisted.python.failure import Failure
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 
 log = get_logger("thornjunction.connection")
 
 
+class ConnectionKind(StrEnum):
+    """Whose connection has ended, as the log names it."""
+
+    ADMIN = "admin"
+    """A caller's connection to the admin endpoint."""
+    CHANNEL = "channel"
+    """A connection to discovery or to a relay, for the command channel."""
+    CLIENT_FASTCGI = "fastcgi"
+    """A client's connection to the FastCGI front."""
+    CLIENT_SIGNED = "signed"
+    """A client's connection to the signed front."""
+    GRAPHITE = "graphite"
+    """The connection to Graphite."""
+    POLLER = "poller"
+    """The connection of a router or relay that polls this relay."""
+    SERVER = "server"
+    """A connection to a cache server, a parent or the origin."""
+
+
 class DisconnectReason(StrEnum):
     """Why a connection ended, as the log names it.  A violation of a protocol is logged by its own code."""
 
@@ -46,10 +66,14 @@
     """Another address is polled from now on."""
     NO_KEEP_ALIVE = "no-keep-alive"
     """The peer asked for one response only."""
+    NO_KEEP_CONN = "no-keep-conn"
+    """The web server asked for the connection to end with this FastCGI request."""
     PARTIAL_RESPONSE = "part-answer"
     """The rest of a response that had begun did not come in time."""
     PIPELINED_POLL = "pipelined"
     """Bytes followed a poll before its response."""
+    PIPELINE_TOO_LONG = "pipeline"
+    """The client sent more requests ahead of their responses than may wait."""
     POLL_BEFORE_RESPONSE = "unanswered-poll"
     """A poll came before the response to the last one was read."""
     POLL_HEAD_TOO_LARGE = "poll-head"
@@ -78,13 +102,13 @@
     """The system did not take the bytes of a cancelled attempt in time."""
 
 
-def log_disconnect(kind: str, number: int | None, code: str, **facts: Any) -> None:
-    """Write the log line of a connection that has ended.  Facts must hold no secrets and no client's text."""
-    log.info("end", kind=kind, slot=number, code=str(code), **facts)
+def log_disconnect(kind: ConnectionKind, number: int | None, code: str, **fields: Any) -> None:
+    """Log that a connection has ended.  The fields must hold no secrets and no client's text."""
+    log.info(LogEvent.CONNECTION_CLOSED, kind=kind, slot=number, code=str(code), **fields)
 
 
 def disconnect_reason(reason: Failure | None) -> DisconnectReason:
-    """The reason for the failure with which Twisted reports the end of a connection."""
+    """Return the reason for the failure with which Twisted reports the end of a connection."""
     if reason is None or isinstance(reason.value, ConnectionDone):
         return DisconnectReason.CLOSED_BY_PEER
     if isinstance(reason.value, ConnectionAborted):
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -19,7 +19,7 @@
 from thornjunction.net.discovery.watch import Watch, WatchHandlers
 from thornjunction.net.discovery.watch_client import WatchClient
 from thornjunction.net.discovery.watch_context import WatchContext
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
@@ -99,14 +99,15 @@
 ) -> MetricsExporter | None:
     if extras.metrics is None:
         return None
-    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
+    from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 
     settings = extras.metrics
-    metrics = MetricsExporter(reactor, deadlines, core_ms, time.time, counters, name, settings.interval_s)
+    source = MetricsSource(counters, name, settings.interval_s)
+    metrics = MetricsExporter(reactor, deadlines, core_ms, time.time, source)
     if settings.graphite is not None:
-        metrics.to_graphite(settings.graphite, settings.prefix)
+        metrics.add_graphite(settings.graphite, settings.prefix)
     if settings.collectd is not None:
-        metrics.to_collectd(settings.collectd)
+        metrics.add_collectd(settings.collectd)
     return metrics
 
 
--- a/thornjunction/runtime/config_reload.py
+++ b/thornjunction/runtime/config_reload.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.runtime.config import Config, check_complete
 from thornjunction.runtime.errors import ConfigError
@@ -56,7 +57,7 @@
             check_complete(running, reloaded)
         except ConfigError as error:
             self.counts["invalid"] += 1
-            log.error("reload refused, nothing changed", reason=str(error))  # noqa: TRY400
+            log.error(LogEvent.RELOAD_REJECTED, cause=str(error))  # noqa: TRY400
             return None
         self.counts["accepted"] += 1
         _log_accepted(running, reloaded)
@@ -69,7 +70,7 @@
         name for name, field in RESTART_FIELDS.items() if getattr(reloaded, field) != getattr(running, field)
     ]
     log.info(
-        "reloaded",
+        LogEvent.RELOAD_ACCEPTED,
         channel=f"{reloaded.discovery.host}:{reloaded.discovery.port}",
         need_restart=",".join(need_restart) or "none",
     )
--- a/thornjunction/runtime/handover.py
+++ b/thornjunction/runtime/handover.py
@@ -7,6 +7,7 @@
 from contextlib import suppress
 from pathlib import Path
 
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 
 # Hexadecimal digits of a token; a file with fewer was not written whole.
@@ -35,7 +36,7 @@
             temporary.write_text(self.token, encoding="ascii")
             os.replace(temporary, self.path)
         except OSError as error:
-            log.error("no mark for the process that comes next", reason=error.strerror)  # noqa: TRY400
+            log.error(LogEvent.HANDOVER_TOKEN_FAILED, cause=error.strerror)  # noqa: TRY400
             # The token of the earlier process must not count as a successor's.
             self.token = self._read()
             with suppress(OSError):
--- a/thornjunction/runtime/platform_front.py
+++ b/thornjunction/runtime/platform_front.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection, FastCgiRequestContext
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.runtime.config import Config
 from thornjunction.runtime.front_admission import FrontAdmission
@@ -27,9 +27,15 @@
         self, config: Config, path: RequestPath, admission: FrontAdmission, is_ready: Callable[[], bool]
     ) -> None:
         self._config = config
-        self._path = path
-        self._admission = admission
-        self._is_ready = is_ready
+        self._clients = path.clients
+        self._deadlines = path.alarm.deadlines
+        self._context = FastCgiRequestContext(
+            core=path.engine,
+            is_ready=is_ready,
+            refusal=admission.refusal,
+            count_refused=admission.count_refused,
+            read_delay_ms=path.load_shedder.read_delay_ms,
+        )
         self._handover = Handover(config.handover_folder, config.name)
 
     def listen(self, listeners: Listeners) -> None:
@@ -45,13 +51,4 @@
         return self._handover.has_successor()
 
     def _build_connection(self) -> FastCgiConnection:
-        return FastCgiConnection(
-            self._path.clients,
-            self._path.alarm.deadlines,
-            core_ms,
-            self._path.engine,
-            self._is_ready,
-            self._admission.refusal,
-            self._admission.count_refused,
-            self._path.load_shedder.read_delay_ms,
-        )
+        return FastCgiConnection(self._clients, self._deadlines, core_ms, self._context)
--- a/thornjunction/runtime/request_path.py
+++ b/thornjunction/runtime/request_path.py
@@ -7,7 +7,7 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
 from thornjunction.core.load_shedding import LoadShedder
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.event_loop.timer_service import TimerService
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING
 
 from thornjunction.core.counters import Counters
+from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.admin.admin_endpoint import AdminConnection, AdminEndpoint
 from thornjunction.net.event_loop.timer_service import core_ms
@@ -130,7 +131,10 @@
     def start(self) -> None:
         """Apply the initial endpoint list, and connect to discovery before clients are served."""
         log.info(
-            "start", name=self.config.name, sockets=self.config.sockets, shelves=str(self.config.pool_limits)
+            LogEvent.ROUTER_STARTED,
+            name=self.config.name,
+            client_connections=self.config.sockets,
+            server_connections=str(self.config.pool_limits),
         )
         self.channel.replay(self.config.initial_commands)
         self._open_admin_endpoint()
@@ -156,7 +160,9 @@
 
     def _start_load_samples(self) -> None:
         path = self._path
-        sampler = LoadSampler(path.load_shedder, path.alarm.deadlines, core_ms, path.clients.turns.late_ms)
+        sampler = LoadSampler(
+            path.load_shedder, path.alarm.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
+        )
         sampler.start()
 
     def is_ready(self) -> bool:
@@ -202,7 +208,7 @@
         was_serving = self.state is Lifecycle.SERVING
         self.state = Lifecycle.SHUTTING_DOWN
         self.has_successor = self._platform_front.has_successor()
-        log.info("draining", succeeded=self.has_successor)
+        log.info(LogEvent.SHUTDOWN_STARTED, has_successor=self.has_successor)
         self._parts.leave_fleet()
         if not was_serving:  # no client was accepted
             self.state = Lifecycle.STOPPED
@@ -215,7 +221,7 @@
     def _stop(self) -> None:
         """Stop the reactor; the state stays, since with a successor this process is ready to the end."""
         self.channel.stop()
-        log.info("drained")
+        log.info(LogEvent.SHUTDOWN_FINISHED)
         self.reactor.stop()
 
     def _fail(self) -> None:
