--- a/thornjunction/logs.py
+++ b/thornjunction/logs.py
@@ -53,8 +53,8 @@
     _redact_tokens,
 ]
 
+# Processors of records of the standard library's loggers; their ``extra`` holds an event's fields.
 FOREIGN_PROCESSORS: list[Any] = [structlog.stdlib.ExtraAdder(), *PROCESSORS]
-"""Processors of records of the standard library's loggers; their ``extra`` holds an event's fields."""
 
 structlog.configure(
     processors=[
