--- a/tests/net/discovery/resynchronization_test_case.py
+++ b/tests/net/discovery/resynchronization_test_case.py
@@ -54,7 +54,7 @@
                 return apply_next_part(resynchronization)
             finally:
                 taken_bytes = unparsed_bytes - len(resynchronization._unparsed)
-                self.parts.append(Part(taken_bytes, unparsed_bytes + reader.held))
+                self.parts.append(Part(taken_bytes, unparsed_bytes + reader.buffered_bytes))
 
         patchers = (
             patch.object(Resynchronization, "apply_next_part", record_part),
--- a/tests/net/wire/test_fastcgi.py
+++ b/tests/net/wire/test_fastcgi.py
@@ -17,7 +17,7 @@
 def test_request_parameters_are_decoded() -> None:
     request = cgi.decode_request(PARAMS, b"body")
     assert request.class_name == "clips"
-    assert request.left_ms == 1500.0
+    assert request.remaining_ms == 1500.0
     assert request.size_kb == 412.5
     assert request.group == 0
 
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -90,11 +90,11 @@
             raise RequestTableFullError
         now_ms = self.clock()
         # A process that shuts down owes its answer before its end, however long the client would wait.
-        left_ms = min(client_request.left_ms, max(self.shutdown_at_ms - now_ms, 0.0))
+        remaining_ms = min(client_request.remaining_ms, max(self.shutdown_at_ms - now_ms, 0.0))
         request = OpenRequest(client_request, reply, now_ms, self.max_attempts)
-        request.backstop = self.deadlines.add(now_ms + left_ms, lambda: self._backstop_due(request))
+        request.backstop = self.deadlines.add(now_ms + remaining_ms, lambda: self._backstop_due(request))
         request.number = self.requests.add(request)
-        self.feed(request.event(left_ms))
+        self.feed(request.event(remaining_ms))
         return request.number
 
     def abandon(self, number: int) -> None:
@@ -266,7 +266,7 @@
             return None
         now_ms = self.clock()
         if answer is None:
-            deadline_ms = request.opened_ms + request.client_request.left_ms
+            deadline_ms = request.opened_ms + request.client_request.remaining_ms
             answer = Failed(timed_out=now_ms >= deadline_ms - NEAR_DEADLINE_MS)
         self._close(request, answer.outcome, now_ms)
         request.reply(answer)
--- a/thornjunction/core/open_requests.py
+++ b/thornjunction/core/open_requests.py
@@ -42,14 +42,14 @@
         """The identifier that the router uses."""
         return str(self.number)
 
-    def event(self, left_ms: float) -> api.Request:
+    def event(self, remaining_ms: float) -> api.Request:
         """Return the router's event for it, with this part of the client's time remaining."""
         client_request = self.client_request
         return api.Request(
             request_id=self.request_id,
             class_name=client_request.class_name,
             key=int(client_request.object_id, 16),
-            remaining_ms=left_ms,
+            remaining_ms=remaining_ms,
             part=client_request.part,
             group=client_request.group,
             size_kb=client_request.size_kb,
--- a/thornjunction/core/ports.py
+++ b/thornjunction/core/ports.py
@@ -27,7 +27,7 @@
         transaction_id: unique to this request, also among a client's retries; passed on unchanged.
         class_name: the name of its class.
         object_id: the object it asks for, 16 hex digits; passed on unchanged.
-        left_ms: how much longer the client waits.
+        remaining_ms: how much longer the client waits.
         part: which part of the object, from 0.
         group: the group to which the object belongs.
         size_kb: size of the part; 0: not known.
@@ -39,7 +39,7 @@
     transaction_id: str
     class_name: str
     object_id: str
-    left_ms: float
+    remaining_ms: float
     part: int = 0
     group: int = 0
     size_kb: float = 0.0
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -221,7 +221,7 @@
         self.state = ConnectionState.PAUSED
         self.resynchronization = None
         self._owner.handle_response(commands, is_stable=now_ms - self._created_ms >= self.timings.block_ms)
-        if self.reader.held:
+        if self.reader.buffered_bytes:
             raise ProtocolError(DisconnectReason.UNEXPECTED_RESPONSE)
         if not self._is_keep_alive:
             raise ProtocolError(DisconnectReason.NO_KEEP_ALIVE)
--- a/thornjunction/net/downstream/fastcgi_front.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -88,7 +88,7 @@
 
     def half_received_bytes(self) -> int:
         """Bytes of requests that have come in part."""
-        return self._reader.held
+        return self._reader.buffered_bytes
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Read requests, and dispatch them when it is the connection's turn."""
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -117,7 +117,7 @@
 
     def half_received_bytes(self) -> int:
         """Bytes of the request that has come in part."""
-        return self._reader.held
+        return self._reader.buffered_bytes
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Read requests and dispatch the first one, where none is being answered."""
--- a/thornjunction/net/relay/poller_connection.py
+++ b/thornjunction/net/relay/poller_connection.py
@@ -125,7 +125,7 @@
             return
         if request is not None:
             self._handle_request(request)
-        elif self._reader.held > MAX_HEAD_BYTES:
+        elif self._reader.buffered_bytes > MAX_HEAD_BYTES:
             status = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             self._reject(status, DisconnectReason.POLL_HEAD_TOO_LARGE)
 
@@ -188,7 +188,7 @@
         if request.method != "GET":
             self._reject(HTTPStatus.METHOD_NOT_ALLOWED, DisconnectReason.POLL_METHOD)
             return
-        if self._reader.held:
+        if self._reader.buffered_bytes:
             self._reject(HTTPStatus.BAD_REQUEST, DisconnectReason.PIPELINED_POLL)
             return
         try:
--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -129,8 +129,8 @@
         except ProtocolError as error:
             self.abort(str(error))
             return
-        if self._reader.held:
-            self._partial_response_timer.bound(self._reader.held)
+        if self._reader.buffered_bytes:
+            self._partial_response_timer.bound(self._reader.buffered_bytes)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         """Release what the connection holds, log its end and notify its owner."""
--- a/thornjunction/net/wire/cgi.py
+++ b/thornjunction/net/wire/cgi.py
@@ -37,13 +37,13 @@
 MAX_GROUP = 255
 
 # Longest time that a client waits, in milliseconds.
-MAX_LEFT_MS = 600_000.0
+MAX_REMAINING_MS = 600_000.0
 
 # Largest size of a part, in kilobytes.
 MAX_SIZE_KB = 1e9
 
 # Time left of a request whose time is over: it is decided like any other.
-MIN_LEFT_MS = 1.0
+MIN_REMAINING_MS = 1.0
 
 # What a parameter's name has before the name of an HTTP header (RFC 3875 §4.1.18).
 HEADER_PREFIX = "HTTP_"
@@ -67,7 +67,7 @@
         transaction_id=_required_field(HEX16, params, "HTTP_X_TXN"),
         class_name=_decode_class_name(path[len(REQUEST_PREFIX) :]),
         object_id=_required_field(HEX16, params, "HTTP_X_ROW"),
-        left_ms=_decode_left_ms(params, spent_ms),
+        remaining_ms=_decode_remaining_ms(params, spent_ms),
         part=int(parse_number(params.get("HTTP_X_PART", "0"), MAX_PART, "part")),
         group=int(parse_number(params.get("HTTP_X_GROUP", "0"), MAX_GROUP, "group")),
         size_kb=parse_number(params.get("HTTP_X_WORKING_SET_KB", "0"), MAX_SIZE_KB, "size"),
@@ -92,9 +92,9 @@
     return value
 
 
-def _decode_left_ms(params: Mapping[str, str], spent_ms: float) -> float:
-    left_ms = parse_number(params.get("HTTP_X_TTL_MS", ""), MAX_LEFT_MS, "ttl")
-    return max(left_ms - spent_ms, MIN_LEFT_MS)
+def _decode_remaining_ms(params: Mapping[str, str], spent_ms: float) -> float:
+    remaining_ms = parse_number(params.get("HTTP_X_TTL_MS", ""), MAX_REMAINING_MS, "ttl")
+    return max(remaining_ms - spent_ms, MIN_REMAINING_MS)
 
 
 def _decode_class_name(text: str) -> str:
--- a/thornjunction/net/wire/fastcgi/records.py
+++ b/thornjunction/net/wire/fastcgi/records.py
@@ -57,7 +57,7 @@
         self._buffer = bytearray()
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes of an incomplete record."""
         return len(self._buffer)
 
--- a/thornjunction/net/wire/fastcgi/request_reader.py
+++ b/thornjunction/net/wire/fastcgi/request_reader.py
@@ -76,13 +76,13 @@
         self._open: dict[int, _OpenRequest] = {}
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes of incomplete requests, with an overhead for each."""
         open_bytes = sum(
             OPEN_REQUEST_OVERHEAD_BYTES + len(request.encoded_params) + len(request.body)
             for request in self._open.values()
         )
-        return self._records.held + open_bytes
+        return self._records.buffered_bytes + open_bytes
 
     def _read_messages(self, data: bytes, messages: list[Message]) -> None:
         while records := self._records.feed(data):
--- a/thornjunction/net/wire/http1/reader.py
+++ b/thornjunction/net/wire/http1/reader.py
@@ -81,7 +81,7 @@
         self._announced_bytes = 0  # of the body, so far
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes of an incomplete message, with an overhead for its head."""
         overhead = 0 if self._head is None else HEAD_OVERHEAD_BYTES
         return len(self._buffer) + len(self._body) + overhead
--- a/thornjunction/net/wire/resp.py
+++ b/thornjunction/net/wire/resp.py
@@ -67,7 +67,7 @@
         return arrays
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes of an incomplete array, with an overhead for the open array itself."""
         overhead = 0 if self._state is _State.ARRAY_HEADER else ARRAY_OVERHEAD_BYTES
         return len(self._buffer) + sum(map(len, self._items)) + overhead
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -145,7 +145,7 @@
     if request.method not in methods:
         raise RequestError(405, RejectionCause.METHOD)
     idempotency_key = _idempotency_key(request, request_class)
-    left_ms = _number_header(
+    remaining_ms = _number_header(
         request, "x-ttl-ms", str(request_class.client_timeout_ms), MAX_CLIENT_TIME_MS, "ttl"
     )
     size_kb = _number_header(request, "x-working-set-kb", "0", MAX_SIZE_KB, "size")
@@ -154,7 +154,7 @@
         transaction_id=transaction_id,
         class_name=request_class.name,
         object_id=match[3],
-        left_ms=min(left_ms, request_class.client_timeout_ms),
+        remaining_ms=min(remaining_ms, request_class.client_timeout_ms),
         part=int(match[4]),
         group=int(match[2]),
         size_kb=size_kb,
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -76,12 +76,12 @@
     """The fields of a response cannot be read."""
 
 
-def encode_request(request: UpstreamRequest, left_ms: float) -> bytes:
+def encode_request(request: UpstreamRequest, remaining_ms: float) -> bytes:
     """Encode an attempt; unbounded ages and absent values are left out, times are rounded down.
 
     Args:
         request: the attempt.
-        left_ms: milliseconds left for it as it is written.
+        remaining_ms: milliseconds that remain for it as it is written.
     """
     client_request = request.client_request
     fetch = request.fetch
@@ -90,7 +90,7 @@
         "profile": client_request.class_name,
         "thing": client_request.object_id,
         "nth": str(client_request.part),
-        "max": _rounded_ms(left_ms),
+        "max": _rounded_ms(remaining_ms),
         "replay": client_request.idempotency_key,
         "up": fetch.source if has_source else "",
         "store": str(fetch.retention_rank) if fetch.retention_rank else "",
--- a/thornjunction/policy/admission.py
+++ b/thornjunction/policy/admission.py
@@ -119,5 +119,5 @@
     def _start_deadline(self, request: PendingRequest) -> None:
         self._last_token += 1
         self.deadlines[self._last_token] = request
-        left_ms = max(request.deadline_ms - self._context.now_ms, 0.0)
-        self._context.actions.append(api.SetTimer(left_ms, self._last_token))
+        remaining_ms = max(request.deadline_ms - self._context.now_ms, 0.0)
+        self._context.actions.append(api.SetTimer(remaining_ms, self._last_token))
