--- a/tests/conformance/test_rfc9246.py
+++ b/tests/conformance/test_rfc9246.py
@@ -36,7 +36,7 @@
         section: the section of RFC 9246.
         title: what is special about the token.
         token: the token.
-        code: the code of its rejection; empty: it is accepted.
+        rejection: the code of its rejection; empty: it is accepted.
         after_s: time of the check after ``NOW_S``.
         client: the client's address.
     """
@@ -44,7 +44,7 @@
     section: str
     title: str
     token: str
-    code: str = ""
+    rejection: str = ""
     after_s: float = 0.0
     client: str = CLIENT_V4
 
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case.section} {case.title}")
 def test_claims(case: Case) -> None:
-    assert rejection_code(case.token, NOW_S + case.after_s, case.client) == case.code
+    assert rejection_code(case.token, NOW_S + case.after_s, case.client) == case.rejection
 
 
 @pytest.fixture
--- a/tests/conformance/test_uri_signing_package.py
+++ b/tests/conformance/test_uri_signing_package.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("section", "target", "cookie", "code"),
+    ("section", "target", "cookie", "error_code"),
     [
         ("4.1", "/f/1?URISigningPackage=T&URISigningPackage=U", "", "token-twice"),
         ("4.1", "/f/URISigningPackage=U/1?URISigningPackage=T", "", "token-twice"),
@@ -45,11 +45,11 @@
     ],
 )
 def test_a_request_without_exactly_one_token_is_refused(
-    section: str, target: str, cookie: str, code: str
+    section: str, target: str, cookie: str, error_code: str
 ) -> None:
     with pytest.raises(signed.RequestError) as caught:
         signed.split_token(get_request(target, cookie))
-    assert caught.value.code == code, f"§{section}"
+    assert caught.value.code == error_code, f"§{section}"
 
 
 @fixed
--- a/tests/net/downstream/test_front_rejections.py
+++ b/tests/net/downstream/test_front_rejections.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 from tests.net.downstream.builders import (
     FASTCGI,
     SERVED,
@@ -11,7 +13,7 @@
     both_fronts,
     malformed_fastcgi_request,
 )
-from thornjunction.core.ports import Rejected
+from thornjunction.core.ports import Failed, Rejected
 from thornjunction.net.downstream.fastcgi_front import MAX_MALFORMED_REQUESTS
 from thornjunction.net.downstream.signed_front import MAX_QUEUED_REQUESTS
 
@@ -58,3 +60,11 @@
     connection.dataReceived(SIGNED.request() * 2)
     connection.connectionLost()
     assert clients.core.abandoned == [2]
+
+
+def test_what_a_front_answers_itself_is_counted(clients: ClientConnections) -> None:
+    connection = clients.connect(FASTCGI)
+    connection.dataReceived(malformed_fastcgi_request())
+    connection.context = replace(connection.context, refusal=lambda: b"Status: 503\r\n\r\n")
+    connection.dataReceived(FASTCGI.request())
+    assert clients.refused == [("clips", Failed(False)), ("clips", Rejected(0.0))]
--- a/tests/repository/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -1,7 +1,8 @@
-"""KNOWN-RED.txt as CI reads it: only the listed tests may fail, and no listed one may pass."""
+"""KNOWN-RED.txt as CI reads it: only the listed tests may fail, and none of them may pass."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
@@ -9,39 +10,47 @@
 pytest_plugins = ["pytester"]
 
 CONFTEST = Path(__file__).resolve().parents[2] / "conftest.py"
-RED = "test_it.py::test_red, adds wrongly, issue 1\n"
+
+RED_LINE = "test_it.py::test_red, adds wrongly, issue 1\n"
+GREEN_LINE = "test_it.py::test_green, nothing, issue 1\n"
+
+TESTS = "def test_red(): assert 1 + 1 == 3\ndef test_green(): pass\n"
+
+Run = Callable[[str | None], pytest.RunResult]
 
 
 @pytest.fixture
-def run(pytester: pytest.Pytester, request: pytest.FixtureRequest):  # type: ignore[no-untyped-def]
-    """Runs a red and a green test under the given list, as a whole run does."""
+def run(pytester: pytest.Pytester) -> Run:
+    """Run a red and a green test under the given list, as a complete run does."""
     pytester.makeconftest(CONFTEST.read_text(encoding="utf-8"))
     pytester.makeini("[pytest]\ntestpaths = .\n")
-    pytester.makepyfile(test_it="def test_red(): assert 1 + 1 == 3\ndef test_green(): pass\n")
+    pytester.makepyfile(test_it=TESTS)
 
-    def play(text: str | None) -> pytest.RunResult:
+    def run_with(text: str | None) -> pytest.RunResult:
         if text is not None:
             (pytester.path / "KNOWN-RED.txt").write_text(text, encoding="utf-8")
         return pytester.runpytest_inprocess()
 
-    return play
+    return run_with
 
 
-def test_a_listed_failure_passes_and_is_printed(run) -> None:  # type: ignore[no-untyped-def]
-    result = run(RED)
+def test_a_listed_failure_passes_and_is_printed(run: Run) -> None:
+    result = run(RED_LINE)
     assert result.ret == 0
     result.assert_outcomes(passed=1, xfailed=1)
     result.stdout.fnmatch_lines(["KNOWN RED: test_it.py::test_red: adds wrongly (issue 1)"])
 
 
-def test_a_failure_that_is_not_listed_fails(run) -> None:  # type: ignore[no-untyped-def]
+def test_a_failure_that_is_not_listed_fails(run: Run) -> None:
     assert run(None).ret == pytest.ExitCode.TESTS_FAILED
 
 
-def test_a_listed_pass_fails(run) -> None:  # type: ignore[no-untyped-def]
-    assert run(RED + "test_it.py::test_green, nothing, issue 1\n").ret == pytest.ExitCode.TESTS_FAILED
+def test_a_listed_pass_fails(run: Run) -> None:
+    assert run(RED_LINE + GREEN_LINE).ret == pytest.ExitCode.TESTS_FAILED
 
 
-@pytest.mark.parametrize("text", [RED * 4, "test_it.py::test_red\n", "test_it.py::test_gone, x, issue 1\n"])
-def test_a_list_of_another_form_fails(run, text: str) -> None:  # type: ignore[no-untyped-def]
+@pytest.mark.parametrize(
+    "text", [RED_LINE * 4, "test_it.py::test_red\n", "test_it.py::test_gone, x, issue 1\n"]
+)
+def test_a_list_of_another_form_fails(run: Run, text: str) -> None:
     assert run(text).ret not in (0, pytest.ExitCode.TESTS_FAILED)
--- a/tests/runtime/test_command_events.py
+++ b/tests/runtime/test_command_events.py
@@ -39,7 +39,7 @@
     assert first is second is third is not fourth
     service.handle_command(ListChange(2, True, ()))
     assert not service.commands.process_starts._by_server
-    service.alarm.stop()
+    service.timer_service.stop()
 
 
 def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
@@ -51,4 +51,4 @@
         for cursor, age_ms in enumerate(ages_ms, start=1):
             service.handle_command(Purge(cursor, cursor, 0, now_unix_ms - age_ms))
     assert [call.args[0].key for call in feed.call_args_list] == [3]
-    service.alarm.stop()
+    service.timer_service.stop()
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -16,12 +16,12 @@
 
 
 def test_an_open_request_keeps_its_attempts_and_the_next_has_the_new_ones() -> None:
-    bench = RouterDriver(max_attempts=3)
-    before = attempt_of(bench.request())
-    bench.handle(replace(SETTINGS, max_attempts=1))
-    after = attempt_of(bench.request(key=2))
-    assert actions_of(bench.end_attempt(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
-    assert final_actions(bench.end_attempt(after, api.AttemptStatus.NOT_STARTED))
+    driver = RouterDriver(max_attempts=3)
+    before = attempt_of(driver.request())
+    driver.handle(replace(SETTINGS, max_attempts=1))
+    after = attempt_of(driver.request(key=2))
+    assert actions_of(driver.end_attempt(before, api.AttemptStatus.NOT_STARTED), api.StartAttempt)
+    assert final_actions(driver.end_attempt(after, api.AttemptStatus.NOT_STARTED))
 
 
 def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
@@ -39,45 +39,47 @@
 
 
 def test_classes_come_and_go_and_may_change_their_effect() -> None:
-    bench = RouterDriver(classes=(FILMS, KEYED))
-    assert final_actions(bench.request(class_name="order"))
-    film = attempt_of(bench.request())
-    bench.handle(
+    driver = RouterDriver(classes=(FILMS, KEYED))
+    assert final_actions(driver.request(class_name="order"))
+    film = attempt_of(driver.request())
+    driver.handle(
         replace(
             SETTINGS,
             classes=(replace(KEYED, idempotency=api.Idempotency.NON_IDEMPOTENT, name="keyed"), ORDER),
         )
     )
-    assert final_actions(bench.request()) and attempt_of(bench.request(class_name="order"))
-    unsafe = attempt_of(bench.request(class_name="keyed", idempotency_key="k"))
-    assert final_actions(bench.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
-        api.FailRequest(str(bench.request_count))
+    assert final_actions(driver.request())
+    assert attempt_of(driver.request(class_name="order"))
+    unsafe = attempt_of(driver.request(class_name="keyed", idempotency_key="k"))
+    assert final_actions(driver.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
+        api.FailRequest(str(driver.request_count))
     ]
     assert not final_actions(
-        bench.end_attempt(film, api.AttemptStatus.TIMEOUT)
+        driver.end_attempt(film, api.AttemptStatus.TIMEOUT)
     )  # open under the class that is gone
-    assert not final_actions(bench.end_attempt(bench.attempts[film.request_id][-1]))
-    latencies, sizes = bench.router.admission.typical_latencies, bench.router.sizes.class_means
+    assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
+    latencies = driver.router.admission.typical_latencies
+    sizes = driver.router.sizes.class_means
     assert set(latencies) == set(sizes) == {"keyed", "order"}
 
 
-def config_with(**changed: Any) -> bytes:
-    """The configuration with changes, by the path of a key; None takes the key away."""
-    told = json.loads(json.dumps(CONFIG))
-    for path, value in changed.items():
-        *way, last = path.split("__")
-        place: Any = told
-        for step in way:
+def config_with(**changes: Any) -> bytes:
+    """Return the configuration with changes, by the path of a key; None removes the key."""
+    config = json.loads(json.dumps(CONFIG))
+    for path, value in changes.items():
+        *parents, key = path.split("__")
+        place: Any = config
+        for step in parents:
             place = place[int(step) if step.isdigit() else step]
         if value is None:
-            del place[last]
+            del place[key]
         else:
-            place[last] = value
-    return json.dumps(told).encode()
+            place[key] = value
+    return json.dumps(config).encode()
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "named_key"),
     [
         ("settings", None, "settings"),
         ("channel", None, "channel"),
@@ -103,13 +105,13 @@
         ("known__cmds", [{"cursor": 1, "nodes": {"hosts": [{"host": "a"}]}}], "known"),
     ],
 )
-def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named: str) -> None:
+def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named_key: str) -> None:
     running = parse_config(config_with(), {})
-    with pytest.raises(ConfigError, match=named):
+    with pytest.raises(ConfigError, match=named_key):
         check_complete(running, parse_config(config_with(**{path: value}), {}))
 
 
-def test_a_whole_file_is_taken() -> None:
+def test_a_complete_file_is_accepted() -> None:
     running = parse_config(config_with(), {})
     fresh = parse_config(config_with(settings__allowed__attemptsCap=2, channel="127.0.0.1:5"), {})
     check_complete(running, fresh)
--- a/thornjunction/runtime/platform_front.py
+++ b/thornjunction/runtime/platform_front.py
@@ -28,7 +28,7 @@
     ) -> None:
         self._config = config
         self._clients = path.clients
-        self._deadlines = path.alarm.deadlines
+        self._deadlines = path.timer_service.deadlines
         self._context = FastCgiRequestContext(
             core=path.engine,
             is_ready=is_ready,
--- a/thornjunction/runtime/request_path.py
+++ b/thornjunction/runtime/request_path.py
@@ -19,7 +19,7 @@
     """These parts, connected to each other.
 
     Attributes:
-        alarm: runs the deadlines of all parts.
+        timer_service: runs the deadlines of all parts.
         clients: clients' connections.
         engine: owns open requests and attempts.
         router: decides.
@@ -29,7 +29,7 @@
         counters: count requests and attempts.
     """
 
-    alarm: TimerService
+    timer_service: TimerService
     clients: DownstreamTable
     engine: Engine
     router: Router
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -79,7 +79,7 @@
         self.has_successor = False
         self._exit_code = ExitCode.STOPPED
         path = assembly.build_request_path(config, reactor, counters)
-        deadlines = path.alarm.deadlines
+        deadlines = path.timer_service.deadlines
         admission = FrontAdmission(path.drain, path.load_shedder, path.engine, counters)
         settings = SettingsInForce(path.engine, admission, counters, config.flow_bytes_per_ms)
         self._path = path
@@ -100,9 +100,9 @@
         settings.apply(config.settings)
 
     @property
-    def alarm(self) -> TimerService:
+    def timer_service(self) -> TimerService:
         """The timer service, which runs all deadlines."""
-        return self._path.alarm
+        return self._path.timer_service
 
     @property
     def engine(self) -> Engine:
@@ -140,13 +140,13 @@
         self._open_admin_endpoint()
         self.channel.start()
         # A process that replaces another has an old endpoint list: it waits for a new one, but not for ever.
-        self.alarm.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
+        self.timer_service.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
 
     def _open_admin_endpoint(self) -> None:
         if self.config.admin is None:
             return
         calls = self.admin_calls.by_name | self._parts.admin_calls()
-        endpoint = AdminEndpoint(calls, self.alarm.deadlines, core_ms)
+        endpoint = AdminEndpoint(calls, self.timer_service.deadlines, core_ms)
         self._listeners.listen(*self.config.admin, lambda: AdminConnection(endpoint))
 
     def begin_serving(self) -> None:
@@ -161,7 +161,7 @@
     def _start_load_samples(self) -> None:
         path = self._path
         sampler = LoadSampler(
-            path.load_shedder, path.alarm.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
+            path.load_shedder, path.timer_service.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
         )
         sampler.start()
 
