--- a/tests/runtime/test_drain.py
+++ b/tests/runtime/test_drain.py
@@ -8,7 +8,7 @@
 
 from tests.net.downstream.builders import FASTCGI, SERVED, ClientConnections, Front, both_fronts
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
-from thornjunction.runtime.drain import HURRY_DELAY_MS, REFUSE_AFTER_MS, SWEEP_INTERVAL_MS, Drain
+from thornjunction.runtime.drain import ANSWER_DELAY_MS, REFUSE_AFTER_MS, SWEEP_INTERVAL_MS, Drain
 
 # Milliseconds in which the drain begins to close connections.
 START_DELAY_MS = 100.0
@@ -58,12 +58,12 @@
     drain = make_drain(clients, lambda: hurried_at_ms.append(clients.clock.now_ms))
     started_ms = clients.clock.now_ms
     drain.start(0.0)
-    clients.clock.advance(REFUSE_AFTER_MS + HURRY_DELAY_MS - 1.0)
+    clients.clock.advance(REFUSE_AFTER_MS + ANSWER_DELAY_MS - 1.0)
     assert drain.is_refusing
     assert not hurried_at_ms
     clients.clock.advance(SWEEP_INTERVAL_MS + 1.0)
     assert hurried_at_ms
-    assert hurried_at_ms[0] >= started_ms + REFUSE_AFTER_MS + HURRY_DELAY_MS
+    assert hurried_at_ms[0] >= started_ms + REFUSE_AFTER_MS + ANSWER_DELAY_MS
 
 
 @pytest.mark.parametrize("answered", [False, True])
