--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -8,16 +8,10 @@
 import pytest
 
 from tests.core.scripted_ports import ScriptedPorts
-from tests.runtime.test_config import CONFIG
 from thornjunction import interface as api
 from thornjunction.core.attempts import AttemptState
 from thornjunction.core.ports import Content, Failed, Rejected, RequestTableFullError, Served
 
-# Names that other tests import from here.
-__all__ = ["CONFIG", "Script"]
-
-Script = ScriptedPorts
-
 
 @pytest.fixture
 def ports() -> ScriptedPorts:
--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.net.downstream.builders import FakeClock, FakeTransport
-from tests.net.wire.test_codecs import fixed
+from tests.net.wire.builders import reproducible
 from thornjunction.net.admin.admin_endpoint import (
     CALL_TIMEOUT_MS,
     MAX_CONNECTIONS,
@@ -34,7 +34,7 @@
 
 
 @given(cuts=st.lists(st.integers(0, 9), max_size=5), junk=st.binary(max_size=200))
-@fixed
+@reproducible
 def test_a_line_is_read_however_it_is_cut(cuts: list[int], junk: bytes) -> None:
     data = b"drain-on\r\n"
     reader = LineReader()
--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -9,7 +9,7 @@
 from fakes.watch_environment import WatchEnvironment
 from twisted.trial.unittest import TestCase
 
-from tests.core.test_engine import CONFIG
+from tests.runtime.test_config import CONFIG
 from thornjunction.core.counters import Counters
 from thornjunction.net.discovery.connection_state import ConnectionState
 from thornjunction.runtime.config import parse_config
--- a/tests/net/discovery/test_control_section.py
+++ b/tests/net/discovery/test_control_section.py
@@ -10,8 +10,8 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.trial.unittest import TestCase
 
-from tests.core.test_engine import CONFIG
 from tests.net.discovery.scripted_source import ScriptedSource
+from tests.runtime.test_config import CONFIG
 from thornjunction.core.counters import Counters
 from thornjunction.net.discovery.watch_client import WatchClient
 from thornjunction.runtime.config import parse_config
--- a/tests/net/downstream/builders.py
+++ b/tests/net/downstream/builders.py
@@ -10,7 +10,7 @@
 from twisted.internet.testing import StringTransport
 
 from tests.loopback import BASE, CLIP, TRUST
-from tests.net.wire.test_codecs import PARAMS, asked
+from tests.net.wire.builders import PARAMS, encoded_fastcgi_request
 from thornjunction import interface as api
 from thornjunction.core.ports import (
     Answer,
@@ -51,7 +51,7 @@
 
 def malformed_fastcgi_request() -> bytes:
     """A complete request of the platform's front that names no object."""
-    return asked(params=PARAMS | {"HTTP_X_ROW": "no object"})
+    return encoded_fastcgi_request(params=PARAMS | {"HTTP_X_ROW": "no object"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 FASTCGI = Front(
     name="fastcgi",
-    request=asked,
+    request=encoded_fastcgi_request,
     half_request=fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0),
     rejected_response=fastcgi.encode_end(FASTCGI_REQUEST_ID, fastcgi.ProtocolStatus.OVERLOADED),
     failed_response=b"Status: 502",
--- a/tests/net/downstream/test_signed_front.py
+++ b/tests/net/downstream/test_signed_front.py
@@ -7,7 +7,7 @@
 
 from tests.loopback import ALERT, CLIP
 from tests.net.downstream.signed_front_case import SignedFrontTestCase
-from tests.net.wire.test_codecs import PARAMS, asked
+from tests.net.wire.builders import PARAMS, encoded_fastcgi_request
 from thornjunction.net.wire import fastcgi
 
 
@@ -76,13 +76,16 @@
     async def test_the_platforms_front_shares_the_core(self) -> None:
         client = await self.environment.connect_client(PortIndex.FASTCGI_FRONT, FastCgiClient)
         params = PARAMS | {"SCRIPT_NAME": "/do/films"}
-        client.transport.write(asked(7, params, b"") + asked(9, {"SCRIPT_NAME": "/check"}, b""))
+        client.transport.write(
+            encoded_fastcgi_request(7, params, b"")
+            + encoded_fastcgi_request(9, {"SCRIPT_NAME": "/check"}, b"")
+        )
         await self.environment.wait_until(lambda: len(client.end_records()) == 2)
         assert client.output(7) == b"Status: 200\r\n\r\nwave"
         assert client.output(9) == b"Status: 200\r\n\r\n"
         self.environment.script = [None]
         next_attempt = self.environment.next_request()
-        client.transport.write(asked(11, params, b""))
+        client.transport.write(encoded_fastcgi_request(11, params, b""))
         await next_attempt
         client.transport.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 11, b""))
         await self.until_cancelled()
--- a/tests/net/upstream/test_ended_requests.py
+++ b/tests/net/upstream/test_ended_requests.py
@@ -12,7 +12,7 @@
 
 from tests.loopback import LOOPBACK_SETTINGS
 from tests.net.upstream.pool_case import PoolTestCase
-from tests.net.wire.test_codecs import PARAMS, asked
+from tests.net.wire.builders import PARAMS, encoded_fastcgi_request
 from thornjunction.net.wire import fastcgi
 
 KEYED_PARAMS = PARAMS | {"SCRIPT_NAME": "/do/keyed", "HTTP_X_TXN_KEY": "0" * 32}
@@ -35,7 +35,7 @@
         listener = self.environment.make_unresponsive("origin")  # where keyed requests go straight
         executions = self.engine.router.executions.by_key
         client = yield self.environment.connect_client(PortIndex.FASTCGI_FRONT, FastCgiClient)
-        client.transport.write(asked(params=KEYED_PARAMS))
+        client.transport.write(encoded_fastcgi_request(params=KEYED_PARAMS))
         origin = self.pool.upstreams["origin"]
         yield self.environment.wait_until(lambda: origin.waiting and executions)
         end_request(client)
--- a/tests/net/wire/builders.py
+++ b/tests/net/wire/builders.py
@@ -7,11 +7,15 @@
 from typing import Any
 
 from fakes.clients import encode_fastcgi_request
+from hypothesis import settings
 
 from thornjunction import interface as api
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.wire import collectd
 
+# Settings of property tests: the same examples in each run, and no limit on their time.
+reproducible = settings(derandomize=True, max_examples=60, deadline=None)
+
 # Parameters of a complete request on the platform's front; one value needs a long length.
 PARAMS = {
     "SCRIPT_NAME": "/do/clips",
--- a/tests/net/wire/test_codecs.py
+++ b/tests/net/wire/test_codecs.py
@@ -7,18 +7,12 @@
 from typing import Any
 
 import pytest
-from hypothesis import given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.net.wire.builders import PARAMS, collectd_values, encoded_fastcgi_request
+from tests.net.wire.builders import PARAMS, encoded_fastcgi_request, reproducible
 from thornjunction.net.wire import ProtocolError, cgi, commands, fastcgi, http1, resp, upstream
 
-# Names that other tests import from here.
-__all__ = ["PARAMS", "asked", "collectd_values", "fixed"]
-
-asked = encoded_fastcgi_request
-fixed = settings(derandomize=True, max_examples=60, deadline=None)
-
 # Parameters that are numbers or words.
 PARSED_PARAMS = (*PARAMS, "HTTP_X_PART")
 
@@ -67,7 +61,7 @@
 
 @each_reader
 @given(cuts=st.lists(st.integers(0, 900), max_size=12))
-@fixed
+@reproducible
 def test_cuts_do_not_matter(new_reader: Callable[[], Any], data: bytes, cuts: list[int]) -> None:
     messages_at_once = new_reader().feed(data)
     assert len(messages_at_once) >= 2
@@ -81,7 +75,7 @@
 
 @each_reader
 @given(garbage=st.binary(max_size=200), position=st.integers(0, 600))
-@fixed
+@reproducible
 def test_garbage_ends_in_a_code(
     new_reader: Callable[[], Any], data: bytes, garbage: bytes, position: int
 ) -> None:
@@ -109,12 +103,12 @@
     "decode", [decode_as_commands, decode_as_response_fields, decode_as_request_params, decode_as_pairs]
 )
 @given(garbage=st.binary(max_size=300) | st.text(max_size=60).map(str.encode))
-@fixed
+@reproducible
 def test_decoders_answer_garbage_with_a_code(decode: Callable[[bytes], None], garbage: bytes) -> None:
     assert error_code(decode, garbage) != ""
 
 
 @given(garbage=st.binary(max_size=300) | st.text(max_size=60).map(str.encode))
-@fixed
+@reproducible
 def test_a_load_report_of_garbage_is_read_without_an_error(garbage: bytes) -> None:
     upstream.decode_report(garbage.decode("latin-1"))
--- a/tests/program/test_metrics.py
+++ b/tests/program/test_metrics.py
@@ -9,7 +9,7 @@
 from twisted.trial.unittest import TestCase
 
 from tests.loopback import make_loopback_environment
-from tests.net.wire.test_codecs import collectd_values
+from tests.net.wire.builders import collectd_values
 from thornjunction import interface as api
 from thornjunction.core.counters import Counters
 from thornjunction.net.event_loop.ports import ListeningPort
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -14,7 +14,6 @@
 import pytest
 from fakes.raw_socket import bound_address, call_admin, connect_when_listening
 
-from tests.core.test_engine import CONFIG
 from tests.program.router_program import (
     EXIT_TIMEOUT_S,
     ROOT,
@@ -22,6 +21,7 @@
     free_address,
     listen_on_loopback,
 )
+from tests.runtime.test_config import CONFIG
 
 PROGRAM = [sys.executable, "-m", "thornjunction"]
 
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -9,8 +9,8 @@
 
 from fakes.raw_socket import bound_address, connect_when_listening
 
-from tests.core.test_engine import CONFIG
 from tests.program.router_program import EXIT_TIMEOUT_S, RouterProgram, fetch_check, listen_on_loopback
+from tests.runtime.test_config import CONFIG
 from thornjunction.runtime.handover import Handover
 
 
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from tests.core.test_engine import CONFIG, Script
+from tests.core.scripted_ports import ScriptedPorts
 from tests.helpers import FILMS, KEYED, ORDER, SETTINGS, RouterDriver, actions_of, attempt_of, final_actions
+from tests.runtime.test_config import CONFIG
 from thornjunction import interface as api
 from thornjunction.runtime.config import check_complete, parse_config
 from thornjunction.runtime.errors import ConfigError
@@ -25,7 +26,7 @@
 
 
 def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
-    script = Script()
+    script = ScriptedPorts()
     number = script.open()
     script.engine.max_attempts = 1
     for sent in (2, 2):  # the second attempt, and no third
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -17,7 +17,6 @@
 from fakes.raw_socket import RawSocketCacheServer, RawSocketClient, encode_request
 from twisted.internet.testing import MemoryReactorClock
 
-from tests.core.test_engine import CONFIG
 from tests.net.downstream.builders import FASTCGI, ClientConnections
 from tests.program.router_program import (
     EXIT_TIMEOUT_S,
@@ -26,6 +25,7 @@
     listen_on_loopback,
     loopback_config,
 )
+from tests.runtime.test_config import CONFIG
 from thornjunction.core.counters import Counters
 from thornjunction.runtime.config import parse_config
 from thornjunction.runtime.drain import Drain
