--- a/tests/limits/test_admission_gates.py
+++ b/tests/limits/test_admission_gates.py
@@ -9,17 +9,17 @@
 
 
 def test_late_hits_shut_a_caches_gate_and_the_rest_is_refused() -> None:
-    """Overload: what cannot be served in time is refused at once, and writes go on."""
+    """Overload: what cannot be served in time is rejected at once, and writes go on."""
     driver = RouterDriver()
     for key in range(400):
         for attempt in actions_of(driver.request(key), api.StartAttempt):
             driver.end_attempt(attempt, elapsed_ms=4000.0)
     actions = [action for key in range(200) for action in driver.request(key)]
-    out = len(actions_of(actions, api.StartAttempt))
-    refused = len(actions_of(actions, api.RejectRequest))
-    assert out + refused == 200
-    assert refused > 100
-    assert out >= 4
+    started_count = len(actions_of(actions, api.StartAttempt))
+    rejected_count = len(actions_of(actions, api.RejectRequest))
+    assert started_count + rejected_count == 200
+    assert rejected_count > 100
+    assert started_count >= 4
     assert actions_of(driver.request(class_name="keyed"), api.StartAttempt)  # writes are small and worth most
 
 
@@ -95,18 +95,18 @@
 def test_large_requests_give_way_first_at_a_gate_and_within_a_class_by_little() -> None:
     """Links carry bytes: one large fill less serves many small requests.  But no one is starved by size."""
     driver = RouterDriver(entries=(*EDGES, ORIGIN))
-    kinds = (("films", 100.0), ("films", 3000.0), ("pages", 50.0))
+    class_sizes = (("films", 100.0), ("films", 3000.0), ("pages", 50.0))
 
     def ask(key: int) -> tuple[tuple[str, float], api.StartAttempt]:
-        kind = kinds[key % 3]
-        return kind, attempt_of(driver.request(key, kind[0], size_kb=kind[1]))
+        class_and_size = class_sizes[key % 3]
+        return class_and_size, attempt_of(driver.request(key, class_and_size[0], size_kb=class_and_size[1]))
 
     for key in range(90):
         driver.end_attempt(ask(key)[1])
     driver.router.gates.fills.share = 0.6
-    filled = dict.fromkeys(kinds, 0)
+    filled = dict.fromkeys(class_sizes, 0)
     for key in range(1000, 1900):
-        kind, attempt = ask(key)
-        filled[kind] += attempt.source != attempt.server
+        class_and_size, attempt = ask(key)
+        filled[class_and_size] += attempt.source != attempt.server
     small, large, pages = filled.values()
     assert pages > 250 > 120 > large > (small + large) / 4  # half of their mean
--- a/tests/limits/test_slow_start_fleet.py
+++ b/tests/limits/test_slow_start_fleet.py
@@ -9,6 +9,7 @@
 import math
 import random
 from collections.abc import Iterator
+from dataclasses import dataclass
 
 import pytest
 
@@ -21,66 +22,119 @@
 # Milliseconds of the rule's window.
 WINDOW_MS = 1000.0
 
+# Milliseconds for which requests arrive, and their number outside of bursts.
+ARRIVALS_MS = 4000.0
+REQUESTS = 3000
+
+# Milliseconds of the bursts: two of them within one window of the rule, on both sides of a router's own.
+BURSTS_MS = (700.0, 1600.0, 2700.0)
+
+# Requests that each router gets in a burst.
+BURST_REQUESTS = 3
+
+# One router in so many gets this multiple of the others' requests.
+BUSY_ROUTER_INTERVAL = 10
+BUSY_ROUTER_FACTOR = 5.0
+
+# The share of attempts that end at once; the others wait, and may be hedged.
+ANSWERED_SHARE = 0.9
+
+# The share of those that end with a reset, and are retried.
+RESET_SHARE = 0.2
+
+# Kilobytes that a server sends in a millisecond.
+KB_PER_MS = 5.0
+
+# Under so many requests a window, the spread is three standard deviations; else two.
+FEW_REQUESTS = 30
+
 COLD = (
-    *(edge(f"cold{n}", started_ms=START_MS) for n in range(3)),
+    *(edge(f"cold{number}", started_ms=START_MS) for number in range(3)),
     parent("cold parent", started_ms=START_MS),
 )
-BURSTS = 700.0, 1600.0, 2700.0  # two of them within one window of the rule, on both sides of a router's own
+
 WARM = (edge("warm0"), edge("warm1"), parent("warm parent"), ORIGIN)
-FACTS = {api.Role.EDGE: (8.0, 0.2, 15_000.0), api.Role.PARENT: (20.0, 0.1, 20_000.0)}  # size, share, warm in
 
 
-def allowed_requests(role: api.Role, work: float, now: float) -> float:
-    """N: requests of mean work (ms) that the settings allow in a window, of all routers together."""
-    size, share, warm_in = FACTS[role]
-    return 2.0 * (share + (1 - share) * (now - START_MS) / warm_in) * size * WINDOW_MS / work
+@dataclass(frozen=True, slots=True)
+class SlowStart:
+    """What the settings say of a role's slow start."""
+
+    weight: float
+    initial_share: float
+    duration_ms: float
+
+
+SLOW_STARTS = {
+    api.Role.EDGE: SlowStart(8.0, 0.2, 15_000.0),
+    api.Role.PARENT: SlowStart(20.0, 0.1, 20_000.0),
+}
+
+
+def allowed_requests(role: api.Role, work_ms: float, now_ms: float) -> float:
+    """Return how many requests of that work the settings allow in a window, of all routers together."""
+    slow_start = SLOW_STARTS[role]
+    progress = (now_ms - START_MS) / slow_start.duration_ms
+    share = slow_start.initial_share + (1 - slow_start.initial_share) * progress
+    return 2.0 * share * slow_start.weight * WINDOW_MS / work_ms
 
 
 def max_requests(allowed: float) -> float:
-    """What a cold server bears in a window: N and its spread."""
-    deviations = 3 if allowed < 30 else 2
+    """Return how many requests a cold server may get in a window: those allowed, and their spread."""
+    deviations = 3 if allowed < FEW_REQUESTS else 2
     return allowed + deviations * math.sqrt(allowed) + deviations
 
 
-def arrivals(routers: int, end: float, draw: random.Random) -> Iterator[tuple[float, int]]:
-    """Return times and routers of the requests.
+def arrivals(routers: int, draw: random.Random) -> Iterator[tuple[float, int]]:
+    """Return times and routers of the requests, in order."""
+    rates = [BUSY_ROUTER_FACTOR if router % BUSY_ROUTER_INTERVAL == 0 else 1.0 for router in range(routers)]
+    busy = draw.choices(range(routers), rates, k=REQUESTS)
+    requests = [(draw.uniform(0.0, ARRIVALS_MS), router) for router in busy]
+    for burst_ms in BURSTS_MS:
+        requests += [(burst_ms, router) for router in range(routers) for _ in range(BURST_REQUESTS)]
+    return iter(sorted(requests))
 
-    A tenth of the routers get five times the others' share; in each burst each router gets three at once.
-    """
-    rates = [5.0 if place % 10 == 0 else 1.0 for place in range(routers)]
-    asked = [(draw.uniform(0.0, end), who) for who in draw.choices(range(routers), rates, k=3000)]
-    asked += [(at, who) for at in BURSTS for who in range(routers) for _ in range(3)]
-    return iter(sorted(asked))
 
+class ColdServers:
+    """Executes the attempts of a fleet, and keeps when each cold server got one, as server or as source."""
 
-@pytest.mark.parametrize("work", [50.0, 250.0, 1000.0])  # ms of each request: N from 80 to 3
-@pytest.mark.parametrize("routers", [1, 2, 3, 5, 20, 200, 1200])
-def test_a_fleet_keeps_a_cold_servers_budget_whoever_is_asked(routers: int, work: float) -> None:
-    draw = random.Random(routers)
-    more = {"router_count": routers, "routers_by_zone": {"here": routers}, "may_hedge": True}
-    fleet = [RouterDriver(entries=(*WARM, *COLD), **more) for _ in range(routers)]
-    for place, driver in enumerate(fleet):
-        driver.router.random.seed(place)
-    sent: dict[str, list[float]] = {entry.server: [] for entry in COLD}
+    def __init__(self, draw: random.Random) -> None:
+        self.requests_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD}
+        self._draw = draw
 
-    def execute(driver: RouterDriver, actions: list[api.Action]) -> None:
+    def execute(self, driver: RouterDriver, actions: list[api.Action]) -> None:
+        """Start the attempts among the actions; most end at once, and lead to further actions."""
         for attempt in actions_of(actions, api.StartAttempt):
-            for name in {attempt.server, attempt.source} & sent.keys():
-                sent[name].append(driver.now_ms)
-            if draw.random() < 0.9:  # one in ten waits, and may get a copy; one in five is tried again
-                status = (
-                    api.AttemptStatus.CONNECTION_RESET if draw.random() < 0.2 else api.AttemptStatus.SUCCEEDED
-                )
-                execute(driver, driver.end_attempt(attempt, status))
-
-    for at, who in arrivals(routers, 4000.0, draw):
-        driver = fleet[who]
-        execute(driver, driver.advance(START_MS + at - driver.now_ms))
-        execute(driver, driver.request(draw.randrange(10_000), size_kb=work * 5.0))
+            for name in {attempt.server, attempt.source} & self.requests_ms.keys():
+                self.requests_ms[name].append(driver.now_ms)
+            if self._draw.random() < ANSWERED_SHARE:
+                is_reset = self._draw.random() < RESET_SHARE
+                status = api.AttemptStatus.CONNECTION_RESET if is_reset else api.AttemptStatus.SUCCEEDED
+                self.execute(driver, driver.end_attempt(attempt, status))
+
+
+@pytest.mark.parametrize("work_ms", [50.0, 250.0, 1000.0])
+@pytest.mark.parametrize("routers", [1, 2, 3, 5, 20, 200, 1200])
+def test_a_fleet_keeps_a_cold_servers_budget_whoever_is_asked(routers: int, work_ms: float) -> None:
+    draw = random.Random(routers)
+    settings = {"router_count": routers, "routers_by_zone": {"here": routers}, "may_hedge": True}
+    fleet = [RouterDriver(entries=(*WARM, *COLD), **settings) for _ in range(routers)]
+    for number, driver in enumerate(fleet):
+        driver.router.random.seed(number)
+    cold_servers = ColdServers(draw)
+    for arrival_ms, router in arrivals(routers, draw):
+        driver = fleet[router]
+        cold_servers.execute(driver, driver.advance(START_MS + arrival_ms - driver.now_ms))
+        actions = driver.request(draw.randrange(10_000), size_kb=work_ms * KB_PER_MS)
+        cold_servers.execute(driver, actions)
     for entry in COLD:
-        times = sorted(sent[entry.server])
-        assert len(times) > 0.2 * allowed_requests(entry.role, work, START_MS)  # cold servers are used
-        for end in times:
-            allowed = allowed_requests(entry.role, work, end)
-            count = sum(end - WINDOW_MS < at <= end for at in times)
-            assert count <= max_requests(allowed), (entry.server, end, count, allowed)
+        check_budget(entry, work_ms, sorted(cold_servers.requests_ms[entry.server]))
+
+
+def check_budget(entry: api.ServerEntry, work_ms: float, requests_ms: list[float]) -> None:
+    """Check that a cold server is used, and that no window has more than its budget."""
+    assert len(requests_ms) > 0.2 * allowed_requests(entry.role, work_ms, START_MS)
+    for end_ms in requests_ms:
+        allowed = allowed_requests(entry.role, work_ms, end_ms)
+        count = sum(end_ms - WINDOW_MS < at_ms <= end_ms for at_ms in requests_ms)
+        assert count <= max_requests(allowed), (entry.server, end_ms, count, allowed)
--- a/tests/limits/test_slow_start_sizes.py
+++ b/tests/limits/test_slow_start_sizes.py
@@ -22,9 +22,9 @@
 WARM = edge("warm")
 
 
-def driver_after_first_pages(*entries: api.ServerEntry, pages: int = 60, **more: Any) -> RouterDriver:
+def driver_after_first_pages(*entries: api.ServerEntry, pages: int = 60, **settings: Any) -> RouterDriver:
     """A router that was asked for pages, each answered at once, in its first second."""
-    driver = RouterDriver(entries=(*entries, ORIGIN), **more)
+    driver = RouterDriver(entries=(*entries, ORIGIN), **settings)
     for key in range(pages):
         driver.advance(20.0)
         for attempt in actions_of(driver.request(key, "pages", size_kb=0.0), api.StartAttempt):
--- a/tests/policy/test_cache_choice.py
+++ b/tests/policy/test_cache_choice.py
@@ -81,11 +81,11 @@
 
 
 def test_ranks_follow_hits_and_the_cost_of_a_fill() -> None:
-    def mean_rank(driver: RouterDriver, w: float, key: int, **more: float) -> float:
-        driver.router.ranking.cost_probability = w
+    def mean_rank(driver: RouterDriver, cost_probability: float, key: int, **fields: float) -> float:
+        driver.router.ranking.cost_probability = cost_probability
         ranks = []
         for _ in range(30):
-            attempt = attempt_of(driver.request(key, **more))
+            attempt = attempt_of(driver.request(key, **fields))
             ranks.append(attempt.retention_rank)
             driver.end_attempt(attempt)
         return sum(ranks[-15:]) / 15
@@ -95,9 +95,9 @@
         driver.end_attempt(
             attempt_of(driver.request(number % 100)), fill_result=FILLED, fill_first_byte_ms=50.0
         )
-    assert mean_rank(driver, 0.0, 500) == 3.0  # asked for often
+    assert mean_rank(driver, 0.0, 500) == 3.0  # requested often
     driver.advance(100.0)
-    assert attempt_of(driver.request(501)).retention_rank == 1  # asked for once
+    assert attempt_of(driver.request(501)).retention_rank == 1  # requested once
     assert mean_rank(driver, 1.0, 502, size_kb=10.0) > mean_rank(driver, 1.0, 503, size_kb=100_000.0)
 
 
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -42,10 +42,9 @@
 def test_unsafe_is_resent_when_it_cannot_have_run(status: api.AttemptStatus) -> None:
     driver = RouterDriver()
     first = attempt_of(driver.request(class_name="order"))
-    again = driver.end_attempt(first, status) or driver.advance(
-        300.0
-    )  # what is full is not asked again at once
-    assert attempt_of(again).server != first.server
+    # A server without capacity is not tried again at once.
+    actions = driver.end_attempt(first, status) or driver.advance(300.0)
+    assert attempt_of(actions).server != first.server
 
 
 def test_unsafe_that_is_out_at_its_deadline_fails() -> None:
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -159,8 +159,8 @@
 
 def test_a_request_that_may_have_run_reaches_the_one_cell_that_discards_it() -> None:
     cells = [edge(f"edge{number}", cell=number // 8) for number in range(LARGE)]
-    kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
-    driver = RouterDriver(entries=(*cells, parent("parent0"), ORIGIN), classes=(kind,))
+    keyed_class = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
+    driver = RouterDriver(entries=(*cells, parent("parent0"), ORIGIN), classes=(keyed_class,))
     cell_of = {entry.server: entry.cell for entry in cells}
     for key in range(20):
         first = attempt_of(driver.request(key, "keyed", idempotency_key=f"key{key}"))
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -21,7 +21,7 @@
 def test_cold_servers_get_no_more_than_their_budget_in_any_window(role: str) -> None:
     cold = edge("cold", started_ms=1000.0) if role == "edge" else parent("cold", started_ms=1000.0)
     driver = RouterDriver(entries=(*EDGES[:1], *PARENTS[:1], cold, ORIGIN))
-    weight, share, warm_in, fronts = (8.0, 0.2, 15_000.0, 2) if role == "edge" else (20.0, 0.1, 20_000.0, 4)
+    weight, share, warm_in, routers = (8.0, 0.2, 15_000.0, 2) if role == "edge" else (20.0, 0.1, 20_000.0, 4)
     sent: list[tuple[float, float]] = []
     for number in range(3000):
         attempt = attempt_of(driver.request(number))
@@ -31,18 +31,18 @@
         driver.advance(5.0)
     assert len(sent) > 20
     for end, _ in sent:
-        asked = sum(work for at, work in sent if end - 1000.0 < at <= end)
-        present = share + (1 - share) * min((end - 1000.0) / warm_in, 1.0)
-        assert asked <= 2.0 * present * weight * 1000.0 / fronts
+        work_ms = sum(work for at, work in sent if end - 1000.0 < at <= end)
+        capacity_share = share + (1 - share) * min((end - 1000.0) / warm_in, 1.0)
+        assert work_ms <= 2.0 * capacity_share * weight * 1000.0 / routers
 
 
-@pytest.mark.parametrize("fronts", [1, 200])
-def test_all_fronts_together_keep_a_cold_servers_budget(fronts: int) -> None:
+@pytest.mark.parametrize("routers", [1, 200])
+def test_all_fronts_together_keep_a_cold_servers_budget(routers: int) -> None:
     """What one front sends, times all that may send, stays under what the server bears in any window."""
     cold = edge("cold", started_ms=1000.0)
     cold_parent = parent("cold parent", started_ms=1000.0)
     entries = (EDGES[0], PARENTS[0], cold, cold_parent, ORIGIN)
-    driver = RouterDriver(entries=entries, router_count=fronts, routers_by_zone={"here": fronts})
+    driver = RouterDriver(entries=entries, router_count=routers, routers_by_zone={"here": routers})
     sent: dict[str, list[float]] = {"cold": [], "cold parent": []}
     for number in range(2500):
         attempt = attempt_of(driver.request(number, size_kb=25.0))  # 5 ms of sending time
@@ -51,11 +51,11 @@
         driver.end_attempt(attempt)
         driver.advance(4.0)
     for name, weight, share, warm_in in (("cold", 8.0, 0.2, 15_000.0), ("cold parent", 20.0, 0.1, 20_000.0)):
-        assert sent[name] or fronts > 1
+        assert sent[name] or routers > 1
         for end in sent[name]:
-            asked = fronts * 5.0 * sum(end - 1000.0 < at <= end for at in sent[name])
-            present = share + (1 - share) * (end - 1000.0) / warm_in
-            assert asked <= 2.0 * present * weight * 1000.0
+            work_ms = routers * 5.0 * sum(end - 1000.0 < at <= end for at in sent[name])
+            capacity_share = share + (1 - share) * (end - 1000.0) / warm_in
+            assert work_ms <= 2.0 * capacity_share * weight * 1000.0
 
 
 def test_without_weights_a_zone_of_cold_caches_is_still_served() -> None:
@@ -73,11 +73,14 @@
 
 def test_counts_of_zero_or_absent_fronts_are_taken_as_one() -> None:
     cold = edge("cold", started_ms=1000.0)
-    for more in (
+    for settings in (
         {"router_count": 0, "routers_by_zone": {}},
         {"router_count": 0, "routers_by_zone": {"here": 0}},
     ):
-        assert attempt_of(RouterDriver(entries=(cold, ORIGIN), **more).request(size_kb=25.0)).server == "cold"
+        assert (
+            attempt_of(RouterDriver(entries=(cold, ORIGIN), **settings).request(size_kb=25.0)).server
+            == "cold"
+        )
 
 
 def unweighted_rate(away: int, repeats: int) -> float:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -26,19 +26,19 @@
 REQUESTS = 1_200
 
 
-def driver_of_site(count: int, routers: int, **more: object) -> RouterDriver:
+def driver_of_site(count: int, routers: int, **settings: object) -> RouterDriver:
     """A router of a site of so many caches and routers."""
     entries = [edge(f"edge{number}") for number in range(count)]
     return RouterDriver(
-        entries=(*entries, parent("parent0"), ORIGIN), routers_by_zone={"here": routers}, **more
+        entries=(*entries, parent("parent0"), ORIGIN), routers_by_zone={"here": routers}, **settings
     )
 
 
 def own_caches(driver: RouterDriver) -> list[Upstream]:
     """The caches of the router's own block."""
     placement = driver.router.placement
-    whole = list(placement._ranked_caches(1))
-    return whole[: len(whole) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
+    ranked_caches = list(placement._ranked_caches(1))
+    return ranked_caches[: len(ranked_caches) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
 
 
 def requested_servers(driver: RouterDriver, count: int = REQUESTS) -> list[str]:
@@ -131,8 +131,8 @@
 @pytest.mark.parametrize("trouble", ["shut", "ejected", "unreachable", "cold"])
 def test_a_request_goes_to_the_next_block_before_it_is_rejected(trouble: str) -> None:
     driver = driver_of_site(960, 67)
-    own = own_caches(driver)
-    for server in own:
+    own_block = own_caches(driver)
+    for server in own_block:
         if trouble == "shut":
             server.gate.share = 0.0
             server.gate.updated_at_ms = driver.now_ms
@@ -146,15 +146,15 @@
     actions = [action for key in range(100) for action in driver.request(key)]
     assert not final_actions(actions)
     assert {attempt.server for attempt in actions_of(actions, api.StartAttempt)}.isdisjoint(
-        {server.id for server in own}
+        {server.id for server in own_block}
     )
 
 
 def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_whatever_block() -> None:
     cells = [edge(f"edge{number}", cell=number // 2) for number in range(960)]
-    kind = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
-    driver = RouterDriver(entries=(*cells, ORIGIN), classes=(kind,), routers_by_zone={"here": 67})
-    own = {server.id for server in own_caches(driver)}
+    keyed_class = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
+    driver = RouterDriver(entries=(*cells, ORIGIN), classes=(keyed_class,), routers_by_zone={"here": 67})
+    own_block = {server.id for server in own_caches(driver)}
     others = []
     for key in range(20):
         first = attempt_of(driver.request(key, "keyed", idempotency_key=f"key{key}"))
@@ -165,12 +165,12 @@
         )
         assert attempt_of(driver.end_attempt(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
         driver.handle(api.EndpointListUpdate((entry,), complete=False))
-    assert len(set(others) - own) > 10
+    assert len(set(others) - own_block) > 10
 
 
 def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
     driver = driver_of_site(960, 67, peer_fill=api.PeerFill.LOCATION)
-    own = {server.id for server in own_caches(driver)}
+    own_block = {server.id for server in own_caches(driver)}
     placement = driver.router.placement
     for key in range(50):
         driver.request(key)
@@ -179,5 +179,5 @@
         assert first is not None
         peer = placement.choose_peer(request, first, driver.now_ms)
         assert peer is not None
-        assert {first.id, peer.id} <= own
+        assert {first.id, peer.id} <= own_block
         assert first is not peer
--- a/tests/policy/test_waiting_requests.py
+++ b/tests/policy/test_waiting_requests.py
@@ -24,8 +24,8 @@
     driver = RouterDriver(entries=entries, initial_capacity_share=0.001)
     for key in range(500):
         driver.request(key)
-    held = len(driver.router.requests.waiting)
-    assert held > 400
+    waiting_count = len(driver.router.requests.waiting)
+    assert waiting_count > 400
     tried: list[str] = []
     dispatcher = driver.router.dispatcher
     dispatch = dispatcher.dispatch
--- a/tests/runtime/test_drain.py
+++ b/tests/runtime/test_drain.py
@@ -19,8 +19,8 @@
     return ClientConnections()
 
 
-def make_drain(clients: ClientConnections, hurry: Callable[[], None] = lambda: None) -> Drain:
-    return Drain(clients.table, clients.clock.deadlines, clients.clock, hurry)
+def make_drain(clients: ClientConnections, answer_all_now: Callable[[], None] = lambda: None) -> Drain:
+    return Drain(clients.table, clients.clock.deadlines, clients.clock, answer_all_now)
 
 
 @both_fronts
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -54,9 +54,8 @@
     assert final_actions(driver.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
         api.FailRequest(str(driver.request_count))
     ]
-    assert not final_actions(
-        driver.end_attempt(film, api.AttemptStatus.TIMEOUT)
-    )  # open under the class that is gone
+    # It is open under the class that is gone.
+    assert not final_actions(driver.end_attempt(film, api.AttemptStatus.TIMEOUT))
     assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
     latencies = driver.router.admission.typical_latencies
     sizes = driver.router.sizes.class_means
