--- a/thornjunction/runtime/load_sampling.py
+++ b/thornjunction/runtime/load_sampling.py
@@ -13,7 +13,11 @@
 class LoadSampler:
     """Takes a sample at each interval once it is started.
 
-    ``delay_ms`` gives how late the oldest pending work is at a time of the clock.
+    Args:
+        load_shedder: is given the samples.
+        deadlines: the queue of deadlines.
+        clock: the core's clock, in ms.
+        delay_ms: returns how late the oldest pending work is at a time of the clock.
     """
 
     def __init__(
@@ -48,6 +52,6 @@
         self._deadlines.add(self._due_ms, self._take)
 
     def _processor_share(self, now_ms: float, processor_s: float) -> float:
-        """The share of one processor that was used since the previous sample."""
+        """Return the share of one processor that the process used since the previous sample."""
         wall_s = (now_ms - self._previous_ms) / 1000.0
         return (processor_s - self._previous_processor_s) / wall_s
