--- a/tests/limits/test_fleet_limits.py
+++ b/tests/limits/test_fleet_limits.py
@@ -56,7 +56,7 @@
     assert backoff_ms(800.0, 1, lambda: 0.0) == 50.0
 
 
-def test_what_runs_at_a_full_origin_is_not_asked_again_at_once() -> None:
+def test_a_rejection_by_a_full_origin_is_not_retried_at_once() -> None:
     """Alerts that tried again at once asked the full origin for five times their number."""
     driver = driver_without_fill_reports(max_attempts=6)
     attempt = attempt_of(driver.request(class_name="keyed"))
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("class_name", ["films", "keyed"])
-def test_refusals_teach_the_origins_gate_where_nothing_is_told(class_name: str) -> None:
+def test_rejections_close_the_origins_gate_without_fill_reports(class_name: str) -> None:
     driver = driver_without_fill_reports()
     for key in range(4):
         driver.end_attempt(attempt_of(driver.request(key, class_name)), api.AttemptStatus.OVERLOADED)
--- a/tests/limits/test_slow_start_fleet.py
+++ b/tests/limits/test_slow_start_fleet.py
@@ -115,7 +115,9 @@
 
 @pytest.mark.parametrize("work_ms", [50.0, 250.0, 1000.0])
 @pytest.mark.parametrize("routers", [1, 2, 3, 5, 20, 200, 1200])
-def test_a_fleet_keeps_a_cold_servers_budget_whoever_is_asked(routers: int, work_ms: float) -> None:
+def test_a_fleet_keeps_a_cold_servers_budget_whichever_router_gets_requests(
+    routers: int, work_ms: float
+) -> None:
     draw = random.Random(routers)
     settings = {"router_count": routers, "routers_by_zone": {"here": routers}, "may_hedge": True}
     fleet = [RouterDriver(entries=(*WARM, *COLD), **settings) for _ in range(routers)]
--- a/tests/limits/test_slow_start_sizes.py
+++ b/tests/limits/test_slow_start_sizes.py
@@ -85,7 +85,7 @@
     assert 0 < used < 300
 
 
-def test_a_class_counts_as_its_mean_once_one_answer_told_its_size() -> None:
+def test_a_class_counts_as_its_mean_size_after_the_first_answer() -> None:
     driver = driver_after_first_pages(WARM, servers_weighted=True)
     driver.end_attempt(attempt_of(driver.request(5000, size_kb=0.0)), size_kb=FILM_KB)
     driver.request(5001, size_kb=0.0)
--- a/tests/policy/test_cache_choice.py
+++ b/tests/policy/test_cache_choice.py
@@ -40,7 +40,7 @@
     assert logs[0] == logs[1]
 
 
-def test_fronts_agree_on_the_cache_whatever_the_order_of_their_lists() -> None:
+def test_routers_agree_on_the_cache_whatever_the_order_of_their_lists() -> None:
     first = RouterDriver()
     second = RouterDriver(entries=(ORIGIN, *PARENTS, *reversed(EDGES)))
     assert owners(first, range(200)) == owners(second, range(200))
@@ -101,7 +101,7 @@
     assert mean_rank(driver, 1.0, 502, size_kb=10.0) > mean_rank(driver, 1.0, 503, size_kb=100_000.0)
 
 
-def test_w_leans_to_the_strained_resource_and_back() -> None:
+def test_the_cost_probability_follows_the_strained_resource_and_returns() -> None:
     driver = RouterDriver()
 
     def second(wait: float, link_utilization: float | None = None) -> float:
@@ -124,7 +124,7 @@
     assert second(50.0, link_utilization=1.2) < 0.5
 
 
-def test_where_nothing_is_told_the_parent_in_the_own_hub_comes_first() -> None:
+def test_without_fill_reports_the_parent_in_the_routers_hub_comes_first() -> None:
     """Hits blur first-byte times there; a far parent costs more of the links. A slow one still loses."""
     entries = (*EDGES, parent("near"), parent("far", zone="other"), ORIGIN)
     driver = RouterDriver(entries=entries, fill_reporting=api.FillReporting.NONE, hub_by_zone={"here": "hub"})
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -32,7 +32,7 @@
         driver.end_attempt(attempt)
 
 
-def test_who_is_not_on_a_whole_list_is_gone() -> None:
+def test_a_server_missing_from_a_complete_list_is_removed() -> None:
     driver = RouterDriver()
     driver.handle(api.EndpointListUpdate((EDGES[1], ORIGIN)))
     for key in range(50):
--- a/tests/policy/test_final_answers.py
+++ b/tests/policy/test_final_answers.py
@@ -19,7 +19,7 @@
     assert not final_actions(driver.advance(5000.0))
 
 
-def test_nothing_goes_out_after_the_answer() -> None:
+def test_no_attempt_starts_after_the_answer() -> None:
     driver = RouterDriver()
     attempt = attempt_of(driver.request())
     assert not actions_of(driver.end_attempt(attempt), api.StartAttempt)
@@ -29,7 +29,7 @@
     assert not actions_of(later, api.StartAttempt)
 
 
-def test_a_client_that_left_is_owed_nothing() -> None:
+def test_a_client_that_disconnected_gets_no_answer() -> None:
     driver = RouterDriver()
     attempt = attempt_of(driver.request())
     driver.handle(api.ClientDisconnected(attempt.request_id))
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -34,7 +34,7 @@
     assert not driver.end_attempt(slow, api.AttemptStatus.CANCELLED)
 
 
-def test_a_cache_that_answers_nobody_gets_no_copies() -> None:
+def test_a_silent_cache_gets_no_hedged_requests() -> None:
     driver = RouterDriver(may_hedge=True)
     driver.end_attempt(slow_one(driver))
     driver.advance(100.0)
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -31,7 +31,9 @@
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
-def test_unsafe_is_not_resent_or_refused_once_it_may_have_run(status: api.AttemptStatus) -> None:
+def test_a_non_idempotent_request_is_not_retried_or_rejected_once_it_may_have_run(
+    status: api.AttemptStatus,
+) -> None:
     driver = RouterDriver()
     actions = driver.end_attempt(attempt_of(driver.request(class_name="order")), status)
     assert not actions_of(actions, api.StartAttempt)
@@ -39,7 +41,7 @@
 
 
 @pytest.mark.parametrize("status", NEVER_EXECUTED)
-def test_unsafe_is_resent_when_it_cannot_have_run(status: api.AttemptStatus) -> None:
+def test_a_non_idempotent_request_is_retried_when_it_cannot_have_run(status: api.AttemptStatus) -> None:
     driver = RouterDriver()
     first = attempt_of(driver.request(class_name="order"))
     # A server without capacity is not tried again at once.
@@ -47,13 +49,13 @@
     assert attempt_of(actions).server != first.server
 
 
-def test_unsafe_that_is_out_at_its_deadline_fails() -> None:
+def test_a_non_idempotent_request_in_flight_at_its_deadline_fails() -> None:
     driver = RouterDriver()
     driver.request(class_name="order")
     assert final_actions(driver.advance(3000.0)) == [api.FailRequest("1")]
 
 
-def test_keyed_is_resent_only_while_it_is_remembered() -> None:
+def test_a_keyed_request_is_retried_only_within_its_deduplication_window() -> None:
     driver = RouterDriver()
     first = attempt_of(driver.request(class_name="keyed"))
     driver.now_ms += 1000.0
@@ -92,7 +94,7 @@
 
 
 @pytest.mark.parametrize("group", [api.DeduplicationScope.CELL, api.DeduplicationScope.ZONE])
-def test_keyed_stays_in_its_group(group: api.DeduplicationScope) -> None:
+def test_a_keyed_request_stays_in_its_deduplication_scope(group: api.DeduplicationScope) -> None:
     entries = tuple(edge(f"edge{number}", cell=number % 2) for number in range(4))
     cells = {entry.server: entry.cell for entry in entries}
     keyed = api.RequestClass(
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -181,7 +181,7 @@
     assert 0 < len(examined) <= 3 * SERVERS_EXAMINED  # a cache, a source, and whether to wait
 
 
-def test_a_list_moves_servers_between_zones_and_forgets_who_is_not_on_it() -> None:
+def test_a_list_moves_servers_between_zones_and_removes_those_missing_from_it() -> None:
     driver = RouterDriver(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
     places = driver.router.placement
     driver.handle(api.EndpointListUpdate((edge("b", zone="there"), edge("c")), complete=False))
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 200])
-def test_all_fronts_together_keep_a_cold_servers_budget(routers: int) -> None:
+def test_all_routers_together_keep_a_cold_servers_budget(routers: int) -> None:
     """What one front sends, times all that may send, stays under what the server bears in any window."""
     cold = edge("cold", started_ms=1000.0)
     cold_parent = parent("cold parent", started_ms=1000.0)
@@ -71,7 +71,7 @@
     assert served > 300
 
 
-def test_counts_of_zero_or_absent_fronts_are_taken_as_one() -> None:
+def test_router_counts_of_zero_or_absent_count_as_one() -> None:
     cold = edge("cold", started_ms=1000.0)
     for settings in (
         {"router_count": 0, "routers_by_zone": {}},
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -94,7 +94,7 @@
         )
 
 
-def test_an_undivided_site_ignores_who_asks() -> None:
+def test_an_undivided_site_ignores_the_router() -> None:
     first, second = (driver_of_site(MAX_UNDIVIDED, 200) for _ in range(2))
     second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
     second.handle(
--- a/tests/policy/test_waiting_requests.py
+++ b/tests/policy/test_waiting_requests.py
@@ -19,7 +19,7 @@
     assert attempt_of(RouterDriver().request(remaining_ms=5000.0)).timeout_ms > 4900.0
 
 
-def test_held_requests_are_not_all_tried_at_every_look() -> None:
+def test_waiting_requests_are_not_all_dispatched_at_every_timer() -> None:
     entries = (edge("cold", started_ms=1000.0), ORIGIN)
     driver = RouterDriver(entries=entries, initial_capacity_share=0.001)
     for key in range(500):
@@ -56,7 +56,7 @@
     assert len(actions_of(served, api.StartAttempt)) < 20  # within a cold cache's budget
 
 
-def test_held_requests_do_not_block_one_another() -> None:
+def test_waiting_requests_do_not_block_one_another() -> None:
     """One that cannot go yet, of a large class, must not keep small ones behind it waiting."""
     driver = RouterDriver(entries=(edge("cold", started_ms=1000.0), ORIGIN), initial_capacity_share=0.001)
     for key in range(30):
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "ENOBUFS"])
-def test_a_request_behind_failing_accepts_is_served(tmp_path: Path, error: str) -> None:
+def test_a_request_is_served_after_accepts_have_failed(tmp_path: Path, error: str) -> None:
     flag = tmp_path / "failing"
     with program_with_faults(tmp_path, call="accept", errno=error, flag=str(flag)) as port:
         assert fetch_status(port, 1) == b"200"
@@ -193,7 +193,7 @@
         outcomes = SimpleNamespace(attempt_ended=lambda _, status, *_more: self.statuses.append(status))
         self.environment.pool.report_to(outcomes)
 
-    def test_who_is_at_fault_for_connects_that_go_on_failing(self) -> None:
+    def test_fault_attribution_of_connects_that_go_on_failing(self) -> None:
         for number, statuses in FAULT_ATTRIBUTION.items():
             self.check_failing_connects(number, statuses)
 
--- a/tests/program/test_upstream_outcomes.py
+++ b/tests/program/test_upstream_outcomes.py
@@ -80,7 +80,7 @@
         return [len(connection.streams) for connection in self.pool.connections]
 
     @inlineCallbacks
-    def test_each_word_has_its_end(self) -> Steps[None]:
+    def test_each_status_word_has_its_outcome(self) -> Steps[None]:
         for number, (answer, client_copy, status) in enumerate(OUTCOMES):
             self.environment.script = [answer]
             self.send(number, f"t{number}", if_none_match=client_copy)
@@ -122,7 +122,7 @@
         assert self.outcomes == [(1, api.AttemptStatus.CONNECTION_RESET, None)]
 
     @inlineCallbacks
-    def test_a_length_that_swallows_the_answers_behind_it_ends_the_connection(self) -> Steps[None]:
+    def test_a_length_that_swallows_later_answers_ends_the_connection(self) -> Steps[None]:
         """Bytes that never make an answer are no sign of life; what was in flight may have been executed."""
         self.environment.script = [None, None]
         for number, name in enumerate("ab"):
--- a/tests/repository/test_policy_files.py
+++ b/tests/repository/test_policy_files.py
@@ -8,6 +8,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
+
+# Lines of a function, with its signature and docstring; characters of a line; lines of a file.
+MAX_FUNCTION_LINES = 40
+MAX_LINE_CHARACTERS = 110
+MAX_FILE_LINES = 300
+
 NAMED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
 TEXTS = {name: (ROOT / name).read_text(encoding="utf-8") for name in NAMED}
 LINES = {name: text.splitlines() for name, text in TEXTS.items()}
@@ -21,7 +27,7 @@
         if isinstance(node, ast.FunctionDef) and node.end_lineno is not None
     ]
     assert functions
-    assert max(functions) <= (40, "~", "~")
+    assert max(functions) <= (MAX_FUNCTION_LINES, "~", "~")
 
 
 def test_every_file_of_the_decisions_is_named() -> None:
@@ -29,5 +35,5 @@
 
 
 def test_no_line_is_too_long_and_no_file() -> None:
-    assert max(len(line) for lines in LINES.values() for line in lines) <= 110
-    assert max(len(lines) for lines in LINES.values()) <= 300
+    assert max(len(line) for lines in LINES.values() for line in lines) <= MAX_LINE_CHARACTERS
+    assert max(len(lines) for lines in LINES.values()) <= MAX_FILE_LINES
--- a/tests/repository/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -12,5 +12,5 @@
     text = README.read_text(encoding="utf-8")
     (example,) = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     exec(compile(example, str(README), "exec"), {})
-    (said,) = re.findall(r"prints `([^`]*)`", text)
-    assert capsys.readouterr().out.strip() == said
+    (printed,) = re.findall(r"prints `([^`]*)`", text)
+    assert capsys.readouterr().out.strip() == printed
--- a/tests/runtime/test_durable.py
+++ b/tests/runtime/test_durable.py
@@ -90,7 +90,9 @@
 
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
 @pytest.mark.parametrize(("name", "use"), STEPS)
-def test_lives_go_on_above_what_was_kept(name: str, use: int, fault: BaseException, tmp_path: Path) -> None:
+def test_incarnations_rise_above_the_last_one_written(
+    name: str, use: int, fault: BaseException, tmp_path: Path
+) -> None:
     """What one process could not write costs no start, and leaves the next one above all that was kept."""
     start_incarnation(tmp_path, 5e6)
     try:
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -96,7 +96,7 @@
     return next_incarnation(folder, fleet, name, lambda: now)
 
 
-def test_each_life_has_a_higher_incarnation(tmp_path: Path) -> None:
+def test_each_start_has_a_higher_incarnation(tmp_path: Path) -> None:
     """Also where the clock stands or was set back; and the file holds what was taken."""
     folder = tmp_path / "data"
     first, second, third, fourth = (start_incarnation(folder, now) for now in (5e6, 5e6, 4e6, 9e6))
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -25,7 +25,9 @@
     assert [path.name for path in tmp_path.iterdir()] == ["thornjunction-n1.serving"]
 
 
-def test_who_could_not_write_its_mark_takes_the_one_before_it_for_no_successor(tmp_path: Path) -> None:
+def test_a_process_that_could_not_write_its_mark_takes_an_earlier_one_for_no_successor(
+    tmp_path: Path,
+) -> None:
     """A disk that is full, or a kill in the middle: on SIGTERM nobody else takes its connections."""
     first, second, third = (Handover(str(tmp_path), "n1") for _ in range(3))
     first.announce()
@@ -43,7 +45,7 @@
     assert not third.has_successor()
 
 
-def test_without_a_folder_that_both_see_nobody_is_succeeded(tmp_path: Path) -> None:
+def test_without_a_common_folder_no_process_has_a_successor(tmp_path: Path) -> None:
     for folder in ("", str(tmp_path / "none")):
         alone = Handover(folder, "n1")
         alone.announce()
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -104,7 +104,7 @@
         ("known__cmds", [{"cursor": 1, "nodes": {"hosts": [{"host": "a"}]}}], "known"),
     ],
 )
-def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named_key: str) -> None:
+def test_a_faulty_file_is_named_and_changes_nothing(path: str, value: Any, named_key: str) -> None:
     running = parse_config(config_with(), {})
     with pytest.raises(ConfigError, match=named_key):
         check_complete(running, parse_config(config_with(**{path: value}), {}))
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -171,7 +171,7 @@
         return client
 
     @inlineCallbacks
-    def test_the_second_front_serves_a_signed_url_over_tls(self) -> Steps[None]:
+    def test_the_signed_front_serves_a_signed_url_over_tls(self) -> Steps[None]:
         environment = make_loopback_environment()
         self.addCleanup(environment.stop)
         client = yield self.connect_to_signed_front(environment)
