--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -55,9 +55,8 @@
     assert final_actions(driver.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
         api.FailRequest(str(driver.request_count))
     ]
-    assert not final_actions(
-        driver.end_attempt(film, api.AttemptStatus.TIMEOUT)
-    )  # open under the class that is gone
+    # It is open under the class that is gone.
+    assert not final_actions(driver.end_attempt(film, api.AttemptStatus.TIMEOUT))
     assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
     latencies = driver.router.admission.typical_latencies
     sizes = driver.router.sizes.class_means
@@ -106,7 +105,7 @@
         ("known__cmds", [{"cursor": 1, "nodes": {"hosts": [{"host": "a"}]}}], "known"),
     ],
 )
-def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named_key: str) -> None:
+def test_a_faulty_file_is_named_and_changes_nothing(path: str, value: Any, named_key: str) -> None:
     running = parse_config(config_with(), {})
     with pytest.raises(ConfigError, match=named_key):
         check_complete(running, parse_config(config_with(**{path: value}), {}))
