--- a/tests/runtime/test_drain.py
+++ b/tests/runtime/test_drain.py
@@ -19,8 +19,8 @@
     return ClientConnections()
 
 
-def make_drain(clients: ClientConnections, hurry: Callable[[], None] = lambda: None) -> Drain:
-    return Drain(clients.table, clients.clock.deadlines, clients.clock, hurry)
+def make_drain(clients: ClientConnections, expire_requests: Callable[[], None] = lambda: None) -> Drain:
+    return Drain(clients.table, clients.clock.deadlines, clients.clock, expire_requests)
 
 
 @both_fronts
@@ -52,18 +52,18 @@
     assert not drain.is_refusing
 
 
-def test_a_drain_hurries_open_requests_once_it_refuses(clients: ClientConnections) -> None:
+def test_a_drain_expires_open_requests_once_it_refuses(clients: ClientConnections) -> None:
     """A request that waited for a lost answer made its connection refuse all others until its deadline."""
-    hurried_at_ms: list[float] = []
-    drain = make_drain(clients, lambda: hurried_at_ms.append(clients.clock.now_ms))
+    expired_at_ms: list[float] = []
+    drain = make_drain(clients, lambda: expired_at_ms.append(clients.clock.now_ms))
     started_ms = clients.clock.now_ms
     drain.start(0.0)
     clients.clock.advance(REFUSE_AFTER_MS + ANSWER_DELAY_MS - 1.0)
     assert drain.is_refusing
-    assert not hurried_at_ms
+    assert not expired_at_ms
     clients.clock.advance(SWEEP_INTERVAL_MS + 1.0)
-    assert hurried_at_ms
-    assert hurried_at_ms[0] >= started_ms + REFUSE_AFTER_MS + ANSWER_DELAY_MS
+    assert expired_at_ms
+    assert expired_at_ms[0] >= started_ms + REFUSE_AFTER_MS + ANSWER_DELAY_MS
 
 
 @pytest.mark.parametrize("answered", [False, True])
