--- a/benchmarks/benchmark_tools/catch_up_files.py
+++ b/benchmarks/benchmark_tools/catch_up_files.py
@@ -17,7 +17,7 @@
 MAX_SOCKETS = 900
 PURGE_PROPAGATION_MS = 5600.0
 # Purges of an hour, and the changes of the endpoint list among them.
-EVENTS_BEHIND = 122_400
+MISSED_EVENTS = 122_400
 CHANGES = 28
 FIRST_CHANGED_SERVER = 100
 HOUR_MS = 3_600_000.0
@@ -39,14 +39,14 @@
 
 def build_backlog(first_cursor: int, address: str) -> dict[str, Any]:
     """An hour of events after ``first_cursor``; the purges of the last seconds are still in force."""
-    last_cursor = first_cursor + EVENTS_BEHIND
+    last_cursor = first_cursor + MISSED_EVENTS
     now_ms = time.time() * 1000.0
     events: list[dict[str, Any]] = []
     for number in range(first_cursor + 1, last_cursor + 1):
-        issued_ms = int(now_ms - (last_cursor - number) * HOUR_MS / EVENTS_BEHIND)
+        issued_ms = int(now_ms - (last_cursor - number) * HOUR_MS / MISSED_EVENTS)
         events.append({"cursor": number, "drop": {"id": f"{number * OBJECT_STEP:016x}", "when": issued_ms}})
     for change in range(CHANGES):
-        index = (change + 1) * EVENTS_BEHIND // (CHANGES + 1)
+        index = (change + 1) * MISSED_EVENTS // (CHANGES + 1)
         entry = host_entry(FIRST_CHANGED_SERVER + change, address, health="leaving")
         events[index] = {"cursor": first_cursor + 1 + index, "nodes": {"seq": 2 + change, "hosts": [entry]}}
     return {"cursor": last_cursor, "cmds": events}
--- a/benchmarks/benchmark_tools/cold_server_model.py
+++ b/benchmarks/benchmark_tools/cold_server_model.py
@@ -61,13 +61,13 @@
 
 
 class ColdFleetRouter:
-    """One router of the fleet; ``asked_ms`` has when it sent attempts to each cold server."""
+    """One router of the fleet; ``attempts_ms`` has when it sent attempts to each cold server."""
 
     def __init__(self, routers: int, number: int, generator: random.Random) -> None:
         settings = replace(
             SETTINGS, router_count=routers, routers_by_zone={LOCAL_ZONE: routers}, may_hedge=True
         )
-        self.asked_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD_SERVERS}
+        self.attempts_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD_SERVERS}
         self._generator = generator
         self._now_ms = START_MS
         self._request_count = 0
@@ -118,8 +118,8 @@
         for action in actions:
             if not isinstance(action, api.StartAttempt):
                 continue
-            for server in {action.server, action.source} & self.asked_ms.keys():
-                self.asked_ms[server].append(self._now_ms)
+            for server in {action.server, action.source} & self.attempts_ms.keys():
+                self.attempts_ms[server].append(self._now_ms)
             if self._generator.random() < ENDED_SHARE:
                 is_reset = self._generator.random() < RESET_SHARE
                 self._play(self._end_attempt(action, is_reset))
@@ -138,13 +138,13 @@
 def simulate_cold_fleet(routers: int, requests_per_s: float) -> dict[str, list[float]]:
     """Return when each cold server was asked, in ms, by a fleet with these requests a second and router."""
     generator = random.Random(routers)
-    asked_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD_SERVERS}
+    attempts_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD_SERVERS}
     for number in range(routers):
         router = ColdFleetRouter(routers, number, generator)
         count = int(requests_per_s * RUN_MS / 1000)
         times_ms = [generator.uniform(0.0, RUN_MS) for _ in range(count)]
         bursts_ms = [burst_ms for burst_ms in BURSTS_MS for _ in range(REQUESTS_PER_BURST)]
         router.run(sorted([*times_ms, *bursts_ms]))
-        for server, times in router.asked_ms.items():
-            asked_ms[server] += times
-    return asked_ms
+        for server, times in router.attempts_ms.items():
+            attempts_ms[server] += times
+    return attempts_ms
--- a/benchmarks/benchmark_tools/connection_model.py
+++ b/benchmarks/benchmark_tools/connection_model.py
@@ -31,8 +31,8 @@
 class PoolModel:
     """Connections to each server by the rules of ``ConnectionPool``.
 
-    Another connection opens beside crowded ones, up to ``MAX_CONNECTIONS_IF_CROWDED``, and beside full ones up
-    to ``MAX_CONNECTIONS_IF_EXHAUSTED``.  None closes: a run is shorter than their idle time.
+    Another connection opens beside crowded ones, up to ``MAX_CONNECTIONS_IF_CROWDED``, and beside full ones,
+    up to ``MAX_CONNECTIONS_IF_EXHAUSTED``.  None closes: a run is shorter than their idle time.
     """
 
     def __init__(self) -> None:
--- a/benchmarks/benchmark_tools/idle_trees.py
+++ b/benchmarks/benchmark_tools/idle_trees.py
@@ -121,8 +121,10 @@
                 trees = dict(reversed(trees.items()))
             figures = yield measure_side_by_side(trees, Path(folder))
             found.append(figures)
-    memory_mb = [statistics.mean(one[tree].resident_mb for one in found) for tree in (THIS_TREE, OTHER_TREE)]
-    cpu_ms = [statistics.mean(one[tree].cpu_ms for one in found) for tree in (THIS_TREE, OTHER_TREE)]
+    memory_mb = [
+        statistics.mean(figures[tree].resident_mb for figures in found) for tree in (THIS_TREE, OTHER_TREE)
+    ]
+    cpu_ms = [statistics.mean(figures[tree].cpu_ms for figures in found) for tree in (THIS_TREE, OTHER_TREE)]
     print(
         f"\nthis tree to the other: memory {memory_mb[0] / memory_mb[1]:.3f}, "
         f"processor time {cpu_ms[0] / cpu_ms[1]:.3f}"
--- a/benchmarks/benchmark_tools/membership_fleet.py
+++ b/benchmarks/benchmark_tools/membership_fleet.py
@@ -76,14 +76,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RestartSpread:
+class RestartPropagation:
     """After how long each other member learned of a restart, infinite if it did not, and when all had."""
 
     learned_ms: list[float]
     all_learned_ms: float
 
 
-def spread_restart(cluster: SimulatedCluster, restarted: str, count: int) -> RestartSpread:
+def propagate_restart(cluster: SimulatedCluster, restarted: str, count: int) -> RestartPropagation:
     """Restart a member and let the news spread."""
     watch = MemberWatch(cluster, restarted)
     cluster.kill(restarted)
@@ -93,7 +93,7 @@
     cluster.listeners.pop()
     learned_ms = [time_ms - begin_ms for time_ms in watch.learned_ms.values()]
     missing = count - 1 - len(learned_ms)
-    return RestartSpread([*learned_ms, *[math.inf] * missing], all_learned_ms)
+    return RestartPropagation([*learned_ms, *[math.inf] * missing], all_learned_ms)
 
 
 def sent_totals(cluster: SimulatedCluster) -> list[tuple[int, int]]:
--- a/benchmarks/benchmark_tools/origin_model.py
+++ b/benchmarks/benchmark_tools/origin_model.py
@@ -75,21 +75,21 @@
 
 
 class OriginModel:
-    """The origin; ``asked_by_s`` counts what it was asked by second, ``stops_ms`` has when it stopped."""
+    """The origin; ``requests_by_s`` counts what it was asked by second, ``stops_ms`` has when it stopped."""
 
     def __init__(self, capacity_per_s: float) -> None:
-        self.asked_by_s = Counter[int]()
+        self.requests_by_s = Counter[int]()
         self.stops_ms: list[float] = []
         self._capacity_per_s = capacity_per_s
         self._busy_until_ms = 0.0
         self._stopped_until_ms = 0.0
-        self._recently_asked_ms: list[float] = []
+        self._recent_requests_ms: list[float] = []
 
     def ask(self, now_ms: float, tries: int) -> AttemptResult:
         """Ask it, and again at each rejection, so many times in all."""
         for _ in range(tries):
-            self.asked_by_s[int(now_ms / 1000)] += 1
-            self._recently_asked_ms.append(now_ms)
+            self.requests_by_s[int(now_ms / 1000)] += 1
+            self._recent_requests_ms.append(now_ms)
             if now_ms >= self._stopped_until_ms and self._busy_until_ms - now_ms < MAX_QUEUE_MS:
                 self._busy_until_ms = max(self._busy_until_ms, now_ms) + 1000 / self._capacity_per_s
                 duration_ms = ORIGIN_MS + self._busy_until_ms - now_ms
@@ -99,11 +99,11 @@
 
     def _check_overload(self, now_ms: float) -> None:
         window_begin_ms = now_ms - OVERLOAD_WINDOW_MS
-        self._recently_asked_ms = [
-            asked_ms for asked_ms in self._recently_asked_ms if asked_ms > window_begin_ms
+        self._recent_requests_ms = [
+            time_ms for time_ms in self._recent_requests_ms if time_ms > window_begin_ms
         ]
-        max_asked = OVERLOAD_FACTOR * self._capacity_per_s * OVERLOAD_WINDOW_MS / 1000
-        if len(self._recently_asked_ms) > max_asked and now_ms >= self._stopped_until_ms:
+        max_requests = OVERLOAD_FACTOR * self._capacity_per_s * OVERLOAD_WINDOW_MS / 1000
+        if len(self._recent_requests_ms) > max_requests and now_ms >= self._stopped_until_ms:
             self.stops_ms.append(now_ms)
             self._stopped_until_ms = now_ms + STOP_MS
 
@@ -171,9 +171,9 @@
     def worst_overload_share(self) -> float:
         """What the origin was asked in its worst window, over what stops it."""
         seconds = int(RUN_S)
-        asked = [self.origin.asked_by_s[second] for second in range(seconds)]
+        by_second = [self.origin.requests_by_s[second] for second in range(seconds)]
         window_s = int(OVERLOAD_WINDOW_MS / 1000)
-        worst = max(sum(asked[begin : begin + window_s]) for begin in range(seconds - window_s + 1))
+        worst = max(sum(by_second[begin : begin + window_s]) for begin in range(seconds - window_s + 1))
         return worst / (OVERLOAD_FACTOR * window_s * self._size.origin_per_s)
 
     def _schedule(self, due_ms: float, call: Callable[[], None]) -> None:
--- a/benchmarks/benchmark_tools/router_config.py
+++ b/benchmarks/benchmark_tools/router_config.py
@@ -65,14 +65,14 @@
     settings: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
     """The platform's configuration of a router, which knows the hosts as event 1 of discovery, if any."""
-    known: dict[str, Any] = {"cursor": 0, "cmds": []}
+    initial_events: dict[str, Any] = {"cursor": 0, "cmds": []}
     if hosts is not None:
-        known = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"whole": True, "hosts": hosts}}]}
+        initial_events = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"whole": True, "hosts": hosts}}]}
     return {
         "name": "n1",
         "listen": listen,
         "channel": channel,
         "settings": SETTINGS if settings is None else settings,
         "limits": limits,
-        "known": known,
+        "known": initial_events,
     }
--- a/benchmarks/capacity_decisions.py
+++ b/benchmarks/capacity_decisions.py
@@ -36,7 +36,7 @@
 PARENT_SIZES = (2, 4, 8, 16, 32, 64, 110)
 LIST_SIZES = (55, 110, 220, 440, 880)
 LIST_REPEATS = 20
-KNOWN_PURGES = (100, 500, 1_000, 2_000, 4_000)
+EARLIER_PURGES = (100, 500, 1_000, 2_000, 4_000)
 PURGES_PER_ROUND = 50
 PURGE_ROUNDS = 20
 MEMORY_LIST_SIZES = (440, 880, 1_760, 3_520)
@@ -128,16 +128,16 @@
 
 def measure_purges(_requests: int) -> None:
     """Costs of a purge by the purges that are known already."""
-    points = [(known, _purge_us(known)) for known in KNOWN_PURGES]
-    rows = [(known, f"{purge_us:.2f}") for known, purge_us in points]
+    points = [(earlier_purges, _purge_us(earlier_purges)) for earlier_purges in EARLIER_PURGES]
+    rows = [(earlier_purges, f"{purge_us:.2f}") for earlier_purges, purge_us in points]
     print(markdown_table(["purges known", "us a purge"], rows))
-    line = fit_line([(known / 1_000, purge_us) for known, purge_us in points])
+    line = fit_line([(earlier_purges / 1_000, purge_us) for earlier_purges, purge_us in points])
     print(f"\nfit: {line.text('us', 'a thousand')}\n")
 
 
-def _purge_us(known: int) -> float:
+def _purge_us(earlier_purges: int) -> float:
     load = DecisionLoad(build_entries(SITE_EDGES))
-    for key in range(known):
+    for key in range(earlier_purges):
         load.handle(api.PurgeReceived(0, 0.0, key))
     rounds_s = [
         sum(load.handle(api.PurgeReceived(0, 0.0, key)) for key in range(PURGES_PER_ROUND))
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -122,9 +122,9 @@
     rows = []
     for requests_per_s in COLD_REQUESTS_PER_S:
         for routers in fleet_sizes:
-            asked_ms = simulate_cold_fleet(routers, requests_per_s)
+            attempts_ms = simulate_cold_fleet(routers, requests_per_s)
             for entry in (COLD_EDGE, COLD_PARENT):
-                cells = _cold_server_cells(entry.role, sorted(asked_ms[entry.server]))
+                cells = _cold_server_cells(entry.role, sorted(attempts_ms[entry.server]))
                 rows.append((f"{requests_per_s:.0f}", routers, *cells))
     print_table(columns, rows)
 
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -27,9 +27,9 @@
     JOIN_MS,
     all_have_met,
     build_fleet,
+    propagate_restart,
     run_until,
     sent_totals,
-    spread_restart,
 )
 from benchmark_tools.tables import markdown_table, print_table
 from fleet_membership import MembershipView, MemberView, PartitionMode
@@ -88,7 +88,7 @@
     voter_bytes: float
     voter_cpu_us: float
     member_kb: float
-    spread_s: float
+    propagation_s: float
 
 
 # The units of ``SteadyCost``, in its order.
@@ -104,8 +104,10 @@
     )  # fmt: skip
     rows = []
     for count, cost in costs.items():
-        datagrams, *others, spread_s = astuple(cost)
-        rows.append((count, f"{datagrams:.2f}", *(f"{value:.0f}" for value in others), f"{spread_s:.1f}"))
+        datagrams, *others, propagation_s = astuple(cost)
+        rows.append(
+            (count, f"{datagrams:.2f}", *(f"{value:.0f}" for value in others), f"{propagation_s:.1f}")
+        )
     print_table(columns, rows)
     for index, unit in enumerate(STEADY_UNITS):
         values = {count: astuple(cost)[index] for count, cost in costs.items() if count > VOTERS}
@@ -135,7 +137,7 @@
     sent_bytes = [(new[1] - old[1]) / STEADY_MS * 1_000 for old, new in zip(before, after, strict=True)]
     plain_members = slice(VOTERS, None) if count > VOTERS else slice(None)
     voters = slice(VOTERS)
-    spreads = [spread_restart(cluster, name, count) for name in node_names(count)[-RESTARTS:]]
+    propagations = [propagate_restart(cluster, name, count) for name in node_names(count)[-RESTARTS:]]
     return SteadyCost(
         datagrams=statistics.mean(datagrams[plain_members]),
         sent_bytes=statistics.mean(sent_bytes[plain_members]),
@@ -143,7 +145,7 @@
         voter_bytes=statistics.mean(sent_bytes[voters]),
         voter_cpu_us=statistics.mean(cpu_us[voters]),
         member_kb=traced_bytes / count / 1_024 if is_traced else math.nan,
-        spread_s=statistics.median(spread.all_learned_ms for spread in spreads) / 1_000,
+        propagation_s=statistics.median(propagation.all_learned_ms for propagation in propagations) / 1_000,
     )
 
 
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 import click
-from benchmark_tools.catch_up_files import EVENTS_BEHIND, build_backlog, build_config
+from benchmark_tools.catch_up_files import MISSED_EVENTS, build_backlog, build_config
 from benchmark_tools.idle_trees import compare_idle_trees
 from benchmark_tools.process_figures import peak_resident_mb
 from benchmark_tools.recorded_program import (
@@ -47,13 +47,13 @@
 WARM_UP_S = 1.0
 QUIET_S = 3.0
 # Duration of the second part in a process that is never behind.
-NOT_BEHIND_S = 2.0
+BASELINE_S = 2.0
 LAST_ANSWERS_S = 0.3
 CATCH_UP_TIMEOUT_S = 15.0
 # Iterations of the event loop above it are counted.
 LONG_TURN_S = 0.02
 # More polls than a round has.
-MAX_HELD_POLLS = 999
+MAX_UNANSWERED_POLLS = 999
 FIRST_CURSOR = 1
 COLUMNS = (
     "process", "in step after s", "peak MB", "longest turn ms (processor)", "turns over 20 ms",
@@ -72,7 +72,7 @@
 class RoundResult:
     """The figures of one process; latencies are in seconds."""
 
-    is_behind: bool
+    misses_events: bool
     seconds: float
     peak_mb: float
     turns: list[Turn]
@@ -83,14 +83,14 @@
     def cells(self) -> tuple[object, ...]:
         """The row of the table."""
         longest_ms = max_duration_s(self.turns) * 1e3
-        most_expensive_ms = max_cpu_s(self.turns) * 1e3
+        max_cpu_ms = max_cpu_s(self.turns) * 1e3
         quiet = [percentile_ms(self.quiet_latencies_s, percent) for percent in (50, 99)]
         meanwhile = [percentile_ms(self.latencies_s, percent) for percent in (50, 99)]
         return (
-            "behind" if self.is_behind else "not behind",
+            "behind" if self.misses_events else "not behind",
             f"{self.seconds:.2f}",
             f"{self.peak_mb:.1f}",
-            f"{longest_ms:.1f} ({most_expensive_ms:.1f})",
+            f"{longest_ms:.1f} ({max_cpu_ms:.1f})",
             sum(turn.duration_s > LONG_TURN_S for turn in self.turns),
             f"{quiet[0]:.2f} / {meanwhile[0]:.2f}",
             f"{quiet[1]:.1f} / {meanwhile[1]:.1f}",
@@ -111,7 +111,7 @@
     """
 
     def step(connection: FakeDiscoveryConnection) -> None:
-        discovery.script[:] = [hold_poll] * MAX_HELD_POLLS
+        discovery.script[:] = [hold_poll] * MAX_UNANSWERED_POLLS
         connection.transport.write(answer)
 
     discovery.script[:] = [step]
@@ -122,7 +122,7 @@
 @inlineCallbacks
 def catch_up(discovery: ScriptedDiscovery, backlog: bytes) -> Steps[None]:
     """Publish the backlog and wait until the router has taken it.  Raises NotInStepError."""
-    last_cursor = FIRST_CURSOR + EVENTS_BEHIND
+    last_cursor = FIRST_CURSOR + MISSED_EVENTS
     until_s = time.monotonic() + CATCH_UP_TIMEOUT_S
     publish(discovery, backlog)
     yield wait_until(lambda: discovery.polls[-1][0] == last_cursor or time.monotonic() > until_s)
@@ -131,7 +131,7 @@
 
 
 @inlineCallbacks
-def measure_round(folder: Path, is_behind: bool) -> Steps[RoundResult]:
+def measure_round(folder: Path, misses_events: bool) -> Steps[RoundResult]:
     """Measure one process: quiet at first, and then behind, or quiet for as long."""
     discovery = ScriptedDiscovery()
     cache_server = f"127.0.0.1:{listen_on_free_port(reactor, DemoCacheServer)}"
@@ -146,7 +146,7 @@
         yield pause(QUIET_S)
         backlog = encode_answer(json.dumps(build_backlog(FIRST_CURSOR, cache_server)).encode())
         begin_s = time.monotonic()
-        yield catch_up(discovery, backlog) if is_behind else pause(NOT_BEHIND_S)
+        yield catch_up(discovery, backlog) if misses_events else pause(BASELINE_S)
         end_s = time.monotonic()
         peak_mb = peak_resident_mb(process.pid)
         requests.stop()
@@ -156,7 +156,7 @@
         turns = end_recorded_program(process)
         yield discovery.stop()
     return RoundResult(
-        is_behind,
+        misses_events,
         end_s - begin_s,
         peak_mb,
         [turn for turn in turns if begin_s <= turn.begin_s < end_s],
@@ -172,8 +172,8 @@
     print(markdown_head(COLUMNS))
     with tempfile.TemporaryDirectory() as folder:
         for _ in range(rounds):
-            for is_behind in (False, True):
-                result = yield measure_round(Path(folder), is_behind)
+            for misses_events in (False, True):
+                result = yield measure_round(Path(folder), misses_events)
                 print(markdown_row(result.cells()), flush=True)
 
 
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -17,9 +17,9 @@
     MemberWatch,
     all_have_met,
     build_fleet,
+    propagate_restart,
     run_until,
     sent_totals,
-    spread_restart,
 )
 from benchmark_tools.tables import markdown_table
 from fleet_sim import LinkQuality, node_names
@@ -86,16 +86,16 @@
         watch = MemberWatch(cluster, victim)
         killed_ms = cluster.now
         cluster.kill(victim)
-        run_until(cluster, partial(_has_spread, watch))
+        run_until(cluster, partial(_all_have_learned, watch))
         learned_ms = watch.learned_ms.values()
         first_ms.append(min(learned_ms, default=math.inf) - killed_ms)
-        last_ms.append(max(learned_ms) - killed_ms if _has_spread(watch) else math.inf)
+        last_ms.append(max(learned_ms) - killed_ms if _all_have_learned(watch) else math.inf)
         false_verdicts += sum(name != victim for name in watch.declared_failed)
     percentiles_ms = [percentile(values, share) for values in (first_ms, last_ms) for share in (0.5, 0.99)]
     return f"{loss_share:.0%}", *(f"{value_ms / 1_000:.1f}" for value_ms in percentiles_ms), false_verdicts
 
 
-def _has_spread(watch: MemberWatch) -> bool:
+def _all_have_learned(watch: MemberWatch) -> bool:
     return len(watch.learned_ms) == FLEET_MEMBERS - 1
 
 
@@ -130,9 +130,9 @@
     member_seconds = count * STEADY_MS / 1_000
     datagrams = sum(new[0] - old[0] for old, new in zip(before, after, strict=True))
     sent_bytes = sum(new[1] - old[1] for old, new in zip(before, after, strict=True))
-    spreads = [spread_restart(cluster, name, count) for name in node_names(count)[:RESTARTS]]
-    half_ms = percentile([percentile(spread.learned_ms, 0.5) for spread in spreads], 0.5)
-    all_ms = percentile([max(spread.learned_ms) for spread in spreads], 0.5)
+    propagations = [propagate_restart(cluster, name, count) for name in node_names(count)[:RESTARTS]]
+    half_ms = percentile([percentile(propagation.learned_ms, 0.5) for propagation in propagations], 0.5)
+    all_ms = percentile([max(propagation.learned_ms) for propagation in propagations], 0.5)
     return (
         count,
         f"{(JOIN_MS + met_ms) / 1_000:.1f}",
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -124,8 +124,8 @@
 
 
 def _row(name: str, rounds: Sequence[Round], value: Callable[[IdleCost], float]) -> tuple[object, ...]:
-    base = [value(one_round.base) for one_round in rounds]
-    present = [value(one_round.present) for one_round in rounds]
+    base = [value(measured.base) for measured in rounds]
+    present = [value(measured.present) for measured in rounds]
     ratios = [new / old for old, new in zip(base, present, strict=True)]
     return (
         name,
--- a/benchmarks/relay_behind.py
+++ b/benchmarks/relay_behind.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 import click
-from benchmark_tools.catch_up_files import EVENTS_BEHIND, HOUR_MS
+from benchmark_tools.catch_up_files import HOUR_MS, MISSED_EVENTS
 from benchmark_tools.command_line import time_limit
 from benchmark_tools.process_figures import main_thread_cpu_ms, peak_resident_mb
 from benchmark_tools.recorded_program import (
@@ -88,7 +88,7 @@
 async def wait_for_last_purge(poller: Poller) -> None:
     """Wait until the router has all purges.  Raises TimeoutError."""
     async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
-        while poller.purged_objects[-1] != FIRST_OBJECT + EVENTS_BEHIND - 1:
+        while poller.purged_objects[-1] != FIRST_OBJECT + MISSED_EVENTS - 1:
             await asyncio.sleep(CHECK_INTERVAL_S)
 
 
@@ -98,8 +98,8 @@
     while EARLIER_OBJECT not in poller.purged_objects:
         await asyncio.sleep(CHECK_INTERVAL_S)
     proxy.block()
-    ages_ms = [HOUR_MS * (EVENTS_BEHIND - number) / EVENTS_BEHIND for number in range(1, EVENTS_BEHIND + 1)]
-    objects = range(FIRST_OBJECT, FIRST_OBJECT + EVENTS_BEHIND)
+    ages_ms = [HOUR_MS * (MISSED_EVENTS - number) / MISSED_EVENTS for number in range(1, MISSED_EVENTS + 1)]
+    objects = range(FIRST_OBJECT, FIRST_OBJECT + MISSED_EVENTS)
     await environment.discovery.publish_purges(*objects, ages_ms=ages_ms)
 
 
--- a/benchmarks/subset_balance.py
+++ b/benchmarks/subset_balance.py
@@ -66,7 +66,7 @@
         for salt in subset:
             loads[salt] += 1 / len(subset)
     mean = len(subsets) / len(salts)
-    spread = [loads[salt] / mean for salt in salts]
+    relative_loads = [loads[salt] / mean for salt in salts]
     generator = random.Random(SEED)
     copies = 0
     distinct = list({tuple(subset) for subset in subsets})
@@ -75,9 +75,9 @@
         copies += len({max(subset, key=lambda salt: mix64(object_hash ^ salt)) for subset in distinct})
     return Balance(
         copies=copies / OBJECTS,
-        load_deviation=statistics.pstdev(spread),
-        heaviest_load=max(spread),
-        unasked_share=spread.count(0.0) / len(spread),
+        load_deviation=statistics.pstdev(relative_loads),
+        heaviest_load=max(relative_loads),
+        unasked_share=relative_loads.count(0.0) / len(relative_loads),
     )
 
 
--- a/packages/fleet-scale/src/fleet_scale/worker/event_log.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/event_log.py
@@ -123,9 +123,9 @@
 
         0 asks for the complete state: the purges that are retained, and the endpoint list.
         """
-        known = self._answers.get(resume)
-        if known is not None:
-            return known
+        cached = self._answers.get(resume)
+        if cached is not None:
+            return cached
         body = b'{"cursor":%d,"cmds":[%b]}' % (self.cursor, b",".join(self._events_after(resume)))
         if len(self._answers) >= MAX_CACHED_ANSWERS:
             self._answers.clear()
--- a/packages/fleet-scale/tests/test_event_counters.py
+++ b/packages/fleet-scale/tests/test_event_counters.py
@@ -1,4 +1,4 @@
-"""Counters of received events, and the purges that one router observed."""
+"""Counters of received events, and the purges that first router observed."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def test_deliveries_of_processes_add_up_and_repeats_are_counted() -> None:
-    one = DeliveryCounters()
-    other = DeliveryCounters()
-    one.record(EventKind.PURGE, 5, 1.0)
-    one.record(EventKind.PURGE, 5, 3.0)
-    other.record(EventKind.PURGE, 5, 2.0)
-    merged = merge_deliveries([counters.between(EventKind.PURGE, 0, 9) for counters in (one, other)])
+    first = DeliveryCounters()
+    second = DeliveryCounters()
+    first.record(EventKind.PURGE, 5, 1.0)
+    first.record(EventKind.PURGE, 5, 3.0)
+    second.record(EventKind.PURGE, 5, 2.0)
+    merged = merge_deliveries([counters.between(EventKind.PURGE, 0, 9) for counters in (first, second)])
     assert merged == {5: Delivery(3, 1.0, 3.0)}
     observed = PurgeObservations()
     assert [observed.add(number) for number in (0, 5000, 5000, 3)] == [True, True, False, True]
