--- /dev/null
+++ b/tests/net/discovery/test_event_feed.py
@@ -0,0 +1,40 @@
+"""Which events and reports the watch client hands on."""
+
+from __future__ import annotations
+
+from unittest.mock import Mock
+
+from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.discovery.watch import WatchHandlers
+from thornjunction.net.discovery.watch_client import WatchClient
+from thornjunction.net.discovery.watch_context import WatchContext
+from thornjunction.net.wire.commands import Command, Commands, Purge
+
+
+def purge(cursor: int) -> Purge:
+    return Purge(cursor, 1, 0, 0.0)
+
+
+def watch_client(handlers: WatchHandlers) -> WatchClient:
+    """A client that connects nowhere."""
+    context = WatchContext(Mock(), Deadlines(), lambda: 0.0)
+    return WatchClient(context, ("127.0.0.1", 1), handlers)
+
+
+def test_the_first_response_is_reported_once_after_its_events() -> None:
+    """A process that replaces another serves once it has received what its old list lacks."""
+    reports: list[object] = []
+    client = watch_client(WatchHandlers(reports.append, lambda: reports.append("synchronized")))
+    for cursor in (1, 2):
+        client.handle_response(Commands(cursor, (purge(cursor),)), is_stable=False)
+    assert reports == [purge(1), "synchronized", purge(2)]
+
+
+def test_an_event_that_is_received_again_is_handed_on_once() -> None:
+    handed_on: list[Command] = []
+    client = watch_client(WatchHandlers(handed_on.append))
+    events = (purge(1), purge(2), purge(3))
+    client.feed.apply(Commands(2, events[:2]))
+    client.feed.apply(Commands(3, events[1:]))
+    assert handed_on == list(events)
+    assert client.cursor == 3
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -9,8 +9,7 @@
 import random
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
@@ -20,11 +19,14 @@
 from thornjunction.net.discovery.watch import Watch, WatchHandlers
 from thornjunction.net.discovery.watch_client import WatchClient
 from thornjunction.net.discovery.watch_context import WatchContext
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
 from thornjunction.runtime.drain import Drain
+from thornjunction.runtime.optional_parts import OptionalParts
+from thornjunction.runtime.process_reactor import ProcessReactor
+from thornjunction.runtime.request_path import RequestPath
 
 if TYPE_CHECKING:
     from thornjunction import interface as api
@@ -35,59 +37,67 @@
     from thornjunction.runtime.fleet import FleetMember
     from thornjunction.runtime.signed_front import SignedFront
 
+# One third of the sockets is for clients.
 CLIENT_SOCKETS_DIVISOR = 3
-"""A third of the sockets is for clients."""
 
 
-@dataclass(frozen=True, slots=True)
-class RequestPath:
-    """The parts that each request passes, from the client's connection to the cache server's."""
-
-    alarm: TimerService
-    clients: DownstreamTable
-    engine: Engine
-    router: Router
-    pool: ConnectionPool
-    drain: Drain
-    load_shedder: LoadShedder
-
-
-def build_request_path(config: Config, reactor: Any, counters: Counters) -> RequestPath:
+def build_request_path(config: Config, reactor: ProcessReactor, counters: Counters) -> RequestPath:
     """Build and connect the parts that each request passes."""
-    alarm = TimerService(reactor)
+    timer_service = TimerService(reactor)
     buffer_budget = ByteBudget(config.buffer_bytes)
-    pool = ConnectionPool(reactor, config.pool_limits, alarm.deadlines, core_ms, buffer_budget)
+    pool = ConnectionPool(reactor, config.pool_limits, timer_service.deadlines, core_ms, buffer_budget)
     router = Router(config.settings, config.seed, config.name)
-    engine = Engine(router, config.settings.max_attempts, core_ms, alarm.deadlines, pool, counters)
+    engine = Engine(router, config.settings.max_attempts, core_ms, timer_service.deadlines, pool, counters)
     pool.report_to(engine)
     clients = DownstreamTable(max(config.sockets // CLIENT_SOCKETS_DIVISOR, 1), buffer_budget)
     return RequestPath(
-        alarm=alarm,
+        timer_service=timer_service,
         clients=clients,
         engine=engine,
         router=router,
         pool=pool,
-        drain=Drain(clients, alarm.deadlines, core_ms, engine.answer_all_now),
+        drain=Drain(clients, timer_service.deadlines, core_ms, engine.answer_all_now),
         load_shedder=LoadShedder(random.Random(config.seed).random, config.cores),
+        counters=counters,
+    )
+
+
+def build_optional_parts(
+    extras: Extras | None,
+    name: str,
+    path: RequestPath,
+    classes: dict[str, api.RequestClass],
+    reactor: ProcessReactor,
+) -> OptionalParts:
+    """Build what the operators' file turns on.
+
+    Raises:
+        ConfigError: a part cannot be built.
+    """
+    if extras is None:
+        return OptionalParts()
+    deadlines = path.timer_service.deadlines
+    return OptionalParts(
+        _build_signed_front(extras, path, classes),
+        _build_metrics(extras, reactor, deadlines, path.counters, name),
+        _build_fleet_member(extras, name, deadlines),
     )
 
 
-def build_signed_front(
-    extras: Extras | None, path: RequestPath, classes: dict[str, api.RequestClass]
+def _build_signed_front(
+    extras: Extras, path: RequestPath, classes: dict[str, api.RequestClass]
 ) -> SignedFront | None:
-    """The signed-URL front, where the operators' file has one.  Raises TlsError where it can't serve."""
-    if extras is None or extras.signed is None:
+    if extras.signed is None:
         return None
     from thornjunction.runtime.signed_front import SignedFront
 
-    return SignedFront(extras.signed, path.engine, classes, path.clients, path.alarm.deadlines)
+    return SignedFront(extras.signed, path.engine, classes, path.clients, path.timer_service.deadlines)
 
 
-def build_metrics(
-    extras: Extras | None, reactor: Any, deadlines: Deadlines, counters: Counters, name: str
+def _build_metrics(
+    extras: Extras, reactor: ProcessReactor, deadlines: Deadlines, counters: Counters, name: str
 ) -> MetricsExporter | None:
-    """What sends metrics out, where the operators' file names a target."""
-    if extras is None or extras.metrics is None:
+    if extras.metrics is None:
         return None
     from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 
@@ -101,9 +111,8 @@
     return metrics
 
 
-def build_fleet_member(extras: Extras | None, name: str, deadlines: Deadlines) -> FleetMember | None:
-    """This router's membership of its fleet, where the operators' file has one."""
-    if extras is None or extras.fleet is None:
+def _build_fleet_member(extras: Extras, name: str, deadlines: Deadlines) -> FleetMember | None:
+    if extras.fleet is None:
         return None
     from thornjunction.runtime.fleet import FleetMember
 
@@ -113,14 +122,15 @@
 def build_channel(
     extras: Extras | None,
     config: Config,
-    reactor: Any,
+    reactor: ProcessReactor,
     deadlines: Deadlines,
     handle_command: Callable[[Command], None],
     on_synchronized: Callable[[], None],
 ) -> Watch:
-    """The command channel: at discovery, or at the sources of ``[control]``.
+    """Build the command channel, to discovery or to the sources of ``[control]``.
 
-    Raises ConfigError where the router's name does not fit a poll.
+    Raises:
+        ConfigError: the router's name does not fit a poll.
     """
     context = WatchContext(reactor, deadlines, core_ms)
     handlers = WatchHandlers(handle_command, on_synchronized)
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -9,7 +9,6 @@
 import time
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
 
 from fleet_membership import Membership, MembershipSettings
 from gossip_transport import DatagramEndpoint
@@ -20,6 +19,7 @@
 from thornjunction.log_thinning import is_power_of_two
 from thornjunction.logs import get_logger
 from thornjunction.memory.deadlines import Deadlines
+from thornjunction.net.event_loop.ports import ListeningPort, Reactor
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.wire.admin import encode_lines
 from thornjunction.runtime.addresses import check_name
@@ -27,9 +27,10 @@
 from thornjunction.runtime.fleet_settings import FleetSettings
 from thornjunction.runtime.incarnation import next_incarnation
 
+# Time between attempts to bind: the process that this one replaces may still hold the port.
 BIND_RETRY_MS = 500.0
-"""Between attempts to bind: the process that this one replaces may still hold the port."""
 
+# Events that the notices of the membership are logged as; ``refused`` is logged less often.
 EVENTS_BY_NOTICE = {
     "member": LogEvent.FLEET_MEMBER_CHANGED,
     "link": LogEvent.FLEET_LINK_CHANGED,
@@ -37,16 +38,19 @@
     "mode": LogEvent.FLEET_MODE_CHANGED,
     "paused": LogEvent.FLEET_PROCESS_PAUSED,
 }
-"""The event that each notice of the membership is logged as; ``refused`` is logged less often."""
 
+# Sections that an error names where the membership refuses a value of either.
 SECTIONS = "fleet, fleet.timings"
-"""Named where the membership refuses a value of either."""
 
 log = get_logger(__name__)
 
 
 class FleetMember:
-    """One member.  Raises ConfigError where the membership does not take the settings."""
+    """This router's membership and its port.
+
+    Raises:
+        ConfigError: the membership refuses the settings.
+    """
 
     def __init__(self, settings: FleetSettings, router_name: str, deadlines: Deadlines) -> None:
         self.name = settings.name or router_name
@@ -57,10 +61,10 @@
         self._deadlines = deadlines
         self._rejected = Counter[str]()
         self._failed_binds = 0
-        self._bound: Any = None
+        self._bound: ListeningPort | None = None
 
-    def listen(self, reactor: Any) -> None:
-        """Bind and join; where the port is taken, retry until it is free or this process leaves."""
+    def listen(self, reactor: Reactor) -> None:
+        """Bind and join; while the port is in use, retry until it is free or this process leaves."""
         if self.port.closed:
             return
         try:
@@ -77,12 +81,12 @@
         log.info(LogEvent.FLEET_LISTENING, name=self.name, host=address.host, port=address.port)
 
     def leave(self) -> None:
-        """Leave the fleet and free the port, for the process that comes next."""
+        """Leave the fleet and free the port for this process's successor."""
         self.port.shut_down()
         self.close()
 
     def close(self) -> None:
-        """Free the port without a word to the others."""
+        """Free the port without notice to the other members."""
         if self._bound is not None:
             self._bound.stopListening()
 
