--- a/tests/net/upstream/test_broken_connections.py
+++ b/tests/net/upstream/test_broken_connections.py
@@ -36,13 +36,11 @@
             self.send(number)
         yield self.environment.wait_until(lambda: not len(self.pool.connections))
         in_flight = range(1, 2 + also_sent)
-        self.assertEqual(
-            self.outcomes, [(number, api.AttemptStatus.CONNECTION_RESET) for number in in_flight]
-        )
+        assert self.outcomes == [(number, api.AttemptStatus.CONNECTION_RESET) for number in in_flight]
         self.outcomes.clear()
         self.send(1)
         yield self.wait_for_outcomes()
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.SUCCEEDED)])
+        assert self.outcomes == [(1, api.AttemptStatus.SUCCEEDED)]
 
     @inlineCallbacks
     def assert_reset_by(self, data: bytes) -> Any:
@@ -104,16 +102,14 @@
             while not connection.has_unsent_bytes:
                 number += 1
                 self.send(number, body=b"x" * 100_000)
-            self.assertFalse(connection.can_take("new"))
+            assert not connection.can_take("new")
             self.pool.cancel(number)
             self.environment.run_pool_deadlines(MAX_STALLED_WRITE_MS)
             yield self.wait_for_outcomes()
-        self.assertEqual(
-            self.outcomes, [(sent, api.AttemptStatus.CONNECTION_RESET) for sent in range(number)]
-        )
+        assert self.outcomes == [(sent, api.AttemptStatus.CONNECTION_RESET) for sent in range(number)]
         server_connection.transport.resumeProducing()
         yield self.environment.wait_until(lambda: server_connection.disconnect_error)
-        self.assertNotIn(f"t{number}".encode(), self.received_transaction_ids())
+        assert f"t{number}".encode() not in self.received_transaction_ids()
 
 
 class DuplicateResponseTest(PoolTestCase):
@@ -126,7 +122,7 @@
         first.send_answer(b"same", b"WAIT")
         second.send_answer(b"same", b"DONE", b"x")
         yield self.wait_for_outcomes(2)
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.OVERLOADED), (2, api.AttemptStatus.SUCCEEDED)])
+        assert self.outcomes == [(1, api.AttemptStatus.OVERLOADED), (2, api.AttemptStatus.SUCCEEDED)]
 
 
 class IdleCloseTest(PoolTestCase):
@@ -139,7 +135,7 @@
         (connection,) = self.pool.connections
         self.environment.run_pool_deadlines(IDLE_TIMEOUT_SHARE * self.pool.context.limits.idle_timeout_ms)
         server_connection.transport.write(encode_array((b"t1", b"DONE", b"x", b""))[:9])
-        self.assertFalse(connection.can_take("new"))
+        assert not connection.can_take("new")
         return server_connection
 
     @inlineCallbacks
@@ -147,7 +143,7 @@
         server_connection = yield self.close_idle_connection()
         yield self.environment.wait_until(lambda: not len(self.pool.connections))
         yield self.environment.wait_until(lambda: server_connection.disconnect_error)
-        self.assertIsInstance(server_connection.disconnect_error, ConnectionDone)
+        assert isinstance(server_connection.disconnect_error, ConnectionDone)
 
     @inlineCallbacks
     def test_ends_in_bounded_time_where_the_server_does_not_read(self) -> Any:
--- a/tests/net/upstream/test_ended_requests.py
+++ b/tests/net/upstream/test_ended_requests.py
@@ -40,13 +40,13 @@
         yield self.environment.wait_until(lambda: origin.waiting and executions)
         end_request(client)
         yield self.environment.wait_until(lambda: not origin.waiting)
-        self.assertFalse(executions)
-        self.assertEqual(len(self.engine.attempts), 0)
+        assert not executions
+        assert len(self.engine.attempts) == 0
         listener.start_accepting()
         yield self.environment.wait_until(lambda: len(self.pool.connections))
         self.pool.probe("origin")  # it is the first that comes on that connection
         yield self.environment.wait_until(lambda: self.environment.received_commands)
-        self.assertEqual(self.environment.received_commands[0].verb, "busy")
+        assert self.environment.received_commands[0].verb == "busy"
         yield self.environment.close_upstream_connections()
 
     @inlineCallbacks
--- a/tests/net/upstream/test_full_table.py
+++ b/tests/net/upstream/test_full_table.py
@@ -49,8 +49,8 @@
         for number in range(80):
             yield self.send_and_wait(number, f"e{number % 40}")
             most_connections = max(most_connections, len(self.pool.connections))
-        self.assertEqual(dict(self.outcomes), dict.fromkeys(range(80), api.AttemptStatus.SUCCEEDED))
-        self.assertLessEqual(most_connections, 16 + 16 // 8)
+        assert dict(self.outcomes) == dict.fromkeys(range(80), api.AttemptStatus.SUCCEEDED)
+        assert most_connections <= 16 + 16 // 8
         yield self.environment.wait_until(
             lambda: (
                 sum(each.disconnect_error is not None for each in self.environment.server_connections)
@@ -62,7 +62,7 @@
             for each in self.environment.server_connections
             if each.disconnect_error is not None
         ]
-        self.assertEqual({type(reason) for reason in ended}, {ConnectionDone})
+        assert {type(reason) for reason in ended} == {ConnectionDone}
 
     @inlineCallbacks
     def test_a_busy_connection_is_never_evicted(self) -> Any:
@@ -72,8 +72,8 @@
         yield self.send_and_wait(2, "e2")  # evicts the connection to e1, which is idle
         yield self.send_unanswered(3, server="e2", **DETAILS)
         self.send(4, server="e3", **DETAILS)
-        self.assertEqual(self.outcomes.pop(), (4, api.AttemptStatus.NOT_STARTED))  # none is idle
+        assert self.outcomes.pop() == (4, api.AttemptStatus.NOT_STARTED)  # none is idle
         busy.send_answer(b"t0", b"DONE", b"x")
         yield self.environment.wait_until(lambda: 0 in dict(self.outcomes))
         yield self.send_and_wait(5, "e3")
-        self.assertEqual(dict(self.outcomes), dict.fromkeys((0, 1, 2, 5), api.AttemptStatus.SUCCEEDED))
+        assert dict(self.outcomes) == dict.fromkeys((0, 1, 2, 5), api.AttemptStatus.SUCCEEDED)
--- a/tests/net/upstream/test_remaining_time.py
+++ b/tests/net/upstream/test_remaining_time.py
@@ -31,15 +31,15 @@
     def test_is_what_is_left_once_the_connection_is_up(self) -> Any:
         for number, connect_ms in enumerate((0.0, 150.0, 400.0, 890.0)):
             outcome = yield self.send_before_slow_connect(number, connect_ms)
-            self.assertEqual(outcome, (number, api.AttemptStatus.SUCCEEDED))
+            assert outcome == (number, api.AttemptStatus.SUCCEEDED)
             fields = dict(
                 pair.split(b"=")
                 for pair in self.environment.forwarded_requests()[-1].arguments[0].split(b",")
             )
-            self.assertEqual(fields[b"max"], b"%d" % (TIMEOUT_MS - connect_ms), connect_ms)
+            assert fields[b"max"] == b"%d" % (TIMEOUT_MS - connect_ms), connect_ms
 
     @inlineCallbacks
     def test_under_5_ms_keeps_the_attempt_from_beginning(self) -> Any:
         outcome = yield self.send_before_slow_connect(1, 896.0)
-        self.assertEqual(outcome, (1, api.AttemptStatus.NOT_STARTED))
-        self.assertEqual(self.environment.forwarded_requests(), [])
+        assert outcome == (1, api.AttemptStatus.NOT_STARTED)
+        assert self.environment.forwarded_requests() == []
--- a/tests/net/upstream/test_waiting_for_connection.py
+++ b/tests/net/upstream/test_waiting_for_connection.py
@@ -31,7 +31,7 @@
         return listener
 
     def assert_connects_open(self, expected: bool) -> None:
-        self.assertEqual([connect.fileno() >= 0 for connect in self.connects], [expected])
+        assert [connect.fileno() >= 0 for connect in self.connects] == [expected]
 
     @inlineCallbacks
     def assert_never_received(self, listener: Any, server: str) -> Any:
@@ -42,13 +42,13 @@
         self.send(3, server=server, transaction_id="later")
         yield self.environment.wait_until(lambda: (3, api.AttemptStatus.SUCCEEDED) in self.outcomes)
         yield self.environment.close_upstream_connections()
-        self.assertEqual(self.received_transaction_ids(), [b"later"])
+        assert self.received_transaction_ids() == [b"later"]
 
     @inlineCallbacks
     def test_is_not_started_at_its_start_limit_and_the_connect_goes_on(self) -> Any:
         listener = yield self.send_waiting(start_within_ms=START_LIMIT_MS)
         self.environment.run_pool_deadlines(START_LIMIT_MS)
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
         self.assert_connects_open(True)
         yield self.assert_never_received(listener, "edge1")
 
@@ -56,35 +56,35 @@
     def test_is_not_started_where_the_event_loop_notices_its_start_limit_late(self) -> Any:
         listener = yield self.send_waiting(start_within_ms=START_LIMIT_MS)
         self.pool.context.clock = lambda: core_ms() + START_LIMIT_MS
-        self.assertEqual(self.outcomes, [])
+        assert self.outcomes == []
         self.assert_connects_open(True)
         yield self.assert_never_received(listener, "edge1")
-        self.assertEqual(self.outcomes[0], (1, api.AttemptStatus.NOT_STARTED))
+        assert self.outcomes[0] == (1, api.AttemptStatus.NOT_STARTED)
 
     @inlineCallbacks
     def test_is_not_reported_after_it_was_withdrawn_and_the_connect_goes_on(self) -> Any:
         listener = yield self.send_waiting()
-        self.assertTrue(self.pool.withdraw(1))
-        self.assertEqual(self.outcomes, [])
+        assert self.pool.withdraw(1)
+        assert self.outcomes == []
         self.assert_connects_open(True)
         yield self.assert_never_received(listener, "edge1")
-        self.assertEqual(self.outcomes, [(3, api.AttemptStatus.SUCCEEDED)])
+        assert self.outcomes == [(3, api.AttemptStatus.SUCCEEDED)]
 
     @inlineCallbacks
     def test_is_not_started_where_its_server_drains(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.list_servers(api.ServerState.DRAINING, edge1=listener.address)
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
         self.assert_connects_open(False)
         self.send(2)
-        self.assertEqual(self.outcomes[1:], [(2, api.AttemptStatus.NOT_STARTED)])
+        assert self.outcomes[1:] == [(2, api.AttemptStatus.NOT_STARTED)]
         yield self.assert_never_received(listener, "origin")
 
     @inlineCallbacks
     def test_is_not_started_where_its_server_is_removed(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.list_servers(api.ServerState.REMOVED)
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
         self.assert_connects_open(False)
         yield self.assert_never_received(listener, "origin")
 
@@ -92,7 +92,7 @@
     def test_is_not_started_where_its_server_moves_to_another_address(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.list_servers()
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.NOT_STARTED)])
+        assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
         self.assert_connects_open(False)
         yield self.assert_never_received(listener, "origin")
 
@@ -100,7 +100,7 @@
     def test_is_refused_where_no_connection_comes_up_in_time(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.run_pool_deadlines(LONG_CONNECT_TIMEOUT_MS)
-        self.assertEqual(self.outcomes, [(1, api.AttemptStatus.CONNECTION_REFUSED)])
+        assert self.outcomes == [(1, api.AttemptStatus.CONNECTION_REFUSED)]
         self.assert_connects_open(False)
         yield self.assert_never_received(listener, "origin")
 
@@ -117,7 +117,7 @@
         self.send(1)  # waits for a connect
         server_connection.send_answer(b"t0", b"DONE", b"x")
         yield self.wait_for_outcomes(2)
-        self.assertEqual(self.outcomes, [(0, api.AttemptStatus.SUCCEEDED), (1, api.AttemptStatus.SUCCEEDED)])
+        assert self.outcomes == [(0, api.AttemptStatus.SUCCEEDED), (1, api.AttemptStatus.SUCCEEDED)]
         self.environment.run_pool_deadlines(
             LONG_CONNECT_TIMEOUT_MS
         )  # ends the connect, for which no attempt waits
@@ -136,12 +136,12 @@
     @inlineCallbacks
     def test_does_not_count_against_a_server_that_responds_meanwhile(self) -> Any:
         outcome = yield self.fail_connect_beside_busy_connection(server_responds=True)
-        self.assertEqual(outcome, (3, api.AttemptStatus.NOT_STARTED))
+        assert outcome == (3, api.AttemptStatus.NOT_STARTED)
 
     @inlineCallbacks
     def test_counts_against_a_server_that_is_silent_meanwhile(self) -> Any:
         outcome = yield self.fail_connect_beside_busy_connection(server_responds=False)
-        self.assertEqual(outcome, (3, api.AttemptStatus.CONNECTION_REFUSED))
+        assert outcome == (3, api.AttemptStatus.CONNECTION_REFUSED)
 
     def test_is_reported_by_the_next_attempt_where_all_that_waited_were_withdrawn(self) -> None:
         self.environment.make_unresponsive("edge1")
@@ -149,5 +149,5 @@
         self.pool.withdraw(1)
         self.environment.run_pool_deadlines(self.pool.context.limits.connect_timeout_ms)
         self.send(2)
-        self.assertEqual(self.outcomes, [(2, api.AttemptStatus.CONNECTION_REFUSED)])
-        self.assertEqual(self.pool.upstreams["edge1"].waiting, {})
+        assert self.outcomes == [(2, api.AttemptStatus.CONNECTION_REFUSED)]
+        assert self.pool.upstreams["edge1"].waiting == {}
--- a/tests/repository/source_files.py
+++ b/tests/repository/source_files.py
@@ -1,10 +1,9 @@
-"""The Python files of the project, and those that pyproject.toml does not excuse from the readers' rules."""
+"""The Python files of the project, with their syntax trees."""
 
 from __future__ import annotations
 
 import ast
 import tomllib
-from fnmatch import fnmatch
 from functools import cache
 from pathlib import Path
 
@@ -12,17 +11,14 @@
 
 FOLDERS = ("benchmarks", "packages", "tests", "thornjunction")
 
-# A ruff code that excuses a file from all docstring rules: such a file is not yet rewritten for its readers.
-ALL_DOCSTRING_RULES = "D"
-
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
-def excused_patterns() -> list[str]:
-    """Return the patterns of files that are not yet rewritten, as ruff's per-file-ignores list them."""
+def excused_files() -> dict[str, list[str]]:
+    """Return the files that are excused from some of ruff's rules, as patterns with their rules."""
     config = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))
-    ignores = config["tool"]["ruff"]["lint"]["per-file-ignores"]
-    return [pattern for pattern, codes in ignores.items() if ALL_DOCSTRING_RULES in codes]
+    ignores: dict[str, list[str]] = config["tool"]["ruff"]["lint"]["per-file-ignores"]
+    return ignores
 
 
 @cache
@@ -41,7 +37,5 @@
 
 @cache
 def checked_modules() -> tuple[tuple[str, ast.Module], ...]:
-    """Return path and syntax tree of each file that no pattern excuses."""
-    patterns = excused_patterns()
-    paths = [path for path in source_files() if not any(fnmatch(path, pattern) for pattern in patterns)]
-    return tuple((path, ast.parse(read_source(path))) for path in paths)
+    """Return path and syntax tree of each file."""
+    return tuple((path, ast.parse(read_source(path))) for path in source_files())
--- a/tests/repository/test_readable.py
+++ b/tests/repository/test_readable.py
@@ -1,30 +1,23 @@
-"""What a reader may expect of every module that pyproject.toml does not list as not yet rewritten."""
+"""What a reader may expect of every module."""
 
 from __future__ import annotations
 
 import ast
 from collections.abc import Callable, Iterator
-from fnmatch import fnmatch
 
 import pytest
 
 from tests.repository.source_files import (
     Function,
     checked_modules,
-    excused_patterns,
+    excused_files,
     read_source,
-    source_files,
 )
 
 MAX_FUNCTION_LINES = 40
 
 MAX_FILE_LINES = 300
 
-# Files that are longer and not split yet: this list only shrinks.
-LONG_FILES_LEFT = {
-    "packages/fleet-scale/src/fleet_scale/messages.py",
-}
-
 Finder = Callable[[ast.Module], Iterator[ast.AST]]
 
 
@@ -65,7 +58,7 @@
 
 
 @pytest.mark.parametrize("find", [long_functions, tuple_assignments, undocumented])
-def test_done_modules_have_none(find: Finder) -> None:
+def test_modules_have_none(find: Finder) -> None:
     found = [
         f"{path}:{getattr(node, 'lineno', 1)}"
         for path, module in checked_modules()
@@ -80,15 +73,13 @@
     return len(text.splitlines()) > MAX_FILE_LINES
 
 
-def test_no_done_module_is_a_long_file_but_those_left() -> None:
-    assert {path for path, _ in checked_modules() if is_long_file(read_source(path))} == LONG_FILES_LEFT
+def test_no_file_is_long() -> None:
+    assert [path for path, _ in checked_modules() if is_long_file(read_source(path))] == []
 
 
-def test_the_list_of_modules_not_done_is_sorted_and_names_only_what_exists() -> None:
-    patterns = excused_patterns()
-    files = source_files()
-    assert patterns == sorted(patterns)
-    assert [pattern for pattern in patterns if not any(fnmatch(path, pattern) for path in files)] == []
+def test_only_tests_are_excused_from_rules() -> None:
+    """The name of a test says what it shows, and a fake keeps the parameters of what it replaces."""
+    assert excused_files() == {"**/tests/**": ["ARG", "D1"]}
 
 
 def test_each_count_finds_what_it_is_for() -> None:
