--- a/packages/control-relay/src/control_relay/active_purges.py
+++ b/packages/control-relay/src/control_relay/active_purges.py
@@ -1,4 +1,4 @@
-"""Purges that are still delivered, by their target: of several for one target the latest wins."""
+"""Purges that are still delivered, by their target: a later one supersedes an earlier one of the target."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 
 from control_relay.validation import int_or_default
 
+# Number of groups of objects; they are numbered from 0.
 GROUP_COUNT = 256
-"""Groups are numbered from 0 to one less than this."""
 
+# Group number of an object whose group is unknown.
 UNKNOWN_GROUP = -1
 
+# Hexadecimal digits of an object's key, with leading zeros.
 KEY_DIGITS = 16
+
+# Digits that a key may contain.
 HEX_DIGITS = frozenset("0123456789abcdef")
 
+# An object's ``KEY_DIGITS`` hexadecimal digits, or a group's number.
 PurgeTarget = str | int
-"""An object's ``KEY_DIGITS`` hexadecimal digits, or a group's number."""
 
 
 def parse_target(key: object, group: object) -> PurgeTarget | None:
--- a/packages/control-relay/src/control_relay/delivery.py
+++ b/packages/control-relay/src/control_relay/delivery.py
@@ -15,7 +15,10 @@
 from control_relay.relay_state import RelayState
 from control_relay.settings import RelaySettings
 
+# Token of the timer that delivers a batch.
 BATCH_TIMER = 1
+
+# Token of the timer that answers polls whose block time has passed.
 POLL_DEADLINE_TIMER = 2
 
 
@@ -33,7 +36,8 @@
         self.pending_polls = PendingPolls()
         self.freshness = Freshness()
         self.delivery_times = DeliveryTimes()
-        self.latest_complete_state_number = 0  # of the list, in any complete state that was sent
+        # The highest list number in the complete states that were sent.
+        self.latest_complete_state_number = 0
         self._batch_window_ms = settings.batch_window_ms
         self._log = state.log
         self._endpoints = state.endpoints
@@ -124,10 +128,10 @@
         self.pending_polls.timer_fired(now)
         return actions + self._arm_deadline_timer(now)
 
-    # Shared
+    # Parts used by batches and polls
 
     def advance_low_water_marks(self, now: float) -> None:
-        """Update what counts as fully propagated after a change of members or the log."""
+        """Update the low-water marks after a change of members or of the log."""
         self._low_water_marks.advance(now, self._members.lowest_acknowledged, self._log.delivered)
 
     def invalidate_responses(self) -> None:
@@ -157,7 +161,7 @@
 
 
 def _record_response(member: Member, resume: int, response: Response) -> None:
-    """Remember what the member has once it acknowledges the response."""
+    """Record what the member will have received once it acknowledges the response."""
     if response.complete_state_number is not None:
         member.complete_state_number = response.complete_state_number
         # In a complete state purges may come before the list: their numbers must not acknowledge the list.
--- a/packages/control-relay/src/control_relay/delivery_times.py
+++ b/packages/control-relay/src/control_relay/delivery_times.py
@@ -1,4 +1,4 @@
-"""When events were delivered."""
+"""The times at which events were delivered."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from bisect import bisect_right
 from typing import NamedTuple
 
+# Upper bound on the stored batches; if it is exceeded, every other one of the older half is dropped.
 MAX_BATCHES = 1_024
-"""Batches remembered; past it the older half is thinned out."""
 
 
 class _Batch(NamedTuple):
--- a/packages/control-relay/src/control_relay/encoding.py
+++ b/packages/control-relay/src/control_relay/encoding.py
@@ -10,14 +10,14 @@
 
 from control_relay.validation import MAX_SAFE_INTEGER
 
+# Encoded size of an endpoint; a larger one is reduced to ``KNOWN_KEYS``.
 MAX_ENDPOINT_BYTES = 4_096
-"""Encoded size of an endpoint; a larger one is reduced to ``KNOWN_KEYS``."""
 
+# Characters of a text in a reduced endpoint, and of an endpoint's name.
 MAX_TEXT_LENGTH = 255
-"""Characters of a text in a reduced endpoint, and of an endpoint's name."""
 
+# Keys of an endpoint that routers read.
 KNOWN_KEYS = ("host", "dial", "site", "class", "block", "health", "share", "born_ms")
-"""Keys of an endpoint that routers read."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/control-relay/src/control_relay/event_log.py
+++ b/packages/control-relay/src/control_relay/event_log.py
@@ -18,11 +18,11 @@
 
 
 class EventLog:
-    """Events up to ``delivered`` have been sent out; those up to ``head`` wait for their batch.
+    """Stores events up to ``head``, of which those up to ``delivered`` have been delivered to members.
 
-    A member whose ``resume`` is not below ``floor`` finds all that it lacks here.  A superseded event leaves
-    the log only when the event that supersedes it is delivered: a response in between that contained neither
-    would acknowledge both.
+    The log contains every event that a member lacks whose ``resume`` is not below ``floor``.  A superseded
+    event leaves the log only when the event that supersedes it is delivered: a response in between that
+    contained neither would acknowledge both.
     """
 
     def __init__(self, first_number: int, max_list_changes: int, max_list_change_bytes: int) -> None:
@@ -61,7 +61,7 @@
         return self._append(self._purges, data)
 
     def append_list_change(self, data: bytes, is_complete: bool) -> int:
-        """Append an encoded list event; return its number.  A complete list supersedes all changes before."""
+        """Append an encoded list event; return its number. A complete list supersedes all earlier changes."""
         if is_complete:
             for superseded in self._current_changes:
                 self.supersede(superseded)
@@ -75,21 +75,21 @@
         return number
 
     def supersede(self, number: int) -> None:
-        """Mark an event as superseded by one that follows."""
+        """Mark an event as superseded by a later one."""
         if number > self.delivered:
             self.remove(number)
         else:
             self._superseded.append(number)
 
     def remove(self, number: int) -> None:
-        """Remove an event; nothing happens where it is no longer present."""
+        """Remove an event, if it is still present."""
         for events in (self._purges, self._list_changes):
             data = events.pop(number, None)
             if data is not None:
                 self.size_bytes -= len(data)
 
     def mark_delivered(self) -> None:
-        """Count everything up to ``head`` as delivered, and remove what it supersedes."""
+        """Mark all events up to ``head`` as delivered, and remove those that they supersede."""
         for number in self._superseded:
             self.remove(number)
         self._superseded.clear()
--- a/packages/control-relay/src/control_relay/events.py
+++ b/packages/control-relay/src/control_relay/events.py
@@ -13,8 +13,8 @@
 
 from sansio_core import Notice, SetTimer, Started, TimerFired
 
+# One endpoint in its wire form: ``host``, ``dial``, ``site`` and so on; unknown keys are passed on.
 Endpoint = Mapping[str, Any]
-"""One endpoint in its wire form: ``host``, ``dial``, ``site`` and so on; unknown keys are passed on."""
 
 
 class PollerRole(StrEnum):
@@ -22,11 +22,10 @@
 
     ROUTER = "router"
     RELAY = "relay"
+    # A relay of the same level, which is served but neither tracked nor waited for.
     SIBLING = "sibling"
-    """A relay of the same level, which is served but neither tracked nor waited for."""
-
+    # A health check: answered at once with the age alone.  A probe with a name deregisters its sender.
     PROBE = "probe"
-    """A health check: answered at once with the age alone.  A probe with a name deregisters its sender."""
 
 
 class RejectReason(StrEnum):
--- a/packages/control-relay/src/control_relay/low_water_marks.py
+++ b/packages/control-relay/src/control_relay/low_water_marks.py
@@ -1,4 +1,4 @@
-"""Low-water marks: up to which event all members have acknowledged.  They never go back."""
+"""Low-water marks: the highest event number that all members have acknowledged.  They never decrease."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 from control_relay.active_purges import PurgeTarget
 
+# Upper bound on the checkpoints; if it is exceeded, every other one is dropped, which only delays reports to
+# the upstream.
 MAX_CHECKPOINTS = 4_096
-"""Checkpoints kept; past it every other one is dropped, which only delays what is reported upstream."""
 
 
 @dataclass(slots=True)
@@ -31,7 +32,7 @@
 
 
 class LowWaterMarks:
-    """``acknowledged`` counts in the relay's numbers, ``upstream_acknowledged`` in the upstream's."""
+    """The low-water mark in the relay's numbers (``acknowledged``) and in the upstream's."""
 
     def __init__(self, acknowledged: int, recent_purges: int) -> None:
         self.acknowledged = acknowledged
--- a/packages/control-relay/src/control_relay/member.py
+++ b/packages/control-relay/src/control_relay/member.py
@@ -8,11 +8,11 @@
 
 from control_relay.events import PollerRole
 
+# Names of lagging routers that are shown or reported upstream.
 MAX_LAGGING_NAMES = 8
-"""Names of lagging routers that are shown or reported upstream."""
 
+# Upper bound on the stored responses of a member; if it is reached, every other one is dropped.
 MAX_UNACKNOWLEDGED_RESPONSES = 64
-"""Responses remembered per member; past it every other one is dropped."""
 
 
 class UnacknowledgedResponse(NamedTuple):
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaggingSummary:
-    """How many routers lag, and the names of some."""
+    """The number of lagging routers, and the names of some of them."""
 
     count: int
     names: tuple[str, ...]
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """A member by its name, ``#`` and its connection's number where it has none.
+    """A member by its name, which is ``#`` and its connection's number if its polls state none.
 
     ``complete_state_number`` is the list's number in the last complete state that the member was sent: 0
     where it was sent none since it registered, None where that is unknown.
--- a/packages/control-relay/src/control_relay/members.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -1,4 +1,4 @@
-"""The table of members, indexed so that the least acknowledged number is known without a search."""
+"""The table of members, indexed so that the lowest acknowledged number is known without a search."""
 
 from __future__ import annotations
 
@@ -14,19 +14,18 @@
 from control_relay.settings import RelaySettings
 from control_relay.validation import NAME_PATTERN, int_or_default
 
+# Upper bound on the lagging routers that a relay reports; a higher report is reduced to this.
 MAX_REPORTED_LAGGING = 1 << 20
-"""Routers behind a relay; a larger report is reduced to this."""
 
 
 class ResumePosition(Enum):
     """Where a poll continues, compared with what its sender polled for before."""
 
     CONTINUED = "continued"
+    # Below the last poll's number: the sender restarted.
     REWOUND = "rewound"
-    """Below the last poll's number: the sender restarted."""
-
+    # Not a number that this relay has given out in this epoch.
     FOREIGN = "foreign"
-    """Not a number that this relay has given out in this epoch."""
 
 
 class MemberTableFullError(Exception):
@@ -76,7 +75,7 @@
         return member
 
     def apply_poll(self, member: Member, request: PollRequest, resume: int) -> ResumePosition:
-        """Take a poll in this epoch as an acknowledgement of what the member says it has.
+        """Record the events that a member's poll in this epoch acknowledges.
 
         A number below that of the last poll is a restart, which acknowledges nothing.
         """
@@ -101,7 +100,7 @@
         self._set_acknowledged(member, 0)
 
     def remove(self, name: object) -> None:
-        """Stop waiting for a member; nothing happens where the name is unknown."""
+        """Remove a member, if the name is known, so that nothing waits for its acknowledgement."""
         member = self.get(name)
         if member is not None:
             del self._by_name[member.name]
--- a/packages/control-relay/src/control_relay/paged_responses.py
+++ b/packages/control-relay/src/control_relay/paged_responses.py
@@ -12,15 +12,17 @@
 from control_relay.endpoints import EndpointList
 from control_relay.event_log import EventLog, LogEvent
 
-SHARED_FOR_MS = 50
-"""How long a response is shared.  The age that it states is greater by this, so that it is never too low."""
+# Time for which an encoded response is reused.  The age that it states is increased by this, so that it is
+# never too low.
+MAX_RESPONSE_REUSE_MS = 50
 
+# Upper bound on the cached responses.
 MAX_CACHED_RESPONSES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Encoded events.
+    """A page of encoded events.
 
     ``last_number`` is that of the last event, None without events.  Whoever has them is complete up to
     ``complete_up_to``; None where more pages follow, because a member may not apply a list before the last.
@@ -56,7 +58,7 @@
 
 
 class PagedResponses:
-    """Encodes responses and caches them for ``SHARED_FOR_MS``.
+    """Encodes responses and caches them for ``MAX_RESPONSE_REUSE_MS``.
 
     Call ``invalidate`` after each change of the log.
     """
@@ -94,12 +96,14 @@
 
     def _cached(self, now: float, key: _CacheKey) -> Response | None:
         cached = self._cache.get(key)
-        if cached is None or now - cached.encoded_at_ms > SHARED_FOR_MS:
+        if cached is None or now - cached.encoded_at_ms > MAX_RESPONSE_REUSE_MS:
             return None
         return cached.response
 
     def _encode(self, now: float, age_ms: float, key: _CacheKey, page: Page) -> Response:
-        body = encode_response(self._epoch, math.ceil(age_ms) + SHARED_FOR_MS, page.cursor, page.events)
+        body = encode_response(
+            self._epoch, math.ceil(age_ms) + MAX_RESPONSE_REUSE_MS, page.cursor, page.events
+        )
         complete_state_number = self._endpoints.number if key.is_complete_state else None
         response = Response(body, page.last_number, page.complete_up_to, complete_state_number)
         if len(self._cache) >= MAX_CACHED_RESPONSES:
--- a/packages/control-relay/src/control_relay/pending_polls.py
+++ b/packages/control-relay/src/control_relay/pending_polls.py
@@ -9,11 +9,11 @@
 
 from control_relay.member import Member
 
+# Deadlines are rounded up to a multiple of this, so that one timer serves many polls.
 DEADLINE_SLOT_MS = 25.0
-"""Deadlines are rounded up to a multiple of this, so that one timer serves many polls."""
 
+# How early a timer may fire, because clocks are rounded.
 TIMER_TOLERANCE_MS = 1.0
-"""How early a timer may fire, because clocks are rounded."""
 
 
 class PendingPoll(NamedTuple):
--- a/packages/control-relay/src/control_relay/poll_handling.py
+++ b/packages/control-relay/src/control_relay/poll_handling.py
@@ -1,7 +1,9 @@
-"""Decides how a poll is answered: with changes, the complete state, later, or not at all."""
+"""Poll handling: answers a poll with changes or the complete state, keeps it pending, or rejects it."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from control_relay.delivery import Delivery
 from control_relay.events import (
     PollerRole,
@@ -18,31 +20,34 @@
 from control_relay.validation import NAME_PATTERN, duration_or_zero, int_or_default
 
 
-class PollHandler:
-    """Handles the polls of a relay that is ready.
+@dataclass(frozen=True, slots=True)
+class Epoch:
+    """The epoch of a relay's event numbers: its name, and the first number in it."""
+
+    name: str
+    first_number: int
 
-    ``first_number`` is the first event number of the relay's epoch.
-    """
+
+class PollHandler:
+    """Handles the polls of a relay that is ready."""
 
     def __init__(
         self,
         settings: RelaySettings,
-        epoch: str,
-        first_number: int,
+        epoch: Epoch,
         state: RelayState,
         members: MemberTable,
         delivery: Delivery,
     ) -> None:
         self._settings = settings
         self._epoch = epoch
-        self._first_number = first_number
         self._log = state.log
         self._endpoints = state.endpoints
         self._members = members
         self._delivery = delivery
 
     def handle(self, now: float, event: PollReceived) -> list[RelayAction]:
-        """Answer a poll, or keep it until there is something to answer."""
+        """Answer or reject a poll, or keep it pending until an event is delivered."""
         poller = event.poller
         request = event.request
         pending_polls = self._delivery.pending_polls
@@ -85,9 +90,9 @@
         return member
 
     def _resume_position(self, member: Member | None, request: PollRequest, resume: int) -> ResumePosition:
-        """Compare a poll with what its sender had before, and take its acknowledgement."""
-        is_own_epoch = not request.epoch or request.epoch == self._epoch
-        if not is_own_epoch or not self._first_number <= resume <= self._log.delivered:
+        """Return where a poll continues, and record what it acknowledges."""
+        is_current_epoch = not request.epoch or request.epoch == self._epoch.name
+        if not is_current_epoch or not self._epoch.first_number <= resume <= self._log.delivered:
             if member is not None:
                 self._members.restart(member)
             return ResumePosition.FOREIGN
@@ -117,8 +122,8 @@
         member = self._members.get(request.name)
         if member is None:
             return
-        waits_elsewhere = member.poller != poller and member.poller in self._delivery.pending_polls
-        if not waits_elsewhere:
+        has_other_poll = member.poller != poller and member.poller in self._delivery.pending_polls
+        if not has_other_poll:
             self._members.remove(request.name)
             self._delivery.advance_low_water_marks(now)
 
--- a/packages/control-relay/src/control_relay/relay.py
+++ b/packages/control-relay/src/control_relay/relay.py
@@ -1,4 +1,4 @@
-"""The relay's state machine: it passes on what an upstream sends, once to each member that lacks it."""
+"""The relay's state machine: it delivers the events of its upstream to each member that lacks them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from control_relay.low_water_marks import LowWaterMarks
 from control_relay.members import MemberTable
 from control_relay.notices import RelayNotice
-from control_relay.poll_handling import PollHandler, connection_name
+from control_relay.poll_handling import Epoch, PollHandler, connection_name
 from control_relay.relay_state import RelayState
 from control_relay.settings import RelaySettings
 from control_relay.status import StatusReporter
@@ -57,7 +57,9 @@
         self.members = MemberTable(settings)
         self.low_water_marks = LowWaterMarks(first_number - 1, settings.recent_purges)
         self.delivery = Delivery(settings, epoch, self.state, self.members, self.low_water_marks)
-        self._polls = PollHandler(settings, epoch, first_number, self.state, self.members, self.delivery)
+        self._polls = PollHandler(
+            settings, Epoch(epoch, first_number), self.state, self.members, self.delivery
+        )
         self._reporter = StatusReporter(epoch, self.state, self.members, self.low_water_marks, self.delivery)
 
     def handle(self, now: float, event: RelayEvent) -> list[RelayAction]:
@@ -97,15 +99,15 @@
         return self._reporter.recent_purges()
 
     def lagging_members(self, now: float) -> tuple[MemberStatus, ...]:
-        """Return who has not acknowledged the last delivered event, those that lack most first."""
+        """Return the members that have not acknowledged the last delivered event, the most lagging first."""
         return self._reporter.lagging_members(now)
 
     def upstream_progress(self) -> UpstreamProgress:
-        """Return what this relay's own poll reports to its upstream."""
+        """Return the progress that this relay reports to its upstream in its polls."""
         return self._reporter.upstream_progress()
 
     def age_ms(self, now: float) -> float:
-        """Return how long ago discovery confirmed the delivered state, at most; infinite: never."""
+        """Return an upper bound of the delivered state's age; infinite if discovery never confirmed it."""
         return self.delivery.freshness.age_ms(now)
 
     # Upstream events
--- a/packages/control-relay/src/control_relay/relay_state.py
+++ b/packages/control-relay/src/control_relay/relay_state.py
@@ -1,4 +1,4 @@
-"""What the upstream sent: the current list, the active purges, and the log of numbered events."""
+"""The state received from the upstream: the current list, the active purges, and the log of events."""
 
 from __future__ import annotations
 
@@ -27,8 +27,9 @@
 from control_relay.settings import RelaySettings
 from control_relay.validation import age_or_none, int_or_default, unix_ms_or_infinity
 
-MERGED_FRACTION = 4
-"""Past ``max_purges``, one in this many of the purges becomes purges of groups."""
+# If there are more than ``max_purges``, the oldest ``max_purges / MERGED_PURGES_DIVISOR`` are merged into
+# purges of their groups.
+MERGED_PURGES_DIVISOR = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +113,7 @@
 
         Where an object's group is unknown all groups are purged, so that no purge is lost.
         """
-        oldest = self.purges.oldest_objects(max(1, self._settings.max_purges // MERGED_FRACTION))
+        oldest = self.purges.oldest_objects(max(1, self._settings.max_purges // MERGED_PURGES_DIVISOR))
         latest_by_group: dict[int, float] = {}
         for purge in oldest:
             self.purges.remove(purge)
@@ -128,7 +129,7 @@
         return Notice(RelayNotice.PURGES_MERGED, {"objects": len(oldest), "groups": len(latest_by_group)})
 
     def _count_fault(self, code: str) -> list[Notice]:
-        """Count a fault; a notice for the 1st, 2nd, 4th and so on bounds the log under bad input."""
+        """Count a fault; return a notice of the 1st, 2nd, 4th, 8th and so on, which bounds the log."""
         self.faults[code] += 1
         count = self.faults[code]
         if not is_power_of_two(count):
--- a/packages/control-relay/src/control_relay/settings.py
+++ b/packages/control-relay/src/control_relay/settings.py
@@ -12,41 +12,29 @@
 class RelaySettings:
     """Bounds and durations by which ``Relay`` works."""
 
+    # Routers and relays that count as unacknowledged until they have polled for the first time.
     expected_members: tuple[str, ...] = ()
-    """Routers and relays that count as unacknowledged until they have polled for the first time."""
-
+    # Events that arrive within this time of the first undelivered one are delivered in one response.
     batch_window_ms: float = 150.0
-    """Events that arrive within this time of the first undelivered one are delivered in one response."""
-
+    # How long a purge is delivered to members that lack it.
     purge_retention_ms: float = 10_000.0
-    """How long a purge is delivered to members that lack it."""
-
+    # A member that has not polled for this long after its last poll's block time is unreachable.
     absence_timeout_ms: float = 3_000.0
-    """A member that has not polled for this long after its last poll's block time is unreachable."""
-
+    # Upper bound of a long poll's block time.
     max_block_ms: float = 5_000.0
-    """Upper bound of a long poll's block time."""
-
+    # Encoded events in one response; a single event may exceed it.
     max_page_bytes: int = 64_000
-    """Encoded events in one response; a single event may exceed it."""
-
+    # Purges retained before the oldest ones are merged into purges of groups.
     max_purges: int = 4_096
-    """Purges retained before the oldest ones are merged into purges of groups."""
-
+    # Endpoints in the list; further ones are counted as faults and never delivered.
     max_endpoints: int = 4_096
-    """Endpoints in the list; further ones are counted as faults and never delivered."""
-
+    # Changes of the endpoint list that the log retains.
     max_list_changes: int = 1_024
-    """Changes of the endpoint list that the log retains."""
-
+    # Encoded size of the changes that the log retains.
     max_list_change_bytes: int = 1_000_000
-    """Encoded size of the changes that the log retains."""
-
+    # Routers and relays tracked by name; beyond it the longest unreachable one is evicted.
     max_members: int = 2_048
-    """Routers and relays tracked by name; beyond it the longest unreachable one is evicted."""
-
+    # Long polls that wait for an event at the same time.
     max_pending_polls: int = 4_096
-    """Long polls that wait for an event at the same time."""
-
+    # Purges that ``Relay.recent_purges`` reports.
     recent_purges: int = 16
-    """Purges that ``Relay.recent_purges`` reports."""
--- a/packages/control-relay/src/control_relay/status.py
+++ b/packages/control-relay/src/control_relay/status.py
@@ -17,11 +17,12 @@
 from control_relay.members import MemberTable
 from control_relay.relay_state import RelayState
 
-NOBODY_LAGS = LaggingSummary(0, ())
+# The summary of no lagging routers.
+NONE_LAGGING = LaggingSummary(0, ())
 
 
 class StatusReporter:
-    """Reads the parts of a relay; changes nothing."""
+    """Makes reports from the parts of a relay, and changes none of them."""
 
     def __init__(
         self,
@@ -65,7 +66,7 @@
         return tuple(self._purge_status(purge) for purge in self._low_water_marks.recent_purges)
 
     def lagging_members(self, now: float) -> tuple[MemberStatus, ...]:
-        """Return who has not acknowledged the last delivered event, those that lack most first."""
+        """Return the members that have not acknowledged the last delivered event, the most lagging first."""
         statuses = []
         for member in self._members.not_acknowledged(self._state.log.delivered):
             unreachable = self._members.is_unreachable(member, now)
@@ -81,8 +82,8 @@
         return tuple(statuses)
 
     def upstream_progress(self) -> UpstreamProgress:
-        """Return what the relay's own poll reports; lagging are those with no more than is acknowledged."""
-        summary = NOBODY_LAGS
+        """Return what the relay reports in its polls; lagging members are those at the low-water mark."""
+        summary = NONE_LAGGING
         if self._low_water_marks.acknowledged < self._state.log.delivered:
             summary = summarize_lagging(
                 self._members.not_acknowledged(self._low_water_marks.acknowledged + 1)
@@ -90,7 +91,7 @@
         return UpstreamProgress(self._low_water_marks.upstream_acknowledged, summary.count, summary.names)
 
     def _purge_status(self, purge: PropagatingPurge) -> PurgeStatus:
-        summary = NOBODY_LAGS
+        summary = NONE_LAGGING
         if purge.propagated_at_ms is None:
             summary = summarize_lagging(self._members.not_acknowledged(purge.number))
         target = purge.target
--- a/packages/control-relay/src/control_relay/validation.py
+++ b/packages/control-relay/src/control_relay/validation.py
@@ -5,14 +5,14 @@
 import math
 import re
 
+# JSON readers disagree about integers beyond this.
 MAX_SAFE_INTEGER = 1 << 53
-"""JSON readers disagree about integers beyond this."""
 
+# Types of a JSON number; a constant, because ``int | float`` is built anew each time it is evaluated.
 NUMBER_TYPES = (int, float)
-"""Types of a JSON number; a constant, because ``int | float`` is built anew each time it is evaluated."""
 
+# Name of an epoch, a router or a relay.
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,32}", re.ASCII)
-"""Name of an epoch, a router or a relay."""
 
 
 def int_or_default(value: object, default: int = 0) -> int:
--- a/packages/control-sim/tests/mutants.py
+++ b/packages/control-sim/tests/mutants.py
@@ -57,7 +57,7 @@
 
 
 def accept_any_epoch(self: PollHandler, now: float, event: PollReceived) -> Any:
-    request = replace(event.request, epoch=self._epoch)
+    request = replace(event.request, epoch=self._epoch.name)
     return original_handle_poll(self, now, replace(event, request=request))
 
 
