--- a/packages/control-client/src/control_client/events.py
+++ b/packages/control-client/src/control_client/events.py
@@ -15,7 +15,7 @@
 
 
 class SwitchReason(StrEnum):
-    """Why a source is polled or left, as the log has it; failures have reasons of the caller."""
+    """Why the selector switched; the values are those of the log.  A failure has a reason of the caller."""
 
     STARTED = "start"
     RETRY = "again"
@@ -25,14 +25,14 @@
 
 
 class SelectorState(Enum):
-    """State of a selector."""
+    """Whether a selector polls a source, and the state of that source."""
 
+    # No source is polled: all that may be polled have failed and wait for their retry.
     SEARCHING = "searching"
-    """No source is polled: all that may be polled have failed and wait for their retry."""
-
+    # The polled source answers with a state that is fresh enough.
     HEALTHY = "healthy"
+    # The polled source's state is too old, or older than the list that the follower keeps.
     DEGRADED = "degraded"
-    """The polled source's state is too old, or older than the one that is kept."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """A probe was answered with this age."""
+    """A probe was answered; ``age_ms`` is the age that the answer states."""
 
     source: Address
     age_ms: float
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
-    """Send one short poll beside the others, of which no state is taken.
+    """Send one short poll to a source that is not polled; its answer gives no state.
 
     Report ``ProbeAnswered`` or ``ProbeFailed``.
     """
@@ -154,23 +154,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumePosition:
-    """What the next poll states: the epoch, and the number of the last event taken; 0 asks for all."""
+    """The position that a poll states: the epoch and the last accepted event; 0 requests all events."""
 
     epoch: str
     resume: int
 
 
 class SyncStatus(Enum):
-    """How far the follower is in step with the source after a response."""
+    """Whether the follower has all events of the source after a response."""
 
+    # All events of the source were accepted.
     IN_SYNC = "in sync"
-    """Everything that the source had was taken."""
-
+    # The source has more events, which the next poll gets without waiting.
     MORE_AVAILABLE = "more available"
-    """The next poll gets more at once."""
-
+    # The current list is kept because the source's is older; another source should be polled.
     SOURCE_STALE = "source stale"
-    """The current list is kept because the source's is older; another source should be polled."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/control-client/src/control_client/probe_scheduler.py
+++ b/packages/control-client/src/control_client/probe_scheduler.py
@@ -1,4 +1,4 @@
-"""Decides when sources that are not polled are probed."""
+"""Schedules the probes of sources that are not polled."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from control_client.selection_timings import SelectionTimings
 from control_client.source_health import SourceHealth
 
+# Time after which a probe without a reported result counts as failed.
 PROBE_TIMEOUT_MS = 3000.0
-"""A probe of which nothing was reported for this long counts as failed."""
 
 
 class ProbeScheduler:
     """Plans probes of preferred sources, and of all alternatives while the polled source is degraded.
 
-    ``rounds`` counts the rounds of probes since the polled source became degraded; they become rarer.
+    ``rounds`` counts the rounds of probes since the polled source became degraded; the time between rounds
+    increases.
     """
 
     def __init__(self, timings: SelectionTimings, draw: RandomSource) -> None:
@@ -42,6 +43,6 @@
         source.next_probe_ms = now + jittered(interval_ms, self._draw)
 
     def start(self, source: SourceHealth, now: float) -> None:
-        """Record that a probe is sent."""
+        """Record that a probe of this source is sent."""
         source.next_probe_ms = math.inf
         source.probe_deadline_ms = now + PROBE_TIMEOUT_MS
--- a/packages/control-client/src/control_client/response_timeout.py
+++ b/packages/control-client/src/control_client/response_timeout.py
@@ -7,18 +7,18 @@
 from control_client.backoff import exponential_backoff
 from control_client.selection_timings import SelectionTimings
 
+# A timer that fires later than this shows that this process was late: responses may be unread.
 LATE_TIMER_MS = 100.0
-"""A timer that fires later than this shows that this process was late: responses may be unread."""
 
+# Upper bound of the grace period after a late timer, in which such responses are read.
 MAX_GRACE_MS = 500.0
-"""Upper bound of the time that is then given to read them."""
 
 
 class ResponseTimeout:
     """Deadline of the current poll, infinite where none is in flight.
 
-    Consecutive timeouts, of whichever source, double the time: sources that are slow because many clients
-    arrive at once must not be polled in turn for complete states that nobody waits for.
+    Consecutive timeouts, of any sources, double the time: if sources are slow because many clients arrive at
+    once, polling one after the other would only make them encode complete states that are never read.
     """
 
     def __init__(self, timings: SelectionTimings) -> None:
@@ -27,7 +27,7 @@
         self._consecutive_timeouts = 0
 
     def start(self, now: float) -> None:
-        """Start the time of a poll, or of connecting for one."""
+        """Set the deadline of a poll that is sent now, or of the connection for it."""
         timeout_ms = exponential_backoff(
             self._timings.response_timeout_ms,
             self._consecutive_timeouts,
@@ -36,7 +36,7 @@
         self.deadline_ms = now + timeout_ms
 
     def response_received(self) -> None:
-        """Clear the deadline; the next timeout is short again."""
+        """Clear the deadline, and the count of consecutive timeouts."""
         self.deadline_ms = math.inf
         self._consecutive_timeouts = 0
 
--- a/packages/control-client/src/control_client/resync_limiter.py
+++ b/packages/control-client/src/control_client/resync_limiter.py
@@ -4,13 +4,14 @@
 
 import math
 
+# Minimum time between the first two requests.
 MIN_RESYNC_INTERVAL_MS = 1000.0
 
+# Upper bound of that time, which doubles with each request.
 MAX_RESYNC_INTERVAL_MS = 30_000.0
-"""The interval doubles up to this."""
 
+# Time without a resynchronization after which the interval is reset to its minimum.
 STABLE_MS = 60_000.0
-"""After this time without a resynchronization the interval is short again."""
 
 
 class ResyncLimiter:
--- a/packages/control-client/src/control_client/selection_timings.py
+++ b/packages/control-client/src/control_client/selection_timings.py
@@ -1,4 +1,4 @@
-"""Durations by which ``SourceSelector`` decides, in milliseconds."""
+"""The durations that ``SourceSelector`` decides by, in milliseconds."""
 
 from __future__ import annotations
 
@@ -16,51 +16,42 @@
 class SelectionTimings:
     """Durations in ms, all above 0, else InvalidTimingError.
 
-    Those with a maximum double each time up to it.  Waits are drawn between half and all of their duration.
+    A duration ``x_ms`` with a maximum ``max_x_ms`` is doubled repeatedly up to it.  Waits have jitter: each
+    is drawn between half of its duration and all of it.
     """
 
+    # A source that has not answered a poll for this long has failed; doubles with consecutive timeouts.
     response_timeout_ms: float = 1300.0
-    """A source that has not answered a poll for this long has failed; doubles with consecutive timeouts."""
-
     max_response_timeout_ms: float = 5200.0
 
+    # A source whose state is older than this is degraded.
     degraded_age_ms: float = 2000.0
-    """A source whose state is older than this is degraded."""
-
+    # Another source is fresher if its freshness timestamp is later by this.
     fresher_by_ms: float = 1000.0
-    """Another source is fresher if its freshness timestamp is later by this."""
-
+    # Wait until a failed source may be polled again; doubles with consecutive failures.
     retry_ms: float = 100.0
-    """Wait until a failed source may be polled again; doubles with consecutive failures."""
-
     max_retry_ms: float = 2000.0
 
+    # Time between probes of a source that is not polled; doubles while it fails.
     probe_interval_ms: float = 2000.0
-    """Time between probes of a source that is not polled; doubles while it fails."""
-
     max_probe_interval_ms: float = 16_000.0
 
+    # How long a preferred source has to be healthy before the selector returns to it; doubles with each time
+    # that it failed while it was polled.
     recovery_ms: float = 10_000.0
-    """How long a preferred source has to be healthy before the selector returns to it.
-
-    Doubles with each time that it failed while it was polled.
-    """
-
     max_recovery_ms: float = 160_000.0
 
+    # Returns are spread over this time, so that a fleet does not return at once.
     return_spread_ms: float = 10_000.0
-    """Returns are spread over this time, so that a fleet does not return at once."""
-
+    # Returns from a sibling, which need no recovery time, are spread over this time.
     sibling_return_spread_ms: float = 1000.0
-    """The same for returns from a sibling, which need no recovery time."""
-
+    # Minimum time between switches without a failure; doubles with each such switch.
     switch_interval_ms: float = 1000.0
-    """Time between switches that no failure forces; doubles with each."""
-
     max_switch_interval_ms: float = 30_000.0
 
+    # Time after which doublings are reset: of the switch interval, without such a switch; of a source's
+    # recovery time, while that source is polled without interruption.
     stable_ms: float = 60_000.0
-    """After this time without such a switch, or with one source, its penalties are forgotten."""
 
     def __post_init__(self) -> None:
         for duration in fields(self):
--- a/packages/control-client/src/control_client/source_health.py
+++ b/packages/control-client/src/control_client/source_health.py
@@ -1,4 +1,4 @@
-"""What a selector knows about one source."""
+"""The health of one source, as a selector knows it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         return self.probe_deadline_ms < math.inf
 
     def mark_unhealthy(self) -> None:
-        """Start its recovery time anew."""
+        """Restart the recovery time, and cancel a planned return to the source."""
         self.healthy_since_ms = math.inf
         self.return_at_ms = math.inf
 
@@ -49,5 +49,5 @@
         self.probe_deadline_ms = math.inf
 
     def next_due_ms(self) -> float:
-        """Return when something has to be done about this source."""
+        """Return the time of the source's next probe, probe timeout or return."""
         return min(self.next_probe_ms, self.probe_deadline_ms, self.return_at_ms)
--- a/packages/control-client/src/control_client/source_pool.py
+++ b/packages/control-client/src/control_client/source_pool.py
@@ -1,4 +1,4 @@
-"""The sources of a selector, and which of them may be polled."""
+"""The sources of a selector, and the choice of those that may be polled."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 from control_client.selection_timings import SelectionTimings
 from control_client.source_health import SourceHealth
 
+# Upper bound on the sources of a selector.
 MAX_SOURCES = 16
 
+# Consecutive failures of every upstream after which siblings are polled.
 FAILURES_BEFORE_SIBLINGS = 2
-"""Consecutive failures of every upstream until siblings are polled."""
 
 
 class InvalidSourcesError(ValueError):
@@ -41,7 +42,7 @@
         return iter(self.by_address.values())
 
     def eligible(self) -> list[SourceHealth]:
-        """Return the sources that may be polled while none is."""
+        """Return the sources that may be polled while no source is polled."""
         upstreams = [source for source in self if not source.is_sibling]
         if any(source.consecutive_failures < FAILURES_BEFORE_SIBLINGS for source in upstreams):
             return upstreams
@@ -82,5 +83,5 @@
         return max(fresher, key=lambda source: source.as_of_ms, default=None)
 
     def is_fresher(self, source: SourceHealth, other: SourceHealth) -> bool:
-        """Return whether a source's state is fresher than another's by the margin that counts."""
+        """Return whether a source's state is fresher than another's by at least ``fresher_by_ms``."""
         return source.as_of_ms - other.as_of_ms >= self._timings.fresher_by_ms
--- a/packages/control-client/src/control_client/source_selection.py
+++ b/packages/control-client/src/control_client/source_selection.py
@@ -1,9 +1,10 @@
 """Selects the source to poll.
 
-Upstreams are polled in the operators' order, siblings only where no upstream answers.  A failure moves on at
-once; a state that is too old only where another source is fresher, and less and less often.  Sources that are
-not polled are probed: preferred ones to return to them, all of them while the polled one is degraded.  Waits
-are drawn at random, so that a whole region does not switch at once.
+Upstreams are polled in the operators' order, siblings only if no upstream answers.  After a failure the
+selector switches at once.  If the polled source's state is too old, it switches only to a fresher source, at
+increasing intervals.  Sources that are not polled are probed: preferred ones in order to return to them, all
+of them while the polled one is degraded.  Waits have jitter, so that the clients of a region do not switch at
+once.
 """
 
 from __future__ import annotations
@@ -36,15 +37,17 @@
 from control_client.source_pool import SourcePool
 from control_client.switch_limiter import SwitchLimiter
 
+# The shortest timer that is set.
 MIN_TIMER_MS = 1.0
 
+# The durations by which a selector decides unless others are given.
 DEFAULT_TIMINGS = SelectionTimings()
 
 
 class SourceSelector:
-    """Selection of one router or relay.  Raises InvalidSourcesError.
+    """Selects the source that one router or relay polls.  Raises InvalidSourcesError.
 
-    ``switches`` counts how often another source was polled than before.
+    ``switches`` counts how often the selector started to poll another source than the last one.
     """
 
     def __init__(
@@ -136,7 +139,7 @@
         self._poll_first_available(now, reason)
 
     def _poll_first_available(self, now: float, reason: str) -> None:
-        """Poll the first source that may be polled; without one the timer tries again."""
+        """Poll the first available source; if there is none, the timer causes the next attempt."""
         source = self._pool.first_available(now)
         if source is not None:
             self._poll(source, now, reason)
@@ -214,9 +217,9 @@
         if current is None:
             return
         returns_to_upstream = current.is_sibling and not source.is_sibling
-        # An old state of an upstream is good enough where the sibling's is not fresher.
-        suffices = returns_to_upstream and not self._pool.is_fresher(current, source)
-        if age_ms > self.timings.degraded_age_ms and not suffices:
+        # An upstream's old state is acceptable if the sibling's is not fresher.
+        is_acceptable = returns_to_upstream and not self._pool.is_fresher(current, source)
+        if age_ms > self.timings.degraded_age_ms and not is_acceptable:
             source.mark_unhealthy()
         else:
             source.healthy_since_ms = min(source.healthy_since_ms, now)
--- a/packages/control-client/src/control_client/state_follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -1,10 +1,10 @@
-"""Decides what to accept of the state that sources send: no older state undoes a drain or a purge.
+"""Accepts the state that sources send, so that no older state undoes a drain or a purge.
 
 Every state has a freshness timestamp (as-of): when discovery itself confirmed it.  For a response it lies
 between the poll's time and the response's, less the age that the response states.  For the current state the
-later end counts, for an offered one the earlier.  After a change of epoch, or a request for everything, list
-events are merged until the source has sent all, and the resulting list is judged: a plain discovery sends its
-history from the first list on, and an intermediate list must not be served by.
+later end counts, for a received one the earlier.  After a change of epoch, or a request for everything, list
+events are merged until the source has sent all, and only the resulting list is accepted or rejected: a plain
+discovery sends its history from the first list on, and no intermediate list may be used.
 """
 
 from __future__ import annotations
@@ -28,35 +28,38 @@
 from control_client.resync_limiter import ResyncLimiter
 from control_client.state_merge import EndpointListMerge
 
+# A list with a lower seq is accepted if it is fresher by this much: then discovery was reset to an earlier
+# state.
 RESET_MARGIN_MS = 1000.0
-"""A list with a lower seq is accepted if it is fresher by this: then discovery was set back."""
 
+# A list that is older by this much is rejected whatever its seq: it is from before discovery was reset.
 HISTORY_MARGIN_MS = 2000.0
-"""A list that is older by this is rejected whatever its seq: it is from before discovery was set back."""
 
+# Time after a poll from which on it is unknown when its response was written.
 SLOW_RESPONSE_MS = 1300.0
-"""Past this time after its poll, nothing says when a response was written."""
 
+# Default upper bound on the purges that are remembered.
 MAX_PURGES = 4096
 
+# Default upper bound on the endpoints in the list.
 MAX_ENDPOINTS = 4096
 
+# Default time for which a purge is remembered.
 PURGE_RETENTION_MS = 10_000.0
 
+# Event number before the first event of a response.
 NO_EVENT = -1
 
 
 class FollowerState(Enum):
     """How list events of the source are treated."""
 
+    # They are merged into a complete list, which is accepted or rejected once the source has sent all.
     MERGING = "merging"
-    """They are merged into a complete list, which is judged once the source has sent all."""
-
+    # They are accepted as they come.
     FOLLOWING = "following"
-    """They are accepted as they come."""
-
+    # The source's list is older than the current one: its changes are skipped.
     SKIPPING = "skipping"
-    """The source's list is older than the current one: its changes are skipped."""
 
 
 @dataclass(slots=True)
@@ -77,7 +80,7 @@
 
     @property
     def is_incomplete(self) -> bool:
-        """Whether the source has more, or has not yet the numbers that were taken from it."""
+        """Whether the source has more events, or has not reached the numbers that were accepted from it."""
         if self.is_unrelated or self.cursor < self.floor:
             return True
         return NO_EVENT < self.last_event < self.cursor
@@ -87,8 +90,8 @@
     """Follows one source at a time, whichever is polled.
 
     Call ``begin_poll`` at each poll, then ``accept_response`` with the response; or, for a response in
-    pieces, ``begin_response``, ``accept_event`` for each event and ``end_response``.  A response that breaks
-    off needs no call: accepted events stay accepted, and the next poll asks for the rest.
+    pieces, ``begin_response``, ``accept_event`` for each event and ``end_response``.  A response that is
+    interrupted needs no call: accepted events stay accepted, and the next poll requests the following ones.
     """
 
     def __init__(
@@ -105,9 +108,12 @@
         self.list_as_of_ms = -math.inf
         self.recent_purges = RecentPurges(purge_retention_ms, max_purges)
         self.merge = EndpointListMerge(max_endpoints)
-        self._confirmed_as_of_ms = -math.inf  # of the last complete response
-        self._skip_through_seq = math.inf  # in SKIPPING: later changes are news
-        self._has_gap = False  # a change was missed
+        # Freshness timestamp of the state after the last complete response.
+        self._confirmed_as_of_ms = -math.inf
+        # While SKIPPING, a change with a higher seq requires a resynchronization.
+        self._skip_through_seq = math.inf
+        # Whether a change was missed.
+        self._has_gap = False
         self._resync_limiter = ResyncLimiter()
         self._cursor_reset = CursorResetDetector()
         self._polled_at_ms = -math.inf
@@ -127,13 +133,13 @@
         self.state = FollowerState.FOLLOWING
 
     def begin_poll(self, now: float) -> ResumePosition:
-        """Return what the poll that is sent now has to state."""
+        """Return the resume position for the poll that is sent now."""
         self._polled_at_ms = now
         self._polled_from = 0 if self._cursor_reset.is_verifying else self.cursor
         return ResumePosition(self.epoch, self._polled_from)
 
     def age_ms(self, now: float) -> float:
-        """Return how long ago discovery confirmed the current state, at most; infinite: never."""
+        """Return an upper bound of the current state's age; infinite if discovery never confirmed it."""
         return now - self._confirmed_as_of_ms
 
     def accept_response(self, now: float, response: PollResponse) -> AcceptedEvents:
@@ -204,7 +210,7 @@
             return ResponseOutcome(None, SyncStatus.MORE_AVAILABLE)
         merged_list = None
         if self.state is FollowerState.MERGING and self.merge.is_complete:
-            merged_list = self._judge_merged_list()
+            merged_list = self._accept_merged_list()
         if self.state is FollowerState.MERGING and self.merge.has_dropped_changes:
             self._has_gap = True
         if self.state is FollowerState.FOLLOWING:
@@ -216,7 +222,7 @@
         return ResponseOutcome(merged_list, SyncStatus.IN_SYNC if is_following else SyncStatus.SOURCE_STALE)
 
     def _enter_epoch(self, epoch: str) -> None:
-        """Expect the complete state of an epoch."""
+        """Start to merge the complete state of an epoch."""
         self.epoch = epoch
         self.cursor = 0
         self.state = FollowerState.MERGING
@@ -241,8 +247,8 @@
             self.seq = event.seq
         return True
 
-    def _judge_merged_list(self) -> EndpointListEvent | None:
-        """Return the merged list, or None where the current one is kept."""
+    def _accept_merged_list(self) -> EndpointListEvent | None:
+        """Return the merged list if it is accepted; None if the current list is kept."""
         merged = self.merge.result()
         self.merge.clear()
         skip_through_seq = self._seq_to_keep(merged)
@@ -257,7 +263,7 @@
         return merged
 
     def _seq_to_keep(self, merged: EndpointListEvent) -> float | None:
-        """Return up to which seq a source's changes are skipped; None where its list is accepted."""
+        """Return the seq up to which a source's changes are skipped; None if its list is accepted."""
         if not self.has_list or self._response.earliest_as_of_ms - self.list_as_of_ms >= RESET_MARGIN_MS:
             return None
         if merged.seq is None or (self.seq is not None and merged.seq < self.seq):
@@ -268,6 +274,7 @@
         return None
 
     def _confirm(self) -> None:
+        """Advance the freshness timestamps after a complete response."""
         response = self._response
         is_slow = response.received_at_ms - self._polled_at_ms > SLOW_RESPONSE_MS
         as_of_ms = response.earliest_as_of_ms if is_slow else response.latest_as_of_ms
@@ -275,7 +282,7 @@
         self._confirmed_as_of_ms = max(self._confirmed_as_of_ms, as_of_ms)
 
     def _needs_resync(self) -> bool:
-        """Return whether the complete state could lead to another verdict than the last one did."""
+        """Return whether a complete state is needed, or could be accepted although the last one was not."""
         if self._has_gap:
             return True
         if self.state is not FollowerState.SKIPPING:
--- a/packages/control-client/src/control_client/state_merge.py
+++ b/packages/control-client/src/control_client/state_merge.py
@@ -1,4 +1,4 @@
-"""Merges list events into the one list that results from them."""
+"""Merges the list events of a source into one complete list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EndpointListMerge:
-    """A list being merged; changes before the first complete list are dropped.
+    """A list that is being merged; changes before the first complete list are dropped.
 
     ``rejected`` counts endpoints beyond ``max_endpoints``.
     """
@@ -23,7 +23,7 @@
         self._seq: int | None = None
 
     def clear(self) -> None:
-        """Start anew; the count of rejected endpoints stays."""
+        """Start a new list; the count of rejected endpoints is kept."""
         self.is_complete = False
         self.has_dropped_changes = False
         self.endpoints = {}
--- a/packages/control-client/src/control_client/switch_limiter.py
+++ b/packages/control-client/src/control_client/switch_limiter.py
@@ -9,7 +9,7 @@
 
 
 class SwitchLimiter:
-    """The interval between voluntary switches doubles until the selector has been stable."""
+    """Doubles the interval between switches without a failure; resets it after ``stable_ms`` without one."""
 
     def __init__(self, timings: SelectionTimings) -> None:
         self.next_allowed_ms = -math.inf
@@ -18,11 +18,11 @@
         self._switches = 0
 
     def allows(self, now: float) -> bool:
-        """Return whether a voluntary switch is allowed now."""
+        """Return whether a switch without a failure is allowed now."""
         return now >= self.next_allowed_ms
 
     def record(self, now: float) -> None:
-        """Record a voluntary switch."""
+        """Record a switch without a failure."""
         timings = self._timings
         if now - self._last_switch_ms >= timings.stable_ms:
             self._switches = 0
