--- a/packages/gossip-codec/src/gossip_codec/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -18,24 +18,24 @@
 from gossip_codec.messages import MAX_UPDATES, Envelope, Message, Update
 from gossip_codec.replay_window import ReplayWindow
 
+# The first byte of each datagram.
 FORMAT_VERSION = 1
-"""The first byte of each datagram."""
 
+# Bytes of the hash that identifies the fleet.
 FLEET_ID_BYTES = 8
-"""Bytes of the hash that identifies the fleet."""
 
+# Bytes of the authentication tag.
 TAG_BYTES = 16
-"""Bytes of the authentication tag."""
 
+# Bytes before the body.
 HEADER_BYTES = 1 + FLEET_ID_BYTES
-"""Bytes before the body."""
 
+# Minimum length of a secret; a shorter one could be guessed.
 MIN_SECRET_BYTES = 16
-"""Bytes of a secret below which it could be guessed."""
 
 
 class RejectReason(Enum):
-    """Why a datagram was rejected; the values are documented words of the log."""
+    """Why a datagram was rejected; the values are those of the log."""
 
     SIZE = "size"
     VERSION = "version"
@@ -82,7 +82,7 @@
 
 
 class Codec:
-    """Encodes and decodes one router's datagrams, numbering those sent and rejecting replays received."""
+    """Encodes and decodes one router's datagrams; numbers those sent and rejects replayed ones."""
 
     def __init__(self, fleet: str, secret: bytes, window: ReplayWindow | None = None) -> None:
         """Raise ShortSecretError if the secret is too short."""
@@ -104,15 +104,15 @@
         """
         self._sequence += 1
         body = self._encoder.encode(Envelope(sender, incarnation, self._sequence, message))
-        room = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES - len(body)
-        if room < 0:
+        free_bytes = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES - len(body)
+        if free_bytes < 0:
             raise MessageTooLargeError(len(body))
         packed: list[bytes] = []
         for update in updates[:MAX_UPDATES]:
             encoded = self._encoder.encode(update)
-            if len(encoded) > room:
+            if len(encoded) > free_bytes:
                 break
-            room -= len(encoded)
+            free_bytes -= len(encoded)
             packed.append(encoded)
         # The body ends with an empty array, a header of one byte to which the number of elements is added.
         array_header = bytes([body[-1] + len(packed)])
--- a/packages/gossip-codec/src/gossip_codec/messages.py
+++ b/packages/gossip-codec/src/gossip_codec/messages.py
@@ -14,35 +14,35 @@
 from msgspec import Meta, Struct
 from sansio_core import Address
 
+# Buckets into which ``Sync`` divides the member table.
 DIGEST_BUCKETS = 16
-"""Buckets into which ``Sync`` divides the member table."""
 
+# Bytes of each bucket's digest.
 DIGEST_BYTES = 8
-"""Bytes of each bucket's digest."""
 
+# Updates in a datagram: the msgpack array of up to 15 elements has a header of one byte.
 MAX_UPDATES = 15
-"""Updates in a datagram: the msgpack array of up to 15 elements has a header of one byte."""
 
+# The largest integer on the wire: signed 64 bits, which every msgpack implementation has.
 MAX_INTEGER = (1 << 63) - 1
-"""The largest integer on the wire: signed 64 bits, which every msgpack implementation has."""
 
+# Bytes of a UDP port in a packed address.
 PORT_BYTES = 2
-"""Bytes of a UDP port in a packed address."""
 
+# Bytes of an IPv4 address in a packed address.
 IP_BYTES = 4
-"""Bytes of an IPv4 address in a packed address."""
 
+# The name of a member, unique in its fleet.
 MemberName = Annotated[str, Meta(min_length=1, max_length=32, pattern=r"\A[A-Za-z0-9._-]+\Z")]
-"""The name of a member, unique in its fleet."""
 
+# The name of a member, or the empty string.
 OptionalMemberName = Annotated[str, Meta(max_length=32, pattern=r"\A[A-Za-z0-9._-]*\Z")]
-"""The name of a member, or the empty string."""
 
+# An integer that is not negative.
 Natural = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
-"""An integer that is not negative."""
 
+# IPv4 address and port in network byte order.
 PackedAddress = Annotated[bytes, Meta(min_length=IP_BYTES + PORT_BYTES, max_length=IP_BYTES + PORT_BYTES)]
-"""IPv4 address and port in network byte order."""
 
 
 class InvalidPortError(ValueError):
@@ -63,7 +63,7 @@
 
 
 def pack_address(address: Address) -> bytes:
-    """Return an address as on the wire.
+    """Return the form of an address on the wire.
 
     Raises ValueError if the host is no IPv4 address in dotted form or the port is out of range.
     """
@@ -75,7 +75,7 @@
 
 
 def unpack_address(packed: bytes) -> Address:
-    """Return the address of its form on the wire."""
+    """Return the address that was packed by ``pack_address``."""
     host = IPv4Address(packed[:IP_BYTES])
     port = int.from_bytes(packed[IP_BYTES:], "big")
     return str(host), port
@@ -102,7 +102,7 @@
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=2):
-    """The target of a probe is alive: sent by itself, or by a member that probed it for the reader."""
+    """The target of a probe is alive; sent by the target, or by a member that probed it for the reader."""
 
     probe_id: Natural
 
@@ -116,7 +116,7 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """The sender is well, but the target of an ``IndirectProbe`` has not answered it yet."""
+    """The target of an ``IndirectProbe`` has not answered the sender yet."""
 
     probe_id: Natural
 
--- a/packages/gossip-codec/src/gossip_codec/replay_window.py
+++ b/packages/gossip-codec/src/gossip_codec/replay_window.py
@@ -1,18 +1,18 @@
-"""Replay protection: which datagrams of a sender were accepted already (RFC 4303, section 3.4.3)."""
+"""Replay protection: remembers which datagrams of a sender were accepted (RFC 4303, section 3.4.3)."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
+# Sequence numbers that a datagram may be older than the newest one of its sender.
 WINDOW_SIZE = 256
-"""Sequence numbers by which a datagram may arrive behind the newest one of its sender."""
 
+# Bits of a full window.
 WINDOW_MASK = (1 << WINDOW_SIZE) - 1
-"""Bits of a full window."""
 
+# Senders remembered unless the caller says otherwise: as many as a member table holds.
 MAX_SENDERS = 4096
-"""Senders remembered unless the caller says otherwise: as many as a member table holds."""
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     accepted: int = 1
 
     def accept(self, sequence: int) -> bool:
-        """Mark a sequence number as accepted; False if it was before, or if it is too old to know."""
+        """Mark a sequence number as accepted; return False if it was accepted before or is too old."""
         if sequence > self.newest:
             shift = min(sequence - self.newest, WINDOW_SIZE)
             self.accepted = (self.accepted << shift | 1) & WINDOW_MASK
@@ -45,7 +45,7 @@
     """The newest incarnation of each sender and the sequence numbers accepted in it.
 
     Remembers at most ``max_senders`` senders, about 300 bytes each, and evicts the least recently heard one.
-    A window knows only what it saw: what was recorded before this process started can be replayed to it once.
+    A window starts empty: a datagram that was recorded before this process started can be replayed once.
     """
 
     def __init__(self, max_senders: int = MAX_SENDERS) -> None:
--- a/packages/gossip-transport/src/gossip_transport/endpoint.py
+++ b/packages/gossip-transport/src/gossip_transport/endpoint.py
@@ -1,8 +1,8 @@
-"""The UDP endpoint of one state machine: passes datagrams in and carries out actions in order.
+"""The UDP endpoint of one state machine: delivers datagrams to it and carries out its actions in order.
 
 The cost of a flood is bounded in each turn of the reactor: at most ``MAX_HANDLED_PER_TURN`` datagrams reach
 the state machine and at most ``MAX_READ_PER_TURN`` are read from the socket.  Those between the two are
-dropped and counted; the rest wait in the kernel's buffer, which drops what it cannot hold.
+dropped and counted.  Further ones stay in the kernel's buffer, which drops those that do not fit.
 """
 
 from __future__ import annotations
@@ -31,21 +31,22 @@
 
 from gossip_transport.log_events import TransportLogEvent
 
+# Time after which a timer whose handling failed fires again; it is below the periods of the fleet's timers.
 TIMER_RETRY_MS = 1_000.0
-"""Milliseconds until a timer whose handling failed fires again; short beside the fleet's own periods."""
 
+# Datagrams delivered to the state machine in one turn of the reactor, so that a flood leaves time for
+# requests.
 MAX_HANDLED_PER_TURN = 32
-"""Datagrams handed to the state machine in one turn of the reactor; a flood leaves time for requests."""
 
+# Datagrams read from the socket in one turn of the reactor, handled or dropped.
 MAX_READ_PER_TURN = 512
-"""Datagrams read from the socket in one turn of the reactor, handled or dropped."""
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class EndpointCounters:
-    """What an endpoint has done so far.
+    """The counters of an endpoint since its start.
 
     ``oversize_received`` and ``oversize_unsent`` are datagrams over the size limit, ``flood_dropped`` those
     over the limit of one turn, ``send_failures`` those that the socket refused, and ``faults`` exceptions
@@ -100,7 +101,7 @@
         self.deliver(Started())
 
     def stopProtocol(self) -> None:  # noqa: N802
-        """Deliver nothing more once the socket is closed (called by Twisted)."""
+        """Stop delivering events once the socket is closed (called by Twisted)."""
         self.closed = True
 
     def shut_down(self) -> None:
@@ -113,7 +114,7 @@
         self.closed = True
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Hand a datagram to the state machine, within the limits of size and rate (called by Twisted)."""
+        """Deliver a datagram to the state machine, within the limits of size and rate (called by Twisted)."""
         self._count_read()
         if len(datagram) > MAX_DATAGRAM_BYTES:
             self.counters.oversize_received += 1
@@ -125,7 +126,7 @@
             self.deliver(DatagramReceived((host, port), datagram))
 
     def deliver(self, event: Event) -> None:
-        """Hand one event to the state machine and carry out its actions; a closed endpoint does nothing."""
+        """Deliver one event to the state machine and carry out its actions; ignore it if closed."""
         if self.closed:
             return
         now = self.clock_ms()
@@ -181,9 +182,10 @@
             self.counters.send_failures += 1
 
     def _guarded(self, step: str, call: Callable[[], object]) -> bool:
-        """Call, and return whether no exception was raised.
+        """Call a function; log an exception, and return whether there was none.
 
-        A fault must neither end the process nor fill its log: the 1st, 2nd, 4th, 8th and so on are logged.
+        A fault must neither end the process nor fill its log: only the 1st, 2nd, 4th, 8th and so on are
+        logged.
         """
         try:
             call()
--- a/packages/quota-leases/src/quota_leases/lease_exchange.py
+++ b/packages/quota-leases/src/quota_leases/lease_exchange.py
@@ -11,14 +11,14 @@
 from quota_leases.leases import LeaseHolder, LeaseIssuer
 from quota_leases.settings import BUDGET_UNITS, QuotaSettings
 
+# The channel of ``gossip_codec.UserMessage`` that carries leases.
 LEASE_CHANNEL = 1
-"""The channel of ``gossip_codec.UserMessage``."""
 
+# Requests in the time of one lease, so that three may be lost before it expires.
 RENEWALS_PER_LEASE = 4
-"""Requests within the time of a lease: three may be lost before it expires."""
 
+# An integer that is not negative and has at most 64 bits with its sign.
 Natural = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-"""An integer that is not negative and has at most 64 bits with its sign."""
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=1):
@@ -29,7 +29,7 @@
 
 
 class LeaseGrant(Struct, frozen=True, array_like=True, tag=2):
-    """Answers the request of that incarnation and id with a lease of ``units``, which may be none."""
+    """Answers the request of that incarnation and id with a lease of ``units``, which may be 0."""
 
     incarnation: Natural
     request_id: Natural
@@ -45,7 +45,7 @@
 
 
 class LeaseExchange:
-    """A lease holder at every router, and a lease issuer where the router is a voter.
+    """The lease holder of a router, and its lease issuer if the router is a voter.
 
     Call ``renew`` every ``renewal_interval_ms``.
     """
@@ -59,7 +59,7 @@
         self._decoder = msgpack.Decoder(LeaseRequest | LeaseGrant)
 
     def renew(self, now: float, live_routers: Collection[str]) -> list[OutgoingRequest]:
-        """Request leases of all voters: of this router itself at once, of others by the returned requests."""
+        """Request a lease from each voter; return the requests to send to other routers than this one."""
         outgoing = []
         for voter in self._settings.voters:
             request = LeaseRequest(self._holder.incarnation, self._holder.request(now, voter))
@@ -72,7 +72,7 @@
     def handle_message(
         self, now: float, sender: str, body: bytes, live_routers: Collection[str]
     ) -> bytes | None:
-        """Take a message of an authenticated sender; returns the reply, or None for no reply.
+        """Handle a message of an authenticated sender; return the reply, or None for no reply.
 
         Malformed messages are ignored.
         """
--- a/packages/quota-leases/src/quota_leases/leases.py
+++ b/packages/quota-leases/src/quota_leases/leases.py
@@ -1,14 +1,14 @@
-"""Quotas of the fleet's budgets that never add up to more than a budget, whatever the routers believe.
+"""Quotas of the fleet's budgets, which never add up to more than a budget in any partition.
 
 The claim: at every moment of real time, the quotas of all routers add up to at most ``BUDGET_UNITS``.
 
 1. Floors.  Each configured router may use its floor without a lease, forever.  Floors are fixed parts that no
    other router ever gets, so partitions, pauses and views do not matter to them.  They add up to
    ``floor_fraction`` of the budget.
-2. Slices.  The rest is divided into one fixed slice for each voter, and a voter leases out its own slice
+2. Slices.  The remainder is divided into one fixed slice for each voter, and a voter leases out its own slice
    alone.  So voters need not agree on anything: it is enough that no slice is ever leased out twice.
 3. One slice.  A voter counts for each router the largest lease it issued that may still be valid, and issues
-   no more than what is left beside the others' (``LeaseIssuer.issue``).  Its view of the live routers sets
+   no more than the slice less those of the others (``LeaseIssuer.issue``).  Its view of the live routers sets
    only the size that it aims at.
 4. Time.  A holder counts its lease from when it *requested* it, for ``lease_ms`` of its clock: at most
    ``lease_ms / (1 - max_clock_drift)`` of real time.  The voter counts it from when it *issued* it, which is
@@ -19,13 +19,12 @@
    has expired by then.  A holder that starts has no leases; its requests carry its incarnation, so that no
    answer to an older incarnation is accepted.
 
-What it costs: a dead router's floor stays unused, since nobody can distinguish it from one that is
-partitioned and uses it; and a dead voter's slice stays unused until the voter is back or replaced.  A floor
-of 1/N with survivors that take over the quota of the dead is impossible: the floors alone would add up to the
-budget.
+Cost: the floor of a failed router stays unused, since it cannot be distinguished from a partitioned one that
+uses it.  The slice of a failed voter stays unused until the voter is restarted or replaced.  A floor of 1/N,
+with the quotas of failed routers for the others, is impossible: the floors alone would add up to the budget.
 
-What it relies on: one process at a time under each name, the same settings everywhere, and clocks that go on
-while the process, or its host, is stopped (a suspended virtual machine needs one that counts that time).
+Assumptions: one process at a time under each name, the same settings at every router, and clocks that advance
+while the process or its host is stopped (a suspended virtual machine needs one that counts that time).
 """
 
 from __future__ import annotations
@@ -36,13 +35,13 @@
 
 from quota_leases.settings import QuotaSettings
 
+# Upper bound on the unanswered requests to one voter that are stored; the oldest is dropped first.
 MAX_PENDING_REQUESTS = 16
-"""Requests to one voter that may still be answered; the oldest is forgotten first."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Lease:
-    """Units of a voter's slice until a time on the clock of whoever counts them."""
+    """Units of a voter's slice, until a time on the clock of the process that stores the lease."""
 
     expires_ms: float
     units: int
@@ -57,10 +56,11 @@
     def __init__(self, settings: QuotaSettings, started_ms: float) -> None:
         self._settings = settings
         self._issue_from_ms = started_ms + settings.issuer_lease_ms
-        self._leases: dict[str, deque[_Lease]] = {}  # by router: the larger and older first
+        # By router; the first lease is the largest and expires first.
+        self._leases: dict[str, deque[_Lease]] = {}
 
     def issue(self, now: float, router: str, live_routers: Collection[str]) -> int:
-        """Issue a lease and return its units; the slice is meant to be divided among ``live_routers``."""
+        """Issue a lease and return its units, at most an equal part of the slice per live router."""
         if now < self._issue_from_ms:
             return 0
         for name in list(self._leases):
--- a/packages/quota-leases/src/quota_leases/partition_modes.py
+++ b/packages/quota-leases/src/quota_leases/partition_modes.py
@@ -1,8 +1,8 @@
-"""What a router does with each kind of operation in each partition mode.
+"""The decision on each kind of operation in each partition mode.
 
-Two rules made the table.  An operation that both sides of a partition could carry out with harm is rejected
-at once, with a time to retry.  One that only reads, or only evicts from caches, goes on with what is known
-locally.
+The table follows two rules.  An operation that would do harm if both sides of a partition carried it out is
+rejected at once, with a time to retry.  One that only reads, or only evicts from caches, is carried out with
+the state that this router has.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from fleet_membership import PartitionMode
 
+# Time to retry while rejoining, which ends as soon as the voters answer.
 REJOINING_RETRY_MS = 2_000.0
-"""The voters answer soon, or the mode changes."""
 
+# Time to retry in a minority: unreachable members are contacted every two probe intervals.
 MINORITY_RETRY_MS = 5_000.0
-"""Members that are unreachable are contacted every two probe intervals."""
 
+# Time to retry while isolated, when an operator may have to act.
 ISOLATED_RETRY_MS = 10_000.0
-"""Nobody is reachable: an operator may have to act."""
 
 
 class Operation(Enum):
@@ -28,8 +28,8 @@
     SAFE_READ = "safe read"
     KEYED_REQUEST = "keyed request"
     PURGE = "purge"
+    # Any step of moving a tenant between shards.
     TENANT_MOVE = "tenant move"
-    """Any step of moving a tenant between shards."""
     RESERVED_CAPACITY = "reserved capacity"
     NEW_TENANT = "new tenant"
 
@@ -38,12 +38,12 @@
     """What to do with an operation."""
 
     ALLOW = "allow"
+    # Carry it out with the latest known placement.
     USE_LAST_KNOWN = "use last known"
-    """Go on with the placement known last."""
+    # Carry it out on this router, and do not report it as carried out by the fleet.
     LOCAL_ONLY = "local only"
-    """Carry it out on this router, and do not report it as carried out by the fleet."""
+    # Use no more than the floor of the quota.
     FLOOR_ONLY = "floor only"
-    """Use no more than the floor of the quota."""
     REJECT = "reject"
 
 
@@ -67,10 +67,10 @@
     }
 
 
+# The rule for every operation in every mode; docs/design/fleet.md explains it.
 PARTITION_RULES: dict[PartitionMode, dict[Operation, Rule]] = {
     PartitionMode.WITH_MAJORITY: {operation: Rule(Decision.ALLOW) for operation in Operation},
     PartitionMode.REJOINING: _without_majority(REJOINING_RETRY_MS),
     PartitionMode.MINORITY: _without_majority(MINORITY_RETRY_MS),
     PartitionMode.ISOLATED: _without_majority(ISOLATED_RETRY_MS),
 }
-"""The rule for every operation in every mode; docs/design/fleet.md explains it."""
--- a/packages/quota-leases/src/quota_leases/settings.py
+++ b/packages/quota-leases/src/quota_leases/settings.py
@@ -6,8 +6,8 @@
 
 from fleet_membership import InvalidSettingError
 
+# Units of a full budget; quotas are integers of this unit, so that their sums are exact.
 BUDGET_UNITS = 1_000_000_000
-"""Units of a full budget; quotas are integers of this unit, so that their sums are exact."""
 
 
 @dataclass(frozen=True)
--- a/packages/sansio-core/src/sansio_core/__init__.py
+++ b/packages/sansio-core/src/sansio_core/__init__.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from typing import Protocol, TypeVar
 
+# IPv4 address in dotted form, and port.
 Address = tuple[str, int]
-"""IPv4 address in dotted form, and port."""
 
+# Bytes of a datagram: no network fragments it, and a forged one amplifies nothing.
 MAX_DATAGRAM_BYTES = 256
-"""Bytes of a datagram: no network fragments it, and a forged one amplifies nothing."""
 
+# Returns the next random number, uniform in [0, 1).
 RandomSource = Callable[[], float]
-"""Returns the next random number, uniform in [0, 1)."""
 
 
 @dataclass(frozen=True, slots=True)
