--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -13,10 +13,11 @@
 from control_sim.fault_plans import draw_plan
 from control_sim.topology import build_subject
 
+# Default number of seeds.
 DEFAULT_SEEDS = 500
 
+# Seeds that a worker process takes at once.
 SEEDS_PER_CHUNK = 10
-"""Seeds that a worker process takes at once."""
 
 
 def run_seed(seed: int) -> Outcome:
--- a/packages/control-sim/src/control_sim/connections.py
+++ b/packages/control-sim/src/control_sim/connections.py
@@ -13,11 +13,11 @@
 from control_relay import PollRequest
 from fleet_sim import EntryKind, Node, ProcessState, SimulatedCluster
 
+# Delay of a message that the network loses and that is retransmitted.
 RETRANSMISSION_MS = 300.0
-"""Delay of what the network loses."""
 
+# Bits of a connection's number for the process's incarnation, and as many for a count.
 INCARNATION_BITS = 20
-"""Bits of a connection's number for the process's incarnation, and as many for a count."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,9 +146,9 @@
     cluster.schedule(cluster.now + transmission.delay_ms, arrive)
 
 
+# How the cluster carries out the actions of this module.
 CARRIERS: dict[type, Callable[[SimulatedCluster, Node, Any], None]] = {
     SendRequest: carry_request,
     CloseConnection: carry_close,
     SendReply: carry_reply,
 }
-"""How the cluster carries out the actions of this module."""
--- a/packages/control-sim/src/control_sim/discovery.py
+++ b/packages/control-sim/src/control_sim/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery by the plain protocol: the source of truth, which issues changes and purges for a while."""
+"""Simulated discovery by the plain protocol, which issues a number of list changes and purges."""
 
 from __future__ import annotations
 
@@ -10,44 +10,63 @@
 
 from control_sim.connections import ConnectionClosed, RequestReceived, SendReply
 
+# Names of the endpoints that changes are drawn for.
 ENDPOINT_NAMES = ("s1", "s2", "s3", "s4")
 
+# Name of an endpoint that changes with every version of the list, so that each list shows its version.
 VERSION_ENDPOINT = "clock"
-"""An endpoint that changes with every version of the list, so that a list shows which version it is."""
 
+# Keys of the objects that are purged.
 OBJECT_KEYS = tuple(f"{number:016x}" for number in range(6))
 
+# Number of the groups that are purged.
 GROUP_COUNT = 2
 
+# First event number of the first incarnation.
 FIRST_NUMBER = 1_000_000
 
+# Event numbers by which each incarnation begins lower than the last, so that the reset can be detected.
 NUMBERS_PER_INCARNATION = 1_000
-"""Each incarnation begins so much lower: numbers that continue could not be told from the former ones."""
 
+# Bits of a list's version below those of the incarnation, so that versions after a reset differ from earlier
+# ones.
 INCARNATION_VERSION_BITS = 20
-"""Versions of a list that was reset are in another range."""
 
+# Events that discovery issues in a run.
 MAX_ISSUED_EVENTS = 16
 
+# Purges that a restarted discovery sends again.
 RETAINED_PURGES = 12
-"""Purges that a restarted discovery sends again."""
 
+# The seq of the first list.
 FIRST_SEQ = 3
 
+# Shortest time between two issued events.
 MIN_ISSUE_DELAY_MS = 50.0
+
+# Range of that time, in which it is drawn.
 ISSUE_DELAY_SPREAD_MS = 700.0
 
+# Probability that an event is a change of the list rather than a purge.
 CHANGE_PROBABILITY = 0.4
+
+# Probability that a purge is one of an object rather than of a group.
 OBJECT_PURGE_PROBABILITY = 0.8
+
+# Probability that a purge is sent later than it was issued.
 LATE_PURGE_PROBABILITY = 0.1
+
+# Lateness of such a purge.
 LATE_PURGE_MS = 400.0
 
+# Unix time between two incarnations.
 UNIX_MS_PER_INCARNATION = 1e7
 
+# Shortest block time of a poll.
 MIN_BLOCK_MS = 1.0
 
+# Token of the timer that issues events; timers of polls have higher tokens.
 ISSUE_TIMER = 0
-"""Timers of polls have greater tokens."""
 
 
 class PurgeIssue(NamedTuple):
--- a/packages/control-sim/src/control_sim/discovery_history.py
+++ b/packages/control-sim/src/control_sim/discovery_history.py
@@ -1,4 +1,4 @@
-"""Everything that discovery issued in a run."""
+"""The history of discovery: all versions of the list and all purges that it issued in a run."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from control_sim.discovery import INCARNATION_VERSION_BITS, VERSION_ENDPOINT, Discovery
 from control_sim.router_nodes import Endpoints
 
+# Version of an empty list.
 NO_VERSION = 0
 
 
--- a/packages/control-sim/src/control_sim/fault_plans.py
+++ b/packages/control-sim/src/control_sim/fault_plans.py
@@ -12,25 +12,39 @@
 from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, RELAY_NAMES, ROUTER_NAMES
 from control_sim.topology import SIBLINGS, UPSTREAMS
 
-LINKS = tuple((a, b) for table in (UPSTREAMS, SIBLINGS) for a, others in table.items() for b in others)
-
+# The links that polls use, from the poller to the source.
+LINKS = tuple(
+    (poller, source)
+    for table in (UPSTREAMS, SIBLINGS)
+    for poller, sources in table.items()
+    for source in sources
+)
+
+# Earliest start of a fault.
 FIRST_FAULT_MS = 300.0
+
+# Latest start of a fault.
 LAST_FAULT_MS = 5_000.0
+
+# Longest duration of a fault.
 MAX_DURATION_MS = 5_000.0
+
+# Shortest duration of a fault.
 MIN_DURATION_MS = 100.0
 
+# Rate of the exponential distribution of durations, by which most faults are short.
 DURATION_RATE = 3 / MAX_DURATION_MS
-"""Of the exponential distribution: most faults are short."""
 
+# Upper bound on the faults of a plan.
 MAX_FAULTS = 5
 
+# Draws a fault of a kind; takes its start and duration (ms).
 DrawFault = Callable[[random.Random, float, float], Fault]
-"""Draws a fault of a kind; takes its start and duration (ms)."""
 
 
 @dataclass(frozen=True, slots=True)
 class KillAllRelays(Fault):
-    """All relays are killed at once; each restarts empty."""
+    """The end of all relays at once by SIGKILL; each restarts without state."""
 
     def begin(self, cluster: SimulatedCluster, cause: str) -> None:
         """Kill the relays."""
@@ -80,6 +94,7 @@
     return Cut(at_ms, duration_ms, target, source)
 
 
+# By name; a draw depends on their order.
 FAULT_KINDS: dict[str, DrawFault] = {
     "cut": lambda draw, at_ms, ms: Cut(at_ms, ms, *draw.choice(LINKS), both_ways=True),
     "cut one way": _draw_one_way_cut,
@@ -97,4 +112,3 @@
         at_ms, ms, draw.choice(NODE_NAMES[1:]), draw.choice((50.0, 400.0))
     ),
 }
-"""By name; a draw depends on their order."""
--- a/packages/control-sim/src/control_sim/invariants.py
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold after every step, against what discovery issued.
+"""The invariants of a run, which compare each node's state with what discovery issued.
 
 The names of the invariants are those of ``docs/design/control.md``.
 """
@@ -17,20 +17,20 @@
 from control_sim.relay_node import RelayNode
 from control_sim.router_nodes import RouterNode
 
+# Error of a stated age per hop: a client does not know when, within this time, a response was written.
 HOP_UNCERTAINTY_MS = 1400.0
-"""How much too low an age may be per hop: until then nobody knows when a response was written."""
 
+# Hops from discovery by a name's first letter; a sibling is one more.
 HOPS_BY_LEVEL = {"r": 2, "c": 3, "x": 4}
-"""Hops from discovery by a name's first letter; a sibling is one more."""
 
+# Time after a reset of discovery in which a source that missed it may count as fresher.
 RESET_UNCERTAINTY_MS = 6_000.0
-"""After discovery was set back, sources that missed it may be taken for fresher ones."""
 
+# Time before the expiry of a purge in which it need not be present.
 EXPIRY_MARGIN_MS = 500.0
-"""Purges that expire so soon need not be present."""
 
+# Factor for the drift of the simulated processes' clocks.
 CLOCK_TOLERANCE = 1.001
-"""Clocks of simulated processes drift."""
 
 
 def build_invariants(purge_retention_ms: float) -> list[Invariant]:
--- a/packages/control-sim/src/control_sim/observations.py
+++ b/packages/control-sim/src/control_sim/observations.py
@@ -1,4 +1,4 @@
-"""What is recorded of a run for its invariants."""
+"""Observations of a run, recorded for its invariants."""
 
 from __future__ import annotations
 
--- a/packages/control-sim/src/control_sim/poll_client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -4,7 +4,7 @@
 
 import json
 from collections.abc import Sequence
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
 from control_client import (
@@ -32,16 +32,19 @@
 
 from control_sim.connections import CloseConnection, ConnectionFailed, ReplyReceived, SendRequest
 
+# Block time of a poll.
 BLOCK_MS = 800.0
 
+# Block time of a probe, which is answered at once.
 PROBE_BLOCK_MS = 1.0
 
+# Time before the next poll after a response without events.
 PAUSE_MS = 50.0
-"""Before the next poll, where a response brought nothing."""
 
+# Token of the timer of that pause.  The selector's tokens are mapped to 2 * token + 1.
 PAUSE_TIMER = 1
-"""All timers of a client are odd: those of its selector are doubled, plus 1."""
 
+# Durations by which the selector decides, short enough for runs of seconds.
 TIMINGS = SelectionTimings(
     probe_interval_ms=1000.0,
     max_probe_interval_ms=4000.0,
@@ -54,7 +57,7 @@
     """The router or relay that a client belongs to."""
 
     def poll_request(self, is_sibling: bool) -> PollRequest:
-        """Return what a poll of an upstream or sibling says about this node."""
+        """Return the request of a poll of an upstream or sibling, with the fields about this node."""
         ...
 
     def apply(self, now: float, events: Sequence[StateEvent], is_complete: bool) -> list[Any]:
@@ -84,37 +87,43 @@
     return EndpointListEvent(number, nodes["seq"], nodes["whole"], endpoints, nodes["hosts"])
 
 
+@dataclass(frozen=True, slots=True)
+class PollClientSettings:
+    """The sources of a node, the number of its first connection, and how long it remembers purges."""
+
+    upstreams: tuple[str, ...]
+    siblings: tuple[str, ...]
+    first_connection: int
+    purge_retention_ms: float
+
+
 class PollClient:
-    """Polls sources and hands the node what may be applied.
+    """Polls sources and passes the accepted events to the node.
 
     ``completed_epochs`` has, by epoch, the last number taken once the epoch's list was complete.
     """
 
-    def __init__(
-        self,
-        node: PollingNode,
-        upstreams: tuple[str, ...],
-        siblings: tuple[str, ...],
-        draw: RandomSource,
-        first_connection: int,
-        purge_retention_ms: float,
-    ) -> None:
-        self.follower = StateFollower(purge_retention_ms)
+    def __init__(self, node: PollingNode, settings: PollClientSettings, draw: RandomSource) -> None:
+        self.follower = StateFollower(settings.purge_retention_ms)
         self.status: SyncStatus | None = None
         self.completed_epochs: dict[str, int] = {}
         self._node = node
-        self._siblings = siblings
-        self._selector = SourceSelector(_addresses(upstreams), draw, _addresses(siblings), TIMINGS)
+        self._siblings = settings.siblings
+        self._selector = SourceSelector(
+            _addresses(settings.upstreams), draw, _addresses(settings.siblings), TIMINGS
+        )
         self._draw = draw
         self._source: Address | None = None
         self._connection: int | None = None
-        self._last_connection = first_connection
-        self._probes: dict[int, Address] = {}  # by connection
-        self._has_polled = False  # and no reply has come
+        self._last_connection = settings.first_connection
+        # The probed sources, by connection.
+        self._probes: dict[int, Address] = {}
+        # Whether a poll was sent that has no reply yet.
+        self._has_polled = False
 
     @property
     def is_in_sync(self) -> bool:
-        """Whether the last response brought all that its source had, and the source is not stale."""
+        """Whether the last response contained all events of its source, and the source is not stale."""
         return self.status is SyncStatus.IN_SYNC
 
     def age_ms(self, now: float) -> float:
@@ -175,7 +184,7 @@
         return [probe, close]
 
     def _probe_request(self) -> PollRequest:
-        """Return a probe with this node's name: another source serves it."""
+        """Return a probe with this node's name, which deregisters the node at the probed source."""
         name = self._node.poll_request(is_sibling=False).name
         follower = self.follower
         return PollRequest(follower.cursor, PROBE_BLOCK_MS, follower.epoch, PollerRole.PROBE, name)
--- a/packages/control-sim/src/control_sim/propagation.py
+++ b/packages/control-sim/src/control_sim/propagation.py
@@ -1,4 +1,4 @@
-"""The invariant of propagation: what a relay counts as acknowledged, every member truly has."""
+"""The invariant of propagation: each member has all events that a relay counts as acknowledged."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from control_sim.relay_node import RelayNode
 from control_sim.router_nodes import RouterNode
 
+# Members that are known by their connection only are not checked.
 CONNECTION_NAME_PREFIX = "#"
-"""Members that are known by their connection only are not checked."""
 
 
 class PropagationInvariant:
--- a/packages/control-sim/src/control_sim/relay_node.py
+++ b/packages/control-sim/src/control_sim/relay_node.py
@@ -25,9 +25,10 @@
 from sansio_core import RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.connections import ConnectionClosed, RequestReceived, SendReply, incarnation_of
-from control_sim.poll_client import PollClient
+from control_sim.poll_client import PollClient, PollClientSettings
 from control_sim.router_nodes import Endpoints
 
+# Group of an object whose group is unknown, as ``control_relay`` has it.
 UNKNOWN_GROUP = -1
 
 
@@ -37,22 +38,14 @@
     ``served_incarnations`` has the last incarnation of each node that polled.
     """
 
-    def __init__(
-        self,
-        name: str,
-        relay: Relay,
-        upstreams: tuple[str, ...],
-        siblings: tuple[str, ...],
-        draw: RandomSource,
-        first_connection: int,
-    ) -> None:
+    def __init__(self, name: str, relay: Relay, settings: PollClientSettings, draw: RandomSource) -> None:
         self.name = name
         self.relay = relay
         self.served_incarnations: dict[str, int] = {}
         self._upstream_epoch = ""
-        self._pollers: dict[int, str] = {}  # by connection
-        retention_ms = relay.settings.purge_retention_ms
-        self.client = PollClient(self, upstreams, siblings, draw, first_connection, retention_ms)
+        # The names of the pollers, by connection.
+        self._pollers: dict[int, str] = {}
+        self.client = PollClient(self, settings, draw)
 
     def endpoints(self) -> Endpoints:
         """Return the core's current list."""
@@ -77,7 +70,7 @@
         return self.client.handle(now, event)
 
     def poll_request(self, is_sibling: bool) -> PollRequest:
-        """Return what this relay's polls say about it."""
+        """Return the request of a poll, with the fields about this relay."""
         if is_sibling:
             return PollRequest(0, 0, role=PollerRole.SIBLING)
         progress = self.relay.upstream_progress()
--- a/packages/control-sim/src/control_sim/router_nodes.py
+++ b/packages/control-sim/src/control_sim/router_nodes.py
@@ -10,24 +10,25 @@
 from sansio_core import RandomSource, SetTimer, Started, TimerFired
 
 from control_sim.connections import ConnectionFailed, ReplyReceived, SendRequest
-from control_sim.poll_client import BLOCK_MS, PollClient, decode_response
+from control_sim.poll_client import BLOCK_MS, PollClient, PollClientSettings, decode_response
 
+# Endpoints by name, in the form of the wire.
 Endpoints = dict[str, Any]
-"""Endpoints by name, in the form of the wire."""
 
+# Time that a plain router waits for a response.
 RESPONSE_TIMEOUT_MS = 1300.0
-"""Of a plain router."""
 
+# Time before the next poll of a plain router.
 RETRY_MS = 200.0
-"""Pause of a plain router before the next poll."""
 
 
 class AppliedState:
-    """A list and purges as a router has them: an earlier purge changes nothing."""
+    """The list and the purges that a router has applied; of several purges of a target the latest counts."""
 
     def __init__(self) -> None:
         self.endpoints: Endpoints = {}
-        self.purges: dict[Any, float] = {}  # the latest time by target
+        # The latest time of a purge, by target.
+        self.purges: dict[Any, float] = {}
 
     def apply(self, event: StateEvent) -> None:
         """Apply an event that was accepted."""
@@ -47,24 +48,17 @@
 class RouterNode:
     """A router that polls relays."""
 
-    def __init__(
-        self,
-        name: str,
-        upstreams: tuple[str, ...],
-        draw: RandomSource,
-        first_connection: int,
-        purge_retention_ms: float,
-    ) -> None:
+    def __init__(self, name: str, settings: PollClientSettings, draw: RandomSource) -> None:
         self.name = name
         self.state = AppliedState()
-        self.client = PollClient(self, upstreams, (), draw, first_connection, purge_retention_ms)
+        self.client = PollClient(self, settings, draw)
 
     def handle(self, now: float, event: object) -> list[Any]:
         """Process one event; return the actions to carry out."""
         return self.client.handle(now, event)
 
     def poll_request(self, is_sibling: bool) -> PollRequest:  # noqa: ARG002 - a router has no siblings
-        """Return what this router's polls say about it."""
+        """Return the request of a poll, with the fields about this router."""
         return PollRequest(0, 0, name=self.name)
 
     def apply(
@@ -80,7 +74,7 @@
 
 
 class PlainRouterNode:
-    """A router that knows nothing of relays: one source, and a number that never goes back."""
+    """A router that uses the plain protocol: one source, and a position that never decreases."""
 
     def __init__(self, source: str, first_connection: int) -> None:
         self.state = AppliedState()
@@ -88,7 +82,8 @@
         self._cursor = 0
         self._connection = first_connection
         self._timer = 0
-        self._has_polled = False  # and no reply has come
+        # Whether a poll was sent that has no reply yet.
+        self._has_polled = False
 
     def handle(self, now: float, event: object) -> list[Any]:  # noqa: ARG002 - a state machine's interface
         """Process one event; return the actions to carry out."""
--- a/packages/control-sim/src/control_sim/settling.py
+++ b/packages/control-sim/src/control_sim/settling.py
@@ -1,4 +1,4 @@
-"""What must hold some time after the last fault has ended."""
+"""The conditions that must hold some time after the last fault has ended."""
 
 from __future__ import annotations
 
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -1,4 +1,4 @@
-"""The simulated processes, and who polls whom.
+"""The topology: the simulated processes, and the sources that each of them polls.
 
 Discovery ``d``; relays ``r1`` and ``r2``, which are siblings; relay ``c1`` below both; routers ``x1`` and
 ``x2``; and ``x3``, a router that knows only the plain protocol.
@@ -17,21 +17,24 @@
 from control_sim.discovery import Discovery
 from control_sim.invariants import build_invariants
 from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, PLAIN_ROUTER_NAME, ROUTER_NAMES
+from control_sim.poll_client import PollClientSettings
 from control_sim.relay_node import RelayNode
 from control_sim.router_nodes import PlainRouterNode, RouterNode
 from control_sim.settling import unsettled_reason
 
+# Time for which relays deliver a purge, and clients remember it.
 PURGE_RETENTION_MS = 4_000.0
 
+# Time after the last fault within which all processes must have settled.
 SETTLING_TIME_MS = 25_000.0
-"""After the last fault, until all must have settled."""
 
+# Unix time at which simulated time begins; a relay's event numbers follow from it.
 START_UNIX_S = 1_764_600_000
-"""Unix time at which simulated time begins; a relay's event numbers follow from it."""
 
+# Unix time between two incarnations of a relay.
 INCARNATION_S = 10
-"""A relay's restart counts as so much later."""
 
+# The upstreams of each process, the preferred one first.
 UPSTREAMS = {
     "r1": (DISCOVERY_NAME,),
     "r2": (DISCOVERY_NAME,),
@@ -41,13 +44,15 @@
     PLAIN_ROUTER_NAME: ("r2",),
 }
 
+# The siblings of a relay.
 SIBLINGS = {"r1": ("r2",), "r2": ("r1",)}
 
+# The members that a relay waits for although they have never polled.
 EXPECTED_MEMBERS = {"r1": ("x1",), "c1": ("x2",)}
 
 
 def relay_settings(name: str) -> RelaySettings:
-    """Return settings with short retention, small pages and a small log, so that seconds reach their ends."""
+    """Return settings with a short retention, small pages and a small log, whose bounds a run reaches."""
     return RelaySettings(
         expected_members=EXPECTED_MEMBERS.get(name, ()),
         purge_retention_ms=PURGE_RETENTION_MS,
@@ -58,21 +63,24 @@
 
 
 def build_node(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Any:  # noqa: ARG001 - the factory's interface
-    """Build the state machine of a process that starts."""
+    """Return the state machine of a process that starts."""
     connection = first_connection(NODE_NAMES.index(name) + 1, incarnation)
     if name == DISCOVERY_NAME:
         return Discovery(incarnation, draw, disk)
     if name == PLAIN_ROUTER_NAME:
         return PlainRouterNode(UPSTREAMS[name][0], connection)
+    client_settings = PollClientSettings(
+        UPSTREAMS[name], SIBLINGS.get(name, ()), connection, PURGE_RETENTION_MS
+    )
     if name in ROUTER_NAMES:
-        return RouterNode(name, UPSTREAMS[name], draw, connection, PURGE_RETENTION_MS)
+        return RouterNode(name, client_settings, draw)
     first_number = (START_UNIX_S + INCARNATION_S * incarnation) << 20
     relay = Relay(relay_settings(name), f"{name}-{incarnation}", first_number)
-    return RelayNode(name, relay, UPSTREAMS[name], SIBLINGS.get(name, ()), draw, connection)
+    return RelayNode(name, relay, client_settings, draw)
 
 
 def count_notices(cluster: SimulatedCluster, counts: Counter[str]) -> None:
-    """Count the notices of relays and clients, so that a run shows what it met."""
+    """Count the notices of relays and clients by name, for the report of a run."""
 
     def count(node: Node, notice: Notice) -> None:  # noqa: ARG001 - the listener's interface
         counts[notice.name] += 1
--- a/packages/fleet-membership/src/fleet_membership/anti_entropy.py
+++ b/packages/fleet-membership/src/fleet_membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: member tables compared by digests, with the claims that differ sent in datagrams.
+"""Anti-entropy: members compare their tables by digests and send each other the claims that differ.
 
 Most exchanges are with a live member; every third one is with a member that failed, or with a seed that is
-not among the live ones.  That is how two sides of a partition find each other again, and how a member joins.
+not among the live ones.  By these, two sides of a partition find each other again, and a member joins.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from fleet_membership.member_table import LIVE_STATES
 from fleet_membership.tasks import SynchronizeTables
 
-UNREACHABLE_EVERY = 3
-"""Exchanges of which one goes to an unreachable peer."""
+# One in this many exchanges is with an unreachable peer.
+EXCHANGES_PER_UNREACHABLE = 3
 
-MAX_DATAGRAMS = 16
-"""Datagrams of one exchange; a larger difference takes several exchanges."""
+# Upper bound on the datagrams of one exchange; a larger difference needs several exchanges.
+MAX_EXCHANGE_DATAGRAMS = 16
 
+# Probe intervals between exchanges while there is no majority or while tables differ.
 EAGER_PROBE_INTERVALS = 2.0
-"""Probe intervals between exchanges while there is no majority or while tables differ."""
 
+# The shortest time between exchanges as a share of their interval.
 MIN_JITTER = 0.75
-"""The shortest time between exchanges as a share of their interval."""
 
+# The range in which that share is drawn, so that not all routers exchange at once.
 JITTER_RANGE = 0.5
-"""The range of that share: it is drawn, so that routers do not exchange all at once."""
 
 
 class AntiEntropy:
@@ -56,13 +56,13 @@
             self._request(peer)
 
     def synchronize_with_stranger(self, now: float, peer: Address) -> None:
-        """Exchange tables with an unknown sender, at most once in a probe interval."""
+        """Exchange tables with an unknown sender, at most once per probe interval."""
         if now >= self._next_stranger_ms:
             self._next_stranger_ms = now + self._context.settings.probe_every_ms
             self._request(peer)
 
     def handle_sync(self, now: float, peer: Address, message: Sync) -> None:
-        """Send the claims that differ; while tables do, the next exchange comes soon."""
+        """Send the claims that differ, and run the next exchange soon, since tables differ."""
         context = self._context
         differing = context.table.differing(message.digests)
         if not differing:
@@ -75,10 +75,10 @@
             context.send(peer, sync, (context.table.local_update,))
 
     def _send_claims(self, peer: Address, claims: list[Update]) -> None:
-        """Send claims from a drawn one on, so that those left out this time may be sent the next."""
+        """Send claims from a random one on, so that those that do not fit may be sent the next time."""
         start = int(self._context.random() * len(claims))
         remaining = claims[start:] + claims[:start]
-        for _ in range(MAX_DATAGRAMS):
+        for _ in range(MAX_EXCHANGE_DATAGRAMS):
             sent_count = self._context.send(peer, UpdateBatch(), remaining[:MAX_UPDATES])
             remaining = remaining[sent_count:]
             if not remaining:
@@ -102,7 +102,7 @@
         unreachable = self._unreachable(live)
         if not has_majority or not live:
             return context.sample(live, 1) + context.sample(unreachable, 2)
-        if unreachable and self._exchanges % UNREACHABLE_EVERY == 0:
+        if unreachable and self._exchanges % EXCHANGES_PER_UNREACHABLE == 0:
             return context.sample(unreachable, 1)
         return context.sample(live, 1)
 
--- a/packages/fleet-membership/src/fleet_membership/broadcast_queue.py
+++ b/packages/fleet-membership/src/fleet_membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Dissemination: updates piggybacked on other datagrams, a bounded number of times each.
+"""Dissemination: piggybacks each update on a bounded number of other datagrams.
 
 After SWIM, section 4.1.
 """
@@ -16,8 +16,8 @@
 class BroadcastQueue:
     """The updates to piggyback: new ones first, then those that were sent longest ago.
 
-    An update on a member replaces those before it; only suspicions of one incarnation by several accusers
-    stay side by side, since they confirm each other.
+    An update on a member replaces the earlier ones.  Only suspicions of one incarnation by several accusers
+    are all kept, since they confirm each other.
     """
 
     def __init__(self, retransmit_multiplier: float) -> None:
@@ -26,7 +26,7 @@
         self._by_member: dict[str, list[Update]] = {}
 
     def enqueue(self, update: Update) -> None:
-        """Add an update in front, replacing those that it outdates."""
+        """Add an update as the first to send; it replaces those that it outdates."""
         for queued in list(self._by_member.get(update.name, ())):
             if queued == update or not _confirm_each_other(queued, update):
                 self._remove(queued)
--- a/packages/fleet-membership/src/fleet_membership/context.py
+++ b/packages/fleet-membership/src/fleet_membership/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a member share: its settings, tables and schedule, and the sending of datagrams."""
+"""The context that the parts of a member share: settings, tables, schedule and the sending of datagrams."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from fleet_membership.settings import MembershipSettings
 from fleet_membership.task_schedule import TaskSchedule
 
+# The first probe id is drawn below this, so that ids cannot be guessed from outside.
 PROBE_ID_RANGE = 1 << 32
-"""The first probe id is drawn below this, so that ids cannot be guessed from outside."""
 
 T = TypeVar("T")
 
 
 class MemberContext:
-    """Shared state of one member; ``actions`` collects what the event in progress leads to."""
+    """The shared state of one member; ``actions`` collects the actions of the present event."""
 
     def __init__(self, settings: MembershipSettings, random: RandomSource) -> None:
         self.settings = settings
@@ -58,7 +58,7 @@
         self.actions.append(Notice(event, fields))
 
     def send(self, address: Address, message: Message, updates: Sequence[Update] = ()) -> int:
-        """Send a message with updates, and with broadcasts in the remaining room.
+        """Send a message with updates, and with as many broadcasts as still fit.
 
         Returns how many of ``updates`` fitted into the datagram.
         """
@@ -71,7 +71,7 @@
         return min(datagram.updates_packed, len(updates))
 
     def send_to_member(self, member: Member, message: Message, updates: tuple[Update, ...] = ()) -> None:
-        """Send to a member, telling one that is not thought alive so (Lifeguard's buddy system)."""
+        """Send to a member; one that is not alive here is informed of that (Lifeguard's buddy system)."""
         if member.state is not MemberState.ALIVE:
             updates = (*updates, member.update)
         self.send(unpack_address(member.update.address), message, updates)
--- a/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
+++ b/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
@@ -1,4 +1,4 @@
-"""What claims on a member lead to: suspicion, refutation, failure, and holding those that flap as suspect."""
+"""Failure verdicts: suspicion, refutation and failure of members, and members that flap."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from fleet_membership.tasks import EndFlapHold, ProbeSuspect, SuspicionTimeout
 from fleet_membership.view import LinkState
 
+# Probe intervals within which a member that sent a datagram counts as heard recently.
 RECENT_PROBE_INTERVALS = 5.0
-"""Probe intervals within which a member that sent a datagram counts as heard recently."""
 
 
 class FailureVerdicts:
-    """Applies claims to the member table and runs the suspicions that they open."""
+    """Applies claims to the member table, and starts and ends suspicions."""
 
     def __init__(self, context: MemberContext) -> None:
         self._context = context
@@ -28,7 +28,7 @@
         """Apply a claim and broadcast it if it changed the table.
 
         ``table_sender`` is the sender if the claim is part of its table.  New members in such a claim are not
-        broadcast: the rest of the fleet knows them, or will by exchanges of its own.  A member that failed in
+        broadcast: the other members know them, or learn of them by anti-entropy.  A member that failed in
         that table is asked to refute if it was heard recently, and is otherwise only a suspect here: when two
         sides of a partition meet again, neither takes over the other's verdicts.
         """
@@ -56,12 +56,12 @@
                 self._record_flap(now, known)
 
     def suspect(self, now: float, member: Member) -> None:
-        """Suspect a member that did not answer this router, or confirm the suspicions of others."""
+        """Suspect a member that did not answer this router, or confirm a suspicion that others started."""
         update = replace(member.update, state=MemberState.SUSPECT, accuser=self._context.name)
         self.apply_claim(now, update, "no-answer")
 
     def handle_suspicion_timeout(self, now: float, name: str) -> None:
-        """Declare a suspect failed, unless the local health has moved its deadline."""
+        """Declare a suspect failed, unless the local health has extended its deadline."""
         suspicion = self._suspicions.get(name)
         member = self._context.table.get(name)
         if suspicion is None or member is None:
@@ -74,7 +74,7 @@
             self.apply_claim(now, failed, "suspicion-ran-out")
 
     def probe_suspect(self, name: str) -> None:
-        """Probe a suspect once more, whoever accused it: its refutation may have been lost."""
+        """Probe a suspect again, since its refutation may have been lost."""
         member = self._context.table.get(name)
         if member is not None and name in self._suspicions:
             self._context.send_to_member(member, Probe(self._context.next_probe_id(), name))
--- a/packages/fleet-membership/src/fleet_membership/local_health.py
+++ b/packages/fleet-membership/src/fleet_membership/local_health.py
@@ -1,9 +1,9 @@
-"""Local health awareness (Lifeguard, Dadgar et al., 2017, section IV.A): how well this router itself does."""
+"""Local health (Lifeguard, Dadgar et al., 2017, section IV.A): whether this router itself is slow."""
 
 from __future__ import annotations
 
+# The worst score, the paper's saturation limit.
 MAX_SCORE = 8
-"""The worst score, the paper's saturation limit."""
 
 
 class LocalHealth:
--- a/packages/fleet-membership/src/fleet_membership/member_table.py
+++ b/packages/fleet-membership/src/fleet_membership/member_table.py
@@ -17,17 +17,17 @@
 
 from fleet_membership.view import LinkState, MemberView
 
+# States of members that are probed.
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
-"""States of members that are probed."""
 
+# States of members that are kept as tombstones.
 DEAD_STATES = (MemberState.FAILED, MemberState.LEFT)
-"""States of members that are kept as tombstones."""
 
+# Times of suspicions that are kept to recognize a flapping member.
 MAX_SUSPECTED_TIMES = 16
-"""Times of suspicions that are kept to recognize a flapping member."""
 
+# The time of an event that has not happened.
 NEVER = float("-inf")
-"""The time of an event that has not happened."""
 
 
 @dataclass(slots=True)
--- a/packages/fleet-membership/src/fleet_membership/membership.py
+++ b/packages/fleet-membership/src/fleet_membership/membership.py
@@ -15,7 +15,7 @@
 from fleet_membership.context import MemberContext
 from fleet_membership.failure_verdicts import FailureVerdicts
 from fleet_membership.member_table import LIVE_STATES
-from fleet_membership.message_handling import MessageHandler, UserMessageHandler
+from fleet_membership.message_handling import MessageHandler, MessageRecipients, UserMessageHandler
 from fleet_membership.probing import Prober
 from fleet_membership.quorum import VoterQuorum
 from fleet_membership.settings import MembershipSettings
@@ -34,15 +34,15 @@
 )
 from fleet_membership.view import MembershipView
 
+# Members, besides the voters, that are notified when this one leaves; they broadcast it to the others.
 MAX_LEAVE_RECIPIENTS = 8
-"""Members, besides the voters, that are notified when this one leaves; they pass it on."""
 
+# Checks for expired tombstones within the time for which they are kept.
 TOMBSTONE_CHECKS = 10
-"""Checks for expired tombstones within the time for which they are kept."""
 
 
 class Phase(Enum):
-    """Whether a member still takes part in its fleet."""
+    """Whether a member is active in its fleet or has left it."""
 
     ACTIVE = "active"
     LEFT = "left"
@@ -67,9 +67,10 @@
         self._prober = Prober(self._context, self._verdicts)
         self._quorum = VoterQuorum(self._context)
         self._anti_entropy = AntiEntropy(self._context)
-        self._messages = MessageHandler(
-            self._context, self._verdicts, self._prober, self._quorum, self._anti_entropy, handle_user_message
+        recipients = MessageRecipients(
+            self._verdicts, self._prober, self._quorum, self._anti_entropy, handle_user_message
         )
+        self._messages = MessageHandler(self._context, recipients)
         self._phase = Phase.ACTIVE
         self._view: MembershipView | None = None
 
--- a/packages/fleet-membership/src/fleet_membership/message_handling.py
+++ b/packages/fleet-membership/src/fleet_membership/message_handling.py
@@ -1,8 +1,9 @@
-"""Handling of received datagrams: rejected, or dispatched to the part of the member that they concern."""
+"""Message handling: rejects received datagrams, or dispatches them to the parts of the member."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from gossip_codec import (
     Ack,
@@ -25,35 +26,41 @@
 from fleet_membership.probing import Prober
 from fleet_membership.quorum import VoterQuorum
 
+# The logged cause of a rejected datagram whose sender has this router's name (documented in docs/ON-CALL.md).
 OWN_NAME_REASON = "own-name"
-"""Why a datagram with this router's name as its sender is rejected: a documented word of the log."""
 
+# Handles the messages of another state machine: ``(now, sender, channel, body)``; returns the body of the
+# reply on the same channel, or None for no reply.
 UserMessageHandler = Callable[[float, str, int, bytes], bytes | None]
-"""Takes another state machine's messages: ``(now, sender, channel, body)``; returns the body of the reply on
-the same channel, or None for no reply."""
+
+
+@dataclass(frozen=True, slots=True)
+class MessageRecipients:
+    """The parts of a member that received messages are dispatched to.
+
+    ``handle_user_message`` is None if no other state machine uses the fleet's datagrams.
+    """
+
+    verdicts: FailureVerdicts
+    prober: Prober
+    quorum: VoterQuorum
+    anti_entropy: AntiEntropy
+    handle_user_message: UserMessageHandler | None
 
 
 class MessageHandler:
     """Decodes datagrams and dispatches their updates and messages."""
 
-    def __init__(
-        self,
-        context: MemberContext,
-        verdicts: FailureVerdicts,
-        prober: Prober,
-        quorum: VoterQuorum,
-        anti_entropy: AntiEntropy,
-        handle_user_message: UserMessageHandler | None,
-    ) -> None:
+    def __init__(self, context: MemberContext, recipients: MessageRecipients) -> None:
         self._context = context
-        self._verdicts = verdicts
-        self._prober = prober
-        self._quorum = quorum
-        self._anti_entropy = anti_entropy
-        self._handle_user_message = handle_user_message
+        self._verdicts = recipients.verdicts
+        self._prober = recipients.prober
+        self._quorum = recipients.quorum
+        self._anti_entropy = recipients.anti_entropy
+        self._handle_user_message = recipients.handle_user_message
 
     def handle_datagram(self, now: float, source: Address, data: bytes) -> None:
-        """Handle a datagram, reporting one that is rejected."""
+        """Handle a datagram; report one that is rejected to the log."""
         context = self._context
         try:
             envelope = context.codec.decode(data)
@@ -62,12 +69,12 @@
             if error.envelope is not None:
                 self._answer_outdated(error.envelope, source)
             return
-        if envelope.sender == context.name:  # an echo, or another process with this name
+        if envelope.sender == context.name:  # sent by this router, or by another process of the same name
             self._notify_rejected(OWN_NAME_REASON, source)
             return
         self._apply_updates(now, envelope)
         member = context.table.get(envelope.sender)
-        if member is None:  # it knows this router, and so maybe others that are unknown here
+        if member is None:  # the sender may know further members that this router does not
             self._anti_entropy.synchronize_with_stranger(now, source)
         else:
             member.last_heard_ms = now
@@ -84,7 +91,7 @@
             self._verdicts.apply_claim(now, update, f"told-by-{envelope.sender}", table_sender)
 
     def _answer_outdated(self, envelope: Envelope, source: Address) -> None:
-        """Inform a sender that its incarnation is outdated; it will take one above the newest."""
+        """Inform a sender of an outdated incarnation, which will then use one above the newest."""
         context = self._context
         if envelope.sender == context.name:
             return
--- a/packages/fleet-membership/src/fleet_membership/probing.py
+++ b/packages/fleet-membership/src/fleet_membership/probing.py
@@ -1,7 +1,7 @@
-"""Probes: direct, then through others, in a random order that leaves out nobody (SWIM, sections 3.1 and 4.3).
+"""Probing: direct, then indirect probes of all members in random order (SWIM, sections 3.1 and 4.3).
 
 A probe lasts one interval.  Members asked for an indirect probe answer ``Nack`` if the target is silent: a
-missing ``Nack`` speaks against this router's health, not against the target (Lifeguard, section IV.A).
+missing ``Nack`` is a sign of bad health of this router, not of the target (Lifeguard, section IV.A).
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from fleet_membership.tasks import ProbeNextMember, ProbeTimeout, RelayedProbeTimeout
 from fleet_membership.view import LinkState
 
-NACK_AFTER = 0.8
-"""Share of the probe timeout after which a relayed probe is answered by ``Nack``."""
+# Share of the probe timeout after which a relayed probe is answered by ``Nack``.
+NACK_TIMEOUT_SHARE = 0.8
 
-MISSED_PROBES_TO_NAME_LINK = 2
-"""Direct probes missed in a row after which the link counts as indirect or one-way."""
+# Consecutive unanswered direct probes after which the link counts as indirect or one-way.
+MIN_MISSED_PROBES = 2
 
 
 class ProbeState(Enum):
-    """How far a probe of this router has come."""
+    """Whether and how a probe of this router was answered."""
 
     WAITING = "waiting"
     ANSWERED_INDIRECTLY = "answered indirectly"
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe sent for another member, ``origin``, under the number that it gave it."""
+    """A probe that is sent on behalf of ``origin``, which numbered it ``origin_probe_id``."""
 
     origin: str
     origin_probe_id: int
@@ -72,7 +72,7 @@
         self._relayed: dict[int, RelayedProbe] = {}
 
     def probe_next(self, now: float) -> None:
-        """Conclude the interval's probe and begin the next."""
+        """Conclude the probe of the last interval and send the next one."""
         context = self._context
         self._conclude(now)
         multiplier = context.local_health.multiplier
@@ -86,12 +86,12 @@
         self._schedule_timeout(now, probe.probe_id)
 
     def abandon(self) -> None:
-        """Forget all probes: this process paused, so missing answers mean nothing."""
+        """Forget all probes: this process was paused, so that missing answers show nothing."""
         self._pending = None
         self._relayed.clear()
 
     def handle_timeout(self, now: float, probe_id: int) -> None:
-        """Probe an unanswered target indirectly and again, and repeat this until the interval ends."""
+        """Probe a silent target indirectly and once more directly; repeat this until the interval ends."""
         context = self._context
         probe = self._pending
         if probe is None or probe.probe_id != probe_id or probe.state is not ProbeState.WAITING:
@@ -117,7 +117,7 @@
             context.send_to_member(target, probe)
         else:
             context.send(unpack_address(message.address), probe)
-        nack_ms = now + context.settings.probe_timeout_ms * NACK_AFTER
+        nack_ms = now + context.settings.probe_timeout_ms * NACK_TIMEOUT_SHARE
         context.schedule.add(nack_ms, RelayedProbeTimeout(probe_id))
 
     def handle_relayed_timeout(self, now: float, probe_id: int) -> None:
@@ -135,7 +135,7 @@
         context.schedule.add(now + context.settings.probe_every_ms, RelayedProbeTimeout(probe_id))
 
     def handle_ack(self, sender: str, probe_id: int) -> AnsweredProbe | None:
-        """Take an acknowledgement; returns this router's probe if it answers one."""
+        """Handle an acknowledgement; return the probe of this router that it answers, if any."""
         relayed = self._relayed.pop(probe_id, None)
         if relayed is not None:
             origin = self._context.table.get(relayed.origin)
@@ -156,7 +156,7 @@
         return AnsweredProbe(probe.target, probe.sent_ms)
 
     def handle_nack(self, sender: str, probe_id: int) -> None:
-        """Take a helper's word that the target has not answered it yet."""
+        """Record that a helper has not got an answer from the target yet."""
         probe = self._pending
         if probe is not None and probe.probe_id == probe_id and sender in probe.helpers:
             probe.nacked_by.add(sender)
@@ -196,7 +196,7 @@
     def _link_after(self, member: Member, probe: PendingProbe) -> LinkState:
         if probe.state is ProbeState.ANSWERED_DIRECTLY:
             return LinkState.DIRECT
-        if member.missed_probes < MISSED_PROBES_TO_NAME_LINK:
+        if member.missed_probes < MIN_MISSED_PROBES:
             return member.link
         timeout_ms = self._context.settings.probe_timeout_ms * self._context.local_health.multiplier
         if member.last_heard_ms > member.missing_since_ms + timeout_ms:
--- a/packages/fleet-membership/src/fleet_membership/quorum.py
+++ b/packages/fleet-membership/src/fleet_membership/quorum.py
@@ -1,4 +1,4 @@
-"""Whether a majority of the voters is reachable, and the partition mode that follows from it."""
+"""Quorum: whether a majority of the voters is reachable, and the resulting partition mode."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from fleet_membership.tasks import EndRejoin, ProbeVoters
 from fleet_membership.view import PartitionMode
 
+# Probe intervals within which a voter must have answered while this router's health is bad.
 RECENT_PROBE_INTERVALS = 5.0
-"""Probe intervals within which a voter must have answered while this router's health is bad."""
 
+# Probes of voters that may still be answered; the oldest is forgotten first.
 MAX_PENDING_PROBES = 64
-"""Probes of voters that may still be answered; the oldest is forgotten first."""
 
+# The time of an event that has not happened.
 NEVER = float("-inf")
-"""The time of an event that has not happened."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,13 +29,13 @@
 
 
 class VoterQuorum:
-    """Decides on the majority.
+    """Determines whether a majority of the voters is reachable, and the partition mode.
 
     A voter counts while it is alive in this router's table and has answered a probe sent since this process
-    started or last resumed after a pause: what it believed before the pause is no majority.
+    started or last resumed after a pause: answers from before a pause do not count.
 
     While the local health is bad the voters are probed in each interval, and count only if they answered
-    recently: a router that is partitioned finds many silent, doubts itself, and would suspect them slowly.
+    recently: a partitioned router misses many answers, so its own health is bad and its suspicions take long.
     """
 
     def __init__(self, context: MemberContext) -> None:
@@ -77,7 +77,7 @@
             context.send_to_member(member, Probe(probe_id, name))
 
     def handle_ack(self, sender: str, probe_id: int) -> None:
-        """Take an acknowledgement, which may answer a probe of a voter."""
+        """Handle an acknowledgement, which may answer a probe of a voter."""
         probe = self._pending.pop(probe_id, None)
         if probe is not None and probe.target == sender:
             self.record_answer(probe.target, probe.sent_ms)
@@ -88,7 +88,7 @@
             self._answered_ms[name] = max(sent_ms, self._answered_ms.get(name, sent_ms))
 
     def evaluate(self, now: float) -> None:
-        """Decide on the majority and the mode, and report changes."""
+        """Determine the majority and the mode again, and report changes to the log."""
         context = self._context
         voters = context.settings.voters
         reachable_count = sum(1 for name in voters if self._is_reachable(now, name))
--- a/packages/fleet-membership/src/fleet_membership/suspicion.py
+++ b/packages/fleet-membership/src/fleet_membership/suspicion.py
@@ -4,12 +4,12 @@
 
 from math import log
 
+# Independent confirmations that reduce the timeout to its minimum: the paper's K.
 CONFIRMATIONS_FOR_MIN = 3
-"""Independent confirmations after which the timeout is the shortest: the paper's K."""
 
 
 class Suspicion:
-    """One suspicion, with the accusers that raised and confirmed it.
+    """One suspicion, with the accusers that started and confirmed it.
 
     ``possible_confirmers`` is the number of members that could confirm it: if there are none, the timeout is
     the shortest from the start.
--- a/packages/fleet-membership/src/fleet_membership/task_schedule.py
+++ b/packages/fleet-membership/src/fleet_membership/task_schedule.py
@@ -1,4 +1,4 @@
-"""The tasks of a member by the time at which they are due, driven by one pending timer."""
+"""The tasks of a member in the order in which they are due, driven by one pending timer."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from fleet_membership.tasks import Task
 
+# The shortest timer.  A timer that fires early is requested again, which must not become a busy loop.
 MIN_TIMER_MS = 0.01
-"""The shortest timer: one that fires early is requested again, which must not become a busy loop."""
 
+# The time of an event that will not happen.
 NEVER = float("inf")
-"""The time of an event that will not happen."""
 
 
 class _Entry(NamedTuple):
@@ -50,12 +50,12 @@
         self._heap = [entry._replace(due_ms=entry.due_ms + by_ms) for entry in self._heap]
 
     def pop_due(self, now: float) -> Iterator[Task]:
-        """Remove and yield the tasks that are due, including those added meanwhile."""
+        """Remove and yield the tasks that are due, including those added during the iteration."""
         while self._heap and self._heap[0].due_ms <= now:
             yield heapq.heappop(self._heap).task
 
     def timer_fired(self, token: int) -> None:
-        """Record that a timer fired; one that an earlier timer has replaced changes nothing."""
+        """Record that a timer fired; a timer that was replaced by an earlier one has no effect."""
         if token == self._timer_token:
             self._timer_due_ms = NEVER
 
--- a/packages/fleet-membership/src/fleet_membership/view.py
+++ b/packages/fleet-membership/src/fleet_membership/view.py
@@ -1,4 +1,4 @@
-"""The fleet as other components of a router see it."""
+"""The view of the fleet that a member gives to the other components of its router."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class PartitionMode(Enum):
-    """Which side of a possible partition this router is on; the values are documented words of the log."""
+    """The side of a possible partition that this router is on; the values are those of the log."""
 
+    # A majority of the voters is reachable.
     WITH_MAJORITY = "with-majority"
-    """A majority of the voters is reachable."""
+    # No majority of the voters is reachable, but some other member is alive.
     MINORITY = "cut-off"
-    """No majority of the voters is reachable, but some other member is alive."""
+    # No other member is alive.
     ISOLATED = "alone"
-    """No other member is alive."""
+    # No majority has answered since this router started or resumed after a pause.
     REJOINING = "rejoining"
-    """Started, or resumed after a pause, and no majority has answered since."""
 
 
 class LinkState(Enum):
-    """How a member is reached from this router; the values are documented words of the log."""
+    """How a member is reached from this router; the values are those of the log."""
 
+    # Probes are answered.
     DIRECT = "direct"
-    """Probes are answered."""
+    # Probes are answered through other members only.
     INDIRECT = "indirect"
-    """Probes are answered through other members only."""
+    # Probes are not answered directly, but the member's datagrams arrive.
     ONE_WAY = "one-way"
-    """Probes are not answered directly, but the member's datagrams arrive."""
+    # The member was suspected too often, and is shown as suspect for some time.
     FLAPPING = "flapping"
-    """Suspected too often; shown as suspect for some time."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fleet-membership/tests/membership_cluster.py
+++ b/packages/fleet-membership/tests/membership_cluster.py
@@ -13,7 +13,7 @@
     PartitionMode,
     UserMessageHandler,
 )
-from fleet_sim import LinkQuality, Node, SimulatedCluster
+from fleet_sim import ClusterOptions, LinkQuality, Node, SimulatedCluster
 from gossip_codec import Codec, Envelope
 from sansio_core import Action, Address, Notice, RandomSource
 
@@ -43,9 +43,8 @@
         self.sent: list[bytes] = []
         self.overrides: dict[str, dict[str, Any]] = {}
         self.user_message_handlers: dict[str, UserMessageHandler] = {}
-        super().__init__(
-            seed, names, self.build_member, base_quality=LinkQuality(loss=loss), describe=self._record_sent
-        )
+        options = ClusterOptions(base_quality=LinkQuality(loss=loss), describe=self._record_sent)
+        super().__init__(seed, names, self.build_member, options)
         self.listeners.append(self._record_notice)
 
     def _record_sent(self, data: bytes) -> str:
--- a/packages/fleet-sim/src/fleet_sim/__init__.py
+++ b/packages/fleet-sim/src/fleet_sim/__init__.py
@@ -1,6 +1,6 @@
 """Seeded simulation of sans-I/O state machines: network, clocks, processes, faults, timelines."""
 
-from .cluster import Invariant, SimulatedCluster
+from .cluster import ClusterOptions, Invariant, SimulatedCluster
 from .fault_plans import FAULT_KINDS, FaultProfile, Schedule, draw_schedule
 from .faults import Fault
 from .network import LinkQuality, Network
@@ -13,6 +13,7 @@
 
 __all__ = [
     "FAULT_KINDS",
+    "ClusterOptions",
     "Disk",
     "EntryKind",
     "Fault",
--- a/packages/fleet-sim/src/fleet_sim/cluster.py
+++ b/packages/fleet-sim/src/fleet_sim/cluster.py
@@ -1,7 +1,7 @@
-"""Many state machines on one simulated clock and network.
+"""A cluster of state machines on one simulated clock and network.
 
-A run is determined by the seed, the names, the factory and the callbacks scheduled: nothing is drawn from
-anywhere else, and no order depends on hashing.
+A run is determined by the seed, the names, the factory and the scheduled callbacks: there is no other source
+of random numbers, and no order depends on hashing.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import math
 import traceback
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass, field
 from typing import Any, NamedTuple, Protocol
 
 from sansio_core import (
@@ -29,17 +30,17 @@
 from .trace import EntryKind, TraceEntry, notice_text
 from .violations import InvariantViolationError
 
+# Steps within a simulated ms that only a state machine with a busy loop makes.
 MAX_STEPS_PER_MS = 100_000
-"""Steps within a simulated ms that no sound state machine makes."""
 
+# The UDP port of every node; nodes differ in their hosts.
 PORT = 7000
-"""The port of every node: their hosts differ."""
 
+# Carries out an action that is not one of ``sansio_core``.
 ActionHandler = Callable[["SimulatedCluster", Node, Any], None]
-"""Carries out an action that is not one of ``sansio_core``."""
 
+# Describes a notable datagram in a few words; returns the empty string for all others.
 MessageDescriber = Callable[[bytes], str]
-"""Describes a notable datagram in a few words; returns the empty string for all others."""
 
 
 class Invariant(Protocol):
@@ -64,28 +65,34 @@
     event: Any
 
 
+@dataclass(frozen=True, slots=True)
+class ClusterOptions:
+    """The network, the invariants and the extensions of a cluster.
+
+    ``base_quality`` None stands for ``LinkQuality()``.  ``describe`` is None in a run whose trace has no
+    messages.  ``action_handlers`` carry out actions that are not of ``sansio_core``, by their types.
+    """
+
+    base_quality: LinkQuality | None = None
+    invariants: Iterable[Invariant] = ()
+    describe: MessageDescriber | None = None
+    action_handlers: Mapping[type, ActionHandler] = field(default_factory=dict)
+
+
 class SimulatedCluster:
-    """The event queue, and the operations that faults and scenarios are made of.
+    """A simulated cluster: its event queue, and the operations that faults and scenarios consist of.
 
-    ``topology_version`` grows with every change of a link or of a process; ``link_changed_ms`` holds when a
-    link was last cut or healed; ``active_faults`` are the causes of the faults in effect.
+    ``topology_version`` rises with every change of a link or of a process; ``link_changed_ms`` has the time
+    at which a link was last cut or healed; ``active_faults`` are the causes of the faults in effect.
     """
 
     def __init__(
-        self,
-        seed: int,
-        names: Iterable[str],
-        factory: MachineFactory,
-        *,
-        base_quality: LinkQuality | None = None,
-        invariants: Iterable[Invariant] = (),
-        describe: MessageDescriber | None = None,
-        action_handlers: Mapping[type, ActionHandler] | None = None,
+        self, seed: int, names: Iterable[str], factory: MachineFactory, options: ClusterOptions
     ) -> None:
         self.seed = seed
         self.now = 0.0
         self.steps = 0
-        self.network = Network(base_quality)
+        self.network = Network(options.base_quality)
         self.nodes = {name: Node(name, address_of(index), seed) for index, name in enumerate(names)}
         self.trace: list[TraceEntry] = []
         self.listeners: list[Callable[[Node, Notice], None]] = []
@@ -93,9 +100,9 @@
         self.link_changed_ms: dict[Link, float] = {}
         self.active_faults: set[str] = set()
         self._factory = factory
-        self._describe = describe
-        self._action_handlers = dict(action_handlers or {})
-        self._invariants = tuple(invariants)
+        self._describe = options.describe
+        self._action_handlers = dict(options.action_handlers)
+        self._invariants = tuple(options.invariants)
         self._node_at = {node.address: node for node in self.nodes.values()}
         self._queue: list[_QueuedEvent] = []
         self._serial = 0
@@ -105,11 +112,11 @@
     # -- time
 
     def schedule(self, at_ms: float, callback: Callable[[], None]) -> None:
-        """Call back at a simulated time, before what is queued later for the same time."""
+        """Call back at a simulated time, before events of the same time that are queued later."""
         self._push(at_ms, None, None, callback)
 
     def run_until(self, until_ms: float) -> None:
-        """Handle everything that is due up to a time.
+        """Handle all events that are due up to a time.
 
         Raises InvariantViolationError.
         """
@@ -123,7 +130,7 @@
         self.now = until_ms
 
     def deliver(self, node: Node, event: Any) -> None:
-        """Deliver an event now: a paused process handles it later, one that is down never."""
+        """Deliver an event now; a paused process handles it when it continues, one that is down never."""
         if node.state is ProcessState.RUNNING:
             self._handle(node, event)
         elif node.state is ProcessState.PAUSED:
@@ -163,7 +170,7 @@
             self._process_changed(node, "paused")
 
     def resume(self, name: str) -> None:
-        """Continue a paused process, which handles now what waited for it."""
+        """Continue a paused process, which then handles the events that waited for it."""
         node = self.nodes[name]
         if node.state is ProcessState.PAUSED:
             node.set_state(ProcessState.RUNNING, self.now)
@@ -178,15 +185,15 @@
         self._links_changed(self.network.cut(links, cause), EntryKind.LINK_CUT)
 
     def heal(self, cause: str) -> None:
-        """End a cause's cuts."""
+        """Heal the links that were cut for a cause and for no other."""
         self._links_changed(self.network.heal(cause), EntryKind.LINK_HEALED)
 
     def heal_links(self, links: Iterable[Link]) -> None:
-        """End every cause's cuts of these links."""
+        """Heal these links, for whichever causes they were cut."""
         self._links_changed(self.network.heal_links(links), EntryKind.LINK_HEALED)
 
     def inject(self, target: str, source: Address, data: bytes) -> None:
-        """Deliver a datagram that no process of this cluster sends now: replayed, or forged."""
+        """Deliver a replayed or forged datagram, which no process of this cluster sends now."""
         self._push(self.now, self.nodes[target], None, DatagramReceived(source, data))
 
     # -- trace
@@ -282,5 +289,5 @@
 
 
 def address_of(index: int) -> Address:
-    """Return the address of the node at that place among the names."""
+    """Return the address of the node with this index among the names."""
     return f"10.{index >> 16}.{(index >> 8) & 255}.{index & 255}", PORT
--- a/packages/fleet-sim/src/fleet_sim/command.py
+++ b/packages/fleet-sim/src/fleet_sim/command.py
@@ -15,14 +15,14 @@
 from .run import Outcome, Subject, draw_plan, node_names, run
 from .shrink import shrink
 
+# The subject that is run unless the command line names another.
 DEFAULT_SUBJECT = "fleet_sim.membership:subject"
-"""The subject that is run unless the command line names another."""
 
+# Seeds that a worker process takes at a time.
 SEEDS_PER_TASK = 20
-"""Seeds that a worker process takes at a time."""
 
+# Makes a subject for the nodes of these names.
 SubjectFactory = Callable[[tuple[str, ...]], Subject]
-"""Makes a subject for the nodes of these names."""
 
 
 def percentile(values: Sequence[float], share: float) -> float:
--- a/packages/fleet-sim/src/fleet_sim/fault_plans.py
+++ b/packages/fleet-sim/src/fleet_sim/fault_plans.py
@@ -1,4 +1,4 @@
-"""Drawing schedules of faults from a seed, and putting them on a cluster's queue."""
+"""Fault plans: draws schedules of faults from a seed, and schedules them on a cluster."""
 
 from __future__ import annotations
 
@@ -23,51 +23,51 @@
 )
 from .network import LinkQuality
 
+# Faults in the order of their start times.
 Schedule = tuple[Fault, ...]
-"""Faults in the order of their times."""
 
+# The shortest duration of a drawn fault that is not momentary.
 MIN_DURATION_MS = 100.0
-"""The shortest drawn fault that lasts."""
 
+# Mean of the duration beyond that, as a share of the longest duration.
 MEAN_DURATION_SHARE = 0.25
-"""What is added to it on average, as a share of the longest."""
 
+# Probability that a killed process keeps its disk.
 KEEP_DISK_PROBABILITY = 0.7
-"""Share of kills after which the disk is still there."""
 
+# Intervals of a flapping link: below a probe's timeout, below a probe interval, and above it.
 FLAP_INTERVALS_MS = (150.0, 700.0, 2_500.0)
-"""Within a probe's timeout, within a probe interval, and longer."""
 
+# Shortest delays of a network within a rack, within a region and across regions.
 MIN_DELAYS_MS = (0.2, 5.0, 40.0)
-"""Of a network within a rack, within a region and across regions."""
 
+# Longest delays, as a multiple of the shortest one.
 DELAY_RANGE_FACTORS = (2, 5)
-"""The longest delay as a multiple of the shortest."""
 
+# Probabilities of the loss of a datagram.
 LOSSES = (0.0, 0.05, 0.2, 0.5)
-"""Shares of lost datagrams."""
 
+# Probabilities of the duplication of a datagram.
 DUPLICATED_SHARES = (0.0, 0.1)
-"""Shares of duplicated datagrams."""
 
+# Probabilities of the reordering of a datagram.
 REORDERED_SHARES = (0.0, 0.3)
-"""Shares of reordered datagrams."""
 
+# Delays of timers: below and above the lateness that counts as a pause, and above a probe interval.
 TIMER_DELAYS_MS = (50.0, 400.0, 1_500.0)
-"""Below and above what counts as a pause, and above a probe interval."""
 
+# Steps of the wall clock by an hour, as from a wrong time zone.
 WALL_STEPS_MS = (-3.6e6, 3.6e6)
-"""An hour, as by a wrong time zone."""
 
+# Upper bound on the datagrams of a replay.
 MAX_REPLAYED = 20
-"""Datagrams of a replay."""
 
+# Upper bound on the datagrams of garbage that are sent at once.
 MAX_GARBAGE = 5
-"""Datagrams of garbage at once."""
 
 
 def schedule_faults(cluster: SimulatedCluster, schedule: Schedule) -> float:
-    """Put a schedule on the queue; returns the simulated time at which its last fault has ended."""
+    """Schedule the faults on a cluster; return the simulated time at which the last one has ended."""
     for index, fault in enumerate(schedule):
         _schedule_fault(cluster, fault, f"fault {index}")
     return max((fault.at_ms + fault.duration_ms for fault in schedule), default=0.0)
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultProfile:
-    """How hard a drawn schedule is: when its faults begin, how many, how long and of which kinds."""
+    """The limits of a drawn schedule: start times, number, durations and kinds of its faults."""
 
     window_start_ms: float = 4_000.0
     window_end_ms: float = 14_000.0
@@ -98,7 +98,7 @@
 
 
 def draw_schedule(seed: int, names: tuple[str, ...], profile: FaultProfile) -> Schedule:
-    """Draw a schedule, which the arguments determine."""
+    """Draw a schedule; equal arguments give equal schedules."""
     source = random.Random(f"{seed}/schedule")
     count = source.randint(1, profile.max_faults)
     faults = [_draw_fault(source, names, profile) for _ in range(count)]
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FaultDraw:
-    """A fault whose time is drawn already, and what its other properties are drawn from."""
+    """The drawn time of a fault, and the random source and names that its other properties are drawn from."""
 
     source: random.Random
     names: tuple[str, ...]
@@ -138,7 +138,7 @@
         return tuple(shuffled[:size]), tuple(shuffled[size:])
 
     def chance(self, probability: float = 0.5) -> bool:
-        """Draw whether something is so."""
+        """Return True with this probability."""
         return self.source.random() < probability
 
     def quality(self) -> LinkQuality:
@@ -204,6 +204,7 @@
     return Garbage(draw.at_ms, 0.0, draw.node(), draw.source.randint(1, MAX_GARBAGE))
 
 
+# The function that draws each kind of fault, by the kind's name on the command line.
 FAULT_KINDS: dict[str, Callable[[_FaultDraw], Fault]] = {
     "cut": _draw_cut,
     "split": _draw_partition,
@@ -217,4 +218,3 @@
     "replay": _draw_replay,
     "garbage": _draw_garbage,
 }
-"""How each kind is drawn, by the name that the command line has for it."""
--- a/packages/fleet-sim/src/fleet_sim/faults.py
+++ b/packages/fleet-sim/src/fleet_sim/faults.py
@@ -1,4 +1,4 @@
-"""Faults as plain data: each begins at a time, is in effect for a while, and ends."""
+"""Faults: each begins at a time, is in effect for a duration, and ends."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .network import Link, LinkQuality
 from .trace import EntryKind
 
+# The source of garbage: an address for documentation (RFC 5737), which no node has.
 FORGED_SOURCE: Address = ("192.0.2.1", 9)
-"""The source of garbage: an address for documentation (RFC 5737), which no node has."""
 
 
 def links_between(source: str, target: str, both_ways: bool) -> list[Link]:
-    """Return the link from one node to another and, if asked for, the one back."""
+    """Return the link from one node to another, and with ``both_ways`` the link back."""
     if both_ways:
         return [(source, target), (target, source)]
     return [(source, target)]
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut(Fault):
-    """A link that carries nothing, in one direction or both."""
+    """A link that carries no datagrams, in one direction or both."""
 
     source: str
     target: str
@@ -100,7 +100,7 @@
         self._cut(cluster, cause)
 
     def end(self, cluster: SimulatedCluster, cause: str) -> None:
-        """Heal the link for good."""
+        """Heal the link."""
         cluster.heal(cause)
 
     def _cut(self, cluster: SimulatedCluster, cause: str) -> None:
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill(Fault):
-    """``kill -9``, and a restart at the end."""
+    """The end of a process by SIGKILL, and a restart at the end of the fault."""
 
     node: str
     keep_disk: bool = True
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave(Fault):
-    """A graceful shutdown, and a restart at the end."""
+    """A graceful shutdown, and a restart at the end of the fault."""
 
     node: str
 
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pause(Fault):
-    """SIGSTOP, and SIGCONT at the end."""
+    """A pause of a process (SIGSTOP), which continues at the end (SIGCONT)."""
 
     node: str
 
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WallStep(Fault):
-    """A step of the wall clock, which no state machine is given: it appears in the trace alone."""
+    """A step of the wall clock; no state machine reads that clock, so it only appears in the trace."""
 
     node: str
     by_ms: float
@@ -222,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay(Fault):
-    """An eavesdropper sends again what it recorded on a link."""
+    """Recorded datagrams of a link, which an attacker sends again."""
 
     source: str
     target: str
@@ -237,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Garbage(Fault):
-    """Datagrams of random bytes, from nobody's address."""
+    """Datagrams of random bytes, from an address that no node has."""
 
     target: str
     count: int
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -34,23 +34,23 @@
 from .scenario import Scenario
 from .simulated_router import SimulatedRouter
 
+# Upper bound on the voters of a fleet whose voters are not named.
 MAX_VOTERS = 5
-"""Voters of a fleet whose voters are not named."""
 
+# Time after the last fault within which all routers must agree: several exchanges with unreachable peers.
 SETTLE_TIMEOUT_MS = 60_000.0
-"""Within this all routers must agree once faults have ended: several exchanges with unreachable peers."""
 
+# The name of the fleet.
 FLEET = "fleet"
-"""The name of the fleet."""
 
+# The secret of all routers but the foreign ones.
 FLEET_SECRET = b"the secret of the fleet"
-"""The secret of all routers but the foreign ones."""
 
+# The secret of foreign routers, whose datagrams the fleet must reject.
 FOREIGN_SECRET = b"another secret of theirs"
-"""The secret of foreign routers, whose datagrams the fleet must reject."""
 
+# Settings that are integers, since the numbers in a scenario's header are read as floats.
 INTEGER_SETTINGS = ("indirect", "flaps_most")
-"""Settings that are counts; a scenario's header has numbers alone."""
 
 _envelope_decoder = msgpack.Decoder(Envelope)
 
--- a/packages/fleet-sim/src/fleet_sim/membership_invariants.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_invariants.py
@@ -1,4 +1,4 @@
-"""What must be true of members and their quotas: after every event, and once faults have ended."""
+"""Invariants of members and their quotas, and the check that a fleet has settled after the last fault."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 from .reachability import Reachability, connected_for_ms
 from .simulated_router import SimulatedRouter
 
+# Connection time between a failed member and the router that declared it failed, from which on the failure is
+# counted as false.
 CONNECTED_MS = 5_000.0
-"""A member that its judge has been connected to for so long has failed falsely: that is counted."""
 
+# Connection time between a failed member and all running nodes, from which on the failure is a violation.
 CONNECTED_TO_ALL_MS = 15_000.0
-"""If all running nodes have been connected to it for so long, a failure is a violation as well."""
 
+# Time after which a router must have detected that it lost the majority of the voters.
 MAJORITY_LOSS_MS = 12_000.0
-"""By then a router that lost the majority of the voters must know."""
 
+# Rounding error by which a sum of quotas may exceed 1.
 ROUNDING_ERROR = 1e-9
-"""How much a sum of quotas may exceed 1."""
 
 
 def view_of(cluster: SimulatedCluster, node: Node) -> MembershipView | None:
-    """Return the node's view of the fleet now, or None if it is down."""
+    """Return the node's present view of the fleet, or None if the node is down."""
     if node.machine is None:
         return None
     return _router_of(node).membership.view(node.monotonic_ms(cluster.now))
@@ -40,7 +41,7 @@
 
 
 class MonotonicViews:
-    """Within a process's incarnation, versions and members' incarnations never decrease.
+    """Checks that versions and members' incarnations never decrease while a process runs.
 
     ``majority_since_ms`` changes whenever ``has_majority`` does.
     """
@@ -75,9 +76,9 @@
 
 
 class SingleMajority:
-    """A router without a majority of the voters in reach for ``MAJORITY_LOSS_MS`` does not claim one.
+    """Checks that a router claims no majority if it had none in reach for ``MAJORITY_LOSS_MS``.
 
-    So at most one side of a partition does.
+    So at most one side of a partition claims a majority.
     """
 
     name = "single-majority"
@@ -112,7 +113,7 @@
 
 
 class NoFalseFailures:
-    """No member fails that all running nodes have been connected to for long, on links without noise."""
+    """Checks that no member fails that all running nodes are connected to, by links without noise."""
 
     name = "false-failure"
 
@@ -140,7 +141,7 @@
 
 
 class QuotasFitBudget:
-    """The quotas of all processes never add up to more than a budget; a paused one keeps its quota."""
+    """Checks that the quotas of all processes, also of paused ones, never exceed a budget in total."""
 
     name = "quotas"
 
@@ -156,7 +157,7 @@
 
 
 def count_failures_and_rejections(cluster: SimulatedCluster, counts: Counter[str]) -> None:
-    """Count declared failures, those of members in steady reach of their judge, and rejected datagrams."""
+    """Count failures, false failures among them (``CONNECTED_MS``), and rejected datagrams."""
 
     def count(node: Node, notice: Notice) -> None:
         if notice.name == "member" and notice.fields["state"] == "failed":
@@ -171,7 +172,7 @@
 
 
 def find_unsettled(cluster: SimulatedCluster, voters: tuple[str, ...], foreign: frozenset[str]) -> str | None:
-    """Return what is wrong in the first view that does not show the processes as they are, or None."""
+    """Return the first difference between a router's view and the actual processes, or None."""
     fleet = [node for node in cluster.nodes.values() if node.name not in foreign]
     views = {node.name: view for node in fleet if node.is_running and (view := view_of(cluster, node))}
     running_voters = [node for node in fleet if node.is_running and node.name in voters]
@@ -184,14 +185,14 @@
         if known_foreign:
             return f"{observer}: knows {' '.join(sorted(known_foreign))} of another fleet"
         for node in fleet:
-            wrong = _wrong_member(view, node, incarnations)
-            if wrong is not None:
-                return f"{observer}: {wrong}"
+            difference = _member_difference(view, node, incarnations)
+            if difference is not None:
+                return f"{observer}: {difference}"
     return None
 
 
-def _wrong_member(view: MembershipView, node: Node, incarnations: dict[str, int]) -> str | None:
-    """Return how a view differs from a node's process, or None."""
+def _member_difference(view: MembershipView, node: Node, incarnations: dict[str, int]) -> str | None:
+    """Return the difference between a view and the state of a node's process, or None."""
     member = view.members.get(node.name)
     if not node.is_running:
         if member is not None and member.state not in DEAD_STATES:
--- a/packages/fleet-sim/src/fleet_sim/network.py
+++ b/packages/fleet-sim/src/fleet_sim/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: what becomes of each datagram on each directed link."""
+"""The simulated network: loss, delay and duplication of datagrams on each directed link."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from sansio_core import Address, RandomSource
 
+# A directed link: the names of its source and its target.
 Link = tuple[str, str]
-"""A directed link: the names of its source and its target."""
 
+# Upper bound on the recorded datagrams of each sender.
 MAX_RECORDED = 64
-"""Datagrams of each sender that are kept for replays."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedDatagram:
-    """A datagram as an eavesdropper has it."""
+    """A datagram that was recorded for a replay."""
 
     source: Address
     target: str
--- a/packages/fleet-sim/src/fleet_sim/node.py
+++ b/packages/fleet-sim/src/fleet_sim/node.py
@@ -9,27 +9,28 @@
 
 from sansio_core import Address, DatagramReceived, RandomSource, StateMachine
 
+# The data that survive a kill; a process that lost its disk starts with an empty one.
 Disk = dict[str, Any]
-"""What survives a kill; a process that lost its disk starts with an empty one."""
 
+# Makes a process's state machine: name, address, incarnation, random source, disk.
 MachineFactory = Callable[[str, Address, int, RandomSource, Disk], StateMachine[Any, Any]]
-"""Makes a process's state machine: name, address, incarnation, random source, disk."""
 
+# Upper bound on the datagrams that wait for a paused process; further ones are lost, as in a full socket
+# buffer.
 MAX_WAITING_DATAGRAMS = 128
-"""Datagrams that wait at a paused process; later ones are lost, as in a full socket buffer."""
 
+# The largest difference between the rates of a clock and of simulated time, as a share of the latter.
 MAX_CLOCK_DRIFT = 5e-4
-"""The largest difference between the rates of a clock and of true time, as a share of the latter."""
 
+# The shortest time until a timer fires, since a process takes time for its work.
 MIN_TIMER_MS = 0.05
-"""No timer fires sooner: time passes while a process works."""
 
+# Upper bound on the reading of a process's monotonic clock at its start.
 MAX_CLOCK_ZERO_MS = 1e6
-"""Monotonic clocks start anywhere below this."""
 
 
 class ProcessState(Enum):
-    """Whether a process exists, and whether it makes progress."""
+    """The state of a simulated process."""
 
     DOWN = "down"
     RUNNING = "running"
@@ -39,9 +40,9 @@
 class Node:
     """One name and address, over all incarnations of its process.
 
-    ``stopped_by`` is the fault that ended the process, if one did.  ``timer_delays_ms`` has by cause how late
-    timers may fire.  ``random`` draws what happens to the node's datagrams and timers; the state machine of
-    each incarnation has a source of its own.
+    ``stopped_by`` is the fault that ended the process, if one did.  ``timer_delays_ms`` has the upper
+    bounds of the lateness of timers, by cause.  ``random`` draws the delivery of the node's datagrams and the
+    lateness of its timers; the state machine of each incarnation has another random source.
     """
 
     def __init__(self, name: str, address: Address, seed: int) -> None:
@@ -106,7 +107,7 @@
         return due_ms
 
     def enqueue(self, event: Any) -> None:
-        """Keep an event until the process continues; a datagram is lost if too many wait."""
+        """Queue an event until the process continues; a datagram is lost if too many are queued."""
         if isinstance(event, DatagramReceived):
             if self._waiting_datagrams >= MAX_WAITING_DATAGRAMS:
                 return
@@ -114,7 +115,7 @@
         self._waiting.append(event)
 
     def dequeue_all(self) -> list[Any]:
-        """Return the events that waited: datagrams first or last, as a reactor may find them."""
+        """Return the queued events: at random all datagrams first or last, as a reactor may read them."""
         waiting = self._waiting
         self._waiting = []
         self._waiting_datagrams = 0
--- a/packages/fleet-sim/src/fleet_sim/reachability.py
+++ b/packages/fleet-sim/src/fleet_sim/reachability.py
@@ -1,4 +1,4 @@
-"""Which nodes can reach each other: by links that are not cut, between running processes."""
+"""Reachability: which running processes can reach each other by links that are not cut."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 
 def connected_for_ms(cluster: SimulatedCluster, node: Node, other: Node) -> float:
-    """Return for how long both nodes run and both links between them carry; 0 if they do not now."""
+    """Return how long both nodes have been running with both links between them intact; 0 if not now."""
     if not (node.is_running and other.is_running):
         return 0.0
-    there = (node.name, other.name)
-    back = (other.name, node.name)
-    if cluster.network.is_cut(there) or cluster.network.is_cut(back):
+    outgoing = (node.name, other.name)
+    incoming = (other.name, node.name)
+    if cluster.network.is_cut(outgoing) or cluster.network.is_cut(incoming):
         return 0.0
     last_change_ms = max(
-        cluster.link_changed_ms.get(there, 0.0),
-        cluster.link_changed_ms.get(back, 0.0),
+        cluster.link_changed_ms.get(outgoing, 0.0),
+        cluster.link_changed_ms.get(incoming, 0.0),
         node.state_changed_ms,
         other.state_changed_ms,
     )
--- a/packages/fleet-sim/src/fleet_sim/run.py
+++ b/packages/fleet-sim/src/fleet_sim/run.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .cluster import ActionHandler, Invariant, MessageDescriber, SimulatedCluster
+from .cluster import ActionHandler, ClusterOptions, Invariant, MessageDescriber, SimulatedCluster
 from .fault_plans import FaultProfile, Schedule, draw_schedule, schedule_faults
 from .network import LinkQuality
 from .node import MachineFactory
@@ -15,11 +15,11 @@
 from .trace_rendering import render_trace
 from .violations import InvariantViolationError
 
+# Simulated time between checks whether the subject has settled.
 POLL_INTERVAL_MS = 250.0
-"""How often the subject is checked for having settled."""
 
+# Entries at the end of the trace that a story shows: enough for a shrunk failure.
 STORY_ENTRIES = 120
-"""Entries of the trace in a story: enough for a shrunk failure."""
 
 
 def _nothing_unsettled(_cluster: SimulatedCluster) -> str | None:
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True)
 class Subject:
-    """What is simulated, and what must be true of it.
+    """The simulated system and its invariants.
 
-    ``find_unsettled`` returns what is still wrong once faults have ended, or None; that may last for
-    ``settle_timeout_ms``.  ``invariants`` are made anew for each run; ``attach_counters`` adds listeners that
-    only count and never fail a run.
+    ``find_unsettled`` returns what has not settled yet after the last fault, or None; the subject has
+    ``settle_timeout_ms`` for that.  ``invariants`` are made anew for each run; ``attach_counters`` adds
+    listeners that only count and never fail a run.
     """
 
     factory: MachineFactory
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Everything that determines a run of a subject."""
+    """The inputs that determine a run of a subject."""
 
     seed: int
     names: tuple[str, ...]
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What came of a run.
+    """The outcome of a run.
 
     ``settled_ms`` counts from the end of the last fault.  ``trace`` has messages in a traced run only.
     """
@@ -118,15 +118,13 @@
 
 def make_cluster(subject: Subject, seed: int, names: tuple[str, ...], *, trace: bool) -> SimulatedCluster:
     """Make a cluster of the subject's state machines; none is started yet."""
-    return SimulatedCluster(
-        seed,
-        names,
-        subject.factory,
+    options = ClusterOptions(
         base_quality=subject.base_quality,
         invariants=subject.invariants(),
         describe=subject.describe if trace else None,
         action_handlers=subject.action_handlers,
     )
+    return SimulatedCluster(seed, names, subject.factory, options)
 
 
 def _settle(cluster: SimulatedCluster, subject: Subject, healed_ms: float) -> None:
--- a/packages/fleet-sim/src/fleet_sim/scenario.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario.py
@@ -10,14 +10,14 @@
 from fnmatch import fnmatchcase
 from pathlib import Path
 
+# Default time that a scenario waits for an expectation: longer than any suspicion.
 DEFAULT_TIMEOUT_MS = 20_000.0
-"""How long a scenario waits unless its header says otherwise: longer than any suspicion."""
 
+# Default number of seeds that a scenario is run with.
 DEFAULT_SEEDS = 3
-"""Seeds that a scenario is run with unless its header says otherwise."""
 
+# The expectation that has no nodes: the subject itself is asked whether it has settled.
 SETTLED = "settled"
-"""The expectation that has no nodes: the subject itself is asked whether it has settled."""
 
 _STEP = re.compile(r"(?:at\s+(?P<at>[\d_.]+)|then(?:\s+(?P<pause>[\d_.]+))?)\s+(?P<action>\S.*)")
 _HEADER = re.compile(r"(?P<key>[a-z_]+):\s*(?P<value>.*)")
--- a/packages/fleet-sim/src/fleet_sim/scenario_actions.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_actions.py
@@ -9,9 +9,10 @@
 from .network import Link, LinkQuality
 from .scenario import ScenarioSyntaxError
 
+# The words of an action, or those after its verb.
 Words = tuple[str, ...]
-"""The words of an action, or those after its verb."""
 
+# The field of ``LinkQuality`` for each word of the action ``noise``, which the files' format fixes.
 QUALITY_KEYS: Mapping[str, str] = {
     "loss": "loss",
     "least_ms": "min_delay_ms",
@@ -20,10 +21,9 @@
     "reordered": "reordered",
     "held_ms": "reorder_delay_ms",
 }
-"""The field of ``LinkQuality`` for each word of the action ``noise``, which the files' format fixes."""
 
+# Faults without a duration, which later actions cannot end.
 MOMENTARY_FAULTS = (WallStep, Replay, Garbage)
-"""Faults that are over as soon as they have begun."""
 
 
 class ScenarioActions:
--- a/packages/fleet-sim/src/fleet_sim/scenario_runner.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario and compares what is observed with what is expected: order and cause, not milliseconds."""
+"""Runs a scenario and compares observations with expectations, by order and cause rather than by time."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from .trace_rendering import TIME_WIDTH, TraceRenderer
 from .violations import InvariantViolationError
 
+# Makes the subject of a scenario, which may depend on the options in its header.
 SubjectFactory = Callable[[Scenario], Subject]
-"""Makes the subject of a scenario, which may depend on the options in its header."""
 
+# Simulated time between readings of the trace, by which a ``then`` may be late.
 POLL_INTERVAL_MS = 10.0
-"""How often the trace is read; a ``then`` comes so much later at most."""
 
+# Characters between the timeline and the expectations beside it, with those after its times.
 COLUMN_GAP = 4
-"""Characters between the timeline and the expectations beside it, with those after its times."""
 
 
 @dataclass
 class ScenarioReport:
-    """What came of a scenario under one seed.
+    """The result of a scenario under one seed.
 
     ``annotations`` holds by index of the trace which expectation an entry met or broke.
     """
@@ -77,7 +77,7 @@
         return None
 
     def _may_meet(self, index: int) -> bool:
-        """Return whether an expectation's turn has come: an ordered one waits for all lines above it."""
+        """Return whether an expectation may be met now: an ordered one needs all lines above it to be met."""
         expectation = self._pending[index].expectation
         lines_before = [pending.expectation.line for pending in self._pending[:index]]
         return not expectation.ordered or all(line >= expectation.line for line in lines_before)
--- a/packages/fleet-sim/src/fleet_sim/shrink.py
+++ b/packages/fleet-sim/src/fleet_sim/shrink.py
@@ -1,4 +1,4 @@
-"""Shrinking: from a plan that fails to a smaller one that fails by the same check."""
+"""Shrinking: finds a smaller plan that fails by the same check as a given one."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .faults import Fault
 from .run import Outcome, Plan, Subject, run
 
+# The shortest duration that a fault is shortened to.
 MIN_DURATION_MS = 50.0
-"""Faults are not shortened below this."""
 
+# Upper bound on the runs of one search.
 MAX_RUNS = 300
-"""Runs after which the search ends."""
 
 
 class NothingToShrinkError(ValueError):
@@ -24,7 +24,7 @@
 
 
 def shrink(subject: Subject, failed: Outcome, max_runs: int = MAX_RUNS) -> Outcome:
-    """Drop faults, then shorten them, while the same check fails; the result is traced.
+    """Remove faults and then shorten them, as long as the same check fails; return a traced run.
 
     Greedy and one fault at a time: no single drop or halving of the result fails by that check, unless
     ``max_runs`` ended the search.  Raises NothingToShrinkError.
--- a/packages/fleet-sim/src/fleet_sim/simulated_router.py
+++ b/packages/fleet-sim/src/fleet_sim/simulated_router.py
@@ -1,4 +1,4 @@
-"""What a router runs of the fleet, as one state machine of the simulation."""
+"""The fleet membership and quota leases of a router, as one state machine of the simulation."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from quota_leases import LEASE_CHANNEL, LeaseExchange, QuotaSettings
 from sansio_core import Action, Event, RandomSource, SetTimer, ShutdownRequested, Started, TimerFired
 
+# The timer of lease renewals; the tokens of ``Membership`` are not negative.
 RENEWAL_TOKEN = -1
-"""The timer of lease renewals; the tokens of ``Membership`` are not negative."""
 
 
 class SimulatedRouter:
--- a/packages/fleet-sim/src/fleet_sim/trace.py
+++ b/packages/fleet-sim/src/fleet_sim/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a run: what happened, in order; ``trace_rendering`` draws it as a timeline."""
+"""The trace of a run: its occurrences in order; ``trace_rendering`` draws it as a timeline."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class EntryKind(Enum):
-    """What an entry is about, which decides how it is drawn."""
+    """The kind of an entry, which determines how it is drawn."""
 
+    # A process starts, pauses, continues or ends.
     PROCESS = "process"
-    """A process starts, pauses, continues or ends."""
+    # A fault of one node, or of all.
     FAULT = "fault"
-    """A fault of one node, or of all."""
+    # A link stops carrying datagrams.
     LINK_CUT = "link cut"
-    """A link stops carrying datagrams."""
+    # A link carries datagrams again.
     LINK_HEALED = "link healed"
-    """A link carries datagrams again."""
+    # A notable message that will arrive.
     SENT = "sent"
-    """A notable message that will arrive."""
+    # A notable message that will not arrive.
     LOST = "lost"
-    """A notable message that will not arrive."""
+    # A notice of a state machine.
     NOTICE = "notice"
-    """A notice of a state machine."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fleet-sim/src/fleet_sim/trace_rendering.py
+++ b/packages/fleet-sim/src/fleet_sim/trace_rendering.py
@@ -11,26 +11,26 @@
 
 from .trace import EntryKind, TraceEntry
 
+# How a node's column is drawn after a process entry, by the first word of its text.
 LIFELINES = {"started": "|", "continued": "|", "paused": ":", "killed": " ", "ended": " "}
-"""How a node's column is drawn after a process entry, by the first word of its text."""
 
+# Characters of the times in the first column.
 TIME_WIDTH = 10
-"""Characters of the times in the first column."""
 
+# Characters of a node's column at least.
 MIN_COLUMN_WIDTH = 16
-"""Characters of a node's column at least."""
 
+# Characters of a node's column at most.
 MAX_COLUMN_WIDTH = 30
-"""Characters of a node's column at most."""
 
+# Characters that the columns together aim at.
 LINE_WIDTH = 150
-"""Characters that the columns together aim at."""
 
+# Entries that are drawn from one node to another.
 ARROW_KINDS = {EntryKind.LINK_CUT, EntryKind.LINK_HEALED, EntryKind.SENT, EntryKind.LOST}
-"""Entries that are drawn from one node to another."""
 
+# What distinguishes texts of faults and processes from notices.
 TEXT_PREFIXES = {EntryKind.FAULT: "! ", EntryKind.PROCESS: "* "}
-"""What distinguishes texts of faults and processes from notices."""
 
 
 class TraceRenderer:
--- a/packages/fleet-sim/src/fleet_sim/violations.py
+++ b/packages/fleet-sim/src/fleet_sim/violations.py
@@ -1,4 +1,4 @@
-"""What ends a run before its time: a check that failed."""
+"""The error that ends a run when a check fails."""
 
 from __future__ import annotations
 
