--- a/packages/fleet-harness/src/fleet_harness/__main__.py
+++ b/packages/fleet-harness/src/fleet_harness/__main__.py
@@ -21,20 +21,20 @@
 from fleet_harness.scenario_batch import ScenarioBatch
 from thornjunction.net.event_loop.reactor import install
 
+# Routers of the smallest demo: with fewer, one failure ends the majority.
 MIN_ROUTERS = 3
-"""Routers of the smallest demo: fewer have no majority without one of them."""
 
+# Routers of the largest demo.
 MAX_ROUTERS = 9
-"""Routers of the largest demo."""
 
+# Scenarios that run at once unless the command line says otherwise.
 DEFAULT_JOBS = 4
-"""Scenarios that run at once unless the command line says otherwise."""
 
 reactor = install()
 
 
 class Stoppable(Protocol):
-    """Something that started processes and can end them."""
+    """A run that has started processes and can end them."""
 
     def stop(self) -> Deferred[Any]:
         """End all processes; fires once they have ended."""
--- a/packages/fleet-harness/src/fleet_harness/admin_client.py
+++ b/packages/fleet-harness/src/fleet_harness/admin_client.py
@@ -9,8 +9,8 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
+# Seconds that a connection on loopback may take, on a busy machine too.
 CONNECT_TIMEOUT_S = 5
-"""Seconds that a connection on loopback may take, on a busy machine too."""
 
 
 class _AdminCall(Protocol):
--- a/packages/fleet-harness/src/fleet_harness/demo.py
+++ b/packages/fleet-harness/src/fleet_harness/demo.py
@@ -10,8 +10,8 @@
 from fleet_harness.environment import Environment
 from fleet_harness.participants import Participants
 
+# Milliseconds until all routers must know each other; seconds on an idle machine.
 START_TIMEOUT_MS = 30_000.0
-"""Milliseconds until all routers must know each other; seconds on an idle machine."""
 
 
 class Demo:
--- a/packages/fleet-harness/src/fleet_harness/environment.py
+++ b/packages/fleet-harness/src/fleet_harness/environment.py
@@ -20,21 +20,22 @@
 from fleet_harness.waiting import ConditionWaiter
 from thornjunction.log_events import LogEvent
 
+# Milliseconds from a signal to the exit, a graceful shutdown between them.
 EXIT_TIMEOUT_MS = 10_000.0
-"""Milliseconds from a signal to the exit, a graceful shutdown between them."""
 
+# Upper bound on the starts of one router: another process may take a port after it was drawn, which ends the
+# start.
 MAX_START_ATTEMPTS = 5
-"""Starts of one router until its ports are free: another process may take one after it was drawn."""
 
+# Text of the timeline for a process that receives a signal; other signals are shown as faults.
 PROCESS_CHANGES: Mapping[int, str] = {
     signal.SIGKILL: "killed",
     signal.SIGSTOP: "paused",
     signal.SIGCONT: "continued",
 }
-"""What the timeline says of a process that receives a signal; other signals are shown as faults."""
 
+# Signals after which a process is expected to end.
 FINAL_SIGNALS = (signal.SIGKILL, signal.SIGTERM)
-"""Signals after which a process is expected to end."""
 
 
 class Environment:
@@ -99,7 +100,7 @@
         self.processes[name].send_signal(number)
 
     async def wait_for_datagrams(self, count: int, timeout_ms: float) -> None:
-        """Wait until so many more datagrams were forwarded: time as the fleet itself counts it."""
+        """Wait until ``count`` more datagrams were forwarded, which does not depend on the machine's load."""
         target = self.relay.counters.forwarded + count
         self.relay.on_forwarded = self.waiter.check
         await self.waiter.wait_until(
--- a/packages/fleet-harness/src/fleet_harness/event_record.py
+++ b/packages/fleet-harness/src/fleet_harness/event_record.py
@@ -1,4 +1,4 @@
-"""What a run leaves behind: all events in order, and what each router last logged about the others."""
+"""The record of a run: all events in order, and the latest view of the fleet that each router logged."""
 
 from __future__ import annotations
 
@@ -12,9 +12,12 @@
 from fleet_harness.router_process import EXIT_EVENT, TEXT_EVENT
 from thornjunction.log_events import LogEvent
 
+# Fields that each line of the log has beside the event's own.
 LOG_FIELDS = frozenset({"level", "logger", "ts", "pid"})
-"""Fields that each line of the log has beside the event's own."""
 
+# Events of the log that a timeline shows and that a scenario may expect, with their words in a scenario.
+#
+# What the membership reports has the names of its notices, as in a simulated fleet.
 TRACED_EVENTS: dict[str, str] = {
     LogEvent.FLEET_BIND_FAILED: "fleet_bind_failed",
     LogEvent.FLEET_DATAGRAM_REJECTED: "refused",
@@ -28,18 +31,14 @@
     LogEvent.LISTEN_FAILED: "listen_failed",
     EXIT_EVENT: EXIT_EVENT,
 }
-"""Events of the log that a timeline shows and that a scenario may expect, with their words in a scenario.
-
-What the membership reports has the names of its notices, as in a simulated fleet.
-"""
 
+# Lines of a router's tracebacks that the timeline shows, the last ones.
 MAX_TEXT_LINES = 8
-"""Lines of a router's tracebacks that the timeline shows, the last ones."""
 
 
 @dataclass(slots=True)
 class RouterView:
-    """What one router has logged about the fleet since its process was started."""
+    """The view of the fleet that one router has logged since its process was started."""
 
     states: dict[str, str] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)
@@ -98,8 +97,8 @@
             view.has_majority = bool(fields["has_majority"])
         word = TRACED_EVENTS.get(event)
         if word is not None:
-            own_fields = {key: value for key, value in fields.items() if key not in LOG_FIELDS}
-            text = notice_text(Notice(word, own_fields))
+            event_fields = {key: value for key, value in fields.items() if key not in LOG_FIELDS}
+            text = notice_text(Notice(word, event_fields))
             self.entries.append(TraceEntry(self.clock_ms(), EntryKind.NOTICE, name, text))
 
     def notices(self, name: str, first_entry: int) -> Iterator[str]:
--- a/packages/fleet-harness/src/fleet_harness/parent_death.py
+++ b/packages/fleet-harness/src/fleet_harness/parent_death.py
@@ -11,8 +11,8 @@
 import sys
 from collections.abc import Sequence
 
+# The option of prctl(2); the setting is kept across execve(2).
 PR_SET_PDEATHSIG = 1
-"""The option of prctl(2); the setting is kept across execve(2)."""
 
 
 def die_with_parent(parent_pid: int) -> None:
--- a/packages/fleet-harness/src/fleet_harness/participants.py
+++ b/packages/fleet-harness/src/fleet_harness/participants.py
@@ -7,6 +7,7 @@
 
 from fleet_sim.scenario import Scenario, ScenarioSyntaxError
 
+# Timings of every router: a failure is detected in one to three seconds, and a busy machine causes none.
 TIMINGS_MS: Mapping[str, float] = {
     "probe_every_ms": 200,
     "probe_timeout_ms": 80,
@@ -15,27 +16,26 @@
     "sync_every_ms": 500,
     "rejoin_ms": 1000,
 }
-"""Timings of every router: a failure is found in one to three seconds, and a busy machine is no failure."""
 
+# The name of the fleet.
 FLEET = "harness"
-"""The name of the fleet."""
 
+# The name of the fleet to which routers of ``other_fleet`` belong.
 OTHER_FLEET = "other"
-"""The name of the fleet to which routers of ``other_fleet`` belong."""
 
+# The secret of the fleet.
 SECRET = b"r" * 32
-"""The secret of the fleet."""
 
+# The secret of routers of ``other_secret``.
 OTHER_SECRET = b"o" * 32
-"""The secret of routers of ``other_secret``."""
 
+# The field of ``Participants`` for each header line of a scenario that names routers.
 HEADER_GROUPS: Mapping[str, str] = {
     "voters": "voters",
     "foreign": "other_secret",
     "strangers": "other_fleet",
     "asks": "contacts",
 }
-"""The field of ``Participants`` for each header line of a scenario that names routers."""
 
 
 @dataclass(frozen=True)
--- a/packages/fleet-harness/src/fleet_harness/router_files.py
+++ b/packages/fleet-harness/src/fleet_harness/router_files.py
@@ -13,8 +13,8 @@
 from fakes.demo_servers import DemoCacheServer, DemoDiscovery
 from sansio_core import Address
 
+# Upper bound on the sockets of each router: all routers of the fleet share the limit of one user.
 MAX_SOCKETS = 90
-"""Sockets of each router: few, because a whole fleet shares the limit of one user."""
 
 
 def start_fake_servers(reactor: Any) -> int:
--- a/packages/fleet-harness/src/fleet_harness/router_process.py
+++ b/packages/fleet-harness/src/fleet_harness/router_process.py
@@ -15,20 +15,20 @@
 
 from fleet_harness.parent_death import wrapped_command
 
+# Bytes of one line of the log; a longer one is split.
 MAX_LINE_BYTES = 100_000
-"""Bytes of one line of the log; a longer one is split."""
 
+# The event of a line that is not a log entry, such as a line of a traceback.
 TEXT_EVENT = "text"
-"""The event of a line that is not a log entry, such as a line of a traceback."""
 
+# The event of the process's end; its field ``code`` is an exit code or ``signal N``.
 EXIT_EVENT = "exit"
-"""The event of the process's end; its field ``code`` is an exit code or ``signal N``."""
 
+# Environment variables that would override the router's own files.
 INHERITED_SETTINGS = ("PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR", "PROXY_SOCKET_FD")
-"""Environment variables that would override the router's own files."""
 
+# Receives a router's name, an event and its fields.
 LogHandler = Callable[[str, str, Mapping[str, Any]], None]
-"""Receives a router's name, an event and its fields."""
 
 
 class RouterProcess(protocol.ProcessProtocol):
--- a/packages/fleet-harness/src/fleet_harness/steps.py
+++ b/packages/fleet-harness/src/fleet_harness/steps.py
@@ -11,16 +11,16 @@
 
 from fleet_harness.environment import Environment
 
+# The words of an action, or those after its verb.
 Words = Sequence[str]
-"""The words of an action, or those after its verb."""
 
+# The signal that each of these actions sends.
 SIGNALS: Mapping[str, signal.Signals] = {
     "kill": signal.SIGKILL,
     "pause": signal.SIGSTOP,
     "continue": signal.SIGCONT,
     "leave": signal.SIGTERM,
 }
-"""The signal that each of these actions sends."""
 
 
 class UnknownActionError(ValueError):
--- a/packages/fleet-harness/src/fleet_harness/udp_relay.py
+++ b/packages/fleet-harness/src/fleet_harness/udp_relay.py
@@ -17,14 +17,15 @@
 from sansio_core import Address
 from twisted.internet import protocol
 
+# Upper bound on the stored datagrams of unknown sources: a router logs its port after it has sent the first
+# ones.
 MAX_UNCLAIMED = 64
-"""Datagrams kept whose source is not yet known to be a router's: it logs its port after it has sent some."""
 
+# Upper bound on the latest datagrams of each link that can be replayed.
 MAX_REPLAYABLE = 64
-"""Datagrams of each link that can be replayed, the last ones."""
 
+# The quality of a link unless a scenario changes it: nothing is lost or delayed.
 PERFECT_QUALITY = LinkQuality(min_delay_ms=0.0, max_delay_ms=0.0)
-"""The quality of a link unless a scenario changes it: nothing is lost or delayed."""
 
 
 @dataclass(slots=True)
--- a/packages/fleet-harness/src/fleet_harness/waiting.py
+++ b/packages/fleet-harness/src/fleet_harness/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for conditions that events bring about: nothing polls and nothing sleeps."""
+"""Waiting for conditions: each is checked after the events that may have met it, without polling."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from twisted.internet.defer import Deferred
 
+# Returns whether a condition holds now.
 Condition = Callable[[], bool]
-"""Whether something holds now."""
 
 
 class NotObservedError(Exception):
-    """What was expected did not come in time, or can no longer come."""
+    """An expected condition was not met in time, or cannot be met any more."""
 
 
 @dataclass(eq=False, slots=True)
