--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -26,8 +26,8 @@
 from thornjunction.core.counters import Counters
 from thornjunction.core.engine import Engine
 from thornjunction.memory.budget import ByteBudget
-from thornjunction.net.downstream.connection import DownstreamTable
-from thornjunction.net.downstream.fastcgi_front import FastCgiConnection
+from thornjunction.net.downstream.connection_table import DownstreamTable
+from thornjunction.net.downstream.fastcgi_front import FastCgiConnection, FastCgiRequestContext
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
 from thornjunction.net.event_loop.ports import ListeningPort, Transport
 from thornjunction.net.event_loop.timer_service import TimerService, core_ms
@@ -153,6 +153,9 @@
         self.signed_context = SignedRequestContext(
             self.engine, by_name, self.base_url, self.trust, ReplayWindow(), lambda: self.unix_time_s
         )
+        self.fastcgi_context = FastCgiRequestContext(
+            self.engine, lambda: True, bytes, lambda _class_name, _answer: None, float
+        )
         self.ports: list[Any] = [
             self.listen(self._build_cache_server_connection),
             self.listen(self._build_cache_server_connection),
@@ -172,11 +175,7 @@
             self.downstream_table,
             self.timer_service.deadlines,
             core_ms,
-            self.engine,
-            lambda: True,
-            bytes,
-            lambda _class_name, _answer: None,
-            float,
+            self.fastcgi_context,
         )
 
     def listen(self, build: Callable[[], protocol.Protocol]) -> ListeningPort:
@@ -272,7 +271,7 @@
         for port in (*self.ports, *self.unresponsive_listeners):
             yield port.stopListening()
         for connection in (*self.downstream_table, *self.downstream_table.lingering):
-            connection.close("test")
+            connection.abort("test")
         yield self.close_upstream_connections()
-        yield wait_until(lambda: not self.downstream_table.connected)
+        yield wait_until(lambda: not self.downstream_table.connection_count)
         self.timer_service.stop()
--- a/tests/net/event_loop/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -17,7 +17,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from tests.runtime.test_handover import Program
+from tests.program.router_program import RouterProgram
 from thornjunction.net.event_loop.client_priority import (
     MAX_OTHER_EVENTS_S,
     MAX_POLL_AGE_S,
@@ -141,7 +141,7 @@
             bound_address(self.server.listening),
             client_timeout_ms=600.0,
         )
-        self.program = Program(folder, shared, config)
+        self.program = RouterProgram(folder, shared, config)
         stack.callback(self._kill)
         self.client = RawSocketClient(shared.getsockname()[1])
         self.client.send(encode_request(1, "clips", ttl_ms=9000))
@@ -156,7 +156,7 @@
     def resume(self) -> None:
         """Let the process go on, and return once it has handled what had arrived before."""
         self.program.process.send_signal(signal.SIGCONT)
-        call_admin(self.program.door, "check")
+        call_admin(self.program.admin_address, "check")
 
     def _kill(self) -> None:
         self.program.process.kill()
--- a/tests/runtime/test_command_events.py
+++ b/tests/runtime/test_command_events.py
@@ -1,13 +1,14 @@
-"""Events of discovery, translated for the decisions."""
+"""Events of discovery: which of them are fed to the decisions, and in what form."""
 
 from __future__ import annotations
 
+import time
 from unittest.mock import patch
 
 from fakes.watch_messages import edge_entry
 
 from tests.net.discovery.builders import build_service, encode_commands
-from thornjunction.net.wire.commands import ListChange, decode_commands
+from thornjunction.net.wire.commands import ListChange, Purge, decode_commands
 
 START_UNIX_MS = 4e12
 LATER_START_UNIX_MS = 4.1e12
@@ -38,4 +39,16 @@
     assert first is second is third is not fourth
     service.handle_command(ListChange(2, True, ()))
     assert not service.commands.process_starts._by_server
-    service.alarm.stop()
+    service.timer_service.stop()
+
+
+def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
+    service = build_service()
+    propagation_ms = service.config.settings.purge_propagation_ms
+    now_unix_ms = time.time() * 1000.0
+    ages_ms = (propagation_ms + 3_600_000.0, propagation_ms + 1000.0, propagation_ms - 1000.0)
+    with patch.object(service.engine, "feed") as feed:
+        for cursor, age_ms in enumerate(ages_ms, start=1):
+            service.handle_command(Purge(cursor, cursor, 0, now_unix_ms - age_ms))
+    assert [call.args[0].key for call in feed.call_args_list] == [3]
+    service.timer_service.stop()
--- a/thornjunction/net/event_loop/disconnect_reasons.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import Any
 
 from twisted.internet.error import ConnectionAborted, ConnectionDone
 from twisted.python.failure import Failure
@@ -66,10 +65,14 @@
     """Another address is polled from now on."""
     NO_KEEP_ALIVE = "no-keep-alive"
     """The peer asked for one response only."""
+    NO_KEEP_CONN = "no-keep-conn"
+    """The web server asked for the connection to end with this FastCGI request."""
     PARTIAL_RESPONSE = "part-answer"
     """The rest of a response that had begun did not come in time."""
     PIPELINED_POLL = "pipelined"
     """Bytes followed a poll before its response."""
+    PIPELINE_TOO_LONG = "pipeline"
+    """The client sent more requests ahead of their responses than may wait."""
     POLL_BEFORE_RESPONSE = "unanswered-poll"
     """A poll came before the response to the last one was read."""
     POLL_HEAD_TOO_LARGE = "poll-head"
@@ -98,7 +101,7 @@
     """The system did not take the bytes of a cancelled attempt in time."""
 
 
-def log_disconnect(kind: ConnectionKind, number: int | None, code: str, **fields: Any) -> None:
+def log_disconnect(kind: ConnectionKind, number: int | None, code: str, **fields: object) -> None:
     """Log that a connection has ended.  The fields must hold no secrets and no client's text."""
     log.info(LogEvent.CONNECTION_CLOSED, kind=kind, slot=number, code=str(code), **fields)
 
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -16,17 +16,17 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.resp import encode_array
 
+# Items of a response.
 RESPONSE_ITEMS = 4
-"""Items of a response."""
 
+# Fields of a response, the load report among them.
 MAX_FIELDS_BYTES = 4096
-"""Fields of a response, the load report among them."""
 
+# Fields of a response that has none.
 NO_FIELDS = (b"-", b"")
-"""Fields of a response that has none."""
 
+# Times are sent in whole milliseconds, rounded down; 0 would mean none.
 MIN_TIME_MS = 1
-"""Times are sent in whole milliseconds, rounded down; 0 would mean none."""
 
 
 class ResponseCode(Enum):
@@ -76,12 +76,12 @@
     """The fields of a response cannot be read."""
 
 
-def encode_request(request: UpstreamRequest, left_ms: float) -> bytes:
+def encode_request(request: UpstreamRequest, remaining_ms: float) -> bytes:
     """Encode an attempt; unbounded ages and absent values are left out, times are rounded down.
 
     Args:
         request: the attempt.
-        left_ms: milliseconds left for it as it is written.
+        remaining_ms: milliseconds that remain for it as it is written.
     """
     client_request = request.client_request
     fetch = request.fetch
@@ -90,11 +90,11 @@
         "profile": client_request.class_name,
         "thing": client_request.object_id,
         "nth": str(client_request.part),
-        "max": _whole_ms(left_ms),
+        "max": _rounded_ms(remaining_ms),
         "replay": client_request.idempotency_key,
         "up": fetch.source if has_source else "",
         "store": str(fetch.retention_rank) if fetch.retention_rank else "",
-        "cap": _whole_ms(fetch.max_age_ms) if fetch.max_age_ms > 0 else "",
+        "cap": _rounded_ms(fetch.max_age_ms) if fetch.max_age_ms > 0 else "",
         "do": _directives(fetch, has_source),
         "inm": client_request.if_none_match,
     }
@@ -103,7 +103,7 @@
     return encode_array((b"want", transaction_id, text.encode(), client_request.body))
 
 
-def _whole_ms(time_ms: float) -> str:
+def _rounded_ms(time_ms: float) -> str:
     return str(max(math.floor(time_ms), MIN_TIME_MS))
 
 
--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -10,7 +10,6 @@
 from __future__ import annotations
 
 import itertools
-import string
 import zlib
 from collections.abc import Iterator
 from typing import Generic, TypeVar
@@ -30,6 +29,8 @@
 # Minimum of routers per block, on average: with fewer, some block might have no router, and its caches no
 # load.
 MIN_ROUTERS_PER_BLOCK = 2
+# Digits of the number at the end of a router's name; the module ``string`` is slow to import.
+DIGITS = "0123456789"
 # Digits at the end of a router's name that are read as its number, at most.
 ORDINAL_DIGITS = 18
 # Number of values of a 64-bit hash.
@@ -49,7 +50,7 @@
     """
     if not name:
         return mix64(seed)
-    prefix = name.rstrip(string.digits)
+    prefix = name.rstrip(DIGITS)
     ordinal = int(name[len(prefix) :][-ORDINAL_DIGITS:] or 0)
     return (mix64(zlib.crc32(prefix.encode())) + ordinal * GOLDEN_RATIO_64) % HASH_VALUES
 
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -4,14 +4,15 @@
 
 import os
 from collections.abc import Callable
-from typing import Any
 
 from twisted.internet import protocol
 
 from thornjunction.log_events import LogEvent
 from thornjunction.logs import get_logger
 from thornjunction.net.event_loop.listening_port import listen_on_descriptor
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.transport import BuildFactory, server_endpoint
+from thornjunction.runtime.process_reactor import ProcessReactor
 
 log = get_logger(__name__)
 
@@ -19,13 +20,18 @@
 
 
 class Listeners:
-    """Opens ports and keeps those that are open, in ``ports``.
+    """Opens ports.
 
-    A port that can't be opened is logged and reported to ``on_failure``.
+    Args:
+        reactor: the event loop.
+        on_failure: is called for a port that cannot be opened, after that is logged.
+
+    Attributes:
+        ports: the open ports.
     """
 
-    def __init__(self, reactor: Any, on_failure: Callable[[], None]) -> None:
-        self.ports: list[Any] = []
+    def __init__(self, reactor: ProcessReactor, on_failure: Callable[[], None]) -> None:
+        self.ports: list[ListeningPort] = []
         self._reactor = reactor
         self._on_failure = on_failure
 
@@ -35,7 +41,7 @@
         opening.addCallbacks(self.ports.append, lambda failure: self._fail(failure.value))
 
     def adopt(self, descriptor: int, build: BuildProtocol) -> None:
-        """Accept on the platform's own listening socket, which other processes hold too."""
+        """Accept on a listening socket that the platform opened and other processes may share."""
         try:
             # A blocking accept behind the last connection would stop the process.
             os.set_blocking(descriptor, False)
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -8,29 +8,31 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from twisted.internet import protocol
 
 from thornjunction import interface as api
 from thornjunction.core.engine import Engine
 from thornjunction.memory.deadlines import Deadlines
-from thornjunction.net.downstream.connection import DownstreamTable
+from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.downstream.signed_front import SignedConnection, SignedRequestContext
+from thornjunction.net.event_loop.ports import ListeningPort
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.gossip.replay_gossip import GossipGroup, ReplayGossip
 from thornjunction.runtime.key_set import KeySetReloader, ReloadableFile
+from thornjunction.runtime.process_reactor import ProcessReactor
 from thornjunction.runtime.signed_settings import GossipSettings, SignedFrontSettings, TlsFiles
 
 if TYPE_CHECKING:
     from thornjunction.runtime.tls import CertificateReloader
 
+# Connections that the system holds until they are accepted.
 LISTEN_BACKLOG = 1024
-"""Connections that the system holds until they are accepted."""
 
+# Opens a port without TLS: host, port, and what builds the protocol of a connection.
 ListenPlain = Callable[[str, int, Callable[[], protocol.Protocol]], None]
-"""Opens a port without TLS: host, port, and what builds the protocol of a connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +44,11 @@
 
 
 class SignedFront:
-    """The signed-URL front.  Raises TlsError where its certificate and key can't serve."""
+    """The signed-URL front.
+
+    Raises:
+        TlsError: its certificate and key cannot serve.
+    """
 
     def __init__(
         self,
@@ -72,13 +78,13 @@
             self._reloads.append(ScheduledReload(keys, settings.keyset.reload_interval_s))
         self._certificates = self._build_certificates(settings.tls) if settings.tls is not None else None
 
-    def listen(self, reactor: Any, listen_plain: ListenPlain) -> list[Any]:
+    def listen(self, reactor: ProcessReactor, listen_plain: ListenPlain) -> list[ListeningPort]:
         """Open the front's ports and start its reloads.
 
         The front's own port is opened by ``listen_plain`` where TLS is off.  Returns the other ports, which
         the caller closes at the end.
         """
-        ports: list[Any] = []
+        ports: list[ListeningPort] = []
         if self.shared.gossip is not None and self._settings.gossip is not None:
             gossip_address = self._settings.gossip.listen
             ports.append(
@@ -95,7 +101,7 @@
         return ports
 
     def reload(self) -> None:
-        """Read the key set and the TLS pair again, now."""
+        """Read the key set and the TLS files again now."""
         for scheduled in self._reloads:
             scheduled.file.reload()
 
