--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from tests.core.test_engine import CONFIG, Script
+from tests.core.scripted_ports import ScriptedPorts
 from tests.helpers import FILMS, KEYED, ORDER, SETTINGS, RouterDriver, actions_of, attempt_of, final_actions
+from tests.runtime.test_config import CONFIG
 from thornjunction import interface as api
 from thornjunction.runtime.config import check_complete, parse_config
 from thornjunction.runtime.errors import ConfigError
@@ -25,7 +26,7 @@
 
 
 def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
-    script = Script()
+    script = ScriptedPorts()
     number = script.open()
     script.engine.max_attempts = 1
     for sent in (2, 2):  # the second attempt, and no third
@@ -54,9 +55,8 @@
     assert final_actions(driver.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
         api.FailRequest(str(driver.request_count))
     ]
-    assert not final_actions(
-        driver.end_attempt(film, api.AttemptStatus.TIMEOUT)
-    )  # open under the class that is gone
+    # It is open under the class that is gone.
+    assert not final_actions(driver.end_attempt(film, api.AttemptStatus.TIMEOUT))
     assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
     latencies = driver.router.admission.typical_latencies
     sizes = driver.router.state.sizes.class_means
@@ -105,7 +105,7 @@
         ("known__cmds", [{"cursor": 1, "nodes": {"hosts": [{"host": "a"}]}}], "known"),
     ],
 )
-def test_a_broken_file_is_named_and_nothing_is_taken_from_it(path: str, value: Any, named_key: str) -> None:
+def test_a_faulty_file_is_named_and_changes_nothing(path: str, value: Any, named_key: str) -> None:
     running = parse_config(config_with(), {})
     with pytest.raises(ConfigError, match=named_key):
         check_complete(running, parse_config(config_with(**{path: value}), {}))
