--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -35,7 +35,7 @@
 
 from thornjunction import interface as api
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
-from thornjunction.limits.retry_budget import FLEET_RESERVE
+from thornjunction.limits.retry_budget import MAX_FLEET_RETRIES
 from thornjunction.net.upstream.connector import MAX_CONNECTIONS_PER_SERVER
 from thornjunction.net.upstream.dispatcher import MAX_CONNECTIONS_IF_CROWDED, MAX_CONNECTIONS_IF_EXHAUSTED
 from thornjunction.policy.router import Router
@@ -175,7 +175,7 @@
     """The sum of all full retry budgets."""
     points = [(routers, _saved_retries(routers)) for routers in (*SMALL_FLEETS, *fleet_sizes)]
     rows = [
-        (routers, f"{saved:.0f}", f"{FLEET_RESERVE:.0f}", f"{saved / FLEET_RESERVE:.1f}")
+        (routers, f"{saved:.0f}", f"{MAX_FLEET_RETRIES:.0f}", f"{saved / MAX_FLEET_RETRIES:.1f}")
         for routers, saved in points
     ]
     print(markdown_table(("routers", "further attempts saved up by all", "meant", "times"), rows))
@@ -183,7 +183,7 @@
 
 
 def _saved_retries(routers: int) -> float:
-    return routers * Router(replace(SETTINGS, router_count=routers), 1).retry_budget.tokens
+    return routers * Router(replace(SETTINGS, router_count=routers), 1).state.retry_budget.tokens
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/limits/test_admission_gates.py
+++ b/tests/limits/test_admission_gates.py
@@ -70,7 +70,7 @@
             driver.end_attempt(
                 attempt, api.AttemptStatus.OVERLOADED, fill_result=api.FillResult.ORIGIN_FAILED
             )
-    assert driver.router.gates.fills.share < 0.2
+    assert driver.router.state.gates.fills.share < 0.2
 
 
 def test_a_failing_origin_leaves_parents_to_give_what_they_hold() -> None:
@@ -79,7 +79,7 @@
     for key in range(100):
         for attempt in actions_of(driver.request(key), api.StartAttempt):
             driver.end_attempt(attempt, fill_result=api.FillResult.FILLED_FROM_ORIGIN, elapsed_ms=4000.0)
-            driver.router.gates.fills.share = 1.0  # only the origin is slow
+            driver.router.state.gates.fills.share = 1.0  # only the origin is slow
     started = [attempt_of(driver.request(key)) for key in range(1000, 1100)]
     assert sum(attempt.cached_only for attempt in started) > 80
     assert not any(
@@ -103,7 +103,7 @@
 
     for key in range(90):
         driver.end_attempt(ask(key)[1])
-    driver.router.gates.fills.share = 0.6
+    driver.router.state.gates.fills.share = 0.6
     filled = dict.fromkeys(class_sizes, 0)
     for key in range(1000, 1900):
         class_and_size, attempt = ask(key)
--- a/tests/limits/test_fleet_limits.py
+++ b/tests/limits/test_fleet_limits.py
@@ -10,7 +10,7 @@
 
 from tests.helpers import EDGES, ORIGIN, PARENTS, RouterDriver, actions_of, attempt_of, final_actions
 from thornjunction import interface as api
-from thornjunction.limits.admission_gates import LOWEST_SHARE, AdmissionGate
+from thornjunction.limits.admission_gates import MIN_SHARE, AdmissionGate
 from thornjunction.limits.retry_budget import RetryBudget, backoff_ms
 
 
@@ -25,7 +25,7 @@
     gate = AdmissionGate()
     for _ in range(40):
         gate.record(1000.0, late=True)
-    assert gate.share == LOWEST_SHARE
+    assert gate.share == MIN_SHARE
     assert 0.3 < gate.current_share(3000.0) < 0.4
     assert gate.current_share(8000.0) == 1.0
 
@@ -74,7 +74,7 @@
     assert times[1] - times[0] >= 40.0
     # Answered at once when no try is left that could earn anything: late ones are worth nothing here.
     assert driver.now_ms - times[0] < 700.0 + 50.0
-    assert not driver.router.requests.open
+    assert not driver.router.state.requests.open
 
 
 @pytest.mark.parametrize("class_name", ["films", "keyed"])
@@ -83,7 +83,7 @@
     for key in range(4):
         driver.end_attempt(attempt_of(driver.request(key, class_name)), api.AttemptStatus.OVERLOADED)
         driver.advance(300.0)
-    assert driver.router.gates.origin.share < 0.5
+    assert driver.router.state.gates.origin.share < 0.5
     started = [
         attempt for key in range(100, 200) for attempt in actions_of(driver.request(key), api.StartAttempt)
     ]
@@ -93,15 +93,15 @@
 def test_slow_answers_of_what_runs_at_the_origin_tell_of_its_queue() -> None:
     driver = driver_without_fill_reports()
     driver.end_attempt(attempt_of(driver.request(class_name="keyed")), elapsed_ms=340.0)
-    assert driver.router.gates.origin.share == 1.0
+    assert driver.router.state.gates.origin.share == 1.0
     driver.end_attempt(attempt_of(driver.request(class_name="keyed")), elapsed_ms=360.0)
-    assert driver.router.gates.origin.share < 1.0
+    assert driver.router.state.gates.origin.share < 1.0
 
 
 def test_late_answers_of_what_parents_hold_are_not_the_origins_doing() -> None:
     driver = driver_without_fill_reports()
-    driver.router.gates.origin.share = driver.router.gates.origin.recovery_per_ms = 0.0
+    driver.router.state.gates.origin.share = driver.router.state.gates.origin.recovery_per_ms = 0.0
     for key in range(30):
         for attempt in actions_of(driver.request(key), api.StartAttempt):
             driver.end_attempt(attempt, elapsed_ms=4000.0, fill_result=api.FillResult.NONE)
-    assert driver.router.gates.fills.share < 0.5
+    assert driver.router.state.gates.fills.share < 0.5
--- a/tests/limits/test_slow_start_sizes.py
+++ b/tests/limits/test_slow_start_sizes.py
@@ -38,8 +38,8 @@
 
     Each counts with its class's latency objective, and one more may be admitted by chance.
     """
-    server = driver.router.placement.server_list.servers[name]
-    cold = driver.router.placement.slow_start
+    server = driver.router.state.placement.server_list.servers[name]
+    cold = driver.router.state.placement.slow_start
     return (
         cold.rate(server.entry, server.slow_start_window, driver.now_ms)
         * cold.window_ms
@@ -89,5 +89,5 @@
     driver = driver_after_first_pages(WARM, servers_weighted=True)
     driver.end_attempt(attempt_of(driver.request(5000, size_kb=0.0)), size_kb=FILM_KB)
     driver.request(5001, size_kb=0.0)
-    (request,) = driver.router.requests.open.values()
+    (request,) = driver.router.state.requests.open.values()
     assert request.cache_cost_ms == request.fill_cost_ms == pytest.approx(FILM_KB / 5.0)
--- a/tests/net/downstream/test_client_disconnect.py
+++ b/tests/net/downstream/test_client_disconnect.py
@@ -71,7 +71,7 @@
         await self.until(lambda: not len(self.engine.requests))
         await self.until_gone(client)
         assert self.forwarded_count() == forwarded
-        assert self.engine.router.requests.waiting == {}  # type: ignore[attr-defined]
+        assert self.engine.router.state.requests.waiting == {}  # type: ignore[attr-defined]
 
     async def test_a_burst_whose_client_has_gone_begins_nothing(self) -> None:
         """All of it, and the end of its connection, has arrived before the router reads."""
@@ -126,7 +126,7 @@
         self.environment.script = [(b"WAIT", b"")]
         client, _ = await self.clients.connect_accepted()
         client.send(encode_request(1, "keyed", HTTP_X_TXN_KEY="k"))
-        await self.until(lambda: self.engine.router.requests.waiting)  # type: ignore[attr-defined]
+        await self.until(lambda: self.engine.router.state.requests.waiting)  # type: ignore[attr-defined]
         client.close()
 
         def late_ms() -> float:
--- a/tests/net/downstream/test_signed_tokens.py
+++ b/tests/net/downstream/test_signed_tokens.py
@@ -90,7 +90,7 @@
 
     def end_deduplication_window(self) -> None:
         """The servers have forgotten the first execution by now."""
-        executions = self.environment.engine.router.executions.by_key  # type: ignore[attr-defined]
+        executions = self.environment.engine.router.state.executions.by_key  # type: ignore[attr-defined]
         for key, execution in list(executions.items()):
             executions[key] = replace(execution, sent_at_ms=execution.sent_at_ms - 10_000.0)
 
--- a/tests/policy/test_bounded_tables.py
+++ b/tests/policy/test_bounded_tables.py
@@ -22,10 +22,10 @@
         driver.end_attempt(attempt_of(driver.request(key)))
     driver.advance(6000.0)
     router = driver.router
-    assert len(router.ranking.counts) <= 8192
-    assert len(router.ranking.cost_scores.ordered) <= 512
-    assert len(router.ranking.hit_scores.ordered) <= 512
-    requests = router.requests
+    assert len(router.state.ranking.counts) <= 8192
+    assert len(router.state.ranking.cost_scores.ordered) <= 512
+    assert len(router.state.ranking.hit_scores.ordered) <= 512
+    requests = router.state.requests
     attempts = router.attempts.in_flight
     deadlines = router.admission.deadlines
     assert not (requests.open)
@@ -38,11 +38,11 @@
     """A key is kept for ten minutes; with its request it took 1.2 KB, which on a long day only grows."""
     driver = RouterDriver(may_bypass_caches=True)
     attempt = attempt_of(driver.request(class_name="keyed", idempotency_key="k"))
-    request = weakref.ref(driver.router.requests.open[attempt.request_id])
+    request = weakref.ref(driver.router.state.requests.open[attempt.request_id])
     driver.end_attempt(attempt)
     driver.advance(6000.0)
     gc.collect()
-    assert "k" in driver.router.executions.by_key
+    assert "k" in driver.router.state.executions.by_key
     assert request() is None
 
 
--- a/tests/policy/test_cache_choice.py
+++ b/tests/policy/test_cache_choice.py
@@ -82,7 +82,7 @@
 
 def test_ranks_follow_hits_and_the_cost_of_a_fill() -> None:
     def mean_rank(driver: RouterDriver, cost_probability: float, key: int, **fields: float) -> float:
-        driver.router.ranking.cost_probability = cost_probability
+        driver.router.state.ranking.cost_probability = cost_probability
         ranks = []
         for _ in range(30):
             attempt = attempt_of(driver.request(key, **fields))
@@ -113,7 +113,7 @@
                 attempt, fill_result=note, elapsed_ms=took, fill_first_byte_ms=took, report=report
             )
             driver.advance(50.0)
-        return driver.router.ranking.cost_probability
+        return driver.router.state.ranking.cost_probability
 
     assert second(50.0) == 0.5
     strained = second(2500.0)
@@ -129,6 +129,6 @@
     entries = (*EDGES, parent("near"), parent("far", zone="other"), ORIGIN)
     driver = RouterDriver(entries=entries, fill_reporting=api.FillReporting.NONE, hub_by_zone={"here": "hub"})
     assert {attempt_of(driver.request(key)).source for key in range(20)} == {"near"}
-    driver.router.placement.server_list.servers["near"].first_byte_ms.add(900.0)
-    driver.router.placement.server_list.servers["far"].first_byte_ms.add(100.0)
+    driver.router.state.placement.server_list.servers["near"].first_byte_ms.add(900.0)
+    driver.router.state.placement.server_list.servers["far"].first_byte_ms.add(100.0)
     assert {attempt_of(driver.request(key)).source for key in range(20)} == {"far"}
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -45,7 +45,7 @@
     entries = tuple(edge(f"edge{number}", started_ms=500.0) for number in range(3000))
     driver = RouterDriver(entries=(*entries, ORIGIN))
     attempt = attempt_of(driver.request(size_kb=25.0))
-    assert attempt.server in driver.router.placement.server_list.servers
+    assert attempt.server in driver.router.state.placement.server_list.servers
     assert attempt.source == "origin"
 
 
--- a/tests/policy/test_failing_servers.py
+++ b/tests/policy/test_failing_servers.py
@@ -88,7 +88,7 @@
         driver = RouterDriver(entries=(EDGES[0], ORIGIN))
         for key in range(needed):
             driver.end_attempt(attempt_of(driver.request(key)), status)
-        server = driver.router.placement.server_list.servers["edge0"]
+        server = driver.router.state.placement.server_list.servers["edge0"]
         assert server.outliers.ejected_for_ms > 0
         driver.request(50)
         driver.end_attempt(
@@ -98,7 +98,9 @@
             )[0]
         )
         assert server.outliers.ejected_for_ms == 0
-        rate = driver.router.placement.slow_start.rate(server.entry, server.slow_start_window, driver.now_ms)
+        rate = driver.router.state.placement.slow_start.rate(
+            server.entry, server.slow_start_window, driver.now_ms
+        )
         assert (rate < 1e9) is cold
 
 
@@ -133,7 +135,7 @@
     started = [attempt_of(driver.request(key)) for key in range(12)]
     for attempt in started:
         assert actions_of(driver.end_attempt(attempt, api.AttemptStatus.CONNECTION_RESET), api.StartAttempt)
-    server = driver.router.placement.server_list.servers["edge0"]
+    server = driver.router.state.placement.server_list.servers["edge0"]
     assert server.outliers.ejected_for_ms == 0
     assert server.outliers.consecutive_failures == 1
 
@@ -146,5 +148,5 @@
             actions = driver.end_attempt(attempt_of(actions), api.AttemptStatus.ERROR)
         assert len({attempt.server for attempt in driver.attempts[str(driver.request_count)]}) == 2
         assert len(driver.attempts[str(driver.request_count)]) == 3
-    outliers = [server.outliers for server in driver.router.placement.server_list.servers.values()]
+    outliers = [server.outliers for server in driver.router.state.placement.server_list.servers.values()]
     assert not any(one.consecutive_failures or one.ejected_for_ms for one in outliers)
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -30,7 +30,7 @@
     assert [copy.server for copy in copies] == [slow.server]  # which still holds what it sent
     actions = driver.end_attempt(copies[0])
     assert api.CancelAttempt(slow.request_id, 0) in actions
-    assert not driver.router.requests.open
+    assert not driver.router.state.requests.open
     assert not driver.end_attempt(slow, api.AttemptStatus.CANCELLED)
 
 
@@ -79,6 +79,6 @@
     for key in range(30):
         driver.end_attempt(attempt_of(driver.request(key, size_kb=0.0)), size_kb=2000.0)
     driver.request(99, size_kb=0.0)
-    request = driver.router.requests.open[str(driver.request_count)]
+    request = driver.router.state.requests.open[str(driver.request_count)]
     assert request.transfer_ms == 400.0
     assert request.objective_ms == 500.0 + 1.6 * 400.0
--- a/tests/policy/test_peer_fill.py
+++ b/tests/policy/test_peer_fill.py
@@ -40,7 +40,7 @@
 
 def driver_without_parents(**settings: object) -> RouterDriver:
     driver = RouterDriver((*EDGES, *AWAY, COLD, ORIGIN), **{**NO_PARENTS, **settings})
-    gate = driver.router.gates.origin
+    gate = driver.router.state.gates.origin
     gate.share = gate.recovery_per_ms = 0.0  # the origin is under strain
     return driver
 
@@ -55,12 +55,12 @@
         driver.end_attempt(
             attempt, elapsed_ms=5000.0 if turn else 10.0, fill_result=api.FillResult.NONE, report=report
         )
-        server = driver.router.placement.server_list.servers[attempt.server]
-        if min(driver.router.gates.origin.share, server.gate.share) < 0.9:
+        server = driver.router.state.placement.server_list.servers[attempt.server]
+        if min(driver.router.state.gates.origin.share, server.gate.share) < 0.9:
             break
     shares = {
-        "behind": driver.router.gates.origin.share,
-        "cache": min(driver.router.placement.server_list.servers[e.server].gate.share for e in EDGES),
+        "behind": driver.router.state.gates.origin.share,
+        "cache": min(driver.router.state.placement.server_list.servers[e.server].gate.share for e in EDGES),
     }
     assert shares.pop(at_fault) < 0.9
     assert set(shares.values()) == {1.0}
@@ -76,7 +76,7 @@
     assert len(named) == 2
     assert not named & {first.server, "origin"}
     assert final_actions(driver.end_attempt(second, api.AttemptStatus.CACHE_MISS))
-    assert driver.router.retry_budget.tokens == 15.0
+    assert driver.router.state.retry_budget.tokens == 15.0
     gone = api.EndpointListUpdate(
         (replace(AWAY[0], state=api.ServerState.DRAINING), *AWAY[1:]), complete=False
     )
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -139,7 +139,7 @@
     entries = [edge(f"edge{number}") for number in range(count)]
     driver = RouterDriver(entries=(*entries, parent("parent0"), ORIGIN))
     able = {entry.server for entry in random.Random(1).sample(entries, max(int(count * able_share), 1))}
-    for server in driver.router.placement.server_list.servers.values():
+    for server in driver.router.state.placement.server_list.servers.values():
         if server.entry.role is api.Role.EDGE and server.id not in able:
             if trouble == "ejected":
                 server.outliers.eject(driver.now_ms)
@@ -176,14 +176,14 @@
         examined.append(entry.server)
         return False
 
-    monkeypatch.setattr(driver.router.placement.slow_start, "admits", never_within)
+    monkeypatch.setattr(driver.router.state.placement.slow_start, "admits", never_within)
     driver.request()
     assert 0 < len(examined) <= 3 * SERVERS_EXAMINED  # a cache, a source, and whether to wait
 
 
 def test_a_list_moves_servers_between_zones_and_removes_those_missing_from_it() -> None:
     driver = RouterDriver(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
-    places = driver.router.placement
+    places = driver.router.state.placement
     driver.handle(api.EndpointListUpdate((edge("b", zone="there"), edge("c")), complete=False))
     assert {zone: [server.id for server in group] for zone, group in places.server_list.caches.items()} == {
         "here": ["a", "c"],
--- a/tests/policy/test_purges.py
+++ b/tests/policy/test_purges.py
@@ -33,6 +33,6 @@
     driver = RouterDriver()
     for key in range(6000):
         driver.handle(api.PurgeReceived(group=1, age_ms=0.0, key=key))
-    assert len(driver.router.purges.purged_at_ms) < 6000
+    assert len(driver.router.state.purges.purged_at_ms) < 6000
     driver.advance(1000.0)
     assert 0 < attempt_of(driver.request(0, group=1)).max_age_ms <= 1000.0
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -90,12 +90,14 @@
         for number in range(5 * (repeats if second > 5 else 1)):
             for attempt in actions_of(driver.request(number), api.StartAttempt):
                 driver.end_attempt(attempt)
-        driver.router.gates.fills.share = 0.5 if second > 4 and repeats > 1 else 1.0
+        driver.router.state.gates.fills.share = 0.5 if second > 4 and repeats > 1 else 1.0
         driver.advance(1000.0)
     cold = edge("edge3", started_ms=driver.now_ms)
     driver.handle(api.EndpointListUpdate((*EDGES[away:3], cold, *PARENTS, ORIGIN)))
-    server = driver.router.placement.server_list.servers["edge3"]
-    return driver.router.placement.slow_start.rate(server.entry, server.slow_start_window, driver.now_ms)
+    server = driver.router.state.placement.server_list.servers["edge3"]
+    return driver.router.state.placement.slow_start.rate(
+        server.entry, server.slow_start_window, driver.now_ms
+    )
 
 
 def test_a_cold_caches_budget_does_not_swell_with_what_is_lost_around_it() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -36,7 +36,7 @@
 
 def own_caches(driver: RouterDriver) -> list[Upstream]:
     """The caches of the router's own block."""
-    placement = driver.router.placement
+    placement = driver.router.state.placement
     ranked_caches = list(placement._ranked_caches(1))
     return ranked_caches[: len(ranked_caches) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
 
@@ -64,7 +64,7 @@
 ) -> None:
     """At most 2.5 times a sixteenth of the caches, plus 40, where the site has routers for its blocks."""
     driver = driver_of_site(caches, routers)
-    assert driver.router.placement.server_list.site_caches.block_count == blocks
+    assert driver.router.state.placement.server_list.site_caches.block_count == blocks
     assert len(set(requested_servers(driver))) <= most_asked
 
 
@@ -88,8 +88,8 @@
     for count in (200, 160, 401):
         driver.handle(api.EndpointListUpdate((*(edge(f"edge{number}") for number in range(count)), ORIGIN)))
         assert (
-            len(list(driver.router.placement._ranked_caches(1)))
-            == len(driver.router.placement.server_list.site_caches)
+            len(list(driver.router.state.placement._ranked_caches(1)))
+            == len(driver.router.state.placement.server_list.site_caches)
             == count
         )
 
@@ -99,7 +99,7 @@
     second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
     second.handle(
         api.EndpointListUpdate(
-            tuple(server.entry for server in first.router.placement.server_list.servers.values())
+            tuple(server.entry for server in first.router.state.placement.server_list.servers.values())
         )
     )
     assert requested_servers(first, 300) == requested_servers(second, 300)
@@ -119,7 +119,7 @@
     assert router_hash("n3", 1) == router_hash("n3", 2) != router_hash("n4", 1)
     assert router_hash("", 1) != router_hash("", 2)
     driver = driver_of_site(960, 67)
-    caches = driver.router.placement.server_list.site_caches
+    caches = driver.router.state.placement.server_list.site_caches
     blocks = [caches._blocks_for(router_hash(f"n{number}", 0)) for number in range(67)]
     assert {server.id for order in blocks for server in order[0]} == {
         f"edge{number}" for number in range(960)
@@ -171,10 +171,10 @@
 def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
     driver = driver_of_site(960, 67, peer_fill=api.PeerFill.LOCATION)
     own_block = {server.id for server in own_caches(driver)}
-    placement = driver.router.placement
+    placement = driver.router.state.placement
     for key in range(50):
         driver.request(key)
-        request = driver.router.requests.open[str(driver.request_count)]
+        request = driver.router.state.requests.open[str(driver.request_count)]
         first = placement.choose_cache(request, driver.now_ms)
         assert first is not None
         peer = placement.choose_peer(request, first, driver.now_ms)
--- a/tests/policy/test_waiting_requests.py
+++ b/tests/policy/test_waiting_requests.py
@@ -24,7 +24,7 @@
     driver = RouterDriver(entries=entries, initial_capacity_share=0.001)
     for key in range(500):
         driver.request(key)
-    waiting_count = len(driver.router.requests.waiting)
+    waiting_count = len(driver.router.state.requests.waiting)
     assert waiting_count > 400
     tried: list[str] = []
     dispatcher = driver.router.dispatcher
@@ -61,6 +61,7 @@
     driver = RouterDriver(entries=(edge("cold", started_ms=1000.0), ORIGIN), initial_capacity_share=0.001)
     for key in range(30):
         driver.request(key, size_kb=3000.0)
-    order = list(driver.router.requests.waiting)
+    order = list(driver.router.state.requests.waiting)
     driver.advance(50.0)
-    assert list(driver.router.requests.waiting) == order[10:] + order[:10]  # ten were tried and queue again
+    # Ten were dispatched again and wait as the newest.
+    assert list(driver.router.state.requests.waiting) == order[10:] + order[:10]
--- a/tests/runtime/test_admin_metrics.py
+++ b/tests/runtime/test_admin_metrics.py
@@ -62,7 +62,7 @@
     names = [entry.server for entry in EDGES]
 
     def unavailable(listed: list[str]) -> int:
-        return driver.router.placement.server_list.count_unavailable(listed, driver.now_ms)
+        return driver.router.state.placement.server_list.count_unavailable(listed, driver.now_ms)
 
     assert unavailable(names) == 0
     driver.end_attempt(attempt_of(driver.request()), api.AttemptStatus.CONNECTION_REFUSED)
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -59,7 +59,7 @@
     assert not final_actions(driver.end_attempt(film, api.AttemptStatus.TIMEOUT))
     assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
     latencies = driver.router.admission.typical_latencies
-    sizes = driver.router.sizes.class_means
+    sizes = driver.router.state.sizes.class_means
     assert set(latencies) == set(sizes) == {"keyed", "order"}
 
 
