--- a/thornjunction/memory/deadlines.py
+++ b/thornjunction/memory/deadlines.py
@@ -5,7 +5,6 @@
 import heapq
 import math
 from collections.abc import Callable
-from typing import NamedTuple
 
 # Pending deadlines: a few for each open request, attempt and connection, whose tables are bounded.
 MAX_DEADLINES = 1 << 17
@@ -45,12 +44,9 @@
         self.in_heap = True
 
 
-class _HeapEntry(NamedTuple):
-    """A deadline with its sort key; ``sequence`` keeps equal times in the order added."""
-
-    due_ms: float
-    sequence: int
-    deadline: Deadline
+# When a deadline is due, in ms; a sequence number, which keeps equal times in the order added; the deadline.
+# A plain tuple: heapq compares two of them without a call of Python code.
+_HeapEntry = tuple[float, int, Deadline]
 
 
 class Deadlines:
@@ -80,12 +76,13 @@
         Raises:
             TooManyDeadlinesError: the queue is full.
         """
-        if len(self) >= self.capacity:
+        heap = self._heap
+        if len(heap) - self._cancelled_in_heap >= self.capacity:
             raise TooManyDeadlinesError(self.capacity)
-        is_earliest = not self._heap or due_ms < self._heap[0].due_ms
+        is_earliest = not heap or due_ms < heap[0][0]
         self._sequence += 1
         deadline = Deadline(callback)
-        heapq.heappush(self._heap, _HeapEntry(due_ms, self._sequence, deadline))
+        heapq.heappush(heap, (due_ms, self._sequence, deadline))
         if is_earliest and self.on_earlier_due is not None:
             self.on_earlier_due(due_ms)
         return deadline
@@ -101,16 +98,20 @@
             self._drop_cancelled()
 
     def _drop_cancelled(self) -> None:
-        self._heap = [entry for entry in self._heap if entry.deadline.callback is not None]
+        self._heap = [entry for entry in self._heap if entry[2].callback is not None]
         heapq.heapify(self._heap)
         self._cancelled_in_heap = 0
 
     def next_due(self) -> float:
         """Return the time of the earliest deadline, in ms; infinity if there is none."""
-        while self._heap and self._heap[0].deadline.callback is None:
-            heapq.heappop(self._heap)
+        heap = self._heap
+        while heap:
+            due_ms, _, deadline = heap[0]
+            if deadline.callback is not None:
+                return due_ms
+            heapq.heappop(heap)
             self._cancelled_in_heap -= 1
-        return self._heap[0].due_ms if self._heap else math.inf
+        return math.inf
 
     def run_due(self, now_ms: float) -> None:
         """Run all callbacks that are due; deadlines they add wait for the next call, even if due already.
@@ -118,13 +119,8 @@
         Raises:
             DeadlineCallbackErrors: some callbacks raised; all others that were due have run.
         """
-        due: list[Deadline] = []
-        while self.next_due() <= now_ms:
-            deadline = heapq.heappop(self._heap).deadline
-            deadline.in_heap = False
-            due.append(deadline)
         failures: list[Exception] = []
-        for deadline in due:
+        for deadline in self._take_due(now_ms):
             callback = deadline.callback
             deadline.callback = None
             if callback is None:  # an earlier callback of this call has cancelled it
@@ -135,3 +131,16 @@
                 failures.append(error)
         if failures:
             raise DeadlineCallbackErrors(failures)
+
+    def _take_due(self, now_ms: float) -> list[Deadline]:
+        """Remove and return the deadlines that are due, the earliest first."""
+        heap = self._heap
+        due: list[Deadline] = []
+        while heap and heap[0][0] <= now_ms:
+            _, _, deadline = heapq.heappop(heap)
+            if deadline.callback is None:
+                self._cancelled_in_heap -= 1
+            else:
+                deadline.in_heap = False
+                due.append(deadline)
+        return due
