--- a/tests/repository/test_page_paths.py
+++ b/tests/repository/test_page_paths.py
@@ -1,4 +1,4 @@
-"""Every path of the repository that a page names exists."""
+"""Every path of the repository and every test that a page names exists."""
 
 from __future__ import annotations
 
@@ -22,6 +22,8 @@
 # Stands for any file in an example: `tests/test_x.py::test_y`.
 PLACEHOLDERS = {"tests/test_x.py"}
 CODE = re.compile(r"`([^`\n]+)`")
+TEST_NAME = re.compile(r"\btest_[a-z0-9_]+\b(?!\.py)")
+TEST_DEFINITION = re.compile(r"^ *(?:async )?def (test_\w+)", re.MULTILINE)
 CODE_BLOCK = re.compile(r"^```.*?^```", re.DOTALL | re.MULTILINE)
 
 
@@ -67,6 +69,30 @@
     assert missing == []
 
 
+@cache
+def names_of_tests() -> frozenset[str]:
+    """The names of all tests, and of the files that hold them."""
+    files = [ROOT / path for path in files_and_folders() if re.search(r"(^|/)test_[^/]*\.py$", path)]
+    texts = [path.read_text(encoding="utf-8") for path in files]
+    names = {name for text in texts for name in TEST_DEFINITION.findall(text)}
+    return frozenset(names | {path.stem for path in files})
+
+
+def names_a_test(start: str) -> bool:
+    """Whether a test's name begins so: pages may leave out its end."""
+    return start == "test_y" or any(name.startswith(start) for name in names_of_tests())
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_tests_on_the_page_exist(page: Path) -> None:
+    found = TEST_NAME.findall(page.read_text(encoding="utf-8"))
+    assert [name for name in found if not names_a_test(name)] == []
+
+
+def test_a_test_that_does_not_exist_is_found() -> None:
+    assert not names_a_test("test_of_nothing")
+
+
 @pytest.mark.parametrize(
     ("text", "missing"),
     [
