--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -83,7 +83,7 @@
     """Count the notices of relays and clients by name, for the report of a run."""
 
     def count(node: Node, notice: Notice) -> None:  # noqa: ARG001 - the listener's interface
-        counts[notice.name] += 1
+        counts[str(notice.name)] += 1
 
     cluster.listeners.append(count)
 
