--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
@@ -86,7 +86,7 @@
 
     def list_digest(self) -> str:
         """The digest of the endpoint list as the decisions hold it."""
-        servers = self.router.placement.server_list.servers
+        servers = self.router.state.placement.server_list.servers
         return list_digest({name: server.entry.weight for name, server in servers.items()})
 
     def end(self) -> None:
--- a/thornjunction/estimates.py
+++ b/thornjunction/estimates.py
@@ -1,6 +1,6 @@
-"""Arithmetic that the decisions share: stable hashes, smoothed means, a quantile, recent scores.
+"""Estimators that the decisions share: stable hashes, smoothed means, a quantile, percentiles of scores.
 
-Nothing here decides anything, reads a clock or draws a random number.
+This module takes no decisions, reads no clock and draws no random numbers.
 """
 
 from __future__ import annotations
@@ -13,24 +13,26 @@
 
 # Weight of a new sample in a smoothed mean: the mean follows about the last ten samples.
 FAST_GAIN = 0.1
-# The same for what changes slowly: about the last hundred samples.
+# Weight of a new sample for values that change slowly: the mean follows about the last hundred samples.
 SLOW_GAIN = 0.01
 
-# Scores that a new score is compared with; enough for a stable rank, few enough to sort cheaply.
-RECENT_SCORES = 512
+# Number of recent scores that a new score is compared with: enough for a stable rank, and cheap to keep
+# sorted.
+MAX_RECENT_SCORES = 512
 
 # Share of requests that take longer than the typical latency: the quantile that is estimated.
 EXCEEDING_SHARE = 0.05
 # Step of the quantile estimate, as a share of the latency objective.
 QUANTILE_STEP = 0.02
+# Increase of the estimate after an answer that took longer, and decrease after any other.
 STEP_UP = QUANTILE_STEP * (1.0 - EXCEEDING_SHARE)
 STEP_DOWN = QUANTILE_STEP * EXCEEDING_SHARE
-# The typical latency is never taken for less than this share of the latency objective.
-LOWEST_OBJECTIVE_SHARE = 0.2
+# Lower bound of the typical latency, as a share of the latency objective.
+MIN_OBJECTIVE_SHARE = 0.2
 
-# A weight of zero would divide by nothing; such a server scores below all others instead.
-LOWEST_WEIGHT = 1e-9
-# Size in KB of a request whose class has shown no size yet.
+# Weight that stands for a weight of zero, so that such a server has a score, below all others.
+MIN_WEIGHT = 1e-9
+# Size of a request whose class has no known sizes yet.
 DEFAULT_SIZE_KB = 1.0
 
 _UINT64_MASK = (1 << 64) - 1
@@ -52,7 +54,7 @@
     one that joins or leaves moves only its own objects.
     """
     uniform = ((mix64(object_hash ^ server_salt) >> 11) + 0.5) / _DOUBLE_MANTISSA
-    return -max(weight, LOWEST_WEIGHT) / math.log(uniform)
+    return -max(weight, MIN_WEIGHT) / math.log(uniform)
 
 
 @dataclass(slots=True)
@@ -63,7 +65,7 @@
     value: float | None = None
 
     def add(self, sample: float) -> None:
-        """Take in a sample; the first one becomes the mean."""
+        """Add a sample; the first one becomes the mean."""
         if self.value is None:
             self.value = sample
         else:
@@ -79,30 +81,30 @@
 class TypicalLatency:
     """The latency within which most answers of a request class come, as a share of its objective.
 
-    A quantile estimated by stochastic approximation: an answer that takes longer raises the estimate by
-    a large step, one that does not lowers it by a small one, in the proportion of the quantile.
+    The quantile is estimated by stochastic approximation: an answer that takes longer increases the estimate
+    by a large step, any other decreases it by a small one, in the proportion of the quantile.
     """
 
     def __init__(self) -> None:
         self.objective_share = 1.0
 
     def record(self, *, exceeded: bool) -> None:
-        """Take in one answer, which took longer than the present estimate or did not."""
+        """Update the estimate for one answer; ``exceeded`` if it took longer than the present estimate."""
         step = STEP_UP if exceeded else -STEP_DOWN
-        self.objective_share = min(max(self.objective_share + step, LOWEST_OBJECTIVE_SHARE), 1.0)
+        self.objective_share = min(max(self.objective_share + step, MIN_OBJECTIVE_SHARE), 1.0)
 
 
 class RecentScores:
-    """The last scores of one kind, kept in order, to tell where a new one stands among them."""
+    """The most recent scores of one kind, sorted, which give the percentile of a new one."""
 
     def __init__(self) -> None:
         self.by_age: deque[float] = deque()
         self.ordered: list[float] = []
 
     def percentile(self, score: float) -> float:
-        """Take in a score; return where it stands among those before: 0 below all, 1 above all.
+        """Add a score; return the share of the earlier scores that are below it, from 0 to 1.
 
-        Without earlier scores the answer is 0.5.
+        Equal scores count by half. Without earlier scores the result is 0.5.
         """
         share = 0.5
         if self.ordered:
@@ -110,7 +112,7 @@
             share = position / len(self.ordered)
         self.by_age.append(score)
         insort(self.ordered, score)
-        if len(self.by_age) > RECENT_SCORES:
+        if len(self.by_age) > MAX_RECENT_SCORES:
             oldest = self.by_age.popleft()
             del self.ordered[bisect_left(self.ordered, oldest)]
         return share
@@ -124,23 +126,23 @@
         self.overall_mean = SmoothedMean(SLOW_GAIN)
 
     def keep_classes(self, class_names: Iterable[str]) -> None:
-        """Keep the means of these classes and forget those of all others."""
+        """Keep the means of these classes, and drop those of all others."""
         self.class_means = {name: self.class_means.get(name, SmoothedMean(SLOW_GAIN)) for name in class_names}
 
     def add(self, class_name: str, size_kb: float) -> None:
-        """Learn a size, announced with the request or seen in its answer."""
+        """Add the size of a response, announced with the request or known from the answer."""
         if class_name in self.class_means:
             self.class_means[class_name].add(size_kb)
         self.overall_mean.add(size_kb)
 
     def class_mean_kb(self, class_name: str) -> float:
-        """Return the mean size of a kept class."""
+        """Return the mean size of a known class."""
         return self.class_means[class_name].get(DEFAULT_SIZE_KB)
 
     def learn_announced(self, class_name: str, announced_kb: float) -> float:
-        """Return the size of a new request of a kept class, and learn it if it was announced.
+        """Return the size of a new request of a known class, and add it if it was announced.
 
-        Where no finite size above zero is announced, the mean of the class stands in for it.
+        If no finite size above zero was announced, this is the mean of the class.
         """
         if 0 < announced_kb < math.inf:
             self.add(class_name, announced_kb)
@@ -148,10 +150,10 @@
         return self.class_mean_kb(class_name)
 
     def unknown_size_floor(self, class_name: str, floor: float, *, has_capacities: bool) -> float:
-        """Return ``floor`` where the size of a class is unknown and must not pass for nothing, else 0.
+        """Return ``floor`` if the size of a class is unknown and its requests need a minimal cost, else 0.
 
-        Where no size of any class is known, all requests count alike, so 0; unless they are weighed
-        against capacities that the settings give (``has_capacities``).
+        If no size of any class is known, all requests have the same cost and need no floor, unless the
+        settings give capacities that the cost is compared with (``has_capacities``).
         """
         if self.class_means[class_name].value is not None:
             return 0.0
--- a/thornjunction/limits/__init__.py
+++ b/thornjunction/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold for a whole fleet of routers that do not communicate; no clock, no I/O."""
+"""Limits that a fleet of routers keeps together although its routers do not communicate; no clock, no I/O."""
--- a/thornjunction/limits/admission_gates.py
+++ b/thornjunction/limits/admission_gates.py
@@ -1,4 +1,4 @@
-"""Admission gates: what share of new work may proceed, learnt from how earlier work ended.
+"""Admission gates: the share of new requests that is admitted, learnt from how earlier ones ended.
 
 Additive increase and multiplicative decrease (Chiu and Jain, 1989), as in TCP's congestion avoidance.
 """
@@ -8,30 +8,34 @@
 import math
 from collections.abc import Callable
 
-# Factor of the share for one late answer, and its growth for one in time: with a fifth of the answers
-# late the gate stays open, with a half late about a third of the work is admitted.
+# Factor by which one late answer reduces the share. With a fifth of the answers late the gate stays open,
+# with half of them late about a third of the requests is admitted.
 LATE_FACTOR = 0.85
+# Amount by which one answer in time increases the share.
 IN_TIME_INCREASE = 0.04
-# Some work is always admitted, or no answer could tell that the trouble is over.
-LOWEST_SHARE = 0.05
-# Share regained in each ms without regard to answers: seven seconds from shut to open.
+# Lower bound of the share: some requests are always admitted, whose answers show that the overload is over.
+MIN_SHARE = 0.05
+# Increase of the share in each ms, whatever the answers: it opens a shut gate in seven seconds.
 RECOVERY_PER_MS = 0.00015
-# The largest requests get at least this multiple of their class's chance; half of their answers are owed.
+# Chance of a large request to be admitted, as a multiple of its class's: at least this, so that large
+# requests are not all rejected.
 LARGE_REQUEST_FACTOR = 0.7
-# A late answer speaks for the time since the answer before it: one more for each span, up to a limit.
+# A late answer counts as one more for each such span since the answer before it, as other routers got late
+# answers meanwhile.
 ANSWER_SPAN_MS = 50.0
-MAX_ANSWERS_FOR_ONE = 9.0
+# Upper bound of the number of answers that one late answer counts as.
+MAX_ANSWER_WEIGHT = 9.0
 
 
 class AdmissionGate:
-    """Admits a share of new work, by the share of answers that come in time.
+    """Admits a share of new requests, depending on the share of answers that come in time.
 
-    A share holds for one busy router and for hundreds that have one request in flight each, as a count
-    would not. Large requests are rejected first: more requests are served for the same bytes. Within a
-    class that is bounded, or large requests would hardly be served at all.
+    A share works for one busy router as well as for hundreds with one request in flight each, where a limit
+    on concurrent requests would not. Large requests are rejected first, so that more requests are served for
+    the same bytes; ``LARGE_REQUEST_FACTOR`` bounds that within a class.
 
-    One of hundreds of routers gets few answers. So a late answer weighs more the longer none came before
-    it, as it stands for those that other routers got meanwhile; and the gate opens with time as well.
+    Each of hundreds of routers gets few answers. So a late answer has more weight the longer ago the previous
+    answer came, and the share also increases with time.
     """
 
     def __init__(self, recovery_per_ms: float = RECOVERY_PER_MS) -> None:
@@ -41,18 +45,18 @@
         self._last_answer_at_ms = -math.inf
 
     def record(self, now_ms: float, *, late: bool) -> None:
-        """Learn from an answer, in time or late; a rejection for overload counts as late."""
+        """Update the share for one answer; a rejection for overload counts as late."""
         since_last_ms = max(now_ms - self._last_answer_at_ms, 0.0)
-        weight = min(1.0 + since_last_ms / ANSWER_SPAN_MS, MAX_ANSWERS_FOR_ONE)
+        weight = min(1.0 + since_last_ms / ANSWER_SPAN_MS, MAX_ANSWER_WEIGHT)
         share = self.current_share(now_ms)
         self._last_answer_at_ms = now_ms
         if late:
-            self.share = max(LATE_FACTOR**weight * share, LOWEST_SHARE)
+            self.share = max(LATE_FACTOR**weight * share, MIN_SHARE)
         else:
             self.share = min(share + IN_TIME_INCREASE, 1.0)
 
     def current_share(self, now_ms: float) -> float:
-        """Return the share of work that is admitted now, with what time alone has regained."""
+        """Return the share of requests that is admitted now, after its increase with time."""
         if self.share < 1.0:
             elapsed_ms = max(now_ms - self.updated_at_ms, 0.0)
             self.share = min(self.share + self.recovery_per_ms * elapsed_ms, 1.0)
@@ -66,10 +70,10 @@
         size_weight: float = 1.0,
         class_weight: float = 1.0,
     ) -> bool:
-        """Decide on one request; draws a random number only where the gate is not fully open.
+        """Return whether one request is admitted; draws a random number only if the gate is not fully open.
 
-        ``size_weight`` is the request's size over the mean of all, ``class_weight`` its class's mean size
-        over the same.
+        ``size_weight`` is the request's size, ``class_weight`` the mean size of its class, both divided by
+        the mean size of all requests.
         """
         share = self.current_share(now_ms)
         if share >= 1:
--- a/thornjunction/limits/idempotency.py
+++ b/thornjunction/limits/idempotency.py
@@ -1,4 +1,7 @@
-"""Rule 2, over all attempts of a client: which keyed request may have been executed, when and where."""
+"""Idempotency: which requests may have been executed, and where and when they may be sent again.
+
+This is rule 2 of the simulator. It holds over all attempts of a client under one idempotency key.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,12 @@
 
 from thornjunction import interface as api
 
-# Keys of requests that may have been executed; where the table is full, no new key is sent.
+# Keys of requests that may have been executed; while the table is full, no request with a new key is sent.
 MAX_KEYS = 8192
-# How long a key is known: a client's later attempts come within ten minutes.
+# Time for which a key is kept: a client's later attempts come within ten minutes.
 KEY_LIFETIME_MS = 600_000.0
 
-# Ends of an attempt that prove that the request was not executed.
+# Statuses of an attempt that prove that the request was not executed.
 NEVER_EXECUTED = frozenset(
     {
         api.AttemptStatus.OVERLOADED,
@@ -25,9 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PossibleExecution:
-    """When and where a request may have been executed first.
+    """The time and server of the first attempt that may have executed a request.
 
-    It refers to no request: a request takes about 1 KB, and a key is kept for ten minutes.
+    It has no reference to the request, which takes about 1 KB and would be kept as long as the key.
     """
 
     sent_at_ms: float
@@ -37,7 +40,7 @@
 def repeat_window_ms(
     request_class: api.RequestClass, execution: PossibleExecution | None, now_ms: float
 ) -> float:
-    """Return for how long a repeat is still discarded by the servers that may have executed the request."""
+    """Return how long the servers that may have executed a request will still discard its repeat."""
     if execution is None or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return math.inf
     if request_class.idempotency is api.Idempotency.KEYED:
@@ -51,10 +54,10 @@
     entry: api.ServerEntry,
     window_ms: float,
 ) -> bool:
-    """Decide whether an attempt at this server can have no second effect.
+    """Return whether an attempt at this server cannot execute the request a second time with an effect.
 
-    Either nothing was executed yet, or this server discards the repeat and does so for the next
-    ``window_ms`` (see ``repeat_window_ms``).
+    Either the request was not executed yet, or this server discards its repeat for the next ``window_ms``
+    (see ``repeat_window_ms``).
     """
     if execution is None or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return True
@@ -80,9 +83,9 @@
         return self.by_key.get(key)
 
     def has_capacity_for(self, key: str, now_ms: float) -> bool:
-        """Tell whether an attempt under this key could be noted; expired keys are dropped first.
+        """Return whether an attempt under this key can be recorded, after expired keys were removed.
 
-        A request without a key (the empty string) needs no place.
+        A request without a key (the empty string) needs no entry.
         """
         while self.by_key:
             oldest = next(iter(self.by_key))
@@ -92,11 +95,11 @@
         return not key or key in self.by_key or len(self.by_key) < MAX_KEYS
 
     def note(self, key: str, execution: PossibleExecution) -> None:
-        """Note an attempt that is sent, unless an earlier one stands under the key."""
+        """Record an attempt that is sent, unless an earlier one is recorded under the key."""
         self.by_key.setdefault(key, execution)
 
     def withdraw(self, key: str, execution: PossibleExecution, successor: PossibleExecution | None) -> None:
-        """Take back an attempt that proved not executed; another in flight takes its place, if any."""
+        """Remove an attempt that was not executed; ``successor``, if any, replaces it."""
         if self.by_key.get(key) is not execution:
             return
         del self.by_key[key]
--- a/thornjunction/limits/purges.py
+++ b/thornjunction/limits/purges.py
@@ -1,4 +1,4 @@
-"""Rule 5: no answer from a copy that is older than an announced purge."""
+"""Purges (rule 5 of the simulator): no answer may come from a copy that is older than an announced purge."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from thornjunction import interface as api
 
-# Purges that are remembered; past that, everything counts as purged at the time of the oldest forgotten.
+# Purges that are stored; if there are more, every object counts as purged at the time of the evicted ones.
 MAX_PURGES = 4096
-# ms that the wire and the caches may lose in rounding a copy's age.
+# Rounding error of a copy's age on the wire and in the caches.
 ROUNDING_MS = 1.0
-# Lowest age that is asked for: 0 would stand for the class's fresh time.
-LOWEST_AGE_MS = 1.0
+# Lower bound of a maximum age, since 0 stands for the freshness time of the request class.
+MIN_MAX_AGE_MS = 1.0
 
 PurgeTarget = tuple[Literal["key", "group"], int]
 
 
 class Purges:
-    """When each object and each group was purged last."""
+    """The time of the latest purge of each object and each group."""
 
     def __init__(self) -> None:
         self.purged_at_ms: dict[PurgeTarget, float] = {}
-        # Until all caches have dropped what was purged, it takes so long.
+        # Time that it takes until all caches have dropped a purged object.
         self.propagation_ms = 0.0
         self._everything_purged_at_ms = -math.inf
 
     def add(self, event: api.PurgeReceived, now_ms: float) -> None:
-        """Take in a purge of one object or of a group."""
+        """Record a purge of one object or of a group."""
         purged_at_ms = now_ms - max(event.age_ms, 0.0)
         target: PurgeTarget = ("group", event.group) if event.key is None else ("key", event.key)
         earlier_ms = self.purged_at_ms.pop(target, purged_at_ms)
@@ -40,10 +40,11 @@
     def max_age_ms(
         self, request: api.Request, fresh_ms: float, now_ms: float, grace_ms: float = 0.0
     ) -> float:
-        """Return the age in ms of the oldest copy that may answer a request; 0: the class's fresh time.
+        """Return the maximum age of a copy that may answer a request; 0 for the class's freshness time.
 
-        ``fresh_ms`` is the class's fresh time (0: a copy is good until it is purged), ``grace_ms`` how much
-        older a copy may be. Until all caches have dropped what was purged, only younger copies will do.
+        ``fresh_ms`` is the class's freshness time (0: a copy is valid until it is purged), ``grace_ms`` how
+        much older a copy may be. Until all caches have dropped a purged object, a copy must be younger than
+        the purge.
         """
         purged_at_ms = max(
             self._everything_purged_at_ms,
@@ -54,7 +55,7 @@
             if fresh_ms > 0 and grace_ms > 0:
                 return fresh_ms + grace_ms
             return 0.0
-        since_purge_ms = max(now_ms - purged_at_ms - ROUNDING_MS, LOWEST_AGE_MS)
+        since_purge_ms = max(now_ms - purged_at_ms - ROUNDING_MS, MIN_MAX_AGE_MS)
         if fresh_ms > 0:
             return min(since_purge_ms, fresh_ms + grace_ms)
         return since_purge_ms
--- a/thornjunction/limits/retry_budget.py
+++ b/thornjunction/limits/retry_budget.py
@@ -1,33 +1,33 @@
-"""The retry budget and backoff, counted for the whole fleet.
+"""The retry budget, which all routers of a fleet share, and the backoff before a retry.
 
-Hundreds of routers that each have a small reserve have a large one together, and would spend it at the
-moment when what they share is overloaded. So each has its part of one reserve.
+Hundreds of routers with a small reserve of retries each would have a large one together, and spend it when a
+shared server is overloaded. So each router has its part of one reserve of the fleet.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Retries earned by each request: at a steady rate, half as many retries as requests.
+# Retries that each request adds to the budget: at a steady rate, half as many retries as requests.
 RETRIES_PER_REQUEST = 0.5
-# Retries that all routers together may have saved up.
-FLEET_RESERVE = 60.0
-# Retries that one router may have saved up at least, or it could never retry.
-MIN_RESERVE = 2.0
+# Upper bound on the unused retries of all routers together.
+MAX_FLEET_RETRIES = 60.0
+# Lower bound of one router's part of ``MAX_FLEET_RETRIES``, so that it can retry at all.
+MIN_ROUTER_RETRIES = 2.0
 # The first backoff, as a share of the latency objective; it doubles with each attempt.
 FIRST_BACKOFF_SHARE = 0.125
 
 
 class RetryBudget:
-    """A token bucket that requests fill and retries empty."""
+    """A token bucket: each request adds a part of a token, each retry takes one."""
 
     def __init__(self, routers: int) -> None:
         self.adopt(routers)
         self.tokens = self.capacity
 
     def adopt(self, routers: int) -> None:
-        """Take this router's part of a reserve that so many routers share."""
-        self.capacity = max(FLEET_RESERVE / max(routers, 1), MIN_RESERVE)
+        """Set the capacity to this router's part of the fleet's reserve, by the number of routers."""
+        self.capacity = max(MAX_FLEET_RETRIES / max(routers, 1), MIN_ROUTER_RETRIES)
 
     @property
     def has_token(self) -> bool:
@@ -35,18 +35,18 @@
         return self.tokens >= 1
 
     def earn(self) -> None:
-        """Count a request."""
+        """Add the tokens that one request earns."""
         self.tokens = min(self.tokens + RETRIES_PER_REQUEST, self.capacity)
 
     def spend(self) -> None:
-        """Count a retry that is sent."""
+        """Take the token of a retry that is sent."""
         self.tokens -= 1
 
 
 def backoff_ms(objective_ms: float, attempts: int, draw: Callable[[], float]) -> float:
     """Return how long to wait after the given number of attempts ended in a rejection for overload.
 
-    Asked again at once, an overloaded server stays so. The wait doubles with each attempt and is spread by
-    half each way, or all routers would come back together. ``draw`` gives a number in [0, 1).
+    The time doubles with each attempt, and jitter of up to half of it in either direction prevents that all
+    routers retry at the same moment. ``draw`` gives a number in [0, 1).
     """
     return FIRST_BACKOFF_SHARE * objective_ms * 2.0 ** (attempts - 1) * (0.5 + draw())
--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start (rule 4): what each router may send to a server that started lately.
+"""Slow start (rule 4 of the simulator): limits the load that a router sends to a server that started lately.
 
-The routers of a fleet do not communicate; each takes its share of a cold server's capacity in windows of
-its own, so that all together stay under what the server can do.
+The routers of a fleet do not communicate. Each one limits itself to its share of a cold server's capacity in
+its own time windows, so that all together do not exceed the capacity.
 """
 
 from __future__ import annotations
@@ -13,38 +13,39 @@
 from thornjunction import interface as api
 from thornjunction.estimates import FAST_GAIN, SmoothedMean
 
-# Part of a cold server's budget that is used in each window: two windows of a router that meet in one
-# window of the server's own stay within its budget.
+# Share of a cold server's budget that a router uses in each window: one window of the server may overlap with
+# two of the router, which together must stay within the budget.
 WINDOW_BUDGET_SHARE = 0.5
-# Share of the load that reaches the parents, where the settings tell no capacities.
+# Share of the load that reaches the parents, if the settings give no capacities.
 PARENT_LOAD_SHARE = 0.25
-# Start of a server that was warm when it was first listed.
+# Start time of a server that was warm when it was first listed.
 LONG_AGO_MS = -math.inf
 
 
 class SlowStartWindow:
-    """What this router has sent to one server in the present window, in ms of transfer time."""
+    """The transfer time that this router has sent to one server in the present window."""
 
     def __init__(self, started_ms: float) -> None:
         """Begin with a server that started at this time; 0 stands for long ago."""
         self.cold_since_ms = started_ms if started_ms > 0 else LONG_AGO_MS
         self.spent_ms = 0.0
-        # Part of a whole window that the present one lasts, and with it of the budget.
+        # Length of the present window as a share of a full one; its budget is the same share.
         self.length_share = 1.0
-        # Drawn for each window: what is less than one request becomes a chance of one request.
+        # A random number drawn for each window. It turns a budget of a fraction of one request into the same
+        # probability of one request.
         self.rounding = 1.0
         self._ends_at_ms = math.nan
 
     def restart(self, now_ms: float) -> None:
-        """Treat the server as started now: it was away, so its process may be a new and cold one."""
+        """Treat the server as started now: it was unreachable, so its process may be new and cold."""
         self.cold_since_ms = now_ms
         self._ends_at_ms = math.nan
 
     def advance(self, now_ms: float, window_ms: float, draw: Callable[[], float]) -> None:
         """Begin the window that ``now_ms`` lies in, unless it is the present one.
 
-        The first window ends at a random moment and counts in part: hundreds of routers hear of a start
-        together and must not all begin new windows together.
+        The first window has a random length: hundreds of routers learn of a start at the same time, and their
+        windows must not all begin together.
         """
         if now_ms < self._ends_at_ms:
             return
@@ -61,21 +62,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleTerms:
-    """How servers of one role warm up, by the settings."""
+    """The slow-start parameters of the servers of one role."""
 
-    start_share: float  # of its capacity, that a server has at its start
-    warm_up_ms: float
-    surge_multiple: float  # of its present capacity, that a cold server bears for a window
-    routers: int  # that share the server
-    load_share: float  # of the load of this router, that reaches this role
+    start_share: float  # share of its capacity that a server has at its start
+    warm_up_ms: float  # time until a server has its full capacity
+    surge_multiple: float  # load that a cold server can take for one window, as a multiple of its capacity
+    routers: int  # number of routers that share the server
+    load_share: float  # share of this router's load that reaches the role
 
 
 class SlowStart:
-    """Each router's share of each cold server, by the settings.
+    """Limits this router's load on each cold server to its share, by the settings.
 
-    Of a fleet of two hundred, each router may have a part of one request in a window. What is less than a
-    whole request is a chance of one, until the window ends. Rounded up, or saved until it makes one, two
-    hundred parts would be two hundred requests at the moment when all routers are asked.
+    In a fleet of two hundred routers, the share of each may be a fraction of one request per window. Such a
+    fraction is treated as the probability of one request in that window. If each router rounded it up, or
+    saved it for later windows, all of them together could send two hundred requests at the same moment.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
@@ -83,14 +84,15 @@
         self._terms: dict[api.Role, RoleTerms] = {}
         self._has_weights = False
         self.window_ms = 1.0
-        # ms of transfer time that this router is asked for in each ms.
+        # Transfer time of the requests to this router, in ms per ms.
         self.offered_load = SmoothedMean(FAST_GAIN)
-        self._demand_ms = 0.0  # the same of the present interval, as a sum
-        # Most servers ever listed in each role: those that bear the load where none is away.
-        self._most_listed = dict.fromkeys(api.Role, 1)
+        # Transfer time of the requests since the last update of ``offered_load``.
+        self._demand_ms = 0.0
+        # The highest number of servers listed in each role so far, which share the load if none is missing.
+        self._max_listed = dict.fromkeys(api.Role, 1)
 
     def adopt(self, settings: api.Settings) -> None:
-        """Share by these settings from now on."""
+        """Limit the load by these settings from now on."""
         zone_routers = settings.routers_by_zone.get(settings.zone, settings.router_count)
         edge = RoleTerms(
             start_share=settings.initial_capacity_share,
@@ -112,17 +114,17 @@
         self.window_ms = max(settings.overload_window_ms, 1.0)
 
     def note_listed(self, role: api.Role, count: int) -> None:
-        """Note how many servers of a role a new list names."""
-        self._most_listed[role] = max(self._most_listed[role], count)
+        """Record the number of servers of a role in a new list."""
+        self._max_listed[role] = max(self._max_listed[role], count)
 
     def note_request(self, transfer_ms: float) -> None:
-        """Count a new request, of this transfer time by the mean of its class."""
+        """Count a new request; ``transfer_ms`` is the mean transfer time of its class."""
         self._demand_ms += transfer_ms
 
     def end_interval(self, elapsed_ms: float, *, strained: bool) -> None:
         """Learn the load from the requests since the last call.
 
-        Under strain, clients' repeats swell it; so it may then fall but not rise.
+        Under strain, repeats of clients increase the load, so it may then only decrease.
         """
         load = self._demand_ms / elapsed_ms
         if strained:
@@ -131,23 +133,23 @@
         self._demand_ms = 0.0
 
     def rate(self, entry: api.ServerEntry, window: SlowStartWindow, now_ms: float) -> float:
-        """Return the ms of transfer time that may be asked of a server in each ms; infinite once warm."""
+        """Return the transfer time that may be sent to a server, in ms per ms; infinite once it is warm."""
         terms = self._terms[entry.role]
         age_ms = max(now_ms - window.cold_since_ms, 0.0)
         if age_ms >= terms.warm_up_ms:
             return math.inf
         if self._has_weights:
             capacity = entry.weight / terms.routers
-        else:  # what a warm server bears from this router alone
-            capacity = self.offered_load.get(0.0) * terms.load_share / self._most_listed[entry.role]
+        else:  # the load of a warm server from this router alone
+            capacity = self.offered_load.get(0.0) * terms.load_share / self._max_listed[entry.role]
         warm_share = terms.start_share + (1 - terms.start_share) * age_ms / terms.warm_up_ms
         return WINDOW_BUDGET_SHARE * terms.surge_multiple * warm_share * capacity
 
     def admits(
         self, entry: api.ServerEntry, window: SlowStartWindow, transfer_ms: float, now_ms: float
     ) -> bool:
-        """Decide whether one more request of this transfer time fits this window's share."""
-        if window.cold_since_ms == LONG_AGO_MS:  # as most servers are
+        """Return whether one more request of this transfer time is within the budget of this window."""
+        if window.cold_since_ms == LONG_AGO_MS:  # most servers are warm: they need no further computation
             return True
         rate = self._budgeted_rate(entry, window, now_ms)
         if rate is None:
@@ -158,14 +160,14 @@
     def charge(
         self, entry: api.ServerEntry, window: SlowStartWindow, transfer_ms: float, now_ms: float
     ) -> None:
-        """Count a request that is sent against this window's share."""
+        """Charge a request that is sent to the budget of this window."""
         if window.cold_since_ms == LONG_AGO_MS:
             return
         if self._budgeted_rate(entry, window, now_ms) is not None:
             window.spent_ms += transfer_ms
 
     def _budgeted_rate(self, entry: api.ServerEntry, window: SlowStartWindow, now_ms: float) -> float | None:
-        """Return a cold server's rate, in the window that lies at this time; None for a warm server."""
+        """Return a cold server's rate, after its window was advanced to this time; None for a warm server."""
         rate = self.rate(entry, window, now_ms)
         if rate == math.inf:
             return None
--- a/thornjunction/policy/admission.py
+++ b/thornjunction/policy/admission.py
@@ -1,55 +1,43 @@
-"""Takes in requests: their class, size, limits and deadline."""
+"""Admits requests: determines their class, size, limits and deadline, and dispatches them."""
 
 from __future__ import annotations
 
 from thornjunction import interface as api
-from thornjunction.estimates import RequestSizes, TypicalLatency, mix64
-from thornjunction.limits.retry_budget import RetryBudget
-from thornjunction.limits.slow_start import SlowStart
+from thornjunction.estimates import TypicalLatency, mix64
 from thornjunction.policy.completion import Completion
-from thornjunction.policy.context import DecisionContext
 from thornjunction.policy.dispatch import Dispatcher
-from thornjunction.policy.fill_ranking import FillRanking
-from thornjunction.policy.requests import PendingRequest, RequestState, RequestTable
+from thornjunction.policy.requests import PendingRequest, RequestState
+from thornjunction.policy.state import DecisionState
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 
-# KB a ms of one transfer, where the settings do not tell.
-DEFAULT_FLOW_KB_PER_MS = 5.0
-# Decayed count of earlier requests, past which an object is likely cached.
+# Transfer rate of one answer in KB per ms, where the settings give none.
+DEFAULT_TRANSFER_RATE_KB_PER_MS = 5.0
+# Decayed count of earlier requests for an object from which on the object is likely to be cached.
 LIKELY_CACHED_COUNT = 0.5
 
 
 class RequestAdmission:
     """Makes each new request a pending one, starts its deadline timer and hands it to the dispatcher."""
 
-    def __init__(
-        self,
-        context: DecisionContext,
-        requests: RequestTable,
-        dispatcher: Dispatcher,
-        completion: Completion,
-        sizes: RequestSizes,
-        ranking: FillRanking,
-        slow_start: SlowStart,
-        retry_budget: RetryBudget,
-    ) -> None:
-        self._context = context
-        self._requests = requests
+    def __init__(self, state: DecisionState, dispatcher: Dispatcher, completion: Completion) -> None:
+        self._context = state.context
+        self._requests = state.requests
+        self._sizes = state.sizes
+        self._ranking = state.ranking
+        self._slow_start = state.placement.slow_start
+        self._retry_budget = state.retry_budget
         self._dispatcher = dispatcher
         self._completion = completion
-        self._sizes = sizes
-        self._ranking = ranking
-        self._slow_start = slow_start
-        self._retry_budget = retry_budget
         self.classes: dict[str, api.RequestClass] = {}
         self.typical_latencies: dict[str, TypicalLatency] = {}
-        self.deadlines: dict[int, PendingRequest] = {}  # by the token of their timer
-        self._flow_kb_per_ms = DEFAULT_FLOW_KB_PER_MS
+        # Requests by the token of the timer that fires at their deadline.
+        self.deadlines: dict[int, PendingRequest] = {}
+        self._transfer_rate_kb_per_ms = DEFAULT_TRANSFER_RATE_KB_PER_MS
         self._last_token = 0
 
     def adopt(self, settings: api.Settings) -> None:
-        """Take in requests by these settings; an open request keeps those that it came under."""
-        self._flow_kb_per_ms = settings.transfer_rate_kb_per_ms or DEFAULT_FLOW_KB_PER_MS
+        """Admit requests by these settings from now on; an open request keeps its earlier ones."""
+        self._transfer_rate_kb_per_ms = settings.transfer_rate_kb_per_ms or DEFAULT_TRANSFER_RATE_KB_PER_MS
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.typical_latencies = {
             name: self.typical_latencies.get(name, TypicalLatency()) for name in self.classes
@@ -57,7 +45,7 @@
         self._sizes.keep_classes(self.classes)
 
     def admit(self, event: api.Request) -> None:
-        """Take in a request; one of an unknown class is rejected, one whose name is open is ignored."""
+        """Admit a request; reject one of an unknown class, and ignore one whose id is already open."""
         request_class = self.classes.get(event.class_name)
         if request_class is None:
             self._completion.reject(event.request_id)
@@ -66,7 +54,7 @@
             return
         size_kb = self._sizes.learn_announced(request_class.name, event.size_kb)
         mean_kb = self._sizes.class_mean_kb(request_class.name)
-        self._slow_start.note_request(mean_kb / self._flow_kb_per_ms)
+        self._slow_start.note_request(mean_kb / self._transfer_rate_kb_per_ms)
         self._retry_budget.earn()
         request = self._pending(event, request_class, size_kb=size_kb, mean_kb=mean_kb)
         self._requests.add(request)
@@ -74,7 +62,7 @@
         self._dispatcher.dispatch(request)
 
     def deadline_passed(self, token: int) -> None:
-        """Give up the request whose timer is due, if it is still open."""
+        """Give up the request whose deadline timer has fired, if it is still open."""
         request = self.deadlines.pop(token, None)
         if request is not None and request.state is not RequestState.CLOSED:
             self._completion.give_up(request)
@@ -86,8 +74,8 @@
         now_ms = self._context.now_ms
         settings = self._context.settings
         object_hash = mix64(mix64(event.key) ^ event.part)
-        transfer_ms = size_kb / self._flow_kb_per_ms
-        # At cold servers, what has no known size counts as its objective: it must not pass for nothing.
+        transfer_ms = size_kb / self._transfer_rate_kb_per_ms
+        # At a cold server a request of unknown size costs its latency objective: it must not be free.
         floor_ms = self._sizes.unknown_size_floor(
             request_class.name, request_class.latency_objective_ms, has_capacities=settings.servers_weighted
         )
@@ -101,7 +89,7 @@
             object_hash=object_hash,
             idempotency_key=event.idempotency_key if is_keyed else "",
             transfer_ms=transfer_ms,
-            cache_cost_ms=max(mean_kb / self._flow_kb_per_ms, floor_ms),
+            cache_cost_ms=max(mean_kb / self._transfer_rate_kb_per_ms, floor_ms),
             fill_cost_ms=max(transfer_ms, floor_ms),
             size_weight=self._sizes.relative_to_mean(size_kb),
             class_size_weight=self._sizes.relative_to_mean(mean_kb),
@@ -117,7 +105,8 @@
         )
 
     def _start_deadline(self, request: PendingRequest) -> None:
+        """Set the timer that fires at the request's deadline."""
         self._last_token += 1
         self.deadlines[self._last_token] = request
-        left_ms = max(request.deadline_ms - self._context.now_ms, 0.0)
-        self._context.actions.append(api.SetTimer(left_ms, self._last_token))
+        remaining_ms = max(request.deadline_ms - self._context.now_ms, 0.0)
+        self._context.actions.append(api.SetTimer(remaining_ms, self._last_token))
--- a/thornjunction/policy/attempts.py
+++ b/thornjunction/policy/attempts.py
@@ -1,4 +1,4 @@
-"""The life of attempts: they are sent, end, and prove whether they were executed."""
+"""The lifecycle of attempts: sending, their end, and whether they may have been executed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttemptLifecycle:
-    """Sends attempts and keeps those in flight."""
+    """Sends attempts and tracks those that are in flight."""
 
     def __init__(
         self,
@@ -31,9 +31,10 @@
         self.in_flight: dict[AttemptKey, Attempt] = {}
 
     def send(self, request: PendingRequest, server: Upstream, source: Upstream | None) -> None:
-        """Send the next attempt of a request to a server; ``source`` is where a miss would be filled from.
+        """Send the next attempt of a request to a server; a miss there is filled from ``source``.
 
-        A first attempt, and one more for each peer lookup, cost nothing of the retry budget.
+        A request's first attempt is free, and so is one for each peer lookup; every other attempt spends a
+        token of the retry budget.
         """
         if request.attempts_started > request.peer_lookups:
             self._retry_budget.spend()
@@ -55,7 +56,7 @@
         self._context.actions.append(self._planner.fetch_action(attempt))
 
     def end(self, event: api.AttemptEnded) -> Attempt | None:
-        """Return the attempt that ended; None if it is not known."""
+        """Stop tracking the attempt that ended and return it; None if it was not in flight."""
         key = (event.request_id, event.attempt_number)
         attempt = self.in_flight.pop(key, None)
         if attempt is not None:
@@ -63,9 +64,9 @@
         return attempt
 
     def withdraw_execution(self, attempt: Attempt, status: api.AttemptStatus) -> None:
-        """Forget that an ended attempt may have been executed, where its end proves that it was not.
+        """Withdraw the possible execution of an ended attempt if its status proves that it was not executed.
 
-        Another attempt under the same idempotency key that is in flight takes its place.
+        The possible execution of another attempt in flight under the same idempotency key replaces it.
         """
         idempotency_key = attempt.request.idempotency_key
         if not idempotency_key or status not in NEVER_EXECUTED:
@@ -78,6 +79,7 @@
         self._executions.withdraw(idempotency_key, attempt.execution, successor)
 
     def _register(self, attempt: Attempt) -> None:
+        """Track an attempt until it ends."""
         request = attempt.request
         key = (request.id, attempt.number)
         self.in_flight[key] = attempt
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -1,4 +1,4 @@
-"""Which servers of a group are the candidates for an object: weighted rendezvous hashing, lazily drawn.
+"""Ranks the servers of a group for an object by weighted rendezvous hashing.
 
 Every router ranks the same list of servers in the same way, so that all of them look for an object at the
 same few servers, and a server that leaves moves its own objects only.  Small groups are ranked by a score for
@@ -22,52 +22,55 @@
 from operator import itemgetter
 from typing import Generic, TypeVar
 
-from thornjunction.estimates import mix64, rendezvous_score
+from thornjunction.estimates import MIN_WEIGHT, mix64, rendezvous_score
 
-# Candidates of each object that are computed at once.  Where a quarter of the servers is out of service,
-# fewer than two of eight are usable in 1 decision of 2,600.
+# Candidates of an object that are computed at once and cached.  Where a quarter of the servers is out of
+# service, fewer than two of eight are usable in 1 decision of 2,600.
 CANDIDATES_KEPT = 8
-# Objects in the ranking cache: under 2 MB, however many servers there are.
+# Objects in the ranking cache: it takes under 2 MB, however many servers there are.
 RANKINGS_KEPT = 8192
-# Servers of a group that are all scored.  At 0.5 us a score, drawing from the table is cheaper beyond.
+# Size of the largest group whose servers are all scored for each object.  A score takes 0.5 us, so for larger
+# groups drawing from the table is cheaper.
 MAX_SCORED_SERVERS = 224
-# Servers beyond ``MAX_SCORED_SERVERS`` over which the objects go over to the table, an equal part by each.
+# Servers beyond ``MAX_SCORED_SERVERS`` from which on the table ranks all objects; each of these servers adds
+# an equal part of the objects.
 TABLE_BLEND = 64
-# One slot for each 16-bit number that is drawn.
+# Slots of the table: one for each value of the 16-bit numbers that are drawn.
 TABLE_SLOTS = 1 << 16
-# Two slots a server halve the draws.  Servers on one slot share it: 1 slot in 10 at 3,200 servers in a group.
+# Slots of each server: two halve the number of draws.  Servers may share a slot: at 3,200 servers in a group
+# 1 slot in 10 is shared.
 SLOTS_PER_SERVER = 2
-# Slots drawn for an object at most.  It is reached only where few servers outweigh all others by far.
+# Bound on the slots drawn for an object.  It is reached only if few servers outweigh all others by far.
 MAX_SLOTS_DRAWN = 1 << 16
-# Slots drawn over those that hold the candidates in the mean: mostly, the first pass finds them all.
+# Slots drawn in the first pass, as a multiple of the mean number that yields all candidates: so the first
+# pass is usually the last.
 DRAW_MARGIN = 1.5
-# In place of a weight of zero.
-MIN_WEIGHT = 1e-9
 
 ServerT = TypeVar("ServerT")
 _SCORE_OF = itemgetter(0)
-RankingKey = tuple[int, bool, int]  # a group's version, whether weights count, the object's hash
+# Key of a cached ranking: a group's version, whether weights count, the object's hash.
+RankingKey = tuple[int, bool, int]
 
 
 @dataclass(slots=True, eq=False)
 class Member(Generic[ServerT]):
-    """A server in a group, with what its rankings need."""
+    """A server in a group, with the weight and the hash by which it is ranked."""
 
     server_id: str
     server: ServerT
     weight: float
-    salt: int  # of the server's id, the same in every router
+    salt: int  # hash of the server's id, the same in every router
 
     def slots(self) -> set[int]:
-        """Its places in the table."""
+        """Return the slots of the table that this server occupies."""
         return {mix64(self.salt ^ ordinal) % TABLE_SLOTS for ordinal in range(1, SLOTS_PER_SERVER + 1)}
 
 
 class RankingCache:
-    """The best candidates of the objects that were asked for last, of all groups.
+    """Caches the best candidates of the latest objects, for all groups of one router.
 
-    Bounded in objects and in candidates of each; the oldest goes first.  Servers are kept by their ids, so
-    that one that has left is not kept alive here.
+    Both the objects and the candidates of each are bounded; the ranking that was added first is evicted
+    first. Servers are stored by id, so that the cache keeps no server alive that has left.
     """
 
     def __init__(self, capacity: int = RANKINGS_KEPT) -> None:
@@ -79,25 +82,25 @@
         return len(self._best)
 
     def new_version(self) -> int:
-        """A number for the next state of a group; rankings of its earlier states are found no more."""
+        """Return the version number for the next state of a group, which has no rankings yet."""
         return next(self._versions)
 
     def get(self, key: RankingKey) -> tuple[str, ...] | None:
-        """The best candidates for an object in one state of a group, if they are still known."""
+        """Return the ids of the best candidates for an object in a version of a group, if they are cached."""
         return self._best.get(key)
 
     def put(self, key: RankingKey, best: tuple[str, ...]) -> None:
-        """Keep the best candidates for an object, in place of the oldest ones where the cache is full."""
+        """Cache the ids of the best candidates for an object; a full cache evicts its oldest ranking."""
         if len(self._best) >= self.capacity:
             del self._best[next(iter(self._best))]
         self._best[key] = best
 
 
 class CandidateGroup(Generic[ServerT]):
-    """Servers of one role and place, ranked for each object.
+    """Servers of one role and location, ranked for each object.
 
-    A change of one server computes nothing for the others; all that grows with the group is a move within one
-    sorted array, and where all weights differ, the search for the heaviest.
+    A change of one server recomputes nothing for the others.  Only two steps take longer in a larger group:
+    the insertion into a sorted list and, if all weights differ, the search for the highest weight.
     """
 
     def __init__(self, cache: RankingCache) -> None:
@@ -105,23 +108,25 @@
         self._version = cache.new_version()
         self._members: dict[str, Member[ServerT]] = {}
         self._by_salt: list[Member[ServerT]] = []
-        self._table: dict[int, tuple[Member[ServerT], ...]] = {}  # by slot
-        self._weights: Counter[float] = Counter()  # members by weight
-        self._heaviest = 0.0
+        # The members on each slot; empty slots have no entry.
+        self._table: dict[int, tuple[Member[ServerT], ...]] = {}
+        # The number of members of each weight.
+        self._weight_counts: Counter[float] = Counter()
+        self._highest_weight = 0.0
 
     def __len__(self) -> int:
         return len(self._members)
 
     def __iter__(self) -> Iterator[ServerT]:
-        """All servers, in the order in which they were added."""
+        """Iterate over all servers, in the order in which they were added."""
         return (member.server for member in self._members.values())
 
     def members(self) -> Iterable[Member[ServerT]]:
-        """All members, in the order in which they were added."""
+        """Return all members, in the order in which they were added."""
         return self._members.values()
 
     def put(self, server_id: str, server: ServerT, weight: float) -> None:
-        """Add a server, or take in its new weight, or its new process."""
+        """Add a server, or replace one of the same id by its new process or weight."""
         known = self._members.get(server_id)
         if known is not None and known.weight == weight:
             known.server = server  # the rankings stay as they are
@@ -133,19 +138,19 @@
         insort(self._by_salt, member, key=_order_by_salt)
         for slot in member.slots():
             self._table[slot] = (*self._table.get(slot, ()), member)
-        self._weights[weight] += 1
-        self._heaviest = max(self._weights)
+        self._weight_counts[weight] += 1
+        self._highest_weight = max(self._weight_counts)
         self._version = self._cache.new_version()
 
     def remove(self, server_id: str) -> None:
-        """Forget a server, if it is known."""
+        """Remove a server, if it is in the group."""
         member = self._members.pop(server_id, None)
         if member is not None:
             self._unindex(member)
             self._version = self._cache.new_version()
 
     def _unindex(self, member: Member[ServerT]) -> None:
-        """Take a member out of all indexes."""
+        """Remove a member from all indexes."""
         del self._by_salt[bisect_left(self._by_salt, _order_by_salt(member), key=_order_by_salt)]
         for slot in member.slots():
             others = tuple(other for other in self._table[slot] if other is not member)
@@ -153,16 +158,16 @@
                 self._table[slot] = others
             else:
                 del self._table[slot]
-        self._weights[member.weight] -= 1
-        if not self._weights[member.weight]:
-            del self._weights[member.weight]
-        self._heaviest = max(self._weights, default=0.0)
+        self._weight_counts[member.weight] -= 1
+        if not self._weight_counts[member.weight]:
+            del self._weight_counts[member.weight]
+        self._highest_weight = max(self._weight_counts, default=0.0)
 
     def candidates(self, object_hash: int, weighted: bool) -> Iterator[ServerT]:
-        """All servers of the group, the best candidate for the object first.
+        """Return an iterator over all servers of the group, the best candidate for the object first.
 
-        The first ones are computed at once and kept.  The others follow only where they are asked for.  Don't
-        change the group while it is being iterated over.
+        The first ``CANDIDATES_KEPT`` are computed at once and cached, the others only if the caller iterates
+        that far.  The group must not change during the iteration.
         """
         key = (self._version, weighted, object_hash)
         best = self._cache.get(key)
@@ -176,22 +181,22 @@
         return itertools.chain(first, self._others(object_hash, weighted, ranked))
 
     def _uses_table(self, object_hash: int) -> bool:
-        """Whether the table ranks this object.
+        """Return whether the table ranks this object.
 
-        Of a group that grows past ``MAX_SCORED_SERVERS`` servers, each further server hands one part in
-        ``TABLE_BLEND`` of the objects over to the table.  If all were handed over at one size, each restart
-        of a server at that size would move all objects twice.
+        Each server beyond ``MAX_SCORED_SERVERS`` moves one part in ``TABLE_BLEND`` of the objects to the
+        table. If all objects moved at one size of the group, each restart of a server at that size would give
+        all objects new candidates, and then again their former ones.
         """
         return object_hash % TABLE_BLEND < len(self._members) - MAX_SCORED_SERVERS
 
     def _rank(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
-        """The best members first: all of a small group, and the first few of a large one."""
+        """Return the best members first: all members of a small group, the first few of a large one."""
         if self._uses_table(object_hash):
             return self._draw_best(object_hash, weighted)
         return self._score_all(object_hash, weighted)
 
     def _score_all(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
-        """All members in the order of exact rendezvous hashing: the highest score first."""
+        """Return all members in the order of rendezvous hashing, the highest score first."""
         scored = [
             (rendezvous_score(object_hash, member.salt, member.weight if weighted else 1.0), member)
             for member in self._members.values()
@@ -202,10 +207,10 @@
     def _others(
         self, object_hash: int, weighted: bool, ranked: Sequence[Member[ServerT]]
     ) -> Iterator[ServerT]:
-        """The candidates after those ranked: needed only where all of these are unusable.
+        """Yield the candidates after the ranked ones, which are needed only if all of these are unusable.
 
-        In a large group they follow in the order of their salts, from a place that the object's hash gives:
-        each object has others first, and none is computed before it is asked for.
+        In a large group they come in the order of their salts, starting at the object's hash: so the order
+        differs between objects, and no scores are computed for it.
         """
         if len(ranked) == len(self._members):
             return
@@ -220,49 +225,52 @@
                 yield member.server
 
     def _draw_best(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
-        """The first few candidates in a large group, by weighted rendezvous over random draws.
+        """Return the first few candidates in a large group, by weighted rendezvous hashing over random draws.
 
-        The object's hash seeds an endless row of slots.  The place of a server's slot in that row, the first
-        time it comes up, is distributed as the exponential variable of weighted rendezvous; divided by the
-        server's weight, the least is the best candidate.  It depends on the object and that server alone.  No
-        server that comes up later than the heaviest one's weight allows can be among the best any more.
+        The object's hash seeds an endless sequence of slots.  The position at which a slot of a server is
+        drawn first is distributed like the exponential variable of weighted rendezvous hashing: the server
+        with the lowest position divided by its weight is the best candidate.  That quotient depends on the
+        object and the server alone.  Once the draws exceed the last candidate's quotient times the highest
+        weight, no server that was not drawn yet can be among the best.
         """
-        heaviest = max(self._heaviest, MIN_WEIGHT) if weighted else 1.0
-        needed = CANDIDATES_KEPT * TABLE_SLOTS / (SLOTS_PER_SERVER * len(self._members))
-        count = int(needed * DRAW_MARGIN)
+        highest_weight = max(self._highest_weight, MIN_WEIGHT) if weighted else 1.0
+        mean_needed = CANDIDATES_KEPT * TABLE_SLOTS / (SLOTS_PER_SERVER * len(self._members))
+        count = int(mean_needed * DRAW_MARGIN)
         while True:
             arrivals = self._arrivals(object_hash, count, weighted)
             best = nsmallest(CANDIDATES_KEPT, arrivals.values(), key=_order_by_arrival)
-            complete = len(best) == CANDIDATES_KEPT and best[-1].time <= count / heaviest
+            complete = len(best) == CANDIDATES_KEPT and best[-1].time <= count / highest_weight
             if complete or count >= MAX_SLOTS_DRAWN:
                 return [arrival.member for arrival in best]
             count = min(2 * count, MAX_SLOTS_DRAWN)
 
     def _arrivals(self, object_hash: int, count: int, weighted: bool) -> dict[str, _Arrival[ServerT]]:
-        """The first arrival of each server that comes up in so many draws, by server."""
+        """Return the first arrival of each server within ``count`` draws, by server id."""
         table = self._table
         arrivals: dict[str, _Arrival[ServerT]] = {}
-        hits = [(at, slot) for at, slot in enumerate(_draw_slots(object_hash, count)) if slot in table]
-        for at, slot in hits:
+        hits = [
+            (position, slot) for position, slot in enumerate(_draw_slots(object_hash, count)) if slot in table
+        ]
+        for position, slot in hits:
             for member in table[slot]:
                 if member.server_id not in arrivals:
                     weight = max(member.weight, MIN_WEIGHT) if weighted else 1.0
                     tie = mix64(object_hash ^ member.salt)
-                    arrivals[member.server_id] = _Arrival((at + 1) / weight, tie, member)
+                    arrivals[member.server_id] = _Arrival((position + 1) / weight, tie, member)
         return arrivals
 
 
 @dataclass(frozen=True, slots=True)
 class _Arrival(Generic[ServerT]):
-    """When a server first came up in an object's draws, over its weight."""
+    """The first draw of a server for an object; ``time`` is its position divided by the server's weight."""
 
     time: float
-    tie: int  # decides between servers on one slot
+    tie: int  # hash that orders servers on one slot
     member: Member[ServerT]
 
 
 def _draw_slots(object_hash: int, count: int) -> array[int]:
-    """The first slots of the object's row: the same in every process, and a longer row begins alike."""
+    """Return the first slots of the object's sequence, which is the same in every process."""
     slots = array("H", shake_128(object_hash.to_bytes(8, "little")).digest(2 * count))
     if sys.byteorder == "big":
         slots.byteswap()
@@ -270,8 +278,10 @@
 
 
 def _order_by_salt(member: Member[ServerT]) -> tuple[int, str]:
+    """Return the sort key of a member in the order of salts."""
     return member.salt, member.server_id
 
 
 def _order_by_arrival(arrival: _Arrival[ServerT]) -> tuple[float, int]:
+    """Return the sort key of an arrival, the best candidate first."""
     return arrival.time, arrival.tie
--- a/thornjunction/policy/completion.py
+++ b/thornjunction/policy/completion.py
@@ -1,4 +1,4 @@
-"""How requests end: closed, rejected or failed."""
+"""Ends requests: closes, rejects or fails them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Completion:
-    """Gives each request its one final answer where no server gave it."""
+    """Closes requests, and answers those that no server has answered: rejected or failed."""
 
     def __init__(self, context: DecisionContext, requests: RequestTable) -> None:
         self._context = context
         self._requests = requests
 
     def close(self, request: PendingRequest) -> None:
-        """Forget a request; attempts still in flight are cancelled where that saves work."""
+        """Remove a request; cancel its attempts that are still in flight if the settings allow that."""
         self._requests.remove(request)
         if not self._context.settings.may_cancel:
             return
@@ -23,7 +23,7 @@
             self._context.actions.append(api.CancelAttempt(request.id, attempt.number))
 
     def give_up(self, request: PendingRequest) -> None:
-        """Close a request that nothing served; it is rejected only if a repeat can do no harm."""
+        """Close a request that no server has served; reject it if a repeat is harmless, otherwise fail it."""
         never_executed = not request.in_flight and request.possible_execution is None
         is_repeat_harmless = request.request_class.idempotency is api.Idempotency.IDEMPOTENT or never_executed
         self.close(request)
@@ -35,8 +35,8 @@
     def reject(self, request_id: str) -> None:
         """Answer that the request was not served and may be repeated.
 
-        What is rejected now would be rejected in a moment too, so the client is advised to wait, for as
-        long as the settings allow.
+        A repeat that comes at once would be rejected as well, so the client is advised to wait for the
+        longest time that the settings allow.
         """
         settings = self._context.settings
         wait_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
--- a/thornjunction/policy/context.py
+++ b/thornjunction/policy/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the router share while they handle an event."""
+"""The context in which the parts of the decisions handle an event."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DecisionContext:
-    """The time of the present event, the settings, the random numbers and the actions decided so far.
+    """The time of the present event, the settings, the random numbers and the actions of this event so far.
 
     ``draw`` gives the router's random numbers, in [0, 1). All times are ms of the caller's monotonic clock.
     """
@@ -23,10 +23,10 @@
     def adopt(self, settings: api.Settings) -> None:
         """Decide by these settings from now on."""
         self.settings = settings
-        # Whether outcomes tell nothing of hits, fills and sources.
+        # Whether outcomes do not report hits, fills and sources.
         self.fills_unreported = settings.fill_reporting is api.FillReporting.NONE
 
     def begin_event(self, now_ms: float) -> None:
-        """Begin a new list of actions; a clock that steps back counts as standing still."""
+        """Start a new list of actions at this time, or at the time of the last event if that is later."""
         self.now_ms = max(now_ms, self.now_ms)
         self.actions = []
--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Carries out what a request does next, at its start and after each of its attempts."""
+"""Carries out the next step of a request, at its admission and after each of its attempts."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 from thornjunction.limits.retry_budget import backoff_ms
 from thornjunction.policy.attempts import AttemptLifecycle
 from thornjunction.policy.completion import Completion
-from thornjunction.policy.context import DecisionContext
 from thornjunction.policy.fetch_plan import MAX_PEER_LOOKUPS
 from thornjunction.policy.hedging import Hedging
-from thornjunction.policy.requests import Attempt, PendingRequest, RequestState, RequestTable
+from thornjunction.policy.requests import Attempt, PendingRequest, RequestState
 from thornjunction.policy.retry_policy import NoAttempt, RetryPolicy, Send
+from thornjunction.policy.state import DecisionState
 
-# Errors after which the request itself is at fault: one bad request must not spend all its attempts.
-MAX_ERRORS = 3
-# Ends that say little of the server: one answer was lost, and what it holds is not.
-LOST_ANSWERS = (api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR)
+# Servers that may answer a request with an error. After that many the request itself counts as the cause
+# and is given up, so that one bad request does not use up its attempts.
+MAX_ERROR_ANSWERS = 3
+# Statuses of an attempt whose answer was lost: the server may still have the object cached.
+LOST_ANSWER_STATUSES = (api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR)
 
 
 class Dispatcher:
-    """Sends, holds or ends requests."""
+    """Sends the next attempt of a request, makes the request wait, or ends it."""
 
     def __init__(
         self,
-        context: DecisionContext,
-        requests: RequestTable,
+        state: DecisionState,
         retry_policy: RetryPolicy,
         attempts: AttemptLifecycle,
         completion: Completion,
         hedging: Hedging,
     ) -> None:
-        self._context = context
-        self._requests = requests
+        self._context = state.context
+        self._requests = state.requests
         self._retry_policy = retry_policy
         self._attempts = attempts
         self._completion = completion
         self._hedging = hedging
 
     def dispatch(self, request: PendingRequest) -> None:
-        """Send the next attempt of a request, let it wait, or end it."""
+        """Carry out what the retry policy decides: an attempt, a wait, or the end of the request."""
         match self._retry_policy.next_step(request):
             case Send(server, source):
                 self._attempts.send(request, server, source)
@@ -50,7 +50,7 @@
                 self._completion.give_up(request)
 
     def attempt_ended(self, event: api.AttemptEnded, attempt: Attempt) -> None:
-        """Go on with a request after one of its attempts."""
+        """Close a request whose attempt ended it, or dispatch the request again."""
         request = attempt.request
         if request.state is RequestState.CLOSED:
             return
@@ -68,9 +68,9 @@
             self._after_failure(event, attempt)
 
     def _after_cached_only_miss(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Try another cache where a peer lookup found nothing; all else that is not cached is rejected.
+        """Dispatch a request again whose peer lookup missed; give up any other that was not cached.
 
-        The lookup was never executed.
+        A peer lookup that misses executes nothing, so the request may be sent again.
         """
         source = attempt.source
         if (
@@ -84,28 +84,28 @@
         self.dispatch(request)
 
     def _after_failure(self, event: api.AttemptEnded, attempt: Attempt) -> None:
-        """Retry a request, elsewhere if its server or source is at fault, and later if that is overloaded."""
+        """Dispatch a request again after a failed attempt, after a backoff if the origin is overloaded."""
         request = attempt.request
         if request.possible_execution is None and event.status not in NEVER_EXECUTED:
             request.possible_execution = attempt.execution
-        self._note_tried(event, attempt)
-        if len(request.faulty_servers) >= MAX_ERRORS:
+        self._exclude_faulty(event, attempt)
+        if len(request.faulty_servers) >= MAX_ERROR_ANSWERS:
             self._completion.give_up(request)
             return
-        is_origin_full = self._context.fills_unreported or request.request_class.uncacheable
-        if event.status is api.AttemptStatus.OVERLOADED and is_origin_full:
+        is_origin_overloaded = self._context.fills_unreported or request.request_class.uncacheable
+        if event.status is api.AttemptStatus.OVERLOADED and is_origin_overloaded:
             wait_ms = backoff_ms(
                 request.request_class.latency_objective_ms, request.attempts_started, self._context.draw
             )
             request.retry_at_ms = self._context.now_ms + wait_ms
         self.dispatch(request)
 
-    def _note_tried(self, event: api.AttemptEnded, attempt: Attempt) -> None:
-        """Note which servers the request is not to be sent to again."""
+    def _exclude_faulty(self, event: api.AttemptEnded, attempt: Attempt) -> None:
+        """Exclude the server or source that is at fault from the further attempts of the request."""
         request = attempt.request
         server = attempt.server
         source_failed = event.fill_result in SOURCE_FAULTS
-        answer_lost = event.status in LOST_ANSWERS
+        answer_lost = event.status in LOST_ANSWER_STATUSES
         if attempt.source is not None and (
             source_failed or not answer_lost or self._context.fills_unreported
         ):
--- a/thornjunction/policy/fetch_plan.py
+++ b/thornjunction/policy/fetch_plan.py
@@ -1,4 +1,4 @@
-"""Where an attempt's miss is filled from, and the terms on which it is fetched."""
+"""Plans the fetch of an attempt: the source of its fill, and the limits in its action."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
 
-# Other caches that one request asks for a copy: a third finds little that two did not.
+# Peer lookups of one request: a third would rarely find what two did not.
 MAX_PEER_LOOKUPS = 2
-# Rank of what passes through a cache and is not kept.
+# Retention rank of an uncacheable object, which passes through a cache and is not kept.
 NO_RANK = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FillPlan:
-    """Where a miss may be filled from."""
+    """The source that a miss may be filled from."""
 
-    source: Upstream | None  # None: only what the server itself has cached
-    cached_only: bool  # the source gives only what it has cached
+    source: Upstream | None  # None: no fill, the server answers from its own cache alone
+    cached_only: bool  # whether the source answers from its own cache alone
 
 
 class FetchPlanner:
@@ -49,11 +49,11 @@
         self._ranking = ranking
 
     def plan_fill(self, request: PendingRequest, server: Upstream, source: Upstream | None) -> FillPlan:
-        """Decide what of the chosen source may be asked for, and note what that means for the request.
+        """Decide whether a miss may be filled from the chosen source, and restrict the request if not.
 
-        Past the fills' gate a cache gives only what it has cached, past the origin's a parent does: they
-        know what one of many routers cannot. Misses are rejected, needlessly so where the cause has just
-        passed.
+        If the gate of fills is shut, the cache answers from its own copy alone; if the origin's gate is shut,
+        the parent does. Caches and parents know their contents, which a router does not. Misses are then
+        rejected, for a short time also after the cause has passed.
         """
         if request.request_class.uncacheable:
             return FillPlan(source, cached_only=False)
@@ -70,7 +70,7 @@
     def _plan_peer_lookup(
         self, request: PendingRequest, server: Upstream, *, may_fill: bool, cached_only: bool
     ) -> FillPlan:
-        """Choose another cache in place of an origin that must be spared, if one is likely to help."""
+        """Choose another cache as the source in place of the origin, if one is likely to have the object."""
         peer = None
         if request.peer_lookups < MAX_PEER_LOOKUPS:
             link_load = self._ranking.link_load.value
@@ -84,20 +84,20 @@
         return FillPlan(peer, cached_only=True)
 
     def fetch_action(self, attempt: Attempt) -> api.StartAttempt:
-        """Return the action that sends an attempt.
+        """Return the action that starts an attempt.
 
-        Its time-out is the request's own: fills that are called off early are fetched again and feed a
-        jam. Servers that fall silent are found otherwise (``silence``).
+        Its timeout is the rest of the request's: a fill that is cancelled early is fetched again and adds to
+        an overload. ``silence`` detects servers that do not answer at all.
         """
         request = attempt.request
         request_class = request.request_class
         settings = self._context.settings
         now_ms = self._context.now_ms
-        passes = request_class.uncacheable
+        is_uncacheable = request_class.uncacheable
         rank = NO_RANK
-        if not passes:
+        if not is_uncacheable:
             rank = self._ranking.rank(request.object_hash, request.transfer_ms)
-        may_be_stale = not passes and (attempt.cached_only or attempt.source is None)
+        may_be_stale = not is_uncacheable and (attempt.cached_only or attempt.source is None)
         grace_ms = request_class.stale_grace_ms if may_be_stale else 0.0
         window_ms = repeat_window_ms(request_class, request.possible_execution, now_ms)
         source = attempt.source or attempt.server
@@ -108,7 +108,7 @@
             source=source.id,
             retention_rank=rank,
             max_age_ms=self._purges.max_age_ms(request.event, request_class.freshness_ms, now_ms, grace_ms),
-            coalesce=settings.may_coalesce and not passes,
+            coalesce=settings.may_coalesce and not is_uncacheable,
             refresh_in_background=request_class.freshness_ms > 0,
             cached_only=attempt.cached_only,
             start_within_ms=start_limit_ms(settings, window_ms - ANSWER_MARGIN_MS),
--- a/thornjunction/policy/fill_ranking.py
+++ b/thornjunction/policy/fill_ranking.py
@@ -1,7 +1,8 @@
 """The rank at which a fill is cached, after Song et al., section 3.
 
 An object's score is either d1 = hits/s x fetch time / size, the cost that caching it saves, or d2 =
-hits/s. Which of the two is drawn at random, with a probability that moves with the strained resource.
+hits/s. A random number selects one of the two for each fill. The probability of d1 rises while fills are
+strained, and falls while the link is.
 """
 
 from __future__ import annotations
@@ -12,33 +13,35 @@
 
 from thornjunction.estimates import FAST_GAIN, RecentScores, SmoothedMean
 
-# ms in which a count of requests decays to its half (the paper's).
+# Time in which a count of requests decays to its half, as in the paper.
 COUNT_HALF_LIFE_MS = 10_000.0
-# Objects whose requests are counted.
-MAX_COUNTED = 8192
-# Percentiles that part the ranks: three equal shares.
+# Objects whose requests are counted; the one requested longest ago is evicted.
+MAX_COUNTED_OBJECTS = 8192
+# Percentiles of the score above which the rank is 3 and 2: each rank gets a third of the fills.
 HIGH_RANK_ABOVE = 2 / 3
 MIDDLE_RANK_ABOVE = 1 / 3
-# Probability of ranking by cost at the start, and its change a second: ten seconds to either limit.
+# Probability of ranking by cost at the start.
 START_COST_PROBABILITY = 0.5
+# Change of that probability a second: from its start it reaches either limit in ten seconds.
 COST_PROBABILITY_STEP = 0.05
-# Load of the link above, past which its bytes are what must be saved.
+# Utilization of the link to the sources above which its bytes must be saved.
 LINK_NEAR_FULL = 0.85
-# Fetch time in ms that stands for all objects until the first fill; only its being the same matters.
+# Fetch time assumed for all objects until the first fill; its value does not matter, as it is the same for
+# all.
 DEFAULT_FETCH_MS = 1.0
 
 
 @dataclass(slots=True)
 class RequestCount:
-    """Requests for one object, decayed, and the time of its last fill."""
+    """The decayed number of requests for one object, and the fetch time of its last fill."""
 
     count: float
-    at_ms: float
-    fetch_ms: float | None = None
+    counted_at_ms: float  # when ``count`` was computed
+    fetch_ms: float | None = None  # time to the first byte of its last fill
 
     def decayed(self, now_ms: float) -> float:
         """Return the count as it stands at this time."""
-        return self.count * math.exp2((self.at_ms - now_ms) / COUNT_HALF_LIFE_MS)
+        return self.count * math.exp2((self.counted_at_ms - now_ms) / COUNT_HALF_LIFE_MS)
 
 
 def rank_of(percentile: float) -> int:
@@ -51,21 +54,23 @@
 
 
 class FillRanking:
-    """What is requested how often, what its fill costs, and which of both scores decides."""
+    """Counts requests, learns fetch times, and ranks fills by one of the two scores."""
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self._draw = draw
         self.cost_probability = START_COST_PROBABILITY
-        self.counts: dict[int, RequestCount] = {}  # by object, the one requested longest ago first
+        # Counts by object hash, the object requested longest ago first.
+        self.counts: dict[int, RequestCount] = {}
         self.mean_fetch_ms = SmoothedMean(FAST_GAIN)
         self.link_load = SmoothedMean(FAST_GAIN)
         self.cost_scores = RecentScores()
         self.hit_scores = RecentScores()
 
     def adjust(self, *, fills_strained: bool) -> None:
-        """Lean toward cost while fills are slow or fail, toward hits while the link is near full.
+        """Move the probability of ranking by cost one step; call this once a second.
 
-        Called once a second. Without reports of the link, rest at the starting probability.
+        It rises while fills are slow or fail, and falls while the link is nearly full. Without reports of the
+        link's utilization it returns to its start once fills are no longer strained.
         """
         link_strained = self.link_load.get(0.0) > LINK_NEAR_FULL
         if fills_strained and not link_strained:
@@ -83,9 +88,9 @@
             entry = RequestCount(0.0, now_ms)
         earlier = entry.decayed(now_ms)
         entry.count = earlier + 1.0
-        entry.at_ms = now_ms
+        entry.counted_at_ms = now_ms
         self.counts[object_hash] = entry
-        if len(self.counts) > MAX_COUNTED:
+        if len(self.counts) > MAX_COUNTED_OBJECTS:
             del self.counts[next(iter(self.counts))]
         return earlier
 
--- a/thornjunction/policy/hedging.py
+++ b/thornjunction/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt beside a first whose answer may be lost (Dean and Barroso, 2013)."""
+"""Hedged requests: a second attempt while the answer of the first may be lost (Dean and Barroso, 2013)."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from thornjunction.policy.requests import Attempt, PendingRequest, RequestState
 from thornjunction.policy.shared_gates import SharedGates
 
-# Share of a gate below which no hedge is sent: where all are slow, hedges are only more work.
-CALM_GATE_SHARE = 0.8
+# Admitted share of a gate below which no hedge is sent: if all answers are slow, a hedge only adds load.
+MIN_GATE_SHARE = 0.8
 
 
 class Hedging:
-    """Decides which attempts get a second one beside them; few, and none where a gate begins to shut."""
+    """Decides which requests get a second attempt: few, and none while an admission gate is shutting."""
 
     def __init__(
         self,
@@ -31,21 +31,23 @@
         self._placement = placement
         self._gates = gates
         self._retry_budget = retry_budget
-        # Hedges pay where the first answer was lost, and not where all answers are slow.
+        # Shuts as hedges lose to the first attempt: they help if answers are lost, not if all answers are
+        # slow.
         self.gate = AdmissionGate(recovery_per_ms=0.0)
 
     def send_due(self) -> None:
-        """Send a hedge beside each attempt that takes longer than most of its class."""
+        """Send a hedge for each request whose attempt exceeds the typical latency of its class."""
         due = [attempt.request for attempt in self._attempts.in_flight.values() if self._needs_hedge(attempt)]
         for request in due:
             self._hedge(request)
 
     def record_race(self, *, winner: Attempt, loser: Attempt) -> None:
-        """Learn from a request of which one attempt was answered while the other was in flight."""
+        """Learn from a hedged request that was answered while its other attempt was in flight."""
         first_attempt_won = winner.number < loser.number
         self.gate.record(self._context.now_ms, late=first_attempt_won)
 
     def _hedge(self, request: PendingRequest) -> None:
+        """Send a second attempt of a request if the gate admits it and a cache can take it."""
         now_ms = self._context.now_ms
         if not self.gate.admits(now_ms, self._context.draw):
             return
@@ -55,7 +57,10 @@
             self._attempts.send(request, server, source)
 
     def _needs_hedge(self, attempt: Attempt) -> bool:
-        """Tell whether an attempt's answer may be lost; its class learns that it takes long."""
+        """Return whether an attempt's answer may be lost.
+
+        If the attempt exceeds the typical latency of its class, the estimate learns that, once.
+        """
         if not self._may_hedge(attempt) or attempt.exceeded_typical_latency:
             return False
         request = attempt.request
@@ -66,11 +71,11 @@
         attempt.exceeded_typical_latency = True
         typical.record(exceeded=True)
         if attempt.server.last_heard_at_ms <= attempt.sent_at_ms:
-            return False  # it may be unreachable, which is detected otherwise (``silence``)
-        return min(self._gates.lowest_share, attempt.server.gate.share) >= CALM_GATE_SHARE
+            return False  # the server may be unreachable, which ``silence`` detects
+        return min(self._gates.lowest_share, attempt.server.gate.share) >= MIN_GATE_SHARE
 
     def _may_hedge(self, attempt: Attempt) -> bool:
-        """Tell whether an attempt is the first and only one of a request that may be executed twice."""
+        """Return whether an attempt is the first and only one of a request that may be executed twice."""
         request = attempt.request
         return (
             self._context.settings.may_hedge
--- a/thornjunction/policy/outcomes.py
+++ b/thornjunction/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""Learns from the ends of attempts: who did well and who did not, the cache or the source behind it."""
+"""Outcome learning: updates estimates and limits of caches and sources as attempts end."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from thornjunction.policy.requests import Attempt
 from thornjunction.policy.shared_gates import SharedGates
 
-# Ends that say nothing of who was asked: this router ended the attempt itself.
+# Statuses that say nothing about the server, since this router ended the attempt itself.
 ENDED_BY_ROUTER = (api.AttemptStatus.CANCELLED, api.AttemptStatus.NOT_STARTED)
-# Ends that show a cache in order: it served, or said that it does not have the object.
-IN_ORDER = (api.AttemptStatus.SUCCEEDED, api.AttemptStatus.CACHE_MISS)
-# Notes of a fill that succeeded, and of an outcome that speaks of the origin.
+# Statuses that show that a cache works: it served, or answered that it does not have the object.
+HEALTHY_STATUSES = (api.AttemptStatus.SUCCEEDED, api.AttemptStatus.CACHE_MISS)
+# Fill results of a fill that succeeded.
 FILLED = frozenset({api.FillResult.FILLED, api.FillResult.FILLED_FROM_ORIGIN})
+# Fill results that say how the origin did.
 FROM_ORIGIN = frozenset({api.FillResult.FILLED_FROM_ORIGIN, api.FillResult.ORIGIN_FAILED})
 
 
 class OutcomeLearning:
-    """Feeds each outcome to the estimates and limits that it speaks of."""
+    """Passes each outcome to the estimates and limits that learn from it."""
 
     def __init__(
         self,
@@ -53,6 +54,7 @@
         self._learn_source(event, attempt, source_failed=source_failed)
 
     def _learn_load(self, event: api.AttemptEnded, attempt: Attempt) -> None:
+        """Learn the utilization of the server and its link from a load report, if one came."""
         report = event.report
         if report is None:
             return
@@ -61,19 +63,21 @@
         attempt.server.record_report(report)
 
     def _learn_server(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
-        """Learn whether the server is in order; one that rejects for overload only is."""
+        """Learn whether the server works; a rejection for overload says nothing about that."""
         server = attempt.server
         status = event.status
         now_ms = self._context.now_ms
         timed_out = status is api.AttemptStatus.TIMEOUT
         unreachable = status is api.AttemptStatus.CONNECTION_REFUSED or (server.is_unreachable and timed_out)
         if status is api.AttemptStatus.ERROR and not source_failed:
-            attempt.request.faulty_servers.append(server)  # or the request is at fault: see its other ends
+            # The request itself may be the cause: ``_learn_success`` blames the server once another one
+            # served.
+            attempt.request.faulty_servers.append(server)
         elif status is api.AttemptStatus.CONNECTION_RESET and not source_failed:
             server.outliers.record_reset(now_ms)
         elif status is api.AttemptStatus.OVERLOADED:
             pass
-        elif source_failed or status in IN_ORDER:
+        elif source_failed or status in HEALTHY_STATUSES:
             server.record_success(now_ms)
         elif unreachable:
             server.outliers.record_refused_connection(now_ms)
@@ -84,7 +88,10 @@
             server.last_heard_at_ms = now_ms
 
     def _learn_success(self, attempt: Attempt) -> None:
-        """Learn from a served request that those are at fault that answered it with an error."""
+        """Record a failure of each other server that answered this request with an error.
+
+        The request itself is not the cause, since it was served now.
+        """
         request = attempt.request
         while request.faulty_servers:
             faulty = request.faulty_servers.pop()
@@ -94,6 +101,7 @@
             request.typical_latency.record(exceeded=False)
 
     def _learn_timeliness(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
+        """Record in the admission gates whether the answer came in time."""
         served = event.status is api.AttemptStatus.SUCCEEDED
         if event.fill_result in FROM_ORIGIN:
             late = not served or event.elapsed_ms > attempt.request.objective_ms
@@ -104,7 +112,7 @@
             self._gates.record_end(attempt, math.inf, event.fill_result)
 
     def _learn_source(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
-        """Learn how the source of a fill did, where the outcome tells of one."""
+        """Learn from a fill how its source did, if the outcome reports a fill or makes one likely."""
         source = attempt.source
         request = attempt.request
         if source is None or source is attempt.server:
@@ -119,7 +127,8 @@
             first_byte_ms = event.fill_first_byte_ms or max(event.elapsed_ms - request.transfer_ms, 0.0)
             source.first_byte_ms.add(first_byte_ms)
             self._ranking.record_fill(request.object_hash, first_byte_ms)
-        else:  # a quick failure must not look like a quick source
+        else:
+            # A failure must not lower the source's time to the first byte, however soon it came.
             source.outliers.record_failure(now_ms)
             failed_after_ms = event.fill_first_byte_ms or max(event.elapsed_ms, 0.0)
             source.first_byte_ms.add(max(failed_after_ms, source.first_byte_ms.get(0.0)))
--- a/thornjunction/policy/periodic.py
+++ b/thornjunction/policy/periodic.py
@@ -1,44 +1,38 @@
-"""What the router does at every tick and once a second."""
+"""Tasks that the router runs at every tick and once a second."""
 
 from __future__ import annotations
 
 from thornjunction import interface as api
-from thornjunction.limits.slow_start import SlowStart
 from thornjunction.policy.attempts import AttemptLifecycle
-from thornjunction.policy.context import DecisionContext
 from thornjunction.policy.dispatch import Dispatcher
-from thornjunction.policy.fill_ranking import FillRanking
 from thornjunction.policy.hedging import Hedging
-from thornjunction.policy.requests import RequestTable
-from thornjunction.policy.shared_gates import SharedGates
 from thornjunction.policy.silence import SilenceDetector
+from thornjunction.policy.state import DecisionState
 
-# The token of the tick's timer; those of deadlines begin at 1.
+# The token of the timer that starts a tick; the tokens of deadline timers begin at 1.
 TICK_TOKEN = 0
-# ms between ticks: short against every objective, long against the cost of a tick.
+# Time between ticks: far below every latency objective, and far above the cost of a tick.
 TICK_MS = 50.0
-# Waiting requests that a tick tries again; each costs a whole decision.
-RESUMED_PER_TICK = 10
-# ms between steps of the slow estimates.
+# Waiting requests that one tick dispatches again; each of them costs a decision.
+MAX_RESUMED_PER_TICK = 10
+# Time between steps of the slowly changing estimates.
 STEP_INTERVAL_MS = 1000.0
-# Share of a gate below which fills are under strain.
+# Admitted share of the lower shared gate, below which fills count as strained.
 STRAINED_GATE_SHARE = 0.8
 
 
 class EstimateSteps:
-    """Moves the slow estimates, once a second."""
+    """Updates the offered load and the fill ranking once a second."""
 
-    def __init__(
-        self, context: DecisionContext, gates: SharedGates, ranking: FillRanking, slow_start: SlowStart
-    ) -> None:
-        self._context = context
-        self._gates = gates
-        self._ranking = ranking
-        self._slow_start = slow_start
+    def __init__(self, state: DecisionState) -> None:
+        self._context = state.context
+        self._gates = state.gates
+        self._ranking = state.ranking
+        self._slow_start = state.placement.slow_start
         self._stepped_at_ms: float | None = None
 
     def step_if_due(self) -> None:
-        """Learn the load and adjust the fill ranking, if a second has passed; the first call only begins."""
+        """Update the estimates if a second has passed; the first call only starts the first second."""
         now_ms = self._context.now_ms
         if self._stepped_at_ms is None:
             self._stepped_at_ms = now_ms
@@ -51,41 +45,33 @@
 
 
 class PeriodicTasks:
-    """Runs what depends on time rather than on events."""
+    """Runs the tasks of a tick: due retries, late and silent attempts, hedges, estimates."""
 
     def __init__(
-        self,
-        context: DecisionContext,
-        requests: RequestTable,
-        dispatcher: Dispatcher,
-        attempts: AttemptLifecycle,
-        gates: SharedGates,
-        silence: SilenceDetector,
-        hedging: Hedging,
-        steps: EstimateSteps,
+        self, state: DecisionState, dispatcher: Dispatcher, attempts: AttemptLifecycle, hedging: Hedging
     ) -> None:
-        self._context = context
-        self._requests = requests
+        self._context = state.context
+        self._requests = state.requests
+        self._gates = state.gates
         self._dispatcher = dispatcher
         self._attempts = attempts
-        self._gates = gates
-        self._silence = silence
         self._hedging = hedging
-        self._steps = steps
+        self._silence = SilenceDetector(state.context, state.requests, attempts, state.retry_budget)
+        self._estimate_steps = EstimateSteps(state)
 
     def tick(self) -> None:
-        """Run what is due, and set the timer of the next tick."""
+        """Run all tasks and set the timer of the next tick."""
         self._context.actions.append(api.SetTimer(TICK_MS, TICK_TOKEN))
         self._resume_waiting()
         for attempt in self._attempts.in_flight.values():
             self._gates.record_if_late(attempt)
         self._silence.check()
         self._hedging.send_due()
-        self._steps.step_if_due()
+        self._estimate_steps.step_if_due()
 
     def _resume_waiting(self) -> None:
-        """Try the requests that have waited longest; one that must wait again queues behind the others."""
+        """Dispatch the requests that have waited longest; those that must wait again do so as the newest."""
         due = self._requests.due(self._context.now_ms)
-        for request in due[:RESUMED_PER_TICK]:
+        for request in due[:MAX_RESUMED_PER_TICK]:
             self._requests.resume(request)
             self._dispatcher.dispatch(request)
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -1,8 +1,11 @@
-"""Which server takes a request: an edge cache by a hash of the object, one of two hashed parents as source.
+"""Placement: chooses the edge cache that takes a request, and the source that fills a miss.
 
-The ordinary path follows Song et al., section 3.  ``candidates.py`` ranks the servers for an object; here it
-is decided which of them may take this request now.  The ranking is iterated over lazily: a decision examines
-the first few servers, and ``SERVERS_EXAMINED`` of them only where none of these is usable.
+The ordinary path follows Song et al., section 3: a hash of the object selects the cache and two parents.
+``candidates.py`` ranks the servers for an object; this module decides which of them may take this request
+now.  A decision iterates over the ranking lazily: it examines the first few servers, and up to
+``SERVERS_EXAMINED`` only if none of these is usable.
+
+Rules 2 and 4 in the docstrings are numbered as in the reports of the operators' simulator, lbsim.
 """
 
 from __future__ import annotations
@@ -23,29 +26,31 @@
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
 
-# Caches that a new request may go to: hot objects get a second copy (paper, section 3).
+# Caches that a new request may be sent to: a popular object gets a second copy (paper, section 3).
 CACHE_CHOICES = 2
-# Parents of which the faster one is the source (paper, section 3).
+# Parents among which the one with the lower first-byte time is the source (paper, section 3).
 PARENT_CHOICES = 2
-# Servers that a decision examines at most: where a tenth is usable, all but 1 decision in 10**11 find one.
+# Bound on the servers that a decision examines: if a tenth is usable, 1 decision in 10**11 finds none.
 SERVERS_EXAMINED = 256
-# A far parent's first byte over a near one's, where outcomes do not tell it.
-FAR_FACTOR = 2.0
-# Time to the first byte of any source, until one was measured; only its being the same matters.
+# First-byte time of a parent outside this zone's hub, as a multiple of one inside, if outcomes do not
+# report it.
+REMOTE_PARENT_FACTOR = 2.0
+# First-byte time of every source until one was measured; its value does not matter, as it is the same for
+# all.
 DEFAULT_FIRST_BYTE_MS = 1.0
 
 
 class Fitness(IntEnum):
     """How fit a cache is for the next attempt of a request; lower is better."""
 
-    UNTRIED = 0  # in service, and it has not failed this request
-    TRIED = 1  # in service
-    EJECTED_UNTRIED = 2  # out of service after failures, though its process was not found to be away
-    EJECTED_TRIED = 3
+    UNTRIED = 0  # in service, and did not fail this request
+    TRIED = 1  # in service, but failed this request
+    EJECTED_UNTRIED = 2  # ejected but not unreachable, and did not fail this request
+    EJECTED_TRIED = 3  # ejected but not unreachable, and failed this request
 
 
 class Placement:
-    """Who of the listed servers may take what."""
+    """Chooses the cache, source or peer for a request among the listed servers."""
 
     def __init__(
         self,
@@ -54,36 +59,37 @@
         draw: Callable[[], float],
         router_hash: int,
     ) -> None:
-        """Start without servers; ``router_hash`` tells this router from the others of its site."""
+        """Start without servers; ``router_hash`` distinguishes this router from the others of its site."""
         self.settings = settings
         self.slow_start = SlowStart(draw)
         self.server_list = ServerList(settings.zone)
-        self._mean_fetch_ms = mean_fetch_ms  # to the first byte of a fill, of all sources
+        # Time to the first byte of a fill, over all sources.
+        self._mean_fetch_ms = mean_fetch_ms
         self._draw = draw
         self._router_hash = router_hash
 
     def adopt(self, settings: api.Settings) -> None:
-        """Place by these settings from now on."""
+        """Place requests by these settings from now on."""
         self.settings = settings
         self.slow_start.adopt(settings)
 
     def update(self, event: api.EndpointListUpdate, now_ms: float) -> None:
-        """Take in a list of servers, or its changes."""
+        """Apply a list of servers, or changes of it."""
         self.server_list.update(event, self.settings, now_ms)
         self.slow_start.note_listed(api.Role.EDGE, len(self.server_list.site_caches))
         for role, group in self.server_list.sources.items():
             self.slow_start.note_listed(role, len(group))
 
     def _ranked_caches(self, object_hash: int, skipped_blocks: int = 0) -> Iterator[Upstream]:
-        """The caches of this zone in the order in which this router asks them for an object."""
+        """Return the caches of this zone in the order in which this router uses them for an object."""
         return self.server_list.site_caches.candidates(
             object_hash, self.settings.servers_weighted, self._router_hash, skipped_blocks
         )
 
     def _likely_holders(self, object_hash: int, zone: str) -> Iterator[Upstream]:
-        """The caches of a zone that are likely to hold an object, the likeliest first.
+        """Return the caches of a zone that are likely to have an object, the most likely first.
 
-        In each block of another zone one holds it; which block is asked depends on the object.
+        In another zone, each block has a cache for the object; the object's hash selects the block.
         """
         if zone == self.settings.zone:
             return self._ranked_caches(object_hash)
@@ -92,29 +98,29 @@
         )
 
     def _expected_first_byte_ms(self, parent: Upstream) -> float:
-        """Smoothed ms to a parent's first byte.
+        """Return a parent's smoothed first-byte time.
 
-        Where outcomes do not tell it, hits blur it, so distance counts too.
+        If outcomes do not report it, it is estimated from hits too, so a remote parent gets a penalty.
         """
         measured = parent.first_byte_ms.get(self._mean_fetch_ms.get(DEFAULT_FIRST_BYTE_MS))
-        is_far = self.settings.hub_by_zone.get(self.settings.zone) != parent.entry.zone
-        if is_far and self.settings.fill_reporting is api.FillReporting.NONE:
-            return measured * FAR_FACTOR
+        is_remote = self.settings.hub_by_zone.get(self.settings.zone) != parent.entry.zone
+        if is_remote and self.settings.fill_reporting is api.FillReporting.NONE:
+            return measured * REMOTE_PARENT_FACTOR
         return measured
 
     def choose_source(self, request: PendingRequest, now_ms: float) -> Upstream | None:
-        """Where a miss is filled from: of two parents the one with the lower first-byte time.
+        """Return the source of a miss: of the two best parents the one with the lower first-byte time.
 
-        Where neither can, another parent, or an origin.
+        If neither is usable, this is another parent or else an origin.
         """
         for server in self._sources(request):
             usable = server.id not in request.tried_servers and server.is_available(now_ms)
-            if usable and self.within_budget(server, request.fill_cost_ms, now_ms):
+            if usable and self.is_within_budget(server, request.fill_cost_ms, now_ms):
                 return server
         return next(iter(self.server_list.sources[api.Role.ORIGIN]), None)
 
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
-        """All sources for a request, the best first."""
+        """Yield the sources for a request, the best first; an uncacheable one has origins alone."""
         if not request.request_class.uncacheable:
             ranked = self.server_list.sources[api.Role.PARENT].candidates(
                 request.object_hash, self.settings.servers_weighted
@@ -125,13 +131,13 @@
         yield from self.server_list.sources[api.Role.ORIGIN]
 
     def fills_from_origin(self, source: Upstream) -> bool:
-        """Whether misses are filled from the origin itself; it has all, so ``cached_only`` spares nothing."""
+        """Return whether misses are filled from the origin itself, which ``cached_only`` cannot protect."""
         return source.entry.role is api.Role.ORIGIN and not self.server_list.sources[api.Role.PARENT]
 
     def choose_peer(self, request: PendingRequest, target: Upstream, now_ms: float) -> Upstream | None:
-        """The cache, other than the target, that is likely to hold an object.
+        """Return a warm cache, other than the target, that is likely to have an object, or None.
 
-        Of each zone the first by hash counts, of this router's zone the first two. Cold caches hold little.
+        It examines the first cache by hash of each zone, and the first two of this router's zone.
         """
         for zone in self._peer_zones(request):
             choices = CACHE_CHOICES if zone == self.settings.zone else 1
@@ -144,47 +150,46 @@
         return None
 
     def _peer_zones(self, request: PendingRequest) -> Iterator[str]:
-        """Zones whose caches may be asked: this router's first, then those of the same hub.
+        """Yield the zones of peers that the settings allow: this router's, those of its hub, then all others.
 
-        Among these they are ordered by hash, or one zone would be asked by all.
+        Within these groups the object's hash orders them, so that not all routers use the same zone.
         """
-        own_zone = self.settings.zone
+        local_zone = self.settings.zone
         hubs = self.settings.hub_by_zone
         if self.settings.peer_fill is api.PeerFill.NONE:
             return
-        if own_zone in self.server_list.caches:
-            yield own_zone
+        if local_zone in self.server_list.caches:
+            yield local_zone
         if self.settings.peer_fill is not api.PeerFill.ANY:
             return
 
         def distance(zone: str) -> tuple[bool, int]:
             zone_hash = mix64(request.object_hash ^ zlib.crc32(zone.encode()))
-            return hubs.get(zone) != hubs.get(own_zone), zone_hash
+            return hubs.get(zone) != hubs.get(local_zone), zone_hash
 
-        yield from sorted(self.server_list.caches.keys() - {own_zone}, key=distance)
+        yield from sorted(self.server_list.caches.keys() - {local_zone}, key=distance)
 
     def choose_cache(self, request: PendingRequest, now_ms: float) -> Upstream | None:
-        """The cache that takes the next attempt: of the two best, the first whose gate lets it through.
+        """Return the cache for the next attempt: the first of the two best whose gate admits the request.
 
-        Where both gates are shut, those of the next block count, in a site that has several. Where these are
-        shut too, a new request is rejected; one that was tried already, or that is passed through, goes to
-        the first.
+        If neither gate does, the two best of the next block are tried, in a site that has several. If their
+        gates do not either, a new request gets no cache; a retry or an uncacheable request gets the best one.
         """
-        able = self._able_caches(request, self._ranked_caches(request.object_hash), now_ms)
-        chosen = self._first_admitting(request, able, now_ms)
-        if chosen is None and able and self.server_list.site_caches.block_count > 1:
-            further = self._able_caches(request, self._ranked_caches(request.object_hash, 1), now_ms)
-            unasked = [server for server in further if server not in able]
-            chosen = self._first_admitting(request, unasked, now_ms)
+        eligible = self._eligible_caches(request, self._ranked_caches(request.object_hash), now_ms)
+        chosen = self._first_admitting(request, eligible, now_ms)
+        if chosen is None and eligible and self.server_list.site_caches.block_count > 1:
+            next_block = self._eligible_caches(request, self._ranked_caches(request.object_hash, 1), now_ms)
+            others = [server for server in next_block if server not in eligible]
+            chosen = self._first_admitting(request, others, now_ms)
         if chosen is not None:
             return chosen
         must_go = request.attempts_started > 0 or request.request_class.uncacheable
-        return able[0] if able and must_go else None
+        return eligible[0] if eligible and must_go else None
 
     def _first_admitting(
         self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
     ) -> Upstream | None:
-        """The first of the servers whose gate lets the request through; each gate is asked."""
+        """Return the first server whose gate admits the request; every gate decides, so each may draw."""
         admitted_by = [
             server
             for server in servers
@@ -192,13 +197,13 @@
         ]
         return admitted_by[0] if admitted_by else None
 
-    def _able_caches(
+    def _eligible_caches(
         self, request: PendingRequest, ranked: Iterator[Upstream], now_ms: float
     ) -> list[Upstream]:
-        """The best of these caches for the next attempt, two at most, all of the best fitness that any has.
+        """Return up to two caches for the next attempt, the first of those with the best fitness.
 
-        The first few are examined in any case: so the windows in which cold ones have their budgets go on
-        however seldom these are needed.
+        At least ``CANDIDATES_KEPT`` are examined, so that the slow-start windows of cold ones advance
+        although they are seldom needed.
         """
         untried: list[Upstream] = []
         others: list[tuple[Fitness, Upstream]] = []
@@ -216,7 +221,7 @@
         return [server for fitness, server in others if fitness is best][:CACHE_CHOICES]
 
     def _fitness(self, request: PendingRequest, server: Upstream, now_ms: float) -> Fitness | None:
-        """How fit a cache is for the next attempt of this request; None: it must not get it."""
+        """Return the fitness of a cache for the next attempt of this request; None if it must not get it."""
         cost_ms = request.cache_cost_ms
         if not self.slow_start.admits(server.entry, server.slow_start_window, cost_ms, now_ms):
             return None
@@ -230,39 +235,39 @@
     def _repeatable(
         self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
     ) -> Iterator[Upstream]:
-        """Those of the servers that the request may be sent to by rule 2, ``SERVERS_EXAMINED`` at most."""
+        """Iterate over the first ``SERVERS_EXAMINED`` servers that rule 2 allows for the request."""
         if request.possible_execution is None:
             return islice(servers, SERVERS_EXAMINED)
         allowed = (server for server in servers if self.may_repeat_at(request, server, now_ms))
         return islice(allowed, SERVERS_EXAMINED)
 
     def may_repeat_at(self, request: PendingRequest, server: Upstream, now_ms: float) -> bool:
-        """Rule 2: what may have been executed is sent again only where and while its repeat is discarded."""
+        """Rule 2: return whether the request was never executed, or this server would discard its repeat."""
         request_class = request.request_class
         execution = request.possible_execution
         window_ms = repeat_window_ms(request_class, execution, now_ms) - ANSWER_MARGIN_MS
         return is_repeat_safe(request_class, execution, server.entry, window_ms)
 
-    def within_budget(self, server: Upstream, transfer_ms: float, now_ms: float) -> bool:
-        """Rule 4: whether a server that started lately bears so much more transfer time."""
+    def is_within_budget(self, server: Upstream, transfer_ms: float, now_ms: float) -> bool:
+        """Rule 4: return whether a server's slow-start budget has this much transfer time left."""
         return self.slow_start.admits(server.entry, server.slow_start_window, transfer_ms, now_ms)
 
     def charge(self, server: Upstream, transfer_ms: float, now_ms: float) -> None:
-        """Rule 4: count what is sent to a server that started lately."""
+        """Rule 4: charge this transfer time to a server's slow-start budget."""
         self.slow_start.charge(server.entry, server.slow_start_window, transfer_ms, now_ms)
 
     def is_worth_waiting(self, request: PendingRequest, now_ms: float) -> bool:
-        """Whether some cache may take the request later.
+        """Return whether the request should wait for a cache, rather than be given up.
 
-        So where all that may take it are unreachable, or cold and past a budget that will grow.
+        That is so if every cache that rule 2 allows is unreachable or has used up its slow-start budget.
         """
         caches = self.server_list.site_caches
-        # A small group is examined whole, in any order; ranking it would take longer.
+        # All of a small group are examined, so their order does not matter; ranking them would take longer.
         is_small = len(caches) <= SERVERS_EXAMINED
         servers = iter(caches) if is_small else self._ranked_caches(request.object_hash)
         may_take_later = False
         for server in self._repeatable(request, servers, now_ms):
-            if self.within_budget(server, request.cache_cost_ms, now_ms) and not server.is_unreachable:
+            if self.is_within_budget(server, request.cache_cost_ms, now_ms) and not server.is_unreachable:
                 return False
             may_take_later = True
         return may_take_later
--- a/thornjunction/policy/retry_policy.py
+++ b/thornjunction/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""What a request does next: it is sent, waits, or is given up."""
+"""Retry policy: decides whether a request is sent, waits, or is given up."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 class NoAttempt(Enum):
     """Why no attempt is sent now."""
 
-    WAIT = auto()  # until the backoff ends, or a server may take the request
-    GIVE_UP = auto()  # no attempt is left, or none could still earn or do any good
+    WAIT = auto()  # the backoff has not ended, or a server may take the request later
+    GIVE_UP = auto()  # no further attempt is allowed, or it could not succeed in time
 
 
 NextStep = Send | NoAttempt
@@ -48,20 +48,21 @@
 
     def next_step(self, request: PendingRequest) -> NextStep:
         """Decide on a request's next attempt."""
-        if request.possible_execution is None:  # another attempt of its client may have been executed
+        if request.possible_execution is None:
+            # Another request under the same idempotency key may have been executed.
             request.possible_execution = self._executions.get(request.idempotency_key)
         now_ms = self._context.now_ms
-        if self._is_spent(request) or now_ms >= request.deadline_ms:
+        if self._has_no_attempts_left(request) or now_ms >= request.deadline_ms:
             return NoAttempt.GIVE_UP
         if request.retry_at_ms > now_ms:
-            # It is rejected at once where the next attempt could no longer earn anything.
+            # An attempt after the backoff would have no value any more.
             if request.retry_at_ms < request.useful_until_ms:
                 return NoAttempt.WAIT
             return NoAttempt.GIVE_UP
         return self._place(request)
 
-    def _is_spent(self, request: PendingRequest) -> bool:
-        """Tell whether the request may have no further attempt."""
+    def _has_no_attempts_left(self, request: PendingRequest) -> bool:
+        """Return whether the request is allowed no further attempt."""
         if request.attempts_started >= request.attempt_limit:
             return True
         is_retry = request.attempts_started > request.peer_lookups
--- a/thornjunction/policy/server_list.py
+++ b/thornjunction/policy/server_list.py
@@ -1,4 +1,4 @@
-"""The servers that discovery lists, with what this router knows of each, in groups by role and zone."""
+"""The servers that discovery lists, in groups by role and zone, with the state of each."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 
 
 class ServerList:
-    """All servers in service.  A change costs work in its own size, not in that of the list."""
+    """All serving servers.  The time to apply a change grows with the change, not with the list."""
 
     def __init__(self, zone: str) -> None:
         """Start without servers, for a router of this zone."""
         self.servers: dict[str, Upstream] = {}
-        self.caches: dict[str, SiteCaches[Upstream]] = {}  # edges by zone
+        # Edge caches by zone.
+        self.caches: dict[str, SiteCaches[Upstream]] = {}
         self.rankings = RankingCache()
-        self.site_caches = self._edges(zone)  # edges of this router's zone
+        # Edge caches of this router's zone.
+        self.site_caches = self._edges(zone)
         self.sources: dict[api.Role, CandidateGroup[Upstream]] = {
             role: CandidateGroup(self.rankings) for role in (api.Role.PARENT, api.Role.ORIGIN)
         }
 
     def update(self, event: api.EndpointListUpdate, settings: api.Settings, now_ms: float) -> None:
-        """Take in a list of servers, or its changes, under these settings."""
+        """Apply a list of servers, or changes of it, under these settings."""
         if event.complete:
             listed = {entry.server for entry in event.entries}
             for server_id in [known for known in self.servers if known not in listed]:
@@ -32,50 +34,51 @@
         for entry in event.entries:
             if entry.state is api.ServerState.SERVING:
                 self._put(entry, now_ms)
-            else:  # rule 3: at once, well within any grace
+            else:
+                # Rule 3: a draining server gets no new work. Its removal is immediate, so no grace is needed.
                 self._remove(entry.server)
         self.site_caches = self._edges(settings.zone)
         for zone, caches in self.caches.items():
             caches.divide(settings.routers_by_zone.get(zone, settings.router_count))
 
     def _put(self, entry: api.ServerEntry, now_ms: float) -> None:
-        """Take in the entry of a server that serves."""
+        """Add a serving server, or update its entry."""
         server = self.servers.get(entry.server)
         if server is not None and server.entry == entry:
             return
         if server is not None and (server.entry.role, server.entry.zone) != (entry.role, entry.zone):
             self._remove_from_group(server)
         if server is None or entry.started_ms != server.entry.started_ms:
-            server = Upstream(entry, now_ms)  # a new process has no history
+            server = Upstream(entry, now_ms)  # a new process starts with a new state
             self.servers[entry.server] = server
         server.entry = entry
         self._group(entry).put(entry.server, server, entry.weight)
 
     def _remove(self, server_id: str) -> None:
-        """Forget a server, if it is known."""
+        """Remove a server, if it is listed."""
         server = self.servers.pop(server_id, None)
         if server is not None:
             self._remove_from_group(server)
 
     def _remove_from_group(self, server: Upstream) -> None:
-        """Take a server out of its group, and an edge's group away with its last server."""
+        """Remove a server from its group, and a zone that has no edge caches any more."""
         group = self._group(server.entry)
         group.remove(server.id)
         if server.entry.role is api.Role.EDGE and not group:
             del self.caches[server.entry.zone]
 
     def _group(self, entry: api.ServerEntry) -> CandidateGroup[Upstream] | SiteCaches[Upstream]:
-        """The group that a server belongs to."""
+        """Return the group that a server belongs to."""
         return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.sources[entry.role]
 
     def _edges(self, zone: str) -> SiteCaches[Upstream]:
-        """The edge caches of a zone."""
+        """Return the edge caches of a zone, which are created if there are none."""
         caches = self.caches.get(zone)
         if caches is None:
             caches = self.caches[zone] = SiteCaches(self.rankings)
         return caches
 
     def count_unavailable(self, listed: Iterable[str], now_ms: float) -> int:
-        """How many of these get nothing now: they leave, or are out of service after failures."""
+        """Return how many of these servers get no attempts now: not serving, or ejected."""
         servers = map(self.servers.get, listed)
         return sum(1 for server in servers if server is None or not server.is_available(now_ms))
--- a/thornjunction/policy/shared_gates.py
+++ b/thornjunction/policy/shared_gates.py
@@ -1,4 +1,4 @@
-"""The admission gates that all servers have in common: of fills, and of what the origin is asked for."""
+"""The two admission gates shared by all servers: one for fills, one for requests to the origin."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from thornjunction.policy.context import DecisionContext
 from thornjunction.policy.requests import Attempt
 
-# Share of the objective past which an answer of what runs at the origin tells of its queue.
+# Share of the latency objective after which the answer of an uncacheable request counts as late.
 ORIGIN_LATE_SHARE = 0.5
 
 
 class SharedGates:
-    """Learns from answers in time and late ones, for these gates and those of the caches."""
+    """Records each attempt as late or in time, in the shared gates or in the gate of its cache."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -24,51 +24,52 @@
 
     @property
     def lowest_share(self) -> float:
-        """The share of work that the tighter of both gates admitted last."""
+        """The lower of the two gates' admitted shares, as of their last update."""
         return min(self.fills.share, self.origin.share)
 
-    def record_end(self, attempt: Attempt, took_ms: float, note: api.FillResult) -> None:
-        """Learn from an attempt that ended; ``took_ms`` is infinite where its source failed."""
+    def record_end(self, attempt: Attempt, took_ms: float, fill_result: api.FillResult) -> None:
+        """Record an attempt that ended; ``took_ms`` is infinite if its source failed."""
         late = took_ms > self._late_after_ms(attempt)
-        self._record(attempt, note, took_ms=took_ms, late=late)
+        self._record(attempt, fill_result, took_ms=took_ms, late=late)
 
     def record_if_late(self, attempt: Attempt) -> None:
-        """Learn from an attempt in flight as soon as its objective has passed."""
+        """Record an attempt in flight as late once its latency objective has passed."""
         waited_ms = self._context.now_ms - attempt.sent_at_ms
         if waited_ms > self._late_after_ms(attempt):
             self._record(attempt, api.FillResult.NONE, took_ms=waited_ms, late=True)
 
     def _late_after_ms(self, attempt: Attempt) -> float:
+        """Return how long an attempt may take before it counts as late."""
         request = attempt.request
         if request.request_class.uncacheable:
             return request.objective_ms * ORIGIN_LATE_SHARE
         return request.objective_ms
 
-    def _record(self, attempt: Attempt, note: api.FillResult, *, took_ms: float, late: bool) -> None:
-        """Learn from an attempt, once."""
+    def _record(self, attempt: Attempt, fill_result: api.FillResult, *, took_ms: float, late: bool) -> None:
+        """Record an attempt in the gates that it says something about, but only once."""
         if attempt.timeliness_recorded:
             return
         attempt.timeliness_recorded = True
         now_ms = self._context.now_ms
-        passes = attempt.request.request_class.uncacheable
-        gate = self._gate_of(attempt, note, late=late)
-        # Where outcomes do not tell, the origin is among the suspects of each fill, unless only what its
-        # parent had cached was asked for; for a rejection it is the one at fault.
-        suspects_origin = self._context.fills_unreported and gate is self.fills and not attempt.cached_only
-        if passes or suspects_origin:
+        is_uncacheable = attempt.request.request_class.uncacheable
+        gate = self._gate_of(attempt, fill_result, late=late)
+        # If outcomes do not report fills, the origin may have delayed each fill, unless the source answered
+        # from its own cache alone. A rejected fill is then counted against the origin, not the source.
+        may_blame_origin = self._context.fills_unreported and gate is self.fills and not attempt.cached_only
+        if is_uncacheable or may_blame_origin:
             self.origin.record(now_ms, late=late)
-        if passes or (suspects_origin and took_ms == math.inf):
+        if is_uncacheable or (may_blame_origin and took_ms == math.inf):
             return
         gate.record(now_ms, late=late)
 
-    def _gate_of(self, attempt: Attempt, note: api.FillResult, *, late: bool) -> AdmissionGate:
-        """Return the gate that an answer speaks of: its cache's, or that of fills."""
+    def _gate_of(self, attempt: Attempt, fill_result: api.FillResult, *, late: bool) -> AdmissionGate:
+        """Return the gate that an answer is recorded in: its cache's for a hit, that of fills for a miss."""
         server = attempt.server
         if attempt.source is None:
             return server.gate
-        if note is api.FillResult.NONE:
+        if fill_result is api.FillResult.NONE:
             likely_hit = not attempt.request.is_likely_miss
             is_hit = is_cache_responsible(likely_hit=likely_hit, late=late, load=server.load)
         else:
-            is_hit = note is api.FillResult.HIT
+            is_hit = fill_result is api.FillResult.HIT
         return server.gate if is_hit else self.fills
--- a/thornjunction/policy/silence.py
+++ b/thornjunction/policy/silence.py
@@ -1,4 +1,4 @@
-"""Servers that hang or cannot be reached: they are ejected and their attempts cancelled."""
+"""Silence detection: ejects servers that hang or are unreachable, and cancels their attempts."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class SilenceDetector:
-    """Finds servers that answer nothing though attempts are in flight at them.
+    """Detects servers that answer no attempt although several are in flight there.
 
-    Slow fills are cancelled early where nothing else answers; the retry budget bounds that.
+    A server whose attempts are all slow fills looks the same, so these may be cancelled too early; the retry
+    budget bounds how often.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         self._retry_budget = retry_budget
 
     def check(self) -> None:
-        """Eject each silent server and cancel the attempts at it that may be repeated."""
+        """Eject each silent server and cancel its attempts that may be repeated."""
         servers = dict.fromkeys(attempt.server for attempt in self._attempts.in_flight.values())
         for server in servers:
             if not server.outliers.is_ejected and server.is_silent(self._context.now_ms):
@@ -37,6 +38,7 @@
                 self._cancel_attempts(server)
 
     def _cancel_attempts(self, server: Upstream) -> None:
+        """Cancel the idempotent attempts at a server, if the settings and the retry budget allow it."""
         if not self._context.settings.may_cancel or not self._retry_budget.has_token:
             return
         for (request_id, number), attempt in server.in_flight.items():
--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -1,10 +1,10 @@
-"""Deterministic subsetting of a large site: a router asks one block of its caches before all others.
+"""Deterministic subsetting of a large site: a router prefers one block of its caches.
 
-A router sends a few dozen requests a second. Hashed over a thousand caches, hardly two of them meet on one
+A router sends a few dozen requests a second. Spread by hash over a thousand caches, few of them could reuse a
 connection. So the caches of a large site are divided into blocks by a hash of their ids, and a router ranks
 those of its own block first (Beyer et al., Site Reliability Engineering, 2016, chapter 20). The other blocks
-follow where its own has no cache that may take a request. Each object then has a first choice in every
-block: so many copies of it are kept. ``docs/design/placement.md`` compares the options.
+follow if its own has no cache that may take a request. Each object then has a first choice in every
+block, so the site keeps up to that many copies of it. ``docs/design/placement.md`` compares the options.
 """
 
 from __future__ import annotations
@@ -18,29 +18,33 @@
 from thornjunction.estimates import mix64
 from thornjunction.policy.candidates import CandidateGroup, RankingCache
 
-# Caches of a site that is not divided. Above it, a router's table of connections would not hold all of them.
+# Caches of the largest site that is not divided: a router's connection table has no place for more.
 MAX_UNDIVIDED = 200
-# Caches of a block at most: so many, and one more for so many of the site, but never over the first figure.
-BLOCK_BASE = 40
+# Bound on the caches of a block: ``MIN_BLOCK_BOUND``, and one more for each
+# ``SITE_SERVERS_PER_BLOCK_SERVER`` caches of the site, but not over ``MAX_UNDIVIDED``.
+MIN_BLOCK_BOUND = 40
+# Caches of a site for each of which the bound of its blocks rises by one.
 SITE_SERVERS_PER_BLOCK_SERVER = 8
-# A site that shrinks keeps its blocks until it would have fewer of them at this multiple of its size as well.
+# A site that shrinks keeps its number of blocks while a site of this multiple of its size would need it.
 SHRINK_MARGIN = 1.25
-# Routers that ask a block in the mean, at least: of few, some block would have none, and its caches idle.
+# Minimum of routers per block, on average: with fewer, some block might have no router, and its caches no
+# load.
 MIN_ROUTERS_PER_BLOCK = 2
-# Last digits of a router's name that count as its number.
+# Digits at the end of a router's name that are read as its number, at most.
 ORDINAL_DIGITS = 18
+# Number of values of a 64-bit hash.
 HASH_VALUES = 1 << 64
-# 2**64 over the golden ratio: any run of its multiples, also of every second or third one, is spread evenly.
+# 2**64 divided by the golden ratio, for Fibonacci hashing: its multiples are spread evenly.
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15
 
 ServerT = TypeVar("ServerT")
 
 
 def router_hash(name: str, seed: int) -> int:
-    """Return a stable 64-bit hash that tells a router from others: of its name, or else of its seed.
+    """Return a stable 64-bit hash of a router's name, or of its seed if it has no name.
 
     Routers whose names differ in a last number only (``edge-7``) are spread evenly over all values, by
-    Fibonacci hashing of that number: so each block is asked by as many routers as any other. Names that
+    Fibonacci hashing of that number: so each block is preferred by as many routers as any other. Names that
     differ otherwise are spread at random.
     """
     if not name:
@@ -51,10 +55,10 @@
 
 
 def block_count(servers: int, routers: int, current: int) -> int:
-    """Return the number of blocks for a site with so many caches and routers: a power of two.
+    """Return the number of blocks for a site of this many caches and routers: a power of two.
 
-    ``current`` is the number that it has now. It matters near a boundary: a cache that restarts there must
-    not divide the site anew.
+    ``current`` is the present number. It gives hysteresis, so that the restart of one cache does not change
+    the number back and forth.
     """
     wanted = _fewest_blocks(servers)
     if wanted < current:
@@ -65,18 +69,18 @@
 
 
 def _fewest_blocks(servers: float) -> int:
-    """Return the least power of two that divides so many caches into blocks that are not too large."""
+    """Return the lowest number of blocks, a power of two, that keeps each block within its bound."""
     if servers <= MAX_UNDIVIDED:
         return 1
-    block_most = min(BLOCK_BASE + servers / SITE_SERVERS_PER_BLOCK_SERVER, MAX_UNDIVIDED)
+    max_block_servers = min(MIN_BLOCK_BOUND + servers / SITE_SERVERS_PER_BLOCK_SERVER, MAX_UNDIVIDED)
     blocks = 1
-    while servers > block_most * blocks:
+    while servers > max_block_servers * blocks:
         blocks *= 2
     return blocks
 
 
 class SiteCaches(Generic[ServerT]):
-    """The caches of one site, in one block or several."""
+    """The caches of one site, divided into one or more blocks."""
 
     def __init__(self, cache: RankingCache) -> None:
         self._cache = cache
@@ -86,7 +90,7 @@
         return sum(map(len, self._blocks))
 
     def __iter__(self) -> Iterator[ServerT]:
-        """All caches, block by block."""
+        """Iterate over all caches, block by block."""
         return itertools.chain.from_iterable(self._blocks)
 
     @property
@@ -95,17 +99,17 @@
         return len(self._blocks)
 
     def put(self, server_id: str, server: ServerT, weight: float) -> None:
-        """Add a cache, or take in its new weight, or its new process."""
+        """Add a cache, or replace one of the same id by its new process or weight."""
         self._block_of(server_id).put(server_id, server, weight)
 
     def remove(self, server_id: str) -> None:
-        """Forget a cache, if it is known."""
+        """Remove a cache, if it is in the site."""
         self._block_of(server_id).remove(server_id)
 
     def divide(self, routers: int) -> None:
-        """Divide the site anew, where its size and its number of routers call for it.
+        """Change the number of blocks if the numbers of caches and routers require another.
 
-        A block that is divided becomes two, so that a router's new block is a part of its old one.
+        A higher number splits each block, so that a router's new block is a part of its former one.
         """
         count = block_count(len(self), routers, self.block_count)
         if count == self.block_count:
@@ -118,9 +122,10 @@
     def candidates(
         self, object_hash: int, weighted: bool, asker_hash: int, skipped_blocks: int = 0
     ) -> Iterator[ServerT]:
-        """All caches, the best candidate for the object first, block after block in the asker's order.
+        """Return an iterator over the caches, block by block, the best candidate of each block first.
 
-        Leaves out the first ``skipped_blocks`` of them. A block is ranked only when it is reached.
+        ``asker_hash`` gives the order of the blocks, of which the first ``skipped_blocks`` are left out. A
+        block is ranked only when the iteration reaches it.
         """
         blocks = self._blocks_for(asker_hash)[skipped_blocks:]
         if len(blocks) == 1:
@@ -128,21 +133,22 @@
         return itertools.chain.from_iterable(block.candidates(object_hash, weighted) for block in blocks)
 
     def _block_of(self, server_id: str) -> CandidateGroup[ServerT]:
-        """The block that a cache belongs to, in every router."""
-        return self._blocks[self._place(mix64(zlib.crc32(server_id.encode())))]
+        """Return the block that a cache belongs to, which is the same in every router."""
+        return self._blocks[self._block_index(mix64(zlib.crc32(server_id.encode())))]
 
-    def _place(self, hash_value: int) -> int:
-        """Map a 64-bit hash to a block by its highest bits: twice as many blocks divide each one in two."""
+    def _block_index(self, hash_value: int) -> int:
+        """Return a block by the highest bits of a 64-bit hash: twice as many blocks split each one in two."""
         return hash_value * self.block_count >> 64
 
     def _blocks_for(self, asker_hash: int) -> list[CandidateGroup[ServerT]]:
-        """All blocks in the order in which this asker turns to them.
+        """Return all blocks in the order in which the asker uses them.
 
-        Routers of one block go on to different ones, so that no second block bears the spill of all.
+        Routers that prefer the same block differ in their second one, so that no block gets all the load that
+        another one cannot take.
         """
         count = self.block_count
         if count == 1:
             return self._blocks
-        own = self._place(asker_hash)
-        turns = [1 + (asker_hash + step) % (count - 1) for step in range(count - 1)]
-        return [self._blocks[own], *(self._blocks[(own + turn) % count] for turn in turns)]
+        first = self._block_index(asker_hash)
+        offsets = [1 + (asker_hash + step) % (count - 1) for step in range(count - 1)]
+        return [self._blocks[first], *(self._blocks[(first + offset) % count] for offset in offsets)]
--- a/thornjunction/policy/timing.py
+++ b/thornjunction/policy/timing.py
@@ -1,4 +1,4 @@
-"""Times that several parts of the router go by."""
+"""Time constants that several parts of the decisions use."""
 
-# ms before the client's limit at which a request is answered: a few ticks of a caller's clock.
+# Time before a client's timeout by which its request must be answered, as timers may fire a few ms late.
 ANSWER_MARGIN_MS = 6.0
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -1,4 +1,4 @@
-"""What the router knows of one upstream server: an edge cache, a parent or the origin."""
+"""The state of one upstream server: an edge cache, a parent or the origin."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from thornjunction.limits.outlier_detection import OutlierDetector
 from thornjunction.limits.slow_start import SlowStartWindow
 
-# ms past the expected transfer time without any answer, after which an attempt counts as silent.
+# Time without any answer, beyond the expected transfer time, after which an attempt counts as silent.
 SILENCE_MS = 500.0
-# The expected transfer time of an attempt, as a multiple of what its size takes alone.
+# Expected transfer time of an attempt, as a multiple of its transfer time without other load.
 TRANSFER_SLACK = 1.5
-# So many silent attempts tell of a hung or unreachable server; one alone may just be slow.
-SILENT_ATTEMPTS = 2
+# Silent attempts from which on a server counts as hung or unreachable; a single one may only be slow.
+MIN_SILENT_ATTEMPTS = 2
 
-# The request's name and the number of the attempt.
+# The request's id and the number of the attempt.
 AttemptKey = tuple[str, int]
 
 
 class OutstandingAttempt(Protocol):
-    """What a server's state needs of an attempt that is in flight at it."""
+    """The properties of an attempt in flight that the state of its server uses."""
 
     @property
     def sent_at_ms(self) -> float:
-        """When it was sent."""
+        """The time at which the attempt was sent."""
 
     @property
     def transfer_ms(self) -> float:
-        """How long its answer takes to transfer alone."""
+        """The transfer time of the answer without other load."""
 
     @property
     def request_class(self) -> api.RequestClass:
-        """The class of its request."""
+        """The class of the attempt's request."""
 
 
 class Upstream:
     """The state of one process of a listed server.
 
-    A server that restarts gets a new one; attempts at the process before keep theirs.
+    A server that restarts gets a new state; attempts at its former process keep the former one.
     """
 
     def __init__(self, entry: api.ServerEntry, now_ms: float) -> None:
@@ -49,39 +49,39 @@
         self.outliers = OutlierDetector()
         self.slow_start_window = SlowStartWindow(entry.started_ms)
         self.gate = AdmissionGate()
-        # As the source of fills, in ms.
+        # Time to the first byte of the fills that it was the source of.
         self.first_byte_ms = SmoothedMean(FAST_GAIN)
         self.in_flight: dict[AttemptKey, OutstandingAttempt] = {}
-        # Whether its last attempt found its connection refused, or timed out after one that did.
+        # Whether its last attempt was refused a connection, or timed out after one that was.
         self.is_unreachable = False
         self.last_heard_at_ms = now_ms
         # Share of its cores in use, as last reported; None before the first report.
         self.load: float | None = None
 
     def is_available(self, now_ms: float) -> bool:
-        """Tell whether it may get an attempt: in service, or ejected and due for one trial."""
+        """Return whether the server may get an attempt: it is in service, or due for its one trial."""
         if not self.outliers.ejected_for_ms:
             return True
         return self.outliers.is_trial_due(now_ms) and not self.in_flight
 
     def is_silent(self, now_ms: float) -> bool:
-        """Tell whether it answers nothing at all though attempts are in flight: hung or unreachable."""
-        silent = 0
+        """Return whether the server answers none of its attempts in flight: it hangs or is unreachable."""
+        silent_count = 0
         for attempt in self.in_flight.values():
             waited_ms = now_ms - max(attempt.sent_at_ms, self.last_heard_at_ms)
             if waited_ms - TRANSFER_SLACK * attempt.transfer_ms > SILENCE_MS:
-                silent += 1
-        return silent >= SILENT_ATTEMPTS
+                silent_count += 1
+        return silent_count >= MIN_SILENT_ATTEMPTS
 
     def record_report(self, report: api.LoadReport | None) -> None:
-        """Take in the load report of an answer, if it came with one."""
+        """Learn the load from the report of an answer, if it came with one."""
         if report is not None and report.cpu_utilization is not None:
             self.load = report.cpu_utilization
 
     def record_success(self, now_ms: float) -> None:
-        """Record an answer that shows it in order; an ejected server is back in service.
+        """Record an answer that shows that the server works; an ejected server is back in service.
 
-        One that was unreachable may be a new process, cold and not yet listed as such.
+        A server that was unreachable may be a new process, cold but not yet listed as such.
         """
         recovered = self.outliers.record_success()
         if recovered and self.is_unreachable:
--- a/thornjunction/runtime/admin_metrics.py
+++ b/thornjunction/runtime/admin_metrics.py
@@ -29,8 +29,8 @@
         "relayed": pool.attempts_written,
         "open_requests": len(engine.requests),
         "registry_entries": len(pool.upstreams),
-        "out_of_rotation": router.placement.server_list.count_unavailable(
-            pool.upstreams, router.context.now_ms
+        "out_of_rotation": router.state.placement.server_list.count_unavailable(
+            pool.upstreams, router.state.context.now_ms
         ),
         "cfg_accepted": reloads["accepted"],
         "cfg_invalid": reloads["invalid"],
