--- a/tests/limits/test_admission_gates.py
+++ b/tests/limits/test_admission_gates.py
@@ -86,9 +86,7 @@
         attempt.cached_only for attempt in [attempt_of(driver.request(7, "keyed")) for _ in range(20)]
     )
     missed = next(attempt for attempt in started if attempt.cached_only)
-    actions = driver.end_attempt(
-        missed, api.AttemptStatus.CACHE_MISS, fill_result=api.FillResult.SOURCE_LACKS
-    )
+    actions = driver.end_attempt(missed, api.AttemptStatus.CACHE_MISS, fill_result=api.FillResult.SOURCE_MISS)
     assert final_actions(actions) == [api.RejectRequest(missed.request_id)]
 
 
--- a/tests/policy/test_failing_servers.py
+++ b/tests/policy/test_failing_servers.py
@@ -46,7 +46,7 @@
         attempt = attempt_of(driver.request(key))
         while attempt.source == "parent1":
             attempt = attempt_of(
-                driver.end_attempt(attempt, api.AttemptStatus.ERROR, fill_result=api.FillResult.SOURCE_BROKE)
+                driver.end_attempt(attempt, api.AttemptStatus.ERROR, fill_result=api.FillResult.SOURCE_FAILED)
             )
         driver.end_attempt(attempt, fill_result=FILLED, fill_first_byte_ms=20.0)
     started = [attempt_of(driver.request(key)) for key in range(300, 340)]
--- a/thornjunction/interface/enums.py
+++ b/thornjunction/interface/enums.py
@@ -126,9 +126,9 @@
         JOINED: the request waited for a fill that was in progress; with MISS: a fill is in progress there.
         STALE: the answer came from a copy past its fresh time.
         SOURCE_REFUSED: the source rejected the fill.
-        SOURCE_BROKE: the source was not reached, broke off or ran out of time.
-        SOURCE_LACKS: the source lacks the object.
-        NO_FILL_PLACE: the server had no capacity for another fill.
+        SOURCE_FAILED: the source was not reached, broke off or ran out of time.
+        SOURCE_MISS: the source lacks the object.
+        NO_FILL_CAPACITY: the server had no capacity for another fill.
         ORIGIN_FAILED: the origin failed behind the source.
     """
 
@@ -139,7 +139,7 @@
     JOINED = 4
     STALE = 5
     SOURCE_REFUSED = 6
-    SOURCE_BROKE = 7
-    SOURCE_LACKS = 8
-    NO_FILL_PLACE = 9
+    SOURCE_FAILED = 7
+    SOURCE_MISS = 8
+    NO_FILL_CAPACITY = 9
     ORIGIN_FAILED = 10
--- a/thornjunction/limits/fault_attribution.py
+++ b/thornjunction/limits/fault_attribution.py
@@ -6,7 +6,7 @@
 
 # Fill results that show that the source of a fill failed, not the cache.
 SOURCE_FAULTS = frozenset(
-    {api.FillResult.SOURCE_REFUSED, api.FillResult.SOURCE_BROKE, api.FillResult.ORIGIN_FAILED}
+    {api.FillResult.SOURCE_REFUSED, api.FillResult.SOURCE_FAILED, api.FillResult.ORIGIN_FAILED}
 )
 
 # Reported utilization at which a cache's cores, or its zone's link, are fully used.
