--- a/thornjunction/core/attempts.py
+++ b/thornjunction/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, each with its state from being sent to its end.
+"""The table of attempts in flight, and the states of an attempt from its start to its end.
 
 ::
 
@@ -6,8 +6,8 @@
     AWAITED  --- its end is reported, or it is stopped -----------> ENDED
     UNNEEDED --- its end is reported, or it is stopped -----------> ENDED
 
-An attempt that is stopped before it began ends NOT_STARTED; one that may have begun ends TIMEOUT or
-CANCELLED.
+An attempt has begun when it was written to a connection.  One that is stopped before ends NOT_STARTED; one
+that may have begun ends TIMEOUT or CANCELLED.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from thornjunction.memory.deadlines import Deadline
 from thornjunction.memory.slots import SlotTable
 
-# Attempts in flight; their bytes are bounded at the connections.
+# Greatest number of attempts in flight; the connections bound the memory of their requests and answers.
 ATTEMPT_CAPACITY = 8192
 
-# Number of an attempt that is not in the table yet.
+# Number of an attempt that has not been added to the table yet.
 NO_NUMBER = -1
 
 
@@ -30,9 +30,9 @@
     """State of an attempt.
 
     Attributes:
-        AWAITED: in flight, and its request has no answer yet.
-        UNNEEDED: in flight, and its request has ended without it; the router learns from its end only.
-        ENDED: its end was reported or it was stopped; nothing that arrives later counts.
+        AWAITED: in flight, and its request has no final answer yet.
+        UNNEEDED: in flight, but its request has ended; its end only updates the router's estimates.
+        ENDED: its end was reported or it was stopped; reports that arrive later are ignored.
     """
 
     AWAITED = "awaited"
@@ -41,7 +41,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """How the router names an attempt: its request's identifier, and its index within the request."""
+    """The router's identifier of an attempt: its request's identifier, and its index within the request."""
 
     request_id: str
     attempt_index: int
@@ -49,15 +49,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt.
+    """One attempt in flight.
 
     Attributes:
-        key: how the router names it.
-        server: the server to which it was sent.
-        sent_ms: when it was sent.
-        number: how the upstream side names it.
-        time_limit: the deadline that stops it.
-        state: its state.
+        key: the router's identifier of the attempt.
+        server: name of the server to which it is sent.
+        sent_ms: when it was handed to the upstreams, on the core's clock.
+        number: the upstreams' identifier of the attempt, its slot in the table.
+        time_limit: the deadline that stops the attempt; None: not set yet.
+        state: whether its end is awaited, is unneeded, or has happened.
     """
 
     key: AttemptKey
@@ -69,7 +69,7 @@
 
 
 class AttemptTable:
-    """All attempts in flight, by the router's name and by the upstream side's."""
+    """All attempts in flight, by the router's identifier and by the upstreams'."""
 
     def __init__(self) -> None:
         self._by_number: SlotTable[Attempt] = SlotTable(ATTEMPT_CAPACITY)
@@ -80,11 +80,11 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further attempt may be in flight."""
+        """Whether the table has reached its capacity."""
         return self._by_number.full
 
     def add(self, attempt: Attempt) -> None:
-        """Add an attempt that is sent now, and number it.
+        """Add an attempt that is sent now, and set its number.
 
         Raises:
             SlotTableFullError: the table is full.
@@ -93,22 +93,22 @@
         self._by_key[attempt.key] = attempt
 
     def find(self, request_id: str, index: int) -> Attempt | None:
-        """Return the attempt of that name; None if it is not in flight."""
+        """Return a request's attempt by its index; None if it is not in flight."""
         return self._by_key.get((request_id, index))
 
     def mark_unneeded(self, request_id: str, attempts_made: int) -> None:
-        """Mark the attempts of an ended request, of which no answer is awaited any more."""
+        """Mark the attempts in flight of an ended request as UNNEEDED."""
         for index in range(attempts_made):
             attempt = self.find(request_id, index)
             if attempt is not None:
                 attempt.state = AttemptState.UNNEEDED
 
     def get(self, number: int) -> Attempt | None:
-        """Return the attempt of that number; None if it has ended."""
+        """Return the attempt with that number; None if it has ended."""
         return self._by_number.get(number)
 
     def end(self, attempt: Attempt) -> None:
-        """Remove an attempt whose end is known."""
+        """Remove an attempt whose end was reported or that was stopped."""
         self._by_number.remove(attempt.number)
         del self._by_key[attempt.key]
         attempt.state = AttemptState.ENDED
--- a/thornjunction/core/counters.py
+++ b/thornjunction/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts and latencies of requests and attempts, for a reader that polls them."""
+"""Counts and latencies of requests and attempts, for an exporter that takes snapshots of them."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 from thornjunction import interface as api
 from thornjunction.core.ports import RequestOutcome
 
-# Metrics that are counted; class names come from the settings, so that there are far fewer.
+# Greatest number of metrics; further ones are not counted.  Class names come from the settings, so that far
+# fewer are expected.
 MAX_METRICS = 256
 
-# Name under which requests of classes are counted that are in no settings.
+# Name under which requests are counted whose class is in no settings.
 UNKNOWN_CLASS = "unknown"
 
 
@@ -20,9 +21,9 @@
     """Latencies of one kind of event.
 
     Attributes:
-        count: how many there were.
-        total_ms: their sum.
-        max_ms: the greatest.
+        count: number of latencies.
+        total_ms: sum of the latencies.
+        max_ms: greatest latency.
     """
 
     count: int = 0
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountersSnapshot:
-    """State of the counters at one time.
+    """A copy of the counters at one time.
 
     Attributes:
         counts: events since the start of the process, by metric.
@@ -51,12 +52,12 @@
 
 @dataclass(slots=True)
 class Counters:
-    """The observer that counts for the export of metrics.
+    """The engine's observer that counts requests and attempts for the export of metrics.
 
     Attributes:
         counts: events since the start of the process, by metric.
         latencies: latencies since the last snapshot, by metric.
-        classes: names of all classes of the present settings and of earlier ones.
+        classes: names of all request classes of the present and of earlier settings.
     """
 
     counts: Counter[str] = field(default_factory=Counter)
@@ -64,12 +65,12 @@
     classes: set[str] = field(default_factory=set)
 
     def request_ended(self, class_name: str, outcome: RequestOutcome, took_ms: float) -> None:
-        """Count a request; class names that clients invent are counted together."""
+        """Count an ended request; all class names that are in no settings are counted together."""
         known_name = class_name if class_name in self.classes else UNKNOWN_CLASS
         self._add(f"requests.{known_name}.{outcome.value}", took_ms)
 
     def attempt_ended(self, status: api.AttemptStatus, took_ms: float) -> None:
-        """Count an attempt."""
+        """Count an ended attempt and its latency by its status."""
         self._add(f"attempts.{status.value.replace(' ', '_')}", took_ms)
 
     def _add(self, metric: str, took_ms: float) -> None:
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -1,4 +1,4 @@
-"""Drives one router: requests become its events, and its actions become attempts and final answers."""
+"""Drives one router: turns requests into its events, and its actions into attempts and final answers."""
 
 from __future__ import annotations
 
@@ -29,32 +29,33 @@
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.memory.slots import SlotTable
 
-# Free entries in the queue of deadlines, below which no request is accepted.
+# Free entries that the queue of deadlines must have for a request to be accepted.
 DEADLINES_PER_REQUEST = 8
 
-# A failure this close to the client's deadline counts as caused by it.
+# A request that fails this close to the client's deadline, or after it, counts as timed out.
 NEAR_DEADLINE_MS = 50.0
 
 log = get_logger(__name__)
 
 
 class Engine:
-    """Owns open requests and attempts, and carries out what the router decides.
+    """Keeps the open requests and attempts, and carries out the router's actions.
 
-    Single-threaded.  Events that are raised while the router handles another are queued.
+    Single-threaded.  An event that arises while the router handles another is queued until that one is done.
 
     Args:
-        router: decides.
-        max_attempts: attempts that each request may make.
+        router: makes the decisions.
+        max_attempts: greatest number of attempts of one request.
         clock: the core's clock, in ms.
         deadlines: the queue of deadlines.
         upstreams: sends attempts and health checks.
         observer: is notified of the ends of requests and attempts.
 
     Attributes:
-        max_attempts: attempts that each request may make from now on.
-        shutdown_at_ms: the time by which this process must have answered all requests, on the core's clock.
-        kb_per_byte: size in KB of one byte of an answer, as the settings count sizes; 0: not known.
+        max_attempts: greatest number of attempts of each request that is opened from now on.
+        shutdown_at_ms: the time by which all requests must be answered, on the core's clock; infinite until
+            the process shuts down.
+        kb_per_byte: size of one byte of an answer in the settings' unit of size, KB; 0: not known.
     """
 
     def __init__(
@@ -80,16 +81,16 @@
         self._is_handling = False
 
     def open(self, client_request: ClientRequest, reply: ReplyCallback) -> int:
-        """Accept a request and return its number.  ``reply`` may be called before this returns.
+        """Accept a request and return its number; ``reply`` may be called before this method returns.
 
         Raises:
-            RequestTableFullError: there is no capacity for it.
+            RequestTableFullError: the table of requests or the queue of deadlines is full.
         """
         free_deadlines = self.deadlines.capacity - len(self.deadlines)
         if self.requests.full or free_deadlines < DEADLINES_PER_REQUEST:
             raise RequestTableFullError
         now_ms = self.clock()
-        # A process that shuts down owes its answer before its end, however long the client would wait.
+        # During shutdown the answer is due before the process exits, however long the client would wait.
         remaining_ms = min(client_request.remaining_ms, max(self.shutdown_at_ms - now_ms, 0.0))
         request = OpenRequest(client_request, reply, now_ms, self.max_attempts)
         request.backstop = self.deadlines.add(now_ms + remaining_ms, lambda: self._backstop_due(request))
@@ -98,7 +99,7 @@
         return request.number
 
     def abandon(self, number: int) -> None:
-        """End a request whose client left; it gets no answer."""
+        """End a request whose client has disconnected, without an answer."""
         request = self.requests.get(number)
         if request is None:
             return
@@ -107,7 +108,7 @@
         self._withdraw_attempts(request)
 
     def answer_all_now(self) -> None:
-        """Make the router answer all open requests at once."""
+        """Make the router answer all open requests now, with what it knows."""
         for number in self.requests.numbers():
             self.feed(api.RequestExpired(str(number)))
 
@@ -118,12 +119,12 @@
         content: Content | None = None,
         report: api.LoadReport | None = None,
     ) -> None:
-        """Report the end of an attempt; a second report of one attempt is ignored.
+        """Report the end of an attempt; a report of one that has already ended is ignored.
 
         Args:
             number: the attempt's number.
             status: how it ended.
-            content: what was served, if the status is SUCCEEDED.
+            content: the content served, if the status is SUCCEEDED.
             report: the server's load report, if the answer had one.
         """
         attempt = self.attempts.get(number)
@@ -150,7 +151,7 @@
             )
         )
         if answered is not None:
-            self._withdraw_attempts(answered)  # only now: the router learns from this attempt's end first
+            self._withdraw_attempts(answered)  # after the router has handled this attempt's end
 
     def probe_ended(
         self, server: str, status: api.AttemptStatus, took_ms: float, report: api.LoadReport | None
@@ -159,7 +160,7 @@
         self.feed(api.HealthCheckEnded(server, status, took_ms, report))
 
     def feed(self, event: api.Event) -> None:
-        """Hand the router an event and carry out its actions, in order."""
+        """Pass an event to the router and carry out its actions, in order."""
         self._pending_events.append(event)
         if self._is_handling:
             return
@@ -173,7 +174,7 @@
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.router.handle(self.clock(), event)
-        except Exception:  # an event that the router fails on must not end the process
+        except Exception:  # a fault in the router must not end the process
             log.exception(LogEvent.DECISION_FAILED, event_kind=type(event).__name__)
             return
         for action in actions:
@@ -198,29 +199,29 @@
         fired = api.TimerFired(timer.token)
         self.deadlines.add(self.clock() + timer.in_ms, lambda: self.feed(fired))
 
-    def _send(self, fetch: api.StartAttempt) -> None:
-        request = self.requests.get(int(fetch.request_id))
+    def _send(self, start: api.StartAttempt) -> None:
+        request = self.requests.get(int(start.request_id))
         if request is None:
-            self._skip(fetch, 0, final=True)
+            self._report_not_started(start, 0, final=True)
             return
         index = request.attempts_made
         request.attempts_made += 1
         if index >= request.max_attempts or self.attempts.full:
-            self._skip(fetch, index, final=False)
+            self._report_not_started(start, index, final=False)
             return
         now_ms = self.clock()
-        attempt = Attempt(AttemptKey(fetch.request_id, index), fetch.server, now_ms)
-        time_limit_at_ms = now_ms + max(fetch.timeout_ms, 0.0)
+        attempt = Attempt(AttemptKey(start.request_id, index), start.server, now_ms)
+        time_limit_at_ms = now_ms + max(start.timeout_ms, 0.0)
         attempt.time_limit = self.deadlines.add(
             time_limit_at_ms, lambda: self._stop(attempt, api.AttemptStatus.TIMEOUT)
         )
         self.attempts.add(attempt)
-        self.upstreams.send(UpstreamRequest(attempt.number, request.client_request, fetch))
+        self.upstreams.send(UpstreamRequest(attempt.number, request.client_request, start))
 
-    def _skip(self, fetch: api.StartAttempt, index: int, final: bool) -> None:
+    def _report_not_started(self, start: api.StartAttempt, index: int, final: bool) -> None:
         self.feed(
             api.AttemptEnded(
-                fetch.request_id, index, fetch.server, api.AttemptStatus.NOT_STARTED, final=final
+                start.request_id, index, start.server, api.AttemptStatus.NOT_STARTED, final=final
             )
         )
 
@@ -230,7 +231,7 @@
             self._stop(attempt, api.AttemptStatus.CANCELLED)
 
     def _stop(self, attempt: Attempt, status_if_begun: api.AttemptStatus) -> None:
-        """Stop waiting for an attempt; one that has not begun never ran, and ends NOT_STARTED."""
+        """End an attempt with the given status, or with NOT_STARTED if it has not begun."""
         if self.upstreams.withdraw(attempt.number):
             self.attempt_ended(attempt.number, api.AttemptStatus.NOT_STARTED)
             return
@@ -238,14 +239,14 @@
         self.attempt_ended(attempt.number, status_if_begun)
 
     def _withdraw_attempts(self, request: OpenRequest) -> None:
-        """Withdraw the attempts of an ended request that have not begun; all others run on."""
+        """Withdraw the attempts of an ended request that have not begun; the others continue."""
         for index in range(request.attempts_made):
             attempt = self.attempts.find(request.request_id, index)
             if attempt is not None and self.upstreams.withdraw(attempt.number):
                 self.attempt_ended(attempt.number, api.AttemptStatus.NOT_STARTED)
 
     def _backstop_due(self, request: OpenRequest) -> None:
-        """Fail a request that the router has not answered by the client's deadline."""
+        """Fail a request that the router has not answered by the client's deadline or the shutdown."""
         self._answer(request.number, None)
         self.feed(api.ClientDisconnected(request.request_id))
         self._withdraw_attempts(request)
@@ -258,8 +259,8 @@
     def _answer(self, number: int, answer: Answer | None) -> OpenRequest | None:
         """Give a request its final answer and return the request.
 
-        Returns None if it has ended before, so that it has one final answer only.  Without an answer the
-        request failed; it timed out if its deadline is near.
+        Returns None for a request that has already ended, so that each gets one final answer only.  If
+        ``answer`` is None the request has failed, as timed out if its deadline is near or past.
         """
         request = self.requests.get(number)
         if request is None:
@@ -273,7 +274,7 @@
         return request
 
     def _close(self, request: OpenRequest, outcome: RequestOutcome, now_ms: float) -> None:
-        """Remove an ended request and report its outcome."""
+        """Remove an ended request and report its outcome to the observer."""
         self.requests.remove(request.number)
         self.deadlines.cancel(request.backstop)
         self.attempts.mark_unneeded(request.request_id, request.attempts_made)
--- a/thornjunction/core/open_requests.py
+++ b/thornjunction/core/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests that have no final answer yet."""
+"""Requests that have no final answer yet, as the engine keeps them."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from thornjunction.core.ports import ClientRequest, ReplyCallback
 from thornjunction.memory.deadlines import Deadline
 
-# Open requests; their bytes are bounded at the connections.
+# Greatest number of open requests; the connections bound the memory of their contents.
 REQUEST_CAPACITY = 4096
 
-# Number of a request that is not in the table yet.
+# Number of a request that has not been added to the table yet.
 NO_NUMBER = -1
 
 
@@ -20,13 +20,13 @@
     """A request that has no final answer yet.
 
     Attributes:
-        client_request: what the client asked for.
+        client_request: the request as a front decoded it.
         reply: is called with the final answer.
-        opened_ms: when the engine accepted it.
-        max_attempts: attempts it may make, by the settings at that time.
-        attempts_made: attempts so far, with those that were not started.
-        backstop: the deadline at which it fails, whatever the router does.
-        number: its place in the table of requests.
+        opened_ms: when the engine accepted it, on the core's clock.
+        max_attempts: greatest number of its attempts, by the settings when it was opened.
+        attempts_made: number of attempts so far, including those that were not started.
+        backstop: the deadline at which the engine fails it if the router has not answered it.
+        number: its slot in the table of requests.
     """
 
     client_request: ClientRequest
@@ -39,11 +39,11 @@
 
     @property
     def request_id(self) -> str:
-        """The identifier that the router uses."""
+        """The router's identifier of the request: its number as text."""
         return str(self.number)
 
     def event(self, remaining_ms: float) -> api.Request:
-        """Return the router's event for it, with this part of the client's time remaining."""
+        """Return the router's event for the request, with the time that remains for its answer."""
         client_request = self.client_request
         return api.Request(
             request_id=self.request_id,
--- a/thornjunction/core/ports.py
+++ b/thornjunction/core/ports.py
@@ -1,4 +1,4 @@
-"""The core's ports to its surroundings, and the frozen values that pass through them."""
+"""The core's ports: the interfaces to router, upstreams and fronts, and the values that pass through them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestOutcome(Enum):
-    """How a client's request ended; the values are the names of the metrics."""
+    """How a client's request ended; the values are parts of metric names."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -24,16 +24,16 @@
     """A client's request as a front decoded it.
 
     Attributes:
-        transaction_id: unique to this request, also among a client's retries; passed on unchanged.
-        class_name: the name of its class.
-        object_id: the object it asks for, 16 hex digits; passed on unchanged.
-        remaining_ms: how much longer the client waits.
-        part: which part of the object, from 0.
+        transaction_id: unique to this request, so that each retry has another one; passed on unchanged.
+        class_name: name of its request class.
+        object_id: the requested object, 16 hex digits; passed on unchanged.
+        remaining_ms: time until the client's timeout.
+        part: index of the requested part of the object, from 0.
         group: the group to which the object belongs.
-        size_kb: size of the part; 0: not known.
+        size_kb: size of the part in KB; 0: not known.
         idempotency_key: the same in all of a client's retries of one request; empty: none.
-        if_none_match: entity tag of the copy that the client has; empty: none.
-        body: the bytes that came with it.
+        if_none_match: entity tag of the client's cached copy; empty: none.
+        body: body of the request.
     """
 
     transaction_id: str
@@ -50,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What an upstream served.
+    """The content of an upstream's answer.
 
     Attributes:
-        body: the bytes; empty with ``not_modified``.
-        etag: the entity tag of the copy; empty: not known.
-        not_modified: whether the client's own copy is the current one.
+        body: the bytes of the part; empty with ``not_modified``.
+        etag: entity tag of the served copy; empty: not known.
+        not_modified: whether the client's cached copy is current.
     """
 
     body: bytes
@@ -68,7 +68,7 @@
     """Final answer: the content.
 
     Attributes:
-        content: what an upstream served.
+        content: the content of an upstream's answer.
     """
 
     outcome: ClassVar = RequestOutcome.SERVED
@@ -78,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Final answer: the request did not run, and a retry is harmless.
+    """Final answer: the request did not run and may be retried.
 
     Attributes:
-        retry_after_ms: Retry-After time; 0: none.
+        retry_after_ms: Retry-After time for the client; 0: none.
     """
 
     outcome: ClassVar = RequestOutcome.REJECTED
@@ -94,7 +94,7 @@
     """Final answer: not served, and the request may have run.
 
     Attributes:
-        timed_out: whether the client's deadline is the reason.
+        timed_out: whether it failed at the client's deadline.
     """
 
     outcome: ClassVar = RequestOutcome.FAILED
@@ -107,17 +107,17 @@
 
 
 class RequestTableFullError(Exception):
-    """The core has no capacity for another request."""
+    """The engine has no capacity for another request."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """One attempt, with what its transmission needs.
+    """One attempt, with all that its encoding and transmission need.
 
     Attributes:
-        number: the attempt's number, under which its end is reported.
-        client_request: what to pass on.
-        fetch: the router's decision.
+        number: the attempt's number, with which its end is reported.
+        client_request: the request to pass on.
+        fetch: the router's action, with server, source and limits.
     """
 
     number: int
@@ -126,22 +126,22 @@
 
 
 class Router(Protocol):
-    """The decision module."""
+    """Makes the decisions: returns actions for events."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Handle an event at its time in ms and return the actions to carry out, in order."""
+        """Handle an event at its time on the core's clock in ms, and return the actions in their order."""
 
 
 class Upstreams(Protocol):
-    """Carries attempts to servers, and reports the end of each to ``Engine.attempt_ended``."""
+    """Sends attempts to servers, and reports the end of each to ``Engine.attempt_ended``."""
 
     def send(self, request: UpstreamRequest) -> None:
-        """Send an attempt, or queue it until a connection is up."""
+        """Send an attempt, or queue it until a connection to its server is up."""
 
     def withdraw(self, number: int) -> bool:
-        """Withdraw an attempt that has not begun; its end is then not reported.
+        """Withdraw an attempt if it has not begun, and return True; its end is then not reported.
 
-        Returns False, without effect, for one that may have begun.
+        Returns False and changes nothing if the attempt may have begun.
         """
 
     def cancel(self, number: int) -> None:
@@ -152,10 +152,10 @@
 
 
 class Observer(Protocol):
-    """Is notified of the end of each request and each attempt; must not block."""
+    """Is notified of the end of each request and each attempt; its methods must not block."""
 
     def request_ended(self, class_name: str, outcome: RequestOutcome, took_ms: float) -> None:
-        """Handle the end of a request of that class."""
+        """Handle the end of a request of this class, ``took_ms`` after it was opened."""
 
     def attempt_ended(self, status: api.AttemptStatus, took_ms: float) -> None:
-        """Handle the end of an attempt."""
+        """Handle the end of an attempt, ``took_ms`` after it was sent."""
--- a/thornjunction/memory/__init__.py
+++ b/thornjunction/memory/__init__.py
@@ -1,1 +1,1 @@
-"""Bounded resource tables: numbered slots, one queue of deadlines and one budget of buffered bytes."""
+"""Bounded resources: tables of numbered slots, the queue of deadlines and the budget of buffered bytes."""
--- a/thornjunction/memory/budget.py
+++ b/thornjunction/memory/budget.py
@@ -1,20 +1,20 @@
-"""One budget for the bytes that all connections buffer: incomplete messages, and answers not read yet."""
+"""The byte budget of all connections: for incomplete messages, and for answers that clients have not read."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Reason of the connection's end, as the operators' pages name it.
+# Logged reason of an evicted connection's end, as the operators' pages name it.
 EVICTION_REASON = "memory"
 
 Evict = Callable[[str], None]
 
 
 class ByteBudget:
-    """Bytes reserved by each connection, which is identified by its method that closes it.
+    """Bytes that each connection reserves; a connection is identified by the callback that closes it.
 
-    Beyond the limit the connection with the greatest reservation is evicted: it sends without end or does not
-    read, and must not starve those that share the budget with it.
+    While the sum is above the limit, the connection with the greatest reservation is evicted.  It sends
+    without end or does not read, and must not exhaust the budget of the others.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -23,9 +23,9 @@
         self._reserved_by: dict[Evict, int] = {}
 
     def reserve(self, evict: Evict, size_bytes: int) -> None:
-        """Set what a connection reserves, in place of what it reserved before; 0 releases it.
+        """Replace a connection's reservation; 0 releases it.
 
-        May call ``evict`` of this or another connection, with the reason for the log.
+        May call ``evict`` of this or of other connections, with the reason for the log.
         """
         self._release(evict)
         if size_bytes:
--- a/thornjunction/memory/deadlines.py
+++ b/thornjunction/memory/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the program, in one queue ordered by time."""
+"""The queue of all deadlines of the process, ordered by time."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 import math
 from collections.abc import Callable
 
-# Pending deadlines: a few for each open request, attempt and connection, whose tables are bounded.
+# Greatest number of pending deadlines: a few per open request, attempt and connection, all bounded.
 MAX_DEADLINES = 1 << 17
 
-# Cancelled entries below which the heap is not rebuilt.
+# Number of cancelled entries up to which the heap is not rebuilt without them.
 MIN_CANCELLED_TO_COMPACT = 256
 
 
 class DeadlineCallbackErrors(ExceptionGroup[Exception]):
-    """What callbacks raised that were due together."""
+    """The exceptions of the callbacks that failed in one call of ``Deadlines.run_due``."""
 
     def __new__(cls, failures: list[Exception]) -> DeadlineCallbackErrors:
-        """Group these exceptions."""
+        """Create a group of these exceptions."""
         return super().__new__(cls, "deadline callbacks failed", failures)
 
 
 class TooManyDeadlinesError(OverflowError):
-    """The queue holds as many deadlines as it may."""
+    """The queue is full: its capacity of pending deadlines is reached."""
 
     def __init__(self, capacity: int) -> None:
         super().__init__(f"{capacity} deadlines are pending")
@@ -30,11 +30,11 @@
 
 
 class Deadline:
-    """One entry of the queue.
+    """A pending, executed or cancelled deadline.
 
     Attributes:
-        callback: what runs when it is due; None: it has run or was cancelled.
-        in_heap: whether the queue still holds it.
+        callback: called when the deadline is due; None: it was called or cancelled.
+        in_heap: whether the queue still has an entry for it.
     """
 
     __slots__ = ("callback", "in_heap")
@@ -44,18 +44,18 @@
         self.in_heap = True
 
 
-# When a deadline is due, in ms; a sequence number, which keeps equal times in the order added; the deadline.
-# A plain tuple: heapq compares two of them without a call of Python code.
+# Due time in ms; a sequence number, which orders equal times by when they were added; the deadline.  It is a
+# plain tuple because heapq compares tuples without running Python code.
 _HeapEntry = tuple[float, int, Deadline]
 
 
 class Deadlines:
-    """A queue of deadlines on the core's clock, in ms; equal times run in the order added.
+    """A queue of deadlines on the core's clock, in ms; those with equal times run in the order added.
 
     Args:
-        on_earlier_due: is called with the time of each new deadline that is due before all others, so that
+        on_earlier_due: called with the due time of each new deadline that is due before all others, so that
             the timer that runs the queue can be set earlier.
-        capacity: number of deadlines that may be pending.
+        capacity: greatest number of pending deadlines.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         return len(self._heap) - self._cancelled_in_heap
 
     def add(self, due_ms: float, callback: Callable[[], None]) -> Deadline:
-        """Run the callback at that time of the core's clock.
+        """Schedule the callback for a time on the core's clock.
 
         Raises:
             TooManyDeadlinesError: the queue is full.
@@ -88,7 +88,7 @@
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Cancel a deadline; None, or one that ran or was cancelled, is ignored."""
+        """Cancel a deadline; None and a deadline that has run or was cancelled are ignored."""
         if deadline is None or deadline.callback is None:
             return
         deadline.callback = None
@@ -103,7 +103,7 @@
         self._cancelled_in_heap = 0
 
     def next_due(self) -> float:
-        """Return the time of the earliest deadline, in ms; infinity if there is none."""
+        """Return the due time of the earliest pending deadline, in ms; infinity if there is none."""
         heap = self._heap
         while heap:
             due_ms, _, deadline = heap[0]
@@ -114,10 +114,10 @@
         return math.inf
 
     def run_due(self, now_ms: float) -> None:
-        """Run all callbacks that are due; deadlines they add wait for the next call, even if due already.
+        """Run all callbacks that are due; deadlines that they add run in a later call, even if already due.
 
         Raises:
-            DeadlineCallbackErrors: some callbacks raised; all others that were due have run.
+            DeadlineCallbackErrors: some callbacks raised; all other due callbacks have run.
         """
         failures: list[Exception] = []
         for deadline in self._take_due(now_ms):
@@ -127,7 +127,7 @@
                 continue
             try:
                 callback()
-            except Exception as error:  # a fault in one must not cost the others their deadline
+            except Exception as error:  # the other due callbacks must still run
                 failures.append(error)
         if failures:
             raise DeadlineCallbackErrors(failures)
