--- a/thornjunction/adapter/__init__.py
+++ b/thornjunction/adapter/__init__.py
@@ -1,7 +1,7 @@
-"""The simulator's adapter: reads its messages, drives one router per instance, writes the replies.
+"""The simulator's adapter: reads the simulator's messages, drives one router per instance, writes replies.
 
-Translation only.  Run as ``python -m thornjunction.adapter``; standard output carries replies and nothing
-else, warnings go to standard error.
+It only translates between messages and the router's events and actions.  Run it as ``python -m
+thornjunction.adapter``; standard output carries only replies, and warnings go to standard error.
 """
 
 import sys
@@ -11,12 +11,12 @@
 
 __all__ = ["Session", "main"]
 
-# Exit code of a run that malformed input ended.
+# Exit code of a run that ended at malformed input.
 MALFORMED_INPUT_EXIT_CODE = 2
 
 
 def main() -> int:
-    """Serve standard input until it ends; return the exit code."""
+    """Process standard input until it ends or is malformed, and return the exit code."""
     try:
         Session(sys.stdout, sys.stderr).run(sys.stdin)
     except WireError as error:
--- a/thornjunction/adapter/instance.py
+++ b/thornjunction/adapter/instance.py
@@ -1,4 +1,4 @@
-"""A router of the simulation: its settings, and the events that its messages mean."""
+"""A router of the simulation: its settings, and the conversion of its messages to events."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from thornjunction.policy.router import Router
 from thornjunction.settings import SettingsReader, parse_json, read_report, read_roles, read_settings
 
-# Ends of attempts by the wire's ``status``.
+# Statuses of attempts and health checks by the wire's field ``status``.
 STATUSES = {
     "done": api.AttemptStatus.SUCCEEDED,
     "err": api.AttemptStatus.ERROR,
@@ -29,7 +29,7 @@
     "enoent": api.AttemptStatus.CACHE_MISS,
 }
 
-# States of servers by the wire's ``status``.
+# States of servers by the wire's field ``status``.
 STATES = {
     "SERVING": api.ServerState.SERVING,
     "DRAINING": api.ServerState.DRAINING,
@@ -38,13 +38,13 @@
 
 
 class Instance:
-    """One router and the names that its messages use.
+    """One router, with the names of machine types and report columns in its messages.
 
     Args:
-        fields: the message that starts it.
+        fields: fields of the message that starts it.
 
     Raises:
-        WireError: a setting is missing or has no meaning.
+        WireError: a setting is missing or invalid.
     """
 
     def __init__(self, fields: Fields) -> None:
@@ -55,7 +55,7 @@
         self.router = Router(read_settings(params), optional(fields, "randomSeed", int, 0))
 
     def _load_report(self, text: str) -> api.LoadReport:
-        """Parse a load report by the settings' columns."""
+        """Parse a load report, whose columns the settings name."""
         try:
             values = dict(zip(self._report_columns, map(float, text.split(",")), strict=False))
         except ValueError as error:
@@ -66,7 +66,7 @@
         """Read one entry of a list of servers.
 
         Raises:
-            WireError: a field is missing or has no meaning.
+            WireError: a field is missing or invalid.
         """
         return api.ServerEntry(
             server=required(fields, "cache", str),
@@ -79,10 +79,10 @@
         )
 
     def event(self, message: Message) -> api.Event | None:
-        """Return the router's event for a message; None if the message is not known.
+        """Return the router's event for a message; None if the message's name is not known.
 
         Raises:
-            WireError: a field is missing or has no meaning.
+            WireError: a field is missing or invalid.
         """
         fields = message.fields
         match message.name:
--- a/thornjunction/adapter/messages.py
+++ b/thornjunction/adapter/messages.py
@@ -1,4 +1,4 @@
-"""Lines of the wire: their split into fields, and the conversion of fields to values."""
+"""Lines of the wire: their separation into fields, and the conversion of fields to values."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 # Fields whose value runs to the end of the line.
 TEXT_FIELDS = ("params", "bodyText")
 
-# Values of a flag.
+# Values of a flag by its text.
 FLAGS = {"1": True, "0": False}
 
-# Values of a message by field.
+# Texts of a message's fields by name.
 Fields = dict[str, str]
 
 Value = TypeVar("Value")
@@ -28,7 +28,7 @@
 
     Attributes:
         name: its first word.
-        fields: its values by field.
+        fields: the texts of its fields by name.
     """
 
     name: str
@@ -55,10 +55,10 @@
 
 
 def required(fields: Fields, name: str, convert: Callable[[str], Value]) -> Value:
-    """Return the value of a field.
+    """Return the converted value of a required field.
 
     Raises:
-        WireError: the field is missing or does not convert.
+        WireError: the field is missing or cannot be converted.
     """
     if name not in fields:
         raise MissingFieldError(name)
@@ -69,10 +69,10 @@
 
 
 def optional(fields: Fields, name: str, convert: Callable[[str], Value], default: Default) -> Value | Default:
-    """Return the value of a field, or the default where it is missing.
+    """Return the converted value of a field; the default if the field is missing.
 
     Raises:
-        WireError: the field does not convert.
+        WireError: the field cannot be converted.
     """
     return required(fields, name, convert) if name in fields else default
 
@@ -81,7 +81,7 @@
     """Convert a flag, 0 or 1.
 
     Raises:
-        KeyError: it is another text.
+        KeyError: the text is neither.
     """
     return FLAGS[text]
 
@@ -90,11 +90,11 @@
     """Convert the number of a fill result.
 
     Raises:
-        ValueError: the number is not known.
+        ValueError: the text is no number, or not that of a fill result.
     """
     return api.FillResult(int(text))
 
 
 def parse_integer(text: str) -> int:
-    """Convert a whole number that may be written with a fraction, which is dropped."""
+    """Convert a number to an integer; a fraction is truncated."""
     return int(float(text))
--- a/thornjunction/adapter/replies.py
+++ b/thornjunction/adapter/replies.py
@@ -1,27 +1,27 @@
-"""Replies: a line for each action of a router."""
+"""Replies to the simulator: one line for each action of a router."""
 
 from __future__ import annotations
 
 from thornjunction import interface as api
 
 # Bit of the field ``how``: wait for a fill that is in progress.
-HOW_JOIN = 1
+HOW_COALESCE = 1
 
-# Bit of the field ``how``: the source may give only what it has in its cache.
+# Bit of the field ``how``: the source may serve only a copy from its cache.
 HOW_CACHED_ONLY = 2
 
 # Bit of the field ``how``: refresh an ageing copy in the background.
-HOW_RENEW = 8
+HOW_REFRESH = 8
 
 
 def encode_action(instance_id: int, action: api.Action) -> str:
-    """Return the reply for an action of an instance."""
+    """Return the reply line, without its end, for an action of an instance."""
     match action:
         case api.StartAttempt():
             return (
                 f"OBTAIN who={instance_id} requestId={action.request_id} cache={action.server} "
                 f"allowForMs={action.timeout_ms:.3f} missFrom={action.source} rank={action.retention_rank} "
-                f"ageSpanMs={action.max_age_ms:.3f} how={_fetch_mode(action)}"
+                f"ageSpanMs={action.max_age_ms:.3f} how={_fetch_flags(action)}"
             )
         case api.CancelAttempt():
             return f"RECALL who={instance_id} requestId={action.request_id} roundNo={action.attempt_number}"
@@ -36,12 +36,12 @@
             return f"SAMPLE who={instance_id} cache={action.server}"
 
 
-def _fetch_mode(action: api.StartAttempt) -> int:
-    how = 0
+def _fetch_flags(action: api.StartAttempt) -> int:
+    flags = 0
     if action.coalesce:
-        how |= HOW_JOIN
+        flags |= HOW_COALESCE
     if action.cached_only:
-        how |= HOW_CACHED_ONLY
+        flags |= HOW_CACHED_ONLY
     if action.refresh_in_background:
-        how |= HOW_RENEW
-    return how
+        flags |= HOW_REFRESH
+    return flags
--- a/thornjunction/adapter/session.py
+++ b/thornjunction/adapter/session.py
@@ -1,4 +1,4 @@
-"""The conversation with the simulator: batches of messages in, replies out."""
+"""The session with the simulator: reads batches of messages and writes their replies."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True)
 class Batch:
-    """The messages of one turn.
+    """One batch of messages, all for the same simulated time.
 
     Attributes:
-        turn: number of the turn.
-        now_ms: time of its messages on the simulator's clock.
-        replies: the lines of the reply so far.
+        turn: the simulator's number of the batch.
+        now_ms: time of the messages on the simulator's clock.
+        replies: reply lines so far.
     """
 
     turn: int
@@ -29,11 +29,11 @@
 
 
 class Session:
-    """All instances of this process, driven by the simulator's lines.
+    """All router instances of this process, driven by the simulator's messages.
 
     Args:
-        output: where replies go.
-        warnings: where notes on ignored messages go.
+        output: stream for replies.
+        warnings: stream for warnings about ignored messages.
     """
 
     def __init__(self, output: TextIO, warnings: TextIO) -> None:
@@ -42,11 +42,11 @@
         self._instances: dict[int, Instance] = {}
         self._server_lists: dict[int, list[Fields]] = {}
         self._open_list: list[Fields] = []
-        self._missing_entries = 0  # still to come of the open list
+        self._missing_entries = 0  # entries of the open list that have not been received
         self._batch: Batch | None = None
 
     def run(self, lines: Iterable[str]) -> None:
-        """Answer batches until the input ends.
+        """Read and answer batches until the input ends.
 
         Raises:
             WireError: the input is malformed.
@@ -75,12 +75,12 @@
         self._output.flush()
 
     def _handle(self, now_ms: float, message: Message) -> list[str]:
-        """Handle one message of a batch and return the lines of its reply."""
+        """Handle one message of a batch and return its reply lines."""
         if message.name == "ENTRY":
             self._add_entry(message.fields)
             return []
         if self._missing_entries:
-            raise UnexpectedMessageError(message.name, f"where a list lacks {self._missing_entries} entries")
+            raise UnexpectedMessageError(message.name, f"while a list lacks {self._missing_entries} entries")
         if message.name == "PAGE":
             self._open_page(message.fields)
             return []
@@ -109,7 +109,7 @@
             return []
         instance = self._instances.get(instance_id)
         if instance is None:
-            self._warn(f"ignored {message.name!r} for {instance_id}, which is not running")
+            self._warn(f"ignored message {message.name!r} for instance {instance_id}, which is not running")
             return []
         if message.name == "MEMBERS" and message.fields.get("kind") == "X":
             return []
@@ -119,7 +119,7 @@
             return []
         try:
             return [encode_action(instance_id, action) for action in instance.router.handle(now_ms, event)]
-        except Exception as error:  # the wire has a message for this, and the simulated day ends there
+        except Exception as error:  # the simulation ends at the wire's message for this
             return [f"FATAL who={instance_id} bodyText={type(error).__name__}: {error}".replace("\n", " ")]
 
     def _event(self, instance: Instance, message: Message) -> api.Event | None:
--- a/thornjunction/interface/__init__.py
+++ b/thornjunction/interface/__init__.py
@@ -1,10 +1,10 @@
-"""Events and actions of the router's decisions, and the settings they follow.
+"""The router's interface: the events that it handles, the actions that it returns, and its settings.
 
-All times are floats in milliseconds: spans, or points of the caller's own monotonic clock, whose zero is
+All times are floats in milliseconds: durations, or points of the caller's monotonic clock, whose zero is
 arbitrary.  All sizes are in KB.
 
 A caller builds one ``Router(settings, seed, name)`` (``thornjunction.policy.router``) per process start,
-hands it each event together with the time at which it happened, and carries out the returned actions at that
+passes it each event together with the time at which it happened, and carries out the returned actions at that
 same time and in their order.  Routers read no clock, do no I/O and share no state.
 """
 
--- a/thornjunction/interface/actions.py
+++ b/thornjunction/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a router returns for the caller to carry out, in their order."""
+"""Actions that a router returns and the caller carries out, in their order."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
     Attributes:
         request_id: the request's identifier.
-        server: where to send it.
-        timeout_ms: time limit of the attempt, from now.
-        source: the server from which a miss is filled; ``server`` itself: a miss is not filled.
-        retention_rank: retention priority at which the copy is cached, 1 to 3, where 3 is kept longest; 0:
-            not cached.
-        max_age_ms: greatest age of a copy that may be served, at the server or the source; 0: the class's
-            fresh time.
-        coalesce: whether to wait for a fill that is in progress.
-        refresh_in_background: whether to serve an ageing copy and refresh it in the background.
-        cached_only: whether the source may give only what it has in its cache.
-        start_within_ms: an attempt that has not begun this long after the decision ends NOT_STARTED and
-            never runs.
+        server: the server to which to send it.
+        timeout_ms: time limit of the attempt, from its start.
+        source: the server from which ``server`` fills a cache miss; ``server`` itself: a miss is not filled.
+        retention_rank: retention priority at which a filled copy is cached, 1 to 3, where 3 is kept longest;
+            0: it is not cached.
+        max_age_ms: greatest age of a copy that the server or the source may serve; 0: the class's freshness
+            time.
+        coalesce: whether a miss waits for a fill of the object that is in progress.
+        refresh_in_background: whether an ageing copy is served and refreshed in the background.
+        cached_only: whether the source may serve only a copy from its cache.
+        start_within_ms: time from the decision after which an attempt that has not begun ends NOT_STARTED
+            and never runs.
     """
 
     request_id: str
@@ -42,11 +42,11 @@
 class CancelAttempt:
     """Stop waiting for an attempt.
 
-    Proves nothing about whether it ran; an attempt that had not begun ends NOT_STARTED and never ran.
+    A cancelled attempt may have run, except one that had not begun: it ends NOT_STARTED and never ran.
 
     Attributes:
         request_id: the request's identifier.
-        attempt_number: the attempt's number.
+        attempt_number: the attempt's number within the request.
     """
 
     request_id: str
@@ -79,10 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver ``TimerFired(token)`` after a time.
+    """Pass ``TimerFired(token)`` to the router after a time.
 
     Attributes:
-        in_ms: time from now.
+        in_ms: time from the action until the timer is due.
         token: identifies the timer.
     """
 
--- a/thornjunction/interface/enums.py
+++ b/thornjunction/interface/enums.py
@@ -1,4 +1,4 @@
-"""Enumerations of the interface: classes of requests, servers, and outcomes."""
+"""Enumerations of the interface: properties of request classes and servers, and results of attempts."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Idempotency(Enum):
-    """What it does to the system to run a request of a class more than once.
+    """The effect of running a request of a class more than once.
 
     Attributes:
-        IDEMPOTENT: nothing; the request may be repeated at any time.
-        KEYED: nothing for as long as the servers discard repeats of its idempotency key.
+        IDEMPOTENT: none; the request may be repeated at any time.
+        KEYED: none while the servers discard repeats of its idempotency key.
         NON_IDEMPOTENT: a second effect; the request may be repeated only if no attempt can have run.
     """
 
@@ -20,12 +20,12 @@
 
 
 class DeduplicationScope(Enum):
-    """Which cache servers discard a keyed request that one of them has seen before.
+    """Which cache servers discard a repeated keyed request after one of them has received it.
 
     Attributes:
-        ALL: all of them.
-        ZONE: those in the zone of the one that saw it.
-        CELL: those in the cell of the one that saw it.
+        ALL: all cache servers.
+        ZONE: the cache servers in the zone of the one that received it.
+        CELL: the cache servers in the cell of the one that received it.
     """
 
     ALL = "all"
@@ -38,8 +38,8 @@
 
     Attributes:
         NONE: none; only parents and the origin are sources.
-        LOCATION: those in the router's own zone.
-        ANY: those in any zone.
+        LOCATION: edge cache servers in the router's own zone.
+        ANY: edge cache servers in any zone.
     """
 
     NONE = "none"
@@ -48,12 +48,12 @@
 
 
 class FillReporting(Enum):
-    """How much the outcomes of attempts tell about the cache fill behind them (``AttemptEnded.fill_result``).
+    """Which results of cache fills are reported with the ends of attempts (``AttemptEnded.fill_result``).
 
     Attributes:
         ALL: every ``FillResult``, and the time that the source took.
-        HIT: only HIT, FILLED, JOINED and STALE; FILLED stands for FILLED_FROM_ORIGIN too.
-        NONE: nothing; every note is ``Note.NONE``.
+        HIT: only HIT, FILLED, JOINED and STALE; FILLED is also reported for FILLED_FROM_ORIGIN.
+        NONE: none; ``fill_result`` is always ``FillResult.NONE``.
     """
 
     ALL = "all"
@@ -62,12 +62,12 @@
 
 
 class Role(Enum):
-    """What kind of server a line of the server list is.
+    """The kind of a server in the endpoint list.
 
     Attributes:
         EDGE: a cache server that answers clients' requests.
         PARENT: a cache server from which edge cache servers fill their misses.
-        ORIGIN: the server that has every object and runs what is not cacheable.
+        ORIGIN: the server that has every object and runs requests that are not cacheable.
     """
 
     EDGE = "edge"
@@ -76,12 +76,12 @@
 
 
 class ServerState(Enum):
-    """The state of a server in the server list.
+    """The state of a server in the endpoint list.
 
     Attributes:
-        SERVING: it takes new work.
-        DRAINING: it finishes what it has and must get nothing new.
-        REMOVED: it has left the list.
+        SERVING: it accepts new attempts.
+        DRAINING: it finishes the attempts that it has and must get no new ones.
+        REMOVED: it is not in the list any more.
     """
 
     SERVING = "serving"
@@ -93,15 +93,15 @@
     """How an attempt or a health check ended.
 
     Attributes:
-        SUCCEEDED: it was answered.
+        SUCCEEDED: the server answered without an error.
         ERROR: the server answered with an error; the request may have run.
-        OVERLOADED: the server was full; the request never ran.
+        OVERLOADED: the server rejected it for lack of capacity; the request never ran.
         TIMEOUT: no answer came within the attempt's time limit; the request may have run.
-        CONNECTION_REFUSED: no connection came up; the request never ran.
-        CONNECTION_RESET: the connection broke; the request may have run.
+        CONNECTION_REFUSED: no connection could be established; the request never ran.
+        CONNECTION_RESET: the connection was lost; the request may have run.
         CANCELLED: the router cancelled the attempt; the request may have run.
-        NOT_STARTED: the attempt was dropped before it was sent; the request never ran.
-        CACHE_MISS: the server lacks the object and was not to fetch it; the request never ran.
+        NOT_STARTED: the attempt ended before it was sent; the request never ran.
+        CACHE_MISS: the server had no copy and was not to fill the miss; the request never ran.
     """
 
     SUCCEEDED = "done"
@@ -116,20 +116,20 @@
 
 
 class FillResult(IntEnum):
-    """What an outcome tells about the cache fill behind it; the numbers are those of the wire.
+    """The result of the cache fill of an attempt; the values are the numbers on the wire.
 
     Attributes:
-        NONE: nothing is told.
-        HIT: the server had a copy.
+        NONE: not reported.
+        HIT: the server had a copy; there was no fill.
         FILLED: the server fetched the object from its source.
-        FILLED_FROM_ORIGIN: its source fetched the object from the origin in turn.
-        JOINED: the request waited for a fill that was in progress; with MISS: a fill is in progress there.
-        STALE: the answer came from a copy past its fresh time.
+        FILLED_FROM_ORIGIN: the source in turn fetched the object from the origin.
+        JOINED: the request waited for a fill in progress; with status CACHE_MISS: a fill is in progress.
+        STALE: the answer came from a copy older than its freshness time.
         SOURCE_REFUSED: the source rejected the fill.
-        SOURCE_FAILED: the source was not reached, broke off or ran out of time.
-        SOURCE_MISS: the source lacks the object.
+        SOURCE_FAILED: the source was not reached, closed the connection early or timed out.
+        SOURCE_MISS: the source had no copy of the object.
         NO_FILL_CAPACITY: the server had no capacity for another fill.
-        ORIGIN_FAILED: the origin failed behind the source.
+        ORIGIN_FAILED: the source's own fetch from the origin failed.
     """
 
     NONE = 0
--- a/thornjunction/interface/events.py
+++ b/thornjunction/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what a router is given."""
+"""Events that the caller passes to a router."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The server list or its changes; a router's first event.
+    """The endpoint list or changes to it; a router's first event.
 
     Attributes:
         entries: the servers that are listed or have changed.
-        complete: whether this is the complete list, from which every server not named in it is gone.
+        complete: whether this is the complete list, so that every server not named in it is removed.
     """
 
     entries: tuple[ServerEntry, ...]
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; the caller owes exactly one final answer within ``remaining_ms``.
+    """A client's request, which must get exactly one final answer within ``remaining_ms``.
 
     Attributes:
-        request_id: identifier, unique per router; actions and events carry it back.
-        class_name: the name of its class.
-        key: the object that it asks for.
-        remaining_ms: how much longer the client waits.
-        part: which part of the object, from 0; each part is cached separately.
-        group: the group to which the object belongs (for purges).
+        request_id: identifier, unique per router, by which actions and events refer to the request.
+        class_name: name of its request class.
+        key: the requested object.
+        remaining_ms: time until the client's timeout.
+        part: index of the requested part of the object, from 0; each part is cached separately.
+        group: the group to which the object belongs, by which it can be purged.
         size_kb: size of the part; 0: not known.
-        idempotency_key: the same in all of a client's retries of one request, keyed classes only; empty: not
-            known.
+        idempotency_key: the same in all of a client's retries of one request; for keyed classes only;
+            empty: not known.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; reported exactly once per ``StartAttempt``.
+    """The end of an attempt; reported exactly once per ``StartAttempt``.
 
     Attributes:
         request_id: the request's identifier.
@@ -58,12 +58,12 @@
         server: the server to which it was sent.
         status: how it ended.
         elapsed_ms: time from its start to its end.
-        fill_result: what is known of the fill behind it.
+        fill_result: the result of its cache fill, as far as reported.
         fill_first_byte_ms: time from the start of the fill's last attempt to its first byte or its failure;
             None: not known.
-        final: whether the request has its final answer; if not, the caller still owes it.
-        report: the server's load report, where one came with the answer.
-        size_kb: size of what was served, where it is known from the bytes; 0: not known.
+        final: whether the request has ended, with its final answer or without; if not, it still needs one.
+        report: the server's load report; None: the answer had none.
+        size_kb: size of the served content, measured in its bytes; 0: not known.
     """
 
     request_id: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; no answer is owed for the request any more.
+    """The client has disconnected; its request needs no answer any more.
 
     Attributes:
         request_id: the request's identifier.
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestExpired:
-    """The caller cannot wait for this request any longer, though its client would: answer it now.
+    """The request must be answered now, although its client would wait longer.
 
     Attributes:
         request_id: the request's identifier.
@@ -113,11 +113,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeReceived:
-    """Copies that left the origin before the purge are out of date: those of one object, or of a group.
+    """A purge of one object or of a group: copies that left the origin before it are out of date.
 
     Attributes:
         group: the group that was purged, or to which the purged object belongs.
-        age_ms: how long ago the purge was made.
+        age_ms: time since the purge was issued.
         key: the object that was purged; None: the whole group.
     """
 
@@ -132,9 +132,9 @@
 
     Attributes:
         server: the server that was checked.
-        status: how the check ended; SUCCEEDED: the server is healthy.
+        status: how the check ended; the server is healthy if it is SUCCEEDED.
         elapsed_ms: time from its start to its end.
-        report: the server's load report, where one came with the answer.
+        report: the server's load report; None: the answer had none.
     """
 
     server: str
--- a/thornjunction/interface/servers.py
+++ b/thornjunction/interface/servers.py
@@ -1,4 +1,4 @@
-"""What is known of one server: its line of the server list, and its load."""
+"""Data about one server: its entry in the endpoint list, and its load report."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """A server's load report; a value that was not reported is None.
 
     Attributes:
-        cpu_utilization: share of its cores in use, 0 to 1.
+        cpu_utilization: share of the server's cores in use, 0 to 1.
         hit_ratio: share of recent requests that were cache hits, 0 to 1.
-        link_utilization: of an edge cache server, the utilization of its zone's inbound link: transfers in
-            progress over those that fit at full rate.
+        link_utilization: for an edge cache server, the utilization of its zone's inbound link: transfers in
+            progress divided by the number that fits at full rate.
     """
 
     cpu_utilization: float | None = None
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of the server list.
+    """One entry of the endpoint list.
 
     Attributes:
         server: the server's name, an opaque identifier.
-        role: its kind.
-        zone: the zone in which it stands.
-        state: whether it may get new work.
+        role: the kind of server.
+        zone: the zone in which it is located.
+        state: whether it may get new attempts.
         weight: its capacity relative to other servers; with ``Settings.servers_weighted``, in concurrent
             transfers.
-        cell: the cell whose servers discard each other's repeats (``DeduplicationScope.CELL``).
+        cell: number of its cell, whose servers share deduplication (``DeduplicationScope.CELL``).
         started_ms: time of its last start on the caller's clock; 0: long ago.
     """
 
--- a/thornjunction/signing/__init__.py
+++ b/thornjunction/signing/__init__.py
@@ -1,4 +1,4 @@
-"""Signed URIs by RFC 9246 (URI Signing): tokens, their keys, replays and the client's address.
+"""URI Signing (RFC 9246): tokens, their keys, the replay window and the client's address.
 
-No I/O, no clock and no wire.
+The package does no I/O and reads no clock.
 """
--- a/thornjunction/signing/address.py
+++ b/thornjunction/signing/address.py
@@ -1,7 +1,7 @@
 """The client's address, against which a token's ``cdniip`` claim is checked (RFC 9246 §2.1.10).
 
-It is the peer of the connection, or what trusted proxies report in ``Forwarded`` (RFC 7239) or in
-``X-Forwarded-For``.  No I/O.
+It is the address of the connection's peer, or the one that trusted proxies report in ``Forwarded`` (RFC 7239)
+or in ``X-Forwarded-For``.  The module does no I/O.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 Address = IPv4Address | IPv6Address
 
-# Header of RFC 7239, in lower case.
+# Name of the header of RFC 7239, in lower case.
 FORWARDED = "forwarded"
 
-# The header that proxies set before RFC 7239, in lower case.
+# Name of the header that proxies set before RFC 7239, in lower case.
 X_FORWARDED_FOR = "x-forwarded-for"
 
-# Headers that can be configured; empty: none is read.
+# Names that can be configured; empty: no header is read.
 HEADERS = ("", FORWARDED, X_FORWARDED_FOR)
 
 
 class ForwardingHeaderError(ValueError):
-    """The configured header is none that reports addresses."""
+    """The configured header is not one of ``HEADERS``."""
 
     def __init__(self) -> None:
-        super().__init__("forwarding: header is forwarded or x-forwarded-for")
+        super().__init__("forwarding: header must be forwarded or x-forwarded-for")
 
 
 @dataclass(frozen=True, slots=True)
 class Forwarding:
-    """Which peers may report the client's address, and in which header.
+    """Which peers may report the client's address, and in which header they do.
 
     Attributes:
-        header: name in lower case; empty: the connection's peer is the client.
+        header: name of the header in lower case; empty: the connection's peer is the client.
         trusted: networks of the trusted proxies, as ``127.0.0.0/8``.
 
     Raises:
@@ -55,8 +55,8 @@
 def parse_address(text: str) -> Address | None:
     """Parse an IPv4 or IPv6 address, with or without port, brackets and quotes.
 
-    An IPv4 address that is mapped into IPv6 is returned as IPv4, so that both forms are equal.  None
-    where the text is not an address.
+    An IPv4 address that is mapped into IPv6 is returned as IPv4, so that both forms are equal.  Returns None
+    if the text is not an address.
     """
     text = text.strip().strip('"')
     if text.startswith("["):
@@ -74,13 +74,13 @@
 def client_address(peer: str, headers: Mapping[str, str], forwarding: Forwarding) -> Address | None:
     """Return the address of the client behind a connection.
 
-    If the peer is a trusted proxy, this is the nearest address of the forwarded chain that is not a
-    trusted proxy itself; otherwise it is the peer.  None where a trusted peer reports a chain that
-    cannot be parsed.
+    If the peer is a trusted proxy, this is the nearest address of the forwarded chain that is not a trusted
+    proxy itself, or the first address if all are trusted; otherwise it is the peer.  Returns None if a
+    trusted peer reports an address that cannot be parsed.
 
     Args:
-        peer: address of the connection's other end.
-        headers: the request's headers, names in lower case.
+        peer: address of the connection's peer.
+        headers: the request's headers by name in lower case.
         forwarding: which peers are trusted proxies, and which header they set.
     """
     nearest = parse_address(peer)
@@ -96,7 +96,7 @@
 
 
 def _forwarded_chain(value: str, header: str) -> Iterator[Address | None]:
-    """Addresses in a forwarding header, client first; None for one that cannot be parsed."""
+    """Yield the addresses of a forwarding header, client first; None for one that cannot be parsed."""
     for element in _list_elements(value):
         if header == X_FORWARDED_FOR:
             yield parse_address(element)
@@ -107,7 +107,7 @@
 
 
 def _list_elements(value: str) -> Iterable[str]:
-    """Elements of a comma-separated header (RFC 9110 §5.6.1); empty ones are skipped."""
+    """Return the elements of a comma-separated header (RFC 9110 §5.6.1) without empty ones."""
     return filter(None, (part.strip() for part in value.split(",")))
 
 
@@ -116,5 +116,5 @@
 
 
 def matches_claim(claimed: object, client: Address | None) -> bool:
-    """Whether the value of ``cdniip`` is the client's address."""
+    """Return whether the value of ``cdniip`` is the client's address."""
     return isinstance(claimed, str) and client is not None and parse_address(claimed) == client
--- a/thornjunction/signing/keyset.py
+++ b/thornjunction/signing/keyset.py
@@ -1,8 +1,8 @@
-"""Keys that change in service: a JSON Web Key Set (RFC 7517 §5), accepted as a whole or rejected.
+"""Key sets, replaceable at run time: a JSON Web Key Set (RFC 7517 §5) is accepted as a whole or rejected.
 
-Each key names its ``kid`` and its one ``alg`` (§4.4, §4.5), so that no key serves another algorithm than its
-own: an HMAC secret is never taken for a public key.  Operators retire a key by a date for its ``kid`` in
-their own file.  No I/O: the caller reads the file and passes its bytes.
+Each key has a ``kid`` and exactly one ``alg`` (§4.4, §4.5) and is used for no other algorithm, so that an
+HMAC secret is never taken for a public key.  Operators retire a key by a date for its ``kid`` in a file of
+their own.  The module does no I/O: the caller reads the file and passes its bytes.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 from thornjunction.settings import WireError, parse_json
 from thornjunction.signing.tokens import Key, SigningKey
 
-# Keys in a set: some times more than a rotation needs, so that a wrong file stays cheap.
+# Greatest number of keys in a set: several times what a rotation needs, so that a wrong file costs little.
 MAX_KEYS = 64
 
-# Size of a key set's file: ``MAX_KEYS`` keys with certificate chains stay below it.
+# Greatest size of a key set's file; ``MAX_KEYS`` keys with certificate chains are smaller.
 MAX_FILE_BYTES = 1 << 20
 
-# Length of a ``kid``, which each log line on a key carries.
+# Greatest length of a ``kid``, which is part of each log line about a key.
 MAX_KID_CHARACTERS = 64
 
-# Hex digits of SHA-256 that tell one version of a file from another.
+# Number of hex digits of the SHA-256 that identifies a version of the file.
 DIGEST_HEX_DIGITS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class KeyType:
-    """The ``kty`` that an algorithm's keys have (RFC 7518 §6.1), and the class that imports them."""
+    """The ``kty`` of an algorithm's keys (RFC 7518 §6.1), and the class that imports them."""
 
     name: str
     importer: type[ECKey] | type[OctKey]
 
 
-# The type of key that each supported ``alg`` needs.
+# Key type by supported ``alg``.
 KEY_TYPES: dict[str, KeyType] = {"ES256": KeyType("EC", ECKey), "HS256": KeyType("oct", OctKey)}
 
 
 class KeySetError(Exception):
-    """A key set was rejected, and the keys in use stay.
+    """A key set was rejected; the keys in use do not change.
 
     The text names the faulty member, with its index in ``keys``, and never contains a key.
     """
@@ -57,8 +57,8 @@
     """One version of a key set's file.
 
     Attributes:
-        keys: its keys by ``kid``.
-        digest: identifies the version in the log.
+        keys: the keys by ``kid``.
+        digest: start of the file's SHA-256, which identifies the version in the log.
     """
 
     keys: Mapping[str, SigningKey]
@@ -69,12 +69,12 @@
     """Parse a key set.
 
     Args:
-        data: the file's content.
-        allowed: algorithms that a key may have.
+        data: content of the file.
+        allowed: algorithms that keys may have.
         retired_after_s: by ``kid``, the Unix second after which a key's tokens are rejected.
 
     Raises:
-        KeySetError: names the first key that is wrong, by its index.
+        KeySetError: the set is malformed, or a key is invalid; the text names the first such key.
     """
     keys: dict[str, SigningKey] = {}
     for index, entry in enumerate(_parse_entries(data)):
@@ -120,7 +120,7 @@
 
 
 def describe_changes(before: Mapping[str, SigningKey], after: Mapping[str, SigningKey]) -> str:
-    """Kids added and removed, for the log, as ``+a -b``; ``same`` where there are none."""
+    """Return the added and removed kids for the log, as ``+a -b``; ``same`` if there are none."""
     changes = [f"+{kid}" for kid in sorted(after.keys() - before.keys())]
     changes += [f"-{kid}" for kid in sorted(before.keys() - after.keys())]
     return " ".join(changes) or "same"
--- a/thornjunction/signing/replay.py
+++ b/thornjunction/signing/replay.py
@@ -1,11 +1,11 @@
-"""A replay window: each token with a ``jti`` is accepted once (RFC 9246 §2.1.7), in bounded memory.
+"""The replay window: each token with a ``jti`` is accepted once (RFC 9246 §2.1.7), in bounded memory.
 
-A timing wheel: an accepted token is kept under the slot of its expiry, and a whole slot is removed at once
-when its time has passed.  No clock and no I/O: every call is given the Unix time in seconds.  What peers
-accepted is recorded the same way (``learn``), so that a token is accepted once per fleet, as far as gossip
-reaches; see ``docs/design/second-front.md``.
+The window is a timing wheel: an accepted token is kept in the slot of its expiry, and all tokens of a slot
+are removed together when its time has passed.  The module reads no clock and does no I/O: every call is
+given the Unix time in seconds.  Tokens that peers accepted are recorded in the same way (``learn``), so that
+a token is accepted once per fleet, as far as gossip reaches; see ``docs/design/second-front.md``.
 
-The bound on memory is given in bytes: ``ENTRY_BYTES`` each, measured at the bound
+The memory is bounded in bytes, at ``ENTRY_BYTES`` for each entry, which was measured with a full window
 (``docs/SIGNED-FRONT-FIGURES.md``).
 """
 
@@ -15,36 +15,38 @@
 import math
 from dataclasses import dataclass
 
-# Memory of one entry, a key in a dict and in a slot's list: the most that was measured with tracemalloc.
+# Memory of one entry, a key in a dict and in a slot's list: the greatest value measured with tracemalloc.
 ENTRY_BYTES = 320
 
-# Length of a replay key: by chance, no two tokens of a fleet's whole life have the same one.
+# Length of a replay key, at which a collision within the lifetime of a fleet is practically impossible.
 KEY_BYTES = 16
 
-# Memory for about 26,000 tokens.
+# Default memory of a window: enough for about 26,000 tokens.
 DEFAULT_CAPACITY_BYTES = 8 << 20
 
-# Seconds by which an expired entry may be removed late.
+# Length of a slot in seconds, by which an expired entry may be removed late.
 DEFAULT_SLOT_S = 10.0
 
-# Longest lifetime of a token, in seconds: one day.
+# Longest lifetime of a token in seconds: one day.
 DEFAULT_HORIZON_S = 86_400.0
 
 
 class ReplayWindowSizeError(ValueError):
-    """The sizes of a replay window leave no room for one entry or one slot."""
+    """The sizes of a replay window do not allow for one entry or one slot."""
 
     def __init__(self) -> None:
-        super().__init__("replay window: a cap of one entry, a slot above 0 s and a horizon of one slot")
+        super().__init__(
+            "replay window: needs a cap of one entry, a slot above 0 s and a horizon of one slot"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayEntry:
-    """An accepted token, as the window keeps it and as it is gossiped to peers.
+    """An accepted token, as it is kept in the window and gossiped to peers.
 
     Attributes:
-        key: from ``replay_key``.
-        expires_s: Unix second until which a second use is a replay.
+        key: hash of issuer and ``jti``, see ``replay_key``.
+        expires_s: Unix time in seconds until which another use is a replay.
     """
 
     key: bytes
@@ -53,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a token was accepted.
+    """The result of a token's check against the replay window.
 
     Attributes:
         code: reason of the rejection, for the log; empty: accepted.
-        retry_after_s: with a full window, seconds until it has room again; otherwise 0.
+        retry_after_s: if the window is full, seconds until it has capacity again; otherwise 0.
     """
 
     code: str = ""
@@ -65,36 +67,36 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether this was the token's first use."""
+        """Whether the token was accepted."""
         return not self.code
 
 
-# The token's first use.
+# Result for the first use of a token.
 ACCEPTED = Verdict()
 
-# The token was used before, here or at a peer.
+# Result for a token that was used before, at this router or at a peer.
 REPLAYED = Verdict("token-replayed")
 
-# The token lives longer than the window remembers.
+# Result for a token that expires later than the window keeps entries.
 BEYOND_HORIZON = Verdict("token-replay-horizon")
 
 
 def replay_key(issuer: str, jti: str) -> bytes:
-    """Hash that identifies a token in the window and on the wire, so that no ``jti`` is kept in clear."""
+    """Return the hash that identifies a token in the window and in gossip, where no ``jti`` is in clear."""
     return hashlib.blake2b(f"{issuer}\x00{jti}".encode(), digest_size=KEY_BYTES).digest()
 
 
 class ReplayWindow:
-    """Accepted tokens by key until their expiry.
+    """Accepted tokens by key, each until its expiry.
 
     Args:
-        cap_bytes: bound on the memory of all entries.
-        slot_s: seconds of one slot of the wheel.
-        horizon_s: longest lifetime in seconds; a token that lives longer could not be remembered to its
-            end, and is rejected.
+        cap_bytes: greatest memory of all entries.
+        slot_s: length of one slot of the wheel in seconds.
+        horizon_s: longest time in seconds until a token's expiry; a token that expires later is rejected,
+            because its entry could not be kept until then.
 
     Raises:
-        ReplayWindowSizeError: there would be no room for one entry or one slot.
+        ReplayWindowSizeError: the sizes do not allow for one entry or one slot.
     """
 
     def __init__(
@@ -109,26 +111,26 @@
         self.slot_s = slot_s
         self.horizon_s = horizon_s
         self._expiry_s: dict[bytes, float] = {}  # by key
-        self._slots: dict[int, list[bytes]] = {}  # keys that expire in it, by number
-        self._last_removed_slot = -1  # this one and all before it are removed
+        self._slots: dict[int, list[bytes]] = {}  # keys by number of the slot in which they expire
+        self._last_removed_slot = -1  # number; all earlier slots are removed too
 
     def __len__(self) -> int:
         return len(self._expiry_s)
 
     def accept(self, key: bytes, expires_s: float, now_s: float) -> Verdict:
-        """Accept a token's first use, and reject a second one until it expires."""
+        """Accept the first use of a token, and reject further uses until it expires."""
         self._remove_expired(now_s)
         if self._expiry_s.get(key, -math.inf) >= now_s:
             return REPLAYED
         if expires_s - now_s > self.horizon_s:
             return BEYOND_HORIZON
         if len(self._expiry_s) >= self.capacity:
-            return Verdict("token-replay-full", self._room_after_s(now_s))
+            return Verdict("token-replay-full", self._seconds_until_capacity(now_s))
         self._insert(key, expires_s)
         return ACCEPTED
 
     def learn(self, key: bytes, expires_s: float, now_s: float) -> bool:
-        """Record a token that a peer accepted, where there is room; returns whether it was inserted."""
+        """Record a token that a peer accepted, if the window has capacity; return whether it was inserted."""
         self._remove_expired(now_s)
         if key in self._expiry_s or expires_s < now_s or expires_s - now_s > self.horizon_s:
             return False
@@ -145,19 +147,19 @@
         return math.floor(at_s / self.slot_s)
 
     def _remove_expired(self, now_s: float) -> None:
-        """Remove each slot before that of ``now_s``: all of its tokens have expired."""
+        """Remove each slot before that of ``now_s``, all of whose tokens have expired."""
         last = self._slot_number(now_s) - 1
         if last <= self._last_removed_slot:
             return
         for number in [number for number in self._slots if number <= last]:
             for key in self._slots.pop(number):
-                # A key that was accepted again after its expiry stands in two slots: the later one counts.
+                # A key that was accepted again after its expiry is in two slots; the later one counts.
                 expires_s = self._expiry_s.get(key)
                 if expires_s is not None and self._slot_number(expires_s) == number:
                     del self._expiry_s[key]
         self._last_removed_slot = last
 
-    def _room_after_s(self, now_s: float) -> float:
-        """Seconds until the oldest slot is removed."""
+    def _seconds_until_capacity(self, now_s: float) -> float:
+        """Return the seconds until the oldest slot is removed and its capacity is free."""
         oldest = min(self._slots, default=self._slot_number(now_s))
         return max((oldest + 1) * self.slot_s - now_s, 0.0) + self.slot_s
--- a/thornjunction/signing/tokens/__init__.py
+++ b/thornjunction/signing/tokens/__init__.py
@@ -1,8 +1,8 @@
-"""Signed JWTs that carry a URI container (RFC 9246 §2): verify, issue, renew.
+"""Verification, issue and renewal of signed JWTs that have a URI container (RFC 9246 §2).
 
-The cryptography is joserfc's, the matching of patterns RE2's.  Every claim of the RFC's registry is
-understood; each rejection names its reason by a code for the log.  No clock: every call is given the Unix
-time in seconds.
+joserfc does the cryptography, and RE2 matches the patterns.  Every claim of the RFC's registry is understood;
+each rejection has a code for the log.  The package reads no clock: every call is given the Unix time in
+seconds.
 """
 
 from thornjunction.signing.tokens.container import uri_hash
--- a/thornjunction/signing/tokens/container.py
+++ b/thornjunction/signing/tokens/container.py
@@ -1,4 +1,4 @@
-"""URI containers (RFC 9246 §2.1.15): the URIs that a token grants, as a hash or a regular expression."""
+"""URI containers (RFC 9246 §2.1.15): a hash of, or a regular expression for, the URIs that a token grants."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 from thornjunction.signing.tokens.trust import TokenError
 
-# Length of a regular expression, which bounds the memory of its automaton.
+# Greatest length of a regular expression, which bounds the memory of its automaton.
 MAX_PATTERN_CHARACTERS = 512
 
 
 def uri_hash(uri: str) -> str:
-    """Return the value of a hash container for a URI."""
+    """Return the value of a hash container for a URI, without its prefix ``hash:``."""
     digest = hashlib.sha256(uri.encode()).digest()
     return "sha-256;" + urlsafe_b64encode(digest).rstrip(b"=").decode()
 
 
 def check_container(container: Any, uri: str) -> None:
-    """Check that the URI is in the token's container.
+    """Check that a token's container matches the URI.
 
     Raises:
-        TokenError: it is not, or the container is malformed.
+        TokenError: it does not match, or the container is malformed.
     """
     if not isinstance(container, str):
         raise TokenError(403, "token-container")
--- a/thornjunction/signing/tokens/issuing.py
+++ b/thornjunction/signing/tokens/issuing.py
@@ -9,12 +9,12 @@
 
 from thornjunction.signing.tokens.trust import Claims, Grant, Trust
 
-# Random bytes of a renewed token's ``jti``.
+# Number of random bytes in a renewed token's ``jti``.
 JTI_BYTES = 16
 
 
 def issue(trust: Trust, container: str, now_s: float, lifetime_s: int, **claims: Any) -> str:
-    """Issue a token for a URI container; further claims (``cdniets``, ``cdnistt``, ``jti``) by name."""
+    """Issue a token for a URI container, with further claims such as ``cdniets`` and ``jti`` by name."""
     issued_at_s = int(now_s)
     base_claims = {
         "iss": min(trust.issuers),
@@ -28,7 +28,7 @@
 
 
 def renew(trust: Trust, grant: Grant, now_s: float) -> str:
-    """Issue the same claims with a new expiry, and a new ``jti`` where there is one."""
+    """Issue a token with the grant's claims and a new expiry, and with a new ``jti`` if it has one."""
     issued_at_s = int(now_s)
     claims = grant.claims | {"exp": issued_at_s + grant.renewal_s, "iat": issued_at_s}
     if "jti" in claims:
--- a/thornjunction/signing/tokens/trust.py
+++ b/thornjunction/signing/tokens/trust.py
@@ -1,4 +1,4 @@
-"""Whose tokens are accepted, what an accepted one allows, and the error of a rejected one."""
+"""Trust (accepted issuers and keys), the grant of an accepted token, and the error of a rejected one."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from thornjunction.signing.replay import ReplayEntry
 
-# Seconds by which an issuer's clock may differ from ours.
+# Default difference in seconds that is allowed between an issuer's clock and the router's.
 DEFAULT_SKEW_S = 5.0
 
 # Algorithms that can be configured.
 ALGORITHMS = ("ES256", "HS256")
 
-# Value of ``cdnistt`` (§6.4) for renewal by cookie, which is served; 2, by query, is rejected.
+# Value of ``cdnistt`` (§6.4) for renewal by cookie, which is supported; 2, by query, is rejected.
 COOKIE = 1
 
 # A key of one of ``ALGORITHMS``.
@@ -30,8 +30,8 @@
     """A token was rejected.
 
     Attributes:
-        status: status of the HTTP response.
-        code: reason for the log; it never contains the token.
+        status: status code of the HTTP response.
+        code: reason of the rejection, for the log; it never contains the token.
         retry_after_s: with status 503, seconds after which the token may be accepted; otherwise 0.
     """
 
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SigningKey:
-    """A key for one algorithm.
+    """A key that is used for one algorithm.
 
     Attributes:
-        kid: its name in the tokens' headers.
-        algorithm: the only ``alg`` that it serves.
+        kid: the key's identifier in the headers of tokens.
+        algorithm: the only ``alg`` for which the key is used.
         key: the key itself.
-        retired_after_s: Unix second after which its tokens are rejected; None: never.
+        retired_after_s: Unix time in seconds after which its tokens are rejected; None: not retired.
     """
 
     kid: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trust:
-    """Whose tokens are accepted, and how new ones are signed.
+    """The issuers and keys whose tokens are accepted, and the key that signs new ones.
 
     Attributes:
         issuers: accepted values of ``iss``.
@@ -69,7 +69,7 @@
         algorithms: accepted values of ``alg``.
         keys: keys by ``kid``.
         sign_with: ``kid`` of the key that signs issued and renewed tokens.
-        skew_s: seconds by which an issuer's clock may differ.
+        skew_s: allowed difference in seconds between an issuer's clock and the router's.
     """
 
     issuers: frozenset[str]
@@ -85,7 +85,7 @@
     """An accepted token.
 
     Attributes:
-        claims: what it says.
+        claims: the token's claims by name.
         replay_entry: for a token with a ``jti``, its entry in the replay window, to be gossiped.
     """
 
@@ -94,7 +94,7 @@
 
     @property
     def renewal_s(self) -> int:
-        """Lifetime of the renewed token in seconds; 0: it is not to be renewed."""
+        """Lifetime of the renewed token in seconds; 0: the token is not renewed."""
         if self.claims.get("cdnistt") != COOKIE:
             return 0
         return int(self.claims.get("cdniets", 0))
--- a/thornjunction/signing/tokens/verification.py
+++ b/thornjunction/signing/tokens/verification.py
@@ -20,7 +20,7 @@
 from thornjunction.signing.tokens.container import check_container
 from thornjunction.signing.tokens.trust import Claims, Grant, Key, TokenError, Trust
 
-# Length of a token: what a URL or a cookie carries.
+# Greatest length of a token, which a URL or a cookie can still carry.
 MAX_TOKEN_CHARACTERS = 4096
 
 
@@ -34,16 +34,16 @@
 ) -> Grant:
     """Verify a token for a URI.
 
-    The checks run in the RFC's order of claims, cheapest first; the replay window comes last, so that a
-    token that fails another check takes no room in it.
+    The claims are checked in the order of the RFC, cheapest first.  The replay window is checked last, so
+    that a token that fails another check does not use its capacity.
 
     Args:
         token: the JWT in compact serialization.
         uri: the requested URI without the token (§2.1.15).
-        trust: whose tokens are accepted.
-        replays: tokens that were accepted before.
+        trust: accepted issuers and their keys.
+        replays: the window of the tokens that were accepted before.
         now_s: Unix time in seconds.
-        client: the client's address, for ``cdniip``.
+        client: the client's address, against which ``cdniip`` is checked; None: not known.
 
     Raises:
         TokenError: the token is rejected.
@@ -76,10 +76,10 @@
 
 
 def _find_key(header: Mapping[str, Any], trust: Trust, now_s: float) -> Key:
-    """Return the key that a token's header names."""
+    """Return the key that a token's header names by ``kid``."""
     found = trust.keys.get(str(header.get("kid", "")))
     if found is None or header.get("alg") != found.algorithm:
-        raise TokenError(401, "token-key")  # also where the key serves another algorithm
+        raise TokenError(401, "token-key")  # also if the key is for another algorithm
     if found.retired_after_s is not None and now_s > found.retired_after_s:
         raise TokenError(401, "token-key-retired")
     return found.key
