--- a/tests/core/scripted_ports.py
+++ b/tests/core/scripted_ports.py
@@ -17,7 +17,7 @@
     Attributes:
         now_ms: the engine's clock.
         events: what the router was given.
-        steps: what the router returns for the next events; afterwards, nothing.
+        scripted_actions: what the router returns for the next events; afterwards, nothing.
         sent: attempts that were sent.
         cancelled: numbers of attempts that were cancelled.
         waits: whether attempts wait for a connection.
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.now_ms = 0.0
         self.events: list[api.Event] = []
-        self.steps: list[list[api.Action]] = []
+        self.scripted_actions: list[list[api.Action]] = []
         self.sent: list[UpstreamRequest] = []
         self.cancelled: list[int] = []
         self.waits = False
@@ -39,7 +39,7 @@
     def handle(self, _now_ms: float, event: api.Event) -> list[api.Action]:
         """Return the next step of the script, as the router."""
         self.events.append(event)
-        return self.steps.pop(0) if self.steps else []
+        return self.scripted_actions.pop(0) if self.scripted_actions else []
 
     def send(self, request: UpstreamRequest) -> None:
         """Record an attempt, as the upstreams."""
@@ -59,7 +59,7 @@
 
     def open(self) -> int:
         """Open a request whose first attempt goes to server ``s`` for 500 ms."""
-        self.steps = [[api.StartAttempt("0", "s", 500.0, "s")]]
+        self.scripted_actions = [[api.StartAttempt("0", "s", 500.0, "s")]]
         return self.engine.open(REQUEST, self.answers.append)
 
     def elapse(self, time_ms: float) -> None:
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -35,7 +35,7 @@
 def test_the_first_answer_is_the_only_one(ports: ScriptedPorts) -> None:
     number = ports.open()
     attempt_number = ports.sent[0].number
-    ports.steps = [[api.FailRequest(str(number)), api.RejectRequest(str(number))]]
+    ports.scripted_actions = [[api.FailRequest(str(number)), api.RejectRequest(str(number))]]
     ports.engine.attempt_ended(attempt_number, api.AttemptStatus.SUCCEEDED, Content(b"x"))
     ports.engine.attempt_ended(attempt_number, api.AttemptStatus.CONNECTION_RESET)
     ports.elapse(2000.0)
@@ -47,7 +47,7 @@
 def test_an_attempt_that_is_cancelled_while_it_waits_never_ran(ports: ScriptedPorts) -> None:
     assert ports.open() == 0
     ports.waits = True
-    ports.steps = [[api.CancelAttempt("0", 0)]]
+    ports.scripted_actions = [[api.CancelAttempt("0", 0)]]
     ports.engine.feed(api.TimerFired(1))
     ports.elapse(500.0)
     assert [outcome.status for outcome in ports.outcomes()] == [api.AttemptStatus.NOT_STARTED]
@@ -83,7 +83,7 @@
     assert [outcome.status for outcome in ports.outcomes()] == [api.AttemptStatus.TIMEOUT]
     assert ports.cancelled == [ports.sent[0].number]
     assert ports.answers == []
-    ports.steps = [[api.RejectRequest(str(number), 40.0)]]
+    ports.scripted_actions = [[api.RejectRequest(str(number), 40.0)]]
     ports.engine.feed(api.TimerFired(1))
     assert ports.answers == [Rejected(40.0)]
 
@@ -113,7 +113,7 @@
 
 def test_attempts_over_the_limit_are_not_started(ports: ScriptedPorts) -> None:
     number = ports.open()
-    ports.steps = [[api.StartAttempt(str(number), "s", 1.0, "s")] * 2]
+    ports.scripted_actions = [[api.StartAttempt(str(number), "s", 1.0, "s")] * 2]
     ports.engine.feed(api.TimerFired(1))
     assert len(ports.sent) == 2
     assert ports.outcomes()[-1] is ports.events[-1]
@@ -122,7 +122,7 @@
 
 def test_an_abandoned_request_gets_no_answer_and_counts_once(ports: ScriptedPorts) -> None:
     number = ports.open()
-    ports.steps = [[api.StartAttempt(str(number), "s", 1.0, "s")] * 2]
+    ports.scripted_actions = [[api.StartAttempt(str(number), "s", 1.0, "s")] * 2]
     ports.engine.feed(api.TimerFired(1))
     ports.engine.abandon(number)
     ports.engine.abandon(number)
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -30,11 +30,11 @@
     number = script.open()
     script.engine.max_attempts = 1
     for sent in (2, 2):  # the second attempt, and no third
-        script.steps = [[api.StartAttempt(str(number), "s", 500.0, "s")]]
+        script.scripted_actions = [[api.StartAttempt(str(number), "s", 500.0, "s")]]
         script.engine.feed(api.TimerFired(1))
         assert len(script.sent) == sent
     number = script.open()
-    script.steps = [[api.StartAttempt(str(number), "s", 500.0, "s")]]
+    script.scripted_actions = [[api.StartAttempt(str(number), "s", 500.0, "s")]]
     script.engine.feed(api.TimerFired(1))
     assert len(script.sent) == 3
 
