--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -97,7 +97,7 @@
         source = self._entries[attempt.source]
         if source.role is not api.Role.EDGE or attempt.source == attempt.server:
             return
-        is_near = self._peer_fill is api.PeerFill.LOCATION and source.zone == "here"
+        is_near = self._peer_fill is api.PeerFill.ZONE and source.zone == "here"
         assert is_near or self._peer_fill is api.PeerFill.ANY
         assert attempt.cached_only
         assert not request_class.uncacheable
--- a/tests/policy/test_peer_fill.py
+++ b/tests/policy/test_peer_fill.py
@@ -88,9 +88,7 @@
     assert "origin" not in sources
 
 
-@pytest.mark.parametrize(
-    ("siblings", "zones"), [(api.PeerFill.NONE, set()), (api.PeerFill.LOCATION, {"here"})]
-)
+@pytest.mark.parametrize(("siblings", "zones"), [(api.PeerFill.NONE, set()), (api.PeerFill.ZONE, {"here"})])
 def test_only_siblings_that_the_settings_allow_are_named(siblings: api.PeerFill, zones: set[str]) -> None:
     driver = driver_without_parents(peer_fill=siblings)
     started = [attempt_of(driver.request(key=key)) for key in range(40)]
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -169,7 +169,7 @@
 
 
 def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
-    driver = driver_of_site(960, 67, peer_fill=api.PeerFill.LOCATION)
+    driver = driver_of_site(960, 67, peer_fill=api.PeerFill.ZONE)
     own_block = {server.id for server in own_caches(driver)}
     placement = driver.router.state.placement
     for key in range(50):
--- a/thornjunction/interface/enums.py
+++ b/thornjunction/interface/enums.py
@@ -38,12 +38,12 @@
 
     Attributes:
         NONE: none; only parents and the origin are sources.
-        LOCATION: edge cache servers in the router's own zone.
+        ZONE: edge cache servers in the router's own zone.
         ANY: edge cache servers in any zone.
     """
 
     NONE = "none"
-    LOCATION = "location"
+    ZONE = "location"
     ANY = "any"
 
 
