--- a/tests/conformance/test_forwarding.py
+++ b/tests/conformance/test_forwarding.py
@@ -23,7 +23,7 @@
 def test_x_forwarded_for_counts_only_from_a_trusted_peer(
     peer: str, forwarded_for: str, client: str | None
 ) -> None:
-    """Only its last hop that is not trusted is the client."""
+    """The client is the nearest hop in the header that is not a trusted proxy."""
     forwarding = address.Forwarding("x-forwarded-for", TRUSTED_PROXIES)
     headers = {"x-forwarded-for": forwarded_for} if forwarded_for else {}
     expected = address.parse_address(client) if client else None
--- a/tests/conformance/test_http.py
+++ b/tests/conformance/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as clients of signed URLs send it: ranges (RFC 9110 §14) and limits (§15.5), one case a line."""
+"""HTTP/1.1 for clients of signed URLs: ranges (RFC 9110 §14) and errors (§15.5), one case per line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from thornjunction.core.ports import Content, Served
 from thornjunction.net.wire import ProtocolError, http1, ranges, signed
 
-RANGES = [  # section, range, if-range, status, first byte, one past the last, content-range
+RANGES = [  # section, range, if-range, status, first byte, byte after the last, content-range
     ("14.1.2", "bytes=0-9", None, 206, 0, 10, "bytes 0-9/100"),
     ("14.1.2", "bytes=90-", None, 206, 90, 100, "bytes 90-99/100"),
     ("14.1.2", "bytes=-5", None, 206, 95, 100, "bytes 95-99/100"),
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(("section", "value", "if_range", "status", "start", "end", "content_range"), RANGES)
-def test_ranges(
+def test_ranges_follow_rfc_9110(
     section: str, value: str, if_range: str | None, status: int, start: int, end: int, content_range: str
 ) -> None:
     headers = {"range": value}
@@ -37,7 +37,7 @@
     assert part == ranges.Part(status, start, end, content_range), f"§{section}"
 
 
-LIMITS = [  # section, bytes sent, the error and its status
+LIMITS = [  # section, request bytes, code and status of the error
     ("15.5.21", b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 70 + b"\r\n", "http-headers", 431),
     ("15.5.21", b"GET / HTTP/1.1\r\nx: " + b"y" * 20_000, "http-head-size", 431),
     ("15.5.14", b"POST / HTTP/1.1\r\ncontent-length: 70000\r\n\r\n", "http-body-size", 413),
@@ -54,7 +54,9 @@
 
 
 @pytest.mark.parametrize(("section", "data", "error_code", "status"), LIMITS)
-def test_limits(section: str, data: bytes, error_code: str, status: int) -> None:
+def test_a_request_that_is_malformed_or_over_a_limit_is_rejected(
+    section: str, data: bytes, error_code: str, status: int
+) -> None:
     with pytest.raises(ProtocolError, match=error_code):
         http1.RequestReader(65_536).feed(data)
     assert http1.STATUS_OF.get(error_code, 400) == status, f"RFC 9110 §{section}"
--- a/tests/conformance/test_replays.py
+++ b/tests/conformance/test_replays.py
@@ -9,18 +9,18 @@
 from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow, replay_key
 
 
-def test_an_id_is_accepted_once_while_its_token_lives() -> None:
+def test_an_id_is_accepted_once_until_its_token_expires() -> None:
     window = ReplayWindow(cap_bytes=2 * ENTRY_BYTES, slot_s=10, horizon_s=600)
     codes = [rejection_code(with_claims(jti=jti), NOW_S, window=window) for jti in "aab"]
     assert codes == ["", "token-replayed", ""]
     assert rejection_code(with_claims(jti="c"), NOW_S, window=window) == "token-replay-full"
-    later_s = 1070.0  # the first lived to 1065
+    later_s = 1070.0  # the token with id "a" expired at 1065
     assert rejection_code(with_claims(jti="a", exp=1200), later_s, window=window) == ""
     assert rejection_code(with_claims(jti="d", exp=1e6), later_s, window=window) == "token-replay-horizon"
 
 
 def test_an_id_that_is_used_again_after_its_expiry_is_removed_once() -> None:
-    """A key may stand in two slots of the wheel, of which the later may have been opened first."""
+    """A key may be in two slots of the wheel, of which the later slot may have been created first."""
     window = ReplayWindow(slot_s=10)
     window.learn(b"other", 155.0, 100.0)
     assert window.accept(b"key", 121.0, 100.0).accepted
@@ -31,10 +31,10 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 200), st.integers(0, 40)), max_size=120))
-def test_the_window_never_accepts_a_live_id_twice_and_stays_in_its_cap(
+def test_the_window_accepts_no_unexpired_id_twice_and_stays_within_its_capacity(
     steps: list[tuple[int, int, int]],
 ) -> None:
-    """Each step: an id, its lifetime, time moving on; checked against a plain model of what is live."""
+    """Each step has an id, its lifetime and the elapsed time; a dict of expiries is the reference model."""
     window = ReplayWindow(cap_bytes=16 * ENTRY_BYTES, slot_s=7, horizon_s=150)
     expiry_by_id: dict[int, float] = {}
     now_s = 0.0
--- a/tests/conformance/test_rfc9246.py
+++ b/tests/conformance/test_rfc9246.py
@@ -1,4 +1,4 @@
-"""RFC 9246 claims, one case a line: the section it checks, what is sent, how the router rejects it."""
+"""Claims of RFC 9246, one case per line: the section, the token, and the code of its rejection."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One token and how the router judges it.
+    """One token and its expected acceptance or rejection.
 
     Attributes:
         section: the section of RFC 9246.
-        title: what is special about the token.
+        title: the property of the token that is tested.
         token: the token.
-        rejection: the code of its rejection; empty: it is accepted.
-        after_s: time of the check after ``NOW_S``.
+        rejection: code of the expected rejection; empty: the token is accepted.
+        after_s: time of the check, in seconds after ``NOW_S``.
         client: the client's address.
     """
 
@@ -54,7 +54,7 @@
     Case("2.1.1", "an unknown issuer", with_claims(iss="Else"), "token-issuer"),
     Case("2.1.1", "no issuer", without_claims("iss"), "token-issuer"),
     Case("2.1.2", "a subject as JWE", with_claims(sub=SUBJECT_JWE)),
-    Case("2.1.2", "a subject in clear", with_claims(sub="alice"), "token-subject"),
+    Case("2.1.2", "a subject in clear text", with_claims(sub="alice"), "token-subject"),
     Case("2.1.3", "our audience", with_claims(aud="tj")),
     Case("2.1.3", "our audience among others", with_claims(aud=["x", "tj"])),
     Case("2.1.3", "another audience", with_claims(aud="x"), "token-audience"),
@@ -82,14 +82,14 @@
     Case("2.1.9", "critical claims as a list", with_claims(cdnicrit=["exp"]), "token-critical"),
     Case("2.1.10", "the client's v4 address", with_claims(cdniip=CLIENT_V4)),
     Case("2.1.10", "the client's v6 address", with_claims(cdniip=CLIENT_V6), client=CLIENT_V6),
-    Case("2.1.10", "v6 written otherwise", with_claims(cdniip="2001:0db8:0::7"), client=CLIENT_V6),
+    Case("2.1.10", "v6 in another notation", with_claims(cdniip="2001:0db8:0::7"), client=CLIENT_V6),
     Case("2.1.10", "v4 mapped in v6", with_claims(cdniip="::ffff:192.0.2.9")),
     Case("2.1.10", "another client", with_claims(cdniip="192.0.2.10"), "token-address"),
-    Case("2.1.10", "no address at all", with_claims(cdniip="here"), "token-address"),
+    Case("2.1.10", "a text that is no address", with_claims(cdniip="here"), "token-address"),
     Case("2.1.11", "no container", without_claims("cdniuc"), "token-container"),
     Case("2.1.11", "a container of an unknown form", with_claims(cdniuc="glob:*"), "token-container"),
     Case("2.1.11", "a container that is no string", with_claims(cdniuc=1), "token-container"),
-    Case("2.1.12", "renewal asked", with_claims(cdniets=30, cdnistt=1)),
+    Case("2.1.12", "a renewal requested", with_claims(cdniets=30, cdnistt=1)),
     Case("2.1.12", "a renewal time below 0", with_claims(cdniets=-1, cdnistt=1), "token-renewal"),
     Case("2.1.12", "a renewal time without transport", with_claims(cdniets=30), "token-renewal"),
     Case("2.1.13", "a transport without a time", with_claims(cdnistt=1), "token-renewal"),
@@ -103,13 +103,15 @@
         with_claims(cdniuc="hash:" + tokens.uri_hash(URI + "x")),
         "token-path",
     ),
-    Case("2.1.15.1", "a hash cut short", with_claims(cdniuc=HASH_CONTAINER[:-2]), "token-path"),
-    Case("2.1.15.2", "a pattern that holds", with_claims(cdniuc=r"regex:https://cams\.example/films/.*")),
-    Case("2.1.15.2", "a pattern for part of it", with_claims(cdniuc=r"regex:/films/.*"), "token-path"),
-    Case("2.1.15.2", "a pattern that is no pattern", with_claims(cdniuc="regex:("), "token-container"),
+    Case("2.1.15.1", "a truncated hash", with_claims(cdniuc=HASH_CONTAINER[:-2]), "token-path"),
+    Case("2.1.15.2", "a pattern that matches", with_claims(cdniuc=r"regex:https://cams\.example/films/.*")),
+    Case(
+        "2.1.15.2", "a pattern that matches only a part", with_claims(cdniuc=r"regex:/films/.*"), "token-path"
+    ),
+    Case("2.1.15.2", "a malformed pattern", with_claims(cdniuc="regex:("), "token-container"),
     Case("2.1.15.2", "a pattern too long", with_claims(cdniuc="regex:" + "a" * 600), "token-container"),
     Case("2.1.15.2", "a back reference, not POSIX", with_claims(cdniuc=r"regex:(h)\1.*"), "token-container"),
-    Case("2.2", "an older key still taken", signed_token(CLAIMS, kid="old", key=KEYS["old"].key)),
+    Case("2.2", "an older key that is still accepted", signed_token(CLAIMS, kid="old", key=KEYS["old"].key)),
     Case("2.2", "a retired key", signed_token(CLAIMS, kid="retired"), "token-key-retired"),
     Case("2.2", "an unknown kid", signed_token(CLAIMS, kid="else"), "token-key"),
     Case("2.2", "no kid", jwt.encode({"alg": "HS256"}, CLAIMS, HMAC_KEY), "token-key"),
@@ -127,23 +129,23 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case.section} {case.title}")
-def test_claims(case: Case) -> None:
+def test_verification_follows_rfc_9246(case: Case) -> None:
     assert rejection_code(case.token, NOW_S + case.after_s, case.client) == case.rejection
 
 
 @pytest.fixture
 def ec_trust() -> tokens.Trust:
-    """Trust in one EC key, with HMAC allowed."""
+    """Return trust in one EC key, with HMAC among the accepted algorithms."""
     keys = {"ec": tokens.SigningKey("ec", "ES256", EC_KEY)}
     return tokens.Trust(TRUST.issuers, "tj", ("ES256", "HS256"), keys, "ec")
 
 
-def test_a_public_key_as_hmac_secret_is_refused(ec_trust: tokens.Trust) -> None:
-    """§2.2 and RFC 8725 §2.1: the public key's bytes as an HMAC secret, under an EC kid, is refused."""
+def test_a_public_key_is_not_accepted_as_hmac_secret(ec_trust: tokens.Trust) -> None:
+    """§2.2 and RFC 8725 §2.1: an HMAC with the public key's bytes as secret and the kid of the EC key."""
     public_key = EC_KEY.as_dict(private=False)
-    forged = signed_token(CLAIMS, kid="ec", key=OctKey.import_key(str(public_key).encode() * 2))
+    forged_token = signed_token(CLAIMS, kid="ec", key=OctKey.import_key(str(public_key).encode() * 2))
     with pytest.raises(tokens.TokenError, match="token-key"):
-        tokens.verify(forged, URI, ec_trust, ReplayWindow(), NOW_S)
+        tokens.verify(forged_token, URI, ec_trust, ReplayWindow(), NOW_S)
 
 
 def test_a_token_of_the_ec_key_is_accepted(ec_trust: tokens.Trust) -> None:
--- a/tests/conformance/test_uri_signing_package.py
+++ b/tests/conformance/test_uri_signing_package.py
@@ -9,11 +9,11 @@
 from tests.conformance.tokens import rejection_code
 from thornjunction.net.wire import http1, signed
 
-fixed = settings(derandomize=True, max_examples=80, deadline=None)
+deterministic = settings(derandomize=True, max_examples=80, deadline=None)
 
 
 def get_request(target: str, cookie: str) -> http1.HttpRequest:
-    """A request with a cookie, where that is not empty."""
+    """Return a GET request, with a cookie if that is not empty."""
     headers = {"cookie": cookie} if cookie else {}
     return http1.HttpRequest("GET", target, headers, b"", keep_alive=True)
 
@@ -44,20 +44,20 @@
         ("4.1", "/f/1", "", "token-missing"),
     ],
 )
-def test_a_request_without_exactly_one_token_is_refused(
+def test_a_request_without_exactly_one_token_is_rejected(
     section: str, target: str, cookie: str, error_code: str
 ) -> None:
-    with pytest.raises(signed.RequestError) as caught:
+    with pytest.raises(signed.RequestError) as error_info:
         signed.split_token(get_request(target, cookie))
-    assert caught.value.code == error_code, f"§{section}"
+    assert error_info.value.code == error_code, f"§{section}"
 
 
-@fixed
+@deterministic
 @given(
     target=st.text(alphabet="/?&=;URISigngPacke%T", max_size=60),
     cookie=st.text(alphabet="=; URISigningPackageC", max_size=40),
 )
-def test_fuzzed_packages_split_or_are_refused(target: str, cookie: str) -> None:
+def test_fuzzed_requests_are_split_or_rejected(target: str, cookie: str) -> None:
     request = http1.HttpRequest("GET", target, {"cookie": cookie}, b"", keep_alive=True)
     try:
         unsigned_target, token = signed.split_token(request)
@@ -70,7 +70,7 @@
     assert status == 401
 
 
-@fixed
+@deterministic
 @given(st.text(max_size=300) | st.binary(max_size=300).map(lambda data: data.decode("latin-1")))
-def test_fuzzed_tokens_are_refused_and_raise_nothing_else(text: str) -> None:
+def test_fuzzed_tokens_are_rejected_and_raise_no_other_error(text: str) -> None:
     assert rejection_code(text) != ""
--- a/tests/conformance/tokens.py
+++ b/tests/conformance/tokens.py
@@ -1,6 +1,6 @@
 """Tokens for conformance tests, built with joserfc and not by the router's own ``issue``.
 
-So a fault that both had could not hide.
+Otherwise a fault that ``issue`` and ``verify`` have in common would not be found.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 # The requested URI.
 URI = BASE + "/films/17/7f3a9c21e0b4d655/0"
 
-# The container that grants it.
+# The hash container that grants ``URI``.
 HASH_CONTAINER = "hash:" + tokens.uri_hash(URI)
 
 # Time of the checks, in Unix seconds.
 NOW_S = 1000.0
 
-# Claims of a token that is accepted.
+# Claims of a token that is accepted at ``NOW_S``.
 CLAIMS = {"iss": "Reefline", "aud": "tj", "exp": 1060, "iat": 1000, "cdniv": 1, "cdniuc": HASH_CONTAINER}
 
-# A subject, encrypted for the origin.
+# A subject: a JWE, encrypted for the origin.
 SUBJECT_JWE = "eyJhbGciOiJSU0EtT0FFUCJ9.a2V5.aXY.Y2lwaGVy.dGFn"
 
 HMAC_KEY = KEYS["new"].key
@@ -35,29 +35,29 @@
 CLIENT_V4 = "192.0.2.9"
 CLIENT_V6 = "2001:db8::7"
 
-# Length from which a token is searched for in an error: drawn texts below it may be in any error's text.
+# Length from which errors are checked for the token: a shorter fuzzed text may occur in any error by chance.
 MIN_LEAK_CHARACTERS = 8
 
 
 def signed_token(claims: dict[str, Any], kid: str = "new", alg: str = "HS256", key: Any = HMAC_KEY) -> str:
-    """A token with these claims and no others."""
+    """Return a token with these claims and no others."""
     return jwt.encode({"alg": alg, "kid": kid}, claims, key, algorithms=[alg])
 
 
 def with_claims(**claims: Any) -> str:
-    """A token with these claims beside, or in place of, ``CLAIMS``."""
+    """Return a token with ``CLAIMS`` and these claims, which replace those of the same name."""
     return signed_token(CLAIMS | claims)
 
 
 def without_claims(*names: str) -> str:
-    """A token without these claims."""
+    """Return a token with ``CLAIMS`` except these."""
     return signed_token({name: value for name, value in CLAIMS.items() if name not in names})
 
 
 def rejection_code(
     token: str, now_s: float = NOW_S, client: str = CLIENT_V4, window: ReplayWindow | None = None
 ) -> str:
-    """The code with which a token is rejected; empty: it is accepted."""
+    """Return the code with which a token is rejected; empty: it is accepted."""
     replays = ReplayWindow() if window is None else window  # an empty window is falsy
     try:
         tokens.verify(token, URI, TRUST, replays, now_s, address.parse_address(client))
@@ -65,6 +65,6 @@
         rejection = error
     else:
         return ""
-    # hypothesis also draws constants of the code, "token-forged" too: a fixed error code leaks nothing
+    # hypothesis also draws constants from the code, such as "token-forged": the code itself leaks no token
     assert len(token) < MIN_LEAK_CHARACTERS or token not in repr(rejection).replace(rejection.code, "")
     return rejection.code
--- a/tests/core/scripted_ports.py
+++ b/tests/core/scripted_ports.py
@@ -1,4 +1,4 @@
-"""The engine between a scripted router and ports that record what they are given."""
+"""An engine with a scripted router and with upstreams that record their calls."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class ScriptedPorts:
-    """An engine with its router and its upstreams, which are this object.
+    """An engine whose router and upstreams are this object.
 
     Attributes:
-        now_ms: the engine's clock.
-        events: what the router was given.
-        scripted_actions: what the router returns for the next events; afterwards, nothing.
+        now_ms: time on the engine's clock.
+        events: events that the router was passed, in order.
+        scripted_actions: actions that the router returns for each of the next events; after them, none.
         sent: attempts that were sent.
-        cancelled: numbers of attempts that were cancelled.
-        waits: whether attempts wait for a connection.
+        cancelled: numbers of the attempts that were cancelled.
+        attempts_wait: whether attempts wait for a connection, and so have not begun.
         answers: final answers to clients.
     """
 
@@ -30,14 +30,14 @@
         self.scripted_actions: list[list[api.Action]] = []
         self.sent: list[UpstreamRequest] = []
         self.cancelled: list[int] = []
-        self.waits = False
+        self.attempts_wait = False
         self.answers: list[Answer] = []
         self.deadlines = Deadlines()
         self.counters = Counters(classes={"films"})
         self.engine = Engine(self, 2, lambda: self.now_ms, self.deadlines, self, self.counters)
 
     def handle(self, _now_ms: float, event: api.Event) -> list[api.Action]:
-        """Return the next step of the script, as the router."""
+        """Return the next actions of the script, as the router."""
         self.events.append(event)
         return self.scripted_actions.pop(0) if self.scripted_actions else []
 
@@ -46,27 +46,27 @@
         self.sent.append(request)
 
     def withdraw(self, _number: int) -> bool:
-        """Return whether an attempt had not begun, as the upstreams."""
-        return self.waits
+        """Return whether the attempt had not begun, as the upstreams."""
+        return self.attempts_wait
 
     def cancel(self, number: int) -> None:
         """Record a cancelled attempt, as the upstreams."""
         self.cancelled.append(number)
 
     def probe(self, server: str) -> None:
-        """Refuse a health check, which no script asks for."""
+        """Fail, as the upstreams: no script contains a health check."""
         raise NotImplementedError
 
     def open(self) -> int:
-        """Open a request whose first attempt goes to server ``s`` for 500 ms."""
+        """Open a request whose first attempt goes to server ``s`` for 500 ms, and return its number."""
         self.scripted_actions = [[api.StartAttempt("0", "s", 500.0, "s")]]
         return self.engine.open(REQUEST, self.answers.append)
 
     def elapse(self, time_ms: float) -> None:
-        """Move the clock and run what is due."""
+        """Advance the clock and run the deadlines that are due."""
         self.now_ms += time_ms
         self.deadlines.run_due(self.now_ms)
 
-    def outcomes(self) -> list[api.AttemptEnded]:
-        """The ends of attempts that the router was given."""
+    def ended_attempts(self) -> list[api.AttemptEnded]:
+        """Return the ends of attempts that the router was passed, in order."""
         return [event for event in self.events if isinstance(event, api.AttemptEnded)]
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -44,43 +44,43 @@
     assert ports.events[-1].final
 
 
-def test_an_attempt_that_is_cancelled_while_it_waits_never_ran(ports: ScriptedPorts) -> None:
+def test_an_attempt_that_is_cancelled_while_it_waits_ends_not_started(ports: ScriptedPorts) -> None:
     assert ports.open() == 0
-    ports.waits = True
+    ports.attempts_wait = True
     ports.scripted_actions = [[api.CancelAttempt("0", 0)]]
     ports.engine.feed(api.TimerFired(1))
     ports.elapse(500.0)
-    assert [outcome.status for outcome in ports.outcomes()] == [api.AttemptStatus.NOT_STARTED]
+    assert [ended.status for ended in ports.ended_attempts()] == [api.AttemptStatus.NOT_STARTED]
     assert ports.cancelled == []
 
 
 @pytest.mark.parametrize(
-    ("client_leaves", "state"),
+    ("client_disconnects", "state"),
     [
         pytest.param(False, AttemptState.AWAITED, id="client-waits"),
         pytest.param(True, AttemptState.UNNEEDED, id="client-left"),
     ],
 )
 def test_the_end_of_an_attempt_reports_whether_its_request_has_ended(
-    ports: ScriptedPorts, client_leaves: bool, state: AttemptState
+    ports: ScriptedPorts, client_disconnects: bool, state: AttemptState
 ) -> None:
     number = ports.open()
-    if client_leaves:
+    if client_disconnects:
         ports.engine.abandon(number)
     attempt = ports.engine.attempts.find(str(number), 0)
     assert attempt is not None
     assert attempt.state is state
-    for _ in range(2):  # the second report is late, and counts for nothing
+    for _ in range(2):  # the second report is ignored, because the attempt has ended
         ports.engine.attempt_ended(attempt.number, api.AttemptStatus.CONNECTION_RESET)
     assert attempt.state is AttemptState.ENDED
-    assert [outcome.final for outcome in ports.outcomes()] == [client_leaves]
+    assert [ended.final for ended in ports.ended_attempts()] == [client_disconnects]
 
 
 def test_a_timeout_cancels_the_attempt_and_is_reported_once(ports: ScriptedPorts) -> None:
     number = ports.open()
     ports.elapse(500.0)
     ports.engine.attempt_ended(ports.sent[0].number, api.AttemptStatus.SUCCEEDED, Content(b"late"))
-    assert [outcome.status for outcome in ports.outcomes()] == [api.AttemptStatus.TIMEOUT]
+    assert [ended.status for ended in ports.ended_attempts()] == [api.AttemptStatus.TIMEOUT]
     assert ports.cancelled == [ports.sent[0].number]
     assert ports.answers == []
     ports.scripted_actions = [[api.RejectRequest(str(number), 40.0)]]
@@ -89,7 +89,7 @@
 
 
 def test_a_request_during_shutdown_is_answered_before_the_process_ends(ports: ScriptedPorts) -> None:
-    """With its own time limit, the process was killed first and the client lost its answer."""
+    """Without this cap the process was killed before the request's deadline, and the client got no answer."""
     ports.engine.shutdown_at_ms = 700.0
     ports.open()
     request = ports.events[0]
@@ -101,7 +101,7 @@
     assert ports.answers == [Failed(timed_out=False)]
 
 
-def test_an_error_in_the_router_still_ends_in_an_answer(
+def test_a_request_is_answered_although_the_router_raises(
     ports: ScriptedPorts, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ports.open()
@@ -116,8 +116,8 @@
     ports.scripted_actions = [[api.StartAttempt(str(number), "s", 1.0, "s")] * 2]
     ports.engine.feed(api.TimerFired(1))
     assert len(ports.sent) == 2
-    assert ports.outcomes()[-1] is ports.events[-1]
-    assert ports.outcomes()[-1].status is api.AttemptStatus.NOT_STARTED
+    assert ports.ended_attempts()[-1] is ports.events[-1]
+    assert ports.ended_attempts()[-1].status is api.AttemptStatus.NOT_STARTED
 
 
 def test_an_abandoned_request_gets_no_answer_and_counts_once(ports: ScriptedPorts) -> None:
--- a/tests/core/test_router_requests.py
+++ b/tests/core/test_router_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end early or are repeated, at the router itself."""
+"""Requests that expire early or are repeated with the same key, passed to the router."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from thornjunction import interface as api
 
 
-def test_an_expired_request_is_answered_by_what_is_known() -> None:
+def test_an_expired_request_fails_if_a_retry_would_be_unsafe() -> None:
     driver = RouterDriver(may_bypass_caches=True)
     film = attempt_of(driver.request())
     order = attempt_of(driver.request(class_name="order"))
@@ -27,7 +27,7 @@
     assert ports.events[-1] == api.RequestExpired(str(number))
 
 
-def test_what_may_have_run_is_known_to_the_next_request_with_its_key() -> None:
+def test_a_retry_fails_if_an_earlier_attempt_with_its_key_may_have_run() -> None:
     driver = RouterDriver(may_bypass_caches=True)
     first = attempt_of(driver.request(class_name="keyed", idempotency_key="k"))
     driver.end_attempt(first, api.AttemptStatus.TIMEOUT)
--- a/tests/memory/test_deadlines.py
+++ b/tests/memory/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The queue of deadlines: order, cancellation and bound."""
+"""The queue of deadlines: its order, cancellation and capacity."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 def test_due_deadlines_run_in_order_unless_cancelled() -> None:
-    ran: list[str] = []
+    executed: list[str] = []
     deadlines = Deadlines(capacity=300)
-    cancelled = deadlines.add(5.0, lambda: ran.append("cancelled"))
+    cancelled = deadlines.add(5.0, lambda: executed.append("cancelled"))
 
-    def run_first() -> None:
-        ran.append("first")
+    def cancel_other() -> None:
+        executed.append("first")
         deadlines.cancel(cancelled)
 
-    deadlines.add(2.0, run_first)
-    deadlines.add(5.0, lambda: ran.append("last"))
+    deadlines.add(2.0, cancel_other)
+    deadlines.add(5.0, lambda: executed.append("last"))
     deadlines.run_due(1.0)
-    assert ran == []
+    assert executed == []
     deadlines.run_due(9.0)
-    assert ran == ["first", "last"]
+    assert executed == ["first", "last"]
     assert len(deadlines) == 0
 
 
-def test_cancelled_deadlines_take_no_room() -> None:
+def test_cancelled_deadlines_do_not_count_towards_the_capacity() -> None:
     deadlines = Deadlines(capacity=300)
     for _ in range(1000):
         deadlines.cancel(deadlines.add(7.0, do_nothing))
@@ -39,7 +39,7 @@
     assert deadlines.next_due() == math.inf
 
 
-def test_the_queue_is_bounded() -> None:
+def test_a_full_queue_accepts_no_deadline() -> None:
     deadlines = Deadlines(capacity=300)
     for _ in range(300):
         deadlines.add(1.0, do_nothing)
--- a/tests/memory/test_slots.py
+++ b/tests/memory/test_slots.py
@@ -1,4 +1,4 @@
-"""Tables of bounded size whose numbers are never used for two entries."""
+"""Tables of bounded size that never use a number for two entries."""
 
 from __future__ import annotations
 
--- a/tests/signing/test_key_sets.py
+++ b/tests/signing/test_key_sets.py
@@ -1,4 +1,4 @@
-"""Keys that change in service: the key set file at start, at SIGHUP and on the timer."""
+"""Settings of the signed front's keys, and reloads of its key set file."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
 
 
 @dataclass(slots=True)
-class Front:
-    """What the reloader knows of the front."""
+class FakeFront:
+    """The part of a signed front that the reloader uses."""
 
     trust: tokens.Trust
 
 
-def key(kid: str, secret: str) -> dict[str, str]:
-    """A key of an HMAC secret, as JSON Web Key."""
-    return {"kid": kid, "alg": "HS256", **OctKey.import_key(secret * 40).as_dict()}
+def hmac_jwk(kid: str, secret_letter: str) -> dict[str, str]:
+    """Return the JSON Web Key of the HMAC secret that repeats a letter 40 times."""
+    return {"kid": kid, "alg": "HS256", **OctKey.import_key(secret_letter * 40).as_dict()}
 
 
-KEY_A = key("a", "x")
-KEY_B = key("b", "y")
+KEY_A = hmac_jwk("a", "x")
+KEY_B = hmac_jwk("b", "y")
 
 
 def write_keys(folder: Path, *keys: dict[str, str]) -> None:
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 def settings(tmp_path: Path) -> SignedFrontSettings:
-    """Settings of a front whose key set has key ``a``."""
+    """Return the settings of a front whose key set has only key ``a``."""
     write_keys(tmp_path, KEY_A)
     (tmp_path / "extras.toml").write_text(EXTRAS)
     signed = load_extras(tmp_path / "extras.toml").signed
@@ -71,13 +71,13 @@
 
 
 @pytest.fixture
-def front(settings: SignedFrontSettings) -> Front:
-    return Front(settings.trust)
+def front(settings: SignedFrontSettings) -> FakeFront:
+    return FakeFront(settings.trust)
 
 
 @pytest.fixture
-def reloader(settings: SignedFrontSettings, front: Front) -> KeySetReloader:
-    """A reloader that has read the key set of key ``a``."""
+def reloader(settings: SignedFrontSettings, front: FakeFront) -> KeySetReloader:
+    """Return a reloader that has read the key set with key ``a``."""
     assert settings.keyset is not None
     reloader = KeySetReloader(front, settings.keyset)
     reloader.reload()
@@ -85,17 +85,17 @@
 
 
 def token_of_key_b() -> str:
-    """A token for ``URI`` that is signed with key ``b``."""
+    """Return a token for ``URI`` that is signed with key ``b``."""
     signing_key = tokens.SigningKey("b", "HS256", OctKey.import_key("y" * 40))
     trust = tokens.Trust(TRUST.issuers, "tj", ("HS256",), {"b": signing_key}, "b")
     return tokens.issue(trust, "hash:" + tokens.uri_hash(URI), NOW_S, 60)
 
 
-def test_without_the_operators_file_there_is_no_signed_front(tmp_path: Path) -> None:
+def test_without_the_extras_file_there_is_no_signed_front(tmp_path: Path) -> None:
     assert load_extras(tmp_path / "none.toml").signed is None
 
 
-def test_keys_may_stand_in_a_file_each(tmp_path: Path) -> None:
+def test_each_key_may_be_in_a_file_of_its_own(tmp_path: Path) -> None:
     (tmp_path / "a.json").write_text(json.dumps(KEY_A))
     extras = EXTRAS.replace(
         'keyset = "keys.json"', 'keys = [{kid = "a", algorithm = "HS256", file = "a.json"}]'
@@ -114,7 +114,7 @@
 
 
 def test_a_new_key_is_accepted_from_the_next_reload(
-    tmp_path: Path, front: Front, reloader: KeySetReloader
+    tmp_path: Path, front: FakeFront, reloader: KeySetReloader
 ) -> None:
     token = token_of_key_b()
     replays = ReplayWindow()
@@ -127,7 +127,7 @@
 
 
 def test_a_faulty_file_changes_nothing_and_is_logged_without_a_secret(
-    tmp_path: Path, front: Front, reloader: KeySetReloader, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, front: FakeFront, reloader: KeySetReloader, caplog: pytest.LogCaptureFixture
 ) -> None:
     write_keys(tmp_path, KEY_A, KEY_B)
     reloader.reload()
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "fault"),
+    ("line", "message"),
     [
         ("keys_every_s = 0.5", "signed.keys_every_s"),
         ("replay_cap_mb = 0", "signed.replay_cap_mb"),
@@ -159,11 +159,11 @@
         ('gossip = { listen = "127.0.0.1:1", peers = [], secret_file = "keys.json" }', "signed.gossip"),
     ],
 )
-def test_faulty_settings_of_the_keys_are_named(tmp_path: Path, line: str, fault: str) -> None:
+def test_errors_name_the_faulty_setting(tmp_path: Path, line: str, message: str) -> None:
     write_keys(tmp_path, KEY_A)
     name = line.partition(" ")[0]
     other_lines = [other for other in EXTRAS.splitlines() if not other.startswith(name + " ")]
     extras = "\n".join(other_lines).replace("[signed.retire]", line + "\n[signed.retire]")
     (tmp_path / "extras.toml").write_text(extras)
-    with pytest.raises(ConfigError, match=fault):
+    with pytest.raises(ConfigError, match=message):
         load_extras(tmp_path / "extras.toml")
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter on hand-written wire text."""
+"""The simulator's adapter with hand-written messages as input."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     "zones": ["hub", "z1"],
     "later": {"unknown": "keys"},
 }
-LIST = """PAGE slot=0 items=3
+SERVER_LIST = """PAGE slot=0 items=3
 ENTRY cache=c1 dc=z1 model=box stripe=0 status=SERVING weight=4
 ENTRY cache=p1 dc=hub model=upper stripe=0 status=SERVING weight=9 bootTimeMs=12.5
 ENTRY cache=o1 dc=hub model=root stripe=0 status=SERVING weight=9
@@ -44,31 +44,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Transcript:
-    """What the adapter wrote: lines of replies, and warnings as one text."""
+    """The adapter's output: the reply lines, and all warnings as one text."""
 
     replies: list[str]
     warnings: str
 
 
 def begin(params: dict[str, Any] = PARAMS) -> str:
-    """Messages that start instance 3 and give it the list of servers."""
+    """Return the messages that start instance 3 and send it the list of servers."""
     members = "MEMBERS who=3 index=1 kind=C slot=0\n"
-    return f"BEGIN who=3 randomSeed=5 params={json.dumps(params)}\n{LIST}{members}"
+    return f"BEGIN who=3 randomSeed=5 params={json.dumps(params)}\n{SERVER_LIST}{members}"
 
 
 def batch(messages: str, turn: int = 1, now_ms: float = 100.0) -> str:
-    """The lines of one turn."""
+    """Return the lines of one batch."""
     return f"CLOCK nowMs={now_ms} turn={turn}\n{messages}GO\n"
 
 
 def verdict(status: str, **fields: object) -> str:
-    """The outcome of the first attempt of request ``aa``."""
-    more = "".join(f" {name}={value}" for name, value in fields.items())
-    return f"VERDICT who=3 requestId=aa status={status} roundNo=0 cache=c1{more}\n"
+    """Return the message for the end of the first attempt of request ``aa``."""
+    more_fields = "".join(f" {name}={value}" for name, value in fields.items())
+    return f"VERDICT who=3 requestId=aa status={status} roundNo=0 cache=c1{more_fields}\n"
 
 
 def run(text: str) -> Transcript:
-    """Run a session on this input."""
+    """Run a session with this input and return its output."""
     output = io.StringIO()
     warnings = io.StringIO()
     adapter.Session(output, warnings).run(io.StringIO(text))
@@ -79,7 +79,7 @@
     assert run("CLOCK nowMs=8412.25 turn=1\nGO\n") == Transcript(["OK turn=1"], warnings="")
 
 
-def test_a_request_is_sent_with_all_terms() -> None:
+def test_the_reply_to_a_request_has_all_fields() -> None:
     transcript = run(batch(begin()) + batch(REQUEST, turn=2, now_ms=150.0))
     (attempt,) = [line for line in transcript.replies if line.startswith("OBTAIN")]
     fields = dict(part.split("=") for part in attempt.split(" ")[1:])
@@ -95,7 +95,7 @@
     assert transcript.warnings == ""
 
 
-def test_outcomes_reach_the_router() -> None:
+def test_ends_of_attempts_are_passed_to_the_router() -> None:
     request = batch(begin()) + batch(REQUEST, turn=2)
     served = verdict("done", waitTimeMs=18.5, detail=2, sourceWaitMs=9.4, terminal=1, report="0.5,0.9")
     assert run(request + batch(served, turn=3)).replies[-2:] == ["OK turn=2", "OK turn=3"]
@@ -103,22 +103,22 @@
     assert run(request + batch(failed, turn=3)).replies[-2].startswith("OBTAIN")
 
 
-def test_unsafe_writes_fail_after_an_error() -> None:
+def test_a_write_that_is_not_idempotent_fails_after_an_error() -> None:
     write = REQUEST.replace("kind=files", "kind=writes")
-    error = verdict("econnreset", waitTimeMs=5)
-    transcript = run(batch(begin()) + batch(write, turn=2) + batch(error, turn=3))
+    connection_reset = verdict("econnreset", waitTimeMs=5)
+    transcript = run(batch(begin()) + batch(write, turn=2) + batch(connection_reset, turn=3))
     assert transcript.replies[-2] == "RESPOND_ERROR who=3 requestId=aa"
 
 
-def test_a_stopped_instance_is_silent() -> None:
+def test_messages_for_a_stopped_instance_get_a_warning_and_no_reply() -> None:
     transcript = run(batch(begin()) + batch("KILL who=3\n" + REQUEST, turn=2) + batch(begin(), turn=3))
     assert "OBTAIN" not in "".join(transcript.replies)
     assert "not running" in transcript.warnings
 
 
 def test_a_restarted_instance_has_no_earlier_requests() -> None:
-    late = verdict("done", waitTimeMs=5, terminal=1)
-    restart = "KILL who=3\n" + begin() + late
+    late_verdict = verdict("done", waitTimeMs=5, terminal=1)
+    restart = "KILL who=3\n" + begin() + late_verdict
     replies = run(batch(begin()) + batch(REQUEST, turn=2) + batch(restart, turn=3)).replies
     after_restart = replies[replies.index("OK turn=2") :]
     assert not [line for line in after_restart if "requestId" in line]
@@ -143,7 +143,7 @@
         "REQ who=3 requestId=aa\n",
     ],
 )
-def test_a_malformed_line_ends_the_run(text: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_malformed_input_ends_the_run(text: str, monkeypatch: pytest.MonkeyPatch) -> None:
     errors = io.StringIO()
     monkeypatch.setattr(sys, "stdin", io.StringIO(text))
     monkeypatch.setattr(sys, "stdout", io.StringIO())
@@ -162,7 +162,7 @@
         (None, "zones", 3),
     ],
 )
-def test_missing_or_impossible_settings_are_named(section: str | None, name: str, value: object) -> None:
+def test_errors_name_missing_or_invalid_settings(section: str | None, name: str, value: object) -> None:
     params = copy.deepcopy(PARAMS)
     settings = params if section is None else params[section]
     settings[name] = value
--- a/thornjunction/adapter/session.py
+++ b/thornjunction/adapter/session.py
@@ -119,7 +119,7 @@
             return []
         try:
             return [encode_action(instance_id, action) for action in instance.router.handle(now_ms, event)]
-        except Exception as error:  # the simulation ends at the wire's message for this
+        except Exception as error:  # reported by FATAL, at which the simulation ends
             return [f"FATAL who={instance_id} bodyText={type(error).__name__}: {error}".replace("\n", " ")]
 
     def _event(self, instance: Instance, message: Message) -> api.Event | None:
--- a/thornjunction/core/attempts.py
+++ b/thornjunction/core/attempts.py
@@ -2,12 +2,12 @@
 
 ::
 
-    AWAITED  --- its request is answered, or its client leaves ---> UNNEEDED
-    AWAITED  --- its end is reported, or it is stopped -----------> ENDED
-    UNNEEDED --- its end is reported, or it is stopped -----------> ENDED
+    AWAITED  --- its request is answered or abandoned -------------> UNNEEDED
+    AWAITED  --- its end is reported, or it is stopped ------------> ENDED
+    UNNEEDED --- its end is reported, or it is stopped ------------> ENDED
 
-An attempt has begun when it was written to a connection.  One that is stopped before ends NOT_STARTED; one
-that may have begun ends TIMEOUT or CANCELLED.
+An attempt begins when it is written to a connection.  One that is stopped earlier ends NOT_STARTED; one that
+may have begun ends TIMEOUT or CANCELLED.
 """
 
 from __future__ import annotations
--- a/thornjunction/settings.py
+++ b/thornjunction/settings.py
@@ -190,7 +190,7 @@
 
 
 def _with_specifics(settings: api.Settings, specifics: SettingsReader, zones: list[str]) -> api.Settings:
-    """Add the settings in ``specifics``, whose lists have a value for each zone."""
+    """Return the settings with those in ``specifics``, whose lists have a value for each zone."""
 
     def by_zone(name: str) -> dict[str, float]:
         return dict(zip(zones, specifics.numbers(name), strict=False))
--- a/thornjunction/signing/keyset.py
+++ b/thornjunction/signing/keyset.py
@@ -105,7 +105,7 @@
         raise KeySetError(member, ": not an object")
     kid = entry.get("kid")
     if not isinstance(kid, str) or not 0 < len(kid) <= MAX_KID_CHARACTERS:
-        raise KeySetError(member, ".kid: missing")
+        raise KeySetError(member, ".kid: missing, empty or too long")
     algorithm = entry.get("alg")
     if algorithm not in allowed or algorithm not in KEY_TYPES:
         raise KeySetError(member, f".alg: not among {', '.join(allowed)}")
--- a/thornjunction/signing/replay.py
+++ b/thornjunction/signing/replay.py
@@ -112,7 +112,7 @@
         self.horizon_s = horizon_s
         self._expiry_s: dict[bytes, float] = {}  # by key
         self._slots: dict[int, list[bytes]] = {}  # keys by number of the slot in which they expire
-        self._last_removed_slot = -1  # number; all earlier slots are removed too
+        self._last_removed_slot = -1  # number of the last slot that was removed, as all before it were
 
     def __len__(self) -> int:
         return len(self._expiry_s)
@@ -148,18 +148,18 @@
 
     def _remove_expired(self, now_s: float) -> None:
         """Remove each slot before that of ``now_s``, all of whose tokens have expired."""
-        last = self._slot_number(now_s) - 1
-        if last <= self._last_removed_slot:
+        last_expired_slot = self._slot_number(now_s) - 1
+        if last_expired_slot <= self._last_removed_slot:
             return
-        for number in [number for number in self._slots if number <= last]:
+        for number in [number for number in self._slots if number <= last_expired_slot]:
             for key in self._slots.pop(number):
                 # A key that was accepted again after its expiry is in two slots; the later one counts.
                 expires_s = self._expiry_s.get(key)
                 if expires_s is not None and self._slot_number(expires_s) == number:
                     del self._expiry_s[key]
-        self._last_removed_slot = last
+        self._last_removed_slot = last_expired_slot
 
     def _seconds_until_capacity(self, now_s: float) -> float:
         """Return the seconds until the oldest slot is removed and its capacity is free."""
-        oldest = min(self._slots, default=self._slot_number(now_s))
-        return max((oldest + 1) * self.slot_s - now_s, 0.0) + self.slot_s
+        oldest_slot = min(self._slots, default=self._slot_number(now_s))
+        return max((oldest_slot + 1) * self.slot_s - now_s, 0.0) + self.slot_s
