--- a/thornjunction/adapter/errors.py
+++ b/thornjunction/adapter/errors.py
@@ -47,7 +47,7 @@
     """A batch ends before its list of servers is complete."""
 
     def __init__(self, missing_entries: int) -> None:
-        super().__init__(f"batch ended, list of servers lacks {missing_entries} entries")
+        super().__init__(f"batch ended while a list of servers lacks {missing_entries} entries")
 
 
 class UnknownListError(WireError):
