--- a/tests/conformance/test_http.py
+++ b/tests/conformance/test_http.py
@@ -57,7 +57,7 @@
 def test_limits(section: str, data: bytes, error_code: str, status: int) -> None:
     with pytest.raises(ProtocolError, match=error_code):
         http1.RequestReader(65_536).feed(data)
-    assert http1.STATUS_OF.get(error_code, 400) == status, f"RFC 9110 §{section}"
+    assert http1.STATUS_BY_ERROR_CODE.get(error_code, 400) == status, f"RFC 9110 §{section}"
 
 
 def test_head_is_answered_with_the_length_and_without_the_body() -> None:
--- a/tests/net/discovery/test_address_change.py
+++ b/tests/net/discovery/test_address_change.py
@@ -35,9 +35,9 @@
         self.discovery.script = [respond(FIRST_EVENT_ANSWER), hold_poll]
         self.watch_client.start()
         yield self.environment.wait_for_polls(2)
-        self.watch_client.move(self.discovery.address)
+        self.watch_client.change_address(self.discovery.address)
         assert self.watch_client.connection.end_reason == ""  # the same address changes nothing
-        self.watch_client.move(other.address)
+        self.watch_client.change_address(other.address)
         old_connection = self.discovery.connections[0]
         old_connection.transport.write(FIRST_EVENT_ANSWER)  # too late
         yield self.environment.wait_for_disconnect(RETRY_MS)
@@ -54,7 +54,7 @@
         self.watch_client.start()
         yield self.environment.wait_for_polls(2)
         for other in (*others, *others[:2], others[2]):
-            self.watch_client.move(other.address)
+            self.watch_client.change_address(other.address)
         yield self.environment.wait_for_disconnect(RETRY_MS)
         yield wait_until(lambda: len(others[2].polls) == 2)
         assert [other.polls for other in others] == [[], [], [(1, 1200), (2, 1200)]]
@@ -68,7 +68,7 @@
         self.watch_client.start()
         yield wait_until(lambda: self.watch_client.cursor)
         cursor = self.watch_client.cursor
-        self.watch_client.move(other.address)
+        self.watch_client.change_address(other.address)
         yield self.environment.wait_for_disconnect(RETRY_MS)
         yield self.environment.wait_until_due(lambda: len(other.polls) == 2)
         assert 0 < cursor < EVENT_COUNT
@@ -85,7 +85,7 @@
             client.start()
             self.environment.advance(300.0)
             assert client.is_connecting
-            client.move(self.discovery.address)
+            client.change_address(self.discovery.address)
             self.environment.advance(RETRY_MS)
             yield self.environment.wait_for_polls(1)
             listener.accept()[0].close()
--- a/tests/net/discovery/test_multi_source_watch.py
+++ b/tests/net/discovery/test_multi_source_watch.py
@@ -149,7 +149,7 @@
         environment = yield self.start("A", "B")
         first, second = environment.sources
         watch = environment.watch
-        watch.move(("127.0.0.1", 9))  # the configuration's own address is not used
+        watch.change_address(("127.0.0.1", 9))  # the configuration's own address is not used
         assert watch.address == first.address
         first.age_ms = 300
         environment.advance(500.0)
--- a/tests/net/discovery/test_watch_client.py
+++ b/tests/net/discovery/test_watch_client.py
@@ -80,19 +80,19 @@
         self.discovery.script = [respond(encode_answer({"cursor": 9, "cmds": []}))] * 9
         client.start()
         for polls, pause_ms in enumerate((50.0, 100.0, 200.0, 400.0, 400.0), 2):
-            yield wait_until(lambda polls=polls: self.fruitless_polls() == polls - 1)
+            yield wait_until(lambda polls=polls: self.unproductive_polls() == polls - 1)
             environment.advance(pause_ms - 1.0)
             assert len(self.discovery.polls) == polls
             environment.advance(1.0)
-        yield wait_until(lambda: self.fruitless_polls() == 6)
+        yield wait_until(lambda: self.unproductive_polls() == 6)
         self.discovery.connections[0].transport.write(FIRST_EVENT_ANSWER)  # no poll is open
         yield environment.wait_for_disconnect(0.0)
         assert set(self.resume_positions()) == {0}
         assert environment.received_events == []
 
-    def fruitless_polls(self) -> int:
+    def unproductive_polls(self) -> int:
         connection = self.environment.watch_client.connection
-        return 0 if connection is None else connection.fruitless_polls
+        return 0 if connection is None else connection.unproductive_polls
 
     @inlineCallbacks
     def test_a_long_outage_of_discovery_costs_few_attempts_log_lines_and_descriptors(self) -> Steps[None]:
--- a/thornjunction/net/discovery/event_feed.py
+++ b/thornjunction/net/discovery/event_feed.py
@@ -60,7 +60,7 @@
         self.apply(known)
         self.cursor = max(self.cursor, known.cursor)
 
-    def forget_stale_responses(self) -> None:
+    def reset_stale_responses(self) -> None:
         """Count stale responses anew, because another address is polled."""
         self._epoch_change = EpochChangeDetector()
 
--- a/thornjunction/net/discovery/multi_source_watch.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -89,7 +89,7 @@
         self._source_failures = 0  # in a row, for the log
 
     @property
-    def is_unverified(self) -> bool:
+    def needs_immediate_response(self) -> bool:
         """Each first poll of a connection asks for an immediate response."""
         return True
 
@@ -112,7 +112,7 @@
             return
         self._connect_to_selected()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Report that the configuration's own address is not used."""
         log.info(LogEvent.CHANNEL_IGNORED, channel=f"{address[0]}:{address[1]}", cause="[control]")
 
@@ -147,7 +147,7 @@
         Raises:
             ProtocolError: ``epoch-late``, a long response has named its epoch after its events.
         """
-        self.retries.silences = 0
+        self.retries.response_timeouts = 0
         self._source_failures = 0
         status = self.feed.apply_response(commands)
         follower = self.feed.follower
@@ -213,7 +213,7 @@
         self._selected = None
         self._departure_notices.begin(source)
         if self.connection is not None:
-            self.connection.leave(DisconnectReason.MOVED)
+            self.connection.close_gracefully(DisconnectReason.MOVED)
         else:
             self.cancel_connecting()
 
--- a/thornjunction/net/discovery/retry_policy.py
+++ b/thornjunction/net/discovery/retry_policy.py
@@ -32,14 +32,14 @@
     Attributes:
         failures: connections that failed, or ended soon after a response.
         connect_timeouts: attempts to connect that timed out.
-        silences: polls without a response in time.
+        response_timeouts: polls without a response in time.
         discarded_responses: long responses that were read without a new event.
     """
 
     def __init__(self) -> None:
         self.failures = 0
         self.connect_timeouts = 0
-        self.silences = 0
+        self.response_timeouts = 0
         self.discarded_responses = 0
 
     def reset_for_address(self) -> None:
@@ -54,7 +54,7 @@
 
     def response_grace_ms(self, initial_ms: float) -> float:
         """How much later than asked a response may come; the grace doubles with each silence."""
-        return exponential_backoff(initial_ms, self.silences, MAX_RESPONSE_GRACE_MS)
+        return exponential_backoff(initial_ms, self.response_timeouts, MAX_RESPONSE_GRACE_MS)
 
     def record_response_end(self, discarded_bytes: int, is_useful: bool) -> None:
         """Count the end of a response, complete or not.
--- a/thornjunction/net/discovery/watch.py
+++ b/thornjunction/net/discovery/watch.py
@@ -91,7 +91,7 @@
         """Begin to poll, where nothing is polled."""
 
     @abstractmethod
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Take the configuration's new address for the watch."""
 
     @abstractmethod
@@ -108,7 +108,7 @@
 
     @property
     @abstractmethod
-    def is_unverified(self) -> bool:
+    def needs_immediate_response(self) -> bool:
         """Whether the first poll of a connection asks for an immediate response."""
 
     @property
@@ -162,9 +162,9 @@
         """Count the end of a response, complete or not."""
         self.retries.record_response_end(discarded_bytes, is_useful)
 
-    def handle_silence(self) -> None:
+    def handle_response_timeout(self) -> None:
         """The response, or its next part, did not come in time."""
-        self.retries.silences += 1
+        self.retries.response_timeouts += 1
 
     def handle_connected(self, connection: WatchConnection) -> None:
         """The connection is up."""
--- a/thornjunction/net/discovery/watch_client.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -38,7 +38,7 @@
         return self.feed.cursor
 
     @property
-    def is_unverified(self) -> bool:
+    def needs_immediate_response(self) -> bool:
         """Whether the first poll of a connection asks for an immediate response."""
         return self.retries.failures > 0 or not self.is_synchronized
 
@@ -51,7 +51,7 @@
         """Connect; an attempt that fails is repeated after a delay."""
         self._connect()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Go on at another address, from the last event that was passed on.
 
         The end of the old connection, or of the attempt to make it, starts the new one; what it had begun to
@@ -61,10 +61,10 @@
             return
         self.address = address
         self.retries.reset_for_address()
-        self.retries.silences = 0
-        self.feed.forget_stale_responses()
+        self.retries.response_timeouts = 0
+        self.feed.reset_stale_responses()
         if self.connection is not None:
-            self.connection.leave(DisconnectReason.MOVED)
+            self.connection.close_gracefully(DisconnectReason.MOVED)
         else:
             self.cancel_connecting()
 
@@ -85,7 +85,7 @@
 
     def handle_response(self, commands: Commands, is_stable: bool) -> None:
         """Apply a complete response; of a long one, the events have been applied."""
-        self.retries.silences = 0
+        self.retries.response_timeouts = 0
         if is_stable:
             self.retries.failures = 0
         self.feed.apply_response(commands)
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -38,7 +38,7 @@
     """What a connection asks of the watch that owns it, and reports to it."""
 
     @property
-    def is_unverified(self) -> bool:
+    def needs_immediate_response(self) -> bool:
         """Whether the first poll of a connection asks for an immediate response."""
 
     @property
@@ -60,7 +60,7 @@
     def handle_response_awaited(self) -> None:
         """A poll was sent, or a part of its response has come; the response timeout begins anew."""
 
-    def handle_silence(self) -> None:
+    def handle_response_timeout(self) -> None:
         """The response, or its next part, did not come in time."""
 
     def handle_response(self, commands: Commands, is_stable: bool) -> None:
@@ -89,7 +89,7 @@
         state: what it is doing.
         end_reason: why this side closed it; empty: it has not.
         polls: polls that were answered.
-        fruitless_polls: polls in a row that the source answered early and without a new event.
+        unproductive_polls: polls in a row that the source answered early and without a new event.
         resynchronization: the long response that is being read.
     """
 
@@ -101,7 +101,7 @@
         self.state = ConnectionState.PAUSED
         self.end_reason = ""
         self.polls = 0
-        self.fruitless_polls = 0
+        self.unproductive_polls = 0
         self.resynchronization: Resynchronization | None = None
         self._owner = owner
         self._clock = context.clock
@@ -139,7 +139,7 @@
         self._begin_closing(reason)
         self.transport.abortConnection()
 
-    def leave(self, reason: str) -> None:
+    def close_gracefully(self, reason: str) -> None:
         """Close the connection in order: the source works, and is polled no longer."""
         if self.state is ConnectionState.CLOSING:
             return
@@ -168,7 +168,7 @@
         if self.state is ConnectionState.CLOSING:
             return
         self.state = ConnectionState.POLLING
-        is_immediate = self.polls == 0 and self._owner.is_unverified
+        is_immediate = self.polls == 0 and self._owner.needs_immediate_response
         self._block_ms = IMMEDIATE_BLOCK_MS if is_immediate else self.timings.block_ms
         self._poll_sent_ms = self._clock()
         self.transport.write(self._owner.encode_poll(self._block_ms))
@@ -188,7 +188,7 @@
         if self.resynchronization is not None and self._clock() >= self.resynchronization.deadline_ms:
             self.close(DisconnectReason.RESPONSE_TOO_LONG)
             return
-        self._owner.handle_silence()
+        self._owner.handle_response_timeout()
         self.close(DisconnectReason.SILENT)
 
     # Responses
@@ -231,18 +231,18 @@
         """Poll at once after a new event or a poll that was held, else after a pause."""
         held_ms = now_ms - self._poll_sent_ms
         is_early = resynchronization is not None or held_ms < self._block_ms - self.timings.block_ms / 2
-        is_fruitless = self._owner.has_no_progress and is_early
+        is_unproductive = self._owner.has_no_progress and is_early
         discarded_bytes = 0
-        if is_fruitless and resynchronization is not None:
+        if is_unproductive and resynchronization is not None:
             discarded_bytes = resynchronization.discarded_bytes
-        self._owner.record_response_end(discarded_bytes, is_useful=not is_fruitless)
-        if not is_fruitless:
-            self.fruitless_polls = 0
+        self._owner.record_response_end(discarded_bytes, is_useful=not is_unproductive)
+        if not is_unproductive:
+            self.unproductive_polls = 0
             self._poll()
             return
         # Guards the core against a source that has no event to tell and does not hold the poll.
-        self.fruitless_polls += 1
-        delay_ms = self._owner.retry_delay_ms(self.fruitless_polls)
+        self.unproductive_polls += 1
+        delay_ms = self._owner.retry_delay_ms(self.unproductive_polls)
         self._timer = self._deadlines.add(now_ms + delay_ms, self._poll)
 
     # Long responses
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -172,7 +172,7 @@
                 data = b""
         except ProtocolError as error:
             code = str(error)
-            status = http1.STATUS_OF.get(code, BAD_REQUEST)
+            status = http1.STATUS_BY_ERROR_CODE.get(code, BAD_REQUEST)
             self._end_after_responses(http1.HttpResponse(status, {}, b"", False), code)
             return
         if len(self._queued) > MAX_QUEUED_REQUESTS:
--- a/thornjunction/net/relay/poller_connection.py
+++ b/thornjunction/net/relay/poller_connection.py
@@ -84,7 +84,7 @@
         number: the connection's number in the table; None: it has none, or has left.
         state: what it is doing.
         poll: the poll that awaits its response.
-        since_ms: when it last polled, was answered, or had read its response.
+        last_activity_ms: when it last polled, was answered, or had read its response.
         end_reason: why this side closes it; empty: it does not.
     """
 
@@ -94,7 +94,7 @@
         self.number: int | None = None
         self.state = PollerState.AWAITING_POLL
         self.poll: Poll | None = None
-        self.since_ms = owner.clock()
+        self.last_activity_ms = owner.clock()
         self.end_reason = ""
         self._owner = owner
         self._reader = http1.RequestReader(0)
@@ -121,7 +121,7 @@
         try:
             request = self._reader.next(data)
         except ProtocolError as error:
-            self._reject(http1.STATUS_OF.get(str(error), HTTPStatus.BAD_REQUEST), str(error))
+            self._reject(http1.STATUS_BY_ERROR_CODE.get(str(error), HTTPStatus.BAD_REQUEST), str(error))
             return
         if request is not None:
             self._handle_request(request)
@@ -138,17 +138,17 @@
         self.poll = None
         self._send(http1.HttpResponse(status, JSON_HEADERS, body, is_keep_alive))
         if not is_keep_alive:
-            self.leave(DisconnectReason.ANSWERED if is_ok else f"status-{int(status)}")
+            self.close_gracefully(DisconnectReason.ANSWERED if is_ok else f"status-{int(status)}")
 
     def check_timeouts(self, now_ms: float) -> None:
         """Close the connection where it polls or reads nothing for too long."""
-        idle_ms = now_ms - self.since_ms
+        idle_ms = now_ms - self.last_activity_ms
         if self.state is PollerState.SENDING and idle_ms > READ_TIMEOUT_MS:
             self.close(DisconnectReason.RESPONSE_UNREAD)
         elif self.state is not PollerState.AWAITING_RESPONSE and idle_ms > POLL_TIMEOUT_MS:
             self.close(DisconnectReason.SILENT)
 
-    def leave(self, reason: str) -> None:
+    def close_gracefully(self, reason: str) -> None:
         """Close the connection in order, once all bytes have been sent."""
         if not self.end_reason:
             self.end_reason = reason
@@ -177,7 +177,7 @@
         self._head = b""
         self._body = b""
         self.state = PollerState.AWAITING_POLL
-        self.since_ms = self._owner.clock()
+        self.last_activity_ms = self._owner.clock()
         self.transport.unregisterProducer()
         self._owner.budget.reserve(self.close, 0)
 
@@ -205,21 +205,21 @@
             poll = poll.without_waiting()
         self.poll = poll
         self.state = PollerState.AWAITING_RESPONSE
-        self.since_ms = self._owner.clock()
+        self.last_activity_ms = self._owner.clock()
         self._is_keep_alive = is_keep_alive
         assert self.number is not None
         self._owner.handle_poll(self.number, poll)
 
     def _reject(self, status: int, reason: str) -> None:
         self._send(http1.HttpResponse(status, {}, b"", False))
-        self.leave(reason)
+        self.close_gracefully(reason)
 
     def _send(self, response: http1.HttpResponse) -> None:
         self.state = PollerState.SENDING
-        self.since_ms = self._owner.clock()
+        self.last_activity_ms = self._owner.clock()
         self._body = response.body
         self._written_bytes = 0
-        self._head = http1.encode_response(replace(response, head=True))
+        self._head = http1.encode_response(replace(response, omits_body=True))
         self._owner.budget.reserve(self.close, len(self._head) + len(self._body))
         if not self.end_reason:  # the budget may have evicted this connection
             self.transport.registerProducer(self, False)
--- a/thornjunction/net/relay/poller_table.py
+++ b/thornjunction/net/relay/poller_table.py
@@ -99,7 +99,7 @@
         self.is_draining = True
         for number, connection in list(self.connections.items()):
             if connection.poll is None:
-                connection.leave(DisconnectReason.RELAY_ENDING)
+                connection.close_gracefully(DisconnectReason.RELAY_ENDING)
             else:
                 self._handle_poll(number, connection.poll.without_waiting())
 
@@ -139,4 +139,4 @@
 
 def _eviction_order(connection: PollerConnection) -> tuple[bool, float]:
     """Connections without a poll first, the longest idle of them before all."""
-    return connection.state is PollerState.AWAITING_RESPONSE, connection.since_ms
+    return connection.state is PollerState.AWAITING_RESPONSE, connection.last_activity_ms
--- a/thornjunction/net/wire/http1/encoder.py
+++ b/thornjunction/net/wire/http1/encoder.py
@@ -17,7 +17,7 @@
     if not response.keep_alive:
         lines.append("Connection: close")
     head = "\r\n".join([*lines, "", ""]).encode("latin-1")
-    return head if response.head else head + response.body
+    return head if response.omits_body else head + response.body
 
 
 def encode_get(target: str, host: str) -> bytes:
--- a/thornjunction/net/wire/http1/messages.py
+++ b/thornjunction/net/wire/http1/messages.py
@@ -25,7 +25,7 @@
 }
 
 # Status for a request that cannot be read, by the error's code; 400 for others (RFC 9110 §15.5).
-STATUS_OF = {"http-head-size": 431, "http-headers": 431, "http-body-size": 413}
+STATUS_BY_ERROR_CODE = {"http-head-size": 431, "http-headers": 431, "http-body-size": 413}
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +56,11 @@
         headers: values by name; of a response that was read, in lower case.
         body: its content.
         keep_alive: whether the connection stays open after it.
-        head: whether it answers HEAD: the body's length is sent, the body is not.
+        omits_body: whether it answers HEAD; the length of the body is sent, the body is not.
     """
 
     status: int
     headers: Mapping[str, str]
     body: bytes
     keep_alive: bool
-    head: bool = False
+    omits_body: bool = False
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -210,7 +210,7 @@
     if part.content_range:
         headers["Content-Range"] = part.content_range
     body = content.body[part.start : part.end]
-    return HttpResponse(part.status, headers, body, request.keep_alive, head=request.method == "HEAD")
+    return HttpResponse(part.status, headers, body, request.keep_alive, omits_body=request.method == "HEAD")
 
 
 def encode_unavailable(retry_after_s: float, keep_alive: bool) -> HttpResponse:
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -187,7 +187,7 @@
         reloaded = self._reloader.reload(self.config)
         if reloaded is None:
             return
-        self.channel.move(reloaded.discovery)
+        self.channel.change_address(reloaded.discovery)
         self.config = replace_settings(self.config, reloaded)
         self.engine.feed(reloaded.settings)
 
