--- a/thornjunction/net/discovery/__init__.py
+++ b/thornjunction/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Following discovery: polls, resynchronization, epoch changes and the choice of a source."""
+"""Client side of discovery: polls, resynchronization, epoch changes and the choice of a source."""
--- a/thornjunction/net/discovery/connection_state.py
+++ b/thornjunction/net/discovery/connection_state.py
@@ -1,4 +1,4 @@
-"""What a watch's connection is doing."""
+"""States of a watch's connection."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """State of a connection that a watch polls on."""
 
     PAUSED = "paused"
-    """No poll is open; the next one follows after a pause."""
+    """No poll is open; the next one is sent after a pause."""
 
     POLLING = "polling"
-    """A poll is open; its response is awaited."""
+    """A poll was sent; its response is awaited."""
 
     RESYNCHRONIZING = "resynchronizing"
-    """A long response to the open poll is read and applied in parts."""
+    """A long response to the poll is being read and applied in parts."""
 
     CLOSING = "closing"
-    """The connection was closed by this side; its end is still to be reported."""
+    """This side has closed the connection; the event loop has not reported its end yet."""
--- a/thornjunction/net/discovery/epoch_change.py
+++ b/thornjunction/net/discovery/epoch_change.py
@@ -1,9 +1,9 @@
-"""Detection of a discovery service that numbers its events anew, or that reports a stale cursor.
+"""Detects a discovery service that restarts its event numbers, or that reports a stale cursor.
 
-Discovery is polled from 0 only after its responses were stale for a while.  Only a response that is still
-stale then, and that begins with a complete list, starts a new epoch; and even so no server that was removed
-returns by it: a wrong or outdated copy of the state cannot cancel a drain.  No response cancels a purge; a
-later purge replaces it.
+Discovery is polled from 0 only after its responses were stale for some time.  If the response to that poll is
+stale too and begins with a complete list, it starts a new epoch.  Even a new epoch does not restore a server
+that was removed, so that a wrong or outdated copy of the state cannot cancel a drain.  No response cancels a
+purge; only a later purge replaces it.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from thornjunction import interface as api
 from thornjunction.net.wire.commands import Commands, Host, ListChange
 
-# Stale responses in a row before discovery is polled from 0.
+# Consecutive stale responses before discovery is polled from 0.
 MIN_STALE_RESPONSES = 3
-# Time that they must span.
+# Time that these responses must span.
 MIN_STALE_MS = 1500.0
-# The longest such time; it doubles with each poll from 0 that showed no new epoch, for each may cost a long
+# Longest such time; it doubles with each poll from 0 that shows no new epoch, because each may cost a long
 # response.
 MAX_STALE_MS = 60_000.0
-# Names of endpoints that are kept: many times the fleet.
+# Names of endpoints that are kept: many times the size of the fleet.
 MAX_ENDPOINT_NAMES = 8192
 
 
 class EpochChangeDetector:
-    """Decides whether to poll from 0; times are the caller's clock, in ms.
+    """Decides whether to poll from 0; times are on the caller's clock, in ms.
 
     Attributes:
-        must_poll_from_start: whether the next poll, or the one that is open, is from 0.
+        must_poll_from_start: whether the poll that is open, or else the next one, starts from 0.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         self._min_stale_ms = MIN_STALE_MS
 
     def record_response(self, is_stale: bool, now_ms: float) -> None:
-        """Count a response; a stale one reports an earlier cursor than the one that is known."""
+        """Count a response; it is stale if it reports an earlier cursor than the known one."""
         if not is_stale:
             self._stale_responses = 0
             return
@@ -50,7 +50,7 @@
         self.must_poll_from_start = self._stale_responses >= MIN_STALE_RESPONSES and is_stale_long_enough
 
     def record_reconciled(self, is_new_epoch: bool) -> None:
-        """The response to the poll from 0 has begun, and it was decided whose numbers count."""
+        """Reset the counts, because the response to the poll from 0 was classified as a new epoch or not."""
         self.must_poll_from_start = False
         self._stale_responses = 0
         self._min_stale_ms = MIN_STALE_MS if is_new_epoch else min(2.0 * self._min_stale_ms, MAX_STALE_MS)
@@ -60,10 +60,10 @@
     """Whether the response to a poll from 0 is the complete state of a new epoch.
 
     Args:
-        reported_cursor: the cursor that the response reports; None where it follows the events, and then the
-            response counts as one of the known epoch.
-        known_cursor: number of the last event that is known.
-        first_events: the events that the response begins with.
+        reported_cursor: the cursor that the response reports; None if it comes after the events, in which
+            case the response counts as part of the known epoch.
+        known_cursor: number of the last known event.
+        first_events: the events at the beginning of the response.
     """
     if reported_cursor is None or reported_cursor >= known_cursor or not first_events.events:
         return False
@@ -72,14 +72,14 @@
 
 
 class RemovedEndpoints:
-    """The endpoints that drained, were removed or are listed no longer, until they are listed as serving."""
+    """Endpoints that drained, were removed or are not listed any more, until they are listed as serving."""
 
     def __init__(self) -> None:
         self._serving_started_ms: dict[str, float] = {}  # Unix ms, by name
         self._removed_started_ms: dict[str, float] = {}  # Unix ms, by name
 
     def record(self, change: ListChange) -> None:
-        """Take in a change of the endpoint list."""
+        """Update the sets of serving and removed endpoints from a change of the endpoint list."""
         if change.is_complete:
             self._remove_unlisted({host.name for host in change.hosts})
         for host in change.hosts:
@@ -89,7 +89,7 @@
                 del started_ms[next(iter(started_ms))]
 
     def keep_draining(self, change: ListChange) -> ListChange:
-        """Return the change with each serving host that was removed as draining, unless it started later."""
+        """Return the change with removed hosts as draining, except for hosts that have restarted since."""
         hosts = tuple(
             replace(host, state=api.ServerState.DRAINING) if self._is_removed(host) else host
             for host in change.hosts
--- a/thornjunction/net/discovery/event_feed.py
+++ b/thornjunction/net/discovery/event_feed.py
@@ -1,4 +1,4 @@
-"""Passes the events of one discovery service on: each once, in order, across new epochs."""
+"""Delivers the events of one discovery service: each once, in order, also across epochs."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 def deliver(handle_command: HandleCommand, event: Command) -> None:
-    """Pass an event on.
+    """Deliver an event.
 
-    Guards the events after one whose handling fails: they are passed on too, and it is not repeated.
+    An exception of the handler is logged, so that the events after it are still delivered.  The event whose
+    handling failed is not delivered again.
     """
     try:
         handle_command(event)
@@ -28,26 +29,26 @@
 
 
 class EventFeed:
-    """The events of discovery.
+    """Delivers the events of discovery and tracks their cursor.
 
     Attributes:
-        handle_command: takes in an event.
-        cursor: number of the last event that was passed on.
+        handle_command: called with each event.
+        cursor: number of the last event that was delivered.
     """
 
     def __init__(self, handle_command: HandleCommand, clock: Callable[[], float]) -> None:
         self.handle_command = handle_command
         self.cursor = 0
         self._clock = clock
-        self._polled_cursor = 0  # the cursor at the last poll
+        self._polled_cursor = 0  # the cursor when the last poll was sent
         self._epoch_change = EpochChangeDetector()
         self._removed_endpoints = RemovedEndpoints()
         self._is_reading_new_epoch = False
-        self._faulty_responses = 0  # in a row
+        self._faulty_responses = 0  # consecutive ones
 
     @property
     def has_no_progress(self) -> bool:
-        """Whether no new event has come since the last poll."""
+        """Whether no new event was received since the last poll was sent."""
         return self.cursor == self._polled_cursor
 
     def begin_poll(self) -> int:
@@ -56,16 +57,16 @@
         return 0 if self._epoch_change.must_poll_from_start else self.cursor
 
     def replay(self, known: Commands) -> None:
-        """Pass on the events that are known at the start."""
+        """Deliver the events that are known at the start, and resume after them."""
         self.apply(known)
         self.cursor = max(self.cursor, known.cursor)
 
     def reset_stale_responses(self) -> None:
-        """Count stale responses anew, because another address is polled."""
+        """Reset the detection of stale responses, because another address is polled."""
         self._epoch_change = EpochChangeDetector()
 
     def apply_response(self, commands: Commands) -> None:
-        """Apply a complete response; of a long one, the events have been applied."""
+        """Apply a complete response; the events of a long one were applied in parts before."""
         self._reconcile(commands.cursor, commands)
         is_stale = commands.cursor < self._polled_cursor
         self._report_faults(commands, is_stale)
@@ -74,10 +75,10 @@
         self._epoch_change.record_response(is_stale and self.has_no_progress, self._clock())
 
     def apply(self, commands: Commands) -> None:
-        """Pass on what is new, in the order of the numbers; an event that came before is left out.
+        """Deliver the new events in the order of their numbers; known events are skipped.
 
-        The cursor never exceeds the last event that came: what the response's own cursor says beyond it is
-        polled again.
+        The cursor never exceeds the last event that was received, even if the response reports a later
+        cursor; the events in between are polled again.
         """
         known_cursor = self.cursor
         for event in commands.events:
@@ -87,16 +88,16 @@
             self._deliver(event)
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
-        """Pass on what is new in a part of a long response, drains before purges.
+        """Deliver the new events of a part of a long response, drains before purges.
 
-        The cursor moves past all events of the part, or none.
+        The cursor advances past all events of the part or past none.
 
         Args:
-            head: what the response says beside its events; None where that has not come.
+            head: the response without its events; None if its fields have not been received yet.
             events: complete events as parsed JSON.
 
         Returns:
-            The events that were new, and their faults.
+            The new events and their faults.
         """
         if self._epoch_change.must_poll_from_start:
             self._reconcile(head.cursor if head else None, parse_partial(events, 0))
@@ -114,7 +115,7 @@
         deliver(self.handle_command, event)
 
     def _reconcile(self, reported_cursor: int | None, first_events: Commands) -> None:
-        """Decide, where discovery was polled from 0, whether its numbers or the known ones count."""
+        """After a poll from 0, decide whether the response starts a new epoch."""
         if not self._epoch_change.must_poll_from_start:
             return
         self._is_reading_new_epoch = is_new_epoch(reported_cursor, self.cursor, first_events)
--- a/thornjunction/net/discovery/follower_feed.py
+++ b/thornjunction/net/discovery/follower_feed.py
@@ -1,4 +1,4 @@
-"""Passes on what a ``StateFollower`` accepts of the responses of several sources."""
+"""Delivers the events that a ``StateFollower`` accepts from the responses of several sources."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def to_state_event(command: Command, received_unix_ms: float) -> StateEvent:
-    """Return a command as the follower's event, with the command as its payload."""
+    """Convert a command to an event of the follower, with the command as its payload."""
     if isinstance(command, ListChange):
         endpoints = {
             host.name: host if host.state is not api.ServerState.REMOVED else None for host in command.hosts
@@ -39,7 +39,7 @@
 
 
 def to_command(event: StateEvent) -> Command:
-    """Return the follower's event as a command; one without a payload is a merged list."""
+    """Convert an event of the follower to a command; an event without a payload is a merged list."""
     if isinstance(event, EndpointListEvent) and event.payload is None:
         return ListChange(event.number, True, tuple(event.endpoints.values()), event.seq)
     command: Command = event.payload
@@ -47,11 +47,11 @@
 
 
 class FollowerFeed:
-    """The events of all sources, each passed on once.
+    """Delivers the events of all sources, each once.
 
     Attributes:
-        follower: decides what of a response is accepted.
-        cursor: number of the last event that was passed on, in the current epoch.
+        follower: decides which events of a response are accepted.
+        cursor: number of the last event that was delivered, in the current epoch.
     """
 
     def __init__(
@@ -68,17 +68,17 @@
         self._on_epoch = on_epoch
         self._unix = UnixClock()
         self._received_unix_ms = 0.0
-        self._polled_cursor = 0  # the cursor at the last poll
+        self._polled_cursor = 0  # the cursor when the last poll was sent
         self._is_reading_parts = False
         self._faulty_responses = 0
 
     @property
     def has_no_progress(self) -> bool:
-        """Whether no new event has come since the last poll."""
+        """Whether no new event was received since the last poll was sent."""
         return self.cursor == self._polled_cursor
 
     def replay(self, known: Commands) -> None:
-        """Pass on the events that are known at the start; their list counts as confirmed now by discovery."""
+        """Deliver the events that are known at the start; their list counts as confirmed now by discovery."""
         for event in known.events:
             deliver(self._handle_command, event)
         lists = [event for event in known.events if isinstance(event, ListChange)]
@@ -87,17 +87,17 @@
         self.cursor = self.follower.cursor
 
     def begin_poll(self) -> ResumePosition:
-        """Begin a poll, and return the position that it resumes from."""
+        """Begin a poll, and return the epoch and number that it resumes from."""
         position = self.follower.begin_poll(self._clock())
         self.cursor = self.follower.cursor
         self._polled_cursor = self.cursor
         return position
 
     def apply_response(self, commands: Commands) -> SyncStatus:
-        """Apply a complete response; of a long one, the events have been applied.
+        """Apply a complete response; the events of a long one were applied in parts before.
 
         Raises:
-            ProtocolError: ``epoch-late``, a long response has named its epoch after its events.
+            ProtocolError: ``epoch-late``, a long response named its epoch after its events.
         """
         if not self._is_reading_parts:
             self._begin_response(commands)
@@ -111,14 +111,14 @@
         return outcome.status
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
-        """Apply a part of a long response; its list is merged until the response ends.
+        """Apply a part of a long response; its lists are merged until the response ends.
 
         Args:
-            head: what the response says beside its events; None where that has not come.
+            head: the response without its events; None if its fields have not been received yet.
             events: complete events as parsed JSON.
 
         Returns:
-            The events that were new by their numbers, and their faults.
+            The events with new numbers, and their faults.
         """
         if not self._is_reading_parts:
             self._begin_response(head)
@@ -128,7 +128,7 @@
         return part
 
     def abandon_response(self) -> None:
-        """The connection has ended, and with it the response that was read in parts."""
+        """Abandon the response that was being read in parts, because its connection has ended."""
         self._is_reading_parts = False
 
     def _begin_response(self, head: Commands | None) -> None:
@@ -150,12 +150,12 @@
             log.error(LogEvent.DISCOVERY_EVENTS_REJECTED, response_cursor=commands.cursor, faults=faults)
 
     def _accept(self, commands: Commands) -> list[StateEvent]:
-        """Offer the follower these events, and return those that it accepts."""
+        """Pass events to the follower, and return those that it accepts."""
         events = [to_state_event(command, self._received_unix_ms) for command in commands.events]
         return [event for event in events if self.follower.accept_event(event)]
 
     def _deliver(self, accepted: Iterable[StateEvent], merged_list: EndpointListEvent | None) -> None:
-        """Pass events on, drains before purges."""
+        """Deliver events, drains before purges."""
         lists: list[StateEvent] = [event for event in accepted if isinstance(event, EndpointListEvent)]
         purges = [event for event in accepted if isinstance(event, PurgeEvent)]
         if merged_list is not None:
--- a/thornjunction/net/discovery/multi_source_watch.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -1,7 +1,7 @@
 """The watch on several sources: relays, or discovery itself (``docs/design/control.md``).
 
-``control_client`` decides which source is polled and what of its responses is accepted; this module carries
-that out.  It is imported only where the operators' file has ``[control]`` or ``[relay]``.
+``control_client`` decides which source is polled and which of its events are accepted; this module does the
+I/O.  It is imported only if the operators' file has a section ``[control]`` or ``[relay]``.
 """
 
 from __future__ import annotations
@@ -39,9 +39,9 @@
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.net.wire.commands import Address, Commands
 
-# How long a source may hold a poll, and how long it has at least for any response.
+# Longest time that a source may hold a poll, and the least time that it has for any response.
 BLOCK_MS = 800.0
-# How much later than that the response, or the next part of it, may come.
+# Additional time for the response, or for the next part of it, to arrive.
 RESPONSE_GRACE_MS = 500.0
 
 TIMINGS = WatchTimings(block_ms=BLOCK_MS, response_grace_ms=RESPONSE_GRACE_MS, min_response_ms=BLOCK_MS)
@@ -51,11 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PollIdentity:
-    """What polls say of their sender.
+    """How polls and probes identify their sender.
 
     Attributes:
-        name: its name, in the probes.
-        query: returns the end of a poll's query; its argument says whether the source is a sibling.
+        name: name of the sender in probes.
+        query: returns the end of a poll's query; its argument tells whether the source is a sibling.
     """
 
     name: str
@@ -63,12 +63,12 @@
 
 
 class MultiSourceWatch(Watch):
-    """Polls the source that its selector wants polled.
+    """Polls the source that its selector has selected.
 
     Attributes:
         selector: selects the source.
-        feed: the events of all sources.
-        pending_probes: probes without a result yet.
+        feed: delivers the events of all sources.
+        pending_probes: number of probes that have no result yet.
     """
 
     def __init__(
@@ -86,25 +86,25 @@
         self._identity = identity
         self._selected: Address | None = None
         self._departure_notices = DepartureNotices(context, selector.draw, self._probe)
-        self._source_failures = 0  # in a row, for the log
+        self._source_failures = 0  # consecutive ones, for the log
 
     @property
     def needs_immediate_response(self) -> bool:
-        """Each first poll of a connection asks for an immediate response."""
+        """Always true: the first poll of each connection asks for an immediate response."""
         return True
 
     @property
     def has_no_progress(self) -> bool:
-        """Whether no new event has come since the last poll."""
+        """Whether no new event was received since the last poll was sent."""
         return self.feed.has_no_progress
 
     @property
     def selected(self) -> Address | None:
-        """The source that the selector wants polled."""
+        """The source that the selector has selected; None if there is none."""
         return self._selected
 
     def start(self) -> None:
-        """Begin to poll, where nothing is polled."""
+        """Start polling, if no source is polled."""
         if self.state is WatchState.STOPPED:
             return
         if self._selected is None and self.selector.current is None:
@@ -113,11 +113,11 @@
         self._connect_to_selected()
 
     def change_address(self, address: Address) -> None:
-        """Report that the configuration's own address is not used."""
+        """Log that the address in the configuration is not used."""
         log.info(LogEvent.CHANNEL_IGNORED, channel=f"{address[0]}:{address[1]}", cause="[control]")
 
     def replay(self, known: Commands) -> None:
-        """Take in the events that are known at the start; the watch resumes after them."""
+        """Deliver the events that are known at the start; the watch resumes after them."""
         self.feed.replay(known)
 
     def metrics(self) -> dict[str, int]:
@@ -131,21 +131,21 @@
         }
 
     def poll_target(self, block_ms: float) -> str:
-        """Begin a poll that the source may hold for so long, and return its path and query."""
+        """Begin a poll that the source may hold for ``block_ms``, and return its path and query."""
         position = self.feed.begin_poll()
         epoch = f"&epoch={position.epoch}" if position.epoch else ""
         sender = self._identity.query(self.selector.sources[self.address].is_sibling)
         return f"/cmd/next?resume={position.resume}&block={block_ms:.0f}{epoch}{sender}"
 
     def handle_response_awaited(self) -> None:
-        """Let the selector's response timeout begin anew."""
+        """Restart the selector's response timeout."""
         self._select(PollSent(self.address))
 
     def handle_response(self, commands: Commands, is_stable: bool) -> None:  # noqa: ARG002
-        """Apply a complete response; of a long one, the events have been applied.
+        """Apply a complete response; the events of a long one were applied in parts before.
 
         Raises:
-            ProtocolError: ``epoch-late``, a long response has named its epoch after its events.
+            ProtocolError: ``epoch-late``, a long response named its epoch after its events.
         """
         self.retries.response_timeouts = 0
         self._source_failures = 0
@@ -159,11 +159,11 @@
         self._select(PollAnswered(self.address, commands.age_ms or 0.0, is_stale=is_stale))
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
-        """Apply complete events of a long response, and return those that were new."""
+        """Apply complete events of a long response, and return the new ones."""
         return self.feed.apply_part(head, events)
 
     def _resume(self, is_stable: bool, reason: str, polls: int) -> None:  # noqa: ARG002
-        """Connect to the selected source, after another one was left or this one has failed."""
+        """Connect to the newly selected source, or report to the selector that the current one failed."""
         self.feed.abandon_response()
         if self.state is WatchState.STOPPED:
             return
@@ -177,13 +177,13 @@
             self._departure_notices.begin(source, MIN_NOTICE_DELAY_MS)
 
     def _select(self, event: SelectorEvent) -> None:
-        """Give the selector an event, and carry out its actions."""
+        """Pass an event to the selector, and execute its actions."""
         if self.state is WatchState.STOPPED:
             return
         for action in self.selector.handle(self._context.clock(), event):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: SelectorAction) -> None:
+    def _execute(self, action: SelectorAction) -> None:
         match action:
             case StartPolling(source):
                 self._selected = source
@@ -202,7 +202,7 @@
                     log.info(name, failures=self._source_failures, **fields)
 
     def _connect_to_selected(self) -> None:
-        """Connect to the selected source, once the connection before has ended."""
+        """Connect to the selected source, if the previous connection has ended."""
         if self._selected is None or self.state is not WatchState.WAITING:
             return
         self.address = self._selected
--- a/thornjunction/net/discovery/resynchronization.py
+++ b/thornjunction/net/discovery/resynchronization.py
@@ -1,4 +1,4 @@
-"""A long response of the command channel, parsed and applied in parts while it arrives."""
+"""Parses and applies a long response of the command channel in parts while it arrives."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 # A body up to this size is buffered and parsed at once.
 MAX_BUFFERED_BODY_BYTES = 65_536
-# Largest body: the events of an hour, 122,400 purges, are 10 MB.
+# Largest body; the events of an hour, 122,400 purges, take 10 MB.
 MAX_BODY_BYTES = 64_000_000
-# Bytes that are parsed in one turn of the event loop.
+# Most bytes that are parsed in one turn of the event loop.
 MAX_PART_BYTES = 65_536
 # Bytes that are parsed between two readings of the clock.
 SLICE_BYTES = 8192
-# Time for parsing in one turn; the events that are complete then are applied.
+# Time for parsing in one turn; afterwards the complete events are applied.
 MAX_PARSE_MS = 4.0
-# Changes of the endpoint list in one turn: the decisions process each.
+# Changes of the endpoint list in one turn; it is limited because the decisions process each of them.
 MAX_PART_LIST_CHANGES = 16
-# Events in one turn, exceeded by those of one slice at most: a relay needs about 20 us for each.
+# Events in one turn, exceeded by at most those of one slice; a relay needs about 20 us for each event.
 MAX_PART_EVENTS = 200
 
 ApplyPart = Callable[[Commands | None, list[Any]], Commands]
@@ -31,19 +31,19 @@
     """Divides one long response into parts and applies each.
 
     Attributes:
-        deadline_ms: when the response must have ended, on the core's clock.
+        deadline_ms: deadline for the end of the response, on the core's clock.
         is_received: whether the last byte of the response has been received.
-        discarded_bytes: bytes since the last new event.
+        discarded_bytes: bytes parsed since the last new event.
     """
 
     def __init__(self, clock: Callable[[], float], deadline_ms: float, apply_part: ApplyPart) -> None:
-        """Begin.
+        """Initialize with an empty body.
 
         Args:
             clock: the core's clock, in ms.
-            deadline_ms: when the response must have ended.
-            apply_part: applies complete events, as parsed JSON, and returns those that were new; its first
-                argument is what the response says beside its events, None where that has not arrived.
+            deadline_ms: deadline for the end of the response.
+            apply_part: applies complete events, as parsed JSON, and returns the new ones; its first argument
+                is the response without its events, or None if its fields have not been received yet.
         """
         self.deadline_ms = deadline_ms
         self.is_received = False
@@ -57,11 +57,11 @@
 
     @property
     def has_unparsed_bytes(self) -> bool:
-        """Whether bytes are left for the next turn."""
+        """Whether received bytes are left to be parsed in the next turn."""
         return bool(self._unparsed)
 
     def receive(self, data: bytes, is_last: bool) -> None:
-        """Add bytes of the body; ``is_last`` says that it ends with them."""
+        """Buffer received bytes of the body; ``is_last`` tells whether the body ends with them."""
         self._unparsed += data
         self.is_received = is_last
 
@@ -69,10 +69,10 @@
         """Parse and apply as much as one turn of the event loop allows.
 
         Returns:
-            Whether there was progress: a complete event, or many bytes of a long one.
+            Whether there was progress: a complete event, or ``MAX_PART_BYTES`` of a long one.
 
         Raises:
-            ProtocolError: the response is malformed; the events before the fault have been applied.
+            ProtocolError: the response is malformed; the events before the fault were applied.
         """
         events, parsed_bytes = self._parse_part()
         self._bytes_since_progress += parsed_bytes
@@ -87,7 +87,7 @@
         return has_progress
 
     def finish(self) -> Commands:
-        """Return what the response said beside its events, and the faults found in these.
+        """Return the response without its events, but with the faults found in them.
 
         Raises:
             ProtocolError: the response is incomplete.
@@ -96,7 +96,7 @@
         return Commands(head.cursor, (), tuple(self._faults), head.epoch, head.age_ms)
 
     def discard(self) -> None:
-        """Release the parser and the bytes that were not parsed."""
+        """Release the parser and the unparsed bytes."""
         self._parser.discard()
         self._unparsed.clear()
 
@@ -107,7 +107,7 @@
             self.discarded_bytes = 0
 
     def _parse_part(self) -> tuple[list[Any], int]:
-        """Return the events of one turn, and the number of bytes parsed."""
+        """Parse for one turn; return the complete events and the number of bytes parsed."""
         events: list[Any] = []
         parsed_bytes = 0
         list_changes = 0
--- a/thornjunction/net/discovery/source_probe.py
+++ b/thornjunction/net/discovery/source_probe.py
@@ -1,6 +1,6 @@
-"""A probe: one short poll beside the watch, whose events are not used.
+"""A probe: one short poll on a connection of its own, whose events are not used.
 
-Its response tells how old a source's state is; the source learns that the sender is served elsewhere.
+Its response reports the age of the source's state.  The source learns that the sender polls another source.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Address, Commands, decode_commands
 
-# Time for the connection and the response.
+# Time for connecting and for the response.
 PROBE_TIMEOUT_MS = 900.0
-# Largest body: a relay sends a probe no events, and discovery has none after RESUME.
+# Largest body; a relay sends no events to a probe, and discovery has none after RESUME.
 MAX_BODY_BYTES = 65_536
-# Resume position after all events, for a discovery that does not know probes.
+# Resume position after all events, for a discovery service that does not support probes.
 RESUME = 1 << 53
 
 OnProbeResult = Callable[[Commands | None], None]
 
 
 class ProbeConnection(protocol.Protocol):
-    """Sends one poll and reports its response, None where there is none, when the connection has ended."""
+    """Sends one poll; reports its response, or None without one, when the connection has ended."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -46,7 +46,7 @@
         self.transport.write(self._request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read the response, and end the connection."""
+        """Read the response, and abort the connection once it is complete or malformed."""
         if self._is_finished:
             return
         try:
@@ -60,7 +60,7 @@
         self.abort()
 
     def abort(self) -> None:
-        """End the connection; nothing that comes later counts."""
+        """Abort the connection, and ignore data that is received later."""
         self._is_finished = True
         self.transport.abortConnection()
 
@@ -70,15 +70,15 @@
 
 
 def probe_source(context: WatchContext, source: Address, name: str, on_result: OnProbeResult) -> None:
-    """Probe a source, with the result within ``PROBE_TIMEOUT_MS``.
+    """Probe a source; the result is reported within ``PROBE_TIMEOUT_MS``.
 
-    A relay counts the router or relay of this name as served elsewhere.
+    A relay that is probed no longer waits for acknowledgements of the router or relay with this name.
 
     Args:
-        context: what the connection runs on.
-        source: where to connect.
-        name: the sender's name.
-        on_result: called once, with the response, or None.
+        context: reactor, deadlines and clock.
+        source: address of the source.
+        name: name of the sender.
+        on_result: called once, with the response, or with None if there is none.
     """
     target = f"/cmd/next?resume={RESUME}&block=1&as=probe&name={name}"
     request = http1.encode_get(target, f"{source[0]}:{source[1]}")
--- a/thornjunction/net/discovery/watch.py
+++ b/thornjunction/net/discovery/watch.py
@@ -1,4 +1,4 @@
-"""What all watches share: one connection at a time, its state, and the counts of what failed."""
+"""Base class of watches: one connection at a time, its state, and the counts of failures."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 class WatchState(Enum):
-    """State of a watch; what a connection that is up does is its ``ConnectionState``."""
+    """State of a watch; an established connection has a ``ConnectionState`` of its own."""
 
     WAITING = "waiting"
-    """There is no connection: the watch was not started, or its retry delay runs."""
+    """There is no connection: the watch was not started, or waits for its retry delay."""
 
     CONNECTING = "connecting"
-    """A connection was begun."""
+    """An attempt to connect is in progress."""
 
     CONNECTED = "connected"
-    """A connection is up, and polls or resynchronizes."""
+    """A connection is established, and polls or resynchronizes."""
 
     STOPPED = "stopped"
-    """No further connection is made; one that is up goes on until the process ends."""
+    """No further connection is made; an established one stays open until the process ends."""
 
 
 def _ignore() -> None:
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchHandlers:
-    """What a watch calls.
+    """Callbacks of a watch.
 
     Attributes:
-        handle_command: takes in an event; each is passed on once, in order.
-        on_synchronized: called once, when all that discovery held at the start has been passed on.
-        on_epoch: called where events are numbered anew, before one of them is passed on.
-        on_confirmed: called when a response has brought all that its source has, with the age of the state
+        handle_command: called with each event once, in order.
+        on_synchronized: called once, when all events that discovery had at the start were delivered.
+        on_epoch: called when event numbers restart, before the first event of the new epoch.
+        on_confirmed: called when a response has completed the state of its source, with the age of the state
             in ms and the number of its last event.
     """
 
@@ -63,14 +63,14 @@
 
 
 class Watch(ABC):
-    """Keeps one connection to a source of events, which polls it.
+    """Maintains one connection to a source of events, and polls the source on it.
 
     Attributes:
-        address: the source that is polled, or will be.
+        address: address of the source that is polled or will be polled.
         state: whether there is a connection.
-        connection: the connection that is up.
-        is_synchronized: whether all that discovery held at the start has been passed on.
-        retries: counts of what failed in a row.
+        connection: the established connection; None if there is none.
+        is_synchronized: whether all events that discovery had at the start were delivered.
+        retries: counts of consecutive failures.
     """
 
     def __init__(
@@ -88,23 +88,23 @@
 
     @abstractmethod
     def start(self) -> None:
-        """Begin to poll, where nothing is polled."""
+        """Start polling, if no source is polled."""
 
     @abstractmethod
     def change_address(self, address: Address) -> None:
-        """Take the configuration's new address for the watch."""
+        """Apply a new address from the configuration."""
 
     @abstractmethod
     def replay(self, known: Commands) -> None:
-        """Take in the events that are known at the start; the watch resumes after them."""
+        """Deliver the events that are known at the start; the watch resumes after them."""
 
     @abstractmethod
     def metrics(self) -> dict[str, int]:
-        """Metrics of the watch for the operators, by name."""
+        """Values of the watch's metrics by name."""
 
     @abstractmethod
     def poll_target(self, block_ms: float) -> str:
-        """Begin a poll that the source may hold for so long, and return its path and query."""
+        """Begin a poll that the source may hold for ``block_ms``, and return its path and query."""
 
     @property
     @abstractmethod
@@ -114,71 +114,71 @@
     @property
     @abstractmethod
     def has_no_progress(self) -> bool:
-        """Whether no new event has come since the last poll."""
+        """Whether no new event was received since the last poll was sent."""
 
     @abstractmethod
     def handle_response_awaited(self) -> None:
-        """A poll was sent, or a part of its response has come."""
+        """Called when a poll was sent, or a part of its response was received."""
 
     @abstractmethod
     def handle_response(self, commands: Commands, is_stable: bool) -> None:
-        """A response is complete; the events of a long one have been applied."""
+        """Apply a complete response; the events of a long one were applied in parts before."""
 
     @abstractmethod
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
-        """Apply complete events of a long response, and return those that were new."""
+        """Apply complete events of a long response, and return the new ones."""
 
     @abstractmethod
     def _resume(self, is_stable: bool, reason: str, polls: int) -> None:
-        """Go on after a connection, or an attempt to connect, has ended."""
+        """Continue after a connection has ended, or an attempt to connect has failed."""
 
     @property
     def is_connecting(self) -> bool:
-        """Whether an attempt to connect is under way, also after ``stop``."""
+        """Whether an attempt to connect is in progress, also after ``stop``."""
         return self._connecting is not None
 
     def stop(self) -> None:
-        """Make no further connection; the one that is up goes on until the process ends."""
+        """Make no further connections; an established one stays open until the process ends."""
         self.state = WatchState.STOPPED
 
     def cancel_connecting(self) -> None:
-        """Give up the attempt to connect that is under way."""
+        """Cancel the attempt to connect that is in progress, if any."""
         if self._connecting is not None:
             self._connecting.cancel()
 
     def encode_poll(self, block_ms: float) -> bytes:
-        """Return the request of the next poll, which the source may hold for so long."""
+        """Return the request of the next poll, which the source may hold for ``block_ms``."""
         return http1.encode_get(self.poll_target(block_ms), f"{self.address[0]}:{self.address[1]}")
 
     def response_grace_ms(self) -> float:
-        """How much later than asked the response, or the next part of it, may come."""
+        """Additional time for the response, or for the next part of it, to arrive."""
         return self.retries.response_grace_ms(self.timings.response_grace_ms)
 
     def retry_delay_ms(self, attempts: int) -> float:
-        """Pause before the next poll, after so many in a row without an event."""
+        """Pause before the next poll, after this number of consecutive polls without an event."""
         return self.retries.retry_delay_ms(attempts)
 
     def record_response_end(self, discarded_bytes: int, is_useful: bool) -> None:
-        """Count the end of a response, complete or not."""
+        """Record the end of a response, complete or not."""
         self.retries.record_response_end(discarded_bytes, is_useful)
 
     def handle_response_timeout(self) -> None:
-        """The response, or its next part, did not come in time."""
+        """Count a timeout of the response or of its next part."""
         self.retries.response_timeouts += 1
 
     def handle_connected(self, connection: WatchConnection) -> None:
-        """The connection is up."""
+        """Record that the connection is established."""
         self.connection = connection
         self._enter(WatchState.CONNECTED)
 
     def handle_disconnect(self, is_stable: bool, reason: str, polls: int) -> None:
-        """The connection has ended, after so many polls that were answered."""
+        """Continue after the connection has ended; ``polls`` is its number of answered polls."""
         self.connection = None
         self._enter(WatchState.WAITING)
         self._resume(is_stable, reason, polls)
 
     def _connect(self) -> None:
-        """Connect, unless the watch does or has, or was stopped."""
+        """Start an attempt to connect, unless the watch is connecting, connected or stopped."""
         if self.state is not WatchState.WAITING:
             return
         self._enter(WatchState.CONNECTING)
@@ -205,7 +205,7 @@
         return WatchConnection(self, self._context, self.timings)
 
     def _synchronize(self) -> None:
-        """All that discovery held at the start has been passed on; only the first call counts."""
+        """Report that all events that discovery had at the start were delivered, on the first call only."""
         if not self.is_synchronized:
             self.is_synchronized = True
             self._handlers.on_synchronized()
--- a/thornjunction/net/discovery/watch_client.py
+++ b/thornjunction/net/discovery/watch_client.py
@@ -1,9 +1,9 @@
 """The watch on discovery: a long poll without lost or repeated events.
 
-The protocol takes an event as received 7 s after it was published, whether it was or not.  So a poll without
-a response is noticed after about 2 s, the next connection asks for an immediate response, and two silences in
-a row take much less than 7 s.  After each the timeout grows, so that responses that are merely slow are read
-in the end.
+The protocol considers an event received 7 s after it was published, whether it was received or not.
+Therefore a poll times out after about 2 s, the next connection asks for an immediate response, and two
+consecutive timeouts take much less than 7 s.  The timeout grows each time, so that slow responses are
+eventually read.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason, log_disconnect
 from thornjunction.net.wire.commands import Address, Commands
 
-# How long discovery may hold a poll.
+# Longest time that discovery may hold a poll.
 BLOCK_MS = 1200.0
-# How much later than that the response, or the next part of it, may come.
+# Additional time for the response, or for the next part of it, to arrive.
 RESPONSE_GRACE_MS = 800.0
 
 TIMINGS = WatchTimings(block_ms=BLOCK_MS, response_grace_ms=RESPONSE_GRACE_MS)
 
 
 class WatchClient(Watch):
-    """Follows the discovery service at one address."""
+    """Polls the discovery service at one address, and delivers its events."""
 
     def __init__(self, context: WatchContext, address: Address, handlers: WatchHandlers) -> None:
         super().__init__(context, address, TIMINGS, handlers)
@@ -34,7 +34,7 @@
 
     @property
     def cursor(self) -> int:
-        """Number of the last event that was passed on."""
+        """Number of the last event that was delivered."""
         return self.feed.cursor
 
     @property
@@ -44,18 +44,18 @@
 
     @property
     def has_no_progress(self) -> bool:
-        """Whether no new event has come since the last poll."""
+        """Whether no new event was received since the last poll was sent."""
         return self.feed.has_no_progress
 
     def start(self) -> None:
-        """Connect; an attempt that fails is repeated after a delay."""
+        """Connect; a failed attempt is repeated after a delay."""
         self._connect()
 
     def change_address(self, address: Address) -> None:
-        """Go on at another address, from the last event that was passed on.
+        """Continue at another address, after the last event that was delivered.
 
-        The end of the old connection, or of the attempt to make it, starts the new one; what it had begun to
-        send comes again.
+        The new connection is made when the old one, or the attempt to make it, has ended.  Events of an
+        incomplete response on the old connection are polled again.
         """
         if address == self.address:
             return
@@ -69,7 +69,7 @@
             self.cancel_connecting()
 
     def replay(self, known: Commands) -> None:
-        """Take in the events that are known at the start; the watch resumes after them."""
+        """Deliver the events that are known at the start; the watch resumes after them."""
         self.feed.replay(known)
 
     def metrics(self) -> dict[str, int]:
@@ -77,14 +77,14 @@
         return {}
 
     def poll_target(self, block_ms: float) -> str:
-        """Begin a poll that discovery may hold for so long, and return its path and query."""
+        """Begin a poll that discovery may hold for ``block_ms``, and return its path and query."""
         return f"/cmd/next?resume={self.feed.begin_poll()}&block={block_ms:.0f}"
 
     def handle_response_awaited(self) -> None:
-        """Do nothing: the connection's own deadline suffices."""
+        """Do nothing, because the connection's own response timeout suffices."""
 
     def handle_response(self, commands: Commands, is_stable: bool) -> None:
-        """Apply a complete response; of a long one, the events have been applied."""
+        """Apply a complete response; the events of a long one were applied in parts before."""
         self.retries.response_timeouts = 0
         if is_stable:
             self.retries.failures = 0
@@ -92,18 +92,18 @@
         self._synchronize()
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
-        """Apply complete events of a long response, and return those that were new."""
+        """Apply complete events of a long response, and return the new ones."""
         return self.feed.apply_part(head, events)
 
     def _resume(self, is_stable: bool, reason: str, polls: int) -> None:
-        """Connect again: soon after a connection that worked, else after a growing delay.
+        """Connect again: soon after a stable connection, else after a growing delay.
 
-        The delay guards the core against a source that is gone.
+        The delay limits the CPU time spent on a source that is down.
         """
         self.retries.failures = 0 if is_stable else self.retries.failures + 1
         failures = self.retries.failures
         if should_log(failures):
             log_disconnect(ConnectionKind.CHANNEL, None, reason, polls=polls, failures=failures)
-        # Guards a source that comes back against all routers connecting at one moment.
+        # Jitter prevents all routers from connecting at the same moment when the source is up again.
         delay_ms = self.retries.retry_delay_ms(failures, is_jittered=True)
         self._context.deadlines.add(self._context.clock() + delay_ms, self.start)
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a watch: it polls, reads responses, and ends where these fail."""
+"""One connection of a watch: sends polls, reads their responses, and closes on errors and timeouts."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
-# How long a poll asks to be held where the response is wanted at once: the first one, and after a failure.
+# Holding time that a poll requests if it needs an immediate response: the first one, and after a failure.
 IMMEDIATE_BLOCK_MS = 1
-# Time for the last bytes to a source that is polled no longer.
+# Time for sending the last bytes to a source that is no longer polled.
 CLOSE_TIMEOUT_MS = 400.0
-# Pause after a part of a long response, as a share of the time that the part took: it belongs to requests.
+# Pause after a part of a long response, as a share of the time that the part took; it is left for requests.
 PART_PAUSE_SHARE = 0.5
-# The longest such pause.
+# Longest such pause.
 MAX_PART_PAUSE_MS = 10.0
-# Time for one long response; what is missing then is polled again.
+# Time for one long response; the missing events are polled again afterwards.
 MAX_RESYNCHRONIZATION_MS = 30_000.0
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of the watch that owns it, and reports to it."""
+    """Interface of a connection to the watch that owns it."""
 
     @property
     def needs_immediate_response(self) -> bool:
@@ -43,54 +43,55 @@
 
     @property
     def has_no_progress(self) -> bool:
-        """Whether no new event has come since the last poll."""
+        """Whether no new event was received since the last poll was sent."""
 
     def encode_poll(self, block_ms: float) -> bytes:
-        """Return the request of the next poll, which the source may hold for so long."""
+        """Return the request of the next poll, which the source may hold for ``block_ms``."""
 
     def response_grace_ms(self) -> float:
-        """How much later than asked the response, or the next part of it, may come."""
+        """Additional time for the response, or for the next part of it, to arrive."""
 
     def retry_delay_ms(self, attempts: int) -> float:
-        """Pause before the next poll, after so many in a row without an event."""
+        """Pause before the next poll, after this number of consecutive polls without an event."""
 
     def handle_connected(self, connection: WatchConnection) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def handle_response_awaited(self) -> None:
-        """A poll was sent, or a part of its response has come; the response timeout begins anew."""
+        """Called when a poll was sent or a part of its response was received; restarts the timeout."""
 
     def handle_response_timeout(self) -> None:
-        """The response, or its next part, did not come in time."""
+        """Called when the response, or its next part, has timed out."""
 
     def handle_response(self, commands: Commands, is_stable: bool) -> None:
-        """A response is complete; the events of a long one have been applied.
+        """Called with a complete response; the events of a long one were applied in parts before.
 
-        ``is_stable`` says that the connection has lasted for a poll's time.  May raise ProtocolError.
+        ``is_stable`` tells whether the connection is at least as old as a poll's holding time.  May raise
+        ProtocolError.
         """
 
     def apply_part(self, head: Commands | None, events: list[Any]) -> Commands:
-        """Apply complete events of a long response, and return those that were new.
+        """Apply complete events of a long response, and return the new ones.
 
         May raise ProtocolError.
         """
 
     def record_response_end(self, discarded_bytes: int, is_useful: bool) -> None:
-        """Count the end of a response, complete or not."""
+        """Record the end of a response, complete or not."""
 
     def handle_disconnect(self, is_stable: bool, reason: str, polls: int) -> None:
-        """The connection has ended, after so many polls that were answered."""
+        """Called when the connection has ended; ``polls`` is its number of answered polls."""
 
 
 class WatchConnection(protocol.Protocol):
-    """Polls as long as it lives.
+    """Sends polls one after another until it is closed.
 
     Attributes:
-        state: what it is doing.
-        end_reason: why this side closed it; empty: it has not.
-        polls: polls that were answered.
-        unproductive_polls: polls in a row that the source answered early and without a new event.
-        resynchronization: the long response that is being read.
+        state: state of the connection.
+        end_reason: why this side closed the connection; empty if it has not.
+        polls: number of answered polls.
+        unproductive_polls: consecutive polls that the source answered early and without a new event.
+        resynchronization: the long response that is being read; None if there is none.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -108,7 +109,7 @@
         self._deadlines = context.deadlines
         self._created_ms = context.clock()
         self._response_timeout = ResponseTimeout(context, self._time_out)
-        self._timer: Deadline | None = None  # the next poll, or the end of closing
+        self._timer: Deadline | None = None  # for the next poll, or for aborting a slow close
         self._part_timer: Deadline | None = None
         self._is_keep_alive = True
         self._block_ms = 0.0
@@ -116,7 +117,7 @@
 
     @property
     def response_due_ms(self) -> float:
-        """When the response, or its next part, is due."""
+        """Deadline of the response or of its next part, on the core's clock."""
         return self._response_timeout.due_ms
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -126,7 +127,7 @@
         self._poll()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read the response; close the connection where it is malformed."""
+        """Read the response; close the connection if it is malformed."""
         if self.state is ConnectionState.CLOSING:
             return
         try:
@@ -135,12 +136,12 @@
             self.close(str(error))
 
     def close(self, reason: str) -> None:
-        """Cut the connection off, for this reason."""
+        """Abort the connection, for this reason."""
         self._begin_closing(reason)
         self.transport.abortConnection()
 
     def close_gracefully(self, reason: str) -> None:
-        """Close the connection in order: the source works, and is polled no longer."""
+        """Send pending bytes and close the connection to a working source that is no longer polled."""
         if self.state is ConnectionState.CLOSING:
             return
         self._begin_closing(reason)
@@ -172,11 +173,11 @@
         self._block_ms = IMMEDIATE_BLOCK_MS if is_immediate else self.timings.block_ms
         self._poll_sent_ms = self._clock()
         self.transport.write(self._owner.encode_poll(self._block_ms))
-        # Guards against a broken path: without a deadline, a poll whose response is lost would wait forever.
+        # Without a deadline, a poll whose response is lost on a broken network path would wait forever.
         self._await_response(self._poll_sent_ms + max(self._block_ms, self.timings.min_response_ms))
 
     def _await_response(self, expected_ms: float) -> None:
-        """Set the deadline of the response, or of its next part, from when it is expected."""
+        """Set the deadline of the response, or of its next part: the grace period after ``expected_ms``."""
         self._response_timeout.cancel()
         self._owner.handle_response_awaited()
         due_ms = expected_ms + self._owner.response_grace_ms()
@@ -228,7 +229,7 @@
         self._poll_again(now_ms, resynchronization)
 
     def _poll_again(self, now_ms: float, resynchronization: Resynchronization | None) -> None:
-        """Poll at once after a new event or a poll that was held, else after a pause."""
+        """Poll immediately after a new event or a held poll, otherwise after a pause."""
         held_ms = now_ms - self._poll_sent_ms
         is_early = resynchronization is not None or held_ms < self._block_ms - self.timings.block_ms / 2
         is_unproductive = self._owner.has_no_progress and is_early
@@ -240,7 +241,7 @@
             self.unproductive_polls = 0
             self._poll()
             return
-        # Guards the core against a source that has no event to tell and does not hold the poll.
+        # The pause limits the CPU time spent on a source that has no event and does not hold the poll.
         self.unproductive_polls += 1
         delay_ms = self._owner.retry_delay_ms(self.unproductive_polls)
         self._timer = self._deadlines.add(now_ms + delay_ms, self._poll)
@@ -254,7 +255,7 @@
         self.resynchronization = Resynchronization(self._clock, deadline_ms, self._owner.apply_part)
 
     def _apply_part(self, resynchronization: Resynchronization) -> None:
-        """Apply as much as one turn allows; requests have their turns before the connection is read again."""
+        """Apply one part, and pause reading, so that requests are handled before the next part."""
         started_ms = self._clock()
         if resynchronization.apply_next_part():
             self._await_response(self._clock())
@@ -280,14 +281,14 @@
         if self.resynchronization is None:
             self._part_timer = self._deadlines.add(self._clock(), self.transport.resumeProducing)
 
-    # The end
+    # Closing
 
     def _begin_closing(self, reason: str) -> None:
         self.state = ConnectionState.CLOSING
         self.end_reason = self.end_reason or reason
 
     def _was_stable(self) -> bool:
-        """Whether the connection worked for at least a poll's time, or was left while it did."""
+        """Whether the connection worked for at least a poll's holding time, or was closed gracefully."""
         if self.end_reason == DisconnectReason.MOVED:
             return True
         lasted_ms = self._clock() - self._created_ms
--- a/thornjunction/net/discovery/watch_context.py
+++ b/thornjunction/net/discovery/watch_context.py
@@ -1,4 +1,4 @@
-"""What a watch runs on, and the time limits of its polls."""
+"""Event loop interface of a watch, and the time limits of its polls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Attributes:
         reactor: makes the connections.
-        deadlines: the queue of the program's deadlines.
+        deadlines: the process's queue of deadlines.
         clock: the core's clock, in ms.
     """
 
@@ -29,10 +29,10 @@
     """Time limits of a poll.
 
     Attributes:
-        block_ms: how long the source may hold a poll while it has no event.
-        response_grace_ms: how much later than that the response, or the next part of it, may come.
-        min_response_ms: least time for a response, before that grace, also where the poll asks for an
-            immediate response.
+        block_ms: longest time that the source may hold a poll while it has no event.
+        response_grace_ms: additional time for the response, or for the next part of it, to arrive.
+        min_response_ms: least time for a response, before that grace period, also for a poll that asks for
+            an immediate response.
     """
 
     block_ms: float
--- a/thornjunction/net/gossip/replay_gossip.py
+++ b/thornjunction/net/gossip/replay_gossip.py
@@ -1,9 +1,9 @@
-"""Exchange of used tokens between routers over UDP: one with a ``jti`` is accepted once in the fleet.
+"""Exchange of used tokens between routers over UDP, so that the fleet accepts a token with a ``jti`` once.
 
-It is best effort: each router tells its peers which tokens it has accepted, and adds theirs to its own replay
-window (``docs/design/second-front.md``).  The platform forbids traffic between instances, so the exchange is
-off unless the operators' file turns it on.  What a peer sends costs it alone: one datagram of bounded size is
-decoded at a time, and a forged or malformed one is dropped and counted, and never logged in full.
+It is best effort: each router sends its peers the tokens that it has accepted, and adds theirs to its own
+replay window (``docs/design/second-front.md``).  The platform forbids traffic between instances, so the
+exchange is off unless the operators' file enables it.  The cost of a peer's datagrams is limited: their size
+is bounded, and forged or malformed ones are dropped, counted and never logged in full.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from thornjunction.net.wire import ProtocolError, gossip
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
-# Time between the acceptance of a token and the datagram with it, so that one carries several.
+# Time between the acceptance of a token and its datagram, so that one datagram carries several tokens.
 FLUSH_DELAY_MS = 10.0
-# Entries that wait for the next flush; above it the oldest is dropped.
+# Most entries that wait for the next flush; beyond it, the oldest one is dropped.
 MAX_QUEUED_ENTRIES = 4096
 
 Address = tuple[str, int]
@@ -33,10 +33,10 @@
 
 
 class DatagramTransport(Protocol):
-    """What the exchange asks of its UDP socket."""
+    """Interface of the exchange to its UDP socket."""
 
     def write(self, datagram: bytes, addr: Address) -> object:
-        """Send a datagram.  Raises OSError where the system refuses it."""
+        """Send a datagram.  Raises OSError if the operating system refuses it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
 
 
 class ReplayGossip(protocol.DatagramProtocol):
-    """One UDP socket of the exchange.
+    """Sends and receives the exchange's datagrams on one UDP socket.
 
     Attributes:
-        window: the tokens that were accepted here or by peers.
-        group: the routers that exchange.
-        counts: entries that were ``sent``, ``learnt``, ``known`` (learnt before) and ``dropped`` (the queue
+        window: the tokens that were accepted by this router or by its peers.
+        group: the routers that take part in the exchange.
+        counts: entries that were ``sent``, ``learnt``, ``known`` (received before) and ``dropped`` (the queue
             was full), datagrams that the system refused (``unsent``), and rejected datagrams by their code.
     """
 
@@ -72,12 +72,12 @@
         clock: Callable[[], float],
         unix_s: Callable[[], float],
     ) -> None:
-        """Begin.
+        """Initialize with an empty queue.
 
         Args:
-            window: where the peers' tokens are added.
-            group: the routers that exchange.
-            deadlines: the queue of the program's deadlines.
+            window: the replay window, to which the peers' tokens are added.
+            group: the routers that take part in the exchange.
+            deadlines: the process's queue of deadlines.
             clock: the core's clock, in ms.
             unix_s: the system's clock, in Unix seconds.
         """
@@ -91,7 +91,7 @@
         self._is_flush_scheduled = False
 
     def announce(self, entry: ReplayEntry) -> None:
-        """Tell the peers of a token that was accepted here, with the next flush."""
+        """Queue a token that this router has accepted; the next flush sends it to the peers."""
         if len(self._queue) == MAX_QUEUED_ENTRIES:
             self.counts["dropped"] += 1
         self._queue.append(entry)
@@ -100,7 +100,7 @@
             self._deadlines.add(self._clock() + FLUSH_DELAY_MS, self._flush)
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802
-        """Add a peer's entries to the replay window; drop and count what is malformed or forged."""
+        """Add a peer's entries to the replay window; drop and count a malformed or forged datagram."""
         try:
             entries = gossip.decode(data, self.group.secret)
         except ProtocolError as error:
@@ -122,16 +122,16 @@
             self.counts["sent"] += len(batch)
 
     def _send(self, transport: DatagramTransport, datagram: bytes, peer: Address) -> None:
-        """Send a datagram; one that the system refuses costs the peer no more than one that is lost."""
+        """Send a datagram; one that the system refuses is counted and has the same effect as a lost one."""
         try:
             transport.write(datagram, peer)
         except OSError:
             self.counts["unsent"] += 1
 
     def _record_rejection(self, code: str, addr: Address) -> None:
-        """Count a datagram, and log the first, second, fourth, eighth and so on of its code.
+        """Count a rejected datagram, and log the first, second, fourth, eighth and so on of its code.
 
-        Guards the log against a flood of such datagrams.
+        The thinning protects the log from a flood of such datagrams.
         """
         self.counts[code] += 1
         count = self.counts[code]
--- a/thornjunction/net/relay/poller_connection.py
+++ b/thornjunction/net/relay/poller_connection.py
@@ -1,7 +1,7 @@
 """One connection of a router or relay that polls this relay.
 
-What a peer sends or does not read costs it alone: one poll a connection at a time, its head and target
-bounded, at most one response buffered, and a connection that neither polls nor reads for a while is closed.
+The cost of each connection is limited: it has one poll at a time, whose head and target are bounded, and at
+most one buffered response.  A connection that neither polls nor reads for some time is closed.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.polls import Poll, decode_poll
 
-# Time for the next complete poll; a router polls again at once after a response.
+# Time for the next complete poll; a router polls again immediately after a response.
 POLL_TIMEOUT_MS = 10_000.0
-# Time for a response to be read.
+# Time for the poller to read a response.
 READ_TIMEOUT_MS = 4_000.0
-# A poll with its headers.
+# Largest size of a poll with its headers.
 MAX_HEAD_BYTES = 2_048
-# Bytes of a response that are copied for a connection at once; the rest is shared by all that get it.
+# Bytes of a response that are copied for a connection at a time; the rest is shared by all its receivers.
 WRITE_BYTES = 32_768
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class PollerState(Enum):
-    """What a connection is doing."""
+    """State of a poller's connection."""
 
     AWAITING_POLL = "awaiting-poll"
-    """The next poll has not come, or not completely."""
+    """The next poll was not received yet, or not completely."""
 
     AWAITING_RESPONSE = "awaiting-response"
-    """A poll was passed on, and its response is awaited."""
+    """A poll was passed to the table, and its response is awaited."""
 
     SENDING = "sending"
-    """A response is sent."""
+    """A response is being sent."""
 
 
 class PollerOwner(Protocol):
-    """What a connection asks of the table that owns it, and reports to it."""
+    """Interface of a connection to the table that owns it."""
 
     @property
     def budget(self) -> ByteBudget:
-        """The bytes that all connections buffer."""
+        """Budget for the bytes that all connections buffer."""
 
     @property
     def clock(self) -> Callable[[], float]:
@@ -61,19 +61,19 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the relay shuts down: polls do not wait, and connections end with their response."""
+        """Whether the relay shuts down; polls then do not wait, and connections close after a response."""
 
     def add(self, connection: PollerConnection) -> int | None:
-        """Return the number of a new connection; None where there is no slot for it."""
+        """Add a connection, and return its number; None if there is no slot for it."""
 
     def handle_poll(self, number: int, poll: Poll) -> None:
-        """A connection has polled."""
+        """Called with each poll of a connection."""
 
     def remove(self, number: int) -> None:
-        """A connection polls no longer."""
+        """Remove a connection that will send no more polls."""
 
     def record_end(self, reason: str) -> None:
-        """A connection has ended."""
+        """Called when a connection has ended."""
 
 
 @implementer(IPullProducer)
@@ -81,11 +81,11 @@
     """Reads polls and sends their responses, one at a time.
 
     Attributes:
-        number: the connection's number in the table; None: it has none, or has left.
-        state: what it is doing.
-        poll: the poll that awaits its response.
-        last_activity_ms: when it last polled, was answered, or had read its response.
-        end_reason: why this side closes it; empty: it does not.
+        number: the connection's number in the table; None before it is added and after it is removed.
+        state: state of the connection.
+        poll: the poll that awaits its response; None if there is none.
+        last_activity_ms: time of the last poll, response, or end of sending a response, on the core's clock.
+        end_reason: why this side closes the connection; empty if it does not.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -101,21 +101,21 @@
         self._is_keep_alive = False
         self._head = b""
         self._body = b""
-        self._written_bytes = 0  # of the body
+        self._written_bytes = 0  # of the response body
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Take a slot of the table."""
+        """Take a slot of the table; close the connection if there is none."""
         self.transport.setTcpNoDelay(True)
         self.number = self._owner.add(self)
         if self.number is None:
             self.close(DisconnectReason.TABLE_FULL)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read a poll; end the connection where it is malformed or comes too early."""
+        """Read a poll; close the connection if the poll is malformed or arrives before the last response."""
         if self.end_reason:
             return
         if self.state is not PollerState.AWAITING_POLL:
-            # Guards the buffered bytes against polls that come before the last response was read.
+            # Otherwise, polls that arrive before the last response was read would add buffered bytes.
             self.close(DisconnectReason.POLL_BEFORE_RESPONSE)
             return
         try:
@@ -130,7 +130,7 @@
             self._reject(status, DisconnectReason.POLL_HEAD_TOO_LARGE)
 
     def respond(self, status: int, body: bytes) -> None:
-        """Answer the poll that awaits its response, once."""
+        """Send the response to the poll that awaits one; do nothing if there is none."""
         if self.poll is None or self.end_reason:
             return
         is_ok = status == HTTPStatus.OK
@@ -141,7 +141,7 @@
             self.close_gracefully(DisconnectReason.ANSWERED if is_ok else f"status-{int(status)}")
 
     def check_timeouts(self, now_ms: float) -> None:
-        """Close the connection where it polls or reads nothing for too long."""
+        """Close the connection if it has neither polled nor read its response in time."""
         idle_ms = now_ms - self.last_activity_ms
         if self.state is PollerState.SENDING and idle_ms > READ_TIMEOUT_MS:
             self.close(DisconnectReason.RESPONSE_UNREAD)
@@ -149,13 +149,13 @@
             self.close(DisconnectReason.SILENT)
 
     def close_gracefully(self, reason: str) -> None:
-        """Close the connection in order, once all bytes have been sent."""
+        """Close the connection once all pending bytes have been sent."""
         if not self.end_reason:
             self.end_reason = reason
             self.transport.loseConnection()
 
     def close(self, reason: str) -> None:
-        """Cut the connection off."""
+        """Abort the connection."""
         self.end_reason = self.end_reason or reason
         self.transport.abortConnection()
         self._release()
@@ -166,11 +166,11 @@
         self._owner.record_end(self.end_reason or disconnect_reason(reason))
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the next part of the response: the system has taken the last one."""
+        """Write the next part of the response, after the operating system has accepted the previous one."""
         head = self._head if self._written_bytes == 0 else b""
         part = self._body[self._written_bytes : self._written_bytes + WRITE_BYTES]
         if head or part:
-            # One byte of a response without a body counts as written too, so that its head is sent once.
+            # An empty body counts as one written byte, so that the head is sent only once.
             self._written_bytes += max(len(part), 1)
             self.transport.write(head + part)
             return
@@ -225,7 +225,7 @@
             self.transport.registerProducer(self, False)
 
     def _release(self) -> None:
-        """Give the reserved bytes and the slot back."""
+        """Release the reserved bytes and the slot."""
         self._owner.budget.reserve(self.close, 0)
         if self.number is not None:
             number = self.number
--- a/thornjunction/net/relay/poller_table.py
+++ b/thornjunction/net/relay/poller_table.py
@@ -19,8 +19,8 @@
 
 # Time between two checks of all connections' timeouts.
 CHECK_INTERVAL_MS = 1_000.0
-# Responses that are buffered for all connections together; above it the largest is evicted.  A complete list
-# of 440 servers for 1,200 routers that poll at once is 94 MB, of which most is shared.
+# Bytes of responses buffered for all connections; beyond it, the connection with the most is evicted.  A
+# complete list of 440 servers for 1,200 routers that poll at once is 94 MB, most of which is shared.
 MAX_BUFFERED_BYTES = 128 << 20
 
 log = get_logger(__name__)
@@ -30,14 +30,14 @@
 
 
 class PollerTable:
-    """The connections of a relay by number.
+    """The open connections of a relay.
 
     Attributes:
-        max_connections: how many there may be.
-        connections: those that are open, by number.
-        budget: the bytes that they buffer together.
-        end_counts: connections that have ended and polls that were rejected, by reason.
-        is_draining: whether the relay shuts down.
+        max_connections: largest number of open connections.
+        connections: the open connections by number.
+        budget: budget for the bytes that all connections buffer.
+        end_counts: numbers of ended connections and of rejected polls, by reason.
+        is_draining: whether the relay is shutting down.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         return PollerConnection(self)
 
     def add(self, connection: PollerConnection) -> int | None:
-        """Return the number of a new connection; None where there is no slot for it."""
+        """Add a connection, and return its number; None if there is no slot for it."""
         if len(self.connections) >= self.max_connections and not self._evict_idle():
             return None
         self._last_number += 1
@@ -73,29 +73,29 @@
         return self._last_number
 
     def remove(self, number: int) -> None:
-        """Give the slot of a connection back."""
+        """Remove a connection, and release its slot."""
         self.connections.pop(number, None)
         self._handle_disconnect(number)
 
     def handle_poll(self, number: int, poll: Poll) -> None:
-        """Pass a poll on."""
+        """Pass a poll to the relay's engine."""
         self._handle_poll(number, poll)
 
     def respond(self, poller: int, body: bytes) -> None:
-        """Answer the poll of a connection, unless it has left."""
+        """Send the response to a connection's poll, unless the connection has ended."""
         connection = self.connections.get(poller)
         if connection is not None:
             connection.respond(HTTPStatus.OK, body)
 
     def reject(self, poller: int, reason: str) -> None:
-        """Reject the poll of a connection, which then polls another source."""
+        """Reject the poll of a connection with 503, so that the poller switches to another source."""
         self.end_counts[f"refused-{reason}"] += 1
         connection = self.connections.get(poller)
         if connection is not None:
             connection.respond(HTTPStatus.SERVICE_UNAVAILABLE, b"")
 
     def drain(self) -> None:
-        """Take no new polls, and have pending ones answered with what there is."""
+        """Close connections without a pending poll, and answer pending polls with the current state."""
         self.is_draining = True
         for number, connection in list(self.connections.items()):
             if connection.poll is None:
@@ -106,7 +106,7 @@
     def record_end(self, reason: str) -> None:
         """Count the end of a connection, and log the first, second, fourth, eighth and so on of its reason.
 
-        Guards the log against a flood of such ends.
+        The thinning protects the log from a flood of such connections.
         """
         self.end_counts[reason] += 1
         count = self.end_counts[reason]
@@ -120,9 +120,9 @@
             )
 
     def _evict_idle(self) -> bool:
-        """Close the connection that is idle longest, and return whether there was one without a poll.
+        """Close the longest idle connection without a poll, and return whether there was one.
 
-        Guards routers against callers that connect and never poll.
+        Without eviction, callers that connect and never poll could take all slots from the routers.
         """
         longest_idle = min(self.connections.values(), key=_eviction_order)
         if longest_idle.state is PollerState.AWAITING_RESPONSE:
@@ -138,5 +138,5 @@
 
 
 def _eviction_order(connection: PollerConnection) -> tuple[bool, float]:
-    """Connections without a poll first, the longest idle of them before all."""
+    """Sort key: connections without a pending poll first, and among them the longest idle one."""
     return connection.state is PollerState.AWAITING_RESPONSE, connection.last_activity_ms
--- a/thornjunction/net/wire/__init__.py
+++ b/thornjunction/net/wire/__init__.py
@@ -1,5 +1,5 @@
-"""Codecs without I/O: bytes to small frozen values and back."""
+"""Codecs without I/O, between bytes and small frozen values."""
 
 
 class ProtocolError(ValueError):
-    """Bytes that violate a protocol; the text is a short code for the log."""
+    """Received bytes violate a protocol; the text is a short code for the log."""
--- a/thornjunction/net/wire/admin.py
+++ b/thornjunction/net/wire/admin.py
@@ -1,4 +1,4 @@
-"""Protocol of the admin endpoint: one command on a connection, and a word, perhaps with lines, in reply."""
+"""Protocol of the admin endpoint: one command on a connection, and a reply of one word, or also of lines."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from thornjunction.net.wire import ProtocolError
 
-# Length of a command: they are short words.
+# Largest length of a command; all commands are short words.
 MAX_LINE_BYTES = 128
 
-# The command is accepted, or its result follows.
+# First word of the reply to an accepted command; the result, if any, follows.
 ACK = "ACK"
 
-# The command is rejected.
+# First word of the reply to a rejected command.
 NAK = "NAK"
 
 # First word of each counter's name.
@@ -23,13 +23,13 @@
 
 
 class LineReader:
-    """Collects bytes until one line is complete."""
+    """Buffers bytes until one line is complete."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> str | None:
-        """Return the line without its end, or None while it is incomplete; what follows it is ignored.
+        """Return the line without its end, or None while it is incomplete; bytes after it are ignored.
 
         Raises:
             ProtocolError: ``line-size``, the line is longer than ``MAX_LINE_BYTES``.
@@ -42,13 +42,13 @@
 
 
 def encode_reply(accepted: bool, reason: str = "") -> bytes:
-    """Encode a reply of one line, with a reason where there is one."""
+    """Encode a reply of one line, with the reason if it is not empty."""
     word = ACK if accepted else NAK
     return f"{word} {reason}".strip().encode() + b"\n"
 
 
 def encode_lines(lines: Iterable[str]) -> bytes:
-    """Encode an accepted command's result of several lines."""
+    """Encode the result of an accepted command as several lines."""
     return "".join(f"{line}\n" for line in (ACK, *lines, END_OF_LINES)).encode()
 
 
--- a/thornjunction/net/wire/cgi.py
+++ b/thornjunction/net/wire/cgi.py
@@ -1,4 +1,4 @@
-"""The platform's requests as CGI parameters, and responses in CGI's form (RFC 3875 §6)."""
+"""The platform's requests as CGI parameters, and CGI responses (RFC 3875 §6)."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from thornjunction.core.ports import Answer, ClientRequest, Failed, Rejected, Served
 from thornjunction.net.wire import ProtocolError
 
-# Transaction and object ids.
+# Format of transaction and object ids.
 HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII)
 
-# What may stand in a field of a request to a cache server.
+# Allowed values of a field of a request to a cache server.
 WORD = re.compile(r"[0-9A-Za-z_.:-]{1,128}", re.ASCII)
 
-# Path of requests, before the name of their class.
+# Prefix of a request's path, before the name of its class.
 REQUEST_PREFIX = "/do/"
 
 # Path of the platform's health check.
@@ -24,16 +24,16 @@
 # Response to a health check of a ready router.
 READY = b"Status: 200\r\n\r\n"
 
-# Response to a health check of a router that is not ready, or drains.
+# Response to a health check of a router that is not ready or is draining.
 NOT_READY = b"Status: 503\r\n\r\n"
 
 # Response to a request that cannot be decoded.
 BAD_REQUEST = b"Status: 400\r\n\r\n"
 
-# Largest part of an object.
+# Largest part number of an object.
 MAX_PART = 1 << 20
 
-# Largest group: it is one byte.
+# Largest group number, which is one byte.
 MAX_GROUP = 255
 
 # Longest time that a client waits, in milliseconds.
@@ -42,10 +42,10 @@
 # Largest size of a part, in kilobytes.
 MAX_SIZE_KB = 1e9
 
-# Time left of a request whose time is over: it is decided like any other.
+# Remaining time of a request whose time is over; such a request is decided like any other.
 MIN_REMAINING_MS = 1.0
 
-# What a parameter's name has before the name of an HTTP header (RFC 3875 §4.1.18).
+# Prefix of the parameters that hold HTTP headers (RFC 3875 §4.1.18).
 HEADER_PREFIX = "HTTP_"
 
 
@@ -55,7 +55,7 @@
     Args:
         params: CGI parameters by name.
         body: the request's body.
-        spent_ms: milliseconds of the client's time that have passed already.
+        spent_ms: milliseconds of the client's waiting time that have already passed.
 
     Raises:
         ProtocolError: the path or a field is malformed.
@@ -77,17 +77,17 @@
     )
 
 
-def parse_number(text: str, largest: float, code: str) -> float:
+def parse_number(text: str, max_value: float, code: str) -> float:
     """Parse a number from 0 to a limit.
 
     Raises:
-        ProtocolError: ``field-CODE``, it is none, or out of range.
+        ProtocolError: ``field-CODE``, the text is not a number, or out of range.
     """
     try:
         value = float(text)
     except ValueError as error:
         raise ProtocolError(f"field-{code}") from error
-    if not 0 <= value <= largest or math.isnan(value):
+    if not 0 <= value <= max_value or math.isnan(value):
         raise ProtocolError(f"field-{code}")
     return value
 
@@ -117,7 +117,7 @@
 
 
 def encode_response(answer: Answer) -> bytes:
-    """Encode a final answer; the time to stay away is rounded up to whole milliseconds."""
+    """Encode a final answer; the retry delay of a rejection is rounded up to whole milliseconds."""
     match answer:
         case Served(content) if content.not_modified:
             return b"Status: 200\r\nX-Same: 1\r\n\r\n"
--- a/thornjunction/net/wire/collectd.py
+++ b/thornjunction/net/wire/collectd.py
@@ -8,33 +8,33 @@
 
 from thornjunction.net.wire.graphite import Sample
 
-# Size of a datagram, by the protocol: no Ethernet network fragments it.
+# Largest datagram that the protocol allows; no Ethernet network fragments it.
 MAX_PACKET_BYTES = 1452
 
-# Length of a name, by the protocol: 64 bytes with the terminating zero.
+# Largest length of a name; the protocol allows 64 bytes with the terminating zero.
 MAX_TEXT_BYTES = 63
 
-# The plugin that all values belong to.
+# Name of the plugin in all values.
 PLUGIN_NAME = "thornjunction"
 
-# Units of a high-resolution time.
+# Units per second of a high-resolution time.
 TICKS_PER_S = 1 << 30
 
-# Type and length of a part; the length includes this header.
+# Header of a part: type and length; the length includes this header.
 PART_HEADER = struct.Struct(">HH")
 
-# Header and ticks.
+# Part with a time: header and ticks.
 TIME_PART = struct.Struct(">HHQ")
 
 # Header, number of values and data source type of a part with one value.
 VALUES_HEADER = struct.Struct(">HHHB")
 
-# Size of a value of each type.
+# Size of a value, of either type.
 VALUE_BYTES = 8
 
 
 class PartType(IntEnum):
-    """Types of a part."""
+    """Type of a part."""
 
     HOST = 0x0
     PLUGIN = 0x2
@@ -46,7 +46,7 @@
 
 
 class DataSourceType(IntEnum):
-    """Types of a value: a gauge is a little-endian double, a derive a big-endian signed integer."""
+    """Type of a value: a gauge is a little-endian double, a derive value a big-endian signed integer."""
 
     GAUGE = 1
     DERIVE = 2
@@ -55,13 +55,13 @@
 def encode_packets(host: str, samples: Iterable[Sample], unix_s: float, interval_s: float) -> list[bytes]:
     """Encode samples into datagrams.
 
-    Each datagram is complete in itself: it begins with the host, the time and the plugin.
+    Each datagram can be decoded on its own, because it begins with the host, the time and the plugin.
 
     Args:
         host: name of this host.
         samples: values to encode.
         unix_s: time of the samples in Unix seconds.
-        interval_s: seconds from one collection to the next.
+        interval_s: seconds between two collections.
     """
     header = (
         _encode_text(PartType.HOST, host)
--- a/thornjunction/net/wire/commands/__init__.py
+++ b/thornjunction/net/wire/commands/__init__.py
@@ -1,9 +1,9 @@
 """Events of the command channel: changes of the endpoint list, and purges.
 
-Unknown keys and events are ignored, because the protocol may grow.  Of a known event that is partly
-malformed, all that is readable is used, on the side that breaks no rule, and the fault is reported: an
-endpoint with a malformed line counts as leaving, a purge with a malformed time as one of now.  So one bad
-event holds up none after it, and no drain is lost if it is known whom it concerns.
+Unknown keys and events are ignored, because the protocol may be extended.  If a known event is partly
+malformed, its readable values are used, the others get safe defaults, and the fault is reported: an endpoint
+with a malformed line counts as leaving, a purge with a malformed time as issued now.  Thus a malformed event
+blocks none of the later ones, and no drain is lost whose endpoint is readable.
 """
 
 from thornjunction.net.wire.commands.address import Address, AddressError, parse_address
--- a/thornjunction/net/wire/commands/address.py
+++ b/thornjunction/net/wire/commands/address.py
@@ -1,14 +1,14 @@
-"""Addresses of host and port in text form."""
+"""Text form of addresses, which consist of host and port."""
 
 from __future__ import annotations
 
 # Largest TCP port.
 MAX_PORT = 65_535
 
-# Digits of a port.
+# Most digits of a port.
 MAX_PORT_DIGITS = 5
 
-# Characters of a malformed address that its error shows.
+# Most characters of a malformed address in its error message.
 MAX_SHOWN_CHARACTERS = 80
 
 # Host and port.
@@ -16,7 +16,7 @@
 
 
 class AddressError(ValueError):
-    """A text is no address of host and port."""
+    """A text is not an address of the form ``HOST:PORT``."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"bad address {text[:MAX_SHOWN_CHARACTERS]!r}")
@@ -26,7 +26,7 @@
     """Parse ``HOST:PORT``.
 
     Raises:
-        AddressError: it is no address.
+        AddressError: the text is not an address.
     """
     host, _, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
--- a/thornjunction/net/wire/commands/encoder.py
+++ b/thornjunction/net/wire/commands/encoder.py
@@ -1,4 +1,4 @@
-"""Encoder of a line of the endpoint list."""
+"""Encoder of entries of the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def encode_host(host: Host) -> dict[str, Any]:
-    """Return the line of the endpoint list that is read as this host."""
+    """Return the entry of the endpoint list, as JSON values, that is decoded as this host."""
     return {
         "host": host.name,
         "dial": "" if host.address is None else f"{host.address[0]}:{host.address[1]}",
--- a/thornjunction/net/wire/commands/messages.py
+++ b/thornjunction/net/wire/commands/messages.py
@@ -1,4 +1,4 @@
-"""Responses of the command channel and their events."""
+"""Decoded responses of the command channel and their events."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from thornjunction import interface as api
 from thornjunction.net.wire.commands.address import Address
 
-# States by the value of ``health``.
+# Server states by the value of ``health``.
 STATES = {
     "active": api.ServerState.SERVING,
     "leaving": api.ServerState.DRAINING,
     "left": api.ServerState.REMOVED,
 }
 
-# Values of ``health`` by state.
+# Values of ``health`` by server state.
 HEALTH_VALUES = {state: value for value, state in STATES.items()}
 
 
@@ -23,14 +23,14 @@
     """One line of the endpoint list.
 
     Attributes:
-        name: unique in the list.
-        address: where it listens; None: nowhere that is known.
-        site: the site that it is in.
-        kind: its kind of endpoint, the wire's ``class``.
-        cell: its part of the site, the wire's ``block``.
-        state: whether it serves, drains or is gone.
-        weight: its share of the load among endpoints of its kind.
-        started_unix_ms: when its process started, in Unix milliseconds; 0: not known.
+        name: name of the host, unique in the list.
+        address: address that the host listens on; None if it is not known.
+        site: site of the host.
+        kind: kind of endpoint, ``class`` in the protocol.
+        cell: part of the site that the host is in, ``block`` in the protocol.
+        state: whether the host serves, drains or was removed.
+        weight: share of the load among endpoints of the same kind.
+        started_unix_ms: start time of the host's process, in Unix milliseconds; 0 if it is not known.
     """
 
     name: str
@@ -49,9 +49,9 @@
 
     Attributes:
         cursor: number of the event.
-        is_complete: whether the list replaces the one known so far; otherwise its lines are updates.
-        hosts: its lines.
-        seq: the discovery service's version of the list; None: not reported.
+        is_complete: whether the list replaces the known one; otherwise its lines are updates.
+        hosts: the lines of the list.
+        seq: the discovery service's version of the list; None if it is not reported.
     """
 
     cursor: int
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """An order to serve no older copy of an object or a group.
+    """Forbids serving older copies of an object or of a group of objects.
 
     Attributes:
         cursor: number of the event.
-        key: id of the object; None: the purge is of a group.
-        group: the group.
-        issued_unix_ms: when it was issued, in Unix milliseconds; infinite: now.
+        key: id of the object; None if a group is purged.
+        group: number of the group; 0 if an object is purged.
+        issued_unix_ms: when the purge was issued, in Unix milliseconds; infinite if it counts as issued now.
     """
 
     cursor: int
@@ -86,11 +86,11 @@
     """A response of the command channel.
 
     Attributes:
-        cursor: number of the last event that exists.
-        events: the events, by their numbers.
-        faults: codes of what could not be read, for the log.
-        epoch: whose numbers these are; None: the discovery service's own.
-        age_ms: how long ago the discovery service confirmed this state; None: not reported.
+        cursor: number of the last existing event.
+        events: the events, ordered by their numbers.
+        faults: codes of the malformed parts, for the log.
+        epoch: epoch that the event numbers belong to; None for the discovery service's own numbers.
+        age_ms: time since the discovery service confirmed this state; None if it is not reported.
     """
 
     cursor: int
--- a/thornjunction/net/wire/commands/reader.py
+++ b/thornjunction/net/wire/commands/reader.py
@@ -1,4 +1,4 @@
-"""Readers of a response, complete or in parts."""
+"""Readers of complete responses and of parts of long ones."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from thornjunction.net.wire.commands.events import read_event
 from thornjunction.net.wire.commands.messages import Command, Commands, Purge
 from thornjunction.net.wire.commands.values import (
-    UNREADABLE,
+    MALFORMED_VALUE_ERRORS,
     Faults,
     TooManyFaultsError,
     optional_unsigned,
     unsigned,
 )
 
-# Faults of one response that are reported for the log.
+# Most faults of one response that are reported for the log.
 MAX_REPORTED_FAULTS = 8
 
-# Characters of an epoch.
+# Allowed characters of an epoch's name.
 EPOCH_CHARACTERS = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-")
 
-# Length of an epoch.
+# Largest length of an epoch's name.
 MAX_EPOCH_CHARACTERS = 32
 
 
 class _NumberedEvent(NamedTuple):
-    """An event as parsed JSON, and its number; None where that cannot be read."""
+    """An event as parsed JSON, and its number; None if the number cannot be read."""
 
     number: int | None
     event: Any
 
 
 class _EventsRead(NamedTuple):
-    """The events that could be read, and the first codes of what could not."""
+    """The events that could be read, and the first codes of the faults."""
 
     events: list[Command]
     faults: tuple[str, ...]
@@ -45,7 +45,7 @@
     """Decode a response.
 
     Raises:
-        ProtocolError: ``commands-form``, it is none, or ``commands-faults``.
+        ProtocolError: ``commands-form``, the data is not a response; ``commands-faults``, too many faults.
     """
     try:
         document = json.loads(data)
@@ -55,10 +55,10 @@
 
 
 def parse_commands(document: Any) -> Commands:
-    """Read a response from parsed JSON, as the configuration holds it too.
+    """Read a response from parsed JSON; the configuration contains one too.
 
     Raises:
-        ProtocolError: ``commands-form``, it is none, or ``commands-faults``.
+        ProtocolError: ``commands-form``, it is not a response; ``commands-faults``, too many faults.
     """
     head = parse_head(document)
     listed = document.get("cmds")
@@ -70,43 +70,43 @@
 
 
 def parse_head(document: Any) -> Commands:
-    """Read what a response says beside its events.
+    """Read a response without its events.
 
     Raises:
-        ProtocolError: ``commands-form``, it has no cursor.
+        ProtocolError: ``commands-form``, the response has no cursor.
     """
     try:
         cursor = int(unsigned(document["cursor"]))
         epoch = document.get("epoch")
-    except UNREADABLE as error:
+    except MALFORMED_VALUE_ERRORS as error:
         raise ProtocolError("commands-form") from error
     is_named = isinstance(epoch, str) and _is_epoch(epoch)
     return Commands(cursor, (), epoch=epoch if is_named else None, age_ms=optional_unsigned(document, "age"))
 
 
-def parse_partial(listed: list[Any], known: int) -> Commands:
-    """Read events of a response that arrives in parts, as one response of their own.
+def parse_partial(listed: list[Any], known_cursor: int) -> Commands:
+    """Read some events of a long response, and return them as a response of their own.
 
-    Drains come before purges in it.  An event whose number cannot be read counts as the last one.
+    Its drains precede its purges.  An event whose number cannot be read counts as the last one.
 
     Args:
         listed: complete events as parsed JSON.
-        known: number of the last event that is known; the events up to it are left out.
+        known_cursor: number of the last known event; the events up to it are skipped.
 
     Raises:
-        ProtocolError: ``commands-faults``.
+        ProtocolError: ``commands-faults``, too many faults.
     """
     numbered = [_numbered(event) for event in listed]
-    last = max((number for number, _ in numbered if number is not None), default=known)
-    unknown = [entry for entry in numbered if entry.number is None or entry.number > known]
-    events, faults = _read_events(unknown, max(last, known))
+    last = max((number for number, _ in numbered if number is not None), default=known_cursor)
+    unknown = [entry for entry in numbered if entry.number is None or entry.number > known_cursor]
+    events, faults = _read_events(unknown, max(last, known_cursor))
     events.sort(key=lambda command: (isinstance(command, Purge), command.cursor))
-    cursor = max((command.cursor for command in events), default=known)
+    cursor = max((command.cursor for command in events), default=known_cursor)
     return Commands(cursor, tuple(events), faults)
 
 
 def _read_events(numbered: list[_NumberedEvent], last: int) -> _EventsRead:
-    """Read events; one without a readable number counts as the last one, so that it is used."""
+    """Read events; one without a readable number gets the number ``last``, so that it is not skipped."""
     faults = Faults()
     events: list[Command] = []
     try:
@@ -124,7 +124,7 @@
 def _numbered(event: Any) -> _NumberedEvent:
     try:
         return _NumberedEvent(int(unsigned(event["cursor"])), event)
-    except UNREADABLE:
+    except MALFORMED_VALUE_ERRORS:
         return _NumberedEvent(None, event)
 
 
--- a/thornjunction/net/wire/commands/values.py
+++ b/thornjunction/net/wire/commands/values.py
@@ -1,42 +1,42 @@
-"""Values in parsed JSON, and the faults that reading them finds."""
+"""Reading of values from parsed JSON, and the faults found in them."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-# Largest absolute value of a number: beyond it, JSON readers differ.
+# Largest absolute value of a number; JSON readers disagree on larger ones.
 MAX_NUMBER = 1 << 53
 
-# Faults in one response, beyond which it is rejected: each takes time.
+# Most faults in one response; one with more is rejected, because each fault takes time.
 MAX_FAULTS = 1000
 
-# What reading a malformed value raises.
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+# Exceptions that reading a malformed value raises.
+MALFORMED_VALUE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class MalformedValueError(ValueError):
-    """A value is not what its key holds; it is reported as a fault, by the key."""
+    """A value does not fit its key; it is reported as a fault with the key's code."""
 
 
 class TooManyFaultsError(Exception):
-    """A response has over ``MAX_FAULTS``.
+    """A response has more than ``MAX_FAULTS``.
 
-    No ``ValueError``, so that the readers of single values, which catch those, let it through.
+    It is not a ``ValueError``, because the readers of single values catch those.
     """
 
 
 class Faults:
-    """Codes of what could not be read in one response."""
+    """Collects the codes of the faults in one response."""
 
     def __init__(self) -> None:
         self.codes: list[str] = []
 
     def add(self, code: str) -> None:
-        """Add one fault.
+        """Add the code of one fault.
 
         Raises:
-            TooManyFaultsError: there are over ``MAX_FAULTS``.
+            TooManyFaultsError: there are more than ``MAX_FAULTS``.
         """
         self.codes.append(code)
         if len(self.codes) > MAX_FAULTS:
@@ -44,7 +44,7 @@
 
 
 def signed(value: Any) -> float:
-    """Return a number on whose value all JSON readers agree; MalformedValueError for anything else."""
+    """Return a number from ``-MAX_NUMBER`` to ``MAX_NUMBER``; raise MalformedValueError for anything else."""
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
@@ -55,7 +55,7 @@
 
 
 def unsigned(value: Any) -> float:
-    """Return such a number that is not negative."""
+    """Return a number from 0 to ``MAX_NUMBER``; raise MalformedValueError for anything else."""
     number = signed(value)
     if number < 0:
         raise MalformedValueError
@@ -63,8 +63,11 @@
 
 
 def optional_unsigned(document: Mapping[str, Any], key: str) -> float | None:
-    """A number that may be missing; anything else is ignored, for the plain protocol has no such key."""
+    """Return a number that is not negative; None if the key is missing or its value is malformed.
+
+    The value is optional, because the plain protocol has no such key.
+    """
     try:
         return float(unsigned(document[key]))
-    except UNREADABLE:
+    except MALFORMED_VALUE_ERRORS:
         return None
--- a/thornjunction/net/wire/fastcgi/__init__.py
+++ b/thornjunction/net/wire/fastcgi/__init__.py
@@ -1,6 +1,6 @@
-"""FastCGI 1.0, the responder's side: records, requests made of them, and responses.
+"""FastCGI 1.0 for responders: records, the requests that consist of them, and responses.
 
-Source: the FastCGI Specification of 29 April 1996; sections are cited as §.
+Source: the FastCGI Specification of 29 April 1996; its sections are cited with §.
 """
 
 from thornjunction.net.wire.fastcgi.encoder import encode_answer, encode_end, encode_record
--- a/thornjunction/net/wire/fastcgi/encoder.py
+++ b/thornjunction/net/wire/fastcgi/encoder.py
@@ -10,10 +10,10 @@
 # Application status and protocol status of an END_REQUEST record (§5.5).
 END_BODY = struct.Struct("!IB3x")
 
-# Content of one STDOUT record: the largest multiple of eight below 64 KiB, so that it needs no padding.
+# Content size of one STDOUT record: the largest multiple of eight below 64 KiB, which needs no padding.
 STDOUT_CHUNK_BYTES = 65_528
 
-# Records are padded to a multiple of these bytes (§3.3 recommends it).
+# Records are padded to a multiple of this size, as §3.3 recommends.
 RECORD_ALIGNMENT = 8
 
 
@@ -29,7 +29,7 @@
 
 
 def encode_answer(request_id: int, output: bytes) -> bytes:
-    """Encode a complete response: STDOUT records, the empty one that ends them, and END_REQUEST."""
+    """Encode a complete response: STDOUT records, an empty one as their end, and END_REQUEST."""
     positions = range(0, len(output), STDOUT_CHUNK_BYTES)
     chunks = [output[position : position + STDOUT_CHUNK_BYTES] for position in positions]
     records = [encode_record(RecordType.STDOUT, request_id, chunk) for chunk in (*chunks, b"")]
--- a/thornjunction/net/wire/fastcgi/messages.py
+++ b/thornjunction/net/wire/fastcgi/messages.py
@@ -1,4 +1,4 @@
-"""What the records of a connection mean to the responder."""
+"""Messages that the records of a connection convey to the responder."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ProtocolStatus(IntEnum):
-    """How a request ended (§5.5)."""
+    """Status of a request's end (§5.5)."""
 
     COMPLETE = 0
     CANT_MULTIPLEX = 1
@@ -21,9 +21,9 @@
     """A complete request.
 
     Attributes:
-        request_id: its number on the connection.
+        request_id: number of the request on the connection.
         params: parameters by name.
-        body: what came in STDIN records.
+        body: content of the STDIN records.
         keep_alive: whether the connection stays open after the response.
     """
 
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAborted:
-    """The web server no longer waits for the response of a request.
+    """The web server no longer waits for the response to a request.
 
     Attributes:
-        request_id: its number on the connection.
+        request_id: number of the request on the connection.
     """
 
     request_id: int
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestDeclined:
-    """A request that ends without a response.
+    """A request that is ended without a response.
 
     Attributes:
-        request_id: its number on the connection.
-        protocol_status: the reason, to be sent back.
-        keep_alive: whether the connection stays open after it.
+        request_id: number of the request on the connection.
+        protocol_status: the reason, which is sent to the web server.
+        keep_alive: whether the connection stays open afterwards.
     """
 
     request_id: int
--- a/thornjunction/net/wire/fastcgi/pairs.py
+++ b/thornjunction/net/wire/fastcgi/pairs.py
@@ -1,4 +1,4 @@
-"""Name-value pairs (§3.4), the form of parameters."""
+"""Encoding of parameters as name-value pairs (§3.4)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from thornjunction.net.wire import ProtocolError
 
-# Lengths of names and values below it take one byte, others four with the highest bit set (§3.4).
+# Lengths below this limit take one byte, others four with the highest bit set (§3.4).
 SHORT_LENGTH_LIMIT = 0x80
 
 # The highest bit of a length of four bytes.
@@ -33,13 +33,13 @@
     pairs: dict[str, str] = {}
     text = data.decode("latin-1")
     size = len(data)
-    short = SHORT_LENGTH_LIMIT  # a local name, for this runs for each parameter of each request
+    short = SHORT_LENGTH_LIMIT  # a local name is faster; this runs for each parameter of each request
     position = 0
     while position < size:
         name_length = data[position]
         value_length = data[position + 1] if position + 1 < size else short
         if name_length < short and value_length < short:
-            name_start = position + 2  # both lengths are short, as nearly all are: spares the calls below
+            name_start = position + 2  # nearly always, both lengths are short; this avoids the calls below
         else:
             long_name = _decode_length(data, position)
             long_value = _decode_length(data, long_name.end)
--- a/thornjunction/net/wire/fastcgi/records.py
+++ b/thornjunction/net/wire/fastcgi/records.py
@@ -22,7 +22,7 @@
 
 
 class RecordType(IntEnum):
-    """Types of a record (§8)."""
+    """Type of a record (§8)."""
 
     BEGIN = 1
     ABORT = 2
@@ -40,9 +40,9 @@
     """One record.
 
     Attributes:
-        kind: a ``RecordType``, or a number that is none.
-        request_id: request that it belongs to; ``MANAGEMENT_ID``: the connection.
-        content: its content without padding.
+        kind: a ``RecordType``, or the number of an unknown type.
+        request_id: request that the record belongs to; ``MANAGEMENT_ID`` for the connection itself.
+        content: content of the record without padding.
     """
 
     kind: int
@@ -65,10 +65,10 @@
         """Return all records that are complete now.
 
         Raises:
-            ProtocolError: ``fastcgi-version``, only where no record precedes the violation; otherwise the
-                next call raises it.
+            ProtocolError: ``fastcgi-version``, the version is unknown; if records precede the violation,
+                they are returned first, and the next call raises the error.
         """
-        buffer = self._buffer  # a local name, for this runs for each record of each request
+        buffer = self._buffer  # a local name is faster; this runs for each record of each request
         buffer += data
         size = len(buffer)
         records: list[Record] = []
--- a/thornjunction/net/wire/fastcgi/request_reader.py
+++ b/thornjunction/net/wire/fastcgi/request_reader.py
@@ -24,25 +24,25 @@
 # Content of a BEGIN_REQUEST record (§5.1).
 BEGIN_BODY_BYTES = 8
 
-# Role and flags, the used part of a BEGIN_REQUEST record's content.
+# Role and flags, the part of a BEGIN_REQUEST record's content that is used.
 BEGIN_BODY = struct.Struct("!HB")
 
-# What follows the type in an UNKNOWN_TYPE record (§4.2).
+# Bytes that follow the type in an UNKNOWN_TYPE record (§4.2).
 UNKNOWN_TYPE_PADDING = bytes(7)
 
-# The role that this program serves (§6.2).
+# The only role that is supported (§6.2).
 RESPONDER = 1
 
 # Flag of BEGIN_REQUEST: the connection stays open after the response (§5.1).
 KEEP_CONN = 1
 
-# Requests of one connection at a time: as many as the platform's web servers send.
+# Most open requests of one connection; the platform's web servers send as many.
 MAX_OPEN_REQUESTS = 32
 
-# All parameters of a request.
+# Largest size of all parameters of a request.
 MAX_PARAMS_BYTES = 16_384
 
-# Body of a request: a write brings up to 48,000 bytes.
+# Largest body of a request; a write has up to 48,000 bytes.
 MAX_BODY_BYTES = 65_536
 
 # Memory counted for each open request beside its parameters and body.
@@ -50,7 +50,7 @@
 
 
 class _RequestState(Enum):
-    """What an open request waits for."""
+    """Which records an open request waits for."""
 
     PARAMS = auto()
     STDIN = auto()
@@ -117,7 +117,7 @@
     def _add_params(self, record: Record) -> Message | None:
         """Add content to the parameters; an empty record ends them."""
         request = self._open.get(record.request_id)
-        if request is None:  # it has ended, or never was
+        if request is None:  # it has ended, or was never begun
             return None
         if request.state is not _RequestState.PARAMS:
             raise ProtocolError("fastcgi-params")
@@ -131,9 +131,9 @@
         return None
 
     def _add_body(self, record: Record) -> Message | None:
-        """Add content to the body; an empty record ends it, and with it the request."""
+        """Add content to the body; an empty record ends the body and the request."""
         request = self._open.get(record.request_id)
-        if request is None:  # it has ended, or never was
+        if request is None:  # it has ended, or was never begun
             return None
         if record.content:
             request.body += record.content
--- a/thornjunction/net/wire/gossip.py
+++ b/thornjunction/net/wire/gossip.py
@@ -1,8 +1,8 @@
-"""ReplayGossip of accepted tokens to peers: one UDP datagram of replay entries, authenticated by HMAC-SHA256.
+"""Datagrams that announce accepted tokens to peers: replay entries, authenticated by HMAC-SHA256.
 
     b"TJG1" | count (u16) | count x (key: 16 bytes, expiry: u32 Unix seconds) | HMAC-SHA256 (32 bytes)
 
-The HMAC covers all bytes before it, under a secret that every instance of a fleet shares.  No I/O.
+The HMAC covers all bytes before it; its key is a secret that all instances of a fleet share.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.signing.replay import KEY_BYTES, ReplayEntry
 
-# The format and its version.
+# Identifies the format and its version.
 MAGIC = b"TJG1"
 
-# Length of HMAC-SHA256.
+# Length of an HMAC-SHA256 code.
 MAC_BYTES = 32
 
 # Number of entries.
 COUNT = struct.Struct(">H")
 
-# Key and expiry in Unix seconds.
+# One entry: key and expiry in Unix seconds.
 ENTRY = struct.Struct(f">{KEY_BYTES}sI")
 
 # Bytes before the entries.
 HEADER_BYTES = len(MAGIC) + COUNT.size
 
-# Entries of a datagram: 1,318 bytes at most, below the usual MTU.
+# Most entries of a datagram; its 1,318 bytes are below the usual MTU.
 MAX_ENTRIES = 64
 
-# A datagram without entries.
+# Size of a datagram without entries.
 MIN_DATAGRAM_BYTES = HEADER_BYTES + MAC_BYTES
 
-# A datagram of ``MAX_ENTRIES``.
+# Size of a datagram with ``MAX_ENTRIES``.
 MAX_DATAGRAM_BYTES = MIN_DATAGRAM_BYTES + MAX_ENTRIES * ENTRY.size
 
-# The largest expiry that the wire holds.
+# Largest expiry that fits into an entry.
 LAST_EXPIRY_S = 0xFFFFFFFF
 
 
 class TooManyEntriesError(ValueError):
-    """More entries than one datagram holds."""
+    """There are more entries than fit into one datagram."""
 
     def __init__(self) -> None:
         super().__init__(f"gossip: over {MAX_ENTRIES} entries in one datagram")
@@ -67,8 +67,8 @@
     """Decode one datagram; its authentication code is checked before anything else is read.
 
     Raises:
-        ProtocolError: ``gossip-size`` for an impossible length, ``gossip-forged`` for another secret,
-            ``gossip-frame`` for another format.
+        ProtocolError: ``gossip-size`` for an invalid length, ``gossip-forged`` for a wrong authentication
+            code, ``gossip-frame`` for another format.
     """
     if not MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         raise ProtocolError("gossip-size")
--- a/thornjunction/net/wire/graphite.py
+++ b/thornjunction/net/wire/graphite.py
@@ -1,4 +1,4 @@
-"""Graphite's plaintext protocol: a line of path, value and Unix time for each sample."""
+"""Graphite's plaintext protocol: one line with path, value and Unix time for each sample."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Characters that a path must not contain; each is replaced by an underscore.
+# Characters that are not allowed in a path; each is replaced with an underscore.
 UNSAFE = re.compile(r"[^0-9A-Za-z_.-]", re.ASCII)
 
 
@@ -15,9 +15,9 @@
     """One measured value.
 
     Attributes:
-        name: words joined by dots.
-        value: the value itself.
-        counter: whether the value only grows; otherwise it is a gauge.
+        name: words separated by dots.
+        value: the measured value.
+        counter: whether the value never decreases; otherwise it is a gauge.
     """
 
     name: str
@@ -26,11 +26,11 @@
 
 
 def encode_lines(prefix: str, samples: Iterable[Sample], unix_s: float) -> bytes:
-    """Encode samples of one time, in Unix seconds, under a common prefix of their paths."""
+    """Encode samples that were measured at ``unix_s``; their paths have a common prefix."""
     timestamp = int(unix_s)
-    return "".join(_line(prefix, sample, timestamp) for sample in samples).encode("ascii")
+    return "".join(_encode_line(prefix, sample, timestamp) for sample in samples).encode("ascii")
 
 
-def _line(prefix: str, sample: Sample, timestamp: int) -> str:
+def _encode_line(prefix: str, sample: Sample, timestamp: int) -> str:
     path = UNSAFE.sub("_", f"{prefix}.{sample.name}")
     return f"{path} {sample.value:.10g} {timestamp}\n"
--- a/thornjunction/net/wire/http1/encoder.py
+++ b/thornjunction/net/wire/http1/encoder.py
@@ -1,15 +1,15 @@
-"""Encoders of responses and of plain GET requests."""
+"""Encoders of responses and of simple GET requests."""
 
 from __future__ import annotations
 
 from thornjunction.net.wire.http1.messages import REASONS, HttpResponse
 
-# Status of a response that never has a body or a length (RFC 9110 §15.4.5).
+# Status of a response that has neither a body nor a length (RFC 9110 §15.4.5).
 NOT_MODIFIED = 304
 
 
 def encode_response(response: HttpResponse) -> bytes:
-    """Encode a response, its length included, except for ``NOT_MODIFIED``."""
+    """Encode a response with its length; a response with status ``NOT_MODIFIED`` gets no length."""
     lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Unknown')}"]
     lines += [f"{name}: {value}" for name, value in response.headers.items()]
     if response.status != NOT_MODIFIED:
@@ -21,5 +21,5 @@
 
 
 def encode_get(target: str, host: str) -> bytes:
-    """Encode a GET request without further headers."""
+    """Encode a GET request with the header ``Host`` only."""
     return f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode("latin-1")
--- a/thornjunction/net/wire/http1/headers.py
+++ b/thornjunction/net/wire/http1/headers.py
@@ -1,4 +1,4 @@
-"""Headers, and what they say of a message's length and its connection."""
+"""Decoding of headers, of a message's length and of the connection's persistence."""
 
 from __future__ import annotations
 
@@ -6,27 +6,28 @@
 
 from thornjunction.net.wire import ProtocolError
 
-# Digits of a Content-Length: more are over every limit.
+# Most digits of a Content-Length; longer numbers exceed every limit.
 MAX_LENGTH_DIGITS = 12
 
-# Hex digits of a chunk's size.
+# Most hex digits of a chunk's size.
 MAX_CHUNK_SIZE_DIGITS = 8
 
-# Bytes of a header's name (RFC 9110 §5.6.2).
+# Allowed bytes of a header's name (RFC 9110 §5.6.2).
 TOKEN_BYTES = frozenset(b"!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz")
 
-# Bytes of a chunk's size (RFC 9112 §7.1).
+# Allowed bytes of a chunk's size (RFC 9112 §7.1).
 HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
 
-# Headers of which a second one would let two readers see two different messages (RFC 9112 §11.2).
+# Headers that must not be repeated: two readers could interpret the message differently (RFC 9112 §11.2).
 SINGLE_HEADERS = frozenset(("content-length", "host", "transfer-encoding"))
 
 
 def decode_headers(lines: list[bytes]) -> dict[str, str]:
-    """Decode headers; a repeated one is joined with commas (RFC 9110 §5.3), except ``SINGLE_HEADERS``.
+    """Decode headers; values of a repeated header are joined with commas (RFC 9110 §5.3).
 
     Raises:
-        ProtocolError: ``http-header``, a line is malformed, or ``http-header-twice``.
+        ProtocolError: ``http-header``, a line is malformed; ``http-header-twice``, one of ``SINGLE_HEADERS``
+            is repeated.
     """
     headers: dict[str, str] = {}
     for line in lines:
@@ -44,10 +45,10 @@
 
 
 def is_chunked(headers: Mapping[str, str]) -> bool:
-    """Return whether the body comes in chunks (RFC 9112 §7.1).
+    """Return whether the body is sent in chunks (RFC 9112 §7.1).
 
     Raises:
-        ProtocolError: ``http-framing``, another coding, or a Content-Length beside it.
+        ProtocolError: ``http-framing``, the transfer coding is another one, or there is a Content-Length too.
     """
     coding = headers.get("transfer-encoding")
     if coding is None:
@@ -58,10 +59,10 @@
 
 
 def content_length(headers: Mapping[str, str], max_body_bytes: int) -> int:
-    """Return the value of Content-Length; 0 where there is none.
+    """Return the value of Content-Length; 0 if there is none.
 
     Raises:
-        ProtocolError: ``http-length``, it is no number, or ``http-body-size``, it exceeds the limit.
+        ProtocolError: ``http-length``, it is not a number, or ``http-body-size``, it exceeds the limit.
     """
     text = headers.get("content-length", "0")
     if not (text.isascii() and text.isdigit()):
@@ -72,7 +73,7 @@
 
 
 def decode_chunk_size(line: bytes) -> int:
-    """Return the size of a chunk in bytes; extensions of the line are ignored.
+    """Return the size of a chunk in bytes; chunk extensions are ignored.
 
     Raises:
         ProtocolError: ``http-chunk``, the line has no size.
@@ -87,7 +88,7 @@
     """Return whether the connection stays open after a message (RFC 9112 §9.3).
 
     Raises:
-        ProtocolError: ``http-version``, neither HTTP/1.1 nor HTTP/1.0.
+        ProtocolError: ``http-version``, the version is neither HTTP/1.1 nor HTTP/1.0.
     """
     if version not in ("HTTP/1.1", "HTTP/1.0"):
         raise ProtocolError("http-version")
--- a/thornjunction/net/wire/http1/messages.py
+++ b/thornjunction/net/wire/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of HTTP/1.1, and the status codes that are sent."""
+"""Requests and responses of HTTP/1.1, and the status codes in use."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     504: "Gateway Timeout",
 }
 
-# Status for a request that cannot be read, by the error's code; 400 for others (RFC 9110 §15.5).
+# Status of the response to a malformed request, by the error's code; 400 for other codes (RFC 9110 §15.5).
 STATUS_BY_ERROR_CODE = {"http-head-size": 431, "http-headers": 431, "http-body-size": 413}
 
 
@@ -33,10 +33,10 @@
     """A complete request.
 
     Attributes:
-        method: as it came; methods are case-sensitive.
+        method: method as it was received; methods are case-sensitive.
         target: path and query, in origin form.
         headers: values by name in lower case.
-        body: its content.
+        body: content of the request.
         keep_alive: whether the connection stays open after the response.
     """
 
@@ -52,11 +52,11 @@
     """A complete response.
 
     Attributes:
-        status: its status code.
-        headers: values by name; of a response that was read, in lower case.
-        body: its content.
-        keep_alive: whether the connection stays open after it.
-        omits_body: whether it answers HEAD; the length of the body is sent, the body is not.
+        status: status code.
+        headers: values by name; the names are in lower case if the response was received.
+        body: content of the response.
+        keep_alive: whether the connection stays open after the response.
+        omits_body: whether the length of the body is sent without the body, as in a response to HEAD.
     """
 
     status: int
--- a/thornjunction/net/wire/http1/reader.py
+++ b/thornjunction/net/wire/http1/reader.py
@@ -1,4 +1,4 @@
-"""Readers of requests and responses, bounded in size."""
+"""Readers of requests and responses of limited size."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from thornjunction.net.wire.http1.messages import HttpRequest, HttpResponse
 from thornjunction.net.wire.message_reader import MessageReader
 
-# Start line and headers of a message: some times what browsers send, with a token in the URL.
+# Largest size of the start line and headers: several times what browsers send with a token in the URL.
 MAX_HEAD_BYTES = 16_384
 
-# Lines of the start line and the headers.
+# Most lines of the start line and headers.
 MAX_HEAD_LINES = 64
 
-# Line of a chunk's size with its extensions, and each line of a trailer.
+# Largest length of a line with a chunk's size and extensions, and of each line of a trailer.
 MAX_LINE_BYTES = 256
 
 # End of each line (RFC 9112 §2.2).
 LINE_END = b"\r\n"
 
-# End of the head: the last header's, and an empty line.
+# End of the head: the end of the last header, and an empty line.
 HEAD_END = b"\r\n\r\n"
 
-# Digits of a status (RFC 9110 §15).
+# Number of digits of a status code (RFC 9110 §15).
 STATUS_DIGITS = 3
 
-# Method, target and version (RFC 9112 §3).
+# Number of parts of a request line: method, target and version (RFC 9112 §3).
 REQUEST_LINE_PARTS = 3
 
 # Memory counted for the head of an incomplete message.
@@ -45,7 +45,7 @@
 
 
 class _State(Enum):
-    """What the next bytes of a message are."""
+    """Which element of a message the next bytes belong to."""
 
     HEAD = auto()
     BODY = auto()
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Head:
-    """The start line and the headers, names in lower case."""
+    """The start line and the headers; names are in lower case."""
 
     start_line: str
     headers: Mapping[str, str]
@@ -68,17 +68,17 @@
 
 
 class _HttpReader(MessageReader[HttpMessage]):
-    """Splits a byte stream into messages; bodies by Content-Length or in chunks (RFC 9112 §6)."""
+    """Splits a byte stream into messages, whose bodies have a Content-Length or chunks (RFC 9112 §6)."""
 
     def __init__(self, max_body_bytes: int) -> None:
         super().__init__()
         self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
         self._state = _State.HEAD
-        self._head: _Head | None = None  # of the open message
-        self._body = bytearray()  # what of it has arrived, and was not taken
-        self._missing_bytes = 0  # of the body, or of the open chunk
-        self._announced_bytes = 0  # of the body, so far
+        self._head: _Head | None = None  # of the incomplete message
+        self._body = bytearray()  # received bytes of the body, except those that ``take_body`` has returned
+        self._missing_bytes = 0  # of the body, or of the current chunk
+        self._announced_bytes = 0  # length of the body according to the headers and chunk sizes so far
 
     @property
     def buffered_bytes(self) -> int:
@@ -92,7 +92,7 @@
             data = b""
 
     def next(self, data: bytes = b"") -> HttpMessage | None:
-        """Return the first complete message; what follows it stays buffered.
+        """Return the first complete message, or None; bytes after it stay buffered.
 
         Raises:
             ProtocolError: the protocol was violated.
@@ -105,14 +105,14 @@
 
     @abstractmethod
     def _build(self, head: _Head, body: bytes) -> HttpMessage:
-        """Build the message of its parts.
+        """Build the message from its head and body.
 
         Raises:
-            ProtocolError: its start line is malformed.
+            ProtocolError: the start line is malformed.
         """
 
     def _finish(self) -> HttpMessage:
-        """Build the complete message, and make ready for the next one."""
+        """Build the complete message, and reset the state for the next one."""
         assert self._head is not None
         head = self._head
         body = bytes(self._body)
@@ -122,7 +122,7 @@
         return self._build(head, body)
 
     def _advance(self) -> bool:
-        """Take one step in the current state; False where it needs more bytes."""
+        """Read the next element of the message; False if it needs more bytes."""
         match self._state:
             case _State.HEAD:
                 return self._read_head()
@@ -159,7 +159,7 @@
         return True
 
     def _read_content(self, following: _State) -> bool:
-        """Move what has arrived of the body, or of the open chunk; at its end, change the state."""
+        """Move received bytes to the body; change the state at the end of the body or current chunk."""
         content = self._buffer[: self._missing_bytes]
         self._body += content
         del self._buffer[: len(content)]
@@ -222,25 +222,25 @@
 class ResponseReader(_HttpReader[HttpResponse]):
     """Splits a byte stream into responses.
 
-    ``head``, ``announced_bytes`` and ``take_body`` are for a body that is too long to be buffered.
+    ``head``, ``announced_bytes`` and ``take_body`` are used for bodies that are too long to be buffered.
     """
 
     @property
     def announced_bytes(self) -> int:
-        """Length that the incomplete response's body has at least; 0: there is none."""
+        """Least length of the incomplete response's body; 0 if there is no incomplete response."""
         return 0 if self._head is None else self._announced_bytes
 
     def head(self) -> HttpResponse:
         """Return the incomplete response without its body.
 
         Raises:
-            ProtocolError: its status line is malformed.
+            ProtocolError: the status line is malformed.
         """
         assert self._head is not None
         return self._build(self._head, b"")
 
     def take_body(self) -> bytes:
-        """Remove and return what has arrived of the incomplete response's body."""
+        """Remove and return the received bytes of the incomplete response's body."""
         part = bytes(self._body)
         self._body.clear()
         return part
--- a/thornjunction/net/wire/message_reader.py
+++ b/thornjunction/net/wire/message_reader.py
@@ -1,4 +1,4 @@
-"""The error handling that readers of message streams share."""
+"""Base class of the readers of message streams, with their error handling."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class MessageReader(ABC, Generic[MessageT]):
-    """Splits a byte stream into messages; an error is raised after the messages that precede it."""
+    """Splits a byte stream into messages; an error is raised after the preceding messages were returned."""
 
     def __init__(self) -> None:
-        self._deferred_error: ProtocolError | None = None  # follows the messages that were returned last
+        self._deferred_error: ProtocolError | None = None  # to be raised by the next call
 
     def feed(self, data: bytes) -> list[MessageT]:
-        """Return all messages that are complete now.
+        """Return all messages that are complete with these bytes.
 
         Raises:
-            ProtocolError: the protocol was violated.  Messages that precede the violation are returned
-                first, and the next call raises it, so that none of them is lost.
+            ProtocolError: the protocol was violated.  If messages precede the violation, they are returned
+                first, and the next call raises the error.
         """
         if self._deferred_error is not None:
             raise self._deferred_error
@@ -39,5 +39,5 @@
         """Append each message that is complete with this data.
 
         Raises:
-            ProtocolError: the protocol was violated behind the messages that were appended.
+            ProtocolError: the protocol was violated after the appended messages.
         """
--- a/thornjunction/net/wire/polls.py
+++ b/thornjunction/net/wire/polls.py
@@ -1,6 +1,6 @@
-"""A poll of the command channel as a relay receives it (docs/design/control.md, "The wire").
+"""Decoder of the polls that a relay receives on the command channel (docs/design/control.md, "The wire").
 
-Bounded, and parsed without a library, because a relay receives thousands of polls a second.
+It limits their size and uses no library, because a relay receives thousands of polls per second.
 """
 
 from __future__ import annotations
@@ -14,44 +14,44 @@
 # Path of a poll.
 PATH = "/cmd/next"
 
-# Path and query of a poll: some times what a relay sends with all its lagging routers.
+# Most characters of path and query: several times what a relay sends with all its lagging routers.
 MAX_TARGET_CHARACTERS = 1024
 
-# Parameters of a poll: twice those that are known, because the protocol may grow.
+# Most parameters of a poll: twice the number of the known ones, because the protocol may be extended.
 MAX_PAIRS = 16
 
-# Lagging routers that a relay names.
+# Most lagging routers that a relay names.
 MAX_NAMES = 8
 
-# Longest time that a poll may wait, by the protocol.
+# Longest time that a poll may wait, according to the protocol.
 MAX_BLOCK_MS = 5_000
 
-# Values of ``as``.
+# Values of the parameter ``as``.
 ROLES = ("router", "relay", "sibling", "probe")
 
-# Name of a router, a relay or an epoch.
+# Format of the name of a router, a relay or an epoch.
 NAME = re.compile(r"[A-Za-z0-9._-]{1,32}")
 
-# A number's digits.
+# Format of a number.
 NUMBER = re.compile(r"[0-9]{1,16}")
 
-# The largest integer that all JSON readers agree on.
+# Largest integer that all JSON readers interpret alike.
 MAX_NUMBER = 1 << 53
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """A poll.  The last three fields come from relays alone.
+    """A poll.  Only relays send the last three fields.
 
     Attributes:
         resume: number of the last event that the poller has.
-        block_ms: how long the poll may wait for an event, in milliseconds.
-        epoch: whose numbers these are; empty: not named.
-        role: one of ``ROLES``.
-        name: the poller's name; empty: not named.
-        acknowledged: number of the last event that all routers below the relay have; None: not reported.
-        lagging_count: number of routers below that do not have more.
-        lagging_names: names of some of these.
+        block_ms: longest time that the poll may wait for an event, in milliseconds.
+        epoch: epoch that the event numbers belong to; empty if not named.
+        role: role of the poller, one of ``ROLES``.
+        name: name of the poller; empty if not named.
+        acknowledged: number of the last event that all routers below the relay have; None if not reported.
+        lagging_count: number of routers below the relay that have no later event.
+        lagging_names: names of some of these routers.
     """
 
     resume: int
@@ -64,15 +64,15 @@
     lagging_names: tuple[str, ...] = ()
 
     def without_waiting(self) -> Poll:
-        """Return the same poll, to be answered with what there is now."""
+        """Return the same poll with no waiting time, to be answered immediately."""
         return replace(self, block_ms=0)
 
 
 def decode_poll(target: str) -> Poll:
-    """Decode the target of a request; unknown parameters are ignored, because the protocol may grow.
+    """Decode the target of a request; unknown parameters are ignored, because the protocol may be extended.
 
     Raises:
-        ProtocolError: it is no poll, or one that exceeds a limit.
+        ProtocolError: the target is not a poll, or exceeds a limit.
     """
     path, _, query = target.partition("?")
     if path != PATH:
@@ -105,7 +105,7 @@
 
 
 def _decode_names(params: Mapping[str, str]) -> tuple[str, ...]:
-    """Names separated by commas, which may be percent-encoded."""
+    """Decode names that are separated by commas, which may be percent-encoded."""
     text = params.get("names", "").replace("%2C", ",").replace("%2c", ",")
     names = tuple(text.split(",")) if text else ()
     if len(names) > MAX_NAMES or not all(map(NAME.fullmatch, names)):
--- a/thornjunction/net/wire/ranges.py
+++ b/thornjunction/net/wire/ranges.py
@@ -1,7 +1,7 @@
 """Byte ranges of a complete response (RFC 9110 §14).
 
-One range is served as 206, and one beyond the end is rejected with 416.  Several ranges are served as the
-complete response, which §14.2 allows.  ``If-Range`` (§13.1.5) with another entity tag has the same effect.
+A single range is served with 206, or rejected with 416 if it is beyond the end.  A request for several ranges
+gets the complete response, which §14.2 allows; so does one with another entity tag in ``If-Range`` (§13.1.5).
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# One range with its first and last byte (§14.1.2); either may be missing.
+# A single range with its first and last byte (§14.1.2); either may be missing.
 SINGLE_RANGE = re.compile(r"bytes=(\d{0,15})-(\d{0,15})", re.ASCII)
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """What is to be sent of a body.
+    """The part of a body that is sent.
 
     Attributes:
-        status: 200, 206 or 416.
-        start: its first byte.
-        end: one past its last byte.
-        content_range: value of ``Content-Range``; empty: the header is left out.
+        status: status of the response: 200, 206 or 416.
+        start: position of the first byte.
+        end: position after the last byte.
+        content_range: value of ``Content-Range``; if it is empty, the header is not sent.
     """
 
     status: int
@@ -32,12 +32,12 @@
 
 
 def select_part(headers: Mapping[str, str], etag: str, length: int) -> Part:
-    """Select the part that a request asks for.
+    """Select the part of the body that a request asks for.
 
     Args:
-        headers: the request's headers, names in lower case.
-        etag: entity tag of the response; empty: it has none.
-        length: bytes of its body.
+        headers: headers of the request, by name in lower case.
+        etag: entity tag of the response; empty if it has none.
+        length: length of the response's body in bytes.
     """
     complete = Part(200, 0, length)
     text = headers.get("range", "").replace(" ", "")
@@ -51,23 +51,23 @@
     if not first and not last:
         return complete
     if not first:
-        return _partial(max(length - int(last), 0), length, length)
+        return _partial_content(max(length - int(last), 0), length, length)
     if not last:
-        return _partial(int(first), length, length)
+        return _partial_content(int(first), length, length)
     if int(last) < int(first):  # §14.1.1: an invalid range is ignored
         return complete
-    return _partial(int(first), min(int(last) + 1, length), length)
+    return _partial_content(int(first), min(int(last) + 1, length), length)
 
 
-def _partial(start: int, end: int, length: int) -> Part:
-    """Return the bytes from ``start`` up to ``end``, or 416 where there are none."""
+def _partial_content(start: int, end: int, length: int) -> Part:
+    """Return the bytes from ``start`` up to ``end``, or status 416 if the range is empty."""
     if start >= length or start >= end:
         return Part(416, content_range=f"bytes */{length}")
     return Part(206, start, end, f"bytes {start}-{end - 1}/{length}")
 
 
 def _is_current(if_range: str | None, etag: str) -> bool:
-    """Whether the client's validator, if it sent one, is the response's strong entity tag (§13.1.5)."""
+    """Whether the client sent no validator, or the response's strong entity tag as one (§13.1.5)."""
     if if_range is None:
         return True
     return bool(etag) and if_range.strip() == f'"{etag}"'
--- a/thornjunction/net/wire/resp.py
+++ b/thornjunction/net/wire/resp.py
@@ -1,4 +1,4 @@
-"""RESP, the protocol of Redis, as far as cache servers use it: arrays of bulk strings."""
+"""The subset of RESP, the protocol of Redis, that cache servers use: arrays of bulk strings."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 from thornjunction.net.wire import ProtocolError
 
-# Items of an array: a cache server's longest message has four.
+# Most items of an array; the longest message of a cache server has four.
 MAX_ITEMS = 8
 
-# Length of a bulk string, the body of a response among them, where the caller names no other.
+# Default limit for the length of a bulk string, such as the body of a response.
 MAX_BULK = 240_000
 
-# Length of a line with a count, its end included.
+# Largest length of a line with a count, including its end.
 MAX_LINE_BYTES = 32
 
-# First byte of the line that opens an array.
+# First byte of the line that begins an array.
 ARRAY_MARK = b"*"
 
-# First byte of the line that opens a bulk string.
+# First byte of the line that begins a bulk string.
 BULK_MARK = b"$"
 
 # End of each line and of each bulk string.
 LINE_END = b"\r\n"
 
-# Memory counted for an open array beside its items.
+# Memory counted for an incomplete array in addition to its items.
 ARRAY_OVERHEAD_BYTES = 64
 
 
 class _State(Enum):
-    """What the next bytes are."""
+    """Which element of an array the next bytes belong to."""
 
     ARRAY_HEADER = auto()
     BULK_HEADER = auto()
@@ -38,10 +38,10 @@
 
 
 class ArrayReader:
-    """Splits a byte stream into arrays; keeps its position, so that a large bulk is not read repeatedly.
+    """Splits a byte stream into arrays; keeps its state, so that long bulk strings are not parsed repeatedly.
 
     Args:
-        max_bulk: bytes that a bulk string may have.
+        max_bulk: largest length of a bulk string in bytes.
     """
 
     def __init__(self, max_bulk: int = MAX_BULK) -> None:
@@ -49,14 +49,15 @@
         self._max_bulk_bytes = max_bulk
         self._state = _State.ARRAY_HEADER
         self._items: list[bytes] = []
-        self._missing_items = 0  # of the open array
-        self._bulk_bytes = 0  # length of the open bulk string
+        self._missing_items = 0  # of the incomplete array
+        self._bulk_bytes = 0  # length of the incomplete bulk string
 
     def feed(self, data: bytes) -> list[tuple[bytes, ...]]:
-        """Return all arrays that are complete now.
+        """Return all arrays that are complete with these bytes.
 
         Raises:
-            ProtocolError: ``resp-line``, ``resp-empty`` or ``resp-bulk-end``.
+            ProtocolError: ``resp-line``, a line is malformed or its number too large; ``resp-empty``, an
+                array has no items; ``resp-bulk-end``, a bulk string does not end with a line end.
         """
         self._buffer += data
         arrays: list[tuple[bytes, ...]] = []
@@ -68,12 +69,12 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes of an incomplete array, with an overhead for the open array itself."""
+        """Bytes of an incomplete array, with an overhead for the array itself."""
         overhead = 0 if self._state is _State.ARRAY_HEADER else ARRAY_OVERHEAD_BYTES
         return len(self._buffer) + sum(map(len, self._items)) + overhead
 
     def _advance(self) -> bool:
-        """Read one header or bulk string; False if it is incomplete."""
+        """Read one array header, bulk header or bulk string; False if it is incomplete."""
         if self._state is _State.BULK:
             return self._read_bulk()
         if self._state is _State.BULK_HEADER:
@@ -110,15 +111,15 @@
         self._state = _State.BULK_HEADER if self._missing_items else _State.ARRAY_HEADER
         return True
 
-    def _read_number(self, mark: bytes, largest: int) -> int | None:
-        """Read a line of a mark and a number; None if it is incomplete."""
+    def _read_number(self, mark: bytes, max_value: int) -> int | None:
+        """Read a line that consists of a mark and a number; None if it is incomplete."""
         end = self._buffer.find(LINE_END, 0, MAX_LINE_BYTES)
         if end < 0:
             if len(self._buffer) >= MAX_LINE_BYTES or (self._buffer and self._buffer[:1] != mark):
                 raise ProtocolError("resp-line")
             return None
         digits = bytes(self._buffer[1:end])
-        if self._buffer[:1] != mark or not digits.isdigit() or int(digits) > largest:
+        if self._buffer[:1] != mark or not digits.isdigit() or int(digits) > max_value:
             raise ProtocolError("resp-line")
         del self._buffer[: end + len(LINE_END)]
         return int(digits)
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -15,16 +15,16 @@
 from thornjunction.net.wire.cgi import MAX_GROUP, MAX_PART, MAX_SIZE_KB, WORD, parse_number
 from thornjunction.net.wire.http1 import HttpRequest, HttpResponse
 
-# Name of the URI attribute and of the cookie that carry a token (RFC 9246 §2.1.14).
+# Name of the URI attribute or cookie that contains a token (RFC 9246 §2.1.14).
 PACKAGE = "URISigningPackage"
 
-# Class, group, object and part.
+# Path with class, group, object and part.
 PATH = re.compile(r"/([0-9A-Za-z_-]{1,64})/(0|[1-9]\d{0,2})/([0-9a-f]{16})/(0|[1-9]\d{0,6})", re.ASCII)
 
-# Largest time that a client may say it waits; its class bounds it further.
+# Longest waiting time that a client may announce; the request's class limits it further.
 MAX_CLIENT_TIME_MS = 1e9
 
-# ``Retry-After`` is in whole seconds (RFC 9110 §10.2.3), and 0 would bring the client back at once.
+# ``Retry-After`` is in whole seconds (RFC 9110 §10.2.3); with 0, the client would retry immediately.
 MIN_RETRY_AFTER_S = 1
 
 # Methods of a class whose requests are idempotent.
@@ -33,27 +33,27 @@
 # Methods of the other classes.
 WRITE_METHODS = ("POST",)
 
-# Milliseconds of a second.
+# Milliseconds per second.
 MS_PER_S = 1000
 
 
 class RejectionCause(StrEnum):
-    """Why a request was rejected, as the log names it; ``TokenError`` has the causes of its token."""
+    """Why a request was rejected, as logged; ``TokenError`` has the causes that concern the token itself."""
 
     IDEMPOTENCY_KEY = "idempotency-key"
     """The idempotency key is malformed, or missing where the class needs one."""
     METHOD = "method"
-    """The class is not asked for with this method."""
+    """The class does not allow this method."""
     MALFORMED_SIZE = "field-size"
-    """The header with the object's size is no number within its range."""
+    """The header with the object's size is not a number in its range."""
     MALFORMED_TTL = "field-ttl"
-    """The header with the client's remaining time is no number within its range."""
+    """The header with the client's remaining time is not a number in its range."""
     NO_SUCH_PATH = "no-such-path"
-    """The path names no class, group, object and part."""
+    """The path does not consist of a known class, a group, an object and a part."""
     TOKEN_MISSING = "token-missing"
-    """Neither the URI nor a cookie has a token."""
+    """Neither the URI nor a cookie contains a token."""
     TOKEN_TWICE = "token-twice"
-    """The URI, or the cookies, have more than one token."""
+    """The URI or the cookies contain more than one token."""
 
 
 class RequestError(Exception):
@@ -61,7 +61,7 @@
 
     Attributes:
         status: status of the response.
-        code: cause for the log.
+        code: cause of the rejection, for the log.
     """
 
     def __init__(self, status: int, code: RejectionCause) -> None:
@@ -71,11 +71,11 @@
 
 
 class SignedTarget(NamedTuple):
-    """A request's target, and the token that was in it or came with it.
+    """A request's target, and the token from the target or from a cookie.
 
     Attributes:
         target: path and query without the token, as it was signed.
-        token: the token.
+        token: the encoded token.
     """
 
     target: str
@@ -85,18 +85,18 @@
 def split_token(request: HttpRequest) -> SignedTarget:
     """Separate the token from the target (RFC 9246 §2.1.15: it is removed before the URI is matched).
 
-    The URI carries it as a query attribute or as a path segment ``URISigningPackage=...``; path style, as
-    the depth in §2.1.14 counts segments.  A cookie is used where the URI has none, so that the URI decides
-    where the two differ.
+    The URI contains it as a query attribute or as a path segment ``URISigningPackage=...``; path style, as
+    the depth in §2.1.14 counts segments.  A cookie is used only if the URI has no token, so the URI takes
+    precedence.
 
     Raises:
-        RequestError: ``token-missing``, or ``token-twice``: with two in the URI, or two cookies, two readers
-            could each use another one.
+        RequestError: ``token-missing``; ``token-twice``, if the URI or the cookies contain several tokens,
+            because two readers could use different ones.
     """
     path, _, query = request.target.partition("?")
     pairs = [pair for pair in query.split("&") if pair]
     segments = path.split("/")
-    uri_tokens = [_value(item) for item in (*pairs, *segments) if _is_package(item)]
+    uri_tokens = [_pair_value(item) for item in (*pairs, *segments) if _is_package(item)]
     cookie_tokens = _cookie_tokens(request)
     if len(uri_tokens) > 1 or len(cookie_tokens) > 1:
         raise RequestError(401, RejectionCause.TOKEN_TWICE)
@@ -119,7 +119,7 @@
     return unquote(pair.partition("=")[0]) == PACKAGE
 
 
-def _value(pair: str) -> str:
+def _pair_value(pair: str) -> str:
     return pair.partition("=")[2]
 
 
@@ -131,11 +131,11 @@
     Args:
         request: the request itself.
         target: its target without the token.
-        transaction_id: unique to this request.
+        transaction_id: unique id of this request.
         classes: request classes by name.
 
     Raises:
-        RequestError: it fits no class, or a header is malformed.
+        RequestError: the request fits no class, or a header is malformed.
     """
     match = PATH.fullmatch(target)
     request_class = classes.get(match[1]) if match else None
@@ -165,7 +165,7 @@
 
 
 def _idempotency_key(request: HttpRequest, request_class: api.RequestClass) -> str:
-    """Value of ``Idempotency-Key``; empty for a class whose requests need none."""
+    """Value of ``Idempotency-Key``; empty for a class whose requests are idempotent."""
     key = request.headers.get("idempotency-key", "").strip('"')
     is_required = request_class.idempotency is api.Idempotency.KEYED
     if (is_required or key) and not WORD.fullmatch(key):
@@ -173,20 +173,20 @@
     return "" if request_class.idempotency is api.Idempotency.IDEMPOTENT else key
 
 
-def _number_header(request: HttpRequest, name: str, default: str, largest: float, code: str) -> float:
+def _number_header(request: HttpRequest, name: str, default: str, max_value: float, code: str) -> float:
     try:
-        return parse_number(request.headers.get(name, default), largest, code)
+        return parse_number(request.headers.get(name, default), max_value, code)
     except ProtocolError as error:
         raise RequestError(400, RejectionCause(str(error))) from error
 
 
 def encode_answer(answer: Answer, request: HttpRequest, served_headers: Mapping[str, str]) -> HttpResponse:
-    """Return the response with a final answer.
+    """Return the response for a final answer.
 
     Args:
-        answer: the answer.
-        request: the request that it answers.
-        served_headers: headers of a served answer alone, as a renewed token's cookie.
+        answer: the final answer.
+        request: the request that is answered.
+        served_headers: additional headers if content is served, such as the cookie of a renewed token.
     """
     match answer:
         case Served(content):
@@ -198,7 +198,7 @@
 
 
 def _served(content: Content, request: HttpRequest, served_headers: Mapping[str, str]) -> HttpResponse:
-    """Return a complete body or a range of it (RFC 9110 §14), or 304."""
+    """Return a response with the complete body or a range of it (RFC 9110 §14), or 304."""
     headers = {"Cache-Control": "private, no-store"} | dict(served_headers)
     if content.etag:
         headers["ETag"] = f'"{content.etag}"'
@@ -214,16 +214,16 @@
 
 
 def encode_unavailable(retry_after_s: float, keep_alive: bool) -> HttpResponse:
-    """Return 503: nothing ran, and the client may retry after some seconds, rounded up."""
+    """Return 503: nothing was executed, and the client may retry after these seconds, rounded up."""
     retry_after = max(math.ceil(retry_after_s), MIN_RETRY_AFTER_S)
     return HttpResponse(503, {"Retry-After": str(retry_after)}, b"", keep_alive)
 
 
 def encode_rejection(status: int, keep_alive: bool, retry_after_s: float = 0.0) -> HttpResponse:
-    """Return the response to a request that never reached the core.
+    """Return the response to a request that was rejected before it reached the core.
 
-    It does not say that a retry is harmless, because nothing is known of an earlier attempt; except 503,
-    with which a full replay window rejects a request before anything ran.
+    Only 503, for a full replay window, says that a retry is harmless, because nothing was executed.  Other
+    responses do not say so, because nothing is known of an earlier attempt.
     """
     if status == 503:
         return encode_unavailable(retry_after_s, keep_alive)
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -1,7 +1,7 @@
 """Requests to cache servers and to the origin, and their responses: RESP arrays of four items.
 
-A request is ``want``, its id, its fields and its body; a response is the request's id, a code, fields and a
-body.  Fields are pairs ``NAME=VALUE``, separated by commas.
+A request consists of ``want``, its id, its fields and its body; a response of the request's id, a code,
+fields and a body.  Fields are pairs ``NAME=VALUE``, separated by commas.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.resp import encode_array
 
-# Items of a response.
+# Number of items of a response.
 RESPONSE_ITEMS = 4
 
-# Fields of a response, the load report among them.
+# Largest size of the fields of a response, including the load report.
 MAX_FIELDS_BYTES = 4096
 
-# Fields of a response that has none.
+# Encodings of no fields.
 NO_FIELDS = (b"-", b"")
 
-# Times are sent in whole milliseconds, rounded down; 0 would mean none.
+# Smallest time in a request; times are rounded down to whole milliseconds, and 0 would mean no time.
 MIN_TIME_MS = 1
 
 
 class ResponseCode(Enum):
-    """How a request ended; the values are the wire's."""
+    """How a request ended; the values are those of the protocol."""
 
     DONE = b"DONE"
     KEEP = b"KEEP"
     """The client's own copy is the current one."""
 
     LACK = b"LACK"
-    """A miss: nothing ran."""
+    """A miss: nothing was executed."""
 
     WAIT = b"WAIT"
-    """The server is full: nothing ran."""
+    """The server is at capacity: nothing was executed."""
 
     BROKE = b"BROKE"
-    """An error: the request may have run."""
+    """An error: the request may have been executed."""
 
     PAST = b"PAST"
-    """The request was over already: nothing ran."""
+    """The request's time was already over: nothing was executed."""
 
     FIT = b"FIT"
     """Response to a health check: the server can serve."""
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """A response.
+    """A response to a request or a health check.
 
     Attributes:
-        request_id: id of the request or the health check.
-        code: how it ended.
-        fields: values by name.
-        body: the content.
+        request_id: id of the request or of the health check.
+        code: how the request or the health check ended.
+        fields: values of the fields by name.
+        body: content of the response.
     """
 
     request_id: str
@@ -73,15 +73,15 @@
 
 
 class MalformedFieldsError(ValueError):
-    """The fields of a response cannot be read."""
+    """The fields of a response are malformed or too long."""
 
 
 def encode_request(request: UpstreamRequest, remaining_ms: float) -> bytes:
-    """Encode an attempt; unbounded ages and absent values are left out, times are rounded down.
+    """Encode an attempt; unlimited ages and missing values are omitted, times are rounded down.
 
     Args:
         request: the attempt.
-        remaining_ms: milliseconds that remain for it as it is written.
+        remaining_ms: milliseconds that remain for the attempt when it is sent.
     """
     client_request = request.client_request
     fetch = request.fetch
@@ -108,7 +108,7 @@
 
 
 def _directives(fetch: api.StartAttempt, has_source: bool) -> str:
-    """Value of ``do``; without a source nothing can be fetched, and a copy is not renewed from nowhere."""
+    """Value of the field ``do``; without a source, a copy can be neither fetched nor refreshed."""
     directives: list[str] = []
     if fetch.coalesce:
         directives.append("collapse")
@@ -120,12 +120,12 @@
 
 
 def encode_cancel(request_id: str) -> bytes:
-    """Encode that the response to a request is no longer waited for."""
+    """Encode the cancellation of a request whose response is no longer awaited."""
     return encode_array((b"never_mind", request_id.encode()))
 
 
 def encode_health_check(check_id: str) -> bytes:
-    """Encode a health check, whose response carries this id."""
+    """Encode a health check; its response has the same id."""
     return encode_array((b"busy", check_id.encode()))
 
 
@@ -152,14 +152,14 @@
     fields: dict[str, str] = {}
     for pair in data.decode("ascii").split(","):
         name, equals, value = pair.partition("=")
-        if not equals or not pair.isprintable():  # an entity tag is copied into headers sent to clients
+        if not equals or not pair.isprintable():  # an entity tag is copied into headers of client responses
             raise MalformedFieldsError
         fields[name] = value
     return fields
 
 
 def decode_report(text: str) -> dict[str, float]:
-    """Decode a load report, as ``inflight:7;util:0.61``; what is no finite number is left out."""
+    """Decode a load report such as ``inflight:7;util:0.61``; values that are not finite are skipped."""
     values: dict[str, float] = {}
     for pair in text.split(";"):
         name, _, digits = pair.partition(":")
@@ -167,6 +167,6 @@
             number = float(digits)
         except ValueError:
             continue
-        if math.isfinite(number):  # another one would stay in every mean that it enters
+        if math.isfinite(number):  # any other value would corrupt the means permanently
             values[name] = number
     return values
