--- a/tests/net/discovery/builders.py
+++ b/tests/net/discovery/builders.py
@@ -1,4 +1,4 @@
-"""Parts of tests of the watch: a router's service, responses in JSON, and a watch at a scripted discovery."""
+"""Builders for tests of the watch: a router's service, JSON responses and a watch on a scripted discovery."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 def build_service() -> Service:
-    """A router with the decisions' test configuration, which is not started."""
+    """Build a router with the test configuration of the decisions; it is not started."""
     config = parse_config(json.dumps(CONFIG).encode(), {})
     return Service(config, None, reactor, Counters(), lambda: config)
 
 
 def encode_commands(*events: Any) -> bytes:
-    """The body of a response whose cursor is 4."""
+    """Encode the body of a response with these events and the cursor 4."""
     return json.dumps({"cursor": 4, "cmds": events}).encode()
 
 
 class WatchTestCase(TestCase):
-    """A watch client at a scripted discovery, whose time passes as the test says."""
+    """A watch client on a scripted discovery, with a clock that the test advances."""
 
     timeout = 60
 
@@ -42,11 +42,11 @@
         self.addCleanup(self.environment.stop)
 
     def delivered_cursors(self) -> list[int]:
-        """Numbers of the events that the watch client has passed on."""
+        """Numbers of the events that the watch client has delivered."""
         return [event.cursor for event in self.environment.received_events]
 
     def resume_positions(self) -> list[int]:
-        """Positions that the polls resumed from."""
+        """Resume positions of all polls."""
         return [resume for resume, _ in self.discovery.polls]
 
     def is_paused(self) -> bool:
@@ -55,5 +55,5 @@
         return connection is not None and connection.state is ConnectionState.PAUSED
 
     def is_disconnected_after_polls(self) -> bool:
-        """Whether discovery was polled and there is no connection any more."""
+        """Whether discovery was polled and the connection has ended."""
         return bool(self.discovery.polls) and self.environment.watch_client.connection is None
--- a/tests/net/discovery/scripted_source.py
+++ b/tests/net/discovery/scripted_source.py
@@ -1,4 +1,4 @@
-"""A scripted source of events on real loopback connections: a relay, or discovery itself."""
+"""Scripted source of events on real loopback connections: a relay or discovery itself."""
 
 from __future__ import annotations
 
@@ -22,45 +22,45 @@
 
 
 class SourceConnection(FakeDiscoveryConnection):
-    """One connection of a source, whose polls have more parameters than those of discovery."""
+    """One connection of a source; its polls have more parameters than those of discovery."""
 
     def __init__(self, source: ScriptedSource) -> None:
         super().__init__(source)  # type: ignore[arg-type]
         self.source = source
 
     def handle_query(self, query: Query) -> None:
-        """Pass a poll on."""
+        """Pass the query of a poll or probe to the source."""
         self.source.handle_query(self, query)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Forget a poll that is held for this connection."""
+        """Discard the poll that is held for this connection, if any."""
         super().connectionLost(reason)
         if self.source.held_poll is not None and self.source.held_poll.connection is self:
             self.source.held_poll = None
 
 
 class HeldPoll(NamedTuple):
-    """A poll that waits for its response."""
+    """A poll that awaits its response."""
 
     connection: SourceConnection
     query: Query
 
 
 class ScriptedSource:
-    """A relay, or a plain discovery where ``epoch`` is empty.
+    """A relay, or a plain discovery if ``epoch`` is empty.
 
     Attributes:
-        epoch: whose numbers its events have.
-        age_ms: age of its state, as its responses report it.
-        status: status of its responses.
-        is_hung: whether it answers neither polls nor probes.
-        cuts_next_response: whether the next response ends in its middle.
-        keeps_next_response: whether the next response is kept in ``kept_response`` in place of being sent.
-        sends_head_last: whether responses have their events before all else.
+        epoch: epoch that the event numbers belong to.
+        age_ms: age of the state, as reported in responses.
+        status: status of the responses.
+        is_hung: whether the source answers neither polls nor probes.
+        truncates_next_response: whether only the first half of the next response is sent.
+        keeps_next_response: whether the next response is stored in ``kept_response`` instead of being sent.
+        sends_head_last: whether responses contain their events before all other values.
         number: number of the last event.
         polls: the queries of all polls.
         probes: the queries of all probes.
-        held_poll: the poll that waits for its response.
+        held_poll: the poll that awaits its response.
     """
 
     def __init__(self, epoch: str) -> None:
@@ -68,7 +68,7 @@
         self.age_ms = 0
         self.status = OK
         self.is_hung = False
-        self.cuts_next_response = False
+        self.truncates_next_response = False
         self.keeps_next_response = False
         self.kept_response = b""
         self.sends_head_last = False
@@ -99,15 +99,15 @@
         self.connections.clear()
         self.held_poll = None
 
-    def revive(self, epoch: str) -> None:
-        """Listen at the same address again, under another epoch."""
+    def listen_again(self, epoch: str) -> None:
+        """Listen on the same address again, with another epoch."""
         self.epoch = epoch
         self.status = OK
         self.is_hung = False
         self._listen(self.address[1])
 
     def publish_list(self, seq: int, **health: str) -> ScriptedSource:
-        """Publish servers and their states: a complete list where there is none yet, else a change."""
+        """Publish servers and their states: a complete list if there is none yet, otherwise a change."""
         is_complete = not self._entries
         self.number += 1
         self._seq = seq
@@ -129,22 +129,22 @@
         return self
 
     def expire_purges(self) -> None:
-        """Forget all purges, as after their retention time."""
+        """Remove all purges, as after their retention time."""
         self._purges.clear()
         self._events = [event for event in self._events if "nodes" in event]
 
     def forget_list(self) -> None:
-        """Forget the endpoint list: the next one is complete."""
+        """Remove the endpoint list, so that the next published one is complete."""
         self._entries.clear()
 
     def restart_at(self, number: int) -> None:
-        """Forget all events, as a new process does, and go on after this number."""
+        """Remove all events, as a new process does, and continue after this number."""
         self.number = number
         self._events.clear()
         self._purges.clear()
 
     def handle_query(self, connection: SourceConnection, query: Query) -> None:
-        """Answer a probe at once, and a poll as soon as there is an event for it."""
+        """Answer a probe immediately, and a poll as soon as there is an event for it."""
         if query.get("as") == "probe":
             self.probes.append(query)
             if not self.is_hung:
@@ -156,7 +156,7 @@
             self.answer_held_poll()
 
     def answer_held_poll(self) -> None:
-        """Answer the poll that is held, if any."""
+        """Answer the held poll, if any."""
         poll = self.held_poll
         if poll is None or self.is_hung:
             return
@@ -169,7 +169,7 @@
         return not is_known or resume < self._events[-1]["cursor"]
 
     def _events_for(self, query: Query) -> list[JsonObject]:
-        """The later events for a position in this epoch, else the complete state."""
+        """The later events if the poll resumes in this epoch, otherwise the complete state."""
         resume = int(query["resume"])
         if query.get("epoch", "") == self.epoch and (resume > 0 or not self.epoch):
             return [event for event in self._events if event["cursor"] > resume]
@@ -181,8 +181,8 @@
         response = encode_answer(self._content(events), self.status)
         if self.keeps_next_response:
             self.kept_response = response
-        elif self.cuts_next_response:
-            self.cuts_next_response = False
+        elif self.truncates_next_response:
+            self.truncates_next_response = False
             connection.transport.write(response[: len(response) // 2])
             connection.transport.abortConnection()
         else:
--- a/tests/net/discovery/sources_environment.py
+++ b/tests/net/discovery/sources_environment.py
@@ -1,4 +1,4 @@
-"""The watch on several scripted sources, with its deadlines on a clock that the test advances."""
+"""A watch on several scripted sources, with a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 
 def poll_query(is_sibling: bool) -> str:
-    """What a poll says of its sender."""
+    """The part of a poll's query that identifies the sender."""
     return "&as=sibling" if is_sibling else f"&as=router&name={ROUTER_NAME}"
 
 
 class SourcesEnvironment(ManualClock):
-    """A watch on as many sources as there are epochs.
+    """A watch on one source for each epoch.
 
     Attributes:
         sources: the sources, in the operators' order.
         watch: the watch under test.
-        received_events: the events that it has passed on.
+        received_events: the events that the watch has delivered.
         confirmations: age and cursor of each confirmation.
-        new_epochs: how often events were numbered anew.
-        synchronizations: how often the watch was synchronized for the first time; once, where it is correct.
+        new_epochs: number of epochs that the watch has reported.
+        synchronizations: how often the watch has reported its synchronization; a correct watch does so once.
     """
 
     def __init__(self, *epochs: str) -> None:
@@ -73,11 +73,11 @@
 
     @inlineCallbacks
     def wait_for_held_poll(self, source: ScriptedSource, polls: int = 1) -> Steps[None]:
-        """Wait until a source holds a poll, and has had so many."""
+        """Wait until a source holds a poll and has received at least this number of polls."""
         yield wait_until(lambda: len(source.polls) >= polls and source.held_poll is not None)
 
     def wait_until_due(self, condition: Callable[[], bool]) -> Deferred[None]:
-        """Wait until a condition holds while what is due now runs; no time passes."""
+        """Wait until a condition holds, while running deadlines that are due; the clock is not advanced."""
 
         def holds() -> bool:
             self.advance(0.0)
@@ -87,7 +87,7 @@
 
     @inlineCallbacks
     def run_for(self, duration_ms: float, step_ms: float = STEP_MS) -> Steps[None]:
-        """Let time pass, while the sources that are up answer the polls they hold, and probes end."""
+        """Advance the clock in steps; after each, running sources answer held polls, and probes end."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.advance(min(step_ms, end_ms - self.now_ms))
@@ -95,17 +95,17 @@
 
     @inlineCallbacks
     def settle(self) -> Steps[None]:
-        """Wait until nothing is under way, and each poll that a source held has had its response."""
+        """Wait until no connection attempt or probe is pending and each held poll was answered."""
         yield wait_until(self._is_settled)
         for source in self.sources:
             if source.held_poll is not None and source.status == OK and not source.is_hung:
                 polls = len(source.polls)
                 source.answer_held_poll()
-                yield wait_until(lambda source=source, polls=polls: self._has_taken_response(source, polls))
+                yield wait_until(lambda source=source, polls=polls: self._has_read_response(source, polls))
         yield wait_until(self._is_settled)
 
     def _is_settled(self) -> bool:
-        """Whether there is no attempt to connect, no probe, and no poll that its source has not received."""
+        """Whether there is no attempt to connect, no probe, and no poll that is still to be received."""
         if self.watch.is_connecting or self.watch.pending_probes:
             return False
         if self.watch.selected is None:
@@ -118,8 +118,8 @@
         source = next(source for source in self.sources if source.address == self.watch.selected)
         return source.held_poll is not None and (connection.polls > 0 or source.is_hung)
 
-    def _has_taken_response(self, source: ScriptedSource, polls: int) -> bool:
-        """Whether there is another poll, or a pause before it, or the source is polled no longer."""
+    def _has_read_response(self, source: ScriptedSource, polls: int) -> bool:
+        """Whether the watch has polled again, pauses before it, or no longer polls the source."""
         connection = self.watch.connection
         return (
             len(source.polls) > polls
@@ -129,11 +129,11 @@
         )
 
     def purged_groups(self) -> list[int]:
-        """The groups of all purges that were passed on."""
+        """The groups of all delivered purges."""
         return [event.group for event in self.received_events if not isinstance(event, ListChange)]
 
     def server_states(self) -> dict[str, str]:
-        """The endpoint list that results from the events passed on."""
+        """The endpoint list that results from the delivered events."""
         states: dict[str, str] = {}
         for event in self.received_events:
             if isinstance(event, ListChange):
@@ -143,7 +143,7 @@
         return states
 
     def polled_rank(self) -> int | None:
-        """Rank in the operators' order of the source that is polled."""
+        """Rank of the polled source in the operators' order; None if there is none."""
         current = self.watch.selector.current
         return None if current is None else current.priority
 
@@ -161,15 +161,15 @@
 
 
 class SourcesTestCase(TestCase):
-    """Builds environments, which end with the test."""
+    """Builds environments, which are stopped at the end of the test."""
 
     timeout = 60
 
     @inlineCallbacks
     def start(self, *epochs: str) -> Steps[SourcesEnvironment]:
-        """Start a watch; returns once it has taken the first source's state.
+        """Start a watch; returns once it has applied the first source's state.
 
-        All sources have one list and one purge, each under its own numbers; later ones have lower numbers.
+        All sources have the same list and purge, but other numbers; those of later sources are lower.
         """
         environment = SourcesEnvironment(*epochs)
         self.addCleanup(environment.stop)
--- a/tests/net/discovery/test_address_change.py
+++ b/tests/net/discovery/test_address_change.py
@@ -1,4 +1,4 @@
-"""The configuration names another address for discovery while the watch is doing something."""
+"""The configuration gets another address of discovery while the watch polls, reads or connects."""
 
 from __future__ import annotations
 
@@ -39,16 +39,16 @@
         assert self.watch_client.connection.end_reason == ""  # the same address changes nothing
         self.watch_client.change_address(other.address)
         old_connection = self.discovery.connections[0]
-        old_connection.transport.write(FIRST_EVENT_ANSWER)  # too late
+        old_connection.transport.write(FIRST_EVENT_ANSWER)  # too late to be read
         yield self.environment.wait_for_disconnect(RETRY_MS)
         yield wait_until(lambda: len(other.polls) == 2 and old_connection.disconnect_cause)
         assert other.polls == [(1, 1200), (2, 1200)]
         assert len(self.environment.received_events) == 2
-        assert old_connection.disconnect_cause == "ConnectionDone"  # in order, not reset
+        assert old_connection.disconnect_cause == "ConnectionDone"  # closed gracefully, not reset
 
     @inlineCallbacks
-    def test_of_several_new_addresses_the_last_is_polled_and_each_event_comes_once(self) -> Steps[None]:
-        """In one turn, in the next ones, and back to an earlier one."""
+    def test_only_the_last_of_several_addresses_is_polled_and_no_event_is_repeated(self) -> Steps[None]:
+        """The address changes several times in one turn, also back to an earlier address."""
         others = [self.build_discovery([{"cursor": 1}, PURGE_2]) for _ in range(3)]
         self.discovery.script = [respond(FIRST_EVENT_ANSWER), hold_poll]
         self.watch_client.start()
@@ -80,7 +80,7 @@
         with socket.socket() as listener, socket.socket() as filler:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
-            filler.connect(listener.getsockname())  # the queue is full: no other connection comes up
+            filler.connect(listener.getsockname())  # the queue is full, so that further connections hang
             client = self.environment.build_watch_client(listener.getsockname())
             client.start()
             self.environment.advance(300.0)
--- a/tests/net/discovery/test_control_section.py
+++ b/tests/net/discovery/test_control_section.py
@@ -1,4 +1,4 @@
-"""A router with and without the section ``[control]`` of the operators' file."""
+"""A router with and without the section ``[control]`` in the operators' file."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def build_service(extras: Extras, **changes: Any) -> Service:
-    """A router with the tests' configuration, changed so; it is not started."""
+    """Build a router with the test configuration and these changes; it is not started."""
     config = parse_config(json.dumps(CONFIG | changes).encode(), {})
     return Service(config, extras, reactor, Counters(), lambda: config)
 
@@ -37,7 +37,7 @@
         self.addCleanup(source.kill)
         service = build_service(Extras(control=ControlSettings("r7", (source.address,))))
         self.addCleanup(service.timer_service.stop)
-        service.state = Lifecycle.SERVING  # no fronts are opened
+        service.state = Lifecycle.SERVING  # set directly, so that no fronts are opened
         service.channel.start()
         yield wait_until(lambda: len(source.polls) == 2)
         assert (source.polls[1]["name"], source.polls[1]["epoch"]) == ("r7", "A")
--- a/tests/net/discovery/test_epoch_change.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -1,4 +1,4 @@
-"""Discovery whose numbers go back, on real connections, before the real decisions."""
+"""Discovery restarts its event numbers or reports stale cursors, with real connections and decisions."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def complete_list(*names: str) -> dict[str, Any]:
-    """A complete list of these edge caches and the origin."""
+    """Event with a complete list of these edge caches and the origin."""
     return {"nodes": {"whole": True, "hosts": [*map(edge_entry, names), ORIGIN_ENTRY]}}
 
 
@@ -36,7 +36,7 @@
         self.addCleanup(self.service.timer_service.stop)
         self.watch_client.feed.handle_command = self.handle_command
         self.lists: list[str] = []
-        self.stale_cursor: int | None = None  # what discovery reports to a poll that is not from 0
+        self.stale_cursor: int | None = None  # cursor in the responses to polls that are not from 0
         self.answer_poll: Callable[[FakeDiscoveryConnection, int, int], None] = self.discovery.handle_poll
         self.discovery.handle_poll = self.handle_poll  # type: ignore[method-assign]
         self.discovery.publish(**complete_list("c1", "c2"))
@@ -59,8 +59,8 @@
         connection.transport.write(encode_answer({"cursor": self.stale_cursor, "cmds": []}))
 
     @inlineCallbacks
-    def begin(self) -> Steps[None]:
-        """Let the watch take what discovery holds; c1 drains in it."""
+    def start_watch(self) -> Steps[None]:
+        """Start the watch, and wait until it has applied discovery's state, in which c1 drains."""
         self.watch_client.start()
         yield wait_until(lambda: self.discovery.held_poll and self.watch_client.cursor == LAST_CURSOR)
         assert chosen_server(self.service) == "c2"
@@ -68,7 +68,7 @@
 
     @inlineCallbacks
     def report_stale_cursor(self, cursor: int, max_polls: int = MAX_STALE_POLLS) -> Steps[float]:
-        """Report an earlier cursor, to so many polls or until one is from 0; returns how long it took."""
+        """Report an earlier cursor to ``max_polls`` polls or until one is from 0; returns the elapsed ms."""
         started_ms = self.environment.now_ms
         self.stale_cursor = cursor
         connection = self.discovery.held_poll.connection
@@ -97,30 +97,30 @@
 
     @inlineCallbacks
     def restart_discovery(self, *events: dict[str, Any]) -> Steps[float]:
-        """Let discovery begin anew with these events, under its own numbers; returns how long it took."""
-        yield self.begin()
+        """Restart discovery with these events, numbered from 1; returns the ms until it is polled from 0."""
+        yield self.start_watch()
         self.discovery.events[:] = [{"cursor": number, **event} for number, event in enumerate(events, 1)]
         elapsed_ms = yield self.report_stale_cursor(len(events))
         yield wait_until(lambda: self.has_polled_after(len(events)))
         return elapsed_ms
 
     @inlineCallbacks
-    def test_a_new_epoch_is_followed_and_brings_no_drained_server_back(self) -> Steps[None]:
+    def test_a_new_epoch_is_followed_and_does_not_restore_a_drained_server(self) -> Steps[None]:
         elapsed_ms = yield self.restart_discovery(
             complete_list("c1", "c3"), {"drop": {"family": 1, "when": 5}}
         )
         assert 1500.0 <= elapsed_ms <= 3000.0
         assert self.lists == ["c1:DRAINING c3:SERVING o:SERVING"]
         assert chosen_server(self.service) == "c3"
-        # A change within the new epoch brings it back.
+        # A change within the new epoch restores the drained server.
         self.discovery.publish(nodes={"hosts": [edge_entry("c3", health="leaving"), edge_entry("c1")]})
         yield wait_until(lambda: self.watch_client.cursor == 3)
         assert chosen_server(self.service) == "c1"
 
     @inlineCallbacks
-    def test_a_new_epoch_may_come_in_a_long_response(self) -> Steps[None]:
-        """It has about as many events as are known: only its beginning tells the epochs apart."""
-        yield self.begin()
+    def test_a_long_response_may_start_a_new_epoch(self) -> Steps[None]:
+        """Its last number is close to the known cursor; only its first event reveals the new epoch."""
+        yield self.start_watch()
         self.watch_client.replay(Commands(EVENT_COUNT + 10, ()))
         first = {"cursor": 1, **complete_list("c1", "c3")}
         self.discovery.events[:] = [first, *purge_events(2, EVENT_COUNT)]
@@ -130,15 +130,15 @@
         assert self.watch_client.cursor == EVENT_COUNT
 
     @inlineCallbacks
-    def test_a_later_process_of_a_drained_server_serves_in_a_new_epoch(self) -> Steps[None]:
+    def test_a_restarted_process_of_a_drained_server_serves_in_a_new_epoch(self) -> Steps[None]:
         hosts = [edge_entry("c1", born_ms=1e12), ORIGIN_ENTRY]
         yield self.restart_discovery({"nodes": {"whole": True, "hosts": hosts}})
         assert self.lists == ["c1:SERVING o:SERVING"]
 
     @inlineCallbacks
     def test_stale_responses_alone_change_nothing(self) -> Steps[None]:
-        """Polled from 0, discovery sends the known numbers: earlier events are not passed on again."""
-        yield self.begin()
+        """Discovery answers the poll from 0 with the known numbers; these events are not delivered again."""
+        yield self.start_watch()
         yield self.report_stale_cursor(3)
         yield self.wait_for_next_held_poll()
         self.discovery.publish(nodes={"hosts": [edge_entry("c3")]})
@@ -147,8 +147,8 @@
         assert chosen_server(self.service) != "c1"
 
     @inlineCallbacks
-    def test_earlier_numbers_without_a_complete_list_are_no_new_epoch(self) -> Steps[None]:
-        yield self.begin()
+    def test_earlier_numbers_without_a_complete_list_start_no_new_epoch(self) -> Steps[None]:
+        yield self.start_watch()
         self.discovery.events[:] = [{"cursor": 1, "nodes": {"hosts": [edge_entry("c1")]}}]
         yield self.report_stale_cursor(1)
         yield self.wait_for_next_held_poll()
@@ -157,10 +157,10 @@
 
     @inlineCallbacks
     def test_two_stale_responses_are_too_few_however_far_apart(self) -> Steps[None]:
-        yield self.begin()
+        yield self.start_watch()
         self.discovery.polls.clear()
         stale_response = encode_answer({"cursor": 3, "cmds": []})
-        for polls in (1, 2, 3):  # each is held for longer than it asked
+        for polls in (1, 2, 3):  # each poll is held for longer than it requested
             connection = self.discovery.held_poll.connection
             self.discovery.held_poll = None
             self.environment.advance(1900.0)
@@ -169,10 +169,10 @@
             assert self.was_polled_from_start() == (polls == 3)
 
     @inlineCallbacks
-    def test_few_stale_responses_cause_no_poll_from_0_and_many_cause_ever_fewer(self) -> Steps[None]:
-        yield self.begin()
+    def test_polls_from_0_need_several_stale_responses_and_become_less_frequent(self) -> Steps[None]:
+        yield self.start_watch()
         for _ in range(3):
-            yield self.report_stale_cursor(3, max_polls=2)  # a correct response comes between
+            yield self.report_stale_cursor(3, max_polls=2)  # followed by a correct response
             self.stale_cursor = None
             yield self.wait_for_next_held_poll()
             self.discovery.publish(drop={"family": 1, "when": 5})
--- a/tests/net/discovery/test_event_feed.py
+++ b/tests/net/discovery/test_event_feed.py
@@ -1,4 +1,4 @@
-"""Which events and reports the watch client hands on."""
+"""Events and reports that the watch client delivers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def watch_client(handlers: WatchHandlers) -> WatchClient:
-    """A client that connects nowhere."""
+    """Build a client that does not connect."""
     context = WatchContext(Mock(), Deadlines(), lambda: 0.0)
     return WatchClient(context, ("127.0.0.1", 1), handlers)
 
 
 def test_the_first_response_is_reported_once_after_its_events() -> None:
-    """A process that replaces another serves once it has received what its old list lacks."""
+    """A process that replaces another one serves once it has received the events that its list lacks."""
     reports: list[object] = []
     client = watch_client(WatchHandlers(reports.append, lambda: reports.append("synchronized")))
     for cursor in (1, 2):
@@ -30,11 +30,11 @@
     assert reports == [purge(1), "synchronized", purge(2)]
 
 
-def test_an_event_that_is_received_again_is_handed_on_once() -> None:
-    handed_on: list[Command] = []
-    client = watch_client(WatchHandlers(handed_on.append))
+def test_an_event_that_is_received_twice_is_delivered_once() -> None:
+    delivered: list[Command] = []
+    client = watch_client(WatchHandlers(delivered.append))
     events = (purge(1), purge(2), purge(3))
     client.feed.apply(Commands(2, events[:2]))
     client.feed.apply(Commands(3, events[1:]))
-    assert handed_on == list(events)
+    assert delivered == list(events)
     assert client.cursor == 3
--- a/tests/net/discovery/test_multi_source_watch.py
+++ b/tests/net/discovery/test_multi_source_watch.py
@@ -1,4 +1,4 @@
-"""What a router polls of several sources, and what it passes on of their responses."""
+"""Polls that a router sends to several sources, and the events that it delivers from their responses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def publish_long_list(source: ScriptedSource, seq: int) -> ScriptedSource:
-    """Publish a list whose response takes several turns."""
+    """Publish a list so long that its response is applied in several turns."""
     return source.publish_list(seq, **{f"shelf-of-a-long-name-{number}": "active" for number in range(3000)})
 
 
@@ -33,7 +33,7 @@
         assert environment.confirmations == [(0.0, 202)]
 
     @inlineCallbacks
-    def test_an_older_state_neither_undrains_nor_unpurges(self) -> Steps[None]:
+    def test_an_older_state_cancels_neither_drains_nor_purges(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         first.publish_list(6, c1="leaving").publish_list(7, c2="leaving").publish_purge(1, 15)
@@ -51,7 +51,7 @@
         assert environment.purged_groups() == [1, 1, 4]
 
     @inlineCallbacks
-    def test_a_discovery_that_was_set_back_is_followed_once_that_is_certain(self) -> Steps[None]:
+    def test_a_discovery_with_an_earlier_state_is_followed_once_that_is_certain(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         second.forget_list()
@@ -63,7 +63,7 @@
         assert environment.server_states() == {"c3": "SERVING"}
 
     @inlineCallbacks
-    def test_of_the_history_of_a_plain_discovery_only_the_resulting_list_is_passed_on(self) -> Steps[None]:
+    def test_only_the_final_list_of_the_history_of_a_plain_discovery_is_delivered(self) -> Steps[None]:
         environment = yield self.start("A", "")
         relay, discovery = environment.sources
         discovery.publish_list(6, c1="leaving").publish_list(7, c1="active")
@@ -81,7 +81,7 @@
         (source,) = environment.sources
         yield source.kill()
         source.restart_at(1)
-        source.revive("A2")
+        source.listen_again("A2")
         source.publish_list(6, c1="leaving").publish_purge(2, 20)
         while len(source.polls) < 4:
             yield environment.run_for(100.0, 100.0)
@@ -89,7 +89,7 @@
         assert (environment.purged_groups(), environment.new_epochs) == ([1, 2], 2)
 
     @inlineCallbacks
-    def test_a_purge_issued_in_the_future_hides_no_later_one(self) -> Steps[None]:
+    def test_a_purge_issued_in_the_future_does_not_hide_later_purges(self) -> Steps[None]:
         environment = yield self.start("A")
         (source,) = environment.sources
         source.publish_purge(1, 9_000_000_000_000)
@@ -99,7 +99,7 @@
         assert environment.purged_groups() == [1, 1, 1]
 
     @inlineCallbacks
-    def test_a_list_that_takes_several_turns_is_passed_on_once_it_is_complete(self) -> Steps[None]:
+    def test_a_list_that_takes_several_turns_is_delivered_once_it_is_complete(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         publish_long_list(second, 9).publish_purge(2, 20)
@@ -110,7 +110,7 @@
         assert environment.watch.selector.switches == 1
 
     @inlineCallbacks
-    def test_a_long_list_that_comes_slowly_is_no_silence(self) -> Steps[None]:
+    def test_a_long_list_that_arrives_slowly_does_not_time_out(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         second.publish_list(9, **{f"shelf-{number:040}": "active" for number in range(4000)})
@@ -124,7 +124,7 @@
 
     @inlineCallbacks
     def send_slowly(self, environment: SourcesEnvironment, source: ScriptedSource) -> Steps[None]:
-        """Send the kept response in parts, each of which is progress."""
+        """Send the kept response in parts, each of which restarts the timeout."""
         connection: WatchConnection = environment.watch.connection
         for start in range(0, len(source.kept_response), SENT_BYTES):
             environment.advance(SEND_INTERVAL_MS)
@@ -145,7 +145,7 @@
         assert (environment.server_states(), len(second.polls)) == (BOTH_SERVING, 1)
 
     @inlineCallbacks
-    def test_metrics_tell_the_age_the_source_and_the_switches(self) -> Steps[None]:
+    def test_metrics_report_the_age_the_source_and_the_switches(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         watch = environment.watch
--- a/tests/net/discovery/test_resynchronization.py
+++ b/tests/net/discovery/test_resynchronization.py
@@ -1,4 +1,4 @@
-"""Long responses on real connections: how they are read and applied in parts."""
+"""Long responses on real connections, which are read and applied in parts."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from thornjunction.net.discovery.watch_client import WatchClient
 from thornjunction.net.wire.commands import Commands
 
-EVENTS_OF_AN_HOUR = 122_400  # purges: 34 a second
-OPEN_HEAD_BYTES = 64  # as which the reader counts a head that it has read
+EVENTS_OF_AN_HOUR = 122_400  # 34 purges per second
+OPEN_HEAD_BYTES = 64  # overhead that the reader counts for a head that it has read
 MIN_EVENT_BYTES = 70
 FASTCGI_REQUEST = {"SCRIPT_NAME": "/do/films", "HTTP_X_ROW": "7f3a9c21e0b4d655", "HTTP_X_TTL_MS": "1500"}
 
 
 class PartRecorder:
-    """Records the number of events of each part that a watch applies, and the turn of the event loop."""
+    """Records for each part that a watch applies its number of events and the turn of the event loop."""
 
     def __init__(self, client: WatchClient, last_cursor: int) -> None:
         self.event_counts: list[int] = []
@@ -55,7 +55,7 @@
         return self._apply_part(head, events)
 
     def count_turns(self) -> None:
-        """Count the turns of the event loop until the last event was passed on."""
+        """Count the turns of the event loop until the last event was delivered."""
         self._turn += 1
         if self._client.cursor < self._last_cursor:
             reactor.callLater(0, self.count_turns)
@@ -63,8 +63,8 @@
 
 class ResynchronizationTest(ResynchronizationTestCase):
     @inlineCallbacks
-    def test_the_events_of_an_hour_are_taken_while_requests_are_answered(self) -> Steps[None]:
-        """At most one read of the socket is buffered and taken in a turn, so that requests come between."""
+    def test_the_events_of_an_hour_are_applied_while_requests_are_answered(self) -> Steps[None]:
+        """One turn buffers and parses at most one read of the socket; requests are handled between turns."""
         self.discovery.events = purge_events(1, EVENTS_OF_AN_HOUR)
         client = self.environment.watch_client
         loopback = make_loopback_environment()
@@ -77,9 +77,9 @@
         yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 2)
         assert self.discovery.polls == [(0, 1), (EVENTS_OF_AN_HOUR, 1200)]
         assert self.delivered_cursors() == list(range(1, EVENTS_OF_AN_HOUR + 1))
-        assert self.max_taken_bytes() <= READ_BYTES
+        assert self.max_parsed_bytes() <= READ_BYTES
         assert self.max_buffered_bytes() <= 2 * READ_BYTES
-        assert sorted(set(recorder.turns)) == recorder.turns  # never two parts in one turn
+        assert sorted(set(recorder.turns)) == recorder.turns  # at most one part in each turn
         assert max(recorder.event_counts) < 1000
         assert request_count > 10
         outputs = [fastcgi_client.output(number) for number in range(1, request_count + 1)]
@@ -89,7 +89,7 @@
     def send_requests_until(
         self, client: WatchClient, cursor: int, fastcgi_client: FastCgiClient
     ) -> Steps[int]:
-        """Send requests one after another until the watch has passed that event on; returns how many."""
+        """Send requests one after another until the watch has delivered the event; returns their number."""
         request_count = 0
         while client.cursor < cursor:
             request_count += 1
@@ -101,17 +101,17 @@
         return request_count
 
     @inlineCallbacks
-    def test_chunks_of_any_size_are_the_same_response(self) -> Steps[None]:
+    def test_chunks_of_any_size_give_the_same_response(self) -> Steps[None]:
         for size in (700, READ_BYTES - 1, READ_BYTES + 1, len(LONG_BODY)):
             yield self.environment.restart_watch(respond(encode_chunked(LONG_BODY, size)), hold_poll)
             yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 2)
             assert self.discovery.polls == [(0, 1), (EVENT_COUNT, 1200)], size
             assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 1)), size
-            assert self.max_taken_bytes() <= READ_BYTES
+            assert self.max_parsed_bytes() <= READ_BYTES
 
     @inlineCallbacks
-    def test_received_bytes_are_taken_before_more_are_read(self) -> Steps[None]:
-        """Where a turn takes less than a read brings; and the response after it is read too."""
+    def test_received_bytes_are_parsed_before_more_are_read(self) -> Steps[None]:
+        """A turn parses less than one read of the socket; the response after the long one is read too."""
         next_body = encode_events([purge_event(EVENT_COUNT + 1)], EVENT_COUNT + 1)
         with patch.object(resynchronization, "MAX_PART_BYTES", READ_BYTES // 4):
             yield self.environment.restart_watch(
@@ -120,11 +120,11 @@
             yield self.environment.wait_until_due(lambda: len(self.discovery.polls) == 3)
         assert self.delivered_cursors() == list(range(1, EVENT_COUNT + 2))
         assert self.max_buffered_bytes() <= READ_BYTES + OPEN_HEAD_BYTES
-        assert self.max_taken_bytes() <= READ_BYTES // 4
+        assert self.max_parsed_bytes() <= READ_BYTES // 4
 
     @inlineCallbacks
-    def test_the_head_of_a_long_response_counts(self) -> Steps[None]:
-        """One of another status has no events, however long; one that ends its connection is the last."""
+    def test_status_and_keep_alive_of_a_long_response_are_checked(self) -> Steps[None]:
+        """With an error status, no events are applied; without keep-alive, the connection is closed."""
         with_status_500 = encode_answer(LONG_BODY, 500)
         without_keep_alive = encode_answer(LONG_BODY).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
         cases = ((with_status_500, "status-500", 0), (without_keep_alive, "no-keep-alive", EVENT_COUNT))
@@ -138,11 +138,11 @@
 
     @inlineCallbacks
     def test_a_response_of_the_size_of_a_part_is_parsed_at_once(self) -> Steps[None]:
-        """The platform's ordinary day needs neither the parser of long responses nor their parts.
+        """Responses of the usual size need neither the parser of long responses nor several parts.
 
         The response after a longer one is read as well.
         """
-        events = purge_events(1, 150)  # under a turn's bound on events, so that its bound on bytes applies
+        events = purge_events(1, 150)  # below a turn's limit on events, so that its limit on bytes applies
         body = encode_events(events, 150)
         padding = b" " * (READ_BYTES - len(body))
         next_response = encode_answer(encode_events(purge_events(151, 152), 152))
@@ -154,8 +154,8 @@
             assert (self.delivered_cursors(), len(self.parts)) == (list(range(1, 153)), part_count)
 
     @inlineCallbacks
-    def test_a_turn_takes_a_bounded_number_of_events(self) -> Steps[None]:
-        """A relay needs some 20 us for each event that it retains: 25 to 28 ms a turn without the bound."""
+    def test_one_turn_applies_a_limited_number_of_events(self) -> Steps[None]:
+        """A relay needs about 20 us for each retained event: 25 to 28 ms per turn without the limit."""
         client = self.environment.watch_client
         recorder = PartRecorder(client, EVENT_COUNT)
         self.discovery.events = purge_events(1, EVENT_COUNT)
@@ -166,7 +166,7 @@
         assert max(recorder.event_counts) <= 200 + SLICE_BYTES // MIN_EVENT_BYTES
 
     @inlineCallbacks
-    def test_drains_come_before_purges_where_both_wait(self) -> Steps[None]:
+    def test_drains_are_applied_before_purges_of_the_same_part(self) -> Steps[None]:
         events = purge_events(1, EVENT_COUNT)
         events[60] = {"cursor": 61, "nodes": {"hosts": [edge_entry("c1", health="leaving")]}}
         events[2990] = {"cursor": 2991, "nodes": {"hosts": [edge_entry("c2", health="left")]}}
@@ -182,8 +182,8 @@
         assert self.discovery.polls == [(0, 1), (EVENT_COUNT, 1200)]
 
     @inlineCallbacks
-    def test_an_event_without_a_number_is_taken_with_its_part(self) -> Steps[None]:
-        """A drain without a number counts, and the cursor stays at an event that came."""
+    def test_an_event_without_a_number_is_applied_with_its_part(self) -> Steps[None]:
+        """A drain without a number is applied, and the cursor stays at a received event."""
         events: list[Any] = purge_events(1, EVENT_COUNT)
         events[70] = {"nodes": {"hosts": [edge_entry("c1", health="leaving")]}}
         response = encode_answer({"cursor": EVENT_COUNT, "cmds": events})
--- a/tests/net/discovery/test_source_selection.py
+++ b/tests/net/discovery/test_source_selection.py
@@ -1,4 +1,4 @@
-"""Which of several sources a router polls, and when it leaves one for another."""
+"""Selection of the source that a router polls, and switches between sources."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 class SourceSelectionTest(SourcesTestCase):
     @inlineCallbacks
-    def test_a_killed_source_is_left_at_once_and_no_event_is_lost_or_repeated(self) -> Steps[None]:
+    def test_a_killed_source_is_replaced_at_once_and_no_event_is_lost_or_repeated(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         second.publish_purge(2, 20).publish_list(6, c1="leaving").publish_purge(3, 30)
@@ -27,7 +27,7 @@
         assert second.polls[1]["resume"] == "105"
 
     @inlineCallbacks
-    def test_a_hung_source_is_left_in_time(self) -> Steps[None]:
+    def test_a_hung_source_is_replaced_in_time(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         first.is_hung = True
@@ -40,9 +40,10 @@
 
     @inlineCallbacks
     def test_a_complete_state_may_take_as_long_as_a_poll_and_longer_after_a_hung_source(self) -> Steps[None]:
-        """186 routers of a killed relay came to the next one at once, and gave it 501 ms for its state.
+        """Guards against a timeout that is too short for a relay which many routers poll at the same time.
 
-        Then they went on to another in turn, at the cost of several states each.
+        186 routers of a killed relay switched to the next one and gave it 501 ms for its state.  Then they
+        switched again, so that several states were sent to each router.
         """
         environment = yield self.start("A", "B")
         first, second = environment.sources
@@ -57,7 +58,7 @@
         assert selector.current != selector.sources[second.address]
 
     @inlineCallbacks
-    def test_a_process_that_was_late_itself_reads_before_it_leaves_a_source(self) -> Steps[None]:
+    def test_a_delayed_process_reads_its_sockets_before_it_switches_sources(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         environment.now_ms += 60_000.0
@@ -67,7 +68,7 @@
         assert (environment.polled_rank(), second.polls) == (0, [])
 
     @inlineCallbacks
-    def test_a_source_that_rejects_polls_is_left_and_notified(self) -> Steps[None]:
+    def test_a_source_that_rejects_polls_is_replaced_and_notified(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         first.status = 503
@@ -75,11 +76,11 @@
         yield environment.wait_for_held_poll(second, 2)
         assert (environment.now_ms, first.probes) == (START_MS, [])
         yield environment.run_for(2000.0)
-        assert first.probes  # it must not wait for this router
+        assert first.probes  # the notice that it must not wait for this router
         assert first.probes[0]["name"] == "r1"
 
     @inlineCallbacks
-    def test_a_source_that_responds_with_another_status_is_left(self) -> Steps[None]:
+    def test_a_source_that_responds_with_an_error_status_is_replaced(self) -> Steps[None]:
         for status in (404, 500):
             environment = yield self.start("A", "B")
             first, second = environment.sources
@@ -90,18 +91,18 @@
             yield environment.stop()
 
     @inlineCallbacks
-    def test_a_response_that_is_cut_in_its_middle_changes_nothing(self) -> Steps[None]:
+    def test_a_truncated_response_changes_nothing(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         second.publish_list(6, c1="leaving").publish_purge(2, 20)
-        first.cuts_next_response = True
+        first.truncates_next_response = True
         first.publish_list(6, c1="leaving").publish_purge(2, 20)
         yield environment.wait_for_held_poll(second, 2)
         assert environment.purged_groups() == [1, 2]
         assert environment.server_states()["c1"] == "DRAINING"
 
     @inlineCallbacks
-    def test_a_source_that_lags_is_left_for_a_fresher_one(self) -> Steps[None]:
+    def test_a_lagging_source_is_replaced_by_a_fresher_one(self) -> Steps[None]:
         environment = yield self.start("A", "B", "C")
         first, second, third = environment.sources
         first.age_ms = 2500
@@ -113,7 +114,7 @@
         yield wait_until(lambda: len(first.probes) == 1)
 
     @inlineCallbacks
-    def test_the_freshest_source_is_polled_where_all_lag(self) -> Steps[None]:
+    def test_the_freshest_source_is_polled_if_all_lag(self) -> Steps[None]:
         environment = yield self.start("A", "B", "C")
         first, second, third = environment.sources
         first.age_ms = 9000
@@ -127,7 +128,7 @@
         assert len(third.probes) < 12
 
     @inlineCallbacks
-    def test_the_known_state_stands_while_all_sources_are_down_until_one_is_back(self) -> Steps[None]:
+    def test_the_known_state_is_kept_while_all_sources_are_down(self) -> Steps[None]:
         environment = yield self.start("A", "B")
         first, second = environment.sources
         yield first.kill()
@@ -135,14 +136,14 @@
         yield second.kill()
         yield environment.run_for(20_000.0, 100.0)
         assert environment.server_states() == {"c1": "SERVING", "c2": "SERVING"}
-        second.revive("B2")
+        second.listen_again("B2")
         second.expire_purges()
         second.publish_purge(2, 20)
-        revived_ms = environment.now_ms
+        restarted_ms = environment.now_ms
         polls = len(second.polls)
         while len(second.polls) < polls + 2:
             yield environment.run_for(100.0, 100.0)
-        assert environment.now_ms - revived_ms < MAX_SWITCH_MS
+        assert environment.now_ms - restarted_ms < MAX_SWITCH_MS
         assert environment.purged_groups() == [1, 2]
 
     @inlineCallbacks
@@ -151,7 +152,7 @@
         first, second = environment.sources
         yield first.kill()
         yield environment.wait_for_held_poll(second, 2)
-        first.revive("A2")
+        first.listen_again("A2")
         first.expire_purges()
         polls = len(first.polls)
         yield environment.run_for(9_000.0)
@@ -159,5 +160,5 @@
         yield environment.run_for(21_000.0)
         assert (environment.polled_rank(), environment.watch.selector.switches) == (0, 2)
         assert len(first.probes) >= 5
-        yield wait_until(lambda: second.probes)  # it must not wait for this router
+        yield wait_until(lambda: second.probes)  # the notice that it must not wait for this router
         assert environment.purged_groups() == [1]
--- a/tests/net/discovery/test_watch_client.py
+++ b/tests/net/discovery/test_watch_client.py
@@ -1,4 +1,4 @@
-"""The watch on discovery on real connections: polls, silences, malformed responses and retries."""
+"""The watch on discovery on real connections: polls, timeouts, malformed responses and retries."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 class WatchClientTest(WatchTestCase):
     @inlineCallbacks
-    def test_a_silent_connection_is_replaced_and_resumes_from_the_last_event(self) -> Steps[None]:
-        """Two silences, one after half a response, take under 6 s; a slow response is read in the end."""
+    def test_an_unresponsive_connection_is_replaced_and_polls_resume_from_the_last_event(self) -> Steps[None]:
+        """Two timeouts, one after half a response, take less than 6 s; a slow response is eventually read."""
         environment = self.environment
         client = environment.watch_client
         half_response = FIRST_EVENT_ANSWER[:-9]
@@ -32,8 +32,8 @@
         client.start()
         yield environment.wait_for_polls(2)
         started_ms = environment.now_ms
-        silences = ((3, 2000.0, 2500.0), (4, 1601.0, 4500.0), (5, 3201.0, 8000.0))
-        for polls, timeout_ms, max_elapsed_ms in silences:
+        response_timeouts = ((3, 2000.0, 2500.0), (4, 1601.0, 4500.0), (5, 3201.0, 8000.0))
+        for polls, timeout_ms, max_elapsed_ms in response_timeouts:
             environment.advance(timeout_ms - 1.0)
             assert client.connection.end_reason == ""
             environment.advance(1.0)
@@ -48,7 +48,7 @@
         assert len(environment.received_events) == 2
 
     @inlineCallbacks
-    def test_a_process_that_was_late_itself_reads_before_it_ends_a_connection(self) -> Steps[None]:
+    def test_a_delayed_process_reads_its_sockets_before_it_closes_a_connection(self) -> Steps[None]:
         environment = self.environment
         for delay_ms in (0.0, 3000.0):
             yield environment.restart_watch(hold_poll)
@@ -61,7 +61,7 @@
             assert (connection.end_reason, len(environment.received_events)) == ("", 1)
 
     @inlineCallbacks
-    def test_a_malformed_response_changes_nothing_and_bytes_after_one_are_no_second(self) -> Steps[None]:
+    def test_malformed_responses_and_surplus_bytes_change_nothing(self) -> Steps[None]:
         environment = self.environment
         self.discovery.events = [PURGE_1]
         for name, step in (INVALID_ANSWERS | SURPLUS_ANSWERS).items():
@@ -74,7 +74,7 @@
 
     @inlineCallbacks
     def test_a_discovery_that_holds_no_poll_is_polled_with_growing_pauses(self) -> Steps[None]:
-        """Neither does the cursor exceed the events that came."""
+        """The cursor does not exceed the received events either."""
         environment = self.environment
         client = environment.watch_client
         self.discovery.script = [respond(encode_answer({"cursor": 9, "cmds": []}))] * 9
@@ -109,7 +109,7 @@
         assert environment.now_ms - started_ms > 200 * 0.4 * MAX_RETRY_DELAY_MS
 
     @inlineCallbacks
-    def test_a_drain_published_during_a_silence_counts_once_discovery_is_back(self) -> Steps[None]:
+    def test_a_drain_published_during_an_outage_is_applied_once_discovery_responds(self) -> Steps[None]:
         environment = self.environment
         client = environment.watch_client
         service = build_service()
@@ -120,17 +120,17 @@
         client.start()
         yield environment.wait_for_polls(2)
         drained = chosen_server(service)
-        self.discovery.held_poll = None  # silent from here on
+        self.discovery.held_poll = None  # discovery does not respond from here on
         self.discovery.publish(nodes={"hosts": [edge_entry(drained, health="leaving")]})
         environment.advance(2000.0)
         yield wait_until(lambda: client.connection is None)
-        assert chosen_server(service) == drained  # the known state stands
+        assert chosen_server(service) == drained  # the known state is kept
         environment.advance(100.0)
         yield wait_until(lambda: client.cursor == 2)
         assert chosen_server(service) != drained
 
 
-def test_an_event_whose_handling_fails_holds_up_none_and_is_not_repeated() -> None:
+def test_an_event_whose_handling_fails_blocks_no_other_event_and_is_not_repeated() -> None:
     handle_command = Mock(side_effect=OverflowError)
     context = WatchContext(Mock(), Mock(), float)
     client = WatchClient(context, ("127.0.0.1", 1), WatchHandlers(handle_command))
--- a/tests/net/gossip/test_replay_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -1,4 +1,4 @@
-"""Tokens with a ``jti`` that one router accepted are rejected by its peers, over UDP on the loopback."""
+"""Peers reject tokens with a ``jti`` that one router has accepted; tested over UDP on the loopback."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def accept_token(replay_gossip: ReplayGossip, jti: str) -> str:
-    """Verify a token with this identifier and announce it; returns the code where it is rejected."""
+    """Verify a token with this ``jti`` and announce it; returns the code if it is rejected, else ''."""
     token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(URI), NOW_UNIX_S, TOKEN_LIFETIME_S, jti=jti)
     try:
         grant = tokens.verify(token, URI, TRUST, replay_gossip.window, NOW_UNIX_S)
@@ -103,13 +103,13 @@
 
 
 def build_signed_front(signed: SignedFrontSettings) -> SignedFront:
-    """A signed front of which only its gossip is used."""
+    """Build a signed front; only its gossip can be used."""
     unused = cast(Any, None)
     return SignedFront(signed, unused, unused, unused, unused)
 
 
-def test_the_operators_file_turns_gossip_on() -> None:
-    """The section was read and checked once, and then nothing was started."""
+def test_the_operators_file_enables_gossip() -> None:
+    """Guards against a section that is read and checked, but starts no gossip."""
     gossip_settings = GossipSettings(("127.0.0.1", 8490), (("127.0.0.1", 8491),), SECRET)
     signed = SignedFrontSettings(("127.0.0.1", 0), "http://a", TRUST, ReplayWindow(), gossip=gossip_settings)
     front = build_signed_front(signed)
--- a/tests/net/relay/poller_test_case.py
+++ b/tests/net/relay/poller_test_case.py
@@ -1,4 +1,4 @@
-"""A relay's poller table on a real loopback port, its decisions and its clock in the hands of the test."""
+"""Test case with a relay's poller table on a loopback port; the test answers polls and sets the clock."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class PollerTestCase(TestCase):
-    """Connects clients to a poller table of three connections, and polls.
+    """Connects clients to a poller table for three connections, and sends polls.
 
     Attributes:
         pollers: the table under test.
-        polls: number of the connection and poll of each poll that the table has passed on.
-        disconnected: numbers of the connections that have left.
+        polls: each poll that the table has passed on, with the number of its connection.
+        disconnected: numbers of the connections that were removed from the table.
     """
 
     timeout = 20
@@ -52,7 +52,7 @@
         self.addCleanup(self.stop)
 
     def handle_poll(self, number: int, poll: Poll) -> None:
-        """Keep a poll; one that does not wait is answered at once."""
+        """Record a poll; one that does not wait is answered immediately."""
         self.polls.append((number, poll))
         if poll.block_ms == 0:
             self.pollers.respond(number, IMMEDIATE_BODY)
@@ -80,7 +80,7 @@
     def open_connection(
         self, data: bytes = b"", receive_buffer_bytes: int = 0
     ) -> Steps[tuple[socket.socket, PollerConnection]]:
-        """Connect a client, and wait until the table has its connection, and its poll if it sends one."""
+        """Connect a client; wait until the table has its connection, and its poll if it sends ``POLL``."""
         earlier_numbers = set(self.pollers.connections)
         earlier_polls = len(self.polls)
         client = self.connect(data, receive_buffer_bytes)
@@ -91,7 +91,7 @@
 
     @inlineCallbacks
     def receive(self, client: socket.socket, is_complete: Callable[[bytes], bool]) -> Steps[bytes]:
-        """Return what a client receives until that is complete, or the connection ends."""
+        """Return the bytes that a client receives until they are complete or the connection ends."""
         received = bytearray()
 
         def has_ended() -> bool:
@@ -109,6 +109,6 @@
 
     @inlineCallbacks
     def receive_all(self, client: socket.socket) -> Steps[bytes]:
-        """Return what a client receives until the connection ends."""
+        """Return the bytes that a client receives until the connection ends."""
         received = yield self.receive(client, lambda _: False)
         return received
--- a/tests/net/relay/test_poller_connection.py
+++ b/tests/net/relay/test_poller_connection.py
@@ -1,4 +1,4 @@
-"""Connections that poll a relay: which polls are answered, which are rejected, and what responses are."""
+"""Connections that poll a relay: answered and rejected polls, and their responses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 STATUS_DIGITS = slice(9, 12)
 UNREAD_BODY = b"x" * 8_000_000
 
-# Requests that are no poll, with their status.
+# Requests that are not polls, with the status of their responses.
 REJECTED_REQUESTS = {
     b"GET /cmd HTTP/1.1\r\n\r\n": b"404",
     b"GET /cmd/next?resume=x HTTP/1.1\r\n\r\n": b"400",
@@ -39,13 +39,13 @@
             assert b"Connection" not in response
             client.sendall(POLL)
             yield wait_until(lambda count=count: len(self.polls) == count + 2)
-        self.pollers.respond(99, b"{}")  # to a connection that has left
+        self.pollers.respond(99, b"{}")  # to a connection that does not exist
         client.close()
         yield wait_until(lambda: self.disconnected)
         assert (self.disconnected, self.pollers.budget.reserved_bytes) == ([number], 0)
 
     @inlineCallbacks
-    def test_a_response_of_many_parts_comes_complete_and_the_next_poll_after_it(self) -> Steps[None]:
+    def test_a_response_in_many_parts_is_complete_and_followed_by_the_next_poll(self) -> Steps[None]:
         client, connection = yield self.open_connection(POLL)
         for size in (WRITE_BYTES - 1, WRITE_BYTES, 3 * WRITE_BYTES + 1, 0):
             body = bytes(number % 251 for number in range(size))
@@ -68,7 +68,7 @@
         assert self.pollers.end_counts["status-503"] == 1
 
     @inlineCallbacks
-    def test_a_request_that_is_no_poll_gets_its_status_and_its_connection_ends(self) -> Steps[None]:
+    def test_a_request_that_is_not_a_poll_gets_its_status_and_its_connection_ends(self) -> Steps[None]:
         for data, status in REJECTED_REQUESTS.items():
             response = yield self.receive_all(self.connect(data))
             assert (response[STATUS_DIGITS], data) == (status, data)
@@ -83,7 +83,7 @@
         assert (self.disconnected, len(self.polls)) == ([1], 1)
 
     @inlineCallbacks
-    def test_a_client_that_does_not_read_costs_one_response_and_is_closed(self) -> Steps[None]:
+    def test_a_client_that_does_not_read_buffers_one_response_and_is_closed(self) -> Steps[None]:
         _, connection = yield self.open_connection(POLL, SMALL_RECEIVE_BUFFER_BYTES)
         self.pollers.respond(connection.number, UNREAD_BODY)
         self.manual_clock.advance(CHECK_INTERVAL_MS)
--- a/tests/net/relay/test_poller_table.py
+++ b/tests/net/relay/test_poller_table.py
@@ -52,7 +52,7 @@
         assert (third.end_reason, fourth.end_reason, fifth.end_reason) == ("", "", "")
 
     @inlineCallbacks
-    def test_draining_answers_pending_polls_with_what_there_is(self) -> Steps[None]:
+    def test_draining_answers_pending_polls_with_the_current_state(self) -> Steps[None]:
         client, _ = yield self.open_connection(POLL)
         _, idle = yield self.open_connection()
         self.pollers.drain()
--- a/tests/net/wire/builders.py
+++ b/tests/net/wire/builders.py
@@ -13,10 +13,10 @@
 from thornjunction.core.ports import ClientRequest, UpstreamRequest
 from thornjunction.net.wire import collectd
 
-# Settings of property tests: the same examples in each run, and no limit on their time.
+# Settings of property tests: the same examples in each run, without a time limit.
 reproducible = settings(derandomize=True, max_examples=60, deadline=None)
 
-# Parameters of a complete request on the platform's front; one value needs a long length.
+# Parameters of a complete request on the platform's front; one value needs a length of four bytes.
 PARAMS = {
     "SCRIPT_NAME": "/do/clips",
     "HTTP_X_TXN": "9b1f03aa5c7e2d41",
@@ -29,7 +29,7 @@
 # Time of each packet that ``collectd_values`` reads, in seconds.
 COLLECTD_TIME_S = 10.5
 
-# Bytes before the content of a collectd part: its type and its size.
+# Header of a collectd part: type and size.
 COLLECTD_PART_HEADER = struct.Struct(">HH")
 
 
@@ -39,12 +39,12 @@
     body: bytes = b"body",
     keep_alive: bool = True,
 ) -> bytes:
-    """The records of a complete request."""
+    """Encode the records of a complete request."""
     return encode_fastcgi_request(request_id, params, body, keep_alive)
 
 
 def upstream_request(**fetch_fields: Any) -> UpstreamRequest:
-    """An attempt at server ``s1`` with source ``p1``; with fields given, one without a source."""
+    """Build an attempt at server ``s1`` with source ``p1``, or without a source if fields are given."""
     client_request = ClientRequest(
         "id", "readings", "7f3a9c21e0b4d655", 900.0, if_none_match="tag", body=b"b"
     )
@@ -65,12 +65,12 @@
 
 
 def commands_body(events: list[Any], cursor: int, **fields: Any) -> bytes:
-    """The body of a response of the command channel."""
+    """Encode the body of a response of the command channel."""
     return json.dumps({"cursor": cursor, "cmds": events} | fields).encode()
 
 
 def collectd_values(packet: bytes) -> list[float]:
-    """Values of a packet, by a reader that follows the protocol's description."""
+    """Decode the values of a packet independently of the encoder, as the protocol's description says."""
     values: list[float] = []
     position = 0
     while position < len(packet):
--- a/tests/net/wire/test_codecs.py
+++ b/tests/net/wire/test_codecs.py
@@ -1,4 +1,4 @@
-"""Every parser: valid messages cut anywhere read the same, and garbage ends in a code, never in a crash."""
+"""All parsers: messages cut anywhere are read alike, and garbage raises only errors with a code."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def error_code(decode: Callable[[bytes], object], data: bytes) -> str | None:
-    """The code of the error that decoding ends with; None: it ends with none."""
+    """Return the code of the error that decoding raises; None if it raises none."""
     try:
         decode(data)
     except ProtocolError as error:
@@ -62,7 +62,9 @@
 @each_reader
 @given(cuts=st.lists(st.integers(0, 900), max_size=12))
 @reproducible
-def test_cuts_do_not_matter(new_reader: Callable[[], Any], data: bytes, cuts: list[int]) -> None:
+def test_a_stream_cut_anywhere_gives_the_same_messages(
+    new_reader: Callable[[], Any], data: bytes, cuts: list[int]
+) -> None:
     messages_at_once = new_reader().feed(data)
     assert len(messages_at_once) >= 2
     reader = new_reader()
@@ -76,7 +78,7 @@
 @each_reader
 @given(garbage=st.binary(max_size=200), position=st.integers(0, 600))
 @reproducible
-def test_garbage_ends_in_a_code(
+def test_garbage_in_a_stream_raises_only_errors_with_a_code(
     new_reader: Callable[[], Any], data: bytes, garbage: bytes, position: int
 ) -> None:
     assert error_code(new_reader().feed, data[:position] + garbage + data[position:]) != ""
@@ -104,11 +106,13 @@
 )
 @given(garbage=st.binary(max_size=300) | st.text(max_size=60).map(str.encode))
 @reproducible
-def test_decoders_answer_garbage_with_a_code(decode: Callable[[bytes], None], garbage: bytes) -> None:
+def test_decoders_raise_only_errors_with_a_code_for_garbage(
+    decode: Callable[[bytes], None], garbage: bytes
+) -> None:
     assert error_code(decode, garbage) != ""
 
 
 @given(garbage=st.binary(max_size=300) | st.text(max_size=60).map(str.encode))
 @reproducible
-def test_a_load_report_of_garbage_is_read_without_an_error(garbage: bytes) -> None:
+def test_a_garbled_load_report_is_decoded_without_an_error(garbage: bytes) -> None:
     upstream.decode_report(garbage.decode("latin-1"))
--- a/tests/net/wire/test_commands.py
+++ b/tests/net/wire/test_commands.py
@@ -1,4 +1,4 @@
-"""Responses of the command channel."""
+"""Decoding of responses of the command channel."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def decoded_list_change(data: bytes) -> commands.ListChange:
-    """The only event of a response, which changes the list."""
+    """Decode a response whose only event is a change of the list."""
     (change,) = commands.decode_commands(data).events
     assert isinstance(change, commands.ListChange)
     return change
@@ -31,7 +31,7 @@
     assert purge == commands.Purge(3, 255, 0, 5.0)
 
 
-def test_what_a_relay_reports_beside_the_events_is_read() -> None:
+def test_the_epoch_age_and_list_version_that_a_relay_reports_are_read() -> None:
     event = {"cursor": 1, "nodes": {"seq": 7, "whole": True, "hosts": [edge_entry("c1")]}}
     data = commands_body([event], cursor=1, epoch="r-1.a_B", age=12.5)
     response = commands.decode_commands(data)
@@ -40,7 +40,7 @@
     assert decoded_list_change(data).seq == 7
 
 
-def test_what_a_plain_response_lacks_is_none() -> None:
+def test_values_missing_from_a_plain_response_are_none() -> None:
     data = commands_body([{"cursor": 1, "nodes": {"hosts": []}}], cursor=1)
     response = commands.decode_commands(data)
     assert response.epoch is None
--- a/tests/net/wire/test_fastcgi.py
+++ b/tests/net/wire/test_fastcgi.py
@@ -1,4 +1,4 @@
-"""FastCGI requests and responses of the platform's front."""
+"""FastCGI requests and responses on the platform's front."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("field", ["HTTP_X_TXN", "HTTP_X_ROW", "HTTP_X_TTL_MS", "SCRIPT_NAME"])
-def test_a_missing_field_is_refused(field: str) -> None:
+def test_a_request_without_a_required_field_is_rejected(field: str) -> None:
     params = {name: value for name, value in PARAMS.items() if name != field}
     with pytest.raises(ProtocolError):
         cgi.decode_request(params, b"")
--- a/tests/net/wire/test_faulty_events.py
+++ b/tests/net/wire/test_faulty_events.py
@@ -1,4 +1,4 @@
-"""Events of discovery that can be read in part, or not at all."""
+"""Events of discovery that are partly or completely malformed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 NAN = float("nan")
 
-# Each event, what is read of it, and the codes of its faults.
+# Each event, a summary of the decoded event, and the codes of the faults.
 FAULTY_EVENTS = [
     (
         {"nodes": {"hosts": [edge_entry("a"), edge_entry("b", health="odd")]}},
@@ -31,7 +31,9 @@
 
 
 @pytest.mark.parametrize(("event", "summary", "faults"), FAULTY_EVENTS)
-def test_a_faulty_event_holds_up_none_and_hides_no_drain(event: Any, summary: str, faults: str) -> None:
+def test_a_faulty_event_blocks_no_other_event_and_hides_no_drain(
+    event: Any, summary: str, faults: str
+) -> None:
     if isinstance(event, dict):
         event = {"cursor": 3} | event
     commands = decode_commands(encode_commands({**PURGE_2, "cursor": 4}, event, PURGE_2))
--- a/tests/net/wire/test_polls.py
+++ b/tests/net/wire/test_polls.py
@@ -1,4 +1,4 @@
-"""The poll of a router or relay as text, and the endpoint list as a relay passes it on."""
+"""Decoding of polls, and encoding of the endpoint list that a relay passes on."""
 
 from __future__ import annotations
 
@@ -78,8 +78,8 @@
         {"site": "east", "more": 7},
     ],
 )
-def test_an_entry_is_encoded_as_it_was_understood(fields: dict[str, Any]) -> None:
-    """One with faults too: its next reader finds the same server, and no fault."""
+def test_an_entry_is_encoded_as_it_was_decoded(fields: dict[str, Any]) -> None:
+    """An entry with faults is encoded as the server that was decoded, without faults for the next reader."""
     (change,) = parse_list(SERVER_ENTRY | fields).events
     commands = parse_list(encode_host(change.hosts[0]))
     assert commands.events == (change,)
--- a/tests/net/wire/test_telemetry.py
+++ b/tests/net/wire/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Figures in the forms of Graphite and collectd."""
+"""Samples in the protocols of Graphite and collectd."""
 
 from __future__ import annotations
 
--- a/tests/net/wire/test_upstream.py
+++ b/tests/net/wire/test_upstream.py
@@ -1,4 +1,4 @@
-"""Requests to cache servers."""
+"""Encoding of requests to cache servers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from thornjunction.net.wire import resp, upstream
 
 
-def test_a_request_has_the_listed_fields_only() -> None:
+def test_a_request_has_only_the_fields_that_are_set() -> None:
     request = upstream_request()
     (items,) = resp.ArrayReader().feed(upstream.encode_request(request, request.fetch.timeout_ms))
     name, request_id, fields, body = items
