--- a/tests/net/discovery/test_epoch_change.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -15,7 +15,7 @@
 from thornjunction.net.wire.commands import Command, Commands, ListChange
 
 EVENT_COUNT = 3000  # events of a long response
-LAST_CURSOR = 10  # of the events that discovery holds at first
+LAST_CURSOR = 10  # number of the last event that discovery has at the start
 MAX_PAUSE_MS = 400.0
 POLL_STEP_MS = 50.0
 MAX_STALE_POLLS = 99
--- a/thornjunction/net/discovery/epoch_change.py
+++ b/thornjunction/net/discovery/epoch_change.py
@@ -21,7 +21,7 @@
 # Longest such time; it doubles with each poll from 0 that shows no new epoch, because each may cost a long
 # response.
 MAX_STALE_MS = 60_000.0
-# Names of endpoints that are kept: many times the size of the fleet.
+# Most names of endpoints that are remembered; the fleet has far fewer.
 MAX_ENDPOINT_NAMES = 8192
 
 
@@ -75,8 +75,8 @@
     """Endpoints that drained, were removed or are not listed any more, until they are listed as serving."""
 
     def __init__(self) -> None:
-        self._serving_started_ms: dict[str, float] = {}  # Unix ms, by name
-        self._removed_started_ms: dict[str, float] = {}  # Unix ms, by name
+        self._serving_started_ms: dict[str, float] = {}  # start times of serving hosts in Unix ms, by name
+        self._removed_started_ms: dict[str, float] = {}  # start times of removed hosts in Unix ms, by name
 
     def record(self, change: ListChange) -> None:
         """Update the sets of serving and removed endpoints from a change of the endpoint list."""
--- a/thornjunction/net/discovery/event_feed.py
+++ b/thornjunction/net/discovery/event_feed.py
@@ -44,7 +44,7 @@
         self._epoch_change = EpochChangeDetector()
         self._removed_endpoints = RemovedEndpoints()
         self._is_reading_new_epoch = False
-        self._faulty_responses = 0  # consecutive ones
+        self._faulty_responses = 0  # number of consecutive responses with faults
 
     @property
     def has_no_progress(self) -> bool:
--- a/thornjunction/net/discovery/multi_source_watch.py
+++ b/thornjunction/net/discovery/multi_source_watch.py
@@ -86,7 +86,7 @@
         self._identity = identity
         self._selected: Address | None = None
         self._departure_notices = DepartureNotices(context, selector.draw, self._probe)
-        self._source_failures = 0  # consecutive ones, for the log
+        self._source_failures = 0  # number of consecutive failures of sources, for the log
 
     @property
     def needs_immediate_response(self) -> bool:
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -22,15 +22,15 @@
 from thornjunction.net.wire import ProtocolError, http1
 from thornjunction.net.wire.commands import Commands, decode_commands
 
-# Holding time that a poll requests if it needs an immediate response: the first one, and after a failure.
+# Holding time that a poll requests if it needs an immediate response, as the first one or after a failure.
 IMMEDIATE_BLOCK_MS = 1
 # Time for sending the last bytes to a source that is no longer polled.
 CLOSE_TIMEOUT_MS = 400.0
-# Pause after a part of a long response, as a share of the time that the part took; it is left for requests.
+# Pause after a part of a long response, relative to the time that the part took; requests are handled in it.
 PART_PAUSE_SHARE = 0.5
 # Longest such pause.
 MAX_PART_PAUSE_MS = 10.0
-# Time for one long response; the missing events are polled again afterwards.
+# Time for one long response; if it takes longer, the missing events are polled again.
 MAX_RESYNCHRONIZATION_MS = 30_000.0
 
 
--- a/thornjunction/net/relay/poller_connection.py
+++ b/thornjunction/net/relay/poller_connection.py
@@ -101,7 +101,7 @@
         self._is_keep_alive = False
         self._head = b""
         self._body = b""
-        self._written_bytes = 0  # of the response body
+        self._written_bytes = 0  # written bytes of the response body
 
     def connectionMade(self) -> None:  # noqa: N802
         """Take a slot of the table; close the connection if there is none."""
--- a/thornjunction/net/wire/collectd.py
+++ b/thornjunction/net/wire/collectd.py
@@ -26,7 +26,7 @@
 # Part with a time: header and ticks.
 TIME_PART = struct.Struct(">HHQ")
 
-# Header, number of values and data source type of a part with one value.
+# Beginning of a part with one value: header, number of values and data source type.
 VALUES_HEADER = struct.Struct(">HHHB")
 
 # Size of a value, of either type.
--- a/thornjunction/net/wire/command_stream.py
+++ b/thornjunction/net/wire/command_stream.py
@@ -56,7 +56,7 @@
         self.fault = ""
         self._has_event_list = False
         self._events: list[Any] = []
-        self._key = ""  # of the next value outside the list of events
+        self._key = ""  # key of the next value outside the list of events
         self._errors = (ijson.JSONError, UnicodeDecodeError)  # the second for invalid text that yajl accepts
         self._object_builder = ijson.ObjectBuilder
         self._bytes_since_event = 0
@@ -103,7 +103,7 @@
     def _build_events(self) -> Builder:
         """Build events from the parser's calls, about ten for each event; the loop must be fast."""
         depth = 0
-        nodes = 0  # of the event that is being built
+        nodes = 0  # number of nodes of the event that is being built
         is_in_list = False
         depth_change = DEPTH_CHANGES.get
         event = self._object_builder()
--- a/thornjunction/net/wire/fastcgi/pairs.py
+++ b/thornjunction/net/wire/fastcgi/pairs.py
@@ -13,7 +13,7 @@
 # The highest bit of a length of four bytes.
 LONG_LENGTH_FLAG = 0x80000000
 
-# Size of a long length.
+# Size of a length that does not fit into one byte.
 LONG_LENGTH_BYTES = 4
 
 
--- a/thornjunction/net/wire/fastcgi/request_reader.py
+++ b/thornjunction/net/wire/fastcgi/request_reader.py
@@ -21,7 +21,7 @@
 from thornjunction.net.wire.fastcgi.records import MANAGEMENT_ID, Record, RecordReader, RecordType
 from thornjunction.net.wire.message_reader import MessageReader
 
-# Content of a BEGIN_REQUEST record (§5.1).
+# Size of a BEGIN_REQUEST record's content (§5.1).
 BEGIN_BODY_BYTES = 8
 
 # Role and flags, the part of a BEGIN_REQUEST record's content that is used.
@@ -45,7 +45,7 @@
 # Largest body of a request; a write has up to 48,000 bytes.
 MAX_BODY_BYTES = 65_536
 
-# Memory counted for each open request beside its parameters and body.
+# Memory counted for each open request in addition to its parameters and body.
 OPEN_REQUEST_OVERHEAD_BYTES = 64
 
 
--- a/thornjunction/net/wire/gossip.py
+++ b/thornjunction/net/wire/gossip.py
@@ -21,13 +21,13 @@
 # Length of an HMAC-SHA256 code.
 MAC_BYTES = 32
 
-# Number of entries.
+# Number of entries in the datagram.
 COUNT = struct.Struct(">H")
 
 # One entry: key and expiry in Unix seconds.
 ENTRY = struct.Struct(f">{KEY_BYTES}sI")
 
-# Bytes before the entries.
+# Size of the header before the entries.
 HEADER_BYTES = len(MAGIC) + COUNT.size
 
 # Most entries of a datagram; its 1,318 bytes are below the usual MTU.
--- a/thornjunction/net/wire/http1/reader.py
+++ b/thornjunction/net/wire/http1/reader.py
@@ -75,9 +75,9 @@
         self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
         self._state = _State.HEAD
-        self._head: _Head | None = None  # of the incomplete message
+        self._head: _Head | None = None  # head of the incomplete message
         self._body = bytearray()  # received bytes of the body, except those that ``take_body`` has returned
-        self._missing_bytes = 0  # of the body, or of the current chunk
+        self._missing_bytes = 0  # missing bytes of the body, or of the current chunk
         self._announced_bytes = 0  # length of the body according to the headers and chunk sizes so far
 
     @property
--- a/thornjunction/net/wire/polls.py
+++ b/thornjunction/net/wire/polls.py
@@ -50,7 +50,7 @@
         role: role of the poller, one of ``ROLES``.
         name: name of the poller; empty if not named.
         acknowledged: number of the last event that all routers below the relay have; None if not reported.
-        lagging_count: number of routers below the relay that have no later event.
+        lagging_count: number of routers below the relay that have no event after ``acknowledged``.
         lagging_names: names of some of these routers.
     """
 
--- a/thornjunction/net/wire/resp.py
+++ b/thornjunction/net/wire/resp.py
@@ -49,7 +49,7 @@
         self._max_bulk_bytes = max_bulk
         self._state = _State.ARRAY_HEADER
         self._items: list[bytes] = []
-        self._missing_items = 0  # of the incomplete array
+        self._missing_items = 0  # missing items of the incomplete array
         self._bulk_bytes = 0  # length of the incomplete bulk string
 
     def feed(self, data: bytes) -> list[tuple[bytes, ...]]:
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -27,10 +27,10 @@
 # ``Retry-After`` is in whole seconds (RFC 9110 §10.2.3); with 0, the client would retry immediately.
 MIN_RETRY_AFTER_S = 1
 
-# Methods of a class whose requests are idempotent.
+# Methods that a class with idempotent requests allows.
 READ_METHODS = ("GET", "HEAD")
 
-# Methods of the other classes.
+# Methods that the other classes allow.
 WRITE_METHODS = ("POST",)
 
 # Milliseconds per second.
@@ -41,7 +41,7 @@
     """Why a request was rejected, as logged; ``TokenError`` has the causes that concern the token itself."""
 
     IDEMPOTENCY_KEY = "idempotency-key"
-    """The idempotency key is malformed, or missing where the class needs one."""
+    """The idempotency key is malformed, or missing although the class requires one."""
     METHOD = "method"
     """The class does not allow this method."""
     MALFORMED_SIZE = "field-size"
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -22,7 +22,7 @@
 # Largest size of the fields of a response, including the load report.
 MAX_FIELDS_BYTES = 4096
 
-# Encodings of no fields.
+# Values of the item with the fields if a response has none.
 NO_FIELDS = (b"-", b"")
 
 # Smallest time in a request; times are rounded down to whole milliseconds, and 0 would mean no time.
@@ -133,7 +133,7 @@
     """Decode a response.
 
     Raises:
-        ProtocolError: ``shelf-items`` for a wrong number of items, ``shelf-answer`` for a malformed one.
+        ProtocolError: ``shelf-items`` for a wrong number of items, ``shelf-answer`` for a malformed response.
     """
     if len(items) != RESPONSE_ITEMS:
         raise ProtocolError("shelf-items")
