--- a/tests/conformance/test_http.py
+++ b/tests/conformance/test_http.py
@@ -59,7 +59,7 @@
 ) -> None:
     with pytest.raises(ProtocolError, match=error_code):
         http1.RequestReader(65_536).feed(data)
-    assert http1.STATUS_OF.get(error_code, 400) == status, f"RFC 9110 §{section}"
+    assert http1.STATUS_BY_ERROR_CODE.get(error_code, 400) == status, f"RFC 9110 §{section}"
 
 
 def test_head_is_answered_with_the_length_and_without_the_body() -> None:
