--- a/packages/fleet-scale/src/fleet_scale/worker/__main__.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/__main__.py
@@ -21,7 +21,7 @@
 def main(parent_pid: int) -> None:
     """Carry out commands until the parent ends or closes standard input."""
     die_with_parent(parent_pid)
-    logs.to_stream(sys.stderr)
+    logs.log_to_stream(sys.stderr)
     reactor = install()
 
     def stop() -> None:
--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
@@ -47,8 +47,8 @@
         self.member_states: dict[str, str] = {}
         self.declared_failed: set[str] = set()
         if self.fleet is not None:
-            self._log_notice = self.fleet.port.on_notice
-            self.fleet.port.on_notice = self._note
+            self._log_notice = self.fleet.endpoint.on_notice
+            self.fleet.endpoint.on_notice = self._note
 
     def begin_serving(self) -> None:
         """Open no front, and measure no load; membership alone listens."""
@@ -95,7 +95,7 @@
         self.channel.stop()
         self.reset_connection()
         if self.fleet is not None:
-            self.fleet.port.closed = True
+            self.fleet.endpoint.closed = True
             self.fleet.close()
         self.timer_service.stop()
 
--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router_group.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router_group.py
@@ -119,7 +119,7 @@
     def figures(self) -> HollowGroupFigures:
         """Return what the routers cost together."""
         datagrams = [
-            router.fleet.port.counters for router in self._running.values() if router.fleet is not None
+            router.fleet.endpoint.counters for router in self._running.values() if router.fleet is not None
         ]
         return HollowGroupFigures(
             running=len(self._running),
--- a/tests/net/gossip/test_replay_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -113,6 +113,6 @@
     gossip_settings = GossipSettings(("127.0.0.1", 8490), (("127.0.0.1", 8491),), SECRET)
     signed = SignedFrontSettings(("127.0.0.1", 0), "http://a", TRUST, ReplayWindow(), gossip=gossip_settings)
     front = build_signed_front(signed)
-    assert front.shared.gossip is not None
-    assert front.shared.gossip.window is signed.replays
-    assert build_signed_front(replace(signed, gossip=None)).shared.gossip is None
+    assert front.request_context.gossip is not None
+    assert front.request_context.gossip.window is signed.replays
+    assert build_signed_front(replace(signed, gossip=None)).request_context.gossip is None
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -204,14 +204,14 @@
     gone.fleet.leave()
     gone.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
     assert gone.reactor.listen_count == 1
-    assert gone.fleet.port.counters == EndpointCounters()
+    assert gone.fleet.endpoint.counters == EndpointCounters()
 
 
 def test_what_is_refused_is_logged_sparsely(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     member = LoggedMember(tmp_path, monkeypatch)
     for _ in range(9):
-        member.fleet.port.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
-    member.fleet.port.on_notice(Notice("unknown", {}))
+        member.fleet.endpoint.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
+    member.fleet.endpoint.on_notice(Notice("unknown", {}))
     assert [fields["count"] for fields in member.logged("fleet_datagram_rejected")] == [1, 2, 4, 8]
     assert not member.logged("unknown")
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -21,7 +21,7 @@
     handlers = root.handlers[:]
     level = root.level
     stream = io.StringIO()
-    logs.to_stream(stream)
+    logs.log_to_stream(stream)
     yield stream
     root.handlers[:] = handlers
     root.setLevel(level)
--- a/thornjunction/logs.py
+++ b/thornjunction/logs.py
@@ -73,7 +73,7 @@
     return structlog.stdlib.get_logger(name)
 
 
-def to_stream(stream: IO[str] = sys.stderr, level: int = logging.INFO) -> None:
+def log_to_stream(stream: IO[str] = sys.stderr, level: int = logging.INFO) -> None:
     """Write every record of the process, from a level on, to a stream as JSON lines."""
     renderer = structlog.processors.JSONRenderer(sort_keys=False)
     formatter = structlog.stdlib.ProcessorFormatter(processor=renderer, foreign_pre_chain=FOREIGN_PROCESSORS)
--- a/thornjunction/program.py
+++ b/thornjunction/program.py
@@ -20,7 +20,7 @@
 
     The code is an ``ExitCode``.  A faulty configuration is named on standard error.
     """
-    logs.to_stream(sys.stderr)
+    logs.log_to_stream(sys.stderr)
     try:
         process = _build_process(environ, extras_path)
     except ConfigError as error:
--- a/thornjunction/runtime/fleet.py
+++ b/thornjunction/runtime/fleet.py
@@ -56,7 +56,7 @@
         self.name = settings.name or router_name
         check_name("fleet", self.name)
         self.membership = Membership(_membership_settings(settings, self.name), random.SystemRandom().random)
-        self.port = DatagramEndpoint(self.membership, core_ms, self._schedule, self._note)
+        self.endpoint = DatagramEndpoint(self.membership, core_ms, self._schedule, self._note)
         self._settings = settings
         self._deadlines = deadlines
         self._rejected = Counter[str]()
@@ -65,10 +65,10 @@
 
     def listen(self, reactor: Reactor) -> None:
         """Bind and join; while the port is in use, retry until it is free or this process leaves."""
-        if self.port.closed:
+        if self.endpoint.closed:
             return
         try:
-            self._bound = self.port.listen(reactor, self._settings.listen)
+            self._bound = self.endpoint.listen(reactor, self._settings.listen)
         except CannotListenError as error:
             self._failed_binds += 1
             if is_power_of_two(self._failed_binds):
@@ -82,7 +82,7 @@
 
     def leave(self) -> None:
         """Leave the fleet and free the port for this process's successor."""
-        self.port.shut_down()
+        self.endpoint.shut_down()
         self.close()
 
     def close(self) -> None:
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -58,7 +58,7 @@
         clients: DownstreamTable,
         deadlines: Deadlines,
     ) -> None:
-        self.shared = SignedRequestContext(
+        self.request_context = SignedRequestContext(
             engine,
             classes,
             settings.base,
@@ -71,10 +71,10 @@
         self._clients = clients
         self._deadlines = deadlines
         if settings.gossip is not None:
-            self.shared.gossip = self._build_gossip(settings.gossip)
+            self.request_context.gossip = self._build_gossip(settings.gossip)
         self._reloads: list[ScheduledReload] = []
         if settings.keyset is not None:
-            keys = KeySetReloader(self.shared, settings.keyset)
+            keys = KeySetReloader(self.request_context, settings.keyset)
             self._reloads.append(ScheduledReload(keys, settings.keyset.reload_interval_s))
         self._certificates = self._build_certificates(settings.tls) if settings.tls is not None else None
 
@@ -85,10 +85,12 @@
         the caller closes at the end.
         """
         ports: list[ListeningPort] = []
-        if self.shared.gossip is not None and self._settings.gossip is not None:
+        if self.request_context.gossip is not None and self._settings.gossip is not None:
             gossip_address = self._settings.gossip.listen
             ports.append(
-                reactor.listenUDP(gossip_address.port, self.shared.gossip, interface=gossip_address.host)
+                reactor.listenUDP(
+                    gossip_address.port, self.request_context.gossip, interface=gossip_address.host
+                )
             )
         for scheduled in self._reloads:
             self._reload_repeatedly(scheduled)
@@ -122,4 +124,4 @@
         self._deadlines.add(again_ms, lambda: self._reload_repeatedly(scheduled))
 
     def _build_connection(self) -> SignedConnection:
-        return SignedConnection(self._clients, self._deadlines, core_ms, self.shared)
+        return SignedConnection(self._clients, self._deadlines, core_ms, self.request_context)
