--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -86,7 +86,7 @@
 def test_a_rotation_that_cannot_be_written_changes_nothing(extras: str, tmp_path: Path) -> None:
     with patch("os.fsync", side_effect=OSError(errno.ENOSPC, "full")):
         result = invoke("keys", "rotate", "--extras", extras, "--kid", "b", "--algorithm", "HS256")
-    assert result.output == "Error: keys.json stays as it was: full\n"
+    assert result.output == "Error: keys.json was not changed: full\n"
     assert json.loads((tmp_path / "keys.json").read_text()) == {"keys": [KEY_A]}
 
 
--- a/thornjunction/__init__.py
+++ b/thornjunction/__init__.py
@@ -1,4 +1,4 @@
-"""thornjunction: a request router before tiers of caches with one origin behind them."""
+"""thornjunction: a request router in front of several tiers of cache servers that share one origin."""
 
 from thornjunction.interface import Settings
 from thornjunction.policy.router import Router
--- a/thornjunction/__main__.py
+++ b/thornjunction/__main__.py
@@ -1,6 +1,6 @@
 """``python -m thornjunction [COMMAND]``.
 
-Without a command the program serves and loads none of the command line's libraries.
+Without a command the program serves, and the libraries of the command line are not loaded.
 """
 
 import os
--- a/thornjunction/cli.py
+++ b/thornjunction/cli.py
@@ -1,7 +1,7 @@
 """The command line: ``thornjunction [run|sim|check|token|keys]``; without a sub-command it serves.
 
-A faulty file ends the program with ``ExitCode.FAULTY_CONFIGURATION`` and a message that names the key.
-Nothing here logs a token or a key.
+For a faulty file the program exits with ``ExitCode.FAULTY_CONFIGURATION`` and a message that names the key.
+This module never logs a token or a key.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 from thornjunction.signing import keyset, tokens
 from thornjunction.signing.replay import ReplayWindow
 
-# Exit code of ``token verify`` for a token that the front would refuse.
+# Exit code of ``token verify`` for a token that the signed front would refuse.
 TOKEN_REFUSED_EXIT_CODE = 1
 
-# Longest lifetime of an issued token: 31 days.
+# Longest lifetime that an issued token may have: 31 days.
 MAX_LIFETIME_S = 31 * 86_400
 
-# Lifetime of an issued token, unless given: an hour.
+# Lifetime of an issued token where ``--lifetime`` is not given: an hour.
 DEFAULT_LIFETIME_S = 3_600
 
-# Parts of a JWT: header, claims and signature, divided by dots (RFC 7515).
+# Number of parts of a JWT: header, claims and signature, separated by dots (RFC 7515).
 JWT_PARTS = 3
 
-# Size of a new HMAC key.
+# Size of a newly generated HMAC key.
 OCT_KEY_BITS = 256
 
-# Permissions of the key set: it holds private keys, and its owner alone reads it.
+# Permissions of the key set file: it holds private keys, so only its owner may read it.
 KEY_FILE_MODE = 0o600
 
 # URI attribute that carries a token (RFC 9246 §2.1.14).
@@ -54,60 +54,60 @@
 
 
 class MissingConfigError(click.UsageError):
-    """``check`` without a file, where the operators' file describes no relay."""
+    """``check`` was called without CONFIG, and the operators' file does not describe a relay."""
 
     def __init__(self) -> None:
-        super().__init__("Missing argument 'CONFIG': only a relay has none")
+        super().__init__("Missing argument 'CONFIG': it may be left out only for a relay")
 
 
 class NoSignedFrontError(click.ClickException):
-    """The operators' file has no signed-URL front."""
+    """The operators' file does not configure a signed-URL front."""
 
     def __init__(self, extras: Path) -> None:
-        super().__init__(f"no [signed] in {extras}")
+        super().__init__(f"{extras} has no section [signed]")
 
 
 class NoKeySetError(click.ClickException):
-    """The operators' file lists its keys one file each, so that there is no set to rotate."""
+    """The operators' file lists each key with a file of its own, so there is no key set to rotate."""
 
     def __init__(self) -> None:
-        super().__init__("no signed.keyset in the extras: keys are listed one file each")
+        super().__init__("the operators' file does not set signed.keyset: it lists keys in separate files")
 
 
 class KeySetNotWrittenError(click.ClickException):
-    """The key set could not be replaced."""
+    """The key set file could not be replaced."""
 
     def __init__(self, path: Path, error: OSError) -> None:
-        super().__init__(f"{path.name} stays as it was: {error.strerror}")
+        super().__init__(f"{path.name} was not changed: {error.strerror}")
 
 
 class ForeignUrlError(click.ClickException):
-    """A URL that is not the front's."""
+    """A URL that does not belong to the signed front."""
 
     def __init__(self, base: str) -> None:
-        super().__init__(f"not under {base}")
+        super().__init__(f"the URL does not begin with {base}")
 
 
 class NotAJwtError(click.ClickException):
-    """A text that is no signed JWT."""
+    """A text that is not a signed JWT."""
 
     def __init__(self) -> None:
         super().__init__("not a signed JWT")
 
 
-# Option of the commands that read the operators' file.
+# Option ``--extras`` of the commands that read the operators' file.
 EXTRAS_OPTION = click.option(
     "--extras", type=click.Path(path_type=Path), default=EXTRAS_PATH, show_default=True
 )
 
-# Type of an argument that is an existing file.
+# Type of an argument that must name an existing file.
 CONFIG_TYPE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.group(invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A request router before tiers of caches (docs/ARCHITECTURE.md)."""
+    """A request router in front of tiers of cache servers (docs/ARCHITECTURE.md)."""
     if context.invoked_subcommand is None:
         context.invoke(run)
 
@@ -117,15 +117,15 @@
 def run(extras: Path) -> None:
     """Serve until SIGTERM.
 
-    The configuration is the file that PROXY_CONFIG names; without it a demo with fake cache servers on
-    loopback is served.
+    The configuration is read from the file that PROXY_CONFIG names.  If the variable is not set, a demo with
+    fake cache servers on loopback runs instead.
     """
     sys.exit(run_program(os.environ, extras))
 
 
 @main.command()
 def sim() -> None:
-    """The same decisions on the simulator's wire, standard input to output."""
+    """Make the same routing decisions for the simulator, over standard input and output."""
     from thornjunction.adapter import main as run_adapter
 
     sys.exit(run_adapter())
@@ -135,7 +135,7 @@
 @click.argument("config", required=False, type=CONFIG_TYPE)
 @EXTRAS_OPTION
 def check(config: Path | None, extras: Path) -> None:
-    """Check a configuration and the operators' extras without starting.  A relay has no CONFIG."""
+    """Check a configuration and the operators' file without starting.  For a relay, leave CONFIG out."""
     relay = _load_relay_or_exit(extras)
     if relay is not None:
         click.echo(f"{relay.name}: a relay of {len(relay.upstreams)} upstreams; ok")
@@ -150,7 +150,7 @@
 
 @main.group()
 def token() -> None:
-    """Issue, verify and inspect tokens of the second front (RFC 9246)."""
+    """Issue, verify and inspect tokens of the signed-URL front (RFC 9246)."""
 
 
 @token.command("issue")
@@ -159,11 +159,11 @@
 @click.option(
     "--lifetime", type=click.IntRange(1, MAX_LIFETIME_S), default=DEFAULT_LIFETIME_S, help="seconds"
 )
-@click.option("--renew", type=click.IntRange(0), default=0, help="seconds that each renewed cookie lives")
-@click.option("--jti", default="", help="an id, so that the token is taken once")
-@click.option("--client", default="", help="bind to a client's address (cdniip)")
+@click.option("--renew", type=click.IntRange(0), default=0, help="lifetime of each renewed cookie in seconds")
+@click.option("--jti", default="", help="an id by which the token is accepted only once")
+@click.option("--client", default="", help="bind the token to a client's address (cdniip)")
 def issue(path: str, extras: Path, lifetime: int, renew: int, jti: str, client: str) -> None:
-    """Print a signed URL for PATH, as /CLASS/GROUP/OBJECT/PART."""
+    """Print a signed URL for PATH, which has the form /CLASS/GROUP/OBJECT/PART."""
     front = _load_signed_front(extras)
     uri = front.base + path
     claims: dict[str, Any] = {}
@@ -183,7 +183,7 @@
 @EXTRAS_OPTION
 @click.option("--client", default="", help="the client's address, for cdniip")
 def verify(url: str, extras: Path, client: str) -> None:
-    """Say whether the front would admit a signed URL, and why not."""
+    """Print whether the signed front would admit a URL; if not, print the status and the reason code."""
     from thornjunction.net.wire import http1, signed
     from thornjunction.signing.address import parse_address
 
@@ -204,7 +204,7 @@
 @token.command("inspect")
 @click.argument("text")
 def inspect(text: str) -> None:
-    """Print a token's header and claims, unverified, as JSON."""
+    """Print a token's header and claims as JSON, without verifying the token."""
     parts = text.rpartition(f"{QUERY_PARAMETER}=")[2].split("&")[0].split(".")
     if len(parts) != JWT_PARTS:
         raise NotAJwtError
@@ -218,13 +218,13 @@
 
 @main.group()
 def keys() -> None:
-    """The key set of the second front (RFC 7517)."""
+    """List and rotate the keys of the signed-URL front (RFC 7517)."""
 
 
 @keys.command("list")
 @EXTRAS_OPTION
 def list_keys(extras: Path) -> None:
-    """Print each key: kid, algorithm, retirement (Unix seconds) and whether it signs."""
+    """Print each key: kid, algorithm, retirement time (Unix seconds), and whether it signs new tokens."""
     front = _load_signed_front(extras)
     for kid, key in sorted(front.trust.keys.items()):
         signs = " signs" if kid == front.trust.sign_with else ""
@@ -235,10 +235,10 @@
 
 @keys.command("rotate")
 @EXTRAS_OPTION
-@click.option("--kid", required=True, help="the new key's name")
+@click.option("--kid", required=True, help="the key id of the new key")
 @click.option("--algorithm", type=click.Choice(["ES256", "HS256"]), default="ES256", show_default=True)
 def rotate(extras: Path, kid: str, algorithm: str) -> None:
-    """Add a new key to the key set file, written whole; the router takes it within keys_every_s."""
+    """Add a new key to the key set file and replace it atomically; routers load it within keys_every_s."""
     front = _load_signed_front(extras)
     if front.keyset is None:
         raise NoKeySetError
@@ -261,7 +261,7 @@
 
 
 def _decode_part(text: str) -> Any:
-    """Decode a part of a JWT: JSON in base64url without padding (RFC 7515).  Raises ValueError."""
+    """Decode one part of a JWT: JSON in base64url without padding (RFC 7515).  Raises ValueError."""
     padding = "=" * (-len(text) % 4)
     return json.loads(base64.urlsafe_b64decode(text + padding))
 
@@ -273,7 +273,7 @@
 
 
 def _load_signed_front(extras: Path) -> SignedFrontSettings:
-    """Load the signed-URL front of the operators' file, which must have one."""
+    """Load the settings of the signed-URL front; raise NoSignedFrontError if the file has none."""
     front = _exit_if_faulty(lambda: load_extras(extras)).signed
     if front is None:
         raise NoSignedFrontError(extras)
@@ -281,7 +281,7 @@
 
 
 def _exit_if_faulty(load: Callable[[], Result]) -> Result:
-    """Return what ``load`` returns; a fault of a file is named on standard error and ends the program."""
+    """Return the result of ``load``; if a file is faulty, print the fault to standard error and exit."""
     try:
         return load()
     except (ConfigError, keyset.KeySetError) as error:
--- a/thornjunction/demo/__init__.py
+++ b/thornjunction/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A router that serves on a fresh machine: fake cache servers and discovery on loopback, and both fronts."""
+"""A demo that needs no setup: a router with both fronts, fake cache servers and a fake discovery service."""
--- a/thornjunction/log_events.py
+++ b/thornjunction/log_events.py
@@ -1,9 +1,9 @@
-"""The events of the log, each declared once.
+"""The log events, each declared once.
 
-An event is named ``noun_verb`` or ``noun_state``.  The docstring of a member says what the event means; the
-table of ``docs/ON-CALL.md`` holds the same text, and ``tests/test_log_events.py`` compares the two, with the
-level and the fields of the calls that write the event.  Packages that do not depend on this one declare their
-events themselves: ``gossip_transport.log_events``, ``control_relay.notices`` and ``control_client.notices``.
+An event is named ``noun_verb`` or ``noun_state``.  The docstring of a member says what the event means.  The
+table of ``docs/ON-CALL.md`` repeats this text; ``tests/test_log_events.py`` compares the two, and the table
+with the levels and fields of the log calls.  Packages that do not depend on this one declare their events
+themselves: ``gossip_transport.log_events``, ``control_relay.notices`` and ``control_client.notices``.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 
 class LogEvent(StrEnum):
-    """What a line of the log reports."""
+    """The event that a log line reports."""
 
     ACCEPT_FAILED = "accept_failed"
     """The system refused to accept a connection; the port pauses for up to 0.1 s."""
     CERTIFICATE_ACCEPTED = "certificate_accepted"
     """A certificate and its key were loaded."""
     CERTIFICATE_REJECTED = "certificate_rejected"
-    """A certificate or its key is faulty; the pair before it stays in use."""
+    """A certificate or its key is faulty; the previous pair stays in use."""
     CHANNEL_IGNORED = "channel_ignored"
-    """A reload named a command channel, but the section `[control]` names the sources."""
+    """A reload named a command channel, which is not used: the section `[control]` names the sources."""
     CONNECTION_CLOSED = "connection_closed"
-    """A connection has ended; `code` says why."""
+    """A connection has ended; `code` gives the reason."""
     CONNECT_FAILED = "connect_failed"
-    """A connect to a server failed and is retried; `cause`: `unreachable` or `local` (this machine)."""
+    """Connecting to a server failed and is retried; `cause`: `unreachable` or `local` (this machine)."""
     DEADLINE_FAILED = "deadline_failed"
-    """The callback of a deadline raised an exception; the other deadlines are served."""
+    """The callback of a deadline raised an exception; the other deadlines still run."""
     DECISION_FAILED = "decision_failed"
-    """The decisions raised an exception on an event; the process goes on."""
+    """The routing decisions raised an exception on an event; the process continues."""
     DISCOVERY_EVENT_FAILED = "discovery_event_failed"
-    """Applying an event of the command channel raised an exception; the events after it are applied."""
+    """Applying an event of the command channel raised an exception; later events are still applied."""
     DISCOVERY_EVENTS_REJECTED = "discovery_events_rejected"
     """Parts of a response of the command channel were not applied."""
     DRAIN_STARTED = "drain_started"
@@ -41,7 +41,7 @@
     FLEET_BIND_FAILED = "fleet_bind_failed"
     """The fleet's UDP port is in use; binding it is retried."""
     FLEET_LINK_CHANGED = "fleet_link_changed"
-    """Another member is reached in a new way."""
+    """The link to another member has a new state."""
     FLEET_LISTENING = "fleet_listening"
     """The fleet's UDP port is open."""
     FLEET_MAJORITY_CHANGED = "fleet_majority_changed"
@@ -49,13 +49,13 @@
     FLEET_MEMBER_CHANGED = "fleet_member_changed"
     """A member has a new state."""
     FLEET_MODE_CHANGED = "fleet_mode_changed"
-    """This router is in a new partition mode."""
+    """This router entered another partition mode."""
     FLEET_PROCESS_PAUSED = "fleet_process_paused"
-    """This process did not run for a time; it claims no majority until voters answer."""
+    """This process was paused for some time; it claims no majority until voters answer."""
     FLEET_DATAGRAM_REJECTED = "fleet_datagram_rejected"
     """A datagram of the membership was not accepted."""
     HANDOVER_TOKEN_FAILED = "handover_token_failed"
-    """The handover token can't be written; the process before this one drains as without a successor."""
+    """The handover token can't be written; the previous process drains as if it had no successor."""
     INCARNATION_UNKNOWN = "incarnation_unknown"
     """The incarnation file is missing or faulty; the wall clock is used instead."""
     INCARNATION_WRITE_FAILED = "incarnation_write_failed"
@@ -63,7 +63,7 @@
     KEY_SET_ACCEPTED = "key_set_accepted"
     """A key set was loaded."""
     KEY_SET_REJECTED = "key_set_rejected"
-    """A key set is faulty; the one before it stays in use."""
+    """A key set is faulty; the previous one stays in use."""
     LISTEN_FAILED = "listen_failed"
     """A listening address can't be opened; the process ends."""
     MEMBER_DEREGISTERED = "member_deregistered"
@@ -71,13 +71,13 @@
     QUEUED_REQUEST_FAILED = "queued_request_failed"
     """Handling a client's queued request raised an exception; the other requests are handled."""
     RELAY_EVENT_FAILED = "relay_event_failed"
-    """The relay's core raised an exception on an event; the process goes on."""
+    """The relay's core raised an exception on an event; the process continues."""
     RELAY_SHUTDOWN_STARTED = "relay_shutdown_started"
-    """A relay got SIGTERM."""
+    """A relay received SIGTERM."""
     RELAY_STARTED = "relay_started"
     """A relay starts."""
     RELAY_STOPPED = "relay_stopped"
-    """A relay exits; `unread_connections` have not read their last response."""
+    """A relay exits; `unread_connections`: connections whose last response was not read."""
     RELOAD_ACCEPTED = "reload_accepted"
     """SIGHUP: the configuration was loaded; `need_restart` names keys that only a restart applies."""
     RELOAD_REJECTED = "reload_rejected"
@@ -87,10 +87,10 @@
     REQUEST_REJECTED = "request_rejected"
     """The signed front rejected a request."""
     ROUTER_STARTED = "router_started"
-    """A router starts; its limits on connections of clients and to servers."""
+    """A router starts; the fields give its limits on client and server connections."""
     SHUTDOWN_FINISHED = "shutdown_finished"
     """All requests have been answered and the process exits."""
     SHUTDOWN_STARTED = "shutdown_started"
-    """A router got SIGTERM; `has_successor`: another process serves already."""
+    """A router received SIGTERM; `has_successor`: another process already serves."""
     WATCH_RESTARTED = "watch_restarted"
-    """The command channel's numbers went back, so it is read from 0; `discovery_restarted`: they are new."""
+    """The channel's event numbers decreased, and it is polled from 0; `discovery_restarted`: they are new."""
--- a/thornjunction/logs.py
+++ b/thornjunction/logs.py
@@ -1,8 +1,8 @@
-"""Structured logging on structlog: one JSON object a line on standard error.
+"""Structured logging with structlog: one JSON object per line on standard error.
 
-A line has the time (UTC), level, logger, process id, an event and its fields, reason codes among them.
-Records of the standard library's loggers, the reactor's too, take the same form.  A value that looks like a
-signed JWT is never written: it is replaced by ``[token]``, whoever logs it.
+Each line has the time (UTC), level, logger, process id, event name and the fields of the event.  Records of
+the standard library's loggers, including the reactor's, have the same form.  A text that looks like a signed
+JWT is replaced by ``[token]`` in the records of every logger, so that no token is written to the log.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 import structlog
 
-# How each JWT begins: base64url of ``{"``.
-JWT_MARK = "eyJ"
+# The first characters of every JWT: base64url of ``{"``.
+JWT_PREFIX = "eyJ"
 
 # A JWT in compact serialization (RFC 7519 §3).
-JWT = re.compile(JWT_MARK + r"[0-9A-Za-z_-]{4,}\.[0-9A-Za-z_-]+\.[0-9A-Za-z_-]*")
+JWT = re.compile(JWT_PREFIX + r"[0-9A-Za-z_-]{4,}\.[0-9A-Za-z_-]+\.[0-9A-Za-z_-]*")
 
-# What is written in place of a JWT.
+# Text that replaces a JWT.
 REDACTED = "[token]"
 
 EventDict = MutableMapping[str, Any]
 
 
 def _add_process_id(_logger: Any, _method: str, event: EventDict) -> EventDict:
-    """Processor that adds ``pid``: two processes may write to one log during a handover."""
+    """Add the field ``pid``: during a handover two processes may write to the same log."""
     event["pid"] = os.getpid()
     return event
 
 
 def _redact_tokens(_logger: Any, _method: str, event: EventDict) -> EventDict:
-    """Processor that replaces tokens in all text values."""
+    """Replace the tokens in all text values of an event."""
     for name, value in event.items():
-        if isinstance(value, str) and JWT_MARK in value:
+        if isinstance(value, str) and JWT_PREFIX in value:
             event[name] = JWT.sub(REDACTED, value)
     return event
 
 
-# Processors of every record, in their order; redaction comes last, so that it sees all text.
+# Processors of every record, in the order of their calls.  Redaction is last, so that it sees all text.
 PROCESSORS: list[Any] = [
     structlog.stdlib.add_log_level,
     structlog.stdlib.add_logger_name,
@@ -53,7 +53,7 @@
     _redact_tokens,
 ]
 
-# Processors of records of the standard library's loggers; their ``extra`` holds an event's fields.
+# Processors of the standard library's log records, in which ``extra`` holds the fields of the event.
 FOREIGN_PROCESSORS: list[Any] = [structlog.stdlib.ExtraAdder(), *PROCESSORS]
 
 structlog.configure(
@@ -69,12 +69,12 @@
 
 
 def get_logger(name: str) -> Any:
-    """Return a logger whose calls take an event and its fields: ``log.info(LogEvent.DRAIN_STARTED)``."""
+    """Return a logger whose methods take an event and its fields: ``log.info(LogEvent.DRAIN_STARTED)``."""
     return structlog.stdlib.get_logger(name)
 
 
 def log_to_stream(stream: IO[str] = sys.stderr, level: int = logging.INFO) -> None:
-    """Write every record of the process, from a level on, to a stream as JSON lines."""
+    """Write each log record of the process that has at least this level to a stream, as a JSON line."""
     renderer = structlog.processors.JSONRenderer(sort_keys=False)
     formatter = structlog.stdlib.ProcessorFormatter(processor=renderer, foreign_pre_chain=FOREIGN_PROCESSORS)
     handler = logging.StreamHandler(stream)
--- a/thornjunction/program.py
+++ b/thornjunction/program.py
@@ -1,4 +1,4 @@
-"""Chooses what a process is by its files and environment: a relay, a request router or a demo."""
+"""Chooses what the process runs from its files and environment: a relay, a request router or a demo."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from thornjunction.runtime.exit_codes import ExitCode
 from thornjunction.runtime.start import Process, build_relay, build_router, run_process
 
-# The operators' own file, unless the command line names another.
+# The operators' file, unless the command line names another one.
 EXTRAS_PATH = Path(__file__).resolve().parent.parent / "deploy" / "extras.toml"
 
 
 def run_program(environ: Mapping[str, str], extras_path: Path = EXTRAS_PATH) -> int:
-    """Run until SIGTERM and return the exit code.
+    """Run until SIGTERM and return the exit code, an ``ExitCode``.
 
-    The code is an ``ExitCode``.  A faulty configuration is named on standard error.
+    For a faulty configuration the error is printed to standard error.
     """
     logs.log_to_stream(sys.stderr)
     try:
@@ -30,9 +30,9 @@
 
 
 def _build_process(environ: Mapping[str, str], extras_path: Path) -> Process:
-    """Build a relay where the operators' file has its section; without ``PROXY_CONFIG``, a demo."""
+    """Build a relay if the file has ``[relay]``, else a router, or a demo if ``PROXY_CONFIG`` is not set."""
     if extras_path.exists():
-        # Imported only where there is such a file: a router without one loads nothing of a relay.
+        # Imported only if the file exists, so that a router without one does not load the relay's modules.
         from thornjunction.runtime.control_settings import load_relay
 
         relay_settings = load_relay(extras_path, environ)
--- a/thornjunction/runtime/__init__.py
+++ b/thornjunction/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The process: its files, its assembly, and its lifecycle from start to exit."""
+"""The process: its configuration files, how its parts are assembled, and its lifecycle from start to exit."""
--- a/thornjunction/runtime/addresses.py
+++ b/thornjunction/runtime/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses and names in the files that the process reads, checked the same way in each of them."""
+"""Parsing and checks of the addresses and names in the configuration files."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from thornjunction.net.wire.commands import parse_address
 from thornjunction.runtime.errors import FaultyKeyError
 
-# A name that fits datagrams, polls and lines of the admin endpoint.
+# Names that can be used in datagrams, polls and lines of the admin endpoint.
 NAME = re.compile(r"[A-Za-z0-9._-]{1,32}")
 
-# Characters of a faulty name that an error shows.
+# Number of characters of a faulty name that an error message shows.
 MAX_SHOWN_CHARACTERS = 40
 
 
@@ -24,7 +24,7 @@
 
 
 def read_address(key: str, text: str) -> Address:
-    """Parse ``host:port``.  Raises FaultyKeyError where it is none."""
+    """Parse ``host:port``.  Raises FaultyKeyError for any other text."""
     try:
         return Address(*parse_address(text))
     except ValueError as error:
@@ -32,9 +32,9 @@
 
 
 def read_local_address(key: str, text: str, allow_private: bool) -> Address:
-    """Parse a loopback address, or also a private one where the operators allow it.
+    """Parse a loopback address, or a private address if ``allow_private`` is set.
 
-    Raises FaultyKeyError for a public address and for the one that stands for all addresses.
+    Raises FaultyKeyError for a public address and for the wildcard address 0.0.0.0.
     """
     address = read_address(key, text)
     ip = ip_address(address.host)
@@ -43,12 +43,12 @@
     if not allow_private:
         raise FaultyKeyError(key, "not a loopback address")
     if not ip.is_private or ip.is_unspecified:
-        raise FaultyKeyError(key, "not a loopback address nor a private one")
+        raise FaultyKeyError(key, "neither a loopback address nor a private one")
     return address
 
 
 def check_name(section: str, name: str) -> None:
-    """Raise FaultyKeyError for a name that does not fit datagrams, polls and lines of the admin endpoint."""
+    """Raise FaultyKeyError for a name that datagrams, polls and the admin endpoint's lines cannot hold."""
     if not NAME.fullmatch(name):
         shown = name[:MAX_SHOWN_CHARACTERS]
         raise FaultyKeyError(section, f"a name is 1 to 32 letters, digits, dots and dashes, not {shown!r}")
--- a/thornjunction/runtime/admin_calls.py
+++ b/thornjunction/runtime/admin_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a router's admin endpoint."""
+"""The calls that operators make to a router's admin endpoint."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from thornjunction.net.wire.admin import encode_counters, encode_reply
 from thornjunction.runtime.drain import Drain
 
-# Time from the call until connections are closed: new ones come for 0.2 s past the first ``NAK``.
+# Time from the call until idle connections are closed: clients connect for 0.2 s after the first ``NAK``.
 DRAIN_WAIT_MS = 600.0
 
 log = get_logger(__name__)
@@ -19,7 +19,7 @@
     """Answers the operators' calls.
 
     Attributes:
-        by_name: the calls by the name that operators use.
+        by_name: the calls by the names that operators use.
     """
 
     def __init__(
@@ -41,22 +41,22 @@
         }
 
     def check(self) -> bytes:
-        """Reply whether this router accepts clients."""
+        """Reply whether this router accepts new clients."""
         return encode_reply(self._is_ready())
 
     def metrics(self) -> bytes:
-        """Reply with all metrics, one a line."""
+        """Reply with all metrics, one per line."""
         return encode_counters(self._collect_metrics())
 
     def start_drain(self) -> bytes:
-        """Drain until ``drain-off``."""
+        """Start a drain, which lasts until ``drain-off``; no effect if a drain is active."""
         if not self._drain.is_active:
             log.info(LogEvent.DRAIN_STARTED)
             self._drain.start(DRAIN_WAIT_MS)
         return encode_reply(True)
 
     def stop_drain(self) -> bytes:
-        """End a drain; refused once the process shuts down."""
+        """End the drain; refused once the process is shutting down."""
         if self._is_shutting_down():
             return encode_reply(False, "ending")
         log.info(LogEvent.DRAIN_STOPPED)
--- a/thornjunction/runtime/admin_metrics.py
+++ b/thornjunction/runtime/admin_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that the admin endpoint shows, under the operators' names."""
+"""The metrics that the admin endpoint returns, under the names that operators use."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 from thornjunction.policy.router import Router
 
-# Names of the metrics of each class, and the outcomes that they count.
+# Names of the metrics that each request class has, and the request outcomes that they count.
 OUTCOME_METRICS = {"fulfilled": "served", "throttled": "refused", "faulted": "failed"}
 
 
 def collect_admin_metrics(
     counters: Counters, engine: Engine, pool: ConnectionPool, router: Router, reloads: Counter[str]
 ) -> dict[str, int]:
-    """Counts since the start of this process, and gauges of its present state.
+    """Return counters since the start of this process, and gauges of its current state.
 
-    ``reloads`` counts configuration files by ``accepted`` and ``invalid``.
+    ``reloads`` counts the reloads of the configuration by result: ``accepted`` or ``invalid``.
     """
     metrics = {
         f"{metric}.{class_name}": counters.counts[f"requests.{class_name}.{outcome}"]
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -1,7 +1,7 @@
 """The composition root: which parts a router has, and how they are connected.
 
-What the operators' file turns on is imported here, and only where it is on: its libraries cost a router that
-has none nothing.
+A part that the operators' file turns on is imported only if it is on: a router without it does not load its
+libraries.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
     from thornjunction.runtime.fleet import FleetMember
     from thornjunction.runtime.signed_front import SignedFront
 
-# One third of the sockets is for clients.
+# One third of the sockets is reserved for client connections.
 CLIENT_SOCKETS_DIVISOR = 3
 
 
 def build_request_path(config: Config, reactor: ProcessReactor, counters: Counters) -> RequestPath:
-    """Build and connect the parts that each request passes."""
+    """Build and connect the parts that each request passes through."""
     timer_service = TimerService(reactor)
     buffer_budget = ByteBudget(config.buffer_bytes)
     pool = ConnectionPool(reactor, config.pool_limits, timer_service.deadlines, core_ms, buffer_budget)
@@ -69,10 +69,10 @@
     classes: dict[str, api.RequestClass],
     reactor: ProcessReactor,
 ) -> OptionalParts:
-    """Build what the operators' file turns on.
+    """Build the parts that the operators' file turns on.
 
     Raises:
-        ConfigError: a part cannot be built.
+        ConfigError: a part cannot be built from its settings.
     """
     if extras is None:
         return OptionalParts()
@@ -127,10 +127,10 @@
     handle_command: Callable[[Command], None],
     on_synchronized: Callable[[], None],
 ) -> Watch:
-    """Build the command channel, to discovery or to the sources of ``[control]``.
+    """Build the command channel, which polls discovery or the sources of ``[control]``.
 
     Raises:
-        ConfigError: the router's name does not fit a poll.
+        ConfigError: the router's name cannot be used in a poll.
     """
     context = WatchContext(reactor, deadlines, core_ms)
     handlers = WatchHandlers(handle_command, on_synchronized)
@@ -144,7 +144,7 @@
     name = extras.control.name or config.name
     check_name("control.name", name)
     query = f"&as=router&name={name}"
-    # Relays repeat a purge for as long as they retain it.
+    # Relays may repeat a purge for as long as they retain it, so it must be recognized for that long.
     retention_ms = max(config.settings.purge_propagation_ms, PURGE_RETENTION_MS)
     selector = SourceSelector(extras.control.sources, random.SystemRandom().random)
     return MultiSourceWatch(context, selector, retention_ms, PollIdentity(name, lambda _: query), handlers)
--- a/thornjunction/runtime/command_events.py
+++ b/thornjunction/runtime/command_events.py
@@ -1,4 +1,4 @@
-"""Events of the command channel, translated for the decisions and the connection pool."""
+"""Translates events of the command channel for the routing decisions and the connection pool."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class CommandHandler:
-    """Feeds endpoint lists and purges to the engine and the pool, with their times on the core's clock.
+    """Feeds endpoint lists and purges to the engine and the pool, with times converted to the core's clock.
 
     Args:
-        engine: is fed lists and purges.
-        pool: is given the addresses of listed servers.
-        roles: roles of servers, by the kinds that the endpoint list names.
+        engine: receives endpoint lists and purges.
+        pool: receives the addresses of listed servers.
+        roles: roles of servers, by the kinds that the endpoint list uses.
         settings: returns the settings in force.
         clock: the core's clock, in ms.
 
     Attributes:
-        process_starts: when the listed servers were started.
+        process_starts: the start times of the listed servers.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.process_starts = ProcessStarts(self._unix)
 
     def handle(self, command: Command) -> None:
-        """Feed one event."""
+        """Feed one event to the engine; an endpoint list also updates the pool."""
         if isinstance(command, ListChange):
             self._change_list(command)
         else:
@@ -55,17 +55,17 @@
         entries = tuple(self._entry(host, recent_ms) for host in change.hosts)
         self.process_starts.forget_unlisted(change.hosts, change.is_complete)
         self._engine.feed(api.EndpointListUpdate(entries, change.is_complete))
-        self._pool.update(change.hosts, change.is_complete)  # what waited there is decided again by this list
+        self._pool.update(change.hosts, change.is_complete)  # attempts waiting there are decided again
 
     def _purge(self, purge: Purge) -> None:
         retention_ms = self._settings().purge_propagation_ms
         age_ms = max(self._clock() - self._unix.to_core(purge.issued_unix_ms, retention_ms), 0.0)
-        # Past this time all caches have dropped what it names, and no decision depends on it.
+        # After this time all caches have dropped the purged objects, and no decision depends on the purge.
         if age_ms <= retention_ms:
             self._engine.feed(api.PurgeReceived(purge.group, age_ms, purge.key))
 
     def _longest_warm_up_ms(self) -> float:
-        """Return how long a start of a server matters: the longest slow start of any role."""
+        """Return for how long a server's start affects decisions: the longest slow start of any role."""
         settings = self._settings()
         return max(settings.slow_start_ms, settings.parent_slow_start_ms)
 
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -1,6 +1,6 @@
-"""The platform's configuration: read, checked and given defaults; messages name the faulty key.
+"""Reads and checks the platform's configuration and applies defaults; error messages name the faulty key.
 
-The operators' own file is read in ``extras.py``.
+The operators' file is read in ``extras.py``.
 """
 
 from __future__ import annotations
@@ -26,70 +26,70 @@
 )
 from thornjunction.settings import SettingsReader, WireError, parse_json, read_roles, read_settings
 
-# Fewest sockets: one each for clients, cache servers, and the command channel.
+# Smallest number of sockets: one each for clients, cache servers and the command channel.
 MIN_SOCKETS = 3
 
-# Sockets that the process may open, unless configured.
+# Number of sockets that the process may open, unless configured.
 DEFAULT_SOCKETS = 1024
 
-# One third of the sockets is for connections to cache servers.
+# One third of the sockets is reserved for connections to cache servers.
 UPSTREAM_SOCKETS_DIVISOR = 3
 
-# Share of a processor that the process may use, unless configured.
+# Share of a processor core that the process may use, unless configured.
 DEFAULT_CORES = 1.0
 
-# Smallest share of a processor; a smaller one is taken as this.
+# Smallest share of a processor core; a smaller configured value is raised to it.
 MIN_CORES = 0.05
 
-# Greatest share of a processor: the process has one thread.
+# Greatest share of a processor core; a greater value is lowered to it, since the process has one thread.
 MAX_CORES = 1.0
 
-# Memory that the process may use, unless configured.
+# Memory limit of the process, unless configured.
 DEFAULT_MEMORY_MB = 64.0
 
-# Bytes of a megabyte, as the platform's configuration counts memory.
+# Bytes in a megabyte; the platform's configuration uses decimal megabytes.
 BYTES_PER_MB = 1e6
 
-# Share of the memory for buffers; of the smallest memory that the platform gives, the program itself
-# takes half.
+# Share of the memory that buffers may use.  The program itself takes half of the smallest memory that the
+# platform grants.
 BUFFER_SHARE = 0.2
 
-# Requests on one connection to a cache server at a time, unless configured.
+# Concurrent requests on one connection to a cache server, unless configured.
 DEFAULT_MAX_STREAMS = 32
 
 # Timeout of an attempt to connect to a cache server, unless configured.
 DEFAULT_CONNECT_TIMEOUT_MS = 400.0
 
-# How long a connection to a cache server may be idle, unless configured.
+# Time after which an idle connection to a cache server is closed, unless configured.
 DEFAULT_IDLE_MS = 15_000.0
 
-# Characters of a faulty text that an error shows.
+# Number of characters of a faulty text that an error message shows.
 MAX_SHOWN_CHARACTERS = 80
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the platform tells a request router.
+    """The configuration that the platform gives a request router.
 
     Attributes:
         name: the router's name.
-        listen: the address where clients connect.
-        seed: seed of the random numbers.
-        cores: share of a processor that the process may use.
+        listen: the address to which clients connect.
+        seed: seed of the random number generators.
+        cores: share of a processor core that the process may use.
         sockets: number of sockets that the process may open.
-        buffer_bytes: bytes that all connections may buffer together.
-        discovery: the address where the command channel connects.
+        buffer_bytes: bytes that all connections together may buffer.
+        discovery: the address to which the command channel connects.
         initial_commands: the events that are known before the command channel's first response.
-        settings: the settings of the decisions.
+        settings: the settings of the routing decisions.
         roles: roles of servers, by the names that the endpoint list uses.
         pool_limits: limits of the upstream connection pool.
-        longest_wait_ms: the longest time that any client waits.
-        flow_bytes_per_ms: rate of one transfer, which ``settings.transfer_rate_kb_per_ms`` has in KB; 0: not
-            known.
-        admin: the address of the admin endpoint; None: there is none.
-        listening_descriptor: descriptor of the clients' listening socket, where the platform opened it.
-        handover_folder: folder shared with the process that this one replaces; empty: it replaces none.
-        key_paths: paths of all keys in the file.
+        longest_wait_ms: the longest client timeout of any request class.
+        flow_bytes_per_ms: rate of one transfer in bytes, as ``settings.transfer_rate_kb_per_ms`` is in KB; 0:
+            not known.
+        admin: the address of the admin endpoint, or None if there is none.
+        listening_descriptor: descriptor of the clients' listening socket, if the platform opened it.
+        handover_folder: folder shared with the process that this one replaces; empty if it replaces none.
+        key_paths: paths of all keys in the file, except those below ``known``.
     """
 
     name: str
@@ -112,7 +112,7 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Read the file that ``PROXY_CONFIG`` names.  Raises ConfigError, naming file and key."""
+    """Read the file that ``PROXY_CONFIG`` names.  Raises ConfigError, which names the file and the key."""
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise MissingConfigPathError
@@ -125,62 +125,62 @@
 
 
 def parse_config(text: bytes, environ: Mapping[str, str]) -> Config:
-    """Read the configuration from its JSON text; name and addresses may come from the environment."""
+    """Parse the configuration from JSON; the environment may override its name and addresses."""
     try:
-        return _read(SettingsReader(parse_json(text)), environ)
+        return _read_config(SettingsReader(parse_json(text)), environ)
     except (WireError, RecursionError) as error:
         raise ConfigError(str(error)) from error
 
 
 def check_complete(running: Config, reloaded: Config) -> None:
-    """Raise ConfigError where a reloaded file may have been cut off.
+    """Raise ConfigError if a reloaded file lacks keys, for instance because it was truncated.
 
-    A key that the running configuration has and the new one lacks would take a default in place of what was
-    meant.
+    For a key that the running configuration has and the new file lacks, a default would replace the intended
+    value.  Two request classes with the same name are rejected as well.
     """
     missing = running.key_paths - reloaded.key_paths
     if missing:
         raise MissingKeyError(min(missing))
     class_names = {request_class.name for request_class in reloaded.settings.classes}
     if len(class_names) < len(reloaded.settings.classes):
-        raise FaultyKeyError("settings.classes", "two of one name")
+        raise FaultyKeyError("settings.classes", "two classes have the same name")
 
 
-def _read(top: SettingsReader, environ: Mapping[str, str]) -> Config:
+def _read_config(top: SettingsReader, environ: Mapping[str, str]) -> Config:
     limits = top.section("limits")
     params = top.section("settings")
-    sockets = _sockets(limits)
-    settings = _settings(params)
+    sockets = _read_sockets(limits)
+    settings = _read_settings(params)
     flow_bytes_per_s = top.number("flow_bytes_per_s", 0.0)
     return Config(
         name=environ.get("PROXY_NAME") or top.get("name", str),
         listen=read_address("listen", environ.get("PROXY_LISTEN") or top.get("listen", str)),
-        seed=_seed(top.get("seed", str, "0")),
+        seed=_parse_seed(top.get("seed", str, "0")),
         cores=min(max(limits.number("cores", DEFAULT_CORES), MIN_CORES), MAX_CORES),
         sockets=sockets,
         buffer_bytes=int(limits.number("memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB * BUFFER_SHARE),
         discovery=read_address("channel", top.get("channel", str)),
-        initial_commands=_initial_commands(top.get("known", dict)),
+        initial_commands=_read_initial_commands(top.get("known", dict)),
         settings=settings,
         roles=read_roles(params),
-        pool_limits=_pool_limits(params.section("allowed"), sockets, flow_bytes_per_s),
+        pool_limits=_read_pool_limits(params.section("allowed"), sockets, flow_bytes_per_s),
         longest_wait_ms=max(request_class.client_timeout_ms for request_class in settings.classes),
         flow_bytes_per_ms=flow_bytes_per_s / 1000.0,
-        admin=_admin_address(top, environ),
-        listening_descriptor=_descriptor("PROXY_SOCKET_FD", environ),
+        admin=_read_admin_address(top, environ),
+        listening_descriptor=_read_descriptor("PROXY_SOCKET_FD", environ),
         handover_folder=environ.get("TMPDIR", "") if environ.get("PROXY_SOCKET_FD") else "",
-        key_paths=frozenset(_key_paths(top.data)),
+        key_paths=frozenset(_iterate_key_paths(top.data)),
     )
 
 
-def _sockets(limits: SettingsReader) -> int:
+def _read_sockets(limits: SettingsReader) -> int:
     sockets = int(limits.number("sockets", DEFAULT_SOCKETS))
     if sockets < MIN_SOCKETS:
-        raise FaultyKeyError("limits.sockets", f"{sockets} is too few, {MIN_SOCKETS} at least")
+        raise FaultyKeyError("limits.sockets", f"{sockets} is too few, at least {MIN_SOCKETS} are needed")
     return sockets
 
 
-def _pool_limits(allowed: SettingsReader, sockets: int, flow_bytes_per_s: float) -> PoolLimits:
+def _read_pool_limits(allowed: SettingsReader, sockets: int, flow_bytes_per_s: float) -> PoolLimits:
     response_remainder_ms = DEFAULT_RESPONSE_REMAINDER_MS
     if flow_bytes_per_s:
         response_remainder_ms += 1000.0 * MAX_BULK / flow_bytes_per_s
@@ -193,53 +193,53 @@
     )
 
 
-def _admin_address(top: SettingsReader, environ: Mapping[str, str]) -> Address | None:
+def _read_admin_address(top: SettingsReader, environ: Mapping[str, str]) -> Address | None:
     text = environ.get("PROXY_ADMIN_ADDR") or top.get("admin_addr", str, "")
     return read_address("admin_addr", text) if text else None
 
 
-def _key_paths(value: Any, prefix: str = "") -> Iterator[str]:
-    """Yield the paths of the keys of nested objects.
+def _iterate_key_paths(value: Any, prefix: str = "") -> Iterator[str]:
+    """Yield the paths of all keys of nested objects.
 
-    Keys in lists are left out, and those below ``known``, which may differ from file to file.
+    Keys inside lists and keys below ``known`` are left out: the latter may differ from file to file.
     """
     if not isinstance(value, Mapping):
         return
     for key, inner in value.items():
         yield prefix + key
         if key != "known":
-            yield from _key_paths(inner, f"{prefix}{key}.")
+            yield from _iterate_key_paths(inner, f"{prefix}{key}.")
 
 
-def _settings(params: SettingsReader) -> api.Settings:
+def _read_settings(params: SettingsReader) -> api.Settings:
     try:
         return read_settings(params)
     except (TypeError, ValueError, OverflowError) as error:
-        # A reloaded file with a list of the wrong things must not end a running program.
-        raise FaultyKeyError("settings", f"an impossible value: {error}") from error
+        # A reloaded file with list items of a wrong type must not end a running program.
+        raise FaultyKeyError("settings", f"an invalid value: {error}") from error
 
 
-def _descriptor(key: str, environ: Mapping[str, str]) -> int | None:
+def _read_descriptor(key: str, environ: Mapping[str, str]) -> int | None:
     text = environ.get(key, "")
     if not text:
         return None
     if not (text.isdigit() and text.isascii()):
-        raise FaultyKeyError(key, f"not a descriptor: {text[:MAX_SHOWN_CHARACTERS]!r}")
+        raise FaultyKeyError(key, f"not a file descriptor: {text[:MAX_SHOWN_CHARACTERS]!r}")
     return int(text)
 
 
-def _seed(text: str) -> int:
+def _parse_seed(text: str) -> int:
     try:
         return int(text, 16)
     except ValueError as error:
         raise FaultyKeyError("seed", f"not a hexadecimal number: {text[:MAX_SHOWN_CHARACTERS]!r}") from error
 
 
-def _initial_commands(data: Any) -> Commands:
+def _read_initial_commands(data: Any) -> Commands:
     try:
         commands = parse_commands(data)
     except ProtocolError as error:
         raise FaultyKeyError("known", "not a list of commands") from error
-    if commands.faults:  # unlike an event of the command channel, a file can be mended by who reads this
+    if commands.faults:  # unlike an event of the command channel, a file can be corrected by its author
         raise FaultyKeyError("known", ", ".join(commands.faults))
     return commands
--- a/thornjunction/runtime/config_reload.py
+++ b/thornjunction/runtime/config_reload.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and its reload at SIGHUP."""
+"""Reloads the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from thornjunction.runtime.errors import ConfigError
 from thornjunction.runtime.settings_in_force import SettingsInForce
 
-# Settings that a reload does not change: their names in the log, and the fields of ``Config``.
+# Settings that only a restart changes: their names in the log, and the fields of ``Config`` that hold them.
 RESTART_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -25,7 +25,7 @@
 
 
 def replace_settings(running: Config, reloaded: Config) -> Config:
-    """Return the running configuration with what a reload changes; all else needs a restart."""
+    """Return the running configuration with the fields that a reload changes; all others need a restart."""
     return replace(
         running,
         settings=reloaded.settings,
@@ -39,10 +39,10 @@
 
     Args:
         load: reads the configuration.
-        settings_in_force: is given the new settings.
+        settings_in_force: receives the new settings.
 
     Attributes:
-        counts: reloads by result: ``accepted`` or ``invalid``.
+        counts: number of reloads by result: ``accepted`` or ``invalid``.
     """
 
     def __init__(self, load: Callable[[], Config], settings_in_force: SettingsInForce) -> None:
@@ -51,7 +51,7 @@
         self._settings_in_force = settings_in_force
 
     def reload(self, running: Config) -> Config | None:
-        """Read the file, apply its settings and return it; None: it is faulty, and nothing changed."""
+        """Read the file, apply its settings and return it; return None and change nothing if it is faulty."""
         try:
             reloaded = self._load()
             check_complete(running, reloaded)
--- a/thornjunction/runtime/control_settings.py
+++ b/thornjunction/runtime/control_settings.py
@@ -1,6 +1,6 @@
-"""The ``[control]`` and ``[relay]`` sections of the operators' file: read and checked.
+"""Reads and checks the ``[control]`` and ``[relay]`` sections of the operators' file.
 
-Messages name the faulty key.  Imported only where there is such a file.
+Error messages name the faulty key.  This module is imported only if there is an operators' file.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from thornjunction.runtime.errors import ConfigError, FaultyFileError, FaultyKeyError, MissingPackageError
 from thornjunction.settings import SettingsReader, WireError
 
-# Sources that one router or relay may poll.
+# Most sources that one router or relay may be configured to poll.
 MAX_SOURCES = 16
 
-# Routers that a relay may expect.
+# Most routers that a relay may be configured to expect.
 MAX_ROUTERS = 2048
 
-# How long a relay holds the first event to send others with it, unless configured.
+# How long a relay delays the first event so that later ones join its response, unless configured.
 DEFAULT_BATCH_WINDOW_MS = 150.0
 
 # Longest batch window that may be configured.
@@ -36,7 +36,7 @@
 # Longest purge retention that may be configured.
 MAX_PURGE_RETENTION_MS = 60_000.0
 
-# Sections that a relay's file may not have.
+# Sections of a router, which the operators' file of a relay must not have.
 ROUTER_SECTIONS = ("signed", "metrics", "fleet", "control")
 
 # Keys of ``[control]``.
@@ -61,7 +61,7 @@
     """``[control]``: the sources that this router polls instead of the configuration's ``channel``.
 
     Attributes:
-        name: the router's name in its polls; empty: its name in the configuration.
+        name: the router's name in its polls; empty to use its name in the configuration.
         sources: addresses of discovery services or relays, in the operators' order.
     """
 
@@ -71,17 +71,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """``[relay]``: this process is a relay and nothing else.
+    """``[relay]``: this process is a relay and not a router.
 
     Attributes:
-        listen: the address that routers and relays poll.
+        listen: the address that routers and other relays poll.
         name: the relay's name.
-        upstreams: addresses that it polls, in the operators' order.
-        siblings: relays that are asked for a complete state where no upstream has one.
-        routers: names of the expected routers, reported as missing until they poll.
-        batch_window_ms: how long the first event is held to send others with it.
+        upstreams: addresses that this relay polls, in the operators' order.
+        siblings: relays that are asked for a complete state if no upstream has one.
+        routers: names of the expected routers, which are reported as missing until they poll.
+        batch_window_ms: how long the first event is delayed so that later ones join its response.
         purge_retention_ms: how long a purge is kept.
-        admin: the address of the admin endpoint; None: there is none.
+        admin: the address of the admin endpoint, or None if there is none.
     """
 
     listen: Address
@@ -95,32 +95,32 @@
 
 
 def read_control(params: SettingsReader) -> ControlSettings:
-    """Read the section.  Raises ConfigError or WireError."""
+    """Read the section ``[control]``.  Raises ConfigError or WireError if it is faulty."""
     _check_keys(params, CONTROL_KEYS)
     allow_private = params.get("private", bool, False)
     name = params.get("name", str, "")
     if name:
         check_name("control.name", name)
-    sources = _sources("control.sources", params.values("sources", str, 1), allow_private)
+    sources = _read_sources("control.sources", params.values("sources", str, 1), allow_private)
     return ControlSettings(name, sources)
 
 
 def load_relay(path: Path, environ: Mapping[str, str]) -> RelaySettings | None:
-    """Read the relay that a file describes; None where it has no ``[relay]``.
+    """Read the section ``[relay]`` of a file; return None if there is no such section.
 
-    ``PROXY_ADMIN_ADDR`` overrides its ``admin_addr``, as it does a router's.  Reads that section alone: a
-    relay loads no library of the others.  Raises ConfigError, naming file and key.
+    ``PROXY_ADMIN_ADDR`` overrides ``admin_addr``, as it does for a router.  No other section is read, so that
+    a relay does not load their libraries.  Raises ConfigError, which names the file and the key.
     """
     try:
         top = SettingsReader(tomllib.loads(path.read_text(encoding="utf-8")))
         if "relay" not in top.data:
             return None
-        return _load_relay(top, environ)
+        return _read_relay_section(top, environ)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, WireError, ConfigError) as error:
         raise FaultyFileError(path.name, error) from error
 
 
-def _load_relay(top: SettingsReader, environ: Mapping[str, str]) -> RelaySettings:
+def _read_relay_section(top: SettingsReader, environ: Mapping[str, str]) -> RelaySettings:
     if find_spec("control_relay") is None:
         raise MissingPackageError("relay")
     settings = read_relay(top)
@@ -134,7 +134,7 @@
     """Read the file's section of a relay.  Raises ConfigError or WireError."""
     for section in ROUTER_SECTIONS:
         if section in top.data:
-            raise FaultyKeyError("relay", f"a relay is no router, leave out [{section}]")
+            raise FaultyKeyError("relay", f"a relay is not a router, leave out [{section}]")
     params = top.section("relay")
     _check_keys(params, RELAY_KEYS)
     allow_private = params.get("private", bool, False)
@@ -144,11 +144,13 @@
     settings = RelaySettings(
         read_local_address("relay.listen", params.get("listen", str), allow_private),
         name,
-        _sources("relay.upstreams", params.values("upstreams", str, 1), allow_private),
-        _sources("relay.siblings", params.values("siblings", str), allow_private),
-        _routers(params.values("routers", str)),
-        batch_window_ms=_within(params, "join_ms", DEFAULT_BATCH_WINDOW_MS, 0.0, MAX_BATCH_WINDOW_MS),
-        purge_retention_ms=_within(
+        _read_sources("relay.upstreams", params.values("upstreams", str, 1), allow_private),
+        _read_sources("relay.siblings", params.values("siblings", str), allow_private),
+        _read_router_names(params.values("routers", str)),
+        batch_window_ms=_read_bounded_number(
+            params, "join_ms", DEFAULT_BATCH_WINDOW_MS, 0.0, MAX_BATCH_WINDOW_MS
+        ),
+        purge_retention_ms=_read_bounded_number(
             params, "hold_ms", DEFAULT_PURGE_RETENTION_MS, MIN_PURGE_RETENTION_MS, MAX_PURGE_RETENTION_MS
         ),
         admin=read_local_address("relay.admin_addr", admin, allow_private) if admin else None,
@@ -159,37 +161,39 @@
 
 def _check_sources(settings: RelaySettings) -> None:
     if settings.listen in settings.upstreams:
-        raise FaultyKeyError("relay.upstreams", "names this relay's own address")
+        raise FaultyKeyError("relay.upstreams", "contains this relay's own address")
     if settings.listen in settings.siblings:
-        raise FaultyKeyError("relay.siblings", "names this relay's own address")
+        raise FaultyKeyError("relay.siblings", "contains this relay's own address")
     if set(settings.upstreams) & set(settings.siblings):
-        raise FaultyKeyError("relay.siblings", "one of them is an upstream too")
+        raise FaultyKeyError("relay.siblings", "contains an address that is also an upstream")
 
 
 def _check_keys(params: SettingsReader, known: Sequence[str]) -> None:
-    """Reject unknown keys: for a misspelt one its default would be used unnoticed."""
+    """Reject unknown keys: a misspelt key would otherwise silently leave its default in force."""
     unknown = sorted(params.data.keys() - set(known))
     if unknown:
         raise FaultyKeyError(f"{params.path}{unknown[0]}", "no such key")
 
 
-def _sources(key: str, texts: Sequence[str], allow_private: bool) -> tuple[Address, ...]:
+def _read_sources(key: str, texts: Sequence[str], allow_private: bool) -> tuple[Address, ...]:
     addresses = tuple(read_local_address(key, text, allow_private) for text in texts)
     if len(set(addresses)) < len(addresses) or len(addresses) > MAX_SOURCES:
-        raise FaultyKeyError(key, f"one address twice, or more than {MAX_SOURCES}")
+        raise FaultyKeyError(key, f"contains an address twice, or more than {MAX_SOURCES} addresses")
     return addresses
 
 
-def _routers(names: Sequence[str]) -> tuple[str, ...]:
+def _read_router_names(names: Sequence[str]) -> tuple[str, ...]:
     for name in names:
         check_name("relay.routers", name)
     if len(set(names)) < len(names) or len(names) > MAX_ROUTERS:
-        raise FaultyKeyError("relay.routers", f"one name twice, or more than {MAX_ROUTERS}")
+        raise FaultyKeyError("relay.routers", f"contains a name twice, or more than {MAX_ROUTERS} names")
     return tuple(names)
 
 
-def _within(params: SettingsReader, name: str, default: float, minimum: float, maximum: float) -> float:
+def _read_bounded_number(
+    params: SettingsReader, name: str, default: float, minimum: float, maximum: float
+) -> float:
     value = params.number(name, default)
     if not minimum <= value <= maximum:
-        raise FaultyKeyError(f"{params.path}{name}", f"not within {minimum:.0f} and {maximum:.0f} ms")
+        raise FaultyKeyError(f"{params.path}{name}", f"not between {minimum:.0f} and {maximum:.0f} ms")
     return value
--- a/thornjunction/runtime/drain.py
+++ b/thornjunction/runtime/drain.py
@@ -1,4 +1,4 @@
-"""Draining: connections are closed once they have no open request; later all new work is refused."""
+"""Draining: connections are closed once they have no open request; later, new requests are refused."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.downstream.connection_table import DownstreamTable
 
-# Time between two searches for idle connections.
+# Time between two sweeps that close idle connections.
 SWEEP_INTERVAL_MS = 10.0
 
-# Time from the start of a drain until new work is refused.
-# Without refusals a connection that always has an open request would never close.  4 s after an operator's
-# call no connection may hold a request of the last 2 s.  An earlier start costs clients: they retry on the
-# same connection.
+# Time from the start of a drain until new requests are refused.
+# Without refusals, a connection that always has an open request would never close.  4 s after an operator's
+# call, no connection may have carried a request within the last 2 s.  Refusing earlier costs clients
+# requests, because they retry on the same connection.
 REFUSE_AFTER_MS = 1_900.0
 
-# Time from the first refusals until what is still open is answered at once.
-# A request that is open by then is stuck, and its connection refuses all others.
+# Time from the first refusal until all open requests are answered at once.
+# A request that is still open by then is stuck, and its connection refuses all other requests meanwhile.
 ANSWER_DELAY_MS = 100.0
 
 
 class DrainPhase(Enum):
-    """Phases of a drain; each does what the one before it does.
+    """Phases of a drain; each phase continues the work of the previous one.
 
     Attributes:
-        INACTIVE: nothing is done.
+        INACTIVE: there is no drain.
         CLOSING_IDLE: connections without an open request are closed.
-        REFUSING: also, new work is refused.
-        ANSWERING: also, open requests are answered at once.
+        REFUSING: in addition, new requests are refused.
+        ANSWERING: in addition, open requests are answered at once.
     """
 
     INACTIVE = auto()
@@ -39,7 +39,7 @@
 
 
 class Drain:
-    """Drains clients' connections; inactive until it is started, and may be stopped and started again.
+    """Drains client connections; it is inactive until started, and may be stopped and started again.
 
     Args:
         clients: the connections to drain.
@@ -66,12 +66,12 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether connections are drained."""
+        """Whether connections are being drained."""
         return self._phase is not DrainPhase.INACTIVE
 
     @property
     def is_refusing(self) -> bool:
-        """Whether new work is refused."""
+        """Whether new requests are refused."""
         return self._phase in (DrainPhase.REFUSING, DrainPhase.ANSWERING)
 
     def start(
@@ -80,12 +80,12 @@
         refuse_after_ms: float = REFUSE_AFTER_MS,
         answer_after_ms: float = REFUSE_AFTER_MS + ANSWER_DELAY_MS,
     ) -> None:
-        """Start a drain; an active one starts anew.
+        """Start a drain, or restart an active one.
 
         Args:
-            wait_ms: time from now until idle connections are closed; until then clients learn that this
-                process leaves.
-            refuse_after_ms: time from now until new work is refused.
+            wait_ms: time from now until idle connections are closed; meanwhile health checks tell clients
+                that this process is leaving.
+            refuse_after_ms: time from now until new requests are refused.
             answer_after_ms: time from now until open requests are answered at once.
         """
         if self.is_active:
@@ -97,7 +97,7 @@
         self._sweep_deadline = self._deadlines.add(now_ms + wait_ms, self._sweep)
 
     def stop(self) -> None:
-        """End the drain; new work is accepted again."""
+        """End the drain; new requests are accepted again."""
         self._deadlines.cancel(self._sweep_deadline)
         self._phase = DrainPhase.INACTIVE
 
--- a/thornjunction/runtime/durable.py
+++ b/thornjunction/runtime/durable.py
@@ -1,7 +1,7 @@
 """Atomic replacement of files that outlive the process.
 
-After a full disk, an I/O error or a kill at any moment a reader finds the old content or the new one, never
-a part.
+If the disk is full, an I/O error occurs or the process is killed at any step, a reader finds either the old
+content or the new content, never a part of it.
 """
 
 from __future__ import annotations
@@ -10,14 +10,15 @@
 import os
 from pathlib import Path
 
-# Permissions of a file: its owner writes it, and everybody may read it.
+# Default permissions of a file: its owner may write it, and everybody may read it.
 DEFAULT_MODE = 0o644
 
 
 def replace_file(path: Path, data: bytes, mode: int = DEFAULT_MODE) -> None:
-    """Write a temporary file beside ``path``, fsync it, rename it, and fsync the folder.
+    """Write a temporary file beside ``path``, fsync it, rename it to ``path``, and fsync the folder.
 
-    Raises OSError: the old content stands, unless only the last step failed.  The temporary file is removed.
+    Raises OSError if a step fails.  The old content is kept, unless only the fsync of the folder failed.  The
+    temporary file is removed.
     """
     temporary = path.with_name(path.name + ".part")
     try:
@@ -32,7 +33,7 @@
 def _write(path: Path, data: bytes, mode: int) -> None:
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     try:
-        os.fchmod(descriptor, mode)  # also of a file that a killed process left
+        os.fchmod(descriptor, mode)  # open() does not set the mode of a file that a killed process left
         _write_all(descriptor, data)
         os.fsync(descriptor)
     finally:
@@ -44,12 +45,12 @@
     while remaining:
         written = os.write(descriptor, remaining)
         if not written:
-            raise OSError(errno.EIO, "nothing written")
+            raise OSError(errno.EIO, "write() wrote 0 bytes")
         remaining = remaining[written:]
 
 
 def _sync_folder(path: Path) -> None:
-    """Make the rename durable: without this it may be lost."""
+    """Make the rename durable: without this, a power failure could undo it."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/thornjunction/runtime/exit_codes.py
+++ b/thornjunction/runtime/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the program."""
+"""Exit codes of a router, relay or demo process."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ExitCode(IntEnum):
-    """Why a router, relay or demo ended.
+    """Why a router, relay or demo process ended.
 
     Attributes:
-        STOPPED: it was stopped by SIGTERM, with all accepted requests answered.
+        STOPPED: it was stopped by SIGTERM, after all accepted requests were answered.
         PORT_NOT_OPENED: a port could not be opened.
         FAULTY_CONFIGURATION: the configuration or the operators' file is faulty.
     """
--- a/thornjunction/runtime/extras.py
+++ b/thornjunction/runtime/extras.py
@@ -1,6 +1,6 @@
-"""The operators' own file under deploy/: read, checked and given defaults; messages name the faulty key.
+"""Reads and checks the operators' file under deploy/ and applies defaults; messages name the faulty key.
 
-Imported only where there is such a file: its libraries cost a router that has none nothing.
+This module is imported only if there is such a file: a router without one does not load its libraries.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 # Time between two exports of metrics, unless configured.
 DEFAULT_METRICS_INTERVAL_S = 10.0
 
-# Shortest export interval; a shorter one is taken as this.
+# Shortest export interval; a shorter configured value is raised to it.
 MIN_METRICS_INTERVAL_S = 0.1
 
-# Prefix of the metrics' names, unless configured.
+# Prefix of metric names, unless configured.
 DEFAULT_METRICS_PREFIX = "thornjunction"
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSettings:
-    """Export of metrics.
+    """Settings of the metrics export.
 
     Attributes:
         interval_s: time between two exports.
-        prefix: prefix of their names in Graphite.
-        graphite: address of Graphite; None: not exported to it.
-        collectd: address of collectd; None: not exported to it.
+        prefix: prefix of metric names in Graphite.
+        graphite: address of Graphite, or None if metrics are not sent to it.
+        collectd: address of collectd, or None if metrics are not sent to it.
     """
 
     interval_s: float
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Extras:
-    """The features that the operators' file turns on; all are off where there is no file.
+    """Settings of the features that the operators' file turns on; a feature that is off has None.
 
     Attributes:
-        signed: the signed-URL front.
-        metrics: the export of metrics.
-        fleet: the membership of a fleet.
+        signed: settings of the signed-URL front.
+        metrics: settings of the metrics export.
+        fleet: settings of the fleet membership.
         control: the sources of the command channel.
     """
 
@@ -65,18 +65,18 @@
 
 
 def load_extras(path: Path) -> Extras:
-    """Read a file; all is off where it does not exist.  Raises ConfigError, naming the file and the key."""
+    """Read a file; if it does not exist, all features are off.  Raises ConfigError naming file and key."""
     if not path.exists():
         return Extras()
     try:
         top = SettingsReader(tomllib.loads(path.read_text(encoding="utf-8")))
-        return _read(top, path.parent)
+        return _read_extras(top, path.parent)
     except (OSError, tomllib.TOMLDecodeError, WireError) as error:
         raise FaultyFileError(path.name, error) from error
 
 
-def _read(top: SettingsReader, folder: Path) -> Extras:
-    """Read the sections that the file has; paths in them are relative to its folder."""
+def _read_extras(top: SettingsReader, folder: Path) -> Extras:
+    """Read the sections that the file has; paths in them are relative to the folder of the file."""
     return Extras(
         signed=read_signed_front(top.section("signed"), folder) if "signed" in top.data else None,
         metrics=_read_metrics(top.section("metrics")) if "metrics" in top.data else None,
@@ -105,11 +105,11 @@
     return MetricsSettings(
         interval_s=max(params.number("interval_s", DEFAULT_METRICS_INTERVAL_S), MIN_METRICS_INTERVAL_S),
         prefix=params.get("prefix", str, DEFAULT_METRICS_PREFIX),
-        graphite=_target(params, "graphite"),
-        collectd=_target(params, "collectd"),
+        graphite=_read_target_address(params, "graphite"),
+        collectd=_read_target_address(params, "collectd"),
     )
 
 
-def _target(params: SettingsReader, name: str) -> Address | None:
+def _read_target_address(params: SettingsReader, name: str) -> Address | None:
     address = params.data.get(name)
     return read_address(f"metrics.{name}", str(address)) if address else None
