--- a/tests/log_event_calls.py
+++ b/tests/log_event_calls.py
@@ -1,4 +1,4 @@
-"""What the tree's log calls write, read from its source: events, levels and fields."""
+"""Finds the events, levels and fields that the program logs, by parsing its source."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 LOGGERS = frozenset({"log", "_log"})
 
-# The level by the method of the logger that is called; ``exception`` writes a traceback as well.
+# Log levels by the names of a logger's methods; ``exception`` also writes a traceback.
 LEVELS = {
     "debug": "debug",
     "info": "info",
@@ -33,7 +33,7 @@
     "critical": "critical",
 }
 
-# Modules whose calls name an event by a variable, with the events that the variable may hold.
+# Modules with log calls that take the event from a variable, and the events that the variable may hold.
 VARIABLE_EVENTS: dict[str, tuple[str, ...]] = {
     "packages/control-client/src/control_client/source_selection.py": tuple(SelectorNotice),
     "thornjunction/net/discovery/multi_source_watch.py": tuple(SelectorNotice),
@@ -41,23 +41,23 @@
     "thornjunction/runtime/relay.py": tuple(RelayNotice),
 }
 
-# Notices of the fleet's membership by their names; those of the other packages are named as they are logged.
+# Log events by the names of the membership's notices; other packages name notices like their log events.
 MEMBERSHIP_EVENTS = {**EVENTS_BY_NOTICE, "refused": log_events.LogEvent.FLEET_DATAGRAM_REJECTED}
 
-# Functions that make a notice out of an event and fields.
+# Functions that create a notice from an event and its fields.
 NOTICE_FUNCTIONS = frozenset({"Notice", "notify", "_notify"})
 
 
 @dataclass(slots=True)
 class WrittenEvent:
-    """The levels and fields with which an event is logged."""
+    """The levels and fields of all calls that log an event."""
 
     levels: set[str] = field(default_factory=set)
     fields: set[str] = field(default_factory=set)
 
 
 def declared_events() -> dict[str, str]:
-    """Return the meaning of each declared event by the event."""
+    """Return the meanings of the declared events, by event name."""
     meanings: dict[str, str] = {}
     for module in DECLARING_MODULES:
         meanings |= _documented_members(Path(str(module.__file__)))
@@ -65,7 +65,7 @@
 
 
 def connection_kinds(path: Path) -> dict[str, str]:
-    """Return the meaning of each kind of connection by the kind."""
+    """Return the meanings of the kinds of connections, by kind."""
     return _documented_members(path, "ConnectionKind")
 
 
@@ -82,7 +82,7 @@
 
 
 def source_files() -> Iterator[Path]:
-    """Yield the modules of the program and of the packages."""
+    """Yield the paths of the modules of the program and of the packages."""
     yield from sorted((ROOT / "thornjunction").rglob("*.py"))
     yield from sorted(ROOT.glob("packages/*/src/**/*.py"))
 
@@ -93,7 +93,7 @@
 
 
 def is_log_call(call: ast.Call) -> bool:
-    """Whether a call writes a line of the log."""
+    """Return whether a call writes a log line."""
     function = call.func
     if not isinstance(function, ast.Attribute) or function.attr not in LEVELS:
         return False
@@ -101,7 +101,7 @@
 
 
 def events_of(path: Path, argument: ast.expr) -> tuple[str, ...]:
-    """Return the declared events that an argument may name, such as ``LogEvent.DRAIN_STARTED``."""
+    """Return the declared events that an argument may stand for, such as ``LogEvent.DRAIN_STARTED``."""
     if isinstance(argument, ast.Name):
         return VARIABLE_EVENTS.get(str(path.relative_to(ROOT)), ())
     if isinstance(argument, ast.Constant) and argument.value in MEMBERSHIP_EVENTS:
@@ -115,7 +115,7 @@
 
 
 def written_events() -> dict[str, WrittenEvent]:
-    """Return the levels and the fields of each event that the tree logs."""
+    """Return the levels and fields of each event that the program or a package logs."""
     written: dict[str, WrittenEvent] = defaultdict(WrittenEvent)
     for path in source_files():
         for call in calls(path):
@@ -148,7 +148,7 @@
 
 
 def fields_by_connection_kind() -> dict[str, set[str]]:
-    """Return the fields that the log calls add to the end of a connection, by the member of its kind."""
+    """Return the fields that log calls add to the end of a connection, by the enum member of its kind."""
     by_kind: dict[str, set[str]] = defaultdict(set)
     for path in source_files():
         for call in calls(path):
--- a/tests/runtime/test_admin_metrics.py
+++ b/tests/runtime/test_admin_metrics.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def environment() -> Iterator[LoopbackEnvironment]:
-    """A router with two servers; nothing is left in the reactor after the test."""
+    """A router with two servers; its connections, ports and timers are removed after the test."""
     environment = make_loopback_environment()
     yield environment
     hosts = tuple(upstream.host for upstream in environment.pool.upstreams.values())
@@ -28,7 +28,7 @@
     environment.timer_service.stop()
 
 
-def test_metrics_are_lines_between_an_acknowledgement_and_the_end() -> None:
+def test_metrics_are_lines_between_an_acknowledgement_and_an_end_marker() -> None:
     assert encode_counters({"relayed": 3, "open_requests": 0}) == (
         b"ACK\nrouter.relayed=3\nrouter.open_requests=0\n--\n"
     )
@@ -57,7 +57,7 @@
     assert not [name for name in metrics if "made-up" in name]
 
 
-def test_a_server_that_leaves_or_fails_is_unavailable() -> None:
+def test_a_draining_or_failed_server_is_unavailable() -> None:
     driver = RouterDriver()
     names = [entry.server for entry in EDGES]
 
--- a/tests/runtime/test_command_events.py
+++ b/tests/runtime/test_command_events.py
@@ -1,4 +1,4 @@
-"""Events of discovery: which of them are fed to the decisions, and in what form."""
+"""Events of discovery: which of them are fed to the routing decisions, and in which form."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 START_UNIX_MS = 4e12
 LATER_START_UNIX_MS = 4.1e12
 
-# The system's clock, and when the server was started, at each listing.
+# For each listing of the server: the system's clock in s, and the server's start time in Unix ms.
 LISTINGS = (
     (1e9, START_UNIX_MS),
     (1e9 + 7.1, START_UNIX_MS),
@@ -22,10 +22,10 @@
 )
 
 
-def test_a_server_that_is_listed_again_is_no_new_process() -> None:
-    """Also where the system's clock was stepped; a start in the future counts as the first listing's time.
+def test_a_server_listed_again_with_the_same_start_is_not_a_new_process() -> None:
+    """This holds even if the system's clock was stepped between the listings.
 
-    A later start is a new process.
+    A start time in the future counts as the time of the first listing; a later one is a new process.
     """
     service = build_service()
     servers = []
@@ -42,7 +42,7 @@
     service.timer_service.stop()
 
 
-def test_purges_whose_hold_has_passed_are_not_fed_to_the_decisions() -> None:
+def test_purges_past_their_retention_are_not_fed_to_the_engine() -> None:
     service = build_service()
     propagation_ms = service.config.settings.purge_propagation_ms
     now_unix_ms = time.time() * 1000.0
--- a/tests/runtime/test_config.py
+++ b/tests/runtime/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a router: what is read, and how its faults are named."""
+"""The configuration of a router: the values that are read, and the errors for faulty ones."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert config.handover_folder == "/t"
 
 
-def test_a_malformed_descriptor_is_named() -> None:
+def test_an_error_names_a_malformed_descriptor() -> None:
     with pytest.raises(ConfigError, match="PROXY_SOCKET_FD"):
         parse({"PROXY_SOCKET_FD": "-1"})
 
@@ -56,6 +56,6 @@
         ("limits", {"sockets": -1}),
     ],
 )
-def test_a_malformed_value_is_named(key: str, value: object) -> None:
+def test_an_error_names_the_key_of_a_malformed_value(key: str, value: object) -> None:
     with pytest.raises(ConfigError, match=key):
         parse({}, **{key: value})
--- a/tests/runtime/test_configuration_page.py
+++ b/tests/runtime/test_configuration_page.py
@@ -1,4 +1,4 @@
-"""The table of ``docs/CONFIGURATION.md`` agrees with the readers of the operators' file, both ways."""
+"""The table of ``docs/CONFIGURATION.md`` and the readers of the operators' file agree with each other."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 PAGE = Path(__file__).resolve().parents[2] / "docs" / "CONFIGURATION.md"
 COLUMNS = ["section", "key", "type", "unit", "default", "bounds", "effect", "reload"]
-# The default of a key that a reader only asks for the presence of.
+# Recorded in place of a default for a key that a reader only checks for presence.
 NO_DEFAULT = object()
-# Keys of which one is required: dropping the one that is given fails, though each has an alternative.
+# Alternative keys, one of which is required: removing the one that is set is an error.
 ALTERNATIVES = {("signed", "keyset"), ("signed", "keys")}
 
-# The timings of ``[fleet.timings]``: the settings of the membership that have a default.
+# The keys of ``[fleet.timings]``: the settings of the membership that have a default.
 TIMINGS = {field.name: field.default for field in fields(MembershipSettings) if field.default is not MISSING}
 KEY_SET_FILE = "keys.json"
 KEY_FILE = "key.json"
@@ -91,13 +91,13 @@
 }
 COMPLETE_FILES = [ROUTER_FILE, LISTED_KEYS_FILE, RELAY_FILE]
 
-# Section and key, as ``("signed.tls", "cert")``.
+# Section and key, for example ``("signed.tls", "cert")``.
 KeyName = tuple[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row of the page's table, its cells without the marks of code."""
+    """One row of the page's table; section and key are without Markdown's code marks."""
 
     name: KeyName
     kind: str
@@ -106,12 +106,12 @@
 
     @property
     def is_required(self) -> bool:
-        """Whether the page says that the section is rejected without the key."""
+        """Whether the page says that a section without this key is rejected."""
         return self.default.startswith("required")
 
 
 def read_rows() -> list[Row]:
-    """The rows of the table under the heading "All keys"."""
+    """Return the rows of the table under the heading "All keys"."""
     text = PAGE.read_text(encoding="utf-8").partition("\n## All keys\n")[2]
     lines = [line for line in text.splitlines() if line.startswith("|")]
     table = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
@@ -130,7 +130,7 @@
 class RecordingTable(dict[str, Any]):
     """A TOML table that records which keys a reader looks up, and with which default.
 
-    ``defaults`` is shared by the tables of one file; tables and lists of tables inside are wrapped too.
+    ``defaults`` is shared by all tables of a file; nested tables and lists of tables are wrapped too.
     """
 
     def __init__(self, table: dict[str, Any], section: str, defaults: dict[KeyName, Any]) -> None:
@@ -157,7 +157,7 @@
 
 @pytest.fixture
 def extras_path(tmp_path: Path) -> Path:
-    """The path of an operators' file; what it names lies beside it."""
+    """The path of an operators' file; the files to which it refers are in the same folder."""
     jwk = {"kid": "a", "alg": "HS256", **OctKey.import_key("x" * 40).as_dict()}
     (tmp_path / KEY_SET_FILE).write_text(json.dumps({"keys": [jwk]}))
     (tmp_path / KEY_FILE).write_text(json.dumps(jwk))
@@ -167,8 +167,8 @@
     return path
 
 
-def load(path: Path, tables: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Read a file of these tables as the program reads it."""
+def load_file(path: Path, tables: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    """Read a file with these tables in the way that the program reads it."""
     with monkeypatch.context() as patched:
         patched.setattr(tomllib, "loads", lambda _text: tables)
         if "relay" in tables:
@@ -179,15 +179,15 @@
 
 @pytest.fixture
 def read_defaults(extras_path: Path, monkeypatch: pytest.MonkeyPatch) -> dict[KeyName, Any]:
-    """The keys that the readers look up in complete files, and the default of each."""
+    """The keys that the readers look up in the complete files, with the default of each key."""
     defaults: dict[KeyName, Any] = {}
     for tables in COMPLETE_FILES:
-        load(extras_path, RecordingTable(tables, "", defaults), monkeypatch)
+        load_file(extras_path, RecordingTable(tables, "", defaults), monkeypatch)
     return {_page_name(name): default for name, default in defaults.items() if not _is_section(name)}
 
 
 def _page_name(name: KeyName) -> KeyName:
-    """The name that the page gives a key of a table in a list: ``keys[].kid`` of ``signed``."""
+    """Return the name under which the page lists a key; inside a list of tables as ``keys[].kid``."""
     section, key = name
     if not section.endswith("[]"):
         return name
@@ -196,12 +196,12 @@
 
 
 def _is_section(name: KeyName) -> bool:
-    """Whether this is no key but a section, or a kid in the table ``retire``, which is free."""
+    """Return whether this is a section instead of a key, or a kid in the table ``retire``, which is free."""
     section, key = name
     return f"{section}.{key}".lstrip(".") in {row.name[0] for row in ROWS} or section == "signed.retire"
 
 
-def test_every_key_stands_once() -> None:
+def test_each_key_is_listed_once() -> None:
     names = [row.name for row in ROWS]
     assert sorted(set(names)) == sorted(names)
 
@@ -225,13 +225,13 @@
     assert shown == (list(default) if isinstance(default, tuple) else default)
 
 
-def file_with(row: Row) -> dict[str, Any]:
-    """A copy of the complete file in which a row's key is given."""
-    return next(deepcopy(tables) for tables in COMPLETE_FILES if _find(tables, row) is not None)
+def copy_file_with_key(row: Row) -> dict[str, Any]:
+    """Return a copy of the complete file that contains the key of a row."""
+    return next(deepcopy(tables) for tables in COMPLETE_FILES if _find_table(tables, row) is not None)
 
 
-def _find(tables: dict[str, Any], row: Row) -> dict[str, Any] | None:
-    """The table in which a row's key is given."""
+def _find_table(tables: dict[str, Any], row: Row) -> dict[str, Any] | None:
+    """Return the table that contains the key of a row, or None."""
     section, key = row.name
     table: Any = tables
     for part in section.split("."):
@@ -242,9 +242,9 @@
     return table if key in table else None
 
 
-def change(tables: dict[str, Any], row: Row, value: Any) -> dict[str, Any]:
-    """Set a row's key in a file; None drops it."""
-    table = _find(tables, row)
+def set_key(tables: dict[str, Any], row: Row, value: Any) -> dict[str, Any]:
+    """Set the key of a row in a file; the value None removes the key."""
+    table = _find_table(tables, row)
     assert table is not None
     key = row.name[1].rpartition(".")[2]
     if value is None:
@@ -255,20 +255,20 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: ".".join(row.name))
-def test_a_required_key_is_missed_and_another_is_not(
+def test_leaving_out_a_key_fails_only_if_it_is_required(
     row: Row, extras_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tables = change(file_with(row), row, None)
+    tables = set_key(copy_file_with_key(row), row, None)
     if not row.is_required:
-        load(extras_path, tables, monkeypatch)
+        load_file(extras_path, tables, monkeypatch)
         return
     assert ("unless" in row.default) == (row.name in ALTERNATIVES)
     with pytest.raises((ConfigError, WireError)):
-        load(extras_path, tables, monkeypatch)
+        load_file(extras_path, tables, monkeypatch)
 
 
-def wrong_value(row: Row) -> Any:
-    """A value of a type that the row's is not."""
+def value_of_wrong_type(row: Row) -> Any:
+    """Return a value whose type is not the type of the row."""
     return "x" if row.kind in ("number", "boolean") else 5
 
 
@@ -276,13 +276,13 @@
 def test_a_value_of_another_type_is_rejected(
     row: Row, extras_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tables = change(file_with(row), row, wrong_value(row))
+    tables = set_key(copy_file_with_key(row), row, value_of_wrong_type(row))
     with pytest.raises((ConfigError, WireError)):
-        load(extras_path, tables, monkeypatch)
+        load_file(extras_path, tables, monkeypatch)
 
 
 def bounded_rows() -> Iterator[tuple[Row, float, float]]:
-    """Rows whose bounds are two numbers, and these."""
+    """Yield the rows whose bounds are two numbers, with these numbers."""
     for row in ROWS:
         bounds = re.fullmatch(r"([\d.]+) to ([\d.]+)", row.bounds)
         if bounds is not None:
@@ -293,8 +293,8 @@
 def test_bounds_agree_with_the_reader(
     row: Row, minimum: float, maximum: float, extras_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    load(extras_path, change(file_with(row), row, minimum), monkeypatch)
-    load(extras_path, change(file_with(row), row, maximum), monkeypatch)
+    load_file(extras_path, set_key(copy_file_with_key(row), row, minimum), monkeypatch)
+    load_file(extras_path, set_key(copy_file_with_key(row), row, maximum), monkeypatch)
     for outside in (minimum - 0.001, maximum + 0.001):
         with pytest.raises((ConfigError, WireError)):
-            load(extras_path, change(file_with(row), row, outside), monkeypatch)
+            load_file(extras_path, set_key(copy_file_with_key(row), row, outside), monkeypatch)
--- a/tests/runtime/test_control_settings.py
+++ b/tests/runtime/test_control_settings.py
@@ -29,7 +29,7 @@
 
 
 def write_operators_file(folder: Path, changes: dict[str, Any], other_section: str = "") -> Path:
-    """Write an operators' file whose ``[relay]`` is complete except for the changes."""
+    """Write an operators' file with ``COMPLETE_RELAY`` and these changes; None removes a key."""
     lines = [
         f"{key} = {json.dumps(value)}"
         for key, value in (COMPLETE_RELAY | changes).items()
@@ -65,13 +65,13 @@
     assert (settings.batch_window_ms, settings.admin) == (150.0, ("127.0.0.1", 7))
 
 
-def test_a_file_without_the_section_is_no_relay(tmp_path: Path) -> None:
+def test_a_file_without_the_section_does_not_describe_a_relay(tmp_path: Path) -> None:
     path = tmp_path / "extras.toml"
     path.write_text("[metrics]\ngraphite = 'no address'\n")
     assert load_relay(path, {}) is None
 
 
-def test_private_addresses_only_where_the_operators_say_so(tmp_path: Path) -> None:
+def test_private_addresses_are_accepted_only_if_the_file_allows_them(tmp_path: Path) -> None:
     changes = {"listen": "10.0.0.4:8600", "private": True, "upstreams": ["10.0.0.1:8700"]}
     settings = load_relay(write_operators_file(tmp_path, changes), {})
     assert settings is not None
@@ -108,18 +108,20 @@
         ({"upstream": ["127.0.0.1:1"]}, "relay.upstream: no such key"),
     ],
 )
-def test_a_faulty_relay_is_named(changes: dict[str, Any], named_key: str, tmp_path: Path) -> None:
+def test_an_error_names_the_faulty_key_of_a_relay(
+    changes: dict[str, Any], named_key: str, tmp_path: Path
+) -> None:
     with pytest.raises(ConfigError, match=re.escape(named_key)):
         load_relay(write_operators_file(tmp_path, changes), {})
 
 
 @pytest.mark.parametrize("other", control_settings.ROUTER_SECTIONS)
-def test_a_relay_is_nothing_else(other: str, tmp_path: Path) -> None:
+def test_a_relay_file_must_not_have_sections_of_a_router(other: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf"leave out \[{other}\]"):
         load_relay(write_operators_file(tmp_path, {}, f"[{other}]"), {})
 
 
-def test_a_faulty_relay_ends_with_two(tmp_path: Path) -> None:
+def test_a_faulty_relay_file_ends_the_program_with_exit_code_2(tmp_path: Path) -> None:
     path = write_operators_file(tmp_path, {"hold_ms": 5})
     command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(path)]
     completed = subprocess.run(
@@ -130,8 +132,8 @@
     assert "extras.toml" in completed.stderr
 
 
-def test_a_relay_is_checked_without_starting(tmp_path: Path) -> None:
-    """It has no configuration of the platform; a router does."""
+def test_check_needs_a_configuration_for_a_router_but_not_for_a_relay(tmp_path: Path) -> None:
+    """Only a router has a configuration from the platform."""
     path = write_operators_file(tmp_path, {})
     runner = CliRunner()
     result = runner.invoke(main, ["check", "--extras", str(path)])
@@ -175,6 +177,6 @@
         ({"sources": ["127.0.0.1:1"], "nam": "ab"}, "control.nam: no such key"),
     ],
 )
-def test_a_faulty_control_is_named(settings: dict[str, Any], named_key: str) -> None:
+def test_an_error_names_the_faulty_key_of_control(settings: dict[str, Any], named_key: str) -> None:
     with pytest.raises((ConfigError, WireError), match=re.escape(named_key)):
         read_section(**settings)
--- a/tests/runtime/test_drain.py
+++ b/tests/runtime/test_drain.py
@@ -1,4 +1,4 @@
-"""The drain of client connections, with a fake clock, core and transport."""
+"""The drain of client connections, tested with a fake clock, core and transport."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.runtime.drain import ANSWER_DELAY_MS, REFUSE_AFTER_MS, SWEEP_INTERVAL_MS, Drain
 
-# Milliseconds in which the drain begins to close connections.
+# Delay from the start of the drain until it begins to close connections.
 START_DELAY_MS = 100.0
 
 
@@ -24,8 +24,13 @@
 
 
 @both_fronts
-def test_a_drain_ends_idle_connections_and_then_all(front: Front, clients: ClientConnections) -> None:
-    """An idle one at the first sweep, a busy one after its answer, a new one not before its first request."""
+def test_a_drain_closes_idle_connections_first_and_busy_ones_after_their_response(
+    front: Front, clients: ClientConnections
+) -> None:
+    """An idle connection closes at the first sweep, a busy one once its request is answered.
+
+    A new connection stays open until its first request is answered.
+    """
     drain = make_drain(clients)
     idle, busy, new = (clients.connect(front) for _ in range(3))
     idle.dataReceived(front.request())
@@ -52,8 +57,8 @@
     assert not drain.is_refusing
 
 
-def test_a_drain_hurries_open_requests_once_it_refuses(clients: ClientConnections) -> None:
-    """A request that waited for a lost answer made its connection refuse all others until its deadline."""
+def test_a_drain_answers_open_requests_after_the_answer_delay(clients: ClientConnections) -> None:
+    """Guards against a request whose answer is lost: its connection refused all others until its deadline."""
     answered_at_ms: list[float] = []
     drain = make_drain(clients, lambda: answered_at_ms.append(clients.clock.now_ms))
     started_ms = clients.clock.now_ms
@@ -67,7 +72,7 @@
 
 
 @pytest.mark.parametrize("answered", [False, True])
-def test_a_drain_that_is_started_twice_starts_anew(answered: bool, clients: ClientConnections) -> None:
+def test_starting_an_active_drain_restarts_it(answered: bool, clients: ClientConnections) -> None:
     drain = make_drain(clients)
     drain.start(500.0)
     drain.start(0.0 if answered else 900.0)
--- a/tests/runtime/test_durable.py
+++ b/tests/runtime/test_durable.py
@@ -1,4 +1,4 @@
-"""Files that outlive the process: errors and a kill at each step of their replacement, and short writes."""
+"""Replacement of files that outlive the process: errors and a kill at each step, and short writes."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 import pytest
 
-from tests.runtime.test_fleet import start_incarnation
+from tests.runtime.test_fleet import choose_incarnation
 from thornjunction.runtime.durable import replace_file
 from thornjunction.runtime.incarnation import INCARNATION_STEP
 
 OLD_CONTENT = b"old" * 1000
 NEW_CONTENT = b"new" * 1000
 
-# Bytes that a short write takes.
+# Number of bytes that a short write writes.
 SHORT_WRITE_BYTES = 10
 
-# The steps of a replacement: a call of ``os``, and which of its uses.
+# The steps of a replacement: the name of a function of ``os``, and the index of the call of that function.
 STEPS = [("open", 0), ("write", 0), ("write", 1), ("fsync", 0), ("replace", 0), ("open", 1), ("fsync", 1)]
 
 # The steps after the rename.
@@ -29,7 +29,7 @@
 
 
 class ProcessKilledError(BaseException):
-    """The process ends at this step."""
+    """Simulates a kill of the process at this step."""
 
 
 FAULTS = {
@@ -40,8 +40,8 @@
 
 
 def fail_at(name: str, use: int, fault: BaseException) -> Any:
-    """Patch a call of ``os`` so that it fails from that use on; each write before is short."""
-    real_call = getattr(os, name)
+    """Patch a function of ``os`` so that it fails from its call ``use`` on; each earlier write is short."""
+    real_function = getattr(os, name)
     uses = itertools.count()
 
     def call(*arguments: Any, **options: Any) -> Any:
@@ -49,8 +49,8 @@
             raise fault
         if name == "write":
             descriptor, data = arguments
-            return real_call(descriptor, data[:SHORT_WRITE_BYTES])
-        return real_call(*arguments, **options)
+            return real_function(descriptor, data[:SHORT_WRITE_BYTES])
+        return real_function(*arguments, **options)
 
     return patch.object(os, name, call)
 
@@ -71,34 +71,34 @@
     assert (path.read_bytes(), path.stat().st_mode & 0o777) == (NEW_CONTENT, 0o600)
 
 
-def test_short_writes_are_gone_on_with_and_the_order_is_durable(tmp_path: Path) -> None:
-    done = list[str]()
-    real = os.write
+def test_short_writes_are_continued_and_the_steps_have_a_durable_order(tmp_path: Path) -> None:
+    steps = list[str]()
+    real_write = os.write
     with (
-        patch.object(os, "write", lambda file, data: real(file, data[:7])),
+        patch.object(os, "write", lambda file, data: real_write(file, data[:7])),
         patch.object(
             os,
             "fsync",
-            lambda file: done.append("folder" if os.path.isdir(f"/proc/self/fd/{file}") else "file"),
+            lambda file: steps.append("folder" if os.path.isdir(f"/proc/self/fd/{file}") else "file"),
         ),
-        patch.object(os, "replace", lambda old, new: (done.append("rename"), os.rename(old, new))),
+        patch.object(os, "replace", lambda old, new: (steps.append("rename"), os.rename(old, new))),
     ):
         replace_file(tmp_path / "file", OLD_CONTENT)
     assert (tmp_path / "file").read_bytes() == OLD_CONTENT
-    assert done == ["file", "rename", "folder"]
+    assert steps == ["file", "rename", "folder"]
 
 
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
 @pytest.mark.parametrize(("name", "use"), STEPS)
-def test_incarnations_rise_above_the_last_one_written(
+def test_incarnations_increase_above_the_last_stored_one(
     name: str, use: int, fault: BaseException, tmp_path: Path
 ) -> None:
-    """What one process could not write costs no start, and leaves the next one above all that was kept."""
-    start_incarnation(tmp_path, 5e6)
+    """A process that cannot store its incarnation still starts, and the next one is above the stored one."""
+    choose_incarnation(tmp_path, 5e6)
     try:
         with fail_at(name, use, fault):
-            start_incarnation(tmp_path, 4e6)
+            choose_incarnation(tmp_path, 4e6)
     except ProcessKilledError:
         pass
-    last_kept = 5_000_000 + INCARNATION_STEP * ((name, use) in STEPS_AFTER_RENAME)
-    assert start_incarnation(tmp_path, 4e6) == last_kept + INCARNATION_STEP
+    last_stored = 5_000_000 + INCARNATION_STEP * ((name, use) in STEPS_AFTER_RENAME)
+    assert choose_incarnation(tmp_path, 4e6) == last_stored + INCARNATION_STEP
--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -1,4 +1,4 @@
-"""The operators' ``[fleet]`` section, the incarnation kept across restarts, and a router in its fleet."""
+"""The ``[fleet]`` section of the operators' file, the stored incarnation, and a router as a fleet member."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 def toml(value: Any) -> str:
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{key} = {toml(below)}" for key, below in value.items()) + "}"
+        return "{" + ", ".join(f"{key} = {toml(inner)}" for key, inner in value.items()) + "}"
     return json.dumps(value)
 
 
 def write_operators_file(folder: Path, secret: bytes = b"s" * 32, **changes: Any) -> Path:
-    """Write an operators' file whose section is complete except for the changes."""
+    """Write an operators' file with ``COMPLETE_SECTION`` and these changes; None removes a key."""
     settings = COMPLETE_SECTION | changes
     lines = ["[fleet]", *(f"{key} = {toml(value)}" for key, value in settings.items() if value is not None)]
     (folder / "key").write_bytes(secret)
@@ -80,26 +80,28 @@
         ({"timings": {"indirect": "x"}}, "timings.indirect"),
     ],
 )
-def test_a_faulty_section_is_named(changes: dict[str, Any], named_key: str, tmp_path: Path) -> None:
+def test_an_error_names_the_faulty_key_of_the_section(
+    changes: dict[str, Any], named_key: str, tmp_path: Path
+) -> None:
     with pytest.raises(ConfigError, match=re.escape(named_key)):
         load_extras(write_operators_file(tmp_path, **changes))
 
 
-def test_private_addresses_only_where_the_operators_say_so(tmp_path: Path) -> None:
+def test_private_addresses_are_accepted_only_if_the_file_allows_them(tmp_path: Path) -> None:
     path = write_operators_file(tmp_path, listen="10.0.0.4:8500", private=True, advertise="10.0.0.5:8501")
     settings = load_extras(path).fleet
     assert settings is not None
     assert (settings.listen, settings.advertise) == (("10.0.0.4", 8500), ("10.0.0.5", 8501))
 
 
-def start_incarnation(folder: Path, now: float = 5e6, fleet: str = "north", name: str = "r1") -> int:
+def choose_incarnation(folder: Path, now: float = 5e6, fleet: str = "north", name: str = "r1") -> int:
     return next_incarnation(folder, fleet, name, lambda: now)
 
 
 def test_each_start_has_a_higher_incarnation(tmp_path: Path) -> None:
-    """Also where the clock stands or was set back; and the file holds what was taken."""
+    """This holds even if the clock did not advance or was set back, so the stored one must have been read."""
     folder = tmp_path / "data"
-    first, second, third, fourth = (start_incarnation(folder, now) for now in (5e6, 5e6, 4e6, 9e6))
+    first, second, third, fourth = (choose_incarnation(folder, now) for now in (5e6, 5e6, 4e6, 9e6))
     assert (first, second, third, fourth) == (
         5_000_000,
         first + INCARNATION_STEP,
@@ -108,10 +110,11 @@
     )
 
 
-SPOILT_FILES: dict[str, Any] = {
+# Ways to make a stored incarnation unusable, by the reason that the error gives.
+CORRUPTIONS: dict[str, Any] = {
     "missing": lambda path: path.unlink(),
     "torn": lambda path: path.write_bytes(path.read_bytes()[:20]),
-    "of another": lambda path: start_incarnation(path.parent, 1e9, name="r2"),
+    "of another": lambda path: choose_incarnation(path.parent, 1e9, name="r2"),
     "of format": lambda path: incarnation._write(
         path, {"format": 2, "fleet": "", "name": "", "incarnation": 1}
     ),
@@ -119,23 +122,25 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", SPOILT_FILES)
-def test_a_file_that_can_not_be_used_is_named_and_the_clock_stands_in(spoilt: str, tmp_path: Path) -> None:
-    start_incarnation(tmp_path, 5e6)
-    SPOILT_FILES[spoilt](tmp_path / "incarnation")
-    with pytest.raises(incarnation.IncarnationError, match=re.escape(spoilt)):
+@pytest.mark.parametrize("reason", CORRUPTIONS)
+def test_for_an_unusable_file_the_reason_is_given_and_the_wall_clock_is_used(
+    reason: str, tmp_path: Path
+) -> None:
+    choose_incarnation(tmp_path, 5e6)
+    CORRUPTIONS[reason](tmp_path / "incarnation")
+    with pytest.raises(incarnation.IncarnationError, match=re.escape(reason)):
         incarnation._read(tmp_path / "incarnation", incarnation.Member("north", "r1"))
-    assert start_incarnation(tmp_path, 6e6) == 6_000_000
-    assert start_incarnation(tmp_path, 6e6) == 6_000_000 + INCARNATION_STEP
+    assert choose_incarnation(tmp_path, 6e6) == 6_000_000
+    assert choose_incarnation(tmp_path, 6e6) == 6_000_000 + INCARNATION_STEP
 
 
-def test_a_folder_that_can_not_be_written_costs_no_start(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_written_does_not_prevent_the_start(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    assert start_incarnation(tmp_path / "file", 6e6) == 6_000_000
+    assert choose_incarnation(tmp_path / "file", 6e6) == 6_000_000
 
 
 class FakeUdpReactor:
-    """Gives out one UDP port, after so many refusals."""
+    """Opens one UDP port, after ``refusals`` attempts at which the port is in use."""
 
     def __init__(self, refusals: int = 0) -> None:
         self.refusals = refusals
@@ -161,7 +166,7 @@
 
 
 class LoggedMember:
-    """A router's membership on a fake reactor, with the log events that it writes."""
+    """A router's fleet membership on a fake reactor, and the log events that it writes."""
 
     def __init__(
         self, folder: Path, monkeypatch: pytest.MonkeyPatch, refusals: int = 0, **changes: Any
@@ -184,14 +189,14 @@
     member = LoggedMember(tmp_path, monkeypatch)
     assert {to for _, to in member.reactor.sent} == {("127.0.0.1", 8501)}
     lines = member.fleet.view().decode().splitlines()
-    number = member.fleet.membership.view(core_ms()).members["r1"].incarnation
-    assert lines == ["ACK", f"member r1 alive {number}", "mode rejoining", "majority 0", "--"]
+    own_incarnation = member.fleet.membership.view(core_ms()).members["r1"].incarnation
+    assert lines == ["ACK", f"member r1 alive {own_incarnation}", "mode rejoining", "majority 0", "--"]
     member.fleet.leave()
     assert member.reactor.closed
     assert member.logged("fleet_member_changed")[-1]["state"] == "left"
 
 
-def test_a_port_that_another_process_still_holds_is_waited_for(
+def test_binding_is_retried_while_another_process_holds_the_port(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     member = LoggedMember(tmp_path, monkeypatch, refusals=2)
@@ -200,14 +205,16 @@
         member.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
     assert member.reactor.sent
     assert len(member.logged("fleet_listening")) == 1
-    gone = LoggedMember(tmp_path, monkeypatch, refusals=9)
-    gone.fleet.leave()
-    gone.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
-    assert gone.reactor.listen_count == 1
-    assert gone.fleet.endpoint.counters == EndpointCounters()
+    leaving = LoggedMember(tmp_path, monkeypatch, refusals=9)
+    leaving.fleet.leave()
+    leaving.deadlines.run_due(core_ms() + fleet.BIND_RETRY_MS)
+    assert leaving.reactor.listen_count == 1
+    assert leaving.fleet.endpoint.counters == EndpointCounters()
 
 
-def test_what_is_refused_is_logged_sparsely(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rejected_datagrams_are_logged_at_powers_of_two(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     member = LoggedMember(tmp_path, monkeypatch)
     for _ in range(9):
         member.fleet.endpoint.datagramReceived(b"junk" * 20, ("127.0.0.1", 9))
@@ -216,7 +223,7 @@
     assert not member.logged("unknown")
 
 
-def test_timings_that_the_machine_does_not_take_are_named(
+def test_an_error_names_timings_that_the_membership_rejects(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for timings in ({"probe_ever_ms": 5}, {"probe_timeout_ms": 5000}, {"secret": 5}):
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one listening socket: the one that has a successor leaves new connections to it."""
+"""Handover between processes that share a listening socket: a process with a successor stops accepting."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from thornjunction.runtime.handover import Handover
 
 
-def test_the_last_to_get_ready_has_no_successor(tmp_path: Path) -> None:
+def test_the_process_that_became_ready_last_has_no_successor(tmp_path: Path) -> None:
     first, second = (Handover(str(tmp_path), "n1") for _ in range(2))
     assert not first.has_successor()
     first.announce()
@@ -25,10 +25,10 @@
     assert [path.name for path in tmp_path.iterdir()] == ["thornjunction-n1.serving"]
 
 
-def test_a_process_that_could_not_write_its_mark_takes_an_earlier_one_for_no_successor(
+def test_after_a_failed_write_an_earlier_token_is_not_taken_for_a_successor(
     tmp_path: Path,
 ) -> None:
-    """A disk that is full, or a kill in the middle: on SIGTERM nobody else takes its connections."""
+    """After a full disk or a kill during the write, no other process accepts connections after SIGTERM."""
     first, second, third = (Handover(str(tmp_path), "n1") for _ in range(3))
     first.announce()
     with patch("os.replace", side_effect=OSError(errno.ENOSPC, "full")):
@@ -47,13 +47,13 @@
 
 def test_without_a_common_folder_no_process_has_a_successor(tmp_path: Path) -> None:
     for folder in ("", str(tmp_path / "none")):
-        alone = Handover(folder, "n1")
-        alone.announce()
-        assert not alone.has_successor()
+        handover = Handover(folder, "n1")
+        handover.announce()
+        assert not handover.has_successor()
 
 
 def test_a_process_is_replaced_on_its_listening_socket(tmp_path: Path) -> None:
-    """The old one exits, the socket stays, and a connection that it has open is closed in order."""
+    """The old process exits and closes its open connection in order; the socket stays open."""
     with listen_on_loopback() as shared, listen_on_loopback() as channel:
         config = CONFIG | {"listen": bound_address(shared), "channel": bound_address(channel)}
         with RouterProgram(tmp_path, shared, config) as old:
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are open: these keep the old ones; a faulty file changes nothing."""
+"""Settings that change while requests are open, which keep the old settings; faulty files are rejected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from thornjunction.runtime.errors import ConfigError
 
 
-def test_an_open_request_keeps_its_attempts_and_the_next_has_the_new_ones() -> None:
+def test_an_open_request_keeps_its_limit_on_attempts_and_the_next_has_the_new_one() -> None:
     driver = RouterDriver(max_attempts=3)
     before = attempt_of(driver.request())
     driver.handle(replace(SETTINGS, max_attempts=1))
@@ -25,7 +25,7 @@
     assert final_actions(driver.end_attempt(after, api.AttemptStatus.NOT_STARTED))
 
 
-def test_the_core_counts_attempts_as_the_settings_were_when_the_request_came() -> None:
+def test_the_engine_applies_the_limit_on_attempts_in_force_when_the_request_arrived() -> None:
     script = ScriptedPorts()
     number = script.open()
     script.engine.max_attempts = 1
@@ -39,7 +39,7 @@
     assert len(script.sent) == 3
 
 
-def test_classes_come_and_go_and_may_change_their_effect() -> None:
+def test_classes_may_be_added_removed_and_made_non_idempotent() -> None:
     driver = RouterDriver(classes=(FILMS, KEYED))
     assert final_actions(driver.request(class_name="order"))
     film = attempt_of(driver.request())
@@ -55,7 +55,7 @@
     assert final_actions(driver.end_attempt(unsafe, api.AttemptStatus.TIMEOUT)) == [
         api.FailRequest(str(driver.request_count))
     ]
-    # It is open under the class that is gone.
+    # This request is still open under the class that was removed.
     assert not final_actions(driver.end_attempt(film, api.AttemptStatus.TIMEOUT))
     assert not final_actions(driver.end_attempt(driver.attempts[film.request_id][-1]))
     latencies = driver.router.admission.typical_latencies
@@ -64,17 +64,17 @@
 
 
 def config_with(**changes: Any) -> bytes:
-    """Return the configuration with changes, by the path of a key; None removes the key."""
+    """Return the configuration with values changed by path, as ``limits__sockets``; None removes the key."""
     config = json.loads(json.dumps(CONFIG))
     for path, value in changes.items():
         *parents, key = path.split("__")
-        place: Any = config
+        container: Any = config
         for step in parents:
-            place = place[int(step) if step.isdigit() else step]
+            container = container[int(step) if step.isdigit() else step]
         if value is None:
-            del place[key]
+            del container[key]
         else:
-            place[key] = value
+            container[key] = value
     return json.dumps(config).encode()
 
 
@@ -105,7 +105,7 @@
         ("known__cmds", [{"cursor": 1, "nodes": {"hosts": [{"host": "a"}]}}], "known"),
     ],
 )
-def test_a_faulty_file_is_named_and_changes_nothing(path: str, value: Any, named_key: str) -> None:
+def test_an_error_names_the_faulty_key_of_a_reloaded_file(path: str, value: Any, named_key: str) -> None:
     running = parse_config(config_with(), {})
     with pytest.raises(ConfigError, match=named_key):
         check_complete(running, parse_config(config_with(**{path: value}), {}))
@@ -113,7 +113,7 @@
 
 def test_a_complete_file_is_accepted() -> None:
     running = parse_config(config_with(), {})
-    fresh = parse_config(config_with(settings__allowed__attemptsCap=2, channel="127.0.0.1:5"), {})
-    check_complete(running, fresh)
-    assert fresh.settings.max_attempts == 2
+    reloaded = parse_config(config_with(settings__allowed__attemptsCap=2, channel="127.0.0.1:5"), {})
+    check_complete(running, reloaded)
+    assert reloaded.settings.max_attempts == 2
     assert parse_config(config_with(settings__allowed__attemptsCap=0.5), {}).settings.max_attempts == 1
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -1,4 +1,4 @@
-"""SIGTERM: all that was taken is answered before SIGKILL may come, and the program ends with 0."""
+"""SIGTERM: all accepted requests are answered before SIGKILL may come, and the program exits with 0."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
     Shutdown,
 )
 
-# Where the clock of the connections starts.
+# Initial reading of the fake clock.
 START_MS = 1000.0
 
-# Milliseconds before SIGKILL within which requests without an answer are answered.
+# Period before SIGKILL within which the remaining open requests are answered at once.
 FINAL_ANSWERS_MS = 200.0
 
 
 @pytest.mark.parametrize("max_deadline_ms", [30.0, 600.0, 3_000.0, 9_000.0])
-def test_what_is_open_has_its_time_to_the_end_and_the_end_comes_before_sigkill(
+def test_open_requests_keep_their_time_and_the_process_stops_before_sigkill(
     max_deadline_ms: float,
 ) -> None:
     clients = ClientConnections()
@@ -78,9 +78,9 @@
 
 
 def test_open_requests_are_answered_though_a_cache_server_hangs(tmp_path: Path) -> None:
-    """One at a server that hangs, one that waits for its retry, one that arrives during the shutdown.
+    """One request is at a server that hangs, one waits for its retry, one arrives during the shutdown.
 
-    The first has a time that goes past SIGKILL; a fourth client sends nothing, and SIGTERM comes twice.
+    The deadline of the first is after SIGKILL.  A fourth client sends nothing, and SIGTERM is sent twice.
     """
     with (
         listen_on_loopback() as shared,
@@ -105,22 +105,22 @@
             assert program.process.wait(EXIT_TIMEOUT_S) == 0
 
 
-def test_before_it_is_ready_it_ends_at_once_and_opens_no_port() -> None:
+def test_sigterm_before_the_router_is_ready_stops_it_without_opening_a_port() -> None:
     config = parse_config(json.dumps(CONFIG).encode(), {})
     reactor = MemoryReactorClock()
     service = Service(config, None, reactor, Counters(), lambda: config)
     service.start()
     service.shut_down()
-    service.begin_serving()  # the command channel's first answer, or half a second without one
+    service.begin_serving()  # called for the command channel's first response, or after its time-out of 0.5 s
     assert reactor.hasStopped
     assert not reactor.tcpServers
 
 
-def test_before_it_has_read_its_configuration_it_ends_with_0_too(tmp_path: Path) -> None:
+def test_sigterm_before_the_configuration_is_read_exits_with_0(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     os.mkfifo(path)
     command = [sys.executable, "-m", "thornjunction"]
     env = os.environ | {"PROXY_CONFIG": str(path)}
-    with subprocess.Popen(command, env=env, cwd=ROOT) as program, path.open("w"):  # opens once it is read
+    with subprocess.Popen(command, env=env, cwd=ROOT) as program, path.open("w"):  # waits for the reader
         program.send_signal(signal.SIGTERM)
         assert program.wait(EXIT_TIMEOUT_S) == 0
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS of the signed front: a new certificate reaches new connections only, a faulty pair changes nothing."""
+"""TLS of the signed front: a new certificate applies to new connections only, a faulty pair to none."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from thornjunction.runtime.signed_settings import TlsFiles
 from thornjunction.runtime.tls import CertificateReloader
 
-# The moment from which certificates are valid, and for how long.
+# Start and length of the certificates' validity.
 VALID_FROM = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
 VALIDITY = datetime.timedelta(days=3650)
 
@@ -59,7 +59,7 @@
 
 
 class EchoServer(protocol.Protocol):
-    """Echoes; ``on_accept`` is called once the TLS connection exists and before its handshake is done."""
+    """Echoes bytes; calls ``on_accept`` when a connection is accepted, before its handshake completes."""
 
     def __init__(self, on_accept: Callable[[], None]) -> None:
         self._on_accept = on_accept
@@ -74,7 +74,7 @@
 
 
 class CertificateClient(protocol.Protocol):
-    """Sends bytes; ``certificate_name`` fires with the name on the server's certificate at each echo."""
+    """Sends bytes; at each echo ``certificate_name`` fires with the name in the server's certificate."""
 
     def __init__(self) -> None:
         self.certificate_name: Deferred[str] = Deferred()
@@ -84,7 +84,7 @@
         self.transport.write(b"ping")
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Fire with the name, and prepare for the next echo."""
+        """Fire the deferred with the name, and create the one for the next echo."""
         subject = self.transport.getPeerCertificate().to_cryptography().subject
         name = subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
         waiter = self.certificate_name
@@ -96,7 +96,7 @@
     timeout = 20
 
     def setUp(self) -> None:
-        # Trial's own mktemp() leaves keys in the working folder.
+        # Trial's own mktemp() would leave private keys in the working folder.
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         folder = Path(temporary.name)
@@ -109,25 +109,25 @@
         self.addCleanup(self.port.stopListening)
 
     def write_pair(self, name: str, key_of: str = "") -> None:
-        """Write the certificate for a name, with the key of that name or another one."""
+        """Write the certificate for ``name`` and its key, or the key for another name, ``key_of``."""
         certificate, key = make_key_pair(name)
         self.files.cert.write_bytes(certificate)
         self.files.key.write_bytes(make_key_pair(key_of)[1] if key_of else key)
 
     def reload_pair(self, name: str, key_of: str = "") -> None:
-        """Write a pair and have it read."""
+        """Write a pair and make the reloader read it."""
         self.write_pair(name, key_of)
         self.reloader.reload()
 
     def swap_pair(self) -> None:
-        """Reload another pair during a handshake, where the test asks for it."""
+        """During a handshake, reload the pair that the test set in ``pair_at_accept``, if any."""
         if self.pair_at_accept:
             self.reload_pair(self.pair_at_accept)
             self.pair_at_accept = ""
 
     @inlineCallbacks
     def connect(self) -> Steps[tuple[CertificateClient, str]]:
-        """Connect, and return the client and the name on the server's certificate."""
+        """Connect, and return the client and the name in the server's certificate."""
         client = CertificateClient()
         factory = protocol.ClientFactory.forProtocol(lambda: client)
         options = ssl.CertificateOptions()
@@ -186,23 +186,23 @@
         yield client.connection_lost
 
     def send_request_and_shut_down(self, client: HttpClient, target: str) -> None:
-        """Let a request and its client's end arrive before the router reads either."""
+        """Make a request and the end of its connection arrive before the router reads either."""
         tcp_transport = client.transport.transport
         client.send_request(target)
-        # Twisted puts small writes together.
+        # Twisted aggregates small writes; flush them.
         client.transport._aggregator.flush()
         tcp_transport.doWrite()
         tcp_transport.socket.shutdown(socket.SHUT_WR)
 
     @inlineCallbacks
-    def test_renegotiation_is_refused_and_the_server_goes_on(self) -> Steps[None]:
-        """The connection of a client that asks to renegotiate TLS 1.2 ends; others go on."""
+    def test_renegotiation_is_refused_and_other_connections_are_served(self) -> Steps[None]:
+        """A TLS 1.2 connection on which the client renegotiates is closed; others are not affected."""
         result = yield threads.deferToThread(renegotiate, ("127.0.0.1", self.port.getHost().port))
         assert result == ("a", "no renegotiation")
         _, name = yield self.connect()
         assert name == "one"
 
-    def test_a_pair_that_cannot_serve_stops_the_start(self) -> None:
+    def test_an_unusable_pair_prevents_the_start(self) -> None:
         self.write_pair("five", key_of="else")
         with pytest.raises(TlsError):
             CertificateReloader(self.files)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, through click's runner: each sub-command's answer and exit code."""
+"""The command line, run through click's test runner: output and exit code of each sub-command."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 SECRET = "x" * 40
 KEY_A = {"kid": "a", "alg": "HS256", **OctKey.import_key(SECRET).as_dict()}
 
-# How long the demo may take until its signed front listens.
+# Time limit for the demo to open its signed front.
 START_TIMEOUT_S = 20.0
 
-# How long the demo may take to end.
+# Time limit for the demo to exit after SIGTERM.
 STOP_TIMEOUT_S = 20.0
 
 
 def invoke(*arguments: str) -> Result:
-    """Run a sub-command in this process."""
+    """Run a sub-command in the process of the test."""
     return CliRunner().invoke(main, list(arguments))
 
 
 @pytest.fixture
 def extras(tmp_path: Path) -> str:
-    """Path of an operators' file with a key set of key ``a``."""
+    """Path of an operators' file whose key set holds only the key ``a``."""
     (tmp_path / "keys.json").write_text(json.dumps({"keys": [KEY_A]}))
     path = tmp_path / "extras.toml"
     path.write_text(EXTRAS.replace("gossip =", "# gossip ="))
@@ -63,7 +63,7 @@
     assert invoke("token", "verify", signed_url, "--extras", extras).output == "admitted\n"
 
 
-def test_a_spoilt_url_is_refused_with_its_reason(signed_url: str, extras: str) -> None:
+def test_an_altered_url_is_refused_with_its_reason(signed_url: str, extras: str) -> None:
     result = invoke("token", "verify", signed_url[:-3] + "AAA", "--extras", extras)
     assert result.exit_code == 1
     assert result.output == "refused 401 token-forged\n"
@@ -90,7 +90,7 @@
     assert json.loads((tmp_path / "keys.json").read_text()) == {"keys": [KEY_A]}
 
 
-def test_a_faulty_configuration_is_named(tmp_path: Path) -> None:
+def test_an_error_names_the_fault_of_a_configuration(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     config.write_text("{}")
     result = invoke("check", str(config), "--extras", str(tmp_path / "none.toml"))
@@ -98,7 +98,7 @@
     assert "'limits' is missing" in result.output
 
 
-def test_a_faulty_operators_file_is_named(tmp_path: Path) -> None:
+def test_an_error_names_the_fault_of_an_operators_file(tmp_path: Path) -> None:
     extras = tmp_path / "extras.toml"
     extras.write_text("[signed]\n")
     result = invoke("token", "issue", CLIP, "--extras", str(extras))
@@ -106,13 +106,13 @@
     assert "signed" in result.output
 
 
-def test_a_text_that_is_no_token_is_refused() -> None:
+def test_inspect_refuses_a_text_that_is_not_a_token() -> None:
     assert invoke("token", "inspect", "nothing").exit_code == 1
 
 
 @pytest.fixture
 def demo() -> Iterator[subprocess.Popen[bytes]]:
-    """The program started without a configuration."""
+    """A process of the program that was started without a configuration."""
     environment = {name: value for name, value in os.environ.items() if name != "PROXY_CONFIG"}
     command = [sys.executable, "-m", "thornjunction", "run"]
     program = subprocess.Popen(
@@ -126,7 +126,7 @@
 
 
 def read_demo_url(program: subprocess.Popen[bytes]) -> str:
-    """Read the demo's output up to the signed URL that it prints."""
+    """Read the demo's output until it prints a signed URL, and return this URL."""
     assert program.stdout is not None
     output = b""
     while b"URISigningPackage" not in output:
@@ -139,13 +139,13 @@
 
 
 def fetch_when_listening(url: str) -> HTTPResponse:
-    """Fetch a URL, again and again until its server listens."""
+    """Fetch a URL, retrying until its server listens."""
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             return urllib.request.urlopen(url, timeout=10)
         except urllib.error.URLError:
-            assert time.monotonic() < deadline_s, "the signed front never listened"
+            assert time.monotonic() < deadline_s, "the signed front did not listen within the time limit"
 
 
 def test_run_without_a_configuration_serves_the_demo_and_ends_on_sigterm(
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""Events of the log: each is declared, well named, and stands in the table of the on-call page."""
+"""Log events: each is declared, named by the rule, and listed in the table of the on-call page."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 
 KIND_COLUMNS = "| kind | meaning | fields |"
 
-# A noun and a participle or an adjective that names a state.
+# An event name is a noun and a participle or an adjective that names a state.
 EVENT_NAME = re.compile(r"[a-z]+(?:_[a-z]+)*_(?:[a-z]+ed|listening|ready|unknown)")
 
-# The end of a poller's connection is counted and logged by the poller table, without a slot.
+# Fields for the end of a poller's connection, which the poller table counts and logs, and which has no slot.
 POLLER_FIELDS = {"count", "open_connections"}
 
-# Fields that each other end of a connection has.
+# Fields for the end of any other connection.
 COMMON_CLOSE_FIELDS = {"code", "kind", "slot"}
 
 
 @dataclass(frozen=True, slots=True)
 class TableRow:
-    """The cells of a row of a table, without the code marks of Markdown."""
+    """The cells of a row of a Markdown table."""
 
     cells: tuple[str, ...]
 
     def words(self, column: int) -> set[str]:
-        """Return the names in a cell that separates them by commas."""
+        """Return the names in a cell that holds a comma-separated list."""
         return set(re.findall(r"[a-z_]+", self.cells[column]))
 
 
 def table_rows(header: str) -> dict[str, TableRow]:
-    """Return the rows of the table with this header, by their first cell."""
+    """Return the rows of the table with this header, by the name in their first cell."""
     lines = ON_CALL_PAGE.read_text().splitlines()
     rows: dict[str, TableRow] = {}
     for line in lines[lines.index(header) + 2 :]:
         if not line.startswith("|"):
             break
         cells = tuple(cell.strip() for cell in line.strip("|").split("|"))
-        assert cells[0] not in rows, f"{cells[0]} stands twice"
+        assert cells[0] not in rows, f"{cells[0]} is listed twice"
         rows[cells[0].strip("`")] = TableRow(cells)
     return rows
 
@@ -72,7 +72,7 @@
 
 
 def test_each_logger_is_named_as_the_check_expects() -> None:
-    """Guards the checks of this file: a call on a logger of another name would escape them."""
+    """Guards the other checks of this file, which find log calls by the names of the loggers."""
     loggers = {
         ast.unparse(node.targets[0])
         for path in log_event_calls.source_files()
@@ -80,7 +80,7 @@
         if isinstance(node, ast.Assign)
         and re.match(r"(logging\.getLogger|get_logger)\(", ast.unparse(node.value))
     }
-    assert loggers == log_event_calls.LOGGERS | {"root"}  # ``root`` gets the handler
+    assert loggers == log_event_calls.LOGGERS | {"root"}  # ``root`` is only given the handler
 
 
 @pytest.mark.parametrize("event", sorted(log_event_calls.declared_events()))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, fields kept, and no token written whoever logs it."""
+"""Structured logs: one JSON object per line with the event's fields, and no token from any logger."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert TOKEN not in stream.getvalue()
 
 
-def test_lines_of_other_loggers_take_the_same_form(stream: io.StringIO) -> None:
+def test_lines_of_other_loggers_have_the_same_form(stream: io.StringIO) -> None:
     logging.getLogger("twisted").warning("plain %s", TOKEN)
     line = json.loads(stream.getvalue())
     assert line["event"] == "plain [token]"
