--- a/tests/runtime/test_fleet.py
+++ b/tests/runtime/test_fleet.py
@@ -129,7 +129,7 @@
     choose_incarnation(tmp_path, 5e6)
     CORRUPTIONS[reason](tmp_path / "incarnation")
     with pytest.raises(incarnation.IncarnationError, match=re.escape(reason)):
-        incarnation._read(tmp_path / "incarnation", incarnation.Member("north", "r1"))
+        incarnation._read(tmp_path / "incarnation", incarnation.IncarnationOwner("north", "r1"))
     assert choose_incarnation(tmp_path, 6e6) == 6_000_000
     assert choose_incarnation(tmp_path, 6e6) == 6_000_000 + INCARNATION_STEP
 
--- a/thornjunction/runtime/command_events.py
+++ b/thornjunction/runtime/command_events.py
@@ -40,36 +40,36 @@
         self._roles = roles
         self._settings = settings
         self._clock = clock
-        self._unix = UnixClock()
-        self.process_starts = ProcessStarts(self._unix)
+        self._unix_clock = UnixClock()
+        self.process_starts = ProcessStarts(self._unix_clock)
 
     def handle(self, command: Command) -> None:
         """Feed one event to the engine; an endpoint list also updates the pool."""
         if isinstance(command, ListChange):
-            self._change_list(command)
+            self._feed_list_change(command)
         else:
-            self._purge(command)
+            self._feed_purge(command)
 
-    def _change_list(self, change: ListChange) -> None:
-        recent_ms = math.inf if change.is_complete else self._longest_warm_up_ms()
-        entries = tuple(self._entry(host, recent_ms) for host in change.hosts)
+    def _feed_list_change(self, change: ListChange) -> None:
+        recent_ms = math.inf if change.is_complete else self._longest_slow_start_ms()
+        entries = tuple(self._build_entry(host, recent_ms) for host in change.hosts)
         self.process_starts.forget_unlisted(change.hosts, change.is_complete)
         self._engine.feed(api.EndpointListUpdate(entries, change.is_complete))
         self._pool.update(change.hosts, change.is_complete)  # attempts waiting there are decided again
 
-    def _purge(self, purge: Purge) -> None:
+    def _feed_purge(self, purge: Purge) -> None:
         retention_ms = self._settings().purge_propagation_ms
-        age_ms = max(self._clock() - self._unix.to_core(purge.issued_unix_ms, retention_ms), 0.0)
+        age_ms = max(self._clock() - self._unix_clock.to_core(purge.issued_unix_ms, retention_ms), 0.0)
         # After this time all caches have dropped the purged objects, and no decision depends on the purge.
         if age_ms <= retention_ms:
             self._engine.feed(api.PurgeReceived(purge.group, age_ms, purge.key))
 
-    def _longest_warm_up_ms(self) -> float:
+    def _longest_slow_start_ms(self) -> float:
         """Return for how long a server's start affects decisions: the longest slow start of any role."""
         settings = self._settings()
         return max(settings.slow_start_ms, settings.parent_slow_start_ms)
 
-    def _entry(self, host: Host, recent_ms: float) -> api.ServerEntry:
+    def _build_entry(self, host: Host, recent_ms: float) -> api.ServerEntry:
         return api.ServerEntry(
             server=host.name,
             role=self._roles.get(host.kind, api.Role.EDGE),
--- a/thornjunction/runtime/control_settings.py
+++ b/thornjunction/runtime/control_settings.py
@@ -131,7 +131,7 @@
 
 
 def read_relay(top: SettingsReader) -> RelaySettings:
-    """Read the file's section of a relay.  Raises ConfigError or WireError."""
+    """Read the section ``[relay]``.  Raises ConfigError or WireError, also for a section of a router."""
     for section in ROUTER_SECTIONS:
         if section in top.data:
             raise FaultyKeyError("relay", f"a relay is not a router, leave out [{section}]")
--- a/thornjunction/runtime/incarnation.py
+++ b/thornjunction/runtime/incarnation.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class IncarnationOwner:
     """The fleet member to which a stored incarnation belongs."""
 
     fleet: str
@@ -70,7 +70,7 @@
     then uses the wall clock.
     """
     path = folder / FILE_NAME
-    member = Member(fleet, name)
+    member = IncarnationOwner(fleet, name)
     now_ms = int(unix_ms())
     try:
         incarnation = max(_read(path, member) + INCARNATION_STEP, now_ms)
@@ -84,7 +84,7 @@
     return incarnation
 
 
-def _read(path: Path, member: Member) -> int:
+def _read(path: Path, member: IncarnationOwner) -> int:
     try:
         line, _, checksum = path.read_bytes().partition(b"\n")
     except FileNotFoundError:
@@ -96,7 +96,7 @@
     try:
         stored = json.loads(line)
         file_format = stored["format"]
-        owner = Member(stored["fleet"], stored["name"])
+        owner = IncarnationOwner(stored["fleet"], stored["name"])
         incarnation = int(stored["incarnation"])
     except (ValueError, KeyError, TypeError):
         raise NotAnIncarnationError from None
--- a/thornjunction/runtime/listeners.py
+++ b/thornjunction/runtime/listeners.py
@@ -38,7 +38,7 @@
     def listen(self, host: str, port: int, build: BuildProtocol) -> None:
         """Open a TCP port whose connections use the protocols that ``build`` returns."""
         opening = server_endpoint(self._reactor, (host, port)).listen(BuildFactory(build))
-        opening.addCallbacks(self.ports.append, lambda failure: self._fail(failure.value))
+        opening.addCallbacks(self.ports.append, lambda failure: self._handle_failure(failure.value))
 
     def adopt(self, descriptor: int, build: BuildProtocol) -> None:
         """Accept connections on a listening socket that the platform opened; other processes may share it."""
@@ -48,8 +48,8 @@
             self.ports.append(listen_on_descriptor(self._reactor, descriptor, BuildFactory(build)))
             os.close(descriptor)  # the port uses its own duplicate of the descriptor
         except OSError as error:
-            self._fail(error)
+            self._handle_failure(error)
 
-    def _fail(self, error: object) -> None:
+    def _handle_failure(self, error: object) -> None:
         log.error(LogEvent.LISTEN_FAILED, cause=str(error))
         self._on_failure()
--- a/thornjunction/runtime/load_sampling.py
+++ b/thornjunction/runtime/load_sampling.py
@@ -38,9 +38,9 @@
     def start(self) -> None:
         """Take the first sample now and schedule the others."""
         self._due_ms = self._clock()
-        self._take()
+        self._take_sample()
 
-    def _take(self) -> None:
+    def _take_sample(self) -> None:
         """Record a sample and schedule the next one."""
         now_ms = self._clock()
         processor_s = time.process_time()
@@ -49,7 +49,7 @@
         self._previous_ms = now_ms
         self._previous_processor_s = processor_s
         self._due_ms = now_ms + SAMPLE_INTERVAL_MS
-        self._deadlines.add(self._due_ms, self._take)
+        self._deadlines.add(self._due_ms, self._take_sample)
 
     def _processor_share(self, now_ms: float, processor_s: float) -> float:
         """Return the share of one processor core that the process used since the previous sample."""
--- a/thornjunction/runtime/optional_parts.py
+++ b/thornjunction/runtime/optional_parts.py
@@ -9,7 +9,7 @@
 from thornjunction.runtime.listeners import Listeners
 from thornjunction.runtime.process_reactor import ProcessReactor
 
-if TYPE_CHECKING:  # each is imported only where it is on
+if TYPE_CHECKING:  # each part is imported at run time only if it is on
     from thornjunction.net.telemetry.metrics_exporter import MetricsExporter
     from thornjunction.runtime.fleet import FleetMember
     from thornjunction.runtime.signed_front import SignedFront
--- a/thornjunction/runtime/process_starts.py
+++ b/thornjunction/runtime/process_starts.py
@@ -31,8 +31,8 @@
     restarted one with a cold cache.
     """
 
-    def __init__(self, unix: UnixClock) -> None:
-        self._unix = unix
+    def __init__(self, unix_clock: UnixClock) -> None:
+        self._unix_clock = unix_clock
         self._by_server: dict[str, ProcessStart] = {}
 
     def __len__(self) -> int:
@@ -47,7 +47,9 @@
             return 0.0
         start = self._by_server.get(host.name)
         if start is None or start.listed_unix_ms != host.started_unix_ms:
-            start = ProcessStart(host.started_unix_ms, self._unix.to_core(host.started_unix_ms, recent_ms))
+            start = ProcessStart(
+                host.started_unix_ms, self._unix_clock.to_core(host.started_unix_ms, recent_ms)
+            )
             self._by_server[host.name] = start
         return start.core_ms
 
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -102,7 +102,7 @@
         self._state = Lifecycle.STARTING
         self._exit_code = ExitCode.STOPPED
         self._failures = 0
-        self._unix = UnixClock()
+        self._unix_clock = UnixClock()
         self._timer_service = TimerService(reactor)
         self._deadlines = self._timer_service.deadlines
         self._listeners = Listeners(reactor, self._exit_on_listen_failure)
@@ -221,7 +221,7 @@
         count as received at the end of the response.
         """
         retention_ms = self._settings.purge_retention_ms
-        issued_ms = self._unix.to_core(purge.issued_unix_ms, retention_ms + MAX_CLOCK_SKEW_MS)
+        issued_ms = self._unix_clock.to_core(purge.issued_unix_ms, retention_ms + MAX_CLOCK_SKEW_MS)
         age_ms = max(core_ms() - issued_ms - MAX_CLOCK_SKEW_MS, 0.0)
         if age_ms > retention_ms:
             return
--- a/thornjunction/runtime/relay_status.py
+++ b/thornjunction/runtime/relay_status.py
@@ -63,7 +63,7 @@
     def _show_status(self) -> bytes:
         now_ms = self._clock()
         metrics = (f"relay.{name}={_format_value(value)}" for name, value in self._metrics(now_ms).items())
-        members = (_member_line(member, now_ms) for member in self._relay.lagging_members(now_ms))
+        members = (_format_member(member, now_ms) for member in self._relay.lagging_members(now_ms))
         return encode_lines([*metrics, *members])
 
     def _metrics(self, now_ms: float) -> dict[str, object]:
@@ -77,7 +77,7 @@
 
     def _show_purges(self) -> bytes:
         now_ms = self._clock()
-        return encode_lines(_purge_line(purge, now_ms) for purge in self._relay.recent_purges())
+        return encode_lines(_format_purge(purge, now_ms) for purge in self._relay.recent_purges())
 
     def _dismiss(self, name: str) -> bytes:
         if not NAME.fullmatch(name):
@@ -86,13 +86,13 @@
         return encode_reply(True)
 
 
-def _member_line(member: MemberStatus, now_ms: float) -> str:
+def _format_member(member: MemberStatus, now_ms: float) -> str:
     since_ms = _to_unix_ms(member.lagging_since_ms, now_ms)
     lagging = f"{member.lagging_count} {_format_names(member.lagging_names)}"
     return f"behind {member.name} {member.role} {member.state} {since_ms} {lagging}"
 
 
-def _purge_line(purge: PurgeStatus, now_ms: float) -> str:
+def _format_purge(purge: PurgeStatus, now_ms: float) -> str:
     subject = purge.key if purge.key is not None else f"group-{purge.group}"
     issued_ms = f"{purge.issued_unix_ms:.0f}"
     if purge.propagated_at_ms is not None:
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -82,14 +82,16 @@
         deadlines = path.timer_service.deadlines
         admission = FrontAdmission(path.drain, path.load_shedder, path.engine, counters)
         settings = SettingsInForce(path.engine, admission, counters, config.flow_bytes_per_ms)
-        self._path = path
+        self._request_path = path
         self.commands = CommandHandler(
             path.engine, path.pool, config.roles, lambda: self.config.settings, core_ms
         )
         self.channel = assembly.build_channel(
             extras, config, reactor, deadlines, self.handle_command, self.begin_serving
         )
-        self._parts = assembly.build_optional_parts(extras, config.name, path, settings.classes, reactor)
+        self._optional_parts = assembly.build_optional_parts(
+            extras, config.name, path, settings.classes, reactor
+        )
         self._listeners = Listeners(reactor, self._exit_on_listen_failure)
         self._platform_front = PlatformFront(config, path, admission, self.is_ready)
         self._shutdown = Shutdown(path.clients, path.drain, path.engine, deadlines, core_ms, self._stop)
@@ -102,22 +104,22 @@
     @property
     def timer_service(self) -> TimerService:
         """The timer service, which runs the deadlines of all parts."""
-        return self._path.timer_service
+        return self._request_path.timer_service
 
     @property
     def engine(self) -> Engine:
         """The engine, which owns open requests and attempts."""
-        return self._path.engine
+        return self._request_path.engine
 
     @property
     def router(self) -> Router:
         """The router, which makes the routing decisions."""
-        return self._path.router
+        return self._request_path.router
 
     @property
     def fleet(self) -> FleetMember | None:
         """The fleet membership, or None if the operators' file does not turn it on."""
-        return self._parts.fleet
+        return self._optional_parts.fleet
 
     def run(self) -> int:
         """Serve until SIGTERM and return the exit code."""
@@ -145,7 +147,7 @@
     def _open_admin_endpoint(self) -> None:
         if self.config.admin is None:
             return
-        calls = self.admin_calls.by_name | self._parts.admin_calls()
+        calls = self.admin_calls.by_name | self._optional_parts.admin_calls()
         endpoint = AdminEndpoint(calls, self.timer_service.deadlines, core_ms)
         self._listeners.listen(*self.config.admin, lambda: AdminConnection(endpoint))
 
@@ -154,12 +156,12 @@
         if self.state is not Lifecycle.STARTING:  # guards against a port that opens after SIGTERM
             return
         self.state = Lifecycle.SERVING
-        self._start_load_samples()
+        self._start_load_sampling()
         self._platform_front.listen(self._listeners)
-        self._parts.start(self.reactor, self._listeners)
+        self._optional_parts.start(self.reactor, self._listeners)
 
-    def _start_load_samples(self) -> None:
-        path = self._path
+    def _start_load_sampling(self) -> None:
+        path = self._request_path
         sampler = LoadSampler(
             path.load_shedder, path.timer_service.deadlines, core_ms, path.clients.scheduler.longest_wait_ms
         )
@@ -172,7 +174,7 @@
         """
         if self.state not in (Lifecycle.SERVING, Lifecycle.SHUTTING_DOWN):
             return False
-        return self.has_successor or not self._path.drain.is_active
+        return self.has_successor or not self._request_path.drain.is_active
 
     def handle_command(self, command: Command) -> None:
         """Handle an event of the command channel."""
@@ -183,7 +185,7 @@
 
         From the configuration, only ``channel`` and ``settings`` are applied; all other keys need a restart.
         """
-        self._parts.reload()
+        self._optional_parts.reload()
         reloaded = self._reloader.reload(self.config)
         if reloaded is None:
             return
@@ -192,7 +194,7 @@
         self.engine.feed(reloaded.settings)
 
     def _collect_metrics(self) -> dict[str, int]:
-        path = self._path
+        path = self._request_path
         metrics = collect_admin_metrics(
             path.counters, path.engine, path.pool, path.router, self._reloader.counts
         )
@@ -209,7 +211,7 @@
         self.state = Lifecycle.SHUTTING_DOWN
         self.has_successor = self._platform_front.has_successor()
         log.info(LogEvent.SHUTDOWN_STARTED, has_successor=self.has_successor)
-        self._parts.leave_fleet()
+        self._optional_parts.leave_fleet()
         if not was_serving:  # no client has been accepted yet
             self.state = Lifecycle.STOPPED
             self._stop()
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -111,7 +111,7 @@
             self._stop()
             return
         if now_ms >= self._engine.shutdown_at_ms:
-            self._end_idle_connections()
+            self._close_idle_connections()
         self._deadlines.add(now_ms + CHECK_INTERVAL_MS, self._check_done)
 
     def _is_past_exit_time(self, now_ms: float, open_requests: int) -> bool:
@@ -119,7 +119,7 @@
             return now_ms >= self._stop_at_ms
         return now_ms >= self._stop_at_ms + EXIT_MARGIN_MS + OPEN_REQUESTS_GRACE_MS
 
-    def _end_idle_connections(self) -> None:
+    def _close_idle_connections(self) -> None:
         for connection in self._clients:
             connection.handle_pending_input()
             if not connection.has_open_request():
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -120,8 +120,8 @@
 
     def _reload_repeatedly(self, scheduled: ScheduledReload) -> None:
         scheduled.file.reload()
-        again_ms = core_ms() + scheduled.interval_s * 1000.0
-        self._deadlines.add(again_ms, lambda: self._reload_repeatedly(scheduled))
+        next_reload_ms = core_ms() + scheduled.interval_s * 1000.0
+        self._deadlines.add(next_reload_ms, lambda: self._reload_repeatedly(scheduled))
 
     def _build_connection(self) -> SignedConnection:
         return SignedConnection(self._clients, self._deadlines, core_ms, self.request_context)
