--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -28,7 +28,7 @@
 def test_after_a_failed_write_an_earlier_token_is_not_taken_for_a_successor(
     tmp_path: Path,
 ) -> None:
-    """After a full disk or a kill during the write, no other process accepts connections after SIGTERM."""
+    """If a full disk or a kill prevents the write, no other process accepts the connections after SIGTERM."""
     first, second, third = (Handover(str(tmp_path), "n1") for _ in range(3))
     first.announce()
     with patch("os.replace", side_effect=OSError(errno.ENOSPC, "full")):
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -117,10 +117,11 @@
 
 
 def test_sigterm_before_the_configuration_is_read_exits_with_0(tmp_path: Path) -> None:
+    """The configuration is a FIFO, which can be opened for writing only once the program opens it to read."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
     command = [sys.executable, "-m", "thornjunction"]
     env = os.environ | {"PROXY_CONFIG": str(path)}
-    with subprocess.Popen(command, env=env, cwd=ROOT) as program, path.open("w"):  # waits for the reader
+    with subprocess.Popen(command, env=env, cwd=ROOT) as program, path.open("w"):  # waits for a reader
         program.send_signal(signal.SIGTERM)
         assert program.wait(EXIT_TIMEOUT_S) == 0
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -89,7 +89,7 @@
         admin: the address of the admin endpoint, or None if there is none.
         listening_descriptor: descriptor of the clients' listening socket, if the platform opened it.
         handover_folder: folder shared with the process that this one replaces; empty if it replaces none.
-        key_paths: paths of all keys in the file, except those below ``known``.
+        key_paths: paths of the keys in the file, except those in lists and below ``known``.
     """
 
     name: str
--- a/thornjunction/runtime/drain.py
+++ b/thornjunction/runtime/drain.py
@@ -13,8 +13,8 @@
 
 # Time from the start of a drain until new requests are refused.
 # Without refusals, a connection that always has an open request would never close.  4 s after an operator's
-# call, no connection may have carried a request within the last 2 s.  Refusing earlier costs clients
-# requests, because they retry on the same connection.
+# call, no connection may have carried a request within the last 2 s.  Refusing earlier would fail more
+# requests, because clients retry on the same connection.
 REFUSE_AFTER_MS = 1_900.0
 
 # Time from the first refusal until all open requests are answered at once.
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -141,7 +141,7 @@
         self.channel.replay(self.config.initial_commands)
         self._open_admin_endpoint()
         self.channel.start()
-        # The configuration of a process that replaces another holds an old endpoint list: wait for a new one.
+        # A process that replaces another has an old endpoint list: it waits for a new one, up to this limit.
         self.timer_service.deadlines.add(core_ms() + INITIAL_LIST_TIMEOUT_MS, self.begin_serving)
 
     def _open_admin_endpoint(self) -> None:
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -27,7 +27,7 @@
 KILL_DELAY_MS = 700.0
 
 # How long before SIGKILL the process exits.
-# All open requests are answered the same time earlier, so that clients can read the last responses.
+# All open requests are answered earlier by the same margin, so that clients can read the last responses.
 EXIT_MARGIN_MS = 80.0
 
 # How long the process goes on after the expected time of SIGKILL while requests are open.
