--- a/benchmarks/benchmark_tools/connection_model.py
+++ b/benchmarks/benchmark_tools/connection_model.py
@@ -9,9 +9,9 @@
 from benchmark_tools.decision_servers import FILMS, KEYED, LOCAL_ZONE, ORIGIN, SETTINGS, edge, parent
 from thornjunction import interface as api
 from thornjunction.net.upstream.dispatcher import (
-    MAX_CONNECTIONS_IF_CROWDED,
     MAX_CONNECTIONS_IF_EXHAUSTED,
-    MAX_UNCROWDED_STREAMS,
+    MAX_CONNECTIONS_IF_LOADED,
+    MAX_LIGHT_LOAD_STREAMS,
 )
 from thornjunction.policy.router import Router
 
@@ -31,7 +31,7 @@
 class PoolModel:
     """Connections to each server by the rules of ``ConnectionPool``.
 
-    Another connection opens beside crowded ones, up to ``MAX_CONNECTIONS_IF_CROWDED``, and beside full ones,
+    Another connection opens beside crowded ones, up to ``MAX_CONNECTIONS_IF_LOADED``, and beside full ones,
     up to ``MAX_CONNECTIONS_IF_EXHAUSTED``.  None closes: a run is shorter than their idle time.
     """
 
@@ -48,7 +48,7 @@
             index = len(streams) - 1
         streams[index] += 1
         self._connection_by_request[request_id] = server, index
-        if streams[index] > MAX_UNCROWDED_STREAMS and len(streams) < MAX_CONNECTIONS_IF_CROWDED:
+        if streams[index] > MAX_LIGHT_LOAD_STREAMS and len(streams) < MAX_CONNECTIONS_IF_LOADED:
             streams.append(0)
 
     def end(self, request_id: str) -> None:
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -37,7 +37,7 @@
 from thornjunction.limits.idempotency import KEY_LIFETIME_MS, MAX_KEYS
 from thornjunction.limits.retry_budget import MAX_FLEET_RETRIES
 from thornjunction.net.upstream.connector import MAX_CONNECTIONS_PER_SERVER
-from thornjunction.net.upstream.dispatcher import MAX_CONNECTIONS_IF_CROWDED, MAX_CONNECTIONS_IF_EXHAUSTED
+from thornjunction.net.upstream.dispatcher import MAX_CONNECTIONS_IF_EXHAUSTED, MAX_CONNECTIONS_IF_LOADED
 from thornjunction.policy.router import Router
 
 DEFAULT_ROUTERS = (50, 200, 600, 1_200)
@@ -91,7 +91,7 @@
         print(f"answers after {answer_ms:.0f} ms\n\n{markdown_table(columns, rows)}")
         print(f"\nfit, origin: {line.text('connections', 'a router', 3)}\n")
     print(
-        f"bounds of a pool: {MAX_CONNECTIONS_IF_CROWDED} beside others with room, "
+        f"bounds of a pool: {MAX_CONNECTIONS_IF_LOADED} beside others with room, "
         f"{MAX_CONNECTIONS_IF_EXHAUSTED} where none has, {MAX_CONNECTIONS_PER_SERVER} in all\n"
     )
 
--- a/tests/net/downstream/test_lingering_close.py
+++ b/tests/net/downstream/test_lingering_close.py
@@ -22,7 +22,7 @@
     connection.dataReceived(front.request())
     assert transport.value() == written
     assert len(clients.core.replies) == 1
-    assert connection.half_received_bytes() == 0
+    assert connection.partial_request_bytes() == 0
     clients.clock.advance(LINGER_TIMEOUT_MS)
     assert transport.disconnected
     assert connection.end_reason == "drained"
--- a/tests/net/downstream/test_pending_requests.py
+++ b/tests/net/downstream/test_pending_requests.py
@@ -70,7 +70,7 @@
         """A client in the case's situation, and the router's side of its connection."""
         client, connection = await self.clients.connect_accepted(case.first_request, case.port)
         client.send(case.half_request)
-        await self.until(lambda: connection.half_received_bytes() or not case.half_request)
+        await self.until(lambda: connection.partial_request_bytes() or not case.half_request)
         return client, connection
 
     def check_times_at_limit(self, connection: Any, case: TimeLimitCase) -> None:
--- a/tests/net/downstream/test_request_times.py
+++ b/tests/net/downstream/test_request_times.py
@@ -14,7 +14,7 @@
     served = clients.connect_served(front)
     request = front.request()
     for _ in range(4):  # a byte now and then is no progress
-        half.dataReceived(request[:1] if half.half_received_bytes() == 0 else request[1:2])
+        half.dataReceived(request[:1] if half.partial_request_bytes() == 0 else request[1:2])
         clients.clock.advance(625.0)
     assert silent.end_reason == "silent"
     assert half.end_reason == "half-request"
--- a/tests/net/upstream/test_broken_connections.py
+++ b/tests/net/upstream/test_broken_connections.py
@@ -98,7 +98,7 @@
         (connection,) = self.pool.connections
         self.set_limits(max_streams=999)
         number = 0
-        with patch.object(dispatcher, "MAX_CONNECTIONS_IF_CROWDED", 1):
+        with patch.object(dispatcher, "MAX_CONNECTIONS_IF_LOADED", 1):
             while not connection.has_unsent_bytes:
                 number += 1
                 self.send(number, body=b"x" * 100_000)
--- a/thornjunction/net/downstream/buffered_bytes.py
+++ b/thornjunction/net/downstream/buffered_bytes.py
@@ -24,12 +24,12 @@
         self._budget = budget
         self._reserved_bytes = 0
 
-    def reserve(self, evict: Evict, half_received_bytes: int) -> None:
+    def reserve(self, evict: Evict, partial_request_bytes: int) -> None:
         """Reserve what is buffered now; the budget may call ``evict`` of this or another connection.
 
         ``evict`` is not kept here, as it would make a reference cycle with its connection.
         """
-        size_bytes = half_received_bytes + self.unsent_bytes
+        size_bytes = partial_request_bytes + self.unsent_bytes
         if size_bytes or self._reserved_bytes:
             self._reserved_bytes = size_bytes
             self._budget.reserve(evict, size_bytes)
--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -14,8 +14,8 @@
 from thornjunction.net.downstream.connection_state import ConnectionState
 from thornjunction.net.downstream.connection_table import DownstreamTable
 from thornjunction.net.downstream.lingering_close import (
-    CROSSING_TIMEOUT_MS,
     LINGER_TIMEOUT_MS,
+    SHORT_LINGER_TIMEOUT_MS,
     LingeringClose,
 )
 from thornjunction.net.downstream.pending_input import receive_pending
@@ -66,7 +66,7 @@
         """Whether a request of this connection is owed its response."""
         raise NotImplementedError
 
-    def half_received_bytes(self) -> int:
+    def partial_request_bytes(self) -> int:
         """Bytes of requests that have come in part."""
         raise NotImplementedError
 
@@ -78,7 +78,7 @@
         """Answer what is open now: rejected where the core does not have it yet, else failed."""
         raise NotImplementedError
 
-    def drop_half_request(self) -> None:
+    def drop_partial_request(self) -> None:
         """Forget the request that has come in part."""
         raise NotImplementedError
 
@@ -130,10 +130,10 @@
         if self._planned_end_reason and self._is_planned_end_due():
             self.close_lingering(self._planned_end_reason)
             return
-        half_received_bytes = self.half_received_bytes()
-        self.times.update(self.clock(), half_received_bytes > 0, request_completed)
+        partial_request_bytes = self.partial_request_bytes()
+        self.times.update(self.clock(), partial_request_bytes > 0, request_completed)
         self.table.update_idle(self, self.has_open_request())
-        self.buffered.reserve(self._free_buffers, half_received_bytes)
+        self.buffered.reserve(self._free_buffers, partial_request_bytes)
 
     def _is_planned_end_due(self) -> bool:
         """Whether all is answered; a connection over capacity gets the time for its first request."""
@@ -151,7 +151,7 @@
         self._planned_end_reason = reason
         if not self.state.has_ended:
             self.state = ConnectionState.HALF_CLOSED
-        self.drop_half_request()
+        self.drop_partial_request()
 
     def write(self, data: bytes) -> None:
         """Write a complete response."""
@@ -226,7 +226,7 @@
     def _is_idle(self) -> bool:
         if self.state.has_ended or not self.times.has_received_request:
             return False
-        return not (self.has_open_request() or self.half_received_bytes())
+        return not (self.has_open_request() or self.partial_request_bytes())
 
     def _end(self, reason: str, state: ConnectionState = ConnectionState.CLOSED) -> None:
         """Nothing is answered from now on; the first reason counts."""
@@ -247,7 +247,7 @@
             self.abort(reason)
             return
         self.plan_end(reason)
-        self.drop_half_request()
+        self.drop_partial_request()
         self.answer_open_requests()
         self.close_lingering(self._planned_end_reason)
 
@@ -258,7 +258,7 @@
             self.handle_pending_input()
         reason = self._overdue_reason()
         if reason is not None:
-            self.close_lingering(self._planned_end_reason or reason, CROSSING_TIMEOUT_MS)
+            self.close_lingering(self._planned_end_reason or reason, SHORT_LINGER_TIMEOUT_MS)
         elif not self.state.has_ended:
             self._time_check = self.deadlines.add(self.clock() + CHECK_INTERVAL_MS, self._check_times)
 
@@ -279,7 +279,7 @@
         """The client has read all its responses."""
         self.buffered.resume_writing()
         self.deadlines.cancel(self._stall_deadline)
-        self.buffered.reserve(self._free_buffers, 0 if self.state.has_ended else self.half_received_bytes())
+        self.buffered.reserve(self._free_buffers, 0 if self.state.has_ended else self.partial_request_bytes())
 
     def stopProducing(self) -> None:  # noqa: N802
         """The connection is gone."""
--- a/thornjunction/net/downstream/connection_table.py
+++ b/thornjunction/net/downstream/connection_table.py
@@ -8,7 +8,7 @@
 
 from thornjunction.memory.budget import ByteBudget
 from thornjunction.memory.slots import SlotTable
-from thornjunction.net.downstream.lingering_close import CROSSING_TIMEOUT_MS
+from thornjunction.net.downstream.lingering_close import SHORT_LINGER_TIMEOUT_MS
 from thornjunction.net.downstream.request_scheduler import RequestScheduler
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
@@ -92,7 +92,7 @@
         for connection in list(islice(self._idle, MAX_EVICTION_CANDIDATES)):
             connection.handle_pending_input()
             if not connection.has_open_request():
-                connection.close_lingering(DisconnectReason.EVICTED, CROSSING_TIMEOUT_MS)
+                connection.close_lingering(DisconnectReason.EVICTED, SHORT_LINGER_TIMEOUT_MS)
                 return
 
     def move_to_lingering(self, connection: TableConnection) -> None:
--- a/thornjunction/net/downstream/fastcgi_front.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -86,7 +86,7 @@
         """Whether a request is queued or in the core."""
         return bool(self._admitted or self._queued)
 
-    def half_received_bytes(self) -> int:
+    def partial_request_bytes(self) -> int:
         """Bytes of requests that have come in part."""
         return self._reader.buffered_bytes
 
@@ -112,7 +112,7 @@
             self._dispatch(queued.request, self.clock() - queued.queued_at_ms)
         return bool(self._queued)
 
-    def drop_half_request(self) -> None:
+    def drop_partial_request(self) -> None:
         """Forget the requests that have come in part."""
         self._reader = fastcgi.RequestReader()
 
@@ -131,7 +131,7 @@
         """Forget what is queued or has come in part, and abandon what is in the core."""
         self.table.scheduler.remove(self)
         self._queued.clear()
-        self.drop_half_request()
+        self.drop_partial_request()
         abandoned = self._admitted
         self._admitted = {}
         for admitted in abandoned.values():
--- a/thornjunction/net/downstream/lingering_close.py
+++ b/thornjunction/net/downstream/lingering_close.py
@@ -13,7 +13,7 @@
 LINGER_TIMEOUT_MS = 10_000.0
 
 # The same where no response is on its way: only a request may cross the close, which takes 50 ms at most.
-CROSSING_TIMEOUT_MS = 1_000.0
+SHORT_LINGER_TIMEOUT_MS = 1_000.0
 
 # Bytes that are discarded before the connection is cut off: two of the largest requests.
 MAX_DISCARDED_BYTES = 131_072
--- a/thornjunction/net/downstream/request_times.py
+++ b/thornjunction/net/downstream/request_times.py
@@ -21,37 +21,37 @@
         has_received_request: whether a complete request ever came.
     """
 
-    __slots__ = ("_half_request_since_ms", "_progress_at_ms", "has_received_request")
+    __slots__ = ("_partial_request_since_ms", "_progress_at_ms", "has_received_request")
 
     def __init__(self) -> None:
         self.has_received_request = False
         self._progress_at_ms = 0.0
-        self._half_request_since_ms: float | None = None
+        self._partial_request_since_ms: float | None = None
 
     def start(self, now_ms: float) -> None:
         """The connection was accepted."""
         self._progress_at_ms = now_ms
 
-    def update(self, now_ms: float, is_half_received: bool, request_completed: bool) -> None:
+    def update(self, now_ms: float, has_partial_request: bool, request_completed: bool) -> None:
         """Bytes arrived or a response went out.
 
         Args:
             now_ms: the time.
-            is_half_received: whether a request has come in part.
+            has_partial_request: whether a request has come in part.
             request_completed: whether a request came completely, so that the part is of another one.
         """
         if self.has_received_request:
             self._progress_at_ms = now_ms
-        if not is_half_received:
-            self._half_request_since_ms = None
-        elif request_completed or self._half_request_since_ms is None:
-            self._half_request_since_ms = now_ms
+        if not has_partial_request:
+            self._partial_request_since_ms = None
+        elif request_completed or self._partial_request_since_ms is None:
+            self._partial_request_since_ms = now_ms
 
     def overdue_reason(self, now_ms: float) -> DisconnectReason | None:
         """Why a connection without an open request has to end now; None where it may stay."""
-        half_since_ms = self._half_request_since_ms
-        if half_since_ms is not None and now_ms - half_since_ms >= REQUEST_TIMEOUT_MS:
-            return DisconnectReason.HALF_REQUEST
+        partial_since_ms = self._partial_request_since_ms
+        if partial_since_ms is not None and now_ms - partial_since_ms >= REQUEST_TIMEOUT_MS:
+            return DisconnectReason.PARTIAL_REQUEST
         waited_ms = now_ms - self._progress_at_ms
         if not self.has_received_request and waited_ms >= REQUEST_TIMEOUT_MS:
             return DisconnectReason.SILENT
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -115,7 +115,7 @@
         """Whether a response is owed, the final one too."""
         return self._current is not None or bool(self._queued) or self._final_response is not None
 
-    def half_received_bytes(self) -> int:
+    def partial_request_bytes(self) -> int:
         """Bytes of the request that has come in part."""
         return self._reader.buffered_bytes
 
@@ -132,7 +132,7 @@
         self._dispatch_queued()
         self.note_progress(has_completed_request)
 
-    def drop_half_request(self) -> None:
+    def drop_partial_request(self) -> None:
         """Forget the request that has come in part."""
         self._reader = http1.RequestReader(MAX_BODY_BYTES)
 
@@ -151,7 +151,7 @@
     def abandon_requests(self) -> None:
         """Forget what is queued or has come in part, and abandon what is in the core."""
         self._queued.clear()
-        self.drop_half_request()
+        self.drop_partial_request()
         self._current = None
         self._final_response = None
         self._abandon_current()
--- a/thornjunction/net/event_loop/disconnect_reasons.py
+++ b/thornjunction/net/event_loop/disconnect_reasons.py
@@ -53,7 +53,7 @@
     """The table was full and this idle connection made room for a new one."""
     HANDLER_FAILED = "failed"
     """Handling the connection's requests raised an exception."""
-    HALF_REQUEST = "half-request"
+    PARTIAL_REQUEST = "half-request"
     """The rest of a request that had begun did not come in time."""
     IDLE = "idle"
     """No request came for the idle time."""
--- a/thornjunction/net/upstream/connection_timers.py
+++ b/thornjunction/net/upstream/connection_timers.py
@@ -66,7 +66,7 @@
         """Start with the first part of a response, and reserve what is buffered of it by now."""
         context = self._context
         if self._deadline is None:
-            due_ms = context.clock() + context.limits.response_remainder_ms
+            due_ms = context.clock() + context.limits.partial_response_timeout_ms
             self._deadline = context.deadlines.add(
                 due_ms, lambda: self._abort(DisconnectReason.PARTIAL_RESPONSE)
             )
--- a/thornjunction/net/upstream/context.py
+++ b/thornjunction/net/upstream/context.py
@@ -10,7 +10,7 @@
 from thornjunction.net.event_loop.ports import Reactor
 
 # For the rest of a response that has begun, beyond the time that its bytes take on the network.
-DEFAULT_RESPONSE_REMAINDER_MS = 500.0
+DEFAULT_PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,14 +22,14 @@
         connect_timeout_ms: for one connect, and for a health check.
         idle_timeout_ms: after which the platform closes an idle connection.
         max_connections: to all servers together.
-        response_remainder_ms: for the rest of a response that has begun.
+        partial_response_timeout_ms: for the rest of a response that has begun.
     """
 
     max_streams: int
     connect_timeout_ms: float
     idle_timeout_ms: float
     max_connections: int
-    response_remainder_ms: float = DEFAULT_RESPONSE_REMAINDER_MS
+    partial_response_timeout_ms: float = DEFAULT_PARTIAL_RESPONSE_TIMEOUT_MS
 
 
 @dataclass(slots=True)
--- a/thornjunction/net/upstream/dispatcher.py
+++ b/thornjunction/net/upstream/dispatcher.py
@@ -17,14 +17,14 @@
 from thornjunction.net.wire.upstream import encode_health_check, encode_request
 
 # Connections to one server that are opened while others have capacity.
-MAX_CONNECTIONS_IF_CROWDED = 4
+MAX_CONNECTIONS_IF_LOADED = 4
 
 # Connections to one server that are opened where none has capacity: each has 32 streams, and a large server's
 # share at the peak is over 128.
 MAX_CONNECTIONS_IF_EXHAUSTED = 8
 
 # Streams on the least loaded connection, past which another connection is opened beside it.
-MAX_UNCROWDED_STREAMS = 2
+MAX_LIGHT_LOAD_STREAMS = 2
 
 # Of its client's time: an attempt with less is not begun.
 MIN_REMAINING_MS = 5.0
@@ -79,8 +79,8 @@
             self._wait_for_connection(upstream, stream)
             return
         self._write(connection, stream)
-        is_crowded = len(connection.streams) > MAX_UNCROWDED_STREAMS and not self._connections.is_full
-        if is_crowded and self._connector.may_connect(upstream, MAX_CONNECTIONS_IF_CROWDED):
+        is_crowded = len(connection.streams) > MAX_LIGHT_LOAD_STREAMS and not self._connections.is_full
+        if is_crowded and self._connector.may_connect(upstream, MAX_CONNECTIONS_IF_LOADED):
             self._connector.connect(upstream)
 
     def cancel_waiting(self, upstream: Upstream) -> list[Stream]:
--- a/thornjunction/runtime/config.py
+++ b/thornjunction/runtime/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from thornjunction import interface as api
-from thornjunction.net.upstream.context import DEFAULT_RESPONSE_REMAINDER_MS, PoolLimits
+from thornjunction.net.upstream.context import DEFAULT_PARTIAL_RESPONSE_TIMEOUT_MS, PoolLimits
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.commands import Commands, parse_commands
 from thornjunction.net.wire.resp import MAX_BULK
@@ -181,15 +181,15 @@
 
 
 def _pool_limits(allowed: SettingsReader, sockets: int, flow_bytes_per_s: float) -> PoolLimits:
-    response_remainder_ms = DEFAULT_RESPONSE_REMAINDER_MS
+    partial_response_timeout_ms = DEFAULT_PARTIAL_RESPONSE_TIMEOUT_MS
     if flow_bytes_per_s:
-        response_remainder_ms += 1000.0 * MAX_BULK / flow_bytes_per_s
+        partial_response_timeout_ms += 1000.0 * MAX_BULK / flow_bytes_per_s
     return PoolLimits(
         max_streams=max(int(allowed.number("maxStreams", DEFAULT_MAX_STREAMS)), 1),
         connect_timeout_ms=allowed.number("dialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
         idle_timeout_ms=allowed.number("connIdleMs", DEFAULT_IDLE_MS),
         max_connections=sockets // UPSTREAM_SOCKETS_DIVISOR,
-        response_remainder_ms=response_remainder_ms,
+        partial_response_timeout_ms=partial_response_timeout_ms,
     )
 
 
