--- a/thornjunction/net/__init__.py
+++ b/thornjunction/net/__init__.py
@@ -1,1 +1,1 @@
-"""Twisted endpoints: the fronts, the shelf pool, the command channel and the metrics."""
+"""Twisted endpoints: the fronts, the pool of server connections, the command channel and the metrics."""
--- a/thornjunction/net/admin/admin_endpoint.py
+++ b/thornjunction/net/admin/admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: an address for operators, where a connection carries one call and its reply."""
+"""The admin endpoint for operators, where each connection carries one call and its reply."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import LineReader, encode_reply
 
-# Connections at the same time.
+# Maximum number of simultaneous connections.
 MAX_CONNECTIONS = 16
 
-# Milliseconds for a whole call to arrive and its reply to be read.
+# Milliseconds within which a call must arrive completely and its reply be read.
 CALL_TIMEOUT_MS = 3_000.0
 
 Call = Callable[[], bytes]
@@ -29,9 +29,9 @@
 
 
 class AdminEndpoint:
-    """The calls by name, and the connections in the order in which they were accepted.
+    """Makes the calls that lines name, and bounds the connections, which are kept in order of acceptance.
 
-    ``calls_with_argument`` are calls of two words, the second of which is their argument.
+    ``calls`` and ``calls_with_argument`` map names to functions; the latter get the text after the name.
     """
 
     def __init__(
@@ -48,9 +48,9 @@
         self._calls_with_argument = calls_with_argument or {}
 
     def add(self, connection: AdminConnection) -> None:
-        """Add a connection; where there are too many, the oldest is evicted.
+        """Add a connection; if there are too many, the oldest is evicted.
 
-        Guards real calls against callers that connect and send nothing.
+        Guards against callers that connect and send nothing, which would block others.
         """
         if len(self.connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -58,11 +58,11 @@
         self.connections[connection] = None
 
     def remove(self, connection: AdminConnection) -> None:
-        """Remove a connection, if it is still here."""
+        """Remove a connection that has ended, unless it was removed before."""
         self.connections.pop(connection, None)
 
     def reply(self, line: str) -> bytes:
-        """Make the call that a line names and return the encoded reply."""
+        """Make the call that a line names; return the encoded reply, a rejection for an unknown call."""
         call = self._calls.get(line)
         if call is not None:
             return call()
@@ -74,7 +74,7 @@
 
 
 class AdminConnection(protocol.Protocol):
-    """The connection of one caller; ``code`` says why it ends, and is empty until that is known."""
+    """The connection of one caller; ``code`` is the reason why it ends, empty until that is known."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -91,7 +91,7 @@
         self._timeout = self._endpoint.deadlines.add(due_ms, self._on_timeout)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read the call, and reply once it has arrived in full (called by Twisted)."""
+        """Read the call, and reply once it has arrived completely (called by Twisted)."""
         if self.code:
             return
         try:
@@ -111,7 +111,7 @@
         log_disconnect(ConnectionKind.ADMIN, None, self.code or disconnect_reason(reason))
 
     def abort(self, code: str) -> None:
-        """Cut the connection off; a code that is known already stays."""
+        """Reset the connection; a ``code`` that is already set is kept."""
         self._endpoint.remove(self)
         self.code = self.code or code
         self.transport.abortConnection()
--- a/thornjunction/net/downstream/__init__.py
+++ b/thornjunction/net/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients: the fronts, their table and the scheduling of their requests."""
+"""Client connections: the fronts, the connection table and the scheduling of requests."""
--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -1,4 +1,4 @@
-"""A client connection as both fronts share it: its states, and when and how it ends."""
+"""The client connection that both fronts extend: its states, and when and how it ends."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 @implementer(IPushProducer)
 class DownstreamConnection(protocol.Protocol):
-    """One client connection; the subclass of a front reads its requests and writes their responses.
+    """One client connection; each front's subclass reads the requests and writes the responses.
 
     Attributes:
-        state: how far the connection is from its end.
-        slot: its number in the table; None where it has no slot.
+        state: the current state of the connection.
+        slot: its number in the table; None if it has no slot.
         end_reason: a ``DisconnectReason`` or the code of a protocol violation; empty until it has ended.
-        response_count: responses that were written.
+        response_count: number of responses written.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -54,40 +54,41 @@
         self.times = RequestTimes()
         self.lingering_close = LingeringClose()
         self.buffered = BufferedBytes(table.budget)
-        # Why it ends once no request is open; empty while it stays.
+        # Why the connection will end once no request is open; empty if no end is planned.
         self._planned_end_reason = ""
         self._ended_with_open_request = False
         self._time_check: Deadline | None = None
         self._stall_deadline: Deadline | None = None
 
-    # Methods of a front
+    # Methods that each front implements
 
     def has_open_request(self) -> bool:
-        """Whether a request of this connection is owed its response."""
+        """Whether a request on this connection has no response yet."""
         raise NotImplementedError
 
     def partial_request_bytes(self) -> int:
-        """Bytes of requests that have come in part."""
+        """Return the number of buffered bytes of partly received requests."""
         raise NotImplementedError
 
     def abandon_requests(self) -> None:
-        """Nobody waits for the responses any more: abandon all requests in the core at once."""
+        """Discard all requests and abandon those in the core: no response can be sent any more."""
         raise NotImplementedError
 
     def answer_open_requests(self) -> None:
-        """Answer what is open now: rejected where the core does not have it yet, else failed."""
+        """Answer all open requests now: those in the core as failed, the others as rejected."""
         raise NotImplementedError
 
     def drop_partial_request(self) -> None:
-        """Forget the request that has come in part."""
+        """Discard the bytes of partly received requests."""
         raise NotImplementedError
 
-    # Begin and end, as Twisted reports them
+    # Start and end of the connection (called by Twisted)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Take a slot of the table; without one, the first requests will be rejected."""
+        """Take a slot in the table; if none is free, the first requests are rejected."""
         self.times.start(self.clock())
-        self.transport.setTcpNoDelay(True)  # first: what the system holds back is lost with a reset
+        # This comes first: bytes that the system delays (Nagle's algorithm) are lost if a reset follows.
+        self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.slot = self.table.add(self)
         if self.slot is None:
@@ -97,7 +98,7 @@
         self._check_times()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Release everything and write the connection's log line."""
+        """Release the slot, timers and buffers, log the end and abandon the requests."""
         self.deadlines.cancel(self._time_check)
         self.deadlines.cancel(self._stall_deadline)
         self.lingering_close.cancel(self.deadlines)
@@ -118,10 +119,10 @@
     # Progress
 
     def note_progress(self, request_completed: bool = False) -> None:
-        """After bytes arrived or a response went out: end the connection, or update its limits.
+        """After bytes arrived or a response was written, make a planned end if it is due, or update limits.
 
         Args:
-            request_completed: whether a request has come completely.
+            request_completed: whether a request was received completely.
         """
         if self.state.has_ended:
             return
@@ -136,18 +137,18 @@
         self.buffered.reserve(self._free_buffers, partial_request_bytes)
 
     def _is_planned_end_due(self) -> bool:
-        """Whether all is answered; a connection over capacity gets the time for its first request."""
+        """Whether no request is open; unless half-closed, the connection must also have received one."""
         has_read_all = self.times.has_received_request or self.state is ConnectionState.HALF_CLOSED
         return has_read_all and not self.has_open_request()
 
     def plan_end(self, reason: str) -> None:
-        """End the connection once no request is open; the first reason counts."""
+        """End the connection once no request is open; the first reason given is kept."""
         self._planned_end_reason = self._planned_end_reason or reason
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.CLOSING
 
     def half_close(self, reason: str) -> None:
-        """Read no more requests; those that came before keep their responses, then the connection ends."""
+        """Stop reading requests; the connection ends once those already received are answered."""
         self._planned_end_reason = reason
         if not self.state.has_ended:
             self.state = ConnectionState.HALF_CLOSED
@@ -161,9 +162,9 @@
             self.buffered.unsent_bytes += len(data)
 
     def discard(self, data: bytes) -> None:
-        """Pass over bytes that are no request, or that arrive after the sending side was shut.
+        """Discard bytes that the connection's state does not allow to be read as requests.
 
-        Guards the core against a client that sends on without end.
+        Ends the connection of a client that sends more of them than ``MAX_DISCARDED_BYTES``.
         """
         if self.lingering_close.discard(data):
             return
@@ -175,32 +176,32 @@
         self.close_lingering(self._planned_end_reason)
 
     def handle_pending_input(self) -> None:
-        """Read and handle what has arrived, before it is decided whether the connection is idle.
+        """Read and handle the bytes that have arrived, before it is decided whether the connection is idle.
 
-        In a process that was held up, a request may have been unread for long.
+        If the event loop was blocked, a request may have been waiting unread for a long time.
         """
         data = self.receive_pending()
         if data:
             self.dataReceived(data)
 
     def receive_pending(self) -> bytes:
-        """Read what has arrived since Twisted last read; notices the end of the connection too."""
+        """Read the bytes that arrived since Twisted last read; also detects the end of the connection."""
         return receive_pending(self.transport, self._end)
 
-    # Ends
+    # Closing
 
     def abort(self, reason: str) -> None:
-        """Cut the connection off, which resets it: the client loses a response on its way.
+        """Reset the connection; the client loses responses that it has not received yet.
 
-        Only for a client that costs too much, and one that had the time for an orderly end.
+        Used only for a client that exceeds a resource limit or did not complete an orderly close in time.
         """
         self._end(reason)
         self.transport.abortConnection()
 
     def close_lingering(self, reason: str, timeout_ms: float = LINGER_TIMEOUT_MS) -> None:
-        """Shut the sending side once all responses are sent, and wait until the client closes its side.
+        """Shut down the sending side once all responses are sent, and wait until the client closes its side.
 
-        A request that crosses the close is read and discarded: unread, it would reset the connection.
+        A request that the client sent before it saw the close is discarded; unread, it would cause a reset.
         """
         if self.lingering_close.has_begun:
             return
@@ -213,9 +214,9 @@
         self.table.move_to_lingering(self)
 
     def close_if_idle(self) -> None:
-        """End the connection if nothing is in progress on it.
+        """Close the connection if no request is open or partly received.
 
-        A new connection, whose first request may be on its way, keeps the time of its limits.
+        A connection that has not received its first request stays open until its usual timeout.
         """
         if not self._is_idle():
             return
@@ -229,7 +230,7 @@
         return not (self.has_open_request() or self.partial_request_bytes())
 
     def _end(self, reason: str, state: ConnectionState = ConnectionState.CLOSED) -> None:
-        """Nothing is answered from now on; the first reason counts."""
+        """Enter a state in which no request is answered any more; the first reason given is kept."""
         if self.state is not ConnectionState.CLOSED:
             self.state = state
         self.end_reason = self.end_reason or reason
@@ -238,10 +239,10 @@
         self.abandon_requests()
 
     def _free_buffers(self, reason: str) -> None:
-        """Free what is buffered: this connection buffers most of all.
+        """Free the buffered bytes (called by the budget for the connection that buffers the most).
 
-        Responses that the client does not read can only be cut off.  Where it reads, the requests that came
-        completely are answered.
+        If the client does not read its responses, the connection is reset.  Otherwise the completely received
+        requests are answered before the connection is closed.
         """
         if self.buffered.is_write_paused:
             self.abort(reason)
@@ -265,22 +266,22 @@
     def _overdue_reason(self) -> DisconnectReason | None:
         return None if self.has_open_request() else self.times.overdue_reason(self.clock())
 
-    # Backpressure, as Twisted reports it
+    # Backpressure (called by Twisted)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """The client does not read: it may hold the memory of its responses for a bounded time."""
-        if self.buffered.is_write_paused:  # Twisted reports it with each write
+        """Start the stall timeout, as a client that does not read keeps its responses in memory."""
+        if self.buffered.is_write_paused:  # Twisted calls this method again on each write
             return
         self.buffered.is_write_paused = True
         stalled_at_ms = self.clock() + STALL_TIMEOUT_MS
         self._stall_deadline = self.deadlines.add(stalled_at_ms, lambda: self.abort(DisconnectReason.STALLED))
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """The client has read all its responses."""
+        """Stop the stall timeout: all responses were sent."""
         self.buffered.resume_writing()
         self.deadlines.cancel(self._stall_deadline)
         self.buffered.reserve(self._free_buffers, 0 if self.state.has_ended else self.partial_request_bytes())
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The connection is gone."""
+        """Stop the stall timeout: the connection has ended."""
         self.deadlines.cancel(self._stall_deadline)
--- a/thornjunction/net/downstream/connection_state.py
+++ b/thornjunction/net/downstream/connection_state.py
@@ -6,14 +6,14 @@
 
 
 class ConnectionState(Enum):
-    """How far a client connection is from its end; it never returns to an earlier state.
+    """The state of a client connection, which never returns to an earlier one.
 
-    A request that has come in part is no state of its own: FastCGI multiplexes, so the connection may have
-    other requests open meanwhile.  ``RequestTimes`` bounds the time that it takes.
+    A partly received request is not a state of its own: FastCGI multiplexes requests, so others may be open
+    at the same time.  ``RequestTimes`` bounds the time until the request is complete.
 
     Attributes:
-        reads_requests: whether bytes that arrive are read as requests; else they are discarded.
-        has_ended: whether responses are no longer owed, and none is written.
+        reads_requests: whether received bytes are read as requests; otherwise they are discarded.
+        has_ended: whether no more responses are written.
     """
 
     OPEN = "open"
@@ -23,13 +23,13 @@
     CLOSING = "closing"
     """Requests are read and answered until none is open; then the connection ends."""
     HALF_CLOSED = "half-closed"
-    """Bytes that arrive are discarded; requests that came before are answered, then the connection ends."""
+    """Received bytes are discarded; earlier requests are answered, then the connection ends."""
     LINGERING = "lingering"
-    """The sending side is shut; bytes that arrive are discarded until the client closes its side."""
+    """The sending side is shut down; received bytes are discarded until the client closes its side."""
     CLOSED = "closed"
-    """The connection was cut off, or the client has closed it."""
+    """The connection was reset, or the client has closed it."""
 
     def __init__(self, label: str) -> None:
-        # Attributes of the member: on each request, looking up a member by its class would cost more.
+        # Stored as attributes because each request reads them; looking up members by the class costs more.
         self.reads_requests = label in ("open", "over-capacity", "closing")
         self.has_ended = label in ("lingering", "closed")
--- a/thornjunction/net/downstream/connection_table.py
+++ b/thornjunction/net/downstream/connection_table.py
@@ -12,44 +12,44 @@
 from thornjunction.net.downstream.request_scheduler import RequestScheduler
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
-# A part of the capacity, for connections that linger beside a full table: a third of all descriptors are for
-# clients, a third for servers, and this many more still leave a quarter for everything else.
+# The table's capacity over this is the number of connections that may linger beside a full table.  A third of
+# all descriptors are for clients, a third for servers, and this share still leaves a quarter for other uses.
 LINGERING_CAPACITY_DIVISOR = 8
 
-# Idle connections whose socket is read in search of one to evict.
+# Idle connections whose sockets are read to find one without an unread request, which can be evicted.
 MAX_EVICTION_CANDIDATES = 8
 
 
 class TableConnection(Protocol):
-    """A client connection as the table and its users see it."""
+    """The interface of a client connection that the table and its users need."""
 
     @property
     def slot(self) -> int | None:
-        """Its number in the table; None where it has no slot."""
+        """Its number in the table; None if it has no slot."""
 
     def has_open_request(self) -> bool:
-        """Whether a request of this connection is owed its response."""
+        """Whether a request on this connection has no response yet."""
 
     def handle_pending_input(self) -> None:
-        """Read and handle what has arrived since the event loop last read."""
+        """Read and handle the bytes that arrived since the event loop last read."""
 
     def close_if_idle(self) -> None:
-        """End the connection if nothing is in progress on it."""
+        """Close the connection if no request is open or partly received."""
 
     def close_lingering(self, reason: str, timeout_ms: float = ...) -> None:
-        """Shut the sending side, and wait until the client closes its side."""
+        """Shut down the sending side, and wait until the client closes its side."""
 
     def abort(self, reason: str) -> None:
-        """Cut the connection off."""
+        """Reset the connection."""
 
 
 class DownstreamTable:
-    """The connections of all fronts in numbered slots; a full table evicts the one that is idle longest.
+    """The connections of all fronts in numbered slots; a full table evicts the longest-idle connection.
 
     Attributes:
-        budget: bounds the bytes that all connections buffer.
-        lingering: connections without a slot that wait for their clients to close, the longest wait first.
-        scheduler: shares the core's time between the connections.
+        budget: bounds the bytes that all connections together buffer.
+        lingering: connections without a slot that wait for their clients to close, longest wait first.
+        scheduler: divides the core's time among the connections.
     """
 
     def __init__(self, capacity: int, budget: ByteBudget) -> None:
@@ -57,7 +57,7 @@
         self.lingering: dict[TableConnection, None] = {}
         self.scheduler = RequestScheduler()
         self._slots: SlotTable[TableConnection] = SlotTable(capacity)
-        # Without an open request, the one that is idle longest first.
+        # Connections without an open request, longest idle first.
         self._idle: dict[TableConnection, None] = {}
 
     def __len__(self) -> int:
@@ -68,11 +68,11 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections with a slot, and lingering ones."""
+        """The number of connections, with a slot or lingering."""
         return len(self._slots) + len(self.lingering)
 
     def add(self, connection: TableConnection) -> int | None:
-        """Put a connection into a slot and return its number; None where all have an open request."""
+        """Put a connection into a slot and return the slot's number; None if no slot can be freed."""
         if self._slots.full:
             self._evict_idle()
         if self._slots.full:
@@ -83,11 +83,10 @@
         return number
 
     def _evict_idle(self) -> None:
-        """End the connection that is idle longest.
+        """Close the longest-idle connection.
 
-        Guards against clients that send one request and keep their connection open: new clients found no
-        slot.  A request that arrived but is not read yet, as after a long turn of the event loop, makes its
-        connection busy.
+        Guards against clients that send one request and keep their connections open, which left no slots for
+        new clients.  A connection with an unread request, as after a long event-loop iteration, is not idle.
         """
         for connection in list(islice(self._idle, MAX_EVICTION_CANDIDATES)):
             connection.handle_pending_input()
@@ -96,13 +95,16 @@
                 return
 
     def move_to_lingering(self, connection: TableConnection) -> None:
-        """Free the slot of a connection that only waits for its client to close."""
+        """Free the slot of a connection that only waits for its client to close its side."""
         self.remove(connection)
         self.lingering[connection] = None
         self._bound_lingering()
 
     def _bound_lingering(self) -> None:
-        """Guards the descriptors against clients that never close: the longest lingering one is cut off."""
+        """Reset the longest-lingering connections over the bound.
+
+        Guards against clients that never close and would use up the descriptors.
+        """
         capacity = self._slots.capacity
         max_connections = capacity + max(capacity // LINGERING_CAPACITY_DIVISOR, 1)
         while self.lingering and self.connection_count > max_connections:
@@ -111,13 +113,13 @@
             longest.abort(DisconnectReason.LINGER_EVICTED)
 
     def update_idle(self, connection: TableConnection, has_open_request: bool) -> None:
-        """After progress on a connection: it becomes the last candidate for eviction, or none."""
+        """After progress on a connection, make it the last candidate for eviction, or none if it is busy."""
         self._idle.pop(connection, None)
         if not has_open_request and connection.slot is not None:
             self._idle[connection] = None
 
     def remove(self, connection: TableConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection, and free its slot if it has one."""
         self._idle.pop(connection, None)
         self.lingering.pop(connection, None)
         if connection.slot is not None:
--- a/thornjunction/net/downstream/fastcgi_front.py
+++ b/thornjunction/net/downstream/fastcgi_front.py
@@ -1,4 +1,4 @@
-"""The platform's front: FastCGI connections, on which requests are multiplexed."""
+"""The platform's front: FastCGI connections with multiplexed requests."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from thornjunction.net.event_loop.disconnect_reasons import ConnectionKind, DisconnectReason
 from thornjunction.net.wire import ProtocolError, cgi, fastcgi
 
-# Malformed requests in a row, after which their connection is closed.
+# Consecutive malformed requests after which a connection is closed.
 MAX_MALFORMED_REQUESTS = 16
 
-# Messages that a complete request makes.
+# Messages that the reader returns for a complete request.
 COMPLETE_REQUESTS = (fastcgi.Request, fastcgi.RequestDeclined)
 
 
 @dataclass(frozen=True, slots=True)
 class FastCgiRequestContext:
-    """What all connections of this front share.
+    """The surroundings that all connections of this front share.
 
     Attributes:
         core: takes the requests.
-        is_ready: the answer to the platform's health check.
-        refusal: the response for requests while new work is refused; empty while it is admitted.
-        count_refused: counts a request, by its class, that was answered without the core.
-        read_delay_ms: how long requests may have waited on their sockets for the event loop.
+        is_ready: returns the answer to the platform's health check.
+        refusal: returns the response for requests while new work is refused; empty while it is admitted.
+        count_refused: counts, by its class, a request that was answered without the core.
+        read_delay_ms: returns how long requests may have waited on their sockets for the event loop.
     """
 
     core: RequestCore
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """A request that waits for its turn at the core."""
+    """A request that waits to be given to the core."""
 
     request: fastcgi.Request
     queued_at_ms: float
@@ -54,7 +54,7 @@
 
     Attributes:
         keep_alive: whether the connection stays open after the response.
-        core_number: its number in the core; None while the core takes it.
+        core_number: its number in the core; None until the core's ``open`` has returned.
     """
 
     keep_alive: bool
@@ -78,8 +78,8 @@
         self._reader = fastcgi.RequestReader()
         self._queued: deque[QueuedRequest] = deque()
         self._admitted: dict[int, AdmittedRequest] = {}
-        self._malformed_in_a_row = 0
-        # While requests that arrived together are read: the connection ends behind all of them.
+        self._consecutive_malformed = 0
+        # True while requests that arrived together are read; only after all of them may the connection end.
         self._is_reading = False
 
     def has_open_request(self) -> bool:
@@ -87,11 +87,11 @@
         return bool(self._admitted or self._queued)
 
     def partial_request_bytes(self) -> int:
-        """Bytes of requests that have come in part."""
+        """Return the number of buffered bytes of partly received requests."""
         return self._reader.buffered_bytes
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read requests, and dispatch them when it is the connection's turn."""
+        """Read requests, and have the scheduler dispatch them (called by Twisted)."""
         if not self.state.reads_requests:
             self.discard(data)
             return
@@ -100,24 +100,24 @@
             self.table.scheduler.submit(self)
 
     def queue_pending_input(self) -> None:
-        """Read what has arrived since, and queue its requests."""
+        """Read the bytes that arrived since the event loop last read, and queue their requests."""
         data = self.receive_pending()
         if data and self.state.reads_requests:
             self._read(data)
 
     def dispatch_next(self) -> bool:
-        """Give the next queued request to the core; False where none is left."""
+        """Give the next queued request to the core; return whether more are queued."""
         if self._queued:
             queued = self._queued.popleft()
             self._dispatch(queued.request, self.clock() - queued.queued_at_ms)
         return bool(self._queued)
 
     def drop_partial_request(self) -> None:
-        """Forget the requests that have come in part."""
+        """Discard the bytes of partly received requests."""
         self._reader = fastcgi.RequestReader()
 
     def answer_open_requests(self) -> None:
-        """Reject what is queued, and answer what is in the core as failed."""
+        """Reject the queued requests, and answer those in the core as failed."""
         failed = cgi.encode_response(Failed(timed_out=False))
         while self._queued:
             self._reject_overloaded(self._queued.popleft().request)
@@ -128,7 +128,7 @@
             self._write_end(fastcgi.encode_answer(request_id, failed), admitted.keep_alive)
 
     def abandon_requests(self) -> None:
-        """Forget what is queued or has come in part, and abandon what is in the core."""
+        """Discard queued and partly received requests, and abandon those in the core."""
         self.table.scheduler.remove(self)
         self._queued.clear()
         self.drop_partial_request()
@@ -172,11 +172,11 @@
                 self.transport.write(reply)
 
     def _is_full(self) -> bool:
-        """Whether a further request is rejected: over capacity, or as many as may be are open."""
+        """Whether a further request is rejected: over capacity, or the maximum number of requests is open."""
         return self.slot is None or len(self._admitted) + len(self._queued) >= fastcgi.MAX_OPEN_REQUESTS
 
     def _abort_request(self, request_id: int) -> None:
-        """The web server no longer waits for a response."""
+        """Remove a request that the web server has aborted."""
         self._queued = deque(queued for queued in self._queued if queued.request.request_id != request_id)
         admitted = self._admitted.pop(request_id, None)
         if admitted is not None and admitted.core_number is not None:
@@ -184,7 +184,7 @@
 
     def _dispatch(self, request: fastcgi.Request, waited_ms: float) -> None:
         """Answer a request here, or give it to the core."""
-        if request.request_id in self._admitted:  # and it can't be answered beside the first
+        if request.request_id in self._admitted:  # two responses with one id can't be told apart
             self.half_close(DisconnectReason.DUPLICATE_REQUEST_ID)
             self.note_progress()
             return
@@ -206,7 +206,7 @@
         except ProtocolError:
             self._reject_malformed(request)
             return
-        self._malformed_in_a_row = 0
+        self._consecutive_malformed = 0
         request_id = request.request_id
         admitted = AdmittedRequest(request.keep_alive)
         self._admitted[request_id] = admitted
@@ -218,29 +218,29 @@
             return
         if self._admitted.get(request_id) is admitted:
             admitted.core_number = number
-        else:  # answered, or its connection ended while the core decided
+        else:  # answered, or the connection ended, before ``open`` returned
             self.context.core.abandon(number)
 
     def _reply(self, request_id: int, admitted: AdmittedRequest, answer: Answer) -> None:
-        """Write the core's answer, unless nobody waits for it any more."""
+        """Write the core's answer, unless the request was aborted or abandoned."""
         if self._admitted.get(request_id) is admitted:
             del self._admitted[request_id]
             response = fastcgi.encode_answer(request_id, cgi.encode_response(answer))
             self._write_end(response, admitted.keep_alive)
 
     def _reject_overloaded(self, request: fastcgi.Request) -> None:
-        """There is no room for a request, here or in the core."""
+        """Reject a request for which there is no capacity, here or in the core."""
         self._count_refused(request, Rejected(0.0))
         end = fastcgi.encode_end(request.request_id, fastcgi.ProtocolStatus.OVERLOADED)
         self._write_end(end, request.keep_alive)
 
     def _reject_malformed(self, request: fastcgi.Request) -> None:
-        """Guards the core's time against a client that repeats a bad request as soon as it is rejected."""
+        """Reject a malformed request; close the connection of a client that keeps repeating such requests."""
         self._count_refused(request, Failed(timed_out=False))
-        self._malformed_in_a_row += 1
+        self._consecutive_malformed += 1
         self._respond(request, cgi.BAD_REQUEST)
         may_end = not (self.has_open_request() or self.state.has_ended)
-        if may_end and self._malformed_in_a_row >= MAX_MALFORMED_REQUESTS:
+        if may_end and self._consecutive_malformed >= MAX_MALFORMED_REQUESTS:
             self.close_lingering(DisconnectReason.MALFORMED_REQUESTS)
 
     def _count_refused(self, request: fastcgi.Request, answer: Answer) -> None:
@@ -253,7 +253,7 @@
         self._write_end(fastcgi.encode_answer(request.request_id, response), request.keep_alive)
 
     def _write_end(self, data: bytes, keep_alive: bool) -> None:
-        """Write the last bytes for a request."""
+        """Write the final bytes for a request."""
         self.write(data)
         if not keep_alive:
             self.plan_end(DisconnectReason.NO_KEEP_CONN)
--- a/thornjunction/net/downstream/lingering_close.py
+++ b/thornjunction/net/downstream/lingering_close.py
@@ -1,6 +1,6 @@
-"""Lingering close: the sending side is shut first, and what the client still sends is read and discarded.
+"""Lingering close: the sending side is shut down first, and bytes that the client still sends are discarded.
 
-A socket that is closed over unread bytes resets its connection, and the client loses a response on its way.
+Closing a socket with unread bytes resets the connection, and the client loses a response not yet received.
 """
 
 from __future__ import annotations
@@ -9,18 +9,19 @@
 
 from thornjunction.memory.deadlines import Deadline, Deadlines
 
-# For the client to read the last responses and to close its side.
+# How long the client may take to read the last responses and to close its side.
 LINGER_TIMEOUT_MS = 10_000.0
 
-# The same where no response is on its way: only a request may cross the close, which takes 50 ms at most.
+# The same limit if the client has all responses.  It covers a request sent before the client saw the close,
+# which arrives within 50 ms at most.
 SHORT_LINGER_TIMEOUT_MS = 1_000.0
 
-# Bytes that are discarded before the connection is cut off: two of the largest requests.
+# Bytes that are discarded before the connection is reset: the size of two of the largest requests.
 MAX_DISCARDED_BYTES = 131_072
 
 
 class LingeringClose:
-    """The bounds of one connection's lingering close: its time, and the bytes that are discarded."""
+    """Bounds the duration of one connection's lingering close and the bytes discarded during it."""
 
     __slots__ = ("_deadline", "discarded_bytes")
 
@@ -30,18 +31,18 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the sending side was shut."""
+        """Whether the sending side was shut down."""
         return self._deadline is not None
 
     def begin(self, deadlines: Deadlines, due_ms: float, cut_off: Callable[[], None]) -> None:
-        """Wait for the client until this time, then cut the connection off."""
+        """Wait for the client until ``due_ms``, then call ``cut_off`` to reset the connection."""
         self._deadline = deadlines.add(due_ms, cut_off)
 
     def discard(self, data: bytes) -> bool:
-        """Count bytes that are not read as requests; returns whether they are within the bound."""
+        """Count discarded bytes; return whether their total is within ``MAX_DISCARDED_BYTES``."""
         self.discarded_bytes += len(data)
         return self.discarded_bytes <= MAX_DISCARDED_BYTES
 
     def cancel(self, deadlines: Deadlines) -> None:
-        """The connection is gone: wait no longer."""
+        """Cancel the time limit, after the connection has ended."""
         deadlines.cancel(self._deadline)
--- a/thornjunction/net/downstream/pending_input.py
+++ b/thornjunction/net/downstream/pending_input.py
@@ -1,4 +1,4 @@
-"""Reading what has arrived on a socket since the event loop last read it."""
+"""Reads the bytes that have arrived on a socket since the event loop last read it."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 from thornjunction.net.event_loop.ports import Transport
 
-# Bytes of one read, as in Twisted.
+# Maximum bytes of one read, as in Twisted.
 READ_BYTES = 65_536
 
 
 def receive_pending(transport: Transport, on_peer_gone: Callable[[DisconnectReason], None]) -> bytes:
     """Read the bytes that have arrived since the event loop last read.
 
-    ``on_peer_gone`` is called where the client has closed or reset the connection.  Guards against work for
-    a client that has gone: the end of its connection shows only behind all that it sent.
+    ``on_peer_gone`` is called if the client has closed or reset the connection.  The end of a connection is
+    reported only after all its bytes were read; detecting it here avoids work for a client that has left.
     """
     handle = transport.getHandle()
-    if not isinstance(handle, socket.socket):  # TLS, which buffers bytes of its own
+    if not isinstance(handle, socket.socket):  # a TLS connection, which has its own buffer
         if _tls_peer_has_closed(transport):
             on_peer_gone(DisconnectReason.CLOSED_BY_PEER)
         return b""
@@ -29,7 +29,7 @@
     try:
         while len(received) < MAX_DISCARDED_BYTES:
             data = handle.recv(READ_BYTES)
-            if not data:  # Twisted reads the same, and ends the connection
+            if not data:  # Twisted's next read returns nothing either, and it then ends the connection
                 on_peer_gone(DisconnectReason.CLOSED_BY_PEER)
                 break
             received += data
@@ -41,7 +41,7 @@
 
 
 def _tls_peer_has_closed(transport: object) -> bool:
-    """Whether the client of a TLS connection has shut its socket, even with bytes of it still unread."""
+    """Whether the client of a TLS connection has shut down its sending side, even if bytes are unread."""
     tcp_transport = getattr(transport, "transport", None)
     if tcp_transport is None:
         return False
--- a/thornjunction/net/downstream/ports.py
+++ b/thornjunction/net/downstream/ports.py
@@ -1,4 +1,4 @@
-"""What the fronts ask of the core."""
+"""The interface of the core that the fronts use."""
 
 from __future__ import annotations
 
@@ -18,4 +18,4 @@
         """
 
     def abandon(self, number: int) -> None:
-        """The client no longer waits for the answer of a request."""
+        """End a request whose client no longer waits for the answer."""
--- a/thornjunction/net/downstream/request_scheduler.py
+++ b/thornjunction/net/downstream/request_scheduler.py
@@ -1,4 +1,4 @@
-"""Shares the core's time between client connections, so that the event loop notices in time who has left."""
+"""Divides the core's time among client connections, so that the event loop detects disconnects in time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from thornjunction.memory.deadlines import Deadline, Deadlines
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
-# Of decisions between two polls of the sockets: no request may begin 100 ms after its client has left.
+# Time for decisions between two polls of the sockets.  No request may begin 100 ms after its client has left.
 TIME_SLICE_MS = 20.0
 
 log = get_logger(__name__)
@@ -23,34 +23,34 @@
     clock: Callable[[], float]
 
     def queue_pending_input(self) -> None:
-        """Read what has arrived since, and queue its requests."""
+        """Read the bytes that arrived since the event loop last read, and queue their requests."""
 
     def dispatch_next(self) -> bool:
-        """Give the next queued request to the core; False where none is left."""
+        """Give the next queued request to the core; return whether more are queued."""
 
     def abort(self, reason: str) -> None:
-        """Cut the connection off."""
+        """Reset the connection."""
 
 
 class RequestScheduler:
-    """Connections with queued requests take turns at the core.
+    """Dispatches the queued requests of all connections in time slices.
 
-    Guards against bursts that keep the process from polling its sockets: a client that had left meanwhile was
-    still served.
+    Guards against bursts of requests that keep the process from polling its sockets, so that requests are
+    served whose clients have left in the meantime.
     """
 
     def __init__(self) -> None:
-        # Since when each connection waits, in ms of the core's clock.
+        # The time at which each connection began to wait, in ms of the core's clock.
         self._waiting_since: dict[SchedulableConnection, float] = {}
         self._slice_used_ms = 0.0
         self._next_slice: Deadline | None = None
 
     def longest_wait_ms(self, now_ms: float) -> float:
-        """How long the connection that waits longest has waited."""
+        """Return the longest time for which a connection has been waiting, in ms; 0 if none waits."""
         return now_ms - min(self._waiting_since.values(), default=now_ms)
 
     def submit(self, connection: SchedulableConnection) -> None:
-        """Dispatch a connection's requests now, if no other one waits and time is left; else in order."""
+        """Dispatch a connection's requests if none waits, until the time slice is used up; else queue it."""
         if connection in self._waiting_since:
             return
         if self._waiting_since:
@@ -59,7 +59,7 @@
             self._dispatch(connection, connection.clock())
 
     def remove(self, connection: SchedulableConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._waiting_since.pop(connection, None)
 
     def _dispatch(self, connection: SchedulableConnection, since_ms: float) -> None:
@@ -87,10 +87,10 @@
             if self._slice_used_ms >= TIME_SLICE_MS:
                 self._schedule_slice(connection)
                 return
-            if self._waiting_since.pop(connection, None) is None:  # it has ended meanwhile
+            if self._waiting_since.pop(connection, None) is None:  # it ended during this slice
                 continue
             try:
                 self._dispatch(connection, since_ms)
-            except Exception:  # ends its connection, as in Twisted, and not all that share this slice
+            except Exception:  # ends this connection, as Twisted would, and not the others in this slice
                 log.exception(LogEvent.QUEUED_REQUEST_FAILED)
                 connection.abort(DisconnectReason.HANDLER_FAILED)
--- a/thornjunction/net/downstream/request_times.py
+++ b/thornjunction/net/downstream/request_times.py
@@ -4,21 +4,22 @@
 
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
-# Between two checks of a connection's time limits.
+# Interval between two checks of a connection's time limits.
 CHECK_INTERVAL_MS = 500.0
 
-# For the first complete request, and for the rest of one that has begun: the platform asks for 3 s at most.
+# Time limit for the first complete request, and for the rest of a partly received one.  The platform requires
+# 3 s at most.
 REQUEST_TIMEOUT_MS = 2_000.0
 
-# From the last progress to the end of a connection that has served requests.
+# Time from the last progress until a connection that has received requests is closed.
 IDLE_TIMEOUT_MS = 30_000.0
 
 
 class RequestTimes:
-    """When a connection last made progress, and since when a request has come in part.
+    """When a connection last made progress, and when its partly received request began.
 
     Attributes:
-        has_received_request: whether a complete request ever came.
+        has_received_request: whether a complete request was ever received.
     """
 
     __slots__ = ("_partial_request_since_ms", "_progress_at_ms", "has_received_request")
@@ -29,16 +30,16 @@
         self._partial_request_since_ms: float | None = None
 
     def start(self, now_ms: float) -> None:
-        """The connection was accepted."""
+        """Start the time limits of a connection that was accepted now."""
         self._progress_at_ms = now_ms
 
     def update(self, now_ms: float, has_partial_request: bool, request_completed: bool) -> None:
-        """Bytes arrived or a response went out.
+        """Update the times, after bytes arrived or a response was written.
 
         Args:
-            now_ms: the time.
-            has_partial_request: whether a request has come in part.
-            request_completed: whether a request came completely, so that the part is of another one.
+            now_ms: the time of the core's clock.
+            has_partial_request: whether a request is partly received.
+            request_completed: whether a request was completed, so that the partial one is a new request.
         """
         if self.has_received_request:
             self._progress_at_ms = now_ms
@@ -48,7 +49,7 @@
             self._partial_request_since_ms = now_ms
 
     def overdue_reason(self, now_ms: float) -> DisconnectReason | None:
-        """Why a connection without an open request has to end now; None where it may stay."""
+        """Return why a connection without an open request must end now; None if it may stay open."""
         partial_since_ms = self._partial_request_since_ms
         if partial_since_ms is not None and now_ms - partial_since_ms >= REQUEST_TIMEOUT_MS:
             return DisconnectReason.PARTIAL_REQUEST
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -1,7 +1,7 @@
-"""The second front: HTTP/1.1 with signed URLs.
+"""The signed front: HTTP/1.1 with signed URLs.
 
-A token is verified when its request has come completely.  What it admitted runs to its end; the next request
-on the connection needs a token that is valid by then.
+A token is verified when its request is completely received.  An admitted request is served to its end even if
+the token expires; the next request on the connection needs a token that is valid at that time.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 from thornjunction.signing.address import Forwarding, client_address
 from thornjunction.signing.replay import ReplayWindow
 
-# Body of one request.
+# Maximum size of one request's body.
 MAX_BODY_BYTES = 65_536
 
-# Requests that wait behind the one that is being answered.
+# Requests that may wait behind the one that is being answered.
 MAX_QUEUED_REQUESTS = 8
 
-# Random bytes of the number that this front gives a request, as its client gives none.
+# Random bytes of the transaction id that this front gives a request, because clients send none.
 TRANSACTION_ID_BYTES = 8
 
-# Status of the response to a protocol violation that has none of its own.
+# Status of the response to a protocol violation that has no specific status.
 BAD_REQUEST = 400
 
 log = get_logger(__name__)
@@ -43,17 +43,17 @@
 
 @dataclass(slots=True)
 class SignedRequestContext:
-    """What all connections of this front share.
+    """The surroundings that all connections of this front share.
 
     Attributes:
         core: takes the requests.
         classes: the request classes by name.
-        base: scheme and authority that the signed URIs begin with.
-        trust: the keys that are accepted; replaced as a whole when the key set changes.
+        base: scheme and authority with which the signed URIs begin.
+        trust: the accepted keys; replaced as a whole when the key set changes.
         replays: the tokens with a ``jti`` that were used.
-        unix_s: the Unix time.
-        forwarding: whose headers name the client's address.
-        gossip: sends each used ``jti`` to the peers; None: to nobody.
+        unix_s: returns the Unix time in seconds.
+        forwarding: which peers may report the client's address, and in which header.
+        gossip: sends each used ``jti`` to the peers; None if there are no peers.
     """
 
     core: RequestCore
@@ -84,7 +84,7 @@
 
 
 class SignedConnection(DownstreamConnection):
-    """One HTTP connection: one request at a time, the next ones wait in order."""
+    """One HTTP connection, whose pipelined requests are answered one at a time, in order."""
 
     kind = ConnectionKind.CLIENT_SIGNED
 
@@ -102,25 +102,25 @@
         # The request that is being answered, and its number in the core.
         self._current: http1.HttpRequest | None = None
         self._core_number: int | None = None
-        # Follows the responses to all earlier requests, and ends the connection.
+        # The response that follows those to all earlier requests and ends the connection.
         self._final_response: http1.HttpResponse | None = None
 
     @property
     def peer_host(self) -> str:
-        """The address of the connection's other side; empty before it is connected."""
+        """The host of the connection's peer; empty if the transport has no peer."""
         get_peer = getattr(self.transport, "getPeer", None)
         return "" if get_peer is None else str(getattr(get_peer(), "host", ""))
 
     def has_open_request(self) -> bool:
-        """Whether a response is owed, the final one too."""
+        """Whether a request has no response yet, or the final response is still to be written."""
         return self._current is not None or bool(self._queued) or self._final_response is not None
 
     def partial_request_bytes(self) -> int:
-        """Bytes of the request that has come in part."""
+        """Return the number of buffered bytes of the partly received request."""
         return self._reader.buffered_bytes
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read requests and dispatch the first one, where none is being answered."""
+        """Read requests, and dispatch the first one if none is being answered (called by Twisted)."""
         if not self.state.reads_requests:
             self.discard(data)
             return
@@ -133,11 +133,11 @@
         self.note_progress(has_completed_request)
 
     def drop_partial_request(self) -> None:
-        """Forget the request that has come in part."""
+        """Discard the bytes of the partly received request."""
         self._reader = http1.RequestReader(MAX_BODY_BYTES)
 
     def answer_open_requests(self) -> None:
-        """Answer what is in the core as failed, and reject what is queued."""
+        """Answer the request in the core as failed, and reject the queued ones."""
         request = self._current
         self._current = None
         if request is not None:
@@ -149,7 +149,7 @@
             self._respond(signed.encode_unavailable(0.0, keep_alive=bool(self._queued)))
 
     def abandon_requests(self) -> None:
-        """Forget what is queued or has come in part, and abandon what is in the core."""
+        """Discard queued and partly received requests, and abandon the one in the core."""
         self._queued.clear()
         self.drop_partial_request()
         self._current = None
@@ -163,7 +163,7 @@
             self.context.core.abandon(number)
 
     def _read(self, data: bytes) -> None:
-        """Queue the requests; the first violation ends the connection behind the responses to all of them."""
+        """Queue the requests; after a protocol violation, end the connection once all are answered."""
         if not self.state.reads_requests:
             return
         try:
@@ -182,12 +182,12 @@
             self._end_after_responses(unavailable, DisconnectReason.PIPELINE_TOO_LONG)
 
     def _end_after_responses(self, final_response: http1.HttpResponse, reason: str) -> None:
-        """Read no more, and end with this response behind those to all earlier requests."""
+        """Stop reading, and end the connection with this response after those to all earlier requests."""
         self._final_response = final_response
         self.half_close(reason)
 
     def _dispatch_queued(self) -> None:
-        """Dispatch the next requests up to one that the core does not answer at once."""
+        """Dispatch queued requests until the core does not answer one at once; then the final response."""
         while self._queued and self._current is None and not self.state.has_ended:
             self._dispatch(self._queued.popleft())
         final_response = self._final_response
@@ -213,8 +213,8 @@
         """Verify a request's token and decode the request.
 
         Raises:
-            RequestError: the request can't be used.
-            TokenError: its token does not admit it.
+            RequestError: the request is malformed or not supported.
+            TokenError: its token does not admit the request.
         """
         context = self.context
         target, token = signed.split_token(request)
@@ -244,14 +244,14 @@
             self._current = None
             self._respond(signed.encode_unavailable(0.0, verified.request.keep_alive))
             return
-        if self.state.has_ended:  # while the core decided
+        if self.state.has_ended:  # before ``open`` returned
             core.abandon(number)
-        elif self.response_count == responses_before:  # else answered at once: the next may be in the core
+        elif self.response_count == responses_before:  # else answered, and the next may be in the core
             self._core_number = number
 
     def _reply(self, verified: VerifiedRequest, answer: Answer) -> None:
-        """Write the core's answer, and go on with the next request."""
-        if self.state.has_ended:  # while the core decided
+        """Write the core's answer, and dispatch the next requests."""
+        if self.state.has_ended:  # before the core answered
             return
         self._current = None
         self._core_number = None
@@ -259,7 +259,7 @@
         self._dispatch_queued()
 
     def _renewal_headers(self, verified: VerifiedRequest) -> dict[str, str]:
-        """The cookie with a new token, where the grant asks for one."""
+        """Return the header that sets a cookie with a new token, if the grant asks for renewal."""
         grant = verified.grant
         if not grant.renewal_s:
             return {}
@@ -268,7 +268,7 @@
         return {"Set-Cookie": cookie}
 
     def _respond(self, response: http1.HttpResponse) -> None:
-        """Write a response, and end the connection where it is the last one."""
+        """Write a response, and close the connection if it is the last one."""
         self.write(http1.encode_response(response))
         if response.keep_alive:
             self.note_progress()
--- a/thornjunction/net/event_loop/__init__.py
+++ b/thornjunction/net/event_loop/__init__.py
@@ -1,1 +1,1 @@
-"""The reactor, its clocks and timers, and what the endpoints share of Twisted."""
+"""The reactor, its clocks and timers, and the Twisted helpers that the endpoints share."""
--- a/thornjunction/net/event_loop/client_priority.py
+++ b/thornjunction/net/event_loop/client_priority.py
@@ -1,9 +1,9 @@
 """A reactor that handles the events of clients before those of servers.
 
-A response of a server may lead to a retry, and an established connection to a first attempt, while the
-disconnect of the client that asked for it lies unread in another socket.  So each iteration first handles the
-events of accepted connections, then spends a bounded time on all others; timers that are late wait until the
-accepted connections have been polled once more.
+A server's response may cause a retry, and a newly established connection a first attempt, while the client's
+disconnect is still unread on another socket.  Each iteration therefore handles the events of accepted
+connections first, then spends a bounded time on all others; late timers run only after the accepted
+connections have been polled again.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.python import log
 
-# Time spent on events of other sockets in an iteration; no attempt may start 0.1 s after its client has left.
+# Time for events of other sockets in one iteration.  No attempt may start 0.1 s after its client has left.
 MAX_OTHER_EVENTS_S = 0.03
 
 # Age of the last poll of the accepted connections up to which timers run without another poll.
@@ -24,9 +24,9 @@
 
 
 class ClientPriorityReactor(EPollReactor):
-    """Twisted's epoll reactor with clients first.
+    """Twisted's epoll reactor, which handles the events of clients first.
 
-    Events that an iteration had no time for come next in the following one, after those of clients.
+    The next iteration handles the events left over from this one right after those of clients.
     """
 
     clock = staticmethod(time.monotonic)
@@ -48,7 +48,7 @@
     doIteration = doPoll  # noqa: N815
 
     def runUntilCurrent(self) -> None:  # noqa: N802
-        """Run due timers, after the clients' events if the last poll is old (called by Twisted)."""
+        """Run due timers; if the last poll is old, handle the clients' events first (called by Twisted)."""
         if self.clock() - self._polled_at_s > MAX_POLL_AGE_S:
             self._handle_clients(self._poll(0.0))
         super().runUntilCurrent()
--- a/thornjunction/net/event_loop/listening_port.py
+++ b/thornjunction/net/event_loop/listening_port.py
@@ -1,8 +1,8 @@
 """A listening port that pauses accepting, with backoff, while the system cannot accept a connection.
 
-Twisted's port tries again at once for as long as a client waits: that takes a whole core, and the admission
-of requests closes although there was no request.  Out of descriptors, it also accepts waiting clients and
-closes them unread.  Here they stay in the system's queue until there is room.
+Twisted's port retries at once for as long as a client waits.  This uses a whole CPU core, and the admission
+gate closes although no requests arrive.  When descriptors run out, Twisted also accepts waiting clients and
+closes them unread.  Here they stay in the system's accept queue until they can be accepted.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 from thornjunction.net.event_loop.backoff import exponential_backoff
 from thornjunction.net.event_loop.ports import DelayedCall, Reactor
 
-# Milliseconds without accepting after the first failure, doubled with each failure in a row.
+# Milliseconds for which accepting pauses after the first failure; doubled with each consecutive failure.
 INITIAL_PAUSE_MS = 5.0
 MAX_PAUSE_MS = 100.0
 
-# Errors of ``accept`` when no client waits.
+# Errors that ``accept`` returns when no client waits.
 EMPTY_QUEUE_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 
-# Errors of ``accept`` that concern one client alone: the next one may be bound_socket.
+# Errors of ``accept`` that concern a single client: the next one may be accepted.
 SINGLE_CLIENT_ERRORS = frozenset({errno.ECONNABORTED, errno.EPERM, errno.EINTR})
 
 log = get_logger(__name__)
 
 
 class AcceptingSocket(socket.socket):
-    """A listening socket that reports a failed ``accept``, and then looks as if no client waits."""
+    """A listening socket that reports a failed ``accept`` and then acts as if no client waits."""
 
     on_failure: Callable[[OSError], None]
     on_success: Callable[[], None]
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept a connection; report a failure of this machine, and raise ``BlockingIOError`` for it."""
+        """Accept a connection; report a local failure (as of descriptors) and raise ``BlockingIOError``."""
         try:
             accepted = super().accept()
         except OSError as failure:
@@ -55,12 +55,12 @@
         return accepted
 
 
-# Twisted's classes have no types of their own.
+# Twisted's classes have no type annotations.
 TwistedPort: Any = tcp.Port
 
 
 class PausingPort(TwistedPort):  # type: ignore[misc]
-    """Twisted's port on such a socket, which is not read while accepting is paused."""
+    """Twisted's port on an ``AcceptingSocket``, which is not read while accepting is paused."""
 
     _consecutive_failures = 0
     _pause_end: DelayedCall | None = None
@@ -70,7 +70,7 @@
         return self._accepting_socket(super().createInternetSocket())
 
     def adopt(self, descriptor: int) -> None:
-        """Take over a copy of a socket that listens already."""
+        """Use a duplicate of a socket that is already listening."""
         listening = socket.fromfd(descriptor, self.addressFamily, self.socketType)
         self._preexistingSocket = self._accepting_socket(listening)
 
@@ -119,13 +119,13 @@
 
 
 class PausingPortReactor:
-    """The reactor that an endpoint listens by.  A reactor without sockets, as of a test, listens itself."""
+    """Makes an endpoint listen by a ``PausingPort``, unless the reactor has no real sockets."""
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:  # noqa: N802
-        """Listen on a port and return it (called by Twisted's endpoint)."""
+        """Listen on a TCP port and return the port object (called by Twisted's endpoint)."""
         if not isinstance(self.reactor, PosixReactorBase):
             return self.reactor.listenTCP(port, factory, backlog=backlog, interface=interface)
         listening = PausingPort(port, factory, backlog, interface, self.reactor)
@@ -134,9 +134,9 @@
 
 
 def listen_on_descriptor(reactor: Reactor, descriptor: int, factory: protocol.Factory) -> PausingPort:
-    """Accept on a socket that listens already and may be shared with other processes.
+    """Accept connections on a listening socket, which may be shared with other processes.
 
-    Raises ``OSError`` where the descriptor is no such socket.
+    Raises ``OSError`` if the descriptor is not a listening socket.
     """
     with socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM) as duplicate:
         interface = duplicate.getsockname()[0]
--- a/thornjunction/net/event_loop/ports.py
+++ b/thornjunction/net/event_loop/ports.py
@@ -1,4 +1,4 @@
-"""Typed interfaces of what the endpoints use of Twisted, whose zope interfaces a type checker cannot read."""
+"""Typed interfaces of the parts of Twisted in use, as a type checker can't read its zope interfaces."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class DelayedCall(Protocol):
-    """A call that the reactor makes later."""
+    """A call that the reactor makes after a delay."""
 
     def active(self) -> bool:
-        """Whether the call is neither made nor cancelled yet."""
+        """Whether the call has been neither made nor cancelled."""
 
     def cancel(self) -> None:
         """Cancel the call."""
@@ -39,29 +39,29 @@
     """An address at which connections can be accepted."""
 
     def listen(self, factory: Any) -> Deferred[Any]:
-        """Accept connections; the result is the port."""
+        """Start to accept connections; the result is the port."""
 
 
 class Reactor(Protocol):
-    """What the endpoints ask of Twisted's reactor."""
+    """The methods of Twisted's reactor that the endpoints use."""
 
     def callLater(self, _delay_s: float, _call: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802
         """Make a call after a delay."""
 
     def connectTCP(self, host: str, port: int, factory: Any, **options: Any) -> Any:  # noqa: N802
-        """Connect to an address and build a protocol for the connection by the factory."""
+        """Connect to an address; the factory builds the protocol of the connection."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:  # noqa: N802
-        """Accept connections on a port and build a protocol for each by the factory."""
+        """Accept connections on a port; the factory builds the protocol of each."""
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "") -> Any:  # noqa: N802
         """Receive datagrams on a port."""
 
 
 class Transport(Protocol):
-    """What a protocol may do with its connection."""
+    """The operations of a protocol on its connection."""
 
-    # Bytes that wait to be written; after ``doWrite`` empty where the system has accepted all of them.
+    # Bytes that wait to be written; empty after ``doWrite`` if the system has accepted all of them.
     dataBuffer: bytes  # noqa: N815
 
     def write(self, data: bytes) -> None:
@@ -86,13 +86,13 @@
         """Stop reading until ``resumeProducing`` is called."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read again."""
+        """Resume reading."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
-        """Set whether small writes are sent at once."""
+        """Set ``TCP_NODELAY``: whether small writes are sent at once."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802
-        """Notify a producer when bytes are buffered and when they have been sent."""
+        """Notify a producer when bytes are buffered (if ``streaming``) and when they have been sent."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
         """Stop notifying the producer."""
--- a/thornjunction/net/event_loop/reactor.py
+++ b/thornjunction/net/event_loop/reactor.py
@@ -1,7 +1,7 @@
-"""The program's reactor: the platform's own on the monotonic clock; on Linux it handles clients first.
+"""The program's reactor, which uses the monotonic clock and, on Linux, handles clients first.
 
-Twisted's reactors count by the wall clock.  A step of that clock back by an hour would put off every delayed
-call by an hour, and with them deadlines, grace periods and the exit; a step forward would run all at once.
+Twisted's reactors use the wall clock.  If that clock is set back by an hour, each delayed call is an hour
+late, and with it deadlines, grace periods and the exit; if it is set forward, all of them run at once.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 class MonotonicReactor(PlatformReactor):
-    """The platform's reactor, whose delayed calls count by the monotonic clock."""
+    """The operating system's reactor, with delayed calls scheduled by the monotonic clock."""
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> Any:
-    """Return the process's ``MonotonicReactor``, which the first call installs.
+    """Return the process's ``MonotonicReactor``; the first call installs it.
 
-    The first call has to come before the first import of ``twisted.internet.reactor``, which installs
-    Twisted's own reactor; after that it raises ``ReactorAlreadyInstalledError``.
+    The first call must precede the first import of ``twisted.internet.reactor``, which installs Twisted's
+    default reactor; after that it raises ``ReactorAlreadyInstalledError``.
     """
     installed = sys.modules.get("twisted.internet.reactor")
     if not isinstance(installed, MonotonicReactor):
--- a/thornjunction/net/event_loop/single_connect.py
+++ b/thornjunction/net/event_loop/single_connect.py
@@ -1,7 +1,7 @@
 """An outgoing TCP connection that calls ``connect`` once.
 
-Twisted's client calls ``connect`` a second time to learn whether the first call has succeeded, and gives up
-on EINTR, although the system goes on with the connection.  This client asks for the peer's address instead.
+Twisted's client calls ``connect`` a second time to learn whether the first call succeeded, and fails on EINTR
+although the system continues to connect.  This client checks for the peer's address instead.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 from thornjunction.net.event_loop.ports import Reactor
 
-# Errors of ``connect`` after which the system goes on with the connection.
+# Errors of ``connect`` after which the system continues to connect.
 IN_PROGRESS_ERRORS = frozenset({errno.EINPROGRESS, errno.EINTR})
 
-# Seconds until Twisted gives up a connect where its caller names no other timeout.
+# Seconds until Twisted gives up a connect if the caller sets no other timeout.
 DEFAULT_TIMEOUT_S = 30.0
 
-# Twisted's classes and functions have no types of their own.
+# Twisted's classes and functions have no type annotations.
 TwistedClient: Any = tcp.Client
 TwistedConnector: Any = tcp.Connector
 connect_error: Any = error.getConnectError
@@ -34,7 +34,7 @@
     _has_started = False
 
     def doConnect(self) -> None:  # noqa: N802
-        """Start to connect, or look for the result (called by Twisted on each event until then)."""
+        """Start to connect, or check for the result (called by Twisted on each event until there is one)."""
         self.doRead = self.doConnect
         self.doWrite = self.doConnect
         if not hasattr(self, "connector"):  # cancelled before it started
@@ -59,7 +59,7 @@
             try:
                 self.socket.getpeername()
             except OSError as failure:
-                if failure.errno == errno.ENOTCONN:  # woken before there is a result
+                if failure.errno == errno.ENOTCONN:  # an event arrived before there is a result
                     return
                 error_number = failure.errno or errno.EIO
         self._finish(error_number)
@@ -76,14 +76,14 @@
 
 
 class SingleConnectConnector(TwistedConnector):  # type: ignore[misc]
-    """Twisted's connector with this client."""
+    """Twisted's connector, which uses ``SingleConnectClient``."""
 
     def _makeTransport(self) -> SingleConnectClient:  # noqa: N802
         return SingleConnectClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class SingleConnectReactor:
-    """The reactor that an endpoint connects by.  A reactor without sockets, as of a test, connects itself."""
+    """Makes an endpoint connect by a ``SingleConnectClient``, unless the reactor has no real sockets."""
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
--- a/thornjunction/net/event_loop/timer_service.py
+++ b/thornjunction/net/event_loop/timer_service.py
@@ -1,4 +1,4 @@
-"""The core's clock, and the service that runs its deadlines by one delayed call of the reactor."""
+"""The core's clock, and the service that runs its deadlines using one delayed call of the reactor."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from thornjunction.memory.deadlines import DeadlineCallbackErrors, Deadlines
 from thornjunction.net.event_loop.ports import DelayedCall, Reactor
 
-# Added to the monotonic clock: a server's start before this machine's boot keeps a time above zero, which the
-# decisions read as "long ago".
+# Added to the monotonic clock, so that a server's start before this machine's boot still has a time above
+# zero, which the decisions take as long ago.
 CLOCK_OFFSET_MS = 1e9
 
-# Lag of the event loop above which sockets are read once before deadlines run: half of the 0.1 s after which
-# no attempt may start for a client that has left.
+# Lag of the event loop above which sockets are read once before deadlines run.  It is half of the 0.1 s after
+# which no attempt may start for a client that has left.
 MAX_LAG_MS = 50.0
 
 log = get_logger("net")
 
 
 def core_ms() -> float:
-    """Return the time of the core's clock: monotonic milliseconds."""
+    """Return the time of the core's clock, in monotonic milliseconds."""
     return time.monotonic() * 1000.0 + CLOCK_OFFSET_MS
 
 
 class TimerService:
-    """Runs the callbacks of ``deadlines`` when they are due, by one delayed call for the earliest of them."""
+    """Runs the callbacks of ``deadlines`` when they are due, using one delayed call for the earliest."""
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
@@ -37,7 +37,7 @@
         self._has_yielded = False
 
     def stop(self) -> None:
-        """Run no further deadlines, until the next one is added."""
+        """Stop running deadlines until the next one is added."""
         if self._call is not None and self._call.active():
             self._call.cancel()
 
@@ -53,8 +53,8 @@
         now = core_ms()
         self._call = None
         if now - self._due_ms > MAX_LAG_MS and not self._has_yielded:
-            # Guards clients that have left meanwhile against a retry, and responses that have come against a
-            # timeout: after a long iteration the event loop reads its sockets first, once.
+            # After a long iteration the event loop first reads its sockets once.  Otherwise attempts would be
+            # retried for clients that have left, and would time out although their responses have arrived.
             self._has_yielded = True
             self._call = self.reactor.callLater(0, self._on_expiry)
             return
--- a/thornjunction/net/event_loop/transport.py
+++ b/thornjunction/net/event_loop/transport.py
@@ -1,4 +1,4 @@
-"""Connecting by a deadline, and listening, by Twisted's endpoints."""
+"""Helpers to connect by a deadline and to listen, using Twisted's endpoints."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from thornjunction.net.event_loop.ports import Reactor, ServerEndpoint
 from thornjunction.net.event_loop.single_connect import SingleConnectReactor
 
-# Seconds until Twisted itself would give up a connect; the deadline of the caller ends it long before.
+# Seconds until Twisted itself would give up a connect; the caller's deadline ends it long before.
 ENDPOINT_TIMEOUT_S = 3600
 
-# Connections that the system accepts before this process does.
+# Connections that the system queues until this process accepts them.
 LISTEN_BACKLOG = 1024
 
 ResultT = TypeVar("ResultT")
 
 
 class BuildFactory(protocol.Factory):
-    """A factory that builds each connection's protocol by a function."""
+    """A factory that calls ``build`` to create the protocol of each connection."""
 
     noisy = False
 
@@ -43,7 +43,7 @@
     deadlines: Deadlines,
     until_ms: float,
 ) -> Deferred[Any]:
-    """Connect, or fail at a time of the core's clock; the result is the protocol that was built."""
+    """Connect, or fail at ``until_ms`` of the core's clock; the result is the protocol that was built."""
     endpoint: Any = TCP4ClientEndpoint(SingleConnectReactor(reactor), *address, timeout=ENDPOINT_TIMEOUT_S)
     connecting: Deferred[Any] = endpoint.connect(BuildFactory(build))
     deadline = deadlines.add(until_ms, connecting.cancel)
@@ -56,7 +56,7 @@
 
 
 def server_endpoint(reactor: Reactor, address: tuple[str, int]) -> ServerEndpoint:
-    """Return the endpoint that listens at an address; port 0 takes any free one."""
+    """Return an endpoint that listens on an address; port 0 selects any free port."""
     host, port = address
     build_endpoint: Any = TCP4ServerEndpoint
     endpoint: ServerEndpoint = build_endpoint(
--- a/thornjunction/net/event_loop/unix_clock.py
+++ b/thornjunction/net/event_loop/unix_clock.py
@@ -1,4 +1,4 @@
-"""Unix times that discovery states, on the core's clock (``docs/design/clocks.md``)."""
+"""Conversion of Unix times from discovery to the core's clock (``docs/design/clocks.md``)."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from thornjunction.net.event_loop.timer_service import core_ms
 
-# Milliseconds by which the clocks of discovery and of this machine may differ while both are right.
+# Milliseconds by which the clocks of discovery and of this machine may differ while both count as correct.
 MAX_SKEW_MS = 1000.0
 
 
 class UnixClock:
-    """Maps Unix time to the core's clock by an offset that a step of this machine's clock does not change.
+    """Converts Unix time to the core's clock by an offset that a step of the machine's clock does not change.
 
-    The offset is measured once.  It is measured again only where a stated time contradicts it and agrees
-    with this machine's clock as it reads now: then that clock was wrong at the first measurement, or it was
-    stepped together with discovery's.
+    The offset is measured once.  It is measured again only if a time from discovery contradicts it and agrees
+    with this machine's present clock: then that clock was wrong at the first measurement, or it was stepped
+    together with discovery's.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         return self._clock() + self._offset_ms
 
     def to_core(self, unix_ms: float, recent_ms: float = math.inf) -> float:
-        """Return the time on the core's clock of something that has happened: now at the latest.
+        """Return the time of a past event on the core's clock, which is now at the latest.
 
-        What is older than ``recent_ms`` no longer matters.  Where both offsets make it recent, the younger
-        age counts: to take a purge or a start for older than it is breaks a rule, to take it for younger
-        costs a little work.
+        The age of events older than ``recent_ms`` does not matter.  If an event is recent by both offsets,
+        the lower age is used: to overestimate the age of a purge or a start breaks a rule, to underestimate
+        it costs a little work.
         """
         measured_ms = self._measure_offset_ms()
         credible = [
--- a/thornjunction/net/telemetry/graphite_client.py
+++ b/thornjunction/net/telemetry/graphite_client.py
@@ -1,4 +1,4 @@
-"""The connection to Graphite, on which what can't be sent at once is dropped."""
+"""The connection to Graphite; metrics that can't be sent at once are dropped."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """State of the connection to Graphite."""
 
     DISCONNECTED = "disconnected"
-    """There is no connection; the next interval tries to connect."""
+    """There is no connection; the exporter tries to connect at the next interval."""
     CONNECTING = "connecting"
     """A connect is in progress."""
     CONNECTED = "connected"
@@ -36,7 +36,7 @@
 
 @implementer(IPushProducer)
 class GraphiteConnection(protocol.Protocol):
-    """One connection; while the bytes of earlier metrics wait to be sent, further ones are dropped."""
+    """One connection; while bytes of earlier metrics wait to be sent, further metrics are dropped."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -45,7 +45,7 @@
         self._is_paused = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Ask to be notified when bytes wait to be sent (called by Twisted)."""
+        """Register to be notified when bytes wait to be sent (called by Twisted)."""
         self.transport.registerProducer(self, True)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
@@ -54,7 +54,7 @@
         self._on_lost()
 
     def send(self, data: bytes) -> None:
-        """Send metrics, or drop them."""
+        """Send encoded metrics, or drop them while earlier bytes wait to be sent."""
         if not self._is_paused:
             self.transport.write(data)
 
@@ -72,7 +72,7 @@
 
 
 class GraphiteClient:
-    """Keeps one connection to Graphite; one that is down costs one connect for each call of ``connect``."""
+    """Keeps one connection to Graphite; while there is none, each call of ``connect`` tries once."""
 
     def __init__(
         self, reactor: Reactor, deadlines: Deadlines, clock: Callable[[], float], address: tuple[str, int]
@@ -85,7 +85,7 @@
         self._connection: GraphiteConnection | None = None
 
     def connect(self) -> None:
-        """Connect unless there is a connection or a connect in progress."""
+        """Connect, unless there is a connection or a connect is in progress."""
         if self.state is not ConnectionState.DISCONNECTED:
             return
         self.state = ConnectionState.CONNECTING
@@ -96,7 +96,7 @@
         connecting.addCallbacks(self._on_connected, self._on_connect_failed)
 
     def send(self, data: bytes) -> None:
-        """Send metrics, or drop them where there is no connection."""
+        """Send encoded metrics, or drop them if there is no connection."""
         if self._connection is not None:
             self._connection.send(data)
 
--- a/thornjunction/net/telemetry/metrics_exporter.py
+++ b/thornjunction/net/telemetry/metrics_exporter.py
@@ -1,4 +1,4 @@
-"""Exports the metrics to Graphite and collectd in fixed intervals; what can't be sent at once is dropped."""
+"""Exports metrics to Graphite and collectd at fixed intervals; what can't be sent at once is dropped."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def samples_of(snapshot: CountersSnapshot) -> list[graphite.Sample]:
-    """Return the counts since the start, and the mean and maximum latencies of the interval."""
+    """Return the counts since the start, and the mean and maximum latencies of the interval in ms."""
     samples = [
         graphite.Sample(f"{name}.count", value, counter=True) for name, value in snapshot.counts.items()
     ]
@@ -28,10 +28,10 @@
 
 
 class DatagramSender(Protocol):
-    """What the exporter uses of a bound UDP port."""
+    """The method of a bound UDP port that the exporter uses."""
 
     def write(self, data: bytes, address: tuple[str, int], /) -> object:
-        """Send a datagram; raises ``OSError`` where the system does not take it."""
+        """Send a datagram; raises ``OSError`` if the system does not accept it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 class MetricsExporter:
-    """Takes a snapshot of the counters in each interval and sends it to each target that was added."""
+    """Takes a snapshot of the counters at each interval and sends it to each target that was added."""
 
     def __init__(
         self,
@@ -65,29 +65,29 @@
         self._collectd_address = ("", 0)
 
     def add_graphite(self, address: tuple[str, int], prefix: str) -> None:
-        """Export to Graphite, with the prefix before each metric's name."""
+        """Export to Graphite, with ``prefix`` and the router's name before each metric's name."""
         self.graphite = GraphiteClient(self._reactor, self._deadlines, self._clock, address)
         self._graphite_prefix = prefix
 
     def add_collectd(self, address: tuple[str, int]) -> None:
-        """Export to collectd."""
+        """Export to collectd at ``address``, from a new UDP port on the loopback interface."""
         port = self._reactor.listenUDP(0, protocol.DatagramProtocol(), interface="127.0.0.1")
         self.set_collectd_port(port, address)
 
     def set_collectd_port(self, port: DatagramSender, address: tuple[str, int]) -> None:
-        """Export to collectd by a UDP port that is bound already."""
+        """Export to collectd at ``address``, from a UDP port that is already bound."""
         self.collectd_port = port
         self._collectd_address = address
 
     def start(self) -> None:
-        """Connect to Graphite and export after each interval."""
+        """Connect to Graphite if it is a target, and schedule the next export."""
         if self.graphite is not None:
             self.graphite.connect()
         due_ms = self._clock() + self._source.interval_s * 1000.0
         self._deadlines.add(due_ms, self.export)
 
     def export(self) -> None:
-        """Send a snapshot, and schedule the next one."""
+        """Send a snapshot to each target, and schedule the next export."""
         samples = samples_of(self._source.counters.take_snapshot())
         unix_s = self._unix_s()
         if self.graphite is not None:
@@ -100,5 +100,5 @@
     def _send_to_collectd(self, port: DatagramSender, samples: list[graphite.Sample], unix_s: float) -> None:
         name = self._source.router_name
         for packet in collectd.encode_packets(name, samples, unix_s, self._source.interval_s):
-            with suppress(OSError):  # no buffer or no route: this packet is dropped
+            with suppress(OSError):  # without buffer space or a route, this packet is dropped
                 port.write(packet, self._collectd_address)
