--- a/thornjunction/net/upstream/connect_attempt.py
+++ b/thornjunction/net/upstream/connect_attempt.py
@@ -1,4 +1,4 @@
-"""A connect to a server, repeated with backoff where a failure says nothing about the server."""
+"""A connect to a server, retried with backoff after failures that are not due to the server."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from thornjunction.net.upstream.connection import UpstreamConnection
 from thornjunction.net.upstream.context import PoolContext
 
-# Before the first repetition; each further pause is twice as long.
+# The wait before the first retry; each further wait is twice as long.
 INITIAL_BACKOFF_MS = 5.0
 
-# The longest pause between repetitions.
+# The longest wait before a retry.
 MAX_BACKOFF_MS = 100.0
 
 log = get_logger(__name__)
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectTarget:
-    """What to connect to.
+    """The server to connect to.
 
     Attributes:
         server: name of the server.
         address: its host and port.
         build: creates the protocol of the connection.
-        timeout_ms: how long one connect may take.
+        timeout_ms: time limit of one connect.
     """
 
     server: str
@@ -45,31 +45,31 @@
 
 
 class ConnectAttempt:
-    """Ends by one call of ``on_connected`` or ``on_failed``, unless it is cancelled first.
+    """Connects, and ends by one call of ``on_connected`` or ``on_failed`` unless it is cancelled first.
 
-    A server without a route is tried again within the connect timeout, as the system itself does for a lost
-    packet; then the connect has timed out.  After a failure of this machine the timeout begins anew, for as
-    long as ``is_wanted`` holds: the server must not be blamed for it.
+    If there is no route to the server, the connect is retried until the connect timeout, as the system does
+    for a lost packet; then it has timed out.  After a local failure the timeout starts again, as long as
+    ``is_needed`` returns true, because such a failure must not count against the server.
 
     Args:
-        context: surroundings of the pool's parts.
-        target: what to connect to.
-        is_wanted: whether a stream waits for the connection.
+        context: shared objects of the pool's parts.
+        target: the server to connect to.
+        is_needed: returns whether a stream waits for the connection.
         on_connected: receives the connection.
-        on_failed: receives the kind of failure and the time since when the server may be blamed for it.
+        on_failed: receives the kind of failure, and when the connect timeout last started.
     """
 
     def __init__(
         self,
         context: PoolContext,
         target: ConnectTarget,
-        is_wanted: Callable[[], bool],
+        is_needed: Callable[[], bool],
         on_connected: Callable[[UpstreamConnection], None],
         on_failed: Callable[[ConnectFailure, float], None],
     ) -> None:
         self._context = context
         self._target = target
-        self._is_wanted = is_wanted
+        self._is_needed = is_needed
         self._on_connected = on_connected
         self._on_failed = on_failed
         self._started_ms = context.clock()
@@ -91,7 +91,7 @@
         self._connecting.addCallbacks(self._handle_connection, self._handle_failure)
 
     def cancel(self) -> None:
-        """Stop connecting; neither callback is called any more."""
+        """Stop connecting; no callback is called after this."""
         self._has_ended = True
         self._context.deadlines.cancel(self._backoff)
         if self._connecting is not None:
@@ -133,7 +133,7 @@
             self._backoff = deadlines.add(min(retry_at_ms, self._due_ms()), self._retry_unreachable)
 
     def _retry_after_local_failure(self) -> None:
-        if not self._is_wanted():
+        if not self._is_needed():
             self._fail(ConnectFailure.LOCAL)
             return
         self._started_ms = self._context.clock()
--- a/thornjunction/net/upstream/connect_errors.py
+++ b/thornjunction/net/upstream/connect_errors.py
@@ -1,4 +1,4 @@
-"""Kinds of failed connects: due to the server, to the network, or to this machine."""
+"""Kinds of failed connects: due to the server, the network or this machine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectError
 from twisted.python.failure import Failure
 
-# Errors of the system that mean that the network did not reach the server.
+# System errors that mean that the server could not be reached over the network.
 NETWORK_ERRORS = {
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
@@ -20,7 +20,7 @@
     errno.ECONNABORTED,
 }
 
-# Name of the failure with which Twisted's endpoints report a cancelled connect.
+# Name of the exception with which Twisted's endpoints report a cancelled connect.
 CANCELLED_CONNECT_ERROR = "ConnectingCancelledError"
 
 
@@ -28,20 +28,20 @@
     """Why a connect failed; the values are logged."""
 
     REFUSED = "refused"
-    """The server's machine answered that no process listens there."""
+    """The server's machine refused the connection, because no process listens on the port."""
 
     TIMED_OUT = "timed-out"
-    """The connection did not come up within the connect timeout."""
+    """The connection was not established within the connect timeout."""
 
     UNREACHABLE = "unreachable"
-    """The system found no route to the server."""
+    """The server could not be reached over the network, as without a route."""
 
     LOCAL = "local"
-    """This machine lacked a port, a descriptor or memory; also any error that is not known."""
+    """This machine lacked a port, a descriptor or memory; also used for any unknown error."""
 
 
 def connect_failure(reason: Failure) -> ConnectFailure:
-    """Return the kind of a failed connect; one that our deadline cancelled has timed out."""
+    """Return the kind of a failed connect; one that was cancelled by its deadline has timed out."""
     error = reason.value
     number = error.osError if isinstance(error, ConnectError) else None
     if number == errno.ECONNREFUSED:
--- a/thornjunction/net/upstream/connection.py
+++ b/thornjunction/net/upstream/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a cache server, a parent or the origin: its codec and its streams in flight.
+"""One connection to a cache server, a parent or the origin, with its codec and its streams in flight.
 
-Guards against bytes that reach a server late: each write goes to the system at once, and a connection that
-holds some back takes no new stream until they have gone.
+To keep requests from reaching a server late, each write is passed to the system at once, and a connection
+that has unsent bytes takes no new stream.
 """
 
 from __future__ import annotations
@@ -33,27 +33,29 @@
 from thornjunction.net.wire.resp import MAX_BULK, ArrayReader
 from thornjunction.net.wire.upstream import ResponseCode, UpstreamResponse, decode_response, encode_cancel
 
-# Of the platform's idle timeout: this side closes first, so that no request crosses the peer's close.
+# Share of the platform's idle timeout after which this side closes an idle connection.  It closes before the
+# server, which might otherwise close while a request is sent.
 IDLE_TIMEOUT_SHARE = 0.8
 
-# For the server to close its side after ours: a round trip on the slowest path.
+# How long the server may take to close its side after this side: a round trip on the slowest path.
 MAX_LINGER_MS = 500.0
 
-# For the bytes of a cancelled stream to go out: what begins 100 ms later breaks the platform's rule.
+# How long the bytes of a cancelled stream may stay unsent.  By the platform's rule no attempt may begin
+# 100 ms after its client has left.
 MAX_STALLED_WRITE_MS = 80.0
 
-# Responses in a row to no stream in flight: a connection's streams, each answered twice.
+# Consecutive responses that match no stream in flight: one duplicate for each stream of a full connection.
 MAX_UNEXPECTED_RESPONSES = 32
 
 
 class ConnectionOwner(Protocol):
-    """Is notified of what happens on a connection."""
+    """Receives notifications about a connection."""
 
     def capacity_available(self, connection: UpstreamConnection) -> None:
-        """The connection may take more streams."""
+        """Handle that the connection may take more streams."""
 
     def connection_lost(self, connection: UpstreamConnection) -> None:
-        """The connection ended; what its streams in flight asked for may have run."""
+        """Handle the end of the connection; the server may have executed its streams in flight."""
 
 
 @implementer(IPullProducer)
@@ -63,11 +65,11 @@
     Attributes:
         server: name of the server.
         slot: its number in the connection table.
-        state: whether it takes new streams, and what becomes of it.
+        state: whether it takes new streams or is closing.
         streams: streams in flight, by id.
-        last_response_ms: when the last complete response came, or when the connection was created.
-        has_unsent_bytes: whether the system did not take all bytes as they were written.
-        unexpected_responses: responses in a row to no stream in flight.
+        last_response_ms: when the last complete response arrived, or when the connection was created.
+        has_unsent_bytes: whether the system has not accepted all written bytes yet.
+        unexpected_responses: number of consecutive responses that match no stream in flight.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -96,27 +98,27 @@
         self._close_reason = ""
         self._answered_streams = 0
         self._discarded_bytes = 0
-        self._close_deadline: Deadline | None = None  # of the idle timeout, then of lingering
+        self._close_deadline: Deadline | None = None  # for the idle timeout, then for the lingering close
         self._stalled_write_timer = StalledWriteTimer(context, self.abort)
         self._partial_response_timer = PartialResponseTimer(context, self.abort)
 
     @property
     def is_closing(self) -> bool:
-        """Whether this side has closed the connection or it has ended."""
+        """Whether this side has closed the connection, or the connection has ended."""
         return self.state is ConnectionState.CLOSING
 
     @property
     def has_partial_response(self) -> bool:
-        """Whether a part of a response has come."""
+        """Whether a response is partly received."""
         return self._partial_response_timer.is_running
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Prepare the transport."""
+        """Set the options of the transport (called by Twisted)."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Handle the responses that are complete by now."""
+        """Handle the responses that are now complete (called by Twisted)."""
         if self.is_closing:
             self._discard(data)
             return
@@ -133,7 +135,7 @@
             self._partial_response_timer.bound(self._reader.buffered_bytes)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Release what the connection holds, log its end and notify its owner."""
+        """Stop the timers, log the end of the connection and notify its owner (called by Twisted)."""
         self._context.deadlines.cancel(self._close_deadline)
         self._stalled_write_timer.stop()
         self._partial_response_timer.stop()
@@ -158,13 +160,13 @@
         )
 
     def can_take(self, stream_id: str) -> bool:
-        """Whether the connection takes a stream of this id."""
+        """Whether the connection takes a stream with this id."""
         if not self.has_capacity() or stream_id in self.streams:
             return False
         return self._stream_ids.is_available(stream_id, self._context.clock)
 
     def send(self, stream: Stream, data: bytes) -> None:
-        """Write the request of a stream, which is in flight from now on."""
+        """Write the request of a stream and add it to the streams in flight."""
         self._context.deadlines.cancel(self._close_deadline)
         self._close_deadline = None
         self._table.mark_in_use(self)
@@ -174,52 +176,49 @@
             self._stalled_write_timer.abort_by(stream.start_by_ms)
 
     def _write(self, data: bytes) -> None:
-        """Hand bytes to the system at once, and not at the reactor's next turn.
-
-        An error of the system is not lost: it comes again at the reactor's next turn.
-        """
+        """Pass bytes to the system at once; the reactor's next iteration sees a write error again."""
         self.transport.write(data)
         self.transport.doWrite()
         self.has_unsent_bytes = bool(self.transport.dataBuffer)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """All bytes written were handed to the system."""
+        """Offer capacity again, after the system has accepted all written bytes (called by Twisted)."""
         if self.has_unsent_bytes:
             self.has_unsent_bytes = False
             self._stalled_write_timer.stop()
             self._owner.capacity_available(self)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The transport ends; ``connectionLost`` follows."""
+        """Do nothing when the transport ends, as ``connectionLost`` follows (called by Twisted)."""
 
     def limit_stalled_write(self) -> None:
-        """Abort the connection unless its unsent bytes go out soon: they must not begin a request later."""
+        """Abort the connection unless its unsent bytes are sent soon, as a late request must not begin."""
         if self.has_unsent_bytes:
             self._stalled_write_timer.abort_by(self._context.clock() + MAX_STALLED_WRITE_MS)
 
     def cancel_stream(self, stream: Stream) -> None:
-        """Cancel a stream in flight; after a long silence the connection takes no new streams."""
+        """Cancel a stream in flight; if the server was silent for long, take no new streams."""
         del self.streams[stream.stream_id]
         now_ms = self._context.clock()
         if not self.is_closing:
             self._stream_ids.add_cancelled(stream.stream_id)
             self._write(encode_cancel(stream.stream_id))
             self.limit_stalled_write()
-        # Guards against a machine that vanished: its connections stay open and silent.
+        # Guards against a machine that has failed, whose connections stay open without any responses.
         silent_ms = now_ms - max(stream.accepted_ms, self.last_response_ms)
         if silent_ms >= self._context.limits.connect_timeout_ms and self.state is ConnectionState.OPEN:
             self.state = ConnectionState.UNRESPONSIVE
         self.end_or_become_idle()
 
     def stop_new_streams(self) -> None:
-        """Take no new streams and close after the streams in flight."""
+        """Take no new streams, and close once the streams in flight have ended."""
         if not self.is_closing:
             self.state = ConnectionState.RETIRING
         self.limit_stalled_write()
         self.end_or_become_idle()
 
     def end_or_become_idle(self) -> None:
-        """Where no stream is in flight, close a connection that takes no more, and let others become idle."""
+        """If no stream is in flight, close a connection that takes no new ones; mark any other as idle."""
         if self.streams or self.is_closing:
             return
         if self.state is ConnectionState.UNRESPONSIVE:
@@ -229,7 +228,7 @@
             self.shut_down(DisconnectReason.ENDPOINT_LIST_CHANGED)
             return
         context = self._context
-        if len(self._stream_ids.cancelled) > context.limits.max_streams:  # bounds the ids that are kept
+        if len(self._stream_ids.cancelled) > context.limits.max_streams:  # bounds the ids in memory
             self.shut_down(DisconnectReason.STREAM_IDS_EXHAUSTED)
             return
         context.deadlines.cancel(self._close_deadline)
@@ -238,9 +237,9 @@
         self._table.mark_idle(self)
 
     def shut_down(self, reason: str) -> None:
-        """Close a connection without streams in flight, our side first.
+        """Close a connection without streams in flight, this side first.
 
-        Bytes that cross the close are read and discarded: unread, they would reset it at the server.
+        Bytes that the server sends in the meantime are discarded; unread, they would reset the connection.
         """
         if self.has_unsent_bytes:
             self.abort(reason)
@@ -257,22 +256,22 @@
     def abort(self, reason: str) -> None:
         """Reset the connection, for a ``DisconnectReason`` or the code of a protocol violation."""
         self._begin_closing(reason)
-        self._table.mark_in_use(self)  # a connection that is reset already must not be evicted
+        self._table.mark_in_use(self)  # a connection that was reset must not be evicted as well
         self.transport.abortConnection()
 
     def _begin_closing(self, reason: str) -> None:
-        """Enter the final state; the first reason counts."""
+        """Enter the final state; the first reason given is kept."""
         self._close_reason = self._close_reason or reason
         self.state = ConnectionState.CLOSING
 
     def _discard(self, data: bytes) -> None:
-        """Discard bytes behind our close; more of them than the largest response end the connection."""
+        """Discard bytes received after this side closed; abort if they exceed the largest response."""
         self._discarded_bytes += len(data)
         if self._discarded_bytes > MAX_BULK:
             self.abort(self._close_reason)
 
     def _complete_response(self) -> None:
-        """Only a complete response shows that the server responds."""
+        """Note that the server responds, which only a complete response shows."""
         self.last_response_ms = self._context.clock()
         if self.state is ConnectionState.UNRESPONSIVE:
             self.state = ConnectionState.OPEN
@@ -285,14 +284,14 @@
             return
         self._answered_streams += 1
         self.unexpected_responses = 0
-        if response.code is not ResponseCode.DONE:  # a retry with the same id may follow other codes
+        if response.code is not ResponseCode.DONE:  # after other codes a retry may use the same id
             self._stream_ids.withhold(response.request_id, self._context.clock())
         self.end_or_become_idle()
         self._owner.capacity_available(self)
         self._outcomes.report_response(stream, response)
 
     def _handle_unexpected_response(self, stream_id: str) -> None:
-        """Guards against endless responses that are late, duplicates, or to nothing that was ever sent."""
+        """Abort a connection that gets too many responses that are late, duplicate or match no request."""
         if self._stream_ids.take_late_response(stream_id):
             return
         self.unexpected_responses += 1
--- a/thornjunction/net/upstream/connection_pool.py
+++ b/thornjunction/net/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to cache servers, parents and the origin: puts its parts together."""
+"""The pool of connections to cache servers, parents and the origin, assembled from its parts."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
     Args:
         reactor: opens connections.
-        limits: bounds of the pool.
-        deadlines: the queue of the process.
+        limits: the limits of the pool.
+        deadlines: the process's queue of deadlines.
         clock: the core's clock, in ms.
         buffer_budget: bounds the bytes of incomplete responses.
 
     Attributes:
-        context: the surroundings that all parts of the pool share.
+        context: the objects that all parts of the pool share.
         connections: the table of all connections.
         upstreams: the servers of the endpoint list, by name.
     """
@@ -54,7 +54,7 @@
 
     @property
     def attempts_written(self) -> int:
-        """Attempts written to a server since the start."""
+        """The number of attempts written to servers since the start."""
         return self._dispatcher.attempts_written
 
     def report_to(self, listener: OutcomeListener) -> None:
@@ -64,8 +64,8 @@
     def update(self, hosts: tuple[Host, ...], is_complete: bool) -> None:
         """Apply a change of the endpoint list, or a complete list.
 
-        A server at a new address, or a new process, gets new connections.  One that drains or was removed
-        gets no new streams, and those that wait for a connection there never begin.
+        A server at a new address gets new connections.  A server that drains or was removed gets no new
+        streams, and streams that wait for a connection to it end without being started.
         """
         ended: list[Stream] = []
         if is_complete:
@@ -73,12 +73,12 @@
                 ended += self._remove(server)
         for host in hosts:
             ended += self._apply(host)
-        # Only once the whole change is applied: a stream that waited may be sent to another of these servers.
+        # Reported after the whole change is applied, because a retry may go to another server of the change.
         for stream in ended:
             self._outcomes.report(stream, api.AttemptStatus.NOT_STARTED)
 
     def _apply(self, host: Host) -> list[Stream]:
-        """Apply the state of one server; return the streams that waited there and must not begin."""
+        """Apply the state of one server; return the waiting streams that must not be started there."""
         upstream = self.upstreams.get(host.name)
         if host.state is api.ServerState.REMOVED:
             return self._remove(host.name)
@@ -109,7 +109,7 @@
         return self._dispatcher.cancel_waiting(upstream)
 
     def send(self, request: UpstreamRequest) -> None:
-        """Send an attempt, or queue it until a connection is up."""
+        """Send an attempt, or queue it until a connection has capacity."""
         fetch = request.fetch
         now_ms = self.context.clock()
         stream_id = request.client_request.transaction_id
@@ -117,7 +117,7 @@
         self._dispatcher.dispatch(Stream(fetch.server, stream_id, request, now_ms, start_by_ms))
 
     def withdraw(self, number: int) -> bool:
-        """Take back an attempt that has not begun; False for one that may have begun."""
+        """Remove an attempt that still waits for a connection; return False if it may have been started."""
         stream = self._outcomes.find_attempt(number)
         if stream is None or stream.target is None or not stream.target.withdraw(stream):
             return False
@@ -126,7 +126,7 @@
         return True
 
     def cancel(self, number: int) -> None:
-        """Stop waiting for an attempt, whose outcome is not reported any more."""
+        """Cancel an attempt; its outcome is not reported."""
         stream = self._outcomes.find_attempt(number)
         if stream is None or self.withdraw(number):
             return
@@ -135,5 +135,5 @@
             stream.target.cancel(stream)
 
     def probe(self, server: str) -> None:
-        """Send a health check."""
+        """Send a health check to a server; the listener's ``probe_ended`` receives its outcome."""
         self._health_checks.send(server)
--- a/thornjunction/net/upstream/connection_timers.py
+++ b/thornjunction/net/upstream/connection_timers.py
@@ -1,4 +1,4 @@
-"""Time limits of one connection: for its unsent bytes and for the rest of an incomplete response."""
+"""Time limits of one connection, for its unsent bytes and for the rest of an incomplete response."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class StalledWriteTimer:
-    """Guards against a server that does not read, and would receive cancelled requests later.
+    """Guards against a server that does not read and would later receive requests that were cancelled.
 
     Args:
-        abort: resets the connection, for a reason.
+        context: shared objects of the pool's parts.
+        abort: resets the connection for the given reason.
     """
 
     __slots__ = ("_abort", "_context", "_deadline", "_due_ms")
@@ -28,7 +29,7 @@
         self._due_ms = math.inf
 
     def abort_by(self, due_ms: float) -> None:
-        """Abort at that time, unless an earlier one is set, or the timer is stopped before."""
+        """Abort at ``due_ms`` unless the timer is stopped before; an earlier time already set is kept."""
         if due_ms < self._due_ms:
             deadlines = self._context.deadlines
             deadlines.cancel(self._deadline)
@@ -36,18 +37,20 @@
             self._deadline = deadlines.add(due_ms, lambda: self._abort(DisconnectReason.WRITE_STALLED))
 
     def stop(self) -> None:
-        """Stop: all bytes were sent, or the connection has ended."""
+        """Stop the timer, after all bytes were sent or the connection has ended."""
         self._context.deadlines.cancel(self._deadline)
         self._due_ms = math.inf
 
 
 class PartialResponseTimer:
-    """Bounds an incomplete response, in time and by the budget for buffered bytes.
+    """Bounds an incomplete response in time, and in size by the budget for buffered bytes.
 
-    Guards against a wrong length that swallows the responses behind it, and one that stops short.
+    Guards against a response whose stated length is too large, so that it includes the following responses,
+    and against a response that is cut short.
 
     Args:
-        abort: resets the connection, for a reason.
+        context: shared objects of the pool's parts.
+        abort: resets the connection for the given reason.
     """
 
     __slots__ = ("_abort", "_context", "_deadline")
@@ -63,7 +66,7 @@
         return self._deadline is not None
 
     def bound(self, buffered_bytes: int) -> None:
-        """Start with the first part of a response, and reserve what is buffered of it by now."""
+        """Start the timer at the first part of a response, and reserve the bytes buffered so far."""
         context = self._context
         if self._deadline is None:
             due_ms = context.clock() + context.limits.partial_response_timeout_ms
@@ -73,7 +76,7 @@
         context.buffer_budget.reserve(self._abort, buffered_bytes)
 
     def stop(self) -> None:
-        """Stop: the response is complete, or the connection has ended."""
+        """Stop the timer, after the response is complete or the connection has ended."""
         if self._deadline is not None:
             self._context.deadlines.cancel(self._deadline)
             self._context.buffer_budget.reserve(self._abort, 0)
--- a/thornjunction/net/upstream/connector.py
+++ b/thornjunction/net/upstream/connector.py
@@ -15,28 +15,28 @@
 from thornjunction.net.upstream.streams import Stream
 from thornjunction.net.upstream.upstream import Upstream
 
-# Connections to one server in all, unresponsive ones included.
+# Maximum number of connections to one server, including unresponsive ones.
 MAX_CONNECTIONS_PER_SERVER = 10
 
 
 class ConnectListener(Protocol):
-    """Is notified of how a connect ends."""
+    """Receives the result of each connect."""
 
     def connected(self, upstream: Upstream, connection: UpstreamConnection) -> None:
-        """A connection to a server came up."""
+        """Handle a new connection to a server."""
 
     def connect_failed(self, upstream: Upstream, failure: ConnectFailure, started_ms: float) -> None:
-        """A connect failed; the server may be blamed for the time since ``started_ms``."""
+        """Handle a failed connect; the server has had time to respond since ``started_ms``."""
 
 
 class Connector:
-    """Opens one connection at a time to each server.
+    """Opens connections, one at a time to each server.
 
     Args:
-        context: surroundings of the pool's parts.
-        table: the table that bounds connections.
-        build: creates the connection to a server of this name.
-        listener: is notified of how a connect ends.
+        context: shared objects of the pool's parts.
+        table: the table that bounds the connections.
+        build: creates the connection to the server of a given name.
+        listener: receives the result of each connect.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._listener = listener
 
     def may_connect(self, upstream: Upstream, max_connections: int) -> bool:
-        """Whether another connection may be opened beside fewer than so many that are responsive."""
+        """Whether another connection may be opened, with fewer than ``max_connections`` responsive ones."""
         return (
             len(upstream.responsive_connections()) < max_connections
             and len(upstream.connections) < MAX_CONNECTIONS_PER_SERVER
@@ -60,7 +60,7 @@
         )
 
     def connect(self, upstream: Upstream) -> None:
-        """Open a connection, unless a connect is under way; ``may_connect`` holds."""
+        """Open a connection unless a connect is in progress; ``may_connect`` must be true."""
         if upstream.connect_attempt is not None:
             return
         assert upstream.host.address is not None
@@ -82,7 +82,7 @@
         upstream.connect_attempt.start()
 
     def cancel(self, upstream: Upstream) -> list[Stream]:
-        """Cancel the connect under way, and return the streams that waited for it."""
+        """Cancel the connect in progress, if any, and return the streams that waited for a connection."""
         connect_attempt = upstream.connect_attempt
         upstream.connect_attempt = None
         if connect_attempt is not None:
--- a/thornjunction/net/upstream/context.py
+++ b/thornjunction/net/upstream/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the connection pool share: the bounds in force, the clock, deadlines and the reactor."""
+"""The objects that all parts of the connection pool share: limits, clock, deadlines and the reactor."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from thornjunction.memory.deadlines import Deadlines
 from thornjunction.net.event_loop.ports import Reactor
 
-# For the rest of a response that has begun, beyond the time that its bytes take on the network.
+# Time limit for the rest of a partly received response, in addition to its transfer time on the network.
 DEFAULT_PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Bounds that the operators' file sets.
+    """Limits that are set in the configuration file.
 
     Attributes:
-        max_streams: streams in flight on one connection.
-        connect_timeout_ms: for one connect, and for a health check.
-        idle_timeout_ms: after which the platform closes an idle connection.
-        max_connections: to all servers together.
-        partial_response_timeout_ms: for the rest of a response that has begun.
+        max_streams: maximum number of streams in flight on one connection.
+        connect_timeout_ms: time limit of one connect, and of a health check.
+        idle_timeout_ms: time after which the platform closes an idle connection.
+        max_connections: maximum number of connections to all servers together.
+        partial_response_timeout_ms: time limit for the rest of a partly received response.
     """
 
     max_streams: int
@@ -34,12 +34,12 @@
 
 @dataclass(slots=True)
 class PoolContext:
-    """The surroundings of the pool's parts; each part reads them at the time of use.
+    """The objects that the pool's parts share; each part reads them when it uses them, as they may change.
 
     Attributes:
         reactor: opens connections.
-        limits: bounds in force.
-        deadlines: the queue of the process.
+        limits: the current limits.
+        deadlines: the process's queue of deadlines.
         clock: the core's clock, in ms.
         buffer_budget: bounds the bytes of incomplete responses.
     """
--- a/thornjunction/net/upstream/dispatcher.py
+++ b/thornjunction/net/upstream/dispatcher.py
@@ -1,4 +1,4 @@
-"""Assigns streams to connections of their servers, and lets them wait where no connection has capacity."""
+"""Assigns streams to connections of their servers, and queues them while no connection has capacity."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from thornjunction.net.upstream.upstream import Upstream
 from thornjunction.net.wire.upstream import encode_health_check, encode_request
 
-# Connections to one server that are opened while others have capacity.
+# Maximum number of connections to one server if another is opened while the loaded ones have capacity.
 MAX_CONNECTIONS_IF_LOADED = 4
 
-# Connections to one server that are opened where none has capacity: each has 32 streams, and a large server's
-# share at the peak is over 128.
+# Maximum number of connections to one server if another is opened because none has capacity.  Each takes 32
+# streams, and at the peak a router has over 128 streams to a large server.
 MAX_CONNECTIONS_IF_EXHAUSTED = 8
 
-# Streams on the least loaded connection, past which another connection is opened beside it.
+# Number of streams on the least loaded connection above which another connection is opened.
 MAX_LIGHT_LOAD_STREAMS = 2
 
-# Of its client's time: an attempt with less is not begun.
+# An attempt is not started if less than this is left of its timeout.
 MIN_REMAINING_MS = 5.0
 
-# Streams that may wait for one connect.
+# Maximum number of streams that wait for a connection to one server.
 MAX_WAITING_STREAMS = 256
 
 
@@ -39,13 +39,13 @@
     It is the owner of all connections, and the listener of the connector.
 
     Args:
-        context: surroundings of the pool's parts.
-        upstreams: the servers of the endpoint list, by name; the caller changes them.
+        context: shared objects of the pool's parts.
+        upstreams: the servers of the endpoint list, by name; the caller updates this mapping.
         connections: the table of all connections.
-        outcomes: where streams end.
+        outcomes: reports the outcomes of streams.
 
     Attributes:
-        attempts_written: attempts written to a server since the start.
+        attempts_written: number of attempts written to servers since the start.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.attempts_written = 0
 
     def dispatch(self, stream: Stream) -> None:
-        """Send a stream to its server now, or once a connection has capacity."""
+        """Send a stream to its server now, or queue it until a connection has capacity."""
         upstream = self._upstreams.get(stream.server)
         if upstream is None or upstream.host.address is None:
             self._outcomes.report(stream, api.AttemptStatus.CONNECTION_REFUSED)
@@ -79,16 +79,16 @@
             self._wait_for_connection(upstream, stream)
             return
         self._write(connection, stream)
-        is_crowded = len(connection.streams) > MAX_LIGHT_LOAD_STREAMS and not self._connections.is_full
-        if is_crowded and self._connector.may_connect(upstream, MAX_CONNECTIONS_IF_LOADED):
+        is_loaded = len(connection.streams) > MAX_LIGHT_LOAD_STREAMS and not self._connections.is_full
+        if is_loaded and self._connector.may_connect(upstream, MAX_CONNECTIONS_IF_LOADED):
             self._connector.connect(upstream)
 
     def cancel_waiting(self, upstream: Upstream) -> list[Stream]:
-        """Cancel a server's connect under way, and return the streams that waited for it."""
+        """Cancel a server's connect in progress, and return the streams that waited for a connection."""
         return self._connector.cancel(upstream)
 
     def capacity_available(self, connection: UpstreamConnection) -> None:
-        """Write streams that wait for a connection to this one, as far as they may still begin."""
+        """Write waiting streams to this connection while it has capacity; end those that are overdue."""
         upstream = self._upstreams.get(connection.server)
         if upstream is None or not upstream.waiting or connection not in upstream.connections:
             return
@@ -97,8 +97,8 @@
             if not connection.has_capacity():
                 return
             if upstream.waiting.get(stream_id) is not stream:
-                continue  # it ended as a consequence of another stream's outcome
-            if now_ms > stream.start_by_ms:  # the event loop runs late
+                continue  # it ended because of another stream's outcome
+            if now_ms > stream.start_by_ms:  # the event loop lags behind its deadlines
                 self._drop_overdue(upstream, stream)
             elif connection.can_take(stream_id):
                 del upstream.waiting[stream_id]
@@ -106,7 +106,7 @@
                 self._write(connection, stream)
 
     def connection_lost(self, connection: UpstreamConnection) -> None:
-        """Report the streams in flight on a connection that ended; they may have run."""
+        """Report the streams in flight on a connection that ended, as the server may have executed them."""
         self._connections.remove(connection)
         upstream = self._upstreams.get(connection.server)
         if upstream is not None and connection in upstream.connections:
@@ -117,7 +117,7 @@
             self._outcomes.report(stream, api.AttemptStatus.CONNECTION_RESET)
 
     def connected(self, upstream: Upstream, connection: UpstreamConnection) -> None:
-        """Write waiting streams to a new connection; connect again for the others, or end them."""
+        """Write waiting streams to a new connection; connect again for the rest if allowed, else end them."""
         self.capacity_available(connection)
         connection.end_or_become_idle()
         if upstream.waiting and self._connector.may_connect(upstream, MAX_CONNECTIONS_IF_EXHAUSTED):
@@ -128,10 +128,10 @@
     def connect_failed(self, upstream: Upstream, failure: ConnectFailure, started_ms: float) -> None:
         """End the streams that waited for a connect that failed.
 
-        Where the server has responded meanwhile, a connect that did not come up in time concerns no other
-        connection: the status CONNECTION_REFUSED would take the whole server out of rotation for a while.
+        If the server responded on another connection in the meantime, a timed-out connect does not show that
+        it is down, and CONNECTION_REFUSED, which takes it out of rotation for a while, is not reported.
         """
-        if failure is ConnectFailure.LOCAL:  # and no stream waits for it any more
+        if failure is ConnectFailure.LOCAL:  # comes only once no stream waits any more
             return
         has_responded = any(
             connection.last_response_ms >= started_ms for connection in upstream.responsive_connections()
@@ -141,7 +141,7 @@
                 self.capacity_available(connection)
             self._end_waiting(upstream, api.AttemptStatus.NOT_STARTED)
             return
-        # Guards against a dead server that goes unnoticed because all streams were withdrawn before.
+        # Guards against a failed server that stays undetected because all waiting streams were withdrawn.
         upstream.unreported_failure_ms = -math.inf if upstream.waiting else self._context.clock()
         self._end_waiting(upstream, api.AttemptStatus.CONNECTION_REFUSED)
 
@@ -149,7 +149,7 @@
         return UpstreamConnection(server, self._context, self._connections, self._outcomes, self)
 
     def _write(self, connection: UpstreamConnection, stream: Stream) -> None:
-        """Write a stream, an attempt with the time that is left by now: it may have waited for a connect."""
+        """Write a stream; an attempt is sent with the time left of its timeout, as it may have waited."""
         attempt = stream.attempt
         if attempt is None:
             connection.send(stream, encode_health_check(stream.stream_id))
@@ -167,7 +167,7 @@
             self._outcomes.report(stream, api.AttemptStatus.CONNECTION_REFUSED)
             return
         if not self._may_wait(upstream, stream):
-            # Guards against blame: OVERLOADED would count against the server, which this pool never asked.
+            # OVERLOADED would count against the server, although it was never sent the request.
             self._outcomes.report(stream, api.AttemptStatus.NOT_STARTED)
             return
         upstream.waiting[stream.stream_id] = stream
@@ -185,7 +185,7 @@
         return self._connector.may_connect(upstream, MAX_CONNECTIONS_IF_EXHAUSTED)
 
     def _drop_overdue(self, upstream: Upstream, stream: Stream) -> None:
-        """End a stream that still waits for a connection though it must not begin any more."""
+        """End a stream that is still waiting for a connection after its ``start_by_ms``."""
         del upstream.waiting[stream.stream_id]
         self._outcomes.report(stream, api.AttemptStatus.NOT_STARTED)
 
--- a/thornjunction/net/upstream/health_checks.py
+++ b/thornjunction/net/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: streams that ask a server whether it can serve, each with a timeout."""
+"""Health checks: streams that ask a server whether it can serve requests, each with a timeout."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class HealthChecks:
-    """Sends health checks and ends those without a response.
+    """Sends health checks and ends those that get no response in time.
 
     Args:
-        context: surroundings of the pool's parts.
+        context: shared objects of the pool's parts.
         upstreams: the servers of the endpoint list, by name.
         dispatcher: sends the streams.
-        outcomes: where a check that timed out is reported.
+        outcomes: reports the checks that timed out.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._checks_sent = 0
 
     def send(self, server: str) -> None:
-        """Send a health check, which has the connect timeout for all it takes."""
+        """Send a health check; the connect timeout covers the connect and the response."""
         self._checks_sent += 1
         stream = Stream(server, f"probe-{self._checks_sent}", None, self._context.clock())
         due_ms = stream.accepted_ms + self._context.limits.connect_timeout_ms
--- a/thornjunction/net/upstream/outcomes.py
+++ b/thornjunction/net/upstream/outcomes.py
@@ -1,7 +1,7 @@
-"""Outcomes of attempts and health checks: how responses map to statuses, and their report to the engine.
+"""Outcomes of attempts and health checks: the mapping of responses to statuses, and reports to the engine.
 
-A connection that never came up proves that nothing ran, one that broke does not, and a response tells it by
-its code.
+If no connection was established, the attempt was certainly not executed; if a connection broke, it may have
+been.  If there is a response, its code tells.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from thornjunction.net.wire.upstream import ResponseCode, UpstreamResponse, decode_report
 from thornjunction.settings import read_report
 
-# Field of a response that carries the server's load report.
+# Response field with the server's load report.
 LOAD_REPORT_FIELD = "report"
 
-# Field of a response that carries the entity tag of the content.
+# Response field with the entity tag of the content.
 ENTITY_TAG_FIELD = "rev"
 
 STATUS_BY_CODE = {
@@ -32,7 +32,7 @@
 
 
 class OutcomeListener(Protocol):
-    """Receives the outcome of each attempt and each health check: the engine."""
+    """Receives the outcome of each attempt and each health check; implemented by the engine."""
 
     def attempt_ended(
         self,
@@ -41,16 +41,16 @@
         content: Content | None = None,
         report: api.LoadReport | None = None,
     ) -> None:
-        """An attempt ended."""
+        """Handle the outcome of an attempt; ``content`` is set if it succeeded."""
 
     def probe_ended(
         self, server: str, status: api.AttemptStatus, took_ms: float, report: api.LoadReport | None
     ) -> None:
-        """A health check ended."""
+        """Handle the outcome of a health check, which took ``took_ms`` since the pool accepted it."""
 
 
 def read_load_report(response: UpstreamResponse) -> api.LoadReport | None:
-    """Return the load report that came with a response, if any."""
+    """Return the load report in a response; None if there is none."""
     text = response.fields.get(LOAD_REPORT_FIELD)
     return read_report(decode_report(text)) if text else None
 
@@ -58,7 +58,7 @@
 def read_content(response: UpstreamResponse, attempt: UpstreamRequest) -> Content | None:
     """Return the content of a successful response; None if it confirms a copy that the client does not have.
 
-    Guards against "your copy is current" to a client that has none, or has another than the one named.
+    Guards against answering "not modified" to a client that has no copy, or one with a different entity tag.
     """
     not_modified = response.code is ResponseCode.KEEP
     etag = response.fields.get(ENTITY_TAG_FIELD, "")
@@ -70,10 +70,10 @@
 
 
 class OutcomeReporter:
-    """Knows the attempts that have no outcome yet, and reports each outcome to the listener once.
+    """Keeps the attempts that have no outcome yet, and reports each outcome to the listener once.
 
     Attributes:
-        listener: where outcomes are reported.
+        listener: receives the outcomes.
     """
 
     listener: OutcomeListener
@@ -87,15 +87,15 @@
         self._open_attempts[number] = stream
 
     def find_attempt(self, number: int) -> Stream | None:
-        """Return a registered attempt that has no outcome yet."""
+        """Return a registered attempt that has no outcome yet; None if there is none of this number."""
         return self._open_attempts.get(number)
 
     def remove_attempt(self, number: int) -> None:
-        """Forget an attempt that was withdrawn or cancelled."""
+        """Remove an attempt that was withdrawn or cancelled."""
         self._open_attempts.pop(number, None)
 
     def report_response(self, stream: Stream, response: UpstreamResponse) -> None:
-        """Report the outcome that a response means."""
+        """Report the outcome that a response indicates."""
         load_report = read_load_report(response)
         attempt = stream.attempt
         if attempt is None:
@@ -118,7 +118,7 @@
         content: Content | None = None,
         load_report: api.LoadReport | None = None,
     ) -> None:
-        """Report the outcome of a stream."""
+        """Report the outcome of a stream, and cancel its deadlines."""
         deadlines = self._context.deadlines
         deadlines.cancel(stream.start_deadline)
         if stream.attempt is not None:
--- a/thornjunction/net/upstream/stream_ids.py
+++ b/thornjunction/net/upstream/stream_ids.py
@@ -1,25 +1,25 @@
-"""Stream ids that a connection must not use again yet: a response to an earlier stream may still come."""
+"""Stream ids that a connection must not reuse yet, as a response to an earlier stream may still arrive."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Cancelled streams of one connection; it gets no further streams past this.
+# Number of cancelled streams on one connection from which on it gets no further streams.
 MAX_CANCELLED_IDS = 256
 
-# Answered streams of one connection whose ids are withheld at a time.
+# Maximum number of answered streams on one connection whose ids are withheld at the same time.
 MAX_WITHHELD_IDS = 256
 
-# After a response, during which its id is not used again: a duplicate response comes soon.
+# Time after a response during which its id is not reused; a duplicate response arrives within it.
 DUPLICATE_RESPONSE_WINDOW_MS = 200.0
 
 
 class StreamIdRegister:
-    """Ids of cancelled and of lately answered streams of one connection.
+    """The ids of cancelled and of recently answered streams of one connection.
 
     Attributes:
-        cancelled: by id, whether the response to the cancelled stream may still come.  A late response must
-            not pass for the response to a new attempt with the same id.
+        cancelled: by id, whether the response to the cancelled stream may still arrive.  A late response must
+            not be taken for the response to a new attempt with the same id.
     """
 
     def __init__(self) -> None:
@@ -34,18 +34,18 @@
         return withheld_until_ms is None or clock() > withheld_until_ms
 
     def add_cancelled(self, stream_id: str) -> None:
-        """Keep the id of a stream that was cancelled on the connection."""
+        """Record the id of a stream that was cancelled on the connection."""
         self.cancelled[stream_id] = True
 
     def take_late_response(self, stream_id: str) -> bool:
-        """Whether a response is the one late response that a cancelled stream may get."""
+        """Return whether a response is the first late one to a cancelled stream; a second one is not."""
         if not self.cancelled.get(stream_id):
             return False
         self.cancelled[stream_id] = False
         return True
 
     def withhold(self, stream_id: str, now_ms: float) -> None:
-        """Guards against a duplicate response, which must not pass for that to the next stream of this id."""
+        """Withhold an id for a time, so that a duplicate is not taken for the next stream's response."""
         withheld = self._withheld_until_ms
         while withheld:
             oldest_id = next(iter(withheld))
--- a/thornjunction/net/upstream/streams.py
+++ b/thornjunction/net/upstream/streams.py
@@ -14,7 +14,7 @@
     """The server that a stream was dispatched to."""
 
     def withdraw(self, stream: Stream) -> bool:
-        """Remove a stream that waits for a connection; False if it does not wait."""
+        """Remove a stream that waits for a connection; return False if it is not waiting."""
 
     def cancel(self, stream: Stream) -> None:
         """Cancel a stream that is in flight on one of the server's connections."""
@@ -26,13 +26,13 @@
 
     Attributes:
         server: name of the server.
-        stream_id: identifies the response on the connection; an attempt's is its transaction id.
-        attempt: what to send; None for a health check.
-        accepted_ms: when the pool accepted it.
-        start_by_ms: it must not be written after this time.
-        target: the server, once it was dispatched there.
-        start_deadline: enforces ``start_by_ms`` while it waits.
-        timeout: ends a health check.
+        stream_id: identifies the response on the connection; for an attempt it is the transaction id.
+        attempt: the attempt to send; None for a health check.
+        accepted_ms: when the pool accepted the stream.
+        start_by_ms: the stream must not be written after this time.
+        target: the server, once the stream was dispatched to it.
+        start_deadline: enforces ``start_by_ms`` while the stream waits for a connection.
+        timeout: the deadline of a health check.
     """
 
     server: str
--- a/thornjunction/net/upstream/upstream.py
+++ b/thornjunction/net/upstream/upstream.py
@@ -1,4 +1,4 @@
-"""One server of the endpoint list, with its connections and the streams that wait for one."""
+"""One server of the endpoint list, with its connections and the streams that wait for a connection."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
     Attributes:
         host: the server as the list describes it.
-        connections: those that have not ended, in the order in which they came up.
+        connections: those that have not ended, in the order in which they were established.
         waiting: streams that wait for a connection, by id.
-        connect_attempt: the connect under way.
-        unreported_failure_ms: when a connect last failed while no stream waited for it.
+        connect_attempt: the connect in progress; None if there is none.
+        unreported_failure_ms: when a connect last failed without a stream waiting for it.
     """
 
     def __init__(self, host: Host) -> None:
@@ -30,9 +30,9 @@
         self.unreported_failure_ms = -math.inf
 
     def least_loaded(self, stream_id: str) -> UpstreamConnection | None:
-        """Return the connection with the fewest streams that takes one of this id.
+        """Return the connection with the fewest streams that takes a stream with this id, if any.
 
-        A malformed response ends all streams of its connection, so they are spread.
+        Streams are spread because a malformed response ends all streams of its connection.
         """
         best: UpstreamConnection | None = None
         for connection in self.connections:
@@ -43,7 +43,7 @@
         return best
 
     def responsive_connections(self) -> list[UpstreamConnection]:
-        """Return the connections that take new streams once they have capacity."""
+        """Return the connections that take new streams whenever they have capacity."""
         return [connection for connection in self.connections if connection.state is ConnectionState.OPEN]
 
     def take_waiting(self) -> list[Stream]:
@@ -53,20 +53,20 @@
         return list(waiting.values())
 
     def withdraw(self, stream: Stream) -> bool:
-        """Remove a stream that waits for a connection; False if it does not wait."""
+        """Remove a stream that waits for a connection; return False if it is not waiting."""
         if self.waiting.get(stream.stream_id) is not stream:
             return False
         del self.waiting[stream.stream_id]
         return True
 
     def cancel(self, stream: Stream) -> None:
-        """Cancel a stream that is in flight on one of the connections."""
+        """Cancel a stream if it is in flight on one of the connections."""
         for connection in self.connections:
             if connection.streams.get(stream.stream_id) is stream:
                 connection.cancel_stream(stream)
                 return
 
     def retire_connections(self) -> None:
-        """Give the connections no new streams; each closes after its streams in flight."""
+        """Stop new streams on all connections; each closes once its streams in flight have ended."""
         for connection in list(self.connections):
             connection.stop_new_streams()
