--- a/tests/net/admin/test_admin_endpoint.py
+++ b/tests/net/admin/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The admin endpoint with a fake clock and transport: one call a connection, bounded in time and number."""
+"""The admin endpoint with a fake clock and transport: one call per connection, limits on time and number."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from thornjunction.net.wire import ProtocolError
 from thornjunction.net.wire.admin import MAX_LINE_BYTES, LineReader, encode_reply
 
-HALF_CALL = b"che"
+PARTIAL_CALL = b"che"
 
 
 def read_error(data: bytes) -> ProtocolError | None:
-    """Return the error that reading these bytes raises."""
+    """Return the error that reading the bytes raises; None if there is none."""
     try:
         LineReader().feed(data)
     except ProtocolError as error:
@@ -33,12 +33,12 @@
     return None
 
 
-@given(cuts=st.lists(st.integers(0, 9), max_size=5), junk=st.binary(max_size=200))
+@given(split_points=st.lists(st.integers(0, 9), max_size=5), junk=st.binary(max_size=200))
 @reproducible
-def test_a_line_is_read_however_it_is_cut(cuts: list[int], junk: bytes) -> None:
+def test_a_line_is_read_however_it_is_split(split_points: list[int], junk: bytes) -> None:
     data = b"drain-on\r\n"
     reader = LineReader()
-    bounds = [0, *sorted(cuts), len(data)]
+    bounds = [0, *sorted(split_points), len(data)]
     *incomplete, line = [reader.feed(data[start:end]) for start, end in pairwise(bounds)]
     assert line == "drain-on"
     assert set(incomplete) <= {None}
@@ -47,7 +47,7 @@
 
 
 class Callers:
-    """An endpoint with the call ``check``, and connections to it."""
+    """Connections of callers to an endpoint that has the call ``check``."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -55,7 +55,7 @@
         self.endpoint = AdminEndpoint(calls, self.clock.deadlines, self.clock)
 
     def connect(self, data: bytes = b"") -> Any:
-        """Return a new connection that has received these bytes."""
+        """Return a new connection that has received ``data``."""
         connection: Any = AdminConnection(self.endpoint)
         connection.makeConnection(FakeTransport())
         if data:
@@ -69,7 +69,7 @@
 
 
 def test_each_connection_carries_one_call(callers: Callers) -> None:
-    connection = callers.connect(HALF_CALL)
+    connection = callers.connect(PARTIAL_CALL)
     assert connection.transport.value() == b""
     connection.dataReceived(b"ck\n")
     connection.dataReceived(b"check\n")
@@ -79,8 +79,8 @@
     assert callers.connect(b"x" * 500).code == "line-size"
 
 
-def test_silent_callers_neither_stay_nor_keep_others_out(callers: Callers) -> None:
-    silent = [callers.connect(HALF_CALL if number % 2 else b"") for number in range(MAX_CONNECTIONS)]
+def test_silent_callers_time_out_and_do_not_block_others(callers: Callers) -> None:
+    silent = [callers.connect(PARTIAL_CALL if number % 2 else b"") for number in range(MAX_CONNECTIONS)]
     assert callers.connect(b"check\n").transport.value() == b"ACK\n"
     assert silent[0].code == DisconnectReason.EVICTED
     callers.clock.advance(CALL_TIMEOUT_MS)
--- a/tests/net/downstream/builders.py
+++ b/tests/net/downstream/builders.py
@@ -1,4 +1,4 @@
-"""Client connections of both fronts with a fake clock, core and transport."""
+"""Builders of client connections on both fronts, with a fake clock, core and transport."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 # Unix time at which tokens are issued and verified.
 UNIX_S = 5.0
 
-# Validity of the tokens.
+# Validity period of the tokens.
 TOKEN_LIFETIME_S = 60
 
 # Identifier of the requests on the platform's front.
@@ -44,23 +44,23 @@
 
 
 def signed_request() -> bytes:
-    """A request of the signed front with a token that admits it."""
+    """Return a request to the signed front with a valid token."""
     token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(BASE + CLIP), UNIX_S, TOKEN_LIFETIME_S)
     return f"GET {CLIP}?URISigningPackage={token} HTTP/1.1\r\nHost: h\r\n\r\n".encode()
 
 
 def malformed_fastcgi_request() -> bytes:
-    """A complete request of the platform's front that names no object."""
+    """Return a complete request to the platform's front whose object name is malformed."""
     return encoded_fastcgi_request(params=PARAMS | {"HTTP_X_ROW": "no object"})
 
 
 @dataclass(frozen=True, slots=True)
 class Front:
-    """A front as its clients see it: what they send, and what its responses contain."""
+    """A front from the clients' view: the bytes that they send, and bytes that its responses contain."""
 
     name: str
     request: Callable[[], bytes]
-    half_request: bytes
+    partial_request: bytes
     rejected_response: bytes
     failed_response: bytes
 
@@ -68,14 +68,14 @@
 FASTCGI = Front(
     name="fastcgi",
     request=encoded_fastcgi_request,
-    half_request=fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0),
+    partial_request=fastcgi.HEADER.pack(1, fastcgi.RecordType.STDIN, 1, 65_535, 0),
     rejected_response=fastcgi.encode_end(FASTCGI_REQUEST_ID, fastcgi.ProtocolStatus.OVERLOADED),
     failed_response=b"Status: 502",
 )
 SIGNED = Front(
     name="signed",
     request=signed_request,
-    half_request=signed_request()[:30],
+    partial_request=signed_request()[:30],
     rejected_response=b"HTTP/1.1 503 ",
     failed_response=b"HTTP/1.1 502",
 )
@@ -83,7 +83,7 @@
 
 
 class FakeTransport(StringTransport):
-    """Keeps what is written; ``is_write_shut`` once the sending side is shut."""
+    """A transport that keeps written bytes; ``is_write_shut``: whether the sending side is shut down."""
 
     is_write_shut = False
 
@@ -98,7 +98,7 @@
 
 
 class FakeClock:
-    """The core's clock and its deadlines, which run as the time advances."""
+    """A clock of the core that the test advances, and deadlines that run as it advances."""
 
     def __init__(self) -> None:
         self.now_ms = 1000.0
@@ -107,9 +107,9 @@
     def __call__(self) -> float:
         return self.now_ms
 
-    def advance(self, span_ms: float) -> None:
-        """Let time pass, and run each deadline at its time."""
-        end_ms = self.now_ms + span_ms
+    def advance(self, duration_ms: float) -> None:
+        """Advance the time, and run each deadline when it is due."""
+        end_ms = self.now_ms + duration_ms
         while (due_ms := self.deadlines.next_due()) <= end_ms:
             self.now_ms = max(due_ms, self.now_ms)
             self.deadlines.run_due(self.now_ms)
@@ -118,13 +118,13 @@
 
 @dataclass(slots=True)
 class FakeCore:
-    """A core that answers when the test calls a reply.
+    """A core that answers a request when the test calls its reply callback.
 
     Attributes:
-        replies: the callbacks of all requests, in order; the number of a request is its place from 1.
+        replies: the callbacks of all requests, in order; requests are numbered from 1 in this order.
         abandoned: numbers of the requests that were abandoned.
-        is_full: whether further requests find no room.
-        answers_at_once: numbers of the requests that are answered before ``open`` returns, and the answers.
+        is_full: whether further requests raise ``RequestTableFullError``.
+        answers_at_once: the answers, by number, of requests that are answered before ``open`` returns.
     """
 
     replies: list[ReplyCallback] = field(default_factory=list)
@@ -146,10 +146,10 @@
 
 
 class ClientConnections:
-    """A table of connections with a fake clock and core.
+    """A table of client connections with a fake clock and core.
 
     Attributes:
-        refused: class and answer of each request that the platform's front refused by itself.
+        refused: class and answer of each request that the platform's front refused without the core.
     """
 
     def __init__(self, capacity: int = 3, limit_bytes: int = 1_000_000) -> None:
@@ -165,7 +165,7 @@
         )
 
     def connect(self, front: Front) -> Any:
-        """A new connection on a front."""
+        """Return a new connection on a front."""
         connection: DownstreamConnection
         common = (self.table, self.clock.deadlines, self.clock)
         if front is FASTCGI:
@@ -176,7 +176,7 @@
         return connection
 
     def connect_served(self, front: Front) -> Any:
-        """A connection whose first request was answered."""
+        """Return a connection whose first request was answered."""
         connection = self.connect(front)
         connection.dataReceived(front.request())
         self.core.replies[-1](SERVED)
--- a/tests/net/downstream/loopback_case.py
+++ b/tests/net/downstream/loopback_case.py
@@ -1,4 +1,4 @@
-"""Base of the tests of client connections on loopback sockets, with the real core and scripted servers."""
+"""Base class of the tests of client connections on loopback, with the real core and scripted servers."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from thornjunction.runtime.drain import Drain
 from thornjunction.runtime.shutdown import Shutdown
 
-# A step of the servers' script: more than the sockets between router and client take.
+# A scripted response of a server that is larger than the socket buffers between router and client.
 LARGE_RESPONSE = (b"DONE", b"w" * 240_000)
 
 
 class LoopbackTestCase(TestCase):
-    """A router with both fronts on loopback, and clients whose sends and ends are ordered by the test."""
+    """A router with both fronts on loopback, and clients whose sends and closes the test controls."""
 
     timeout = 10
 
@@ -26,25 +26,25 @@
         self.engine = self.environment.engine
         self.clients = RawSocketClients(self.environment)
         self.addCleanup(self.clients.close)
-        self.until = self.environment.wait_until
+        self.wait_until = self.environment.wait_until
         self.stop_calls: list[bool] = []
 
     def forwarded_count(self) -> int:
-        """Attempts that servers have received."""
+        """Return the number of attempts that servers have received."""
         return len(self.environment.forwarded_requests())
 
-    async def until_forwarded(self, count: int) -> None:
-        """Turn the reactor until servers have received so many attempts."""
-        await self.until(lambda: self.forwarded_count() == count)
+    async def wait_until_forwarded(self, count: int) -> None:
+        """Run the reactor until servers have received ``count`` attempts."""
+        await self.wait_until(lambda: self.forwarded_count() == count)
 
-    async def until_gone(self, *clients: object) -> None:
-        """Let the clients leave, and turn the reactor until the router holds nothing of any client."""
+    async def close_and_wait_until_released(self, *clients: object) -> None:
+        """Close the clients, and run the reactor until the router has released all client connections."""
         for client in clients:
             client.close()  # type: ignore[attr-defined]
         await self.clients.wait_until_gone()
 
     def build_drain(self) -> Drain:
-        """A drain that is not started."""
+        """Return a drain that is not started."""
         return Drain(
             self.environment.downstream_table,
             self.environment.timer_service.deadlines,
@@ -53,7 +53,7 @@
         )
 
     def build_shutdown(self, drain: Drain) -> Shutdown:
-        """A shutdown that is not started; ``stop_calls`` has an entry once it would end the process."""
+        """Return a shutdown that is not started; it adds to ``stop_calls`` when it would end the process."""
         return Shutdown(
             self.environment.downstream_table,
             drain,
@@ -64,5 +64,5 @@
         )
 
     def drain_servers(self) -> None:
-        """Discovery lists the edge cache as draining."""
+        """Mark the edge cache server as draining in the endpoint list."""
         self.environment.list_servers(api.ServerState.DRAINING)
--- a/tests/net/downstream/signed_front_case.py
+++ b/tests/net/downstream/signed_front_case.py
@@ -1,4 +1,4 @@
-"""Base of the tests of the signed front on loopback, over the real core."""
+"""Base class of the tests of the signed front on loopback sockets, with the real core."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SignedFrontTestCase(TestCase):
-    """A router on loopback, with an HTTP client for each request."""
+    """A router on loopback sockets, with a new HTTP client for each request."""
 
     timeout = 20
 
@@ -19,7 +19,7 @@
         self.addCleanup(self.environment.stop)
 
     async def request(self, target: str, method: str = "GET", **headers: str) -> Any:
-        """The only response on a new connection."""
+        """Send a request on a new connection, and return its only response."""
         client = await self.environment.connect_client()
         client.send_request(target, method, **headers)
         (response,) = await client.wait_for_answers(1)
@@ -31,8 +31,8 @@
         client.transport.loseConnection()
         await client.connection_lost
 
-    async def until_cancelled(self) -> None:
-        """Turn the reactor until a server is told that nobody waits for an attempt."""
+    async def wait_until_cancelled(self) -> None:
+        """Run the reactor until a server has received the cancellation of an attempt."""
         await self.environment.wait_until(
             lambda: any(command.verb == "never_mind" for command in self.environment.received_commands)
         )
--- a/tests/net/downstream/test_buffered_bytes.py
+++ b/tests/net/downstream/test_buffered_bytes.py
@@ -1,4 +1,4 @@
-"""Bounds of what connections buffer: half requests and responses that are not read, with a fake clock."""
+"""Limits on the bytes that connections buffer: partial requests and unread responses, with a fake clock."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 @both_fronts
-def test_half_requests_and_unread_responses_share_one_budget(front: Front) -> None:
+def test_partial_requests_and_unread_responses_share_one_budget(front: Front) -> None:
     clients = ClientConnections(limit_bytes=LIMIT_BYTES)
     small = clients.connect(front)
     large = clients.connect(front)
     reader = clients.connect(front)
-    half_request = front.request()[:30]
-    small.dataReceived(half_request)
+    partial_request = front.request()[:30]
+    small.dataReceived(partial_request)
     reader.dataReceived(front.request())
     reader.pauseProducing()
     clients.core.replies[0](Served(Content(bytes(2000))))
     assert clients.table.budget.reserved_bytes > 2000
     large.dataReceived(
-        half_request + b"x" * 4000
+        partial_request + b"x" * 4000
         if front is SIGNED
         else fastcgi.HEADER.pack(1, fastcgi.RecordType.PARAMS, 1, 65_535, 0) + bytes(4000)
     )
@@ -42,17 +42,17 @@
 
 
 @both_fronts
-@pytest.mark.parametrize("more", ["part", "garbage"])
-def test_a_client_that_sends_without_end_gets_the_response_to_its_complete_request(
-    front: Front, more: str
+@pytest.mark.parametrize("extra_input", ["part", "garbage"])
+def test_a_client_that_sends_endlessly_gets_the_response_to_its_complete_request(
+    front: Front, extra_input: str
 ) -> None:
-    """A part that exceeds the budget, and garbage beyond what is discarded."""
+    """A partial request that exceeds the byte budget, and garbage that exceeds the discard limit."""
     clients = ClientConnections(limit_bytes=LIMIT_BYTES)
     connection = clients.connect(front)
     connection.dataReceived(front.request())
-    connection.dataReceived(front.half_request + bytes(6000) if more == "part" else GARBAGE)
+    connection.dataReceived(front.partial_request + bytes(6000) if extra_input == "part" else GARBAGE)
     connection.dataReceived(bytes(MAX_DISCARDED_BYTES))
-    assert connection.transport.value() == b"" or more == "part"
+    assert connection.transport.value() == b"" or extra_input == "part"
     connection.dataReceived(b"x")
     assert connection.transport.is_write_shut
     assert connection.transport.value().count(front.failed_response) == 1
@@ -61,7 +61,7 @@
 
 
 @both_fronts
-def test_a_client_that_never_reads_is_cut_off_although_it_sends_requests(
+def test_a_client_that_never_reads_is_disconnected_although_it_sends_requests(
     clients: ClientConnections, front: Front
 ) -> None:
     connection = clients.connect(front)
--- a/tests/net/downstream/test_client_disconnect.py
+++ b/tests/net/downstream/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that leave on loopback: nothing is begun, repeated or kept for them."""
+"""Clients that disconnect on loopback sockets: no request is started, retried or kept for them."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 REQUEST_ID = 50
 
-# Beside the modes of closing: the client aborts its request and stays.
+# In addition to the close modes: the client aborts its request and stays connected.
 ABORT_REQUEST = "abort-request"
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequestCase:
-    """Where a request is as its client leaves.
+    """The state of a request when its client disconnects.
 
     Attributes:
-        request: the request itself.
-        server_step: what its server answers; None: nothing.
-        unread_responses: earlier responses that the client has not read.
+        request: the encoded request.
+        server_step: the server's scripted response; None if it does not respond.
+        unread_responses: number of earlier responses that the client has not read.
     """
 
     request: bytes
@@ -38,7 +38,7 @@
     unread_responses: int = 0
 
 
-# At a server; rejected there, so that its retry waits; at a server while its client reads nothing.
+# In flight at a server; rejected by it and waiting for a retry; in flight while the client reads nothing.
 OPEN_REQUEST_CASES = (
     OpenRequestCase(encode_request(REQUEST_ID), None),
     OpenRequestCase(encode_request(REQUEST_ID, "keyed", HTTP_X_TXN_KEY="k"), (b"WAIT", b"")),
@@ -47,12 +47,12 @@
 
 
 class ClientDisconnectTest(LoopbackTestCase):
-    async def test_a_client_that_leaves_is_owed_nothing_wherever_its_request_is(self) -> None:
+    async def test_a_client_disconnect_ends_its_request_in_any_state(self) -> None:
         self.environment.downstream_table.budget.limit_bytes = 1 << 30
-        for case, how in product(OPEN_REQUEST_CASES, (*CloseMode, ABORT_REQUEST)):
-            await self.check_client_that_leaves(case, how)
+        for case, close_mode in product(OPEN_REQUEST_CASES, (*CloseMode, ABORT_REQUEST)):
+            await self.check_client_disconnect(case, close_mode)
 
-    async def check_client_that_leaves(self, case: OpenRequestCase, how: str) -> None:
+    async def check_client_disconnect(self, case: OpenRequestCase, close_mode: str) -> None:
         count = case.unread_responses
         forwarded = self.forwarded_count() + count + 1
         self.environment.script = [LARGE_RESPONSE] * count + [case.server_step]
@@ -60,41 +60,41 @@
             b"".join(encode_request(number + 1) for number in range(count)), count
         )
         client.send(case.request)
-        await self.until_forwarded(forwarded)
+        await self.wait_until_forwarded(forwarded)
         attempts_in_flight = 1 if case.server_step is None else 0
-        await self.until(lambda: len(self.engine.attempts) == attempts_in_flight)
+        await self.wait_until(lambda: len(self.engine.attempts) == attempts_in_flight)
         assert len(self.engine.requests) == 1
-        if how == ABORT_REQUEST:
+        if close_mode == ABORT_REQUEST:
             client.send(encode_abort(REQUEST_ID))
         else:
-            client.close(how)
-        await self.until(lambda: not len(self.engine.requests))
-        await self.until_gone(client)
+            client.close(close_mode)
+        await self.wait_until(lambda: not len(self.engine.requests))
+        await self.close_and_wait_until_released(client)
         assert self.forwarded_count() == forwarded
         assert self.engine.router.state.requests.waiting == {}  # type: ignore[attr-defined]
 
-    async def test_a_burst_whose_client_has_gone_begins_nothing(self) -> None:
-        """All of it, and the end of its connection, has arrived before the router reads."""
+    async def test_a_burst_of_a_disconnected_client_starts_no_request(self) -> None:
+        """The whole burst and the end of its connection have arrived before the router reads."""
         opened: list[Any] = []
         bursts = {
             PortIndex.FASTCGI_FRONT: b"".join(encode_request(number + 1) for number in range(100)),
             PortIndex.SIGNED_FRONT: self.clients.encode_signed_request(CLIP) * 5,
         }
         with patch.object(self.engine, "open", lambda call, reply: opened.append(call)):
-            for how, (port, burst) in product(CloseMode, bursts.items()):
+            for close_mode, (port, burst) in product(CloseMode, bursts.items()):
                 client = self.clients.connect(port)
                 client.send(burst)
-                client.close(how)
-            await self.until(
+                client.close(close_mode)
+            await self.wait_until(
                 lambda: all(self.environment.ports[port].sessionno == len(CloseMode) for port in bursts)
             )
             await self.clients.wait_until_gone()
         assert opened == []
 
-    async def test_an_aborted_request_of_a_burst_is_not_begun(self) -> None:
+    async def test_an_aborted_request_of_a_burst_is_not_started(self) -> None:
         client = self.clients.connect()
         client.send(encode_request(1) + encode_request(2) + encode_request(3) + encode_abort(2))
-        await self.until(lambda: client.answer_count() == 2)
+        await self.wait_until(lambda: client.answer_count() == 2)
         assert [request.request_id for request in self.environment.forwarded_requests()] == [
             b"%016x" % 1,
             b"%016x" % 3,
@@ -109,7 +109,7 @@
         def open_slowly(call: Any, reply: Any) -> Any:
             nonlocal delay_ms
             opened.append(call)
-            delay_ms += 12.0  # two of these are more than a time slice
+            delay_ms += 12.0  # two of these delays exceed a time slice
             if len(opened) == 2:
                 client.close()
             return open_request(call, reply)
@@ -118,15 +118,15 @@
         late_clock = patch("fakes.loopback_environment.core_ms", lambda: core_ms() + delay_ms)
         with late_clock, patch.object(self.engine, "open", open_slowly):
             client.send(b"".join(encode_request(number + 1) for number in range(20)))
-            await self.until(lambda: opened and not self.environment.downstream_table.connection_count)
+            await self.wait_until(lambda: opened and not self.environment.downstream_table.connection_count)
         assert len(opened) == 2
         assert len(self.engine.requests) == 0
 
-    async def test_a_process_that_was_held_up_notices_who_left_before_it_retries(self) -> None:
+    async def test_a_blocked_process_detects_a_disconnect_before_it_retries(self) -> None:
         self.environment.script = [(b"WAIT", b"")]
         client, _ = await self.clients.connect_accepted()
         client.send(encode_request(1, "keyed", HTTP_X_TXN_KEY="k"))
-        await self.until(lambda: self.engine.router.state.requests.waiting)  # type: ignore[attr-defined]
+        await self.wait_until(lambda: self.engine.router.state.requests.waiting)  # type: ignore[attr-defined]
         client.close()
 
         def late_ms() -> float:
--- a/tests/net/downstream/test_connection_table.py
+++ b/tests/net/downstream/test_connection_table.py
@@ -1,4 +1,4 @@
-"""A full table of connections: who is evicted, and who is rejected, with a fake clock."""
+"""A full table of client connections: which are evicted and which are rejected, with a fake clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def fill_with_open_requests(clients: ClientConnections, front: Front) -> list[Any]:
-    """Connections in all slots, each with an open request."""
+    """Return connections in all slots, each with an open request."""
     connections = [clients.connect(front) for _ in range(3)]
     for connection in connections:
         connection.dataReceived(front.request())
@@ -18,7 +18,7 @@
 
 
 def assert_first_request_is_rejected(clients: ClientConnections, front: Front) -> None:
-    """A connection over capacity stays until its request has come, is told so, and ends."""
+    """Check that a connection over capacity stays until its request is received and rejected, then ends."""
     connection = clients.connect(front)
     request = front.request()
     connection.dataReceived(request[:20])
--- a/tests/net/downstream/test_front_rejections.py
+++ b/tests/net/downstream/test_front_rejections.py
@@ -1,4 +1,4 @@
-"""Requests that a front rejects, and answers of the core within the call, with a fake core."""
+"""Requests that a front rejects, and answers of the core before ``open`` returns, with a fake core."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert b"Connection: close" in written[written.index(b"HTTP/1.1 503") :]
 
 
-def test_the_same_malformed_request_again_and_again_ends_the_connection(clients: ClientConnections) -> None:
+def test_repeated_malformed_requests_end_the_connection(clients: ClientConnections) -> None:
     connection = clients.connect(FASTCGI)
     malformed = malformed_fastcgi_request()
     for _ in range(MAX_MALFORMED_REQUESTS - 1):
@@ -54,7 +54,7 @@
     assert connection.transport.value().count(b"Status: 400") == 2 * MAX_MALFORMED_REQUESTS - 1
 
 
-def test_an_answer_at_once_leaves_the_number_of_the_next_request_alone(clients: ClientConnections) -> None:
+def test_an_immediate_answer_keeps_the_number_of_the_next_request(clients: ClientConnections) -> None:
     clients.core.answers_at_once[1] = Rejected(0.0)
     connection = clients.connect(SIGNED)
     connection.dataReceived(SIGNED.request() * 2)
@@ -62,7 +62,7 @@
     assert clients.core.abandoned == [2]
 
 
-def test_what_a_front_answers_itself_is_counted(clients: ClientConnections) -> None:
+def test_requests_that_a_front_answers_itself_are_counted(clients: ClientConnections) -> None:
     connection = clients.connect(FASTCGI)
     connection.dataReceived(malformed_fastcgi_request())
     connection.context = replace(connection.context, refusal=lambda: b"Status: 503\r\n\r\n")
--- a/tests/net/downstream/test_lingering_close.py
+++ b/tests/net/downstream/test_lingering_close.py
@@ -7,10 +7,10 @@
 
 
 @both_fronts
-def test_a_close_discards_a_request_that_crosses_it_and_lets_the_last_response_arrive(
+def test_a_close_discards_a_late_request_without_losing_the_last_response(
     clients: ClientConnections, front: Front
 ) -> None:
-    """A request left unread would reset the connection, and the client would lose a response on its way."""
+    """A request left unread would reset the connection, and the client would lose a response in transit."""
     connection = clients.connect_served(front)
     connection.close_if_idle()
     connection.close_if_idle()
@@ -29,7 +29,9 @@
 
 
 @both_fronts
-def test_a_client_that_sends_on_after_a_close_is_cut_off(clients: ClientConnections, front: Front) -> None:
+def test_a_client_that_keeps_sending_after_a_close_is_disconnected(
+    clients: ClientConnections, front: Front
+) -> None:
     connection = clients.connect_served(front)
     connection.close_if_idle()
     connection.dataReceived(bytes(MAX_DISCARDED_BYTES))
--- a/tests/net/downstream/test_pending_requests.py
+++ b/tests/net/downstream/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests around the end of an idle connection: answered if they arrived before it, else not sent on."""
+"""Requests near the end of an idle connection: answered if they arrived before it, else not forwarded."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     """A connection that reaches a time limit.
 
     Attributes:
-        port: the front's place among the environment's ports.
-        request: a request of that front, sent around the check of the limit.
-        reason: why the connection ends.
-        limit_ms: the limit.
-        first_request: what was sent and answered before; empty: nothing.
-        half_request: how much of ``request`` came before.
+        port: index of the front among the environment's ports.
+        request: a request to that front, sent just before or after the limit is checked.
+        reason: the reason why the connection ends.
+        limit_ms: the time limit.
+        first_request: a request that was sent and answered before; empty if there is none.
+        partial_request: the first bytes of ``request``, received before; empty if there are none.
     """
 
     port: int
@@ -38,11 +38,11 @@
     reason: str
     limit_ms: float
     first_request: bytes = b""
-    half_request: bytes = b""
+    partial_request: bytes = b""
 
     @property
     def rest_of_request(self) -> bytes:
-        return self.request[len(self.half_request) :]
+        return self.request[len(self.partial_request) :]
 
     @property
     def responses_before(self) -> int:
@@ -62,45 +62,45 @@
             cases.append(TimeLimitCase(port, request, "idle", IDLE_TIMEOUT_MS, first_request=request))
             cases.append(TimeLimitCase(port, request, "silent", REQUEST_TIMEOUT_MS))
             cases.append(
-                TimeLimitCase(port, request, "half-request", REQUEST_TIMEOUT_MS, half_request=request[:20])
+                TimeLimitCase(port, request, "half-request", REQUEST_TIMEOUT_MS, partial_request=request[:20])
             )
         return cases
 
     async def connect(self, case: TimeLimitCase) -> tuple[RawSocketClient, Any]:
-        """A client in the case's situation, and the router's side of its connection."""
+        """Return a client in the state that ``case`` describes, and the router's side of its connection."""
         client, connection = await self.clients.connect_accepted(case.first_request, case.port)
-        client.send(case.half_request)
-        await self.until(lambda: connection.partial_request_bytes() or not case.half_request)
+        client.send(case.partial_request)
+        await self.wait_until(lambda: connection.partial_request_bytes() or not case.partial_request)
         return client, connection
 
     def check_times_at_limit(self, connection: Any, case: TimeLimitCase) -> None:
         with patch.object(connection, "clock", lambda: core_ms() + case.limit_ms):
             connection._check_times()
 
-    async def test_a_request_that_crosses_an_idle_close_is_not_sent_on_and_nothing_is_reset(self) -> None:
+    async def test_a_request_sent_during_an_idle_close_is_not_forwarded_and_causes_no_reset(self) -> None:
         for case in self.time_limit_cases():
             client, connection = await self.connect(case)
             forwarded_before = self.forwarded_count()
             self.check_times_at_limit(connection, case)
             client.send(case.rest_of_request)
-            await self.until(client.has_ended)
+            await self.wait_until(client.has_ended)
             assert connection.end_reason == case.reason
             assert client.connection_end == "fin"
             assert connection.response_count == case.responses_before
             assert self.forwarded_count() == forwarded_before
-            await self.until_gone(client)
+            await self.close_and_wait_until_released(client)
 
     async def test_a_request_that_arrived_before_an_idle_close_is_answered(self) -> None:
-        """In a process that was held up, it may have been unread for long."""
+        """If the event loop was blocked, the request may have been waiting unread for a long time."""
         for case in self.time_limit_cases():
             client, connection = await self.connect(case)
             forwarded_before = self.forwarded_count()
             client.send(case.rest_of_request)
             self.check_times_at_limit(connection, case)
-            await self.until_responses(connection, case.responses_before + 1)
+            await self.wait_until_responses(connection, case.responses_before + 1)
             assert connection.end_reason == ""
             assert self.forwarded_count() == forwarded_before + 1
-            await self.until_gone(client)
+            await self.close_and_wait_until_released(client)
 
     async def test_a_request_that_arrived_before_a_drain_closes_its_connection_is_answered(self) -> None:
         await self.check_pending_request_is_answered(lambda connection: connection.close_if_idle(), math.inf)
@@ -111,15 +111,15 @@
         await self.check_pending_request_is_answered(lambda _: shutdown._check_done(), 0.0)
 
     async def check_pending_request_is_answered(self, check: CheckConnection, shutdown_at_ms: float) -> None:
-        """A second request is unread as ``check`` decides whether its connection ends."""
+        """Check that a second request, unread when ``check`` decides about the connection, is answered."""
         for port, request in self.requests_by_port().items():
             client, connection = await self.clients.connect_accepted(request, port)
             client.send(request)
             self.engine.shutdown_at_ms = shutdown_at_ms
             check(connection)
-            await self.until_responses(connection, 2)
+            await self.wait_until_responses(connection, 2)
             self.engine.shutdown_at_ms = math.inf
-            await self.until_gone(client)
+            await self.close_and_wait_until_released(client)
 
-    async def until_responses(self, connection: Any, count: int) -> None:
-        await self.until(lambda: connection.response_count == count)
+    async def wait_until_responses(self, connection: Any, count: int) -> None:
+        await self.wait_until(lambda: connection.response_count == count)
--- a/tests/net/downstream/test_request_scheduler.py
+++ b/tests/net/downstream/test_request_scheduler.py
@@ -1,4 +1,4 @@
-"""Connections that take turns at the core, with a fake clock."""
+"""Time slices of connections whose requests wait for the core, with a fake clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from thornjunction.net.downstream.request_scheduler import TIME_SLICE_MS
 
 
-def test_a_queued_dispatch_that_raises_ends_its_connection_and_no_other(clients: ClientConnections) -> None:
+def test_an_exception_in_a_queued_dispatch_ends_only_its_connection(clients: ClientConnections) -> None:
     failing = clients.connect(FASTCGI)
     other = clients.connect(FASTCGI)
     clients.table.scheduler._slice_used_ms = TIME_SLICE_MS  # both wait for the next slice
--- a/tests/net/downstream/test_signed_front.py
+++ b/tests/net/downstream/test_signed_front.py
@@ -22,13 +22,13 @@
             in self.environment.forwarded_requests()[0].arguments[0]
         )
 
-    async def test_a_deadline_is_a_504_and_the_attempt_is_cancelled(self) -> None:
+    async def test_a_missed_deadline_is_a_504_and_the_attempt_is_cancelled(self) -> None:
         self.environment.script = [None] * 9
         response = await self.request(
             self.environment.sign_target(ALERT), "POST", X_Ttl_Ms="80", Idempotency_Key="k1"
         )
         assert response.status == 504
-        await self.until_cancelled()
+        await self.wait_until_cancelled()
 
     async def test_a_rejection_says_when_to_retry(self) -> None:
         self.environment.script = [(b"LACK", b"")]
@@ -42,20 +42,20 @@
         assert response.status == 502
         assert "retry-after" not in response.headers
 
-    async def test_a_client_that_leaves_cancels(self) -> None:
+    async def test_a_client_disconnect_cancels_its_attempt(self) -> None:
         self.environment.script = [None]
         client = await self.environment.connect_client()
         next_attempt = self.environment.next_request()
         client.send_request(self.environment.sign_target(CLIP))
         await next_attempt
         client.transport.abortConnection()
-        await self.until_cancelled()
-        server, ident = self.environment.received_requests[0]
-        server.send_answer(ident, b"DONE", b"late")
+        await self.wait_until_cancelled()
+        server, request_id = self.environment.received_requests[0]
+        server.send_answer(request_id, b"DONE", b"late")
         assert len(self.environment.engine.requests) == 0
         assert self.environment.counters.counts["requests.films.abandoned"] == 1
 
-    async def test_malformed_input_ends_its_connection_only(self) -> None:
+    async def test_malformed_input_ends_only_its_connection(self) -> None:
         client = await self.environment.connect_client()
         client.transport.write(b"\x00\xff junk\r\n\r\n")
         (response,) = await client.wait_for_answers(1)
@@ -88,7 +88,7 @@
         client.transport.write(encoded_fastcgi_request(11, params, b""))
         await next_attempt
         client.transport.write(fastcgi.encode_record(fastcgi.RecordType.ABORT, 11, b""))
-        await self.until_cancelled()
+        await self.wait_until_cancelled()
         assert len(client.end_records()) == 2
         client.transport.write(b"junk that is no record")
         await client.connection_lost
--- a/tests/net/downstream/test_signed_tokens.py
+++ b/tests/net/downstream/test_signed_tokens.py
@@ -1,4 +1,4 @@
-"""Admission by tokens on the signed front, from request to response."""
+"""Admission of requests by tokens on the signed front, from request to response."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SignedTokensTest(SignedFrontTestCase):
-    async def test_what_is_not_admitted_never_reaches_the_core(self) -> None:
+    async def test_requests_that_are_not_admitted_never_reach_the_core(self) -> None:
         good = self.environment.issue_token(CLIP)
         other = self.environment.issue_token(CLIP.replace("/0", "/1"))
         status_by_target = {
@@ -29,21 +29,23 @@
         assert self.environment.received_commands == []
         assert dict(self.environment.counters.counts) == {}
 
-    async def test_a_token_that_expires_midway_admits_its_response_and_nothing_new(self) -> None:
+    async def test_a_token_that_expires_during_a_request_admits_its_response_and_no_new_request(self) -> None:
         def expire() -> None:
             self.environment.unix_time_s += 100.0
 
-        await self.check_token_invalid_midway(expire)
+        await self.check_token_invalidated_during_request(expire)
 
-    async def test_a_token_whose_key_retires_midway_admits_its_response_and_nothing_new(self) -> None:
-        def remove_key() -> None:  # as a new key set would
+    async def test_a_token_whose_key_retires_during_a_request_admits_its_response_and_no_new_request(
+        self,
+    ) -> None:
+        def remove_key() -> None:  # as the load of a new key set does
             keys = {kid: key for kid, key in TRUST.keys.items() if kid != "new"}
             self.environment.signed_context.trust = replace(TRUST, keys=keys)
 
-        await self.check_token_invalid_midway(remove_key)
+        await self.check_token_invalidated_during_request(remove_key)
 
-    async def check_token_invalid_midway(self, invalidate: Callable[[], None]) -> None:
-        """The token becomes invalid while its request is at a server, before it is used again."""
+    async def check_token_invalidated_during_request(self, invalidate: Callable[[], None]) -> None:
+        """Invalidate the token while its request is in flight at a server, then use it again."""
         self.environment.script = [None]
         client = await self.environment.connect_client()
         next_attempt = self.environment.next_request()
@@ -52,8 +54,8 @@
         await next_attempt
         invalidate()
         client.send_request(target)
-        server, ident = self.environment.received_requests[0]
-        server.send_answer(ident, b"DONE", LARGE_BODY)
+        server, request_id = self.environment.received_requests[0]
+        server.send_answer(request_id, b"DONE", LARGE_BODY)
         first, second = await client.wait_for_answers(2)
         assert first.status == 200
         assert len(first.body) == len(LARGE_BODY)
@@ -72,7 +74,7 @@
         response = await self.request(CLIP, Cookie=cookie.partition(";")[0])
         assert response.status == 401
 
-    async def test_a_rejected_retry_of_an_alert_sends_nothing_and_forgets_nothing(self) -> None:
+    async def test_a_rejected_retry_of_an_alert_sends_nothing_and_keeps_its_execution(self) -> None:
         self.environment.script = [None]
         target = self.environment.sign_target(ALERT)
         headers = {"X_Ttl_Ms": "60", "Idempotency_Key": "k3"}
@@ -89,13 +91,13 @@
         assert len(self.environment.forwarded_requests()) == 1
 
     def end_deduplication_window(self) -> None:
-        """The servers have forgotten the first execution by now."""
+        """Set the send times back, so that servers no longer deduplicate the first execution."""
         executions = self.environment.engine.router.state.executions.by_key  # type: ignore[attr-defined]
         for key, execution in list(executions.items()):
             executions[key] = replace(execution, sent_at_ms=execution.sent_at_ms - 10_000.0)
 
-    async def test_a_token_bound_to_an_address_admits_that_client_alone(self) -> None:
-        """RFC 9246 §2.1.10 over loopback: the connection's peer is 127.0.0.1."""
+    async def test_a_token_bound_to_an_address_admits_only_that_client(self) -> None:
+        """RFC 9246 §2.1.10 on loopback, where the connection's peer is 127.0.0.1."""
         same_address = await self.request(self.environment.sign_target(CLIP, cdniip="127.0.0.1"))
         other_address = await self.request(self.environment.sign_target(CLIP, cdniip="192.0.2.9"))
         assert same_address.status == 200
@@ -113,7 +115,7 @@
         assert other.status == 503
         assert int(other.headers["retry-after"]) >= 1
 
-    async def test_a_forged_second_token_of_a_pipeline_spoils_nothing(self) -> None:
+    async def test_a_forged_token_in_a_pipeline_affects_no_other_request(self) -> None:
         client = await self.environment.connect_client()
         good = self.environment.issue_token(CLIP)
         forged = self.environment.issue_token(CLIP)[:-4] + "AAAA"
--- a/tests/net/event_loop/test_client_priority.py
+++ b/tests/net/event_loop/test_client_priority.py
@@ -1,4 +1,4 @@
-"""The order in which an iteration of the reactor handles real sockets: clients before servers."""
+"""The order in which a reactor iteration handles real sockets: clients before servers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 from thornjunction.net.event_loop.transport import BuildFactory
 
-# Longer than an iteration may spend on servers, and than a poll of the clients is recent.
+# Longer than an iteration may spend on servers, and longer than a poll of the clients counts as recent.
 SLOW_HANDLER_S = 0.02 + max(MAX_OTHER_EVENTS_S, MAX_POLL_AGE_S)
 
 SERVER_COUNT = 3
@@ -36,7 +36,7 @@
 
 
 class EventRecorder(protocol.Protocol):
-    """Records data and the end of a connection under a name."""
+    """Records each data event and the end of a connection under the connection's name."""
 
     def __init__(self, loop: SteppedLoop, name: str) -> None:
         self.loop = loop
@@ -51,9 +51,9 @@
 
 
 class SteppedLoop:
-    """A reactor that the test iterates, on a clock of its own, with one client and three servers.
+    """A reactor that the test iterates, with a fake clock, one client and three servers.
 
-    ``events`` holds the names of the sockets that were handled; ``on_data`` is called with each data event.
+    ``events`` contains the names of the sockets that were handled; ``on_data`` is called for each data event.
     """
 
     def __init__(self) -> None:
@@ -71,18 +71,18 @@
         self.iterate(ITERATIONS_TO_ACCEPT)
 
     def iterate(self, count: int = 1) -> list[str]:
-        """Return the names of the sockets that so many iterations handle; timers run before sockets."""
+        """Run ``count`` iterations and return the names of the handled sockets; timers run before sockets."""
         self.events = []
         for _ in range(count):
             self.reactor.iterate(0.0)
         return self.events
 
     def close(self) -> None:
-        """Close every socket."""
+        """Close all sockets."""
         for selectable in (*self.reactor.removeAll(), *self.reactor._internalReaders):
             selectable.connectionLost(Failure(ConnectionDone()))
-        for each in (self.client, self.listening, *self.servers):
-            each.close()
+        for opened_socket in (self.client, self.listening, *self.servers):
+            opened_socket.close()
 
     def _connect_server(self, name: str) -> socket.socket:
         factory = protocol.ClientFactory.forProtocol(lambda: EventRecorder(self, name))
@@ -98,7 +98,7 @@
     stepped.close()
 
 
-def test_a_client_that_left_is_handled_before_a_server_that_had_answered(loop: SteppedLoop) -> None:
+def test_a_client_disconnect_is_handled_before_a_response_of_a_server(loop: SteppedLoop) -> None:
     loop.servers[0].send(b"answer")
     loop.client.close()
     assert loop.iterate() == ["client", "server 0"]
@@ -108,12 +108,12 @@
     for server in loop.servers:
         server.send(b"answer")
 
-    def leave_once() -> None:
+    def disconnect_once() -> None:
         loop.on_data = lambda: None
         loop.now_s += SLOW_HANDLER_S
         loop.client.close()
 
-    loop.on_data = leave_once
+    loop.on_data = disconnect_once
     assert loop.iterate() == ["server 0"]
     loop.servers[0].send(b"more")
     assert loop.iterate() == ["client", "server 1", "server 2", "server 0"]
@@ -129,7 +129,7 @@
 
 
 class PausedProgram:
-    """The program with one cache server and a client whose request that server has received."""
+    """A router process with one cache server, and a client whose request the server has received."""
 
     def __init__(self, folder: Path, stack: ExitStack) -> None:
         shared = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
@@ -148,13 +148,13 @@
         self.request_id = self.server.wait_for_request()
 
     def pause(self) -> None:
-        """Stop the process, and return once it has stopped."""
+        """Stop the process by SIGSTOP, and return once it has stopped."""
         process = self.program.process
         process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, process.pid, os.WSTOPPED)
 
     def resume(self) -> None:
-        """Let the process go on, and return once it has handled what had arrived before."""
+        """Continue the process, and return once it has handled the input that had arrived before."""
         self.program.process.send_signal(signal.SIGCONT)
         call_admin(self.program.admin_address, "check")
 
@@ -163,8 +163,8 @@
         self.program.process.wait()
 
 
-def test_a_program_that_was_paused_retries_nothing_for_a_client_that_has_left(tmp_path: Path) -> None:
-    """The server's error arrives first and the client's end after it, both before the program goes on."""
+def test_a_paused_program_retries_nothing_for_a_client_that_disconnected(tmp_path: Path) -> None:
+    """The server's error arrives before the client's disconnect, both while the program is paused."""
     with ExitStack() as stack:
         paused = PausedProgram(tmp_path, stack)
         server = paused.server
@@ -176,5 +176,5 @@
         cancelled = server.reader.feed(server.connection.recv(65_536))
         assert [command.verb for command in cancelled] == ["never_mind"]
         server.listening.setblocking(False)
-        with pytest.raises(BlockingIOError):  # nor is there a connect for another attempt
+        with pytest.raises(BlockingIOError):  # there is no connect for another attempt either
             server.listening.accept()
--- a/tests/net/event_loop/test_timer_service.py
+++ b/tests/net/event_loop/test_timer_service.py
@@ -1,4 +1,4 @@
-"""Deadlines on the reactor."""
+"""The service that runs deadlines on the reactor."""
 
 from __future__ import annotations
 
@@ -20,4 +20,4 @@
     timers.deadlines.add(core_ms() + 60_000.0, lambda: ran.append("later"))
     reactor.advance(0.0)
     assert ran == ["due"]
-    assert len(reactor.getDelayedCalls()) == 1  # for the later one
+    assert len(reactor.getDelayedCalls()) == 1  # for the later deadline
--- a/tests/net/upstream/pool_case.py
+++ b/tests/net/upstream/pool_case.py
@@ -1,4 +1,4 @@
-"""A test case round the connection pool on loopback sockets, with builders for attempts and limits."""
+"""A test case with a connection pool on loopback sockets, and builders for attempts and limits."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from thornjunction.core.ports import ClientRequest, Content, UpstreamRequest
 from thornjunction.net.upstream.connection_pool import ConnectionPool
 
-# Of each attempt's time: beyond all waits of these tests, so that another bound has to end them.
+# Timeout of each attempt, longer than all waits of these tests, so that another limit has to end them.
 LONG_TIMEOUT_MS = 30_000.0
 
-# As a start limit: the attempt may begin at any time.
+# A start limit with which the attempt may start at any time.
 NO_START_LIMIT_MS = 9e9
 
 
@@ -31,7 +31,7 @@
     start_within_ms: float = NO_START_LIMIT_MS,
     body: bytes = b"",
 ) -> UpstreamRequest:
-    """An attempt at a server; its transaction id is ``t`` and the number where none is given."""
+    """Return an attempt; its transaction id is ``t`` followed by its number if none is given."""
     client_request = ClientRequest(
         transaction_id or f"t{number}", "films", "00000000000000ff", timeout_ms, body=body
     )
@@ -39,13 +39,13 @@
     return UpstreamRequest(number, client_request, fetch)
 
 
-def connects_under_way() -> list[tcp.Client]:
-    """Transports of connects that have not come up."""
+def connects_in_progress() -> list[tcp.Client]:
+    """Return the transports of connects that are not established yet."""
     return [writer for writer in reactor.getWriters() if isinstance(writer, tcp.Client)]
 
 
 class PoolTestCase(TestCase):
-    """A pool that reports to ``outcomes``, as pairs of an attempt's number and its status."""
+    """A pool that reports to ``outcomes``, in pairs of an attempt's number and its status."""
 
     timeout = 30
 
@@ -73,12 +73,12 @@
         self.pool.context.limits = replace(self.pool.context.limits, **changes)
 
     def send(self, number: int, **details: Any) -> None:
-        """Send an attempt; ``details`` as of ``attempt``."""
+        """Send an attempt; ``details`` are arguments of ``attempt``."""
         self.pool.send(attempt(number, **details))
 
     @inlineCallbacks
     def send_unanswered(self, number: int, **details: Any) -> Any:
-        """Send an attempt that its server receives and does not answer; return the server's connection."""
+        """Send an attempt that its server receives but does not answer; return the server's connection."""
         self.environment.script = [None]
         received = self.environment.next_request()
         self.send(number, **details)
@@ -88,9 +88,9 @@
 
     @inlineCallbacks
     def wait_for_outcomes(self, count: int = 1) -> Any:
-        """Turn the reactor until so many outcomes were reported."""
+        """Run the reactor until ``count`` outcomes were reported."""
         yield self.environment.wait_until(lambda: len(self.outcomes) >= count)
 
     def received_transaction_ids(self) -> list[bytes]:
-        """Transaction ids of all attempts that servers received."""
+        """Return the transaction ids of all attempts that servers received."""
         return [command.request_id for command in self.environment.forwarded_requests()]
--- a/tests/net/upstream/test_broken_connections.py
+++ b/tests/net/upstream/test_broken_connections.py
@@ -1,4 +1,4 @@
-"""Connections that break, stall or get unexpected bytes: what becomes of the attempts in flight."""
+"""Connections that break, stall or receive unexpected bytes, and the outcomes of the attempts in flight."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     def assert_reset(
         self, break_connection: Callable[[FakeCacheServerConnection], None], also_sent: int = 0
     ) -> Any:
-        """Attempts in flight may have run, and the next attempt succeeds on another connection."""
+        """Check that attempts in flight end as reset, and that the next succeeds on another connection."""
         server_connection = yield self.send_unanswered(1)
         break_connection(server_connection)
         for number in range(2, 2 + also_sent):
@@ -69,7 +69,7 @@
         yield self.assert_reset_by(UNKNOWN_RESPONSE[:-BODY_AND_LINE_END_BYTES] + b"$240001\r\nxx")
 
     @inlineCallbacks
-    def test_unexpected_responses_go_on_without_end(self) -> Any:
+    def test_server_sends_unexpected_responses_endlessly(self) -> Any:
         yield self.assert_reset_by(UNKNOWN_RESPONSE * 99)
 
     @inlineCallbacks
@@ -128,7 +128,7 @@
 class IdleCloseTest(PoolTestCase):
     @inlineCallbacks
     def close_idle_connection(self) -> Any:
-        """Close an idle connection while a part of a response is on its way; return the server's side."""
+        """Close an idle connection while the server sends a partial response; return the server's side."""
         self.send(1)
         yield self.wait_for_outcomes()
         server_connection = self.environment.server_connections[-1]
@@ -139,14 +139,14 @@
         return server_connection
 
     @inlineCallbacks
-    def test_bytes_that_cross_it_do_not_reset_the_server(self) -> Any:
+    def test_late_bytes_do_not_reset_the_server(self) -> Any:
         server_connection = yield self.close_idle_connection()
         yield self.environment.wait_until(lambda: not len(self.pool.connections))
         yield self.environment.wait_until(lambda: server_connection.disconnect_error)
         assert isinstance(server_connection.disconnect_error, ConnectionDone)
 
     @inlineCallbacks
-    def test_ends_in_bounded_time_where_the_server_does_not_read(self) -> Any:
+    def test_ends_in_bounded_time_if_the_server_does_not_read(self) -> Any:
         server_connection = yield self.close_idle_connection()
         server_connection.transport.pauseProducing()
         idle_close_ms = IDLE_TIMEOUT_SHARE * self.pool.context.limits.idle_timeout_ms
--- a/tests/net/upstream/test_connection_table.py
+++ b/tests/net/upstream/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The bound on connections to servers: slots, eviction of idle connections, and those outside the table."""
+"""The bound on connections to servers: slots, eviction of idle connections, and evicted ones."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FakeConnection:
-    """Records how it was ended."""
+    """A connection that records how it was closed."""
 
     def __init__(self, table: ConnectionTable[FakeConnection]) -> None:
         self.table = table
@@ -21,7 +21,7 @@
         self.ends.append("abort")
 
 
-def test_the_longest_idle_is_evicted_and_a_bounded_number_waits_outside() -> None:
+def test_the_longest_idle_is_evicted_and_evicted_ones_that_wait_are_bounded() -> None:
     table: ConnectionTable[FakeConnection] = ConnectionTable(8)
     connections = [FakeConnection(table) for _ in range(8)]
     for connection in connections:
@@ -36,7 +36,7 @@
         table.reserve()
         assert connections[evicted].ends == ["shut_down"]
         assert table.is_full
-    assert connections[3].ends == ["shut_down", "abort"]  # it has waited longest for its peer, outside
+    assert connections[3].ends == ["shut_down", "abort"]  # the evicted connection that has waited longest
     assert [connection.ends for connection in connections].count([]) == 5
     assert not table.can_reserve()
     for connection in connections:
--- a/tests/net/upstream/test_ended_requests.py
+++ b/tests/net/upstream/test_ended_requests.py
@@ -1,4 +1,4 @@
-"""Attempts that wait for a connect while their request ends: none begins any more."""
+"""Attempts that wait for a connect while their request ends, after which none may start."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 KEYED_PARAMS = PARAMS | {"SCRIPT_NAME": "/do/keyed", "HTTP_X_TXN_KEY": "0" * 32}
 
-# Of the request that the client sends.
+# The FastCGI id of the request that the client sends.
 REQUEST_ID = 7
 
 
@@ -30,9 +30,9 @@
         self.engine.feed(replace(LOOPBACK_SETTINGS, may_cancel=False))
 
     @inlineCallbacks
-    def assert_not_begun_after(self, end_request: Callable[[FastCgiClient], None]) -> Any:
-        """Nothing runs where a keyed request ends while its attempt waits for a connect to the origin."""
-        listener = self.environment.make_unresponsive("origin")  # where keyed requests go straight
+    def assert_not_started_after(self, end_request: Callable[[FastCgiClient], None]) -> Any:
+        """Check that no attempt starts if a keyed request ends while its attempt waits for a connect."""
+        listener = self.environment.make_unresponsive("origin")  # keyed requests are sent only to the origin
         executions = self.engine.router.state.executions.by_key
         client = yield self.environment.connect_client(PortIndex.FASTCGI_FRONT, FastCgiClient)
         client.transport.write(encoded_fastcgi_request(params=KEYED_PARAMS))
@@ -44,7 +44,7 @@
         assert len(self.engine.attempts) == 0
         listener.start_accepting()
         yield self.environment.wait_until(lambda: len(self.pool.connections))
-        self.pool.probe("origin")  # it is the first that comes on that connection
+        self.pool.probe("origin")  # it must be the first command on that connection
         yield self.environment.wait_until(lambda: self.environment.received_commands)
         assert self.environment.received_commands[0].verb == "busy"
         yield self.environment.close_upstream_connections()
@@ -52,18 +52,18 @@
     @inlineCallbacks
     def test_client_aborts_its_request(self) -> Any:
         record = fastcgi.encode_record(fastcgi.RecordType.ABORT, REQUEST_ID, b"")
-        yield self.assert_not_begun_after(lambda client: client.transport.write(record))
+        yield self.assert_not_started_after(lambda client: client.transport.write(record))
 
     @inlineCallbacks
     def test_client_closes_its_connection(self) -> Any:
-        yield self.assert_not_begun_after(lambda client: client.transport.loseConnection())
+        yield self.assert_not_started_after(lambda client: client.transport.loseConnection())
 
     @inlineCallbacks
     def test_all_requests_are_answered_at_shutdown(self) -> Any:
-        yield self.assert_not_begun_after(lambda _: self.engine.answer_all_now())
+        yield self.assert_not_started_after(lambda _: self.engine.answer_all_now())
 
     @inlineCallbacks
     def test_request_passes_its_deadline(self) -> Any:
-        yield self.assert_not_begun_after(
+        yield self.assert_not_started_after(
             lambda _: self.engine._backstop_due(next(iter(self.engine.requests)))
         )
--- a/tests/net/upstream/test_full_table.py
+++ b/tests/net/upstream/test_full_table.py
@@ -1,4 +1,4 @@
-"""A full table of connections to servers: idle ones are evicted, busy ones stay."""
+"""A full table of connections to servers, which evicts idle connections and keeps busy ones."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from thornjunction.net.upstream.context import PoolLimits
 from thornjunction.net.wire.commands import Host
 
-# Of each attempt: its client waits for a while, and it may begin at any time.
+# Arguments of each attempt, which may start at any time within its timeout.
 DETAILS = {"timeout_ms": 900.0, "start_within_ms": math.inf}
 
 
 class FullTableTest(PoolTestCase):
     def list_servers(self, count: int, capacity: int) -> None:
-        """Replace the pool by one of that capacity, and list so many servers at one address."""
+        """Use a pool of at most ``capacity`` connections, and list ``count`` servers at one address."""
         limits = PoolLimits(
             max_streams=4, connect_timeout_ms=400.0, idle_timeout_ms=15_000.0, max_connections=capacity
         )
@@ -37,13 +37,13 @@
 
     @inlineCallbacks
     def send_and_wait(self, number: int, server: str) -> Any:
-        """Send an attempt and turn the reactor until it has ended."""
+        """Send an attempt and run the reactor until its outcome is reported."""
         self.send(number, server=server, **DETAILS)
         yield self.environment.wait_until(lambda: number in dict(self.outcomes))
 
     @inlineCallbacks
     def test_more_servers_than_slots_are_all_reached_within_the_bound(self) -> Any:
-        """Each in turn, twice; evicted connections are closed in order."""
+        """Each server is reached in turn, twice; evicted connections end with an orderly close."""
         self.list_servers(count=40, capacity=16)
         most_connections = 0
         for number in range(80):
@@ -53,16 +53,19 @@
         assert most_connections <= 16 + 16 // 8
         yield self.environment.wait_until(
             lambda: (
-                sum(each.disconnect_error is not None for each in self.environment.server_connections)
+                sum(
+                    connection.disconnect_error is not None
+                    for connection in self.environment.server_connections
+                )
                 == 80 - 16
             )
         )
-        ended = [
-            each.disconnect_error
-            for each in self.environment.server_connections
-            if each.disconnect_error is not None
+        disconnect_errors = [
+            connection.disconnect_error
+            for connection in self.environment.server_connections
+            if connection.disconnect_error is not None
         ]
-        assert {type(reason) for reason in ended} == {ConnectionDone}
+        assert {type(error) for error in disconnect_errors} == {ConnectionDone}
 
     @inlineCallbacks
     def test_a_busy_connection_is_never_evicted(self) -> Any:
@@ -72,7 +75,7 @@
         yield self.send_and_wait(2, "e2")  # evicts the connection to e1, which is idle
         yield self.send_unanswered(3, server="e2", **DETAILS)
         self.send(4, server="e3", **DETAILS)
-        assert self.outcomes.pop() == (4, api.AttemptStatus.NOT_STARTED)  # none is idle
+        assert self.outcomes.pop() == (4, api.AttemptStatus.NOT_STARTED)  # no connection is idle
         busy.send_answer(b"t0", b"DONE", b"x")
         yield self.environment.wait_until(lambda: 0 in dict(self.outcomes))
         yield self.send_and_wait(5, "e3")
--- a/tests/net/upstream/test_remaining_time.py
+++ b/tests/net/upstream/test_remaining_time.py
@@ -1,4 +1,4 @@
-"""The time that a server is told its client has left, where the connection comes up late."""
+"""The remaining time that is sent to a server with an attempt, if the connect takes long."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class RemainingTimeTest(PoolTestCase):
     @inlineCallbacks
     def send_before_slow_connect(self, number: int, connect_ms: float) -> Any:
-        """Send an attempt whose connection comes up after that time; return its outcome."""
+        """Send an attempt whose connect takes ``connect_ms``; return its outcome."""
         start_ms = core_ms()
         self.pool.context.clock = lambda: start_ms
         self.send(number, timeout_ms=TIMEOUT_MS, start_within_ms=math.inf)
@@ -28,7 +28,7 @@
         return self.outcomes.pop()
 
     @inlineCallbacks
-    def test_is_what_is_left_once_the_connection_is_up(self) -> Any:
+    def test_is_the_timeout_minus_the_connect_time(self) -> Any:
         for number, connect_ms in enumerate((0.0, 150.0, 400.0, 890.0)):
             outcome = yield self.send_before_slow_connect(number, connect_ms)
             assert outcome == (number, api.AttemptStatus.SUCCEEDED)
@@ -39,7 +39,7 @@
             assert fields[b"max"] == b"%d" % (TIMEOUT_MS - connect_ms), connect_ms
 
     @inlineCallbacks
-    def test_under_5_ms_keeps_the_attempt_from_beginning(self) -> Any:
+    def test_an_attempt_with_under_5_ms_left_is_not_started(self) -> Any:
         outcome = yield self.send_before_slow_connect(1, 896.0)
         assert outcome == (1, api.AttemptStatus.NOT_STARTED)
         assert self.environment.forwarded_requests() == []
--- a/tests/net/upstream/test_waiting_for_connection.py
+++ b/tests/net/upstream/test_waiting_for_connection.py
@@ -1,4 +1,4 @@
-"""Attempts that wait for a connect: how the wait ends, and that none begins after its end."""
+"""Attempts that wait for a connect: how the wait ends, and that none starts after its end."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from tests.net.upstream.pool_case import PoolTestCase, connects_under_way
+from tests.net.upstream.pool_case import PoolTestCase, connects_in_progress
 from thornjunction import interface as api
 from thornjunction.net.event_loop.timer_service import core_ms
 
-# The system repeats its connect after 1 s.
+# Longer than the 1 s after which the system repeats a connect.
 LONG_CONNECT_TIMEOUT_MS = 9000.0
 
 START_LIMIT_MS = 8000.0
@@ -23,11 +23,11 @@
 
     @inlineCallbacks
     def send_waiting(self, **details: Any) -> Any:
-        """Send attempt 1 to a server at which connects hang; return the listener."""
+        """Send attempt 1 to a server that accepts no connection yet; return the server's listener."""
         listener = self.environment.make_unresponsive("edge1")
         self.send(1, **details)
-        yield self.environment.wait_until(connects_under_way)
-        self.connects = connects_under_way()
+        yield self.environment.wait_until(connects_in_progress)
+        self.connects = connects_in_progress()
         return listener
 
     def assert_connects_open(self, expected: bool) -> None:
@@ -35,7 +35,7 @@
 
     @inlineCallbacks
     def assert_never_received(self, listener: Any, server: str) -> Any:
-        """Let connects succeed; the server receives a later attempt and not attempt 1."""
+        """Let connects succeed, and check that the server receives a later attempt but not attempt 1."""
         listener.start_accepting()
         if server == "edge1":
             yield self.environment.wait_until(lambda: len(self.pool.connections))
@@ -45,7 +45,7 @@
         assert self.received_transaction_ids() == [b"later"]
 
     @inlineCallbacks
-    def test_is_not_started_at_its_start_limit_and_the_connect_goes_on(self) -> Any:
+    def test_is_not_started_at_its_start_limit_and_the_connect_continues(self) -> Any:
         listener = yield self.send_waiting(start_within_ms=START_LIMIT_MS)
         self.environment.run_pool_deadlines(START_LIMIT_MS)
         assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
@@ -53,7 +53,7 @@
         yield self.assert_never_received(listener, "edge1")
 
     @inlineCallbacks
-    def test_is_not_started_where_the_event_loop_notices_its_start_limit_late(self) -> Any:
+    def test_is_not_started_if_the_event_loop_runs_after_its_start_limit(self) -> Any:
         listener = yield self.send_waiting(start_within_ms=START_LIMIT_MS)
         self.pool.context.clock = lambda: core_ms() + START_LIMIT_MS
         assert self.outcomes == []
@@ -62,7 +62,7 @@
         assert self.outcomes[0] == (1, api.AttemptStatus.NOT_STARTED)
 
     @inlineCallbacks
-    def test_is_not_reported_after_it_was_withdrawn_and_the_connect_goes_on(self) -> Any:
+    def test_is_not_reported_after_it_was_withdrawn_and_the_connect_continues(self) -> Any:
         listener = yield self.send_waiting()
         assert self.pool.withdraw(1)
         assert self.outcomes == []
@@ -71,7 +71,7 @@
         assert self.outcomes == [(3, api.AttemptStatus.SUCCEEDED)]
 
     @inlineCallbacks
-    def test_is_not_started_where_its_server_drains(self) -> Any:
+    def test_is_not_started_if_its_server_drains(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.list_servers(api.ServerState.DRAINING, edge1=listener.address)
         assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
@@ -81,7 +81,7 @@
         yield self.assert_never_received(listener, "origin")
 
     @inlineCallbacks
-    def test_is_not_started_where_its_server_is_removed(self) -> Any:
+    def test_is_not_started_if_its_server_is_removed(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.list_servers(api.ServerState.REMOVED)
         assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
@@ -89,7 +89,7 @@
         yield self.assert_never_received(listener, "origin")
 
     @inlineCallbacks
-    def test_is_not_started_where_its_server_moves_to_another_address(self) -> Any:
+    def test_is_not_started_if_its_server_moves_to_another_address(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.list_servers()
         assert self.outcomes == [(1, api.AttemptStatus.NOT_STARTED)]
@@ -97,7 +97,7 @@
         yield self.assert_never_received(listener, "origin")
 
     @inlineCallbacks
-    def test_is_refused_where_no_connection_comes_up_in_time(self) -> Any:
+    def test_is_refused_if_no_connection_is_established_in_time(self) -> Any:
         listener = yield self.send_waiting()
         self.environment.run_pool_deadlines(LONG_CONNECT_TIMEOUT_MS)
         assert self.outcomes == [(1, api.AttemptStatus.CONNECTION_REFUSED)]
@@ -108,25 +108,24 @@
 class FailedConnectTest(PoolTestCase):
     @inlineCallbacks
     def fail_connect_beside_busy_connection(self, server_responds: bool) -> Any:
-        """Attempt 3 waits for a connect that times out while attempt 2 is in flight; return its outcome."""
+        """Time out the connect of attempt 3 while attempt 2 is in flight; return the outcome of attempt 3."""
         listener = self.environment.make_unresponsive("edge1")
         listener.start_accepting()
         self.set_limits(max_streams=1, connect_timeout_ms=LONG_CONNECT_TIMEOUT_MS)
         server_connection = yield self.send_unanswered(0)
         listener.stop_accepting()
-        self.send(1)  # waits for a connect
+        self.send(1)  # waits for a connect, as the connection takes one stream
         server_connection.send_answer(b"t0", b"DONE", b"x")
         yield self.wait_for_outcomes(2)
         assert self.outcomes == [(0, api.AttemptStatus.SUCCEEDED), (1, api.AttemptStatus.SUCCEEDED)]
-        self.environment.run_pool_deadlines(
-            LONG_CONNECT_TIMEOUT_MS
-        )  # ends the connect, for which no attempt waits
+        # The connect times out while no attempt waits for it.
+        self.environment.run_pool_deadlines(LONG_CONNECT_TIMEOUT_MS)
         server_connection = yield self.send_unanswered(2)
         self.send(3)
         if server_responds:
             server_connection.send_answer(b"unknown", b"DONE", b"x")
             yield self.environment.wait_until(
-                lambda: any(each.unexpected_responses for each in self.pool.connections)
+                lambda: any(connection.unexpected_responses for connection in self.pool.connections)
             )
         self.outcomes.clear()
         self.environment.run_pool_deadlines(LONG_CONNECT_TIMEOUT_MS)
@@ -134,16 +133,16 @@
         return outcome
 
     @inlineCallbacks
-    def test_does_not_count_against_a_server_that_responds_meanwhile(self) -> Any:
+    def test_does_not_count_against_a_server_that_responds_in_the_meantime(self) -> Any:
         outcome = yield self.fail_connect_beside_busy_connection(server_responds=True)
         assert outcome == (3, api.AttemptStatus.NOT_STARTED)
 
     @inlineCallbacks
-    def test_counts_against_a_server_that_is_silent_meanwhile(self) -> Any:
+    def test_counts_against_a_server_that_does_not_respond_in_the_meantime(self) -> Any:
         outcome = yield self.fail_connect_beside_busy_connection(server_responds=False)
         assert outcome == (3, api.AttemptStatus.CONNECTION_REFUSED)
 
-    def test_is_reported_by_the_next_attempt_where_all_that_waited_were_withdrawn(self) -> None:
+    def test_is_reported_by_the_next_attempt_if_all_waiting_ones_were_withdrawn(self) -> None:
         self.environment.make_unresponsive("edge1")
         self.send(1)
         self.pool.withdraw(1)
