--- a/tests/net/downstream/test_signed_front.py
+++ b/tests/net/downstream/test_signed_front.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the signed front, and of the platform's front beside it."""
+"""Requests and responses of the signed front, and of the platform's front on the same core."""
 
 from __future__ import annotations
 
--- a/thornjunction/net/downstream/connection_table.py
+++ b/thornjunction/net/downstream/connection_table.py
@@ -12,7 +12,7 @@
 from thornjunction.net.downstream.request_scheduler import RequestScheduler
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
-# The table's capacity over this is the number of connections that may linger beside a full table.  A third of
+# A full table's capacity divided by this is the number of further connections that may linger.  A third of
 # all descriptors are for clients, a third for servers, and this share still leaves a quarter for other uses.
 LINGERING_CAPACITY_DIVISOR = 8
 
--- a/thornjunction/net/downstream/request_scheduler.py
+++ b/thornjunction/net/downstream/request_scheduler.py
@@ -62,7 +62,7 @@
         """Remove a connection that has ended."""
         self._waiting_since.pop(connection, None)
 
-    def _dispatch(self, connection: SchedulableConnection, since_ms: float) -> None:
+    def _dispatch(self, connection: SchedulableConnection, waiting_since_ms: float) -> None:
         began_ms = connection.clock()
         has_more = True
         connection.queue_pending_input()
@@ -72,7 +72,7 @@
             self._slice_used_ms += now_ms - began_ms
             began_ms = now_ms
         if has_more:
-            self._waiting_since[connection] = since_ms
+            self._waiting_since[connection] = waiting_since_ms
             self._schedule_slice(connection)
 
     def _schedule_slice(self, connection: SchedulableConnection) -> None:
@@ -83,14 +83,14 @@
         """Use the next time slice, after the event loop has polled its sockets."""
         self._next_slice = None
         self._slice_used_ms = 0.0
-        for connection, since_ms in list(self._waiting_since.items()):
+        for connection, waiting_since_ms in list(self._waiting_since.items()):
             if self._slice_used_ms >= TIME_SLICE_MS:
                 self._schedule_slice(connection)
                 return
             if self._waiting_since.pop(connection, None) is None:  # it ended during this slice
                 continue
             try:
-                self._dispatch(connection, since_ms)
+                self._dispatch(connection, waiting_since_ms)
             except Exception:  # ends this connection, as Twisted would, and not the others in this slice
                 log.exception(LogEvent.QUEUED_REQUEST_FAILED)
                 connection.abort(DisconnectReason.HANDLER_FAILED)
--- a/thornjunction/net/upstream/connection_table.py
+++ b/thornjunction/net/upstream/connection_table.py
@@ -8,8 +8,8 @@
 from thornjunction.memory.slots import SlotTable
 from thornjunction.net.event_loop.disconnect_reasons import DisconnectReason
 
-# The table's capacity over this is the maximum number of evicted connections that wait for their peers.
-EVICTED_DIVISOR = 8
+# The table's capacity divided by this is the maximum number of evicted connections that wait for their peers.
+EVICTED_CAPACITY_DIVISOR = 8
 
 
 class Evictable(Protocol):
@@ -40,7 +40,7 @@
         self._idle: dict[Connection, None] = {}
         self._closing: dict[Connection, None] = {}  # closed by this side, with a slot
         self._evicted: dict[Connection, None] = {}  # closed by this side, without a slot
-        self._max_evicted = max(capacity // EVICTED_DIVISOR, 1)
+        self._max_evicted = max(capacity // EVICTED_CAPACITY_DIVISOR, 1)
 
     def __len__(self) -> int:
         return len(self._open) + len(self._evicted)
--- a/thornjunction/net/upstream/dispatcher.py
+++ b/thornjunction/net/upstream/dispatcher.py
@@ -131,7 +131,7 @@
         If the server responded on another connection in the meantime, a timed-out connect does not show that
         it is down, and CONNECTION_REFUSED, which takes it out of rotation for a while, is not reported.
         """
-        if failure is ConnectFailure.LOCAL:  # comes only once no stream waits any more
+        if failure is ConnectFailure.LOCAL:  # the connect ends so only if no stream waits for it
             return
         has_responded = any(
             connection.last_response_ms >= started_ms for connection in upstream.responsive_connections()
--- a/thornjunction/net/upstream/outcomes.py
+++ b/thornjunction/net/upstream/outcomes.py
@@ -1,7 +1,7 @@
 """Outcomes of attempts and health checks: the mapping of responses to statuses, and reports to the engine.
 
-If no connection was established, the attempt was certainly not executed; if a connection broke, it may have
-been.  If there is a response, its code tells.
+If no connection was established, the attempt was not executed; if a connection broke, it may have been.  If
+there is a response, its code tells whether the attempt was executed.
 """
 
 from __future__ import annotations
