--- a/tests/policy/fleet_simulation.py
+++ b/tests/policy/fleet_simulation.py
@@ -1,8 +1,8 @@
-"""A fleet of routers on one simulated clock, before a model of an origin that stops when it is overloaded.
+"""A fleet of routers on one simulated clock, and a model of an origin that stops when it is overloaded.
 
-The model: seven in ten requests hit at a cache, seven in ten misses hit at a parent, and what the origin
-rejects is asked of it again by the parent and by the cache.  One zone in ten is cold, with no hits, during a
-burst of half as many requests again.  No router knows of another.
+In the model, seven in ten requests hit at a cache, seven in ten misses hit at a parent, and the parent and
+the cache retry a fill that the origin rejects.  One zone in ten is cold and has no hits during a burst that
+raises the request rate by half.  The routers do not communicate.
 """
 
 from __future__ import annotations
@@ -19,42 +19,43 @@
 
 ROUTERS = 200
 
-# Requests per second of each router, and by how much the burst multiplies them.
+# Requests per second of each router, and the factor by which they increase during the burst.
 REQUESTS_PER_S = 6.0
 BURST_FACTOR = 1.5
 
-# Seconds for which requests arrive, and those between which the burst lasts.
+# Seconds for which requests arrive, and the start and end of the burst in seconds.
 ARRIVALS_S = 18.0
 BURST_START_S = 4.0
 BURST_END_S = 9.5
 
-# Milliseconds for which the simulation goes on after the last request.
+# Milliseconds for which the simulation continues after the last request.
 TAIL_MS = 4000.0
 
-# The origin serves so many requests per second, and queues them for so many milliseconds.
+# Requests that the origin serves per second, and the longest time for which it queues one.
 ORIGIN_CAPACITY_PER_S = 170.0
 MAX_QUEUE_MS = 1500.0
 
-# The origin stops when it is asked for this multiple of its capacity within the window, for the time below.
+# The origin stops for OUTAGE_MS if the requests of one window exceed this multiple of its capacity.
 OVERLOAD_FACTOR = 2.5
 OVERLOAD_WINDOW_MS = 3000.0
 OUTAGE_MS = 6000.0
 
-# One zone in so many is cold during the burst; the others hit with this probability, as parents do.
+# One zone in COLD_ZONE_INTERVAL is cold during the burst; other zones and the parents hit with this
+# probability.
 COLD_ZONE_INTERVAL = 10
 HIT_PROBABILITY = 0.7
 
-# Requests that a retrying parent and cache make of a full origin for one miss.
+# Requests that an overloaded origin gets for one miss, as the parent and the cache retry.
 ORIGIN_REQUESTS_PER_MISS = 4
 
-# The share of keyed requests.
+# Share of the requests that are keyed.
 KEYED_SHARE = 0.04
 
-# Milliseconds within which an answer counts as good.
+# Latency objectives in milliseconds.
 KEYED_OBJECTIVE_MS = 700.0
 FILMS_OBJECTIVE_MS = 660.0
 
-# Milliseconds that answers take.
+# Duration of each kind of answer in milliseconds.
 HIT_MS = 100.0
 PARENT_HIT_MS = 150.0
 ORIGIN_MS = 120.0
@@ -74,14 +75,14 @@
     may_hedge=True,
 )
 
-# How an attempt ends, and after how many milliseconds.
+# The status with which an attempt ends, and its duration in milliseconds.
 Outcome = tuple[api.AttemptStatus, float]
 
 
 class ModelOrigin:
     """An origin with a queue.
 
-    ``demand`` counts the requests of each second; ``outages_ms`` are the moments when it stopped.
+    ``demand`` counts the requests of each second; ``outages_ms`` lists the times at which it stopped.
     """
 
     def __init__(self) -> None:
@@ -92,16 +93,16 @@
         self._recent_ms: list[float] = []
 
     def request(self, now_ms: float, count: int) -> Outcome:
-        """Ask it up to ``count`` times, until it accepts."""
+        """Send up to ``count`` requests, until one is accepted; return the outcome."""
         for _ in range(count):
             self.demand[int(now_ms / 1000)] += 1
             self._recent_ms.append(now_ms)
             if now_ms >= self._down_until_ms and self._busy_until_ms - now_ms < MAX_QUEUE_MS:
                 self._busy_until_ms = max(self._busy_until_ms, now_ms) + 1000 / ORIGIN_CAPACITY_PER_S
                 return api.AttemptStatus.SUCCEEDED, ORIGIN_MS + self._busy_until_ms - now_ms
-        self._recent_ms = [when_ms for when_ms in self._recent_ms if when_ms > now_ms - OVERLOAD_WINDOW_MS]
-        bearable = OVERLOAD_FACTOR * ORIGIN_CAPACITY_PER_S * OVERLOAD_WINDOW_MS / 1000
-        if len(self._recent_ms) > bearable and now_ms >= self._down_until_ms:
+        self._recent_ms = [at_ms for at_ms in self._recent_ms if at_ms > now_ms - OVERLOAD_WINDOW_MS]
+        max_requests = OVERLOAD_FACTOR * ORIGIN_CAPACITY_PER_S * OVERLOAD_WINDOW_MS / 1000
+        if len(self._recent_ms) > max_requests and now_ms >= self._down_until_ms:
             self.outages_ms.append(now_ms)
             self._down_until_ms = now_ms + OUTAGE_MS
         return api.AttemptStatus.OVERLOADED, REJECTION_MS * count
@@ -112,14 +113,14 @@
 
     Attributes:
         origin: the model of the origin.
-        due: the requests of each second.
-        good: those of them that were answered within their objective.
+        arrived: the number of requests that arrived in each second.
+        in_time: the number of those that were answered within their latency objective.
     """
 
     def __init__(self) -> None:
         self.origin = ModelOrigin()
-        self.due = Counter[int]()
-        self.good = Counter[int]()
+        self.arrived = Counter[int]()
+        self.in_time = Counter[int]()
         self._now_ms = 0.0
         self._random = random.Random(RANDOM_SEED)
         self._event_count = 0
@@ -132,7 +133,7 @@
             self._schedule_request(router)
 
     def run(self) -> None:
-        """Run until no event is left or the time is over."""
+        """Run until no event is left or the simulated time has passed."""
         while self._events:
             self._now_ms, _, call = heapq.heappop(self._events)
             if self._now_ms > ARRIVALS_S * 1000 + TAIL_MS:
@@ -142,20 +143,20 @@
     def _is_burst(self) -> bool:
         return BURST_START_S <= self._now_ms / 1000 < BURST_END_S
 
-    def _schedule(self, when_ms: float, call: Callable[[], None]) -> None:
+    def _schedule(self, at_ms: float, call: Callable[[], None]) -> None:
         self._event_count += 1
-        heapq.heappush(self._events, (when_ms, self._event_count, call))
+        heapq.heappush(self._events, (at_ms, self._event_count, call))
 
     def _schedule_request(self, router: int) -> None:
         factor = BURST_FACTOR if self._is_burst() else 1.0
-        when_ms = self._now_ms + self._random.expovariate(REQUESTS_PER_S * factor / 1000)
+        at_ms = self._now_ms + self._random.expovariate(REQUESTS_PER_S * factor / 1000)
 
         def arrive() -> None:
             self._request(router)
             self._schedule_request(router)
 
-        if when_ms < ARRIVALS_S * 1000:
-            self._schedule(when_ms, arrive)
+        if at_ms < ARRIVALS_S * 1000:
+            self._schedule(at_ms, arrive)
 
     def _request(self, router: int) -> None:
         self._event_count += 1
@@ -163,7 +164,7 @@
         key = self._random.getrandbits(40)
         event = api.Request(f"{self._event_count}", class_name, key, 3000.0, size_kb=500.0)
         self._requests[event.request_id] = (self._now_ms, event)
-        self.due[int(self._now_ms / 1000)] += 1
+        self.arrived[int(self._now_ms / 1000)] += 1
         self._handle(router, event)
 
     def _handle(self, router: int, event: api.Event) -> None:
@@ -197,7 +198,7 @@
     def _count_answer(self, request_id: str, succeeded: bool) -> None:
         arrived_ms, request = self._requests[request_id]
         objective_ms = KEYED_OBJECTIVE_MS if request.class_name == "keyed" else FILMS_OBJECTIVE_MS
-        self.good[int(arrived_ms / 1000)] += succeeded and self._now_ms - arrived_ms <= objective_ms
+        self.in_time[int(arrived_ms / 1000)] += succeeded and self._now_ms - arrived_ms <= objective_ms
 
     def _outcome(self, router: int, attempt: api.StartAttempt) -> Outcome:
         if attempt.server == "origin":
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenAttempt:
-    """An attempt without outcome, and when it was started."""
+    """An attempt that has no outcome yet, and its start time."""
 
     started_ms: float
     attempt: api.StartAttempt
@@ -23,7 +23,7 @@
     """Drives a router and asserts the rules for each of its actions.
 
     Attributes:
-        open_attempts: the attempts without outcome.
+        open_attempts: the attempts that have no outcome yet.
         classes: the request class of each request.
         answered: the ids of the requests with a final answer.
     """
@@ -34,10 +34,10 @@
         self.answered: list[str] = []
         self._entries = {entry.server: entry for entry in entries}
         self._driver = RouterDriver(entries, **settings)
-        self._max_siblings = int(settings["may_hedge"])
+        self._max_other_attempts = int(settings["may_hedge"])
         self._peer_fill = settings["peer_fill"]
         self._checked_actions = 0
-        # When the attempts of a request were started that may have been executed.
+        # Start times of the attempts that may have been executed, by request id.
         self._possible_executions_ms: dict[str, list[float]] = {}
 
     def request(self, request_class: api.RequestClass, key: int) -> None:
@@ -51,9 +51,9 @@
         self._driver.advance(elapsed_ms)
         self._check_actions()
 
-    def end_attempt(self, place: int, status: api.AttemptStatus, **fields: Any) -> None:
-        """End the open attempt at that place."""
-        ended = self.open_attempts.pop(place)
+    def end_attempt(self, index: int, status: api.AttemptStatus, **fields: Any) -> None:
+        """End the open attempt at this index."""
+        ended = self.open_attempts.pop(index)
         request_id = ended.attempt.request_id
         if status in NEVER_EXECUTED:
             self._possible_executions_ms[request_id].remove(ended.started_ms)
@@ -73,17 +73,19 @@
         self._checked_actions = len(self._driver.action_log)
 
     def _check_final_answer(self, action: api.RejectRequest | api.FailRequest) -> None:
-        """Check that no request is rejected that may have been executed and is not idempotent."""
+        """Check that a request that may have been executed is rejected only if it is idempotent."""
         is_idempotent = self.classes[action.request_id].idempotency is api.Idempotency.IDEMPOTENT
-        may_have_run = bool(self._possible_executions_ms.get(action.request_id))
-        assert isinstance(action, api.FailRequest) or not may_have_run or is_idempotent
+        may_have_been_executed = bool(self._possible_executions_ms.get(action.request_id))
+        assert isinstance(action, api.FailRequest) or not may_have_been_executed or is_idempotent
         self.answered.append(action.request_id)
 
     def _check_attempt(self, now_ms: float, attempt: api.StartAttempt) -> None:
         request_class = self.classes[attempt.request_id]
-        siblings = [other for other in self.open_attempts if other.attempt.request_id == attempt.request_id]
+        other_attempts = [
+            other for other in self.open_attempts if other.attempt.request_id == attempt.request_id
+        ]
         assert attempt.request_id not in self.answered
-        assert len(siblings) <= self._max_siblings
+        assert len(other_attempts) <= self._max_other_attempts
         executions_ms = self._possible_executions_ms.setdefault(attempt.request_id, [])
         assert not executions_ms or now_ms - executions_ms[0] <= repeat_window_ms(request_class)
         executions_ms.append(now_ms)
@@ -93,18 +95,18 @@
         self._check_source(attempt, request_class)
 
     def _check_source(self, attempt: api.StartAttempt, request_class: api.RequestClass) -> None:
-        """Check that another edge cache is the source only where the settings allow it."""
+        """Check that another edge cache is the source only if the settings allow it."""
         source = self._entries[attempt.source]
         if source.role is not api.Role.EDGE or attempt.source == attempt.server:
             return
-        is_near = self._peer_fill is api.PeerFill.LOCATION and source.zone == "here"
-        assert is_near or self._peer_fill is api.PeerFill.ANY
+        is_local_peer = self._peer_fill is api.PeerFill.LOCATION and source.zone == "here"
+        assert is_local_peer or self._peer_fill is api.PeerFill.ANY
         assert attempt.cached_only
         assert not request_class.uncacheable
 
 
 def repeat_window_ms(request_class: api.RequestClass) -> float:
-    """Return the milliseconds within which a request of a class may be executed again."""
+    """Return the milliseconds within which a request of a class may be sent again."""
     if request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return math.inf
     if request_class.idempotency is api.Idempotency.KEYED:
--- a/tests/policy/test_bounded_tables.py
+++ b/tests/policy/test_bounded_tables.py
@@ -1,4 +1,4 @@
-"""Tables stay bounded, and events of requests that have ended are ignored."""
+"""The tables stay bounded, and events of requests that have ended are ignored."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     assert not deadlines
 
 
-def test_what_is_kept_by_key_holds_no_request() -> None:
-    """A key is kept for ten minutes; with its request it took 1.2 KB, which on a long day only grows."""
+def test_the_execution_table_keeps_no_reference_to_a_request() -> None:
+    """A key is kept for ten minutes; with its request it took 1.2 KB, so memory grew all day."""
     driver = RouterDriver(may_bypass_caches=True)
     attempt = attempt_of(driver.request(class_name="keyed", idempotency_key="k"))
     request = weakref.ref(driver.router.state.requests.open[attempt.request_id])
--- a/tests/policy/test_failing_servers.py
+++ b/tests/policy/test_failing_servers.py
@@ -1,4 +1,4 @@
-"""Servers that fail, are silent or reset connections: where requests are retried, and when they recover."""
+"""Servers that fail, are silent or reset connections: choice of the server for retries, and recovery."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 def owners(driver: RouterDriver, keys: range) -> dict[int, str]:
-    found = {}
+    """Request each object and return the cache that was chosen for it."""
+    server_by_key = {}
     for key in keys:
         attempt = attempt_of(driver.request(key))
-        found[key] = attempt.server
+        server_by_key[key] = attempt.server
         driver.end_attempt(attempt)
-    return found
+    return server_by_key
 
 
-def test_failing_caches_are_passed_over_and_tried_again() -> None:
+def test_failing_caches_are_ejected_and_tried_again_later() -> None:
     driver = RouterDriver()
     for key in range(200):
         attempt = attempt_of(driver.request(key))
@@ -40,7 +41,7 @@
     assert "edge1" in owners(driver, range(260, 300)).values()
 
 
-def test_failing_sources_are_passed_over() -> None:
+def test_failing_sources_are_ejected() -> None:
     driver = RouterDriver()
     for key in range(200):
         attempt = attempt_of(driver.request(key))
@@ -53,23 +54,23 @@
     assert "parent1" not in {attempt.source for attempt in started}
 
 
-def test_a_silent_cache_is_left_and_its_requests_called_back() -> None:
+def test_a_silent_cache_is_ejected_and_its_attempts_are_cancelled() -> None:
     driver = RouterDriver()
-    stuck = []
+    unanswered = []
     for key in range(40):
         attempt = attempt_of(driver.request(key))
         if attempt.server == "edge3":
-            stuck.append(attempt)
+            unanswered.append(attempt)
         else:
             driver.end_attempt(attempt)
-    assert len(stuck) >= 2
-    called = actions_of(driver.advance(1000.0), api.CancelAttempt)
-    assert {cancel.request_id for cancel in called} == {attempt.request_id for attempt in stuck}
-    moved = attempt_of(driver.end_attempt(stuck[0], api.AttemptStatus.CANCELLED))
-    assert moved.server != "edge3"
+    assert len(unanswered) >= 2
+    cancelled = actions_of(driver.advance(1000.0), api.CancelAttempt)
+    assert {action.request_id for action in cancelled} == {attempt.request_id for attempt in unanswered}
+    retried = attempt_of(driver.end_attempt(unanswered[0], api.AttemptStatus.CANCELLED))
+    assert retried.server != "edge3"
 
 
-def test_a_full_cache_is_not_called_ill() -> None:
+def test_an_overloaded_cache_is_not_ejected() -> None:
     driver = RouterDriver()
     for key in range(100):
         attempt = attempt_of(driver.request(key))
@@ -79,14 +80,17 @@
     assert "edge1" in owners(driver, range(100, 130)).values()
 
 
-def test_a_cache_that_was_only_slow_is_not_taken_for_a_cold_one() -> None:
-    """A jam looks silent too; slow start after it would starve the zone.  A refused connection tells."""
-    for status, needed, cold in (
+def test_a_cache_that_was_only_slow_is_not_treated_as_cold() -> None:
+    """An overloaded cache seems silent too, but slow start after that would leave its zone without capacity.
+
+    Only a refused connection shows that the process may be new.
+    """
+    for status, failure_count, cold in (
         (api.AttemptStatus.TIMEOUT, 5, False),
         (api.AttemptStatus.CONNECTION_REFUSED, 1, True),
     ):
         driver = RouterDriver(entries=(EDGES[0], ORIGIN))
-        for key in range(needed):
+        for key in range(failure_count):
             driver.end_attempt(attempt_of(driver.request(key)), status)
         server = driver.router.state.placement.server_list.servers["edge0"]
         assert server.outliers.ejected_for_ms > 0
@@ -105,32 +109,32 @@
 
 
 @pytest.mark.parametrize("status", [api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR])
-def test_lost_answers_move_no_objects(status: api.AttemptStatus) -> None:
-    """One answer was lost, which does not say that the copy is gone: ask the same cache again."""
+def test_lost_answers_move_no_objects_to_other_caches(status: api.AttemptStatus) -> None:
+    """A lost answer does not show that the copy is gone, so the retry goes to the same cache."""
     driver = RouterDriver()
     before = owners(driver, range(300))
     for key in range(300):
         attempt = attempt_of(driver.request(key))
         if key % 3 == 0:
-            again = attempt_of(driver.end_attempt(attempt, status))
-            assert again.server == attempt.server
-            attempt = again
+            retry = attempt_of(driver.end_attempt(attempt, status))
+            assert retry.server == attempt.server
+            attempt = retry
         driver.end_attempt(attempt)
     assert owners(driver, range(300)) == before
 
 
-def test_a_cache_that_only_resets_is_left() -> None:
+def test_a_cache_that_resets_every_connection_is_ejected() -> None:
     driver = RouterDriver(max_attempts=8)
     attempt = attempt_of(driver.request())
     for _ in range(5):
         driver.advance(20.0)
-        last = attempt
+        previous = attempt
         attempt = attempt_of(driver.end_attempt(attempt, api.AttemptStatus.CONNECTION_RESET))
-    assert attempt.server != last.server
+    assert attempt.server != previous.server
 
 
-def test_one_connection_that_breaks_is_one_failure() -> None:
-    """All that was out on it ends at once, which says little of a cache that goes on answering."""
+def test_one_broken_connection_counts_as_one_failure() -> None:
+    """All attempts on a connection end together, which says little about a cache that still answers."""
     driver = RouterDriver(entries=(EDGES[0], ORIGIN))
     started = [attempt_of(driver.request(key)) for key in range(12)]
     for attempt in started:
@@ -140,7 +144,7 @@
     assert server.outliers.consecutive_failures == 1
 
 
-def test_requests_that_no_cache_can_use_eject_none_and_end_soon() -> None:
+def test_requests_that_fail_at_every_cache_eject_none_and_end_early() -> None:
     driver = RouterDriver()
     for key in range(9):
         actions = driver.request(key)
@@ -149,4 +153,4 @@
         assert len({attempt.server for attempt in driver.attempts[str(driver.request_count)]}) == 2
         assert len(driver.attempts[str(driver.request_count)]) == 3
     outliers = [server.outliers for server in driver.router.state.placement.server_list.servers.values()]
-    assert not any(one.consecutive_failures or one.ejected_for_ms for one in outliers)
+    assert not any(detector.consecutive_failures or detector.ejected_for_ms for detector in outliers)
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Rule 2: no request is executed twice that must not be."""
+"""Rule 2: a request that must not be executed twice is not."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from thornjunction import interface as api
 
-MAY_HAVE_RUN = [
+MAY_HAVE_BEEN_EXECUTED = [
     api.AttemptStatus.ERROR,
     api.AttemptStatus.TIMEOUT,
     api.AttemptStatus.CONNECTION_RESET,
@@ -30,8 +30,8 @@
 ]
 
 
-@pytest.mark.parametrize("status", MAY_HAVE_RUN)
-def test_a_non_idempotent_request_is_not_retried_or_rejected_once_it_may_have_run(
+@pytest.mark.parametrize("status", MAY_HAVE_BEEN_EXECUTED)
+def test_a_non_idempotent_request_that_may_have_been_executed_is_not_retried_or_rejected(
     status: api.AttemptStatus,
 ) -> None:
     driver = RouterDriver()
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("status", NEVER_EXECUTED)
-def test_a_non_idempotent_request_is_retried_when_it_cannot_have_run(status: api.AttemptStatus) -> None:
+def test_a_non_idempotent_request_that_was_not_executed_is_retried(status: api.AttemptStatus) -> None:
     driver = RouterDriver()
     first = attempt_of(driver.request(class_name="order"))
     # A server without capacity is not tried again at once.
@@ -64,8 +64,8 @@
     assert final_actions(driver.end_attempt(second, api.AttemptStatus.ERROR)) == [api.FailRequest("1")]
 
 
-def test_an_attempt_has_to_begin_before_what_it_was_decided_by_may_not_hold() -> None:
-    """Its connection may come up late: after a drain or a purge binds, or after its repeat window."""
+def test_an_attempt_must_begin_before_its_decision_may_become_invalid() -> None:
+    """Its connection may open late: after a drain or a purge takes effect, or after its repeat window."""
     driver = RouterDriver(drain_grace_ms=400.0, purge_grace_ms=300.0)
     assert attempt_of(driver.request()).start_within_ms == 300.0
     first = attempt_of(driver.request(class_name="keyed"))
@@ -80,8 +80,8 @@
     )
 
 
-def test_two_tries_of_one_key_share_one_window() -> None:
-    """The first try was refused and waited; meanwhile the second ran: it has to follow in that window."""
+def test_two_requests_under_one_key_share_one_repeat_window() -> None:
+    """The first request waits after a rejection while the second is sent; its repeat window binds both."""
     driver = RouterDriver()
     driver.end_attempt(
         attempt_of(driver.request(class_name="keyed", idempotency_key="k")), api.AttemptStatus.OVERLOADED
@@ -93,8 +93,8 @@
     ]
 
 
-@pytest.mark.parametrize("group", [api.DeduplicationScope.CELL, api.DeduplicationScope.ZONE])
-def test_a_keyed_request_stays_in_its_deduplication_scope(group: api.DeduplicationScope) -> None:
+@pytest.mark.parametrize("scope", [api.DeduplicationScope.CELL, api.DeduplicationScope.ZONE])
+def test_a_keyed_request_stays_in_its_deduplication_scope(scope: api.DeduplicationScope) -> None:
     entries = tuple(edge(f"edge{number}", cell=number % 2) for number in range(4))
     cells = {entry.server: entry.cell for entry in entries}
     keyed = api.RequestClass(
@@ -102,19 +102,19 @@
         700.0,
         3000.0,
         api.Idempotency.KEYED,
-        deduplication_scope=group,
+        deduplication_scope=scope,
         deduplication_window_ms=2000.0,
     )
     driver = RouterDriver(entries=(*entries, ORIGIN), classes=(keyed,))
     for key in range(20):
         first = attempt_of(driver.request(key, "keyed"))
         second = attempt_of(driver.end_attempt(first, api.AttemptStatus.ERROR))
-        if group is api.DeduplicationScope.CELL:
+        if scope is api.DeduplicationScope.CELL:
             assert cells[first.server] == cells[second.server]
         driver.end_attempt(second)
 
 
-def test_writes_name_the_origin_or_a_parent_and_are_not_kept() -> None:
+def test_uncacheable_requests_have_the_origin_or_a_parent_as_source_and_are_not_cached() -> None:
     attempt = attempt_of(RouterDriver().request(class_name="keyed"))
     assert attempt.source in {"origin", *(entry.server for entry in PARENTS)}
     assert attempt.retention_rank == 0
--- a/thornjunction/policy/hedging.py
+++ b/thornjunction/policy/hedging.py
@@ -59,7 +59,7 @@
     def _needs_hedge(self, attempt: Attempt) -> bool:
         """Return whether an attempt's answer may be lost.
 
-        If the attempt exceeds the typical latency of its class, the estimate learns that, once.
+        If the attempt exceeds the typical latency of its class, the estimate records that, but only once.
         """
         if not self._may_hedge(attempt) or attempt.exceeded_typical_latency:
             return False
@@ -70,7 +70,7 @@
             return False
         attempt.exceeded_typical_latency = True
         typical.record(exceeded=True)
-        if attempt.server.last_heard_at_ms <= attempt.sent_at_ms:
+        if attempt.server.last_contact_at_ms <= attempt.sent_at_ms:
             return False  # the server may be unreachable, which ``silence`` detects
         return min(self._gates.lowest_share, attempt.server.gate.share) >= MIN_GATE_SHARE
 
--- a/thornjunction/policy/outcomes.py
+++ b/thornjunction/policy/outcomes.py
@@ -85,7 +85,7 @@
             server.outliers.record_failure(now_ms)
         server.is_unreachable = unreachable
         if not unreachable and not timed_out:
-            server.last_heard_at_ms = now_ms
+            server.last_contact_at_ms = now_ms
 
     def _learn_success(self, attempt: Attempt) -> None:
         """Record a failure of each other server that answered this request with an error.
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -54,7 +54,7 @@
         self.in_flight: dict[AttemptKey, OutstandingAttempt] = {}
         # Whether its last attempt was refused a connection, or timed out after one that was.
         self.is_unreachable = False
-        self.last_heard_at_ms = now_ms
+        self.last_contact_at_ms = now_ms
         # Share of its cores in use, as last reported; None before the first report.
         self.load: float | None = None
 
@@ -68,7 +68,7 @@
         """Return whether the server answers none of its attempts in flight: it hangs or is unreachable."""
         silent_count = 0
         for attempt in self.in_flight.values():
-            waited_ms = now_ms - max(attempt.sent_at_ms, self.last_heard_at_ms)
+            waited_ms = now_ms - max(attempt.sent_at_ms, self.last_contact_at_ms)
             if waited_ms - TRANSFER_SLACK * attempt.transfer_ms > SILENCE_MS:
                 silent_count += 1
         return silent_count >= MIN_SILENT_ATTEMPTS
