--- a/tests/limits/test_slow_start_fleet.py
+++ b/tests/limits/test_slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""The slow start's budget over the sum of a fleet, from one router to 1,200.
+"""The slow-start budget of a cold server, for fleets of one to 1,200 routers together.
 
-The routers know nothing of one another, and some get several times the mean of the requests; hedged requests,
-fills and retries count.
+The routers do not communicate, and some get several times the mean number of requests; hedged requests, fills
+and retries count.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 from tests.helpers import ORIGIN, RouterDriver, actions_of, edge, parent
 from thornjunction import interface as api
 
-# Milliseconds at which the cold servers start.
+# Time in milliseconds at which the cold servers start.
 START_MS = 1000.0
 
-# Milliseconds of the rule's window.
+# Length in milliseconds of the window in which rule 4 limits the load.
 WINDOW_MS = 1000.0
 
-# Milliseconds for which requests arrive, and their number outside of bursts.
+# Milliseconds for which requests arrive, and their number outside the bursts.
 ARRIVALS_MS = 4000.0
 REQUESTS = 3000
 
-# Milliseconds of the bursts: two of them within one window of the rule, on both sides of a router's own.
+# Times in milliseconds of the bursts: two lie within one window of the rule, but in two of a router's own.
 BURSTS_MS = (700.0, 1600.0, 2700.0)
 
 # Requests that each router gets in a burst.
 BURST_REQUESTS = 3
 
-# One router in so many gets this multiple of the others' requests.
+# One router in BUSY_ROUTER_INTERVAL gets this multiple of the others' requests.
 BUSY_ROUTER_INTERVAL = 10
 BUSY_ROUTER_FACTOR = 5.0
 
-# The share of attempts that end at once; the others wait, and may be hedged.
+# Share of the attempts that end at once; the others wait, and may be hedged.
 ANSWERED_SHARE = 0.9
 
-# The share of those that end with a reset, and are retried.
+# Share of those attempts that end with a reset, and are retried.
 RESET_SHARE = 0.2
 
-# Kilobytes that a server sends in a millisecond.
+# Transfer rate of a server in kilobytes per millisecond.
 KB_PER_MS = 5.0
 
-# Under so many requests a window, the spread is three standard deviations; else two.
+# Below this number of requests per window, the margin is three standard deviations, otherwise two.
 FEW_REQUESTS = 30
 
 COLD = (
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What the settings say of a role's slow start."""
+    """The slow-start settings of a role."""
 
     weight: float
     initial_share: float
@@ -71,39 +71,39 @@
 }
 
 
-def allowed_requests(role: api.Role, work_ms: float, now_ms: float) -> float:
-    """Return how many requests of that work the settings allow in a window, of all routers together."""
+def allowed_requests(role: api.Role, transfer_ms: float, now_ms: float) -> float:
+    """Return how many requests of this transfer time the settings allow all routers together in a window."""
     slow_start = SLOW_STARTS[role]
     progress = (now_ms - START_MS) / slow_start.duration_ms
     share = slow_start.initial_share + (1 - slow_start.initial_share) * progress
-    return 2.0 * share * slow_start.weight * WINDOW_MS / work_ms
+    return 2.0 * share * slow_start.weight * WINDOW_MS / transfer_ms
 
 
 def max_requests(allowed: float) -> float:
-    """Return how many requests a cold server may get in a window: those allowed, and their spread."""
+    """Return how many requests a cold server may get in a window: those allowed, and a random margin."""
     deviations = 3 if allowed < FEW_REQUESTS else 2
     return allowed + deviations * math.sqrt(allowed) + deviations
 
 
 def arrivals(routers: int, draw: random.Random) -> Iterator[tuple[float, int]]:
-    """Return times and routers of the requests, in order."""
+    """Return the time and router of each request, in the order of times."""
     rates = [BUSY_ROUTER_FACTOR if router % BUSY_ROUTER_INTERVAL == 0 else 1.0 for router in range(routers)]
-    busy = draw.choices(range(routers), rates, k=REQUESTS)
-    requests = [(draw.uniform(0.0, ARRIVALS_MS), router) for router in busy]
+    chosen_routers = draw.choices(range(routers), rates, k=REQUESTS)
+    requests = [(draw.uniform(0.0, ARRIVALS_MS), router) for router in chosen_routers]
     for burst_ms in BURSTS_MS:
         requests += [(burst_ms, router) for router in range(routers) for _ in range(BURST_REQUESTS)]
     return iter(sorted(requests))
 
 
 class ColdServers:
-    """Executes the attempts of a fleet, and keeps when each cold server got one, as server or as source."""
+    """Executes the attempts of a fleet, and records when each cold server got one, as server or as source."""
 
     def __init__(self, draw: random.Random) -> None:
         self.requests_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD}
         self._draw = draw
 
     def execute(self, driver: RouterDriver, actions: list[api.Action]) -> None:
-        """Start the attempts among the actions; most end at once, and lead to further actions."""
+        """Execute the attempts among the actions; most end at once, and lead to further actions."""
         for attempt in actions_of(actions, api.StartAttempt):
             for name in {attempt.server, attempt.source} & self.requests_ms.keys():
                 self.requests_ms[name].append(driver.now_ms)
@@ -113,10 +113,10 @@
                 self.execute(driver, driver.end_attempt(attempt, status))
 
 
-@pytest.mark.parametrize("work_ms", [50.0, 250.0, 1000.0])
+@pytest.mark.parametrize("transfer_ms", [50.0, 250.0, 1000.0])
 @pytest.mark.parametrize("routers", [1, 2, 3, 5, 20, 200, 1200])
-def test_a_fleet_keeps_a_cold_servers_budget_whichever_router_gets_requests(
-    routers: int, work_ms: float
+def test_a_fleet_keeps_a_cold_servers_budget_whichever_routers_get_the_requests(
+    routers: int, transfer_ms: float
 ) -> None:
     draw = random.Random(routers)
     settings = {"router_count": routers, "routers_by_zone": {"here": routers}, "may_hedge": True}
@@ -127,16 +127,16 @@
     for arrival_ms, router in arrivals(routers, draw):
         driver = fleet[router]
         cold_servers.execute(driver, driver.advance(START_MS + arrival_ms - driver.now_ms))
-        actions = driver.request(draw.randrange(10_000), size_kb=work_ms * KB_PER_MS)
+        actions = driver.request(draw.randrange(10_000), size_kb=transfer_ms * KB_PER_MS)
         cold_servers.execute(driver, actions)
     for entry in COLD:
-        check_budget(entry, work_ms, sorted(cold_servers.requests_ms[entry.server]))
+        check_budget(entry, transfer_ms, sorted(cold_servers.requests_ms[entry.server]))
 
 
-def check_budget(entry: api.ServerEntry, work_ms: float, requests_ms: list[float]) -> None:
-    """Check that a cold server is used, and that no window has more than its budget."""
-    assert len(requests_ms) > 0.2 * allowed_requests(entry.role, work_ms, START_MS)
+def check_budget(entry: api.ServerEntry, transfer_ms: float, requests_ms: list[float]) -> None:
+    """Check that a cold server gets requests, but in no window more than its budget allows."""
+    assert len(requests_ms) > 0.2 * allowed_requests(entry.role, transfer_ms, START_MS)
     for end_ms in requests_ms:
-        allowed = allowed_requests(entry.role, work_ms, end_ms)
+        allowed = allowed_requests(entry.role, transfer_ms, end_ms)
         count = sum(end_ms - WINDOW_MS < at_ms <= end_ms for at_ms in requests_ms)
         assert count <= max_requests(allowed), (entry.server, end_ms, count, allowed)
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement over groups of any size: who ranks first for an object, and what a change or a decision costs."""
+"""Placement in groups of any size: the ranking for an object, and the cost of a change or a decision."""
 
 from __future__ import annotations
 
@@ -29,6 +29,7 @@
 
 
 def group_of(count: int, weight: float = 8.0) -> CandidateGroup[str]:
+    """Return a group of this many servers of equal weight."""
     group = CandidateGroup[str](RankingCache())
     for number in range(count):
         group.put(f"server{number}", f"server{number}", weight)
@@ -36,10 +37,11 @@
 
 
 def first_choices(group: CandidateGroup[str], weighted: bool = True) -> list[str]:
-    return [next(group.candidates(value, weighted)) for value in OBJECTS]
+    """Return the best candidate for each of ``OBJECTS``."""
+    return [next(group.candidates(object_hash, weighted)) for object_hash in OBJECTS]
 
 
-def test_a_group_up_to_the_exact_size_is_ranked_by_rendezvous_alone() -> None:
+def test_a_group_up_to_the_largest_scored_size_is_ranked_by_rendezvous_hashing_alone() -> None:
     group = group_of(SMALL)
 
     def score(server: str) -> float:
@@ -49,23 +51,27 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "also_moved"), [(SMALL, 0.0), (SMALL + 1, 0.03), (IN_TRANSITION, 0.03), (LARGE, 0.0)]
+    ("count", "max_moved_share"), [(SMALL, 0.0), (SMALL + 1, 0.03), (IN_TRANSITION, 0.03), (LARGE, 0.0)]
 )
-def test_a_server_that_leaves_moves_its_own_objects_only(count: int, also_moved: float) -> None:
+def test_removing_a_server_moves_only_its_own_objects(count: int, max_moved_share: float) -> None:
     group = group_of(count)
     before = first_choices(group)
-    left = Counter(before).most_common(1)[0][0]
-    group.remove(left)
+    removed = Counter(before).most_common(1)[0][0]
+    group.remove(removed)
     after = first_choices(group)
-    moved = [old for old, new in zip(before, after, strict=True) if old != new and old != left]
-    assert left not in after
-    assert len(moved) <= also_moved * len(OBJECTS)
-    group.put(left, left, 8.0)
-    assert first_choices(group) == before  # whatever the order in which servers came
+    moved = [
+        server_before
+        for server_before, server_after in zip(before, after, strict=True)
+        if server_before != server_after and server_before != removed
+    ]
+    assert removed not in after
+    assert len(moved) <= max_moved_share * len(OBJECTS)
+    group.put(removed, removed, 8.0)
+    assert first_choices(group) == before  # independent of the order in which servers were added
 
 
 @pytest.mark.parametrize(("count", "weighted"), [(SMALL, True), (LARGE, True), (LARGE, False)])
-def test_weights_are_honoured(count: int, weighted: bool) -> None:
+def test_servers_own_objects_in_proportion_to_their_weights(count: int, weighted: bool) -> None:
     group = group_of(count, weight=4.0)
     heavy = {f"server{number}" for number in range(0, count, 4)}
     for server in heavy:
@@ -76,23 +82,23 @@
 
 @pytest.mark.parametrize("weight", [8.0, 0.0])
 @pytest.mark.parametrize("count", [0, CANDIDATES_KEPT - 1, SMALL, LARGE])
-def test_candidates_go_on_to_every_server_once(count: int, weight: float) -> None:
+def test_candidates_contain_every_server_once(count: int, weight: float) -> None:
     group = group_of(count, weight)
     assert sorted(group.candidates(OBJECTS[0], True)) == sorted(group)
     assert list(group.candidates(OBJECTS[0], True)) == list(group.candidates(OBJECTS[0], True))
 
 
-def test_a_servers_first_objects_are_spread_over_all_others_when_it_is_out() -> None:
+def test_the_second_choices_for_a_few_servers_objects_are_spread_over_all_others() -> None:
     group = group_of(LARGE)
-    second = Counter(
-        list(islice(group.candidates(value, True), 2))[1]
-        for value, first in zip(OBJECTS, first_choices(group), strict=True)
+    second_choices = Counter(
+        list(islice(group.candidates(object_hash, True), 2))[1]
+        for object_hash, first in zip(OBJECTS, first_choices(group), strict=True)
         if first in {f"server{number}" for number in range(40)}
     )
-    assert len(second) > LARGE // 3
+    assert len(second_choices) > LARGE // 3
 
 
-def test_neither_a_change_nor_a_ranking_computes_in_the_size_of_a_large_group(
+def test_the_cost_of_a_change_or_a_ranking_does_not_grow_with_a_large_group(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     calls: Counter[str] = Counter()
@@ -104,12 +110,12 @@
 
     def counted_draws(object_hash: int, count: int) -> list[int]:
         drawn.append(count)
-        return list(draw(object_hash, count))
+        return list(draw_slots(object_hash, count))
 
-    draw = candidates._draw_slots
+    draw_slots = candidates._draw_slots
     monkeypatch.setattr(candidates, "mix64", counted_mix)
     monkeypatch.setattr(candidates, "_draw_slots", counted_draws)
-    monkeypatch.setattr(candidates, "rendezvous_score", None)  # not called at all
+    monkeypatch.setattr(candidates, "rendezvous_score", None)  # must not be called
     for count in (LARGE, 8 * LARGE):
         group = group_of(count)
         calls.clear(), drawn.clear()
@@ -127,37 +133,37 @@
     for group in groups:
         for number in range(LARGE):
             group.put(f"server{number}", "", 1.0)
-    for value in OBJECTS[:200]:
+    for object_hash in OBJECTS[:200]:
         for group in groups:
-            list(group.candidates(value, True))
+            list(group.candidates(object_hash, True))
     assert len(cache) == 100
     assert max(len(best) for best in cache._best.values()) == CANDIDATES_KEPT
 
 
-def driver_with_faults(count: int, able_share: float, trouble: str) -> tuple[RouterDriver, set[str]]:
-    """A site of so many caches, all but a share of them unusable, and the names of these."""
+def driver_with_faults(count: int, usable_share: float, fault: str) -> tuple[RouterDriver, set[str]]:
+    """Return the driver of a site in which only a share of the caches is usable, and their names."""
     entries = [edge(f"edge{number}") for number in range(count)]
     driver = RouterDriver(entries=(*entries, parent("parent0"), ORIGIN))
-    able = {entry.server for entry in random.Random(1).sample(entries, max(int(count * able_share), 1))}
+    usable = {entry.server for entry in random.Random(1).sample(entries, max(int(count * usable_share), 1))}
     for server in driver.router.state.placement.server_list.servers.values():
-        if server.entry.role is api.Role.EDGE and server.id not in able:
-            if trouble == "ejected":
+        if server.entry.role is api.Role.EDGE and server.id not in usable:
+            if fault == "ejected":
                 server.outliers.eject(driver.now_ms)
             else:
                 server.slow_start_window.cold_since_ms = driver.now_ms
                 server.slow_start_window.advance(driver.now_ms, 1_000.0, driver.router.random.random)
                 server.slow_start_window.spent_ms = 1e9
-    return driver, able
+    return driver, usable
 
 
-@pytest.mark.parametrize("trouble", ["ejected", "cold"])
-@pytest.mark.parametrize(("count", "able_share"), [(SMALL, 0.0), (SERVERS_EXAMINED, 0.0), (8 * LARGE, 0.1)])
-def test_a_request_reaches_an_able_cache_of_a_site(count: int, able_share: float, trouble: str) -> None:
-    driver, able = driver_with_faults(count, able_share, trouble)
-    assert {attempt_of(driver.request(key)).server for key in range(20)} <= able
+@pytest.mark.parametrize("fault", ["ejected", "cold"])
+@pytest.mark.parametrize(("count", "usable_share"), [(SMALL, 0.0), (SERVERS_EXAMINED, 0.0), (8 * LARGE, 0.1)])
+def test_a_request_reaches_a_usable_cache_of_a_site(count: int, usable_share: float, fault: str) -> None:
+    driver, usable = driver_with_faults(count, usable_share, fault)
+    assert {attempt_of(driver.request(key)).server for key in range(20)} <= usable
 
 
-def test_a_request_that_may_have_run_reaches_the_one_cell_that_discards_it() -> None:
+def test_a_request_that_may_have_been_executed_goes_to_the_one_cell_that_discards_it() -> None:
     cells = [edge(f"edge{number}", cell=number // 8) for number in range(LARGE)]
     keyed_class = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
     driver = RouterDriver(entries=(*cells, parent("parent0"), ORIGIN), classes=(keyed_class,))
@@ -168,28 +174,30 @@
         assert cell_of[second.server] == cell_of[first.server]
 
 
-def test_a_decision_examines_so_many_caches_at_most(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_decision_examines_a_bounded_number_of_caches(monkeypatch: pytest.MonkeyPatch) -> None:
     driver, _ = driver_with_faults(8 * LARGE, 0.0, "cold")
     examined: list[str] = []
 
-    def never_within(entry: api.ServerEntry, *_: object) -> bool:
+    def reject_and_record(entry: api.ServerEntry, *_: object) -> bool:
         examined.append(entry.server)
         return False
 
-    monkeypatch.setattr(driver.router.state.placement.slow_start, "admits", never_within)
+    monkeypatch.setattr(driver.router.state.placement.slow_start, "admits", reject_and_record)
     driver.request()
-    assert 0 < len(examined) <= 3 * SERVERS_EXAMINED  # a cache, a source, and whether to wait
+    assert 0 < len(examined) <= 3 * SERVERS_EXAMINED  # for the cache, the source and the wait
 
 
 def test_a_list_moves_servers_between_zones_and_removes_those_missing_from_it() -> None:
     driver = RouterDriver(entries=(edge("a"), edge("b"), edge("c", zone="there"), ORIGIN))
-    places = driver.router.state.placement
+    placement = driver.router.state.placement
     driver.handle(api.EndpointListUpdate((edge("b", zone="there"), edge("c")), complete=False))
-    assert {zone: [server.id for server in group] for zone, group in places.server_list.caches.items()} == {
+    assert {
+        zone: [server.id for server in group] for zone, group in placement.server_list.caches.items()
+    } == {
         "here": ["a", "c"],
         "there": ["b"],
     }
     driver.handle(api.EndpointListUpdate((edge("c"), ORIGIN)))
-    assert list(places.server_list.caches) == ["here"]
-    assert [server.id for server in places.server_list.site_caches] == ["c"]
+    assert list(placement.server_list.caches) == ["here"]
+    assert [server.id for server in placement.server_list.site_caches] == ["c"]
     assert {attempt_of(driver.request(key)).server for key in range(5)} == {"c"}
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting of large sites: how many caches a router asks, and what reaches all of them."""
+"""Subsetting of large sites: how many caches a router uses, and that all caches are used."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def driver_of_site(count: int, routers: int, **settings: object) -> RouterDriver:
-    """A router of a site of so many caches and routers."""
+    """Return the driver of a router in a site with this many caches and routers."""
     entries = [edge(f"edge{number}") for number in range(count)]
     return RouterDriver(
         entries=(*entries, parent("parent0"), ORIGIN), routers_by_zone={"here": routers}, **settings
@@ -35,18 +35,19 @@
 
 
 def own_caches(driver: RouterDriver) -> list[Upstream]:
-    """The caches of the router's own block."""
+    """Return the caches of the router's own block."""
     placement = driver.router.state.placement
     ranked_caches = list(placement._ranked_caches(1))
     return ranked_caches[: len(ranked_caches) - len(list(placement._ranked_caches(1, skipped_blocks=1)))]
 
 
 def requested_servers(driver: RouterDriver, count: int = REQUESTS) -> list[str]:
+    """Request ``count`` objects and return the cache chosen for each."""
     return [attempt_of(driver.request(key)).server for key in range(count)]
 
 
 @pytest.mark.parametrize(
-    ("caches", "routers", "blocks", "most_asked"),
+    ("caches", "routers", "blocks", "max_used"),
     [
         (60, 67, 1, 60),
         (200, 200, 1, 200),
@@ -59,29 +60,33 @@
         (960, 3, 1, 960),
     ],
 )
-def test_a_router_asks_a_bounded_number_of_caches(
-    caches: int, routers: int, blocks: int, most_asked: int
+def test_a_router_uses_a_bounded_number_of_caches(
+    caches: int, routers: int, blocks: int, max_used: int
 ) -> None:
-    """At most 2.5 times a sixteenth of the caches, plus 40, where the site has routers for its blocks."""
+    """At most 2.5 times a sixteenth of the caches, plus 40, if the site has enough routers for its blocks."""
     driver = driver_of_site(caches, routers)
     assert driver.router.state.placement.server_list.site_caches.block_count == blocks
-    assert len(set(requested_servers(driver))) <= most_asked
+    assert len(set(requested_servers(driver))) <= max_used
 
 
-def test_a_cache_that_leaves_a_divided_site_moves_its_own_objects_only() -> None:
+def test_a_cache_removed_from_a_divided_site_moves_only_its_own_objects() -> None:
     driver = driver_of_site(960, 67)
     before = requested_servers(driver)
-    left = before[0]
-    driver.handle(api.EndpointListUpdate((edge(left, state=api.ServerState.REMOVED),), complete=False))
+    removed = before[0]
+    driver.handle(api.EndpointListUpdate((edge(removed, state=api.ServerState.REMOVED),), complete=False))
     after = requested_servers(driver)
-    assert left not in after
-    assert all(old == new for old, new in zip(before, after, strict=True) if old != left)
+    assert removed not in after
+    assert all(
+        server_before == server_after
+        for server_before, server_after in zip(before, after, strict=True)
+        if server_before != removed
+    )
 
 
-def test_a_site_is_divided_late_and_joined_later_still() -> None:
-    sizes = [200, 201, 200, 161, 160, 200, 960, 959, 2_880, 2_300, 0]
+def test_a_site_is_merged_again_only_when_much_smaller_than_at_its_division() -> None:
+    server_counts = [200, 201, 200, 161, 160, 200, 960, 959, 2_880, 2_300, 0]
     counts = [1]
-    for servers in sizes:
+    for servers in server_counts:
         counts.append(block_count(servers, 400, counts[-1]))
     assert counts[1:] == [1, 4, 4, 4, 1, 1, 8, 8, 16, 16, 1]
     driver = driver_of_site(401, 67)
@@ -94,7 +99,7 @@
         )
 
 
-def test_an_undivided_site_ignores_the_router() -> None:
+def test_the_router_does_not_affect_the_choice_in_an_undivided_site() -> None:
     first, second = (driver_of_site(MAX_UNDIVIDED, 200) for _ in range(2))
     second.router = Router(replace(SETTINGS, routers_by_zone={"here": 200}), 7, "another name")
     second.handle(
@@ -107,15 +112,15 @@
 
 @pytest.mark.parametrize(("routers", "blocks"), [(20, 8), (67, 8), (200, 16)])
 @pytest.mark.parametrize("step", [1, 2, 3, 4])
-def test_numbered_routers_are_shared_out_evenly(routers: int, blocks: int, step: int) -> None:
-    """With random places, the fullest of 8 blocks would have 14 of 67 routers here and the emptiest 4."""
+def test_numbered_routers_are_spread_evenly_over_the_blocks(routers: int, blocks: int, step: int) -> None:
+    """At random, the largest of 8 blocks would have 14 of 67 routers here and the smallest 4."""
     names = [f"router-{step * number}" for number in range(routers)]
     counts = Counter(router_hash(name, 0) * blocks >> 64 for name in names)
     assert len(counts) == blocks
     assert max(counts.values()) <= 1.2 * routers / blocks + 1
 
 
-def test_a_name_outlasts_the_seed_and_every_cache_of_a_site_is_some_routers() -> None:
+def test_a_named_routers_hash_ignores_its_seed_and_every_block_has_routers() -> None:
     assert router_hash("n3", 1) == router_hash("n3", 2) != router_hash("n4", 1)
     assert router_hash("", 1) != router_hash("", 2)
     driver = driver_of_site(960, 67)
@@ -125,24 +130,25 @@
         f"edge{number}" for number in range(960)
     }
     assert all(len(set(order)) == caches.block_count for order in blocks)
-    assert len({(id(order[0]), id(order[1])) for order in blocks}) > 2 * caches.block_count  # spill is spread
+    # The overflow of each block is spread over others.
+    assert len({(id(order[0]), id(order[1])) for order in blocks}) > 2 * caches.block_count
 
 
-@pytest.mark.parametrize("trouble", ["shut", "ejected", "unreachable", "cold"])
-def test_a_request_goes_to_the_next_block_before_it_is_rejected(trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["shut", "ejected", "unreachable", "cold"])
+def test_a_request_goes_to_the_next_block_before_it_is_rejected(fault: str) -> None:
     driver = driver_of_site(960, 67)
     own_block = own_caches(driver)
     for server in own_block:
-        if trouble == "shut":
+        if fault == "shut":
             server.gate.share = 0.0
             server.gate.updated_at_ms = driver.now_ms
-        elif trouble == "cold":
+        elif fault == "cold":
             server.slow_start_window.cold_since_ms = driver.now_ms
             server.slow_start_window.advance(driver.now_ms, 1_000.0, driver.router.random.random)
             server.slow_start_window.spent_ms = 1e9
         else:
             server.outliers.eject(driver.now_ms)
-            server.is_unreachable = trouble == "unreachable"
+            server.is_unreachable = fault == "unreachable"
     actions = [action for key in range(100) for action in driver.request(key)]
     assert not final_actions(actions)
     assert {attempt.server for attempt in actions_of(actions, api.StartAttempt)}.isdisjoint(
@@ -150,25 +156,28 @@
     )
 
 
-def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_whatever_block() -> None:
+def test_a_repeat_goes_to_the_one_cell_that_discards_it_in_any_block() -> None:
     cells = [edge(f"edge{number}", cell=number // 2) for number in range(960)]
     keyed_class = replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL, uncacheable=False)
     driver = RouterDriver(entries=(*cells, ORIGIN), classes=(keyed_class,), routers_by_zone={"here": 67})
     own_block = {server.id for server in own_caches(driver)}
-    others = []
+    expected_servers = []
     for key in range(20):
         first = attempt_of(driver.request(key, "keyed", idempotency_key=f"key{key}"))
         entry = next(entry for entry in cells if entry.server == first.server)
-        others.append(f"edge{int(first.server[4:]) ^ 1}")
+        expected_servers.append(f"edge{int(first.server[4:]) ^ 1}")
         driver.handle(
             api.EndpointListUpdate((replace(entry, state=api.ServerState.REMOVED),), complete=False)
         )
-        assert attempt_of(driver.end_attempt(first, api.AttemptStatus.CONNECTION_RESET)).server == others[-1]
+        assert (
+            attempt_of(driver.end_attempt(first, api.AttemptStatus.CONNECTION_RESET)).server
+            == expected_servers[-1]
+        )
         driver.handle(api.EndpointListUpdate((entry,), complete=False))
-    assert len(set(others) - own_block) > 10
+    assert len(set(expected_servers) - own_block) > 10
 
 
-def test_peers_of_the_own_site_are_those_of_the_own_block() -> None:
+def test_peers_within_the_site_are_caches_of_the_routers_own_block() -> None:
     driver = driver_of_site(960, 67, peer_fill=api.PeerFill.LOCATION)
     own_block = {server.id for server in own_caches(driver)}
     placement = driver.router.state.placement
