--- a/tests/limits/test_admission_gates.py
+++ b/tests/limits/test_admission_gates.py
@@ -43,11 +43,11 @@
         else:
             driver.end_attempt(attempt, elapsed_ms=4000.0, fill_result=FILLED, fill_first_byte_ms=3500.0)
     started = [attempt_of(driver.request(key)) for key in range(1000, 1200)]
-    cached_only_attempts = [attempt for attempt in started if attempt.source == attempt.server]
-    assert 150 < len(cached_only_attempts) < 200
-    assert not driver.end_attempt(cached_only_attempts[0])
-    assert final_actions(driver.end_attempt(cached_only_attempts[1], api.AttemptStatus.CACHE_MISS)) == [
-        api.RejectRequest(cached_only_attempts[1].request_id)
+    attempts_without_fill = [attempt for attempt in started if attempt.source == attempt.server]
+    assert 150 < len(attempts_without_fill) < 200
+    assert not driver.end_attempt(attempts_without_fill[0])
+    assert final_actions(driver.end_attempt(attempts_without_fill[1], api.AttemptStatus.CACHE_MISS)) == [
+        api.RejectRequest(attempts_without_fill[1].request_id)
     ]
 
 
@@ -57,10 +57,10 @@
     for key in range(40):
         driver.request(key)
     driver.advance(1500.0)
-    cached_only_attempts = [
+    attempts_without_fill = [
         attempt for key in range(1000, 1040) for attempt in actions_of(driver.request(key), api.StartAttempt)
     ]
-    assert sum(attempt.source == attempt.server for attempt in cached_only_attempts) > 30
+    assert sum(attempt.source == attempt.server for attempt in attempts_without_fill) > 30
 
 
 def test_failed_fills_count_as_late() -> None:
--- a/tests/limits/test_slow_start_fleet.py
+++ b/tests/limits/test_slow_start_fleet.py
@@ -26,7 +26,7 @@
 ARRIVALS_MS = 4000.0
 REQUESTS = 3000
 
-# Times in milliseconds of the bursts: two lie within one window of the rule, but in two of a router's own.
+# Times in milliseconds of the bursts: two lie in one window of the rule, but in different ones of a router.
 BURSTS_MS = (700.0, 1600.0, 2700.0)
 
 # Requests that each router gets in a burst.
--- a/tests/policy/fleet_simulation.py
+++ b/tests/policy/fleet_simulation.py
@@ -40,8 +40,7 @@
 OVERLOAD_WINDOW_MS = 3000.0
 OUTAGE_MS = 6000.0
 
-# One zone in COLD_ZONE_INTERVAL is cold during the burst; other zones and the parents hit with this
-# probability.
+# One zone in COLD_ZONE_INTERVAL is cold during the burst; others, and the parents, hit with HIT_PROBABILITY.
 COLD_ZONE_INTERVAL = 10
 HIT_PROBABILITY = 0.7
 
--- a/tests/policy/test_fleet_origin.py
+++ b/tests/policy/test_fleet_origin.py
@@ -1,6 +1,6 @@
 """Two hundred routers that do not communicate, and an origin that stops when it is overloaded.
 
-As in the protocol, it stops when it gets more than 2.5 times the requests of its capacity for 3 s.
+As in the protocol, it stops when its demand exceeds 2.5 times its capacity for 3 s.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Rule 2: a request that must not be executed twice is not."""
+"""Rule 2: a request that must not be executed twice is executed at most once."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_waiting_requests.py
+++ b/tests/policy/test_waiting_requests.py
@@ -63,5 +63,5 @@
         driver.request(key, size_kb=3000.0)
     initial_order = list(driver.router.state.requests.waiting)
     driver.advance(50.0)
-    # Ten were dispatched again and wait as the newest.
+    # The first ten were dispatched again and now wait at the end.
     assert list(driver.router.state.requests.waiting) == initial_order[10:] + initial_order[:10]
--- a/thornjunction/limits/admission_gates.py
+++ b/thornjunction/limits/admission_gates.py
@@ -28,7 +28,7 @@
 
 
 class AdmissionGate:
-    """Admits a share of new requests, depending on the share of answers that come in time.
+    """Admits a share of new requests, depending on the share of answers that arrive in time.
 
     A share works for one busy router as well as for hundreds with one request in flight each, where a limit
     on concurrent requests would not. Large requests are rejected first, so that more requests are served for
--- a/thornjunction/limits/retry_budget.py
+++ b/thornjunction/limits/retry_budget.py
@@ -1,7 +1,7 @@
 """The retry budget, which all routers of a fleet share, and the backoff before a retry.
 
-If each of hundreds of routers had a small reserve of retries, they would have a large one together, and use
-it up on a shared server that is overloaded. So each router has a part of one reserve of the fleet.
+If each of hundreds of routers had a small reserve of its own, the fleet would have a large one, and use it up
+on an overloaded server. So each router has a part of one reserve of the fleet.
 """
 
 from __future__ import annotations
--- a/thornjunction/policy/admission.py
+++ b/thornjunction/policy/admission.py
@@ -10,7 +10,7 @@
 from thornjunction.policy.state import DecisionState
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 
-# Transfer rate of one answer in KB per ms, where the settings give none.
+# Transfer rate of one answer in KB per ms, if the settings give none.
 DEFAULT_TRANSFER_RATE_KB_PER_MS = 5.0
 # Decayed count of earlier requests for an object, at or above which the object is likely to be cached.
 LIKELY_CACHED_COUNT = 0.5
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -1,7 +1,7 @@
 """Ranks the servers of a group for an object by weighted rendezvous hashing.
 
 Every router ranks the same list of servers in the same way, so that all of them look for an object at the
-same few servers, and a server that leaves moves its own objects only.  Small groups are ranked by a score for
+same few servers, and a server that leaves moves only its own objects.  Small groups are ranked by a score for
 each server (Thaler and Ravishankar, 1998).  That costs time in the size of the group, so large groups draw
 their candidates from a table instead (``CandidateGroup._draw_best``), in a time that does not grow with the
 group's size.  ``docs/design/placement.md`` compares the options and gives the figures.
@@ -37,8 +37,8 @@
 TABLE_TRANSITION = 64
 # Slots of the table: one for each value of the 16-bit numbers that are drawn.
 TABLE_SLOTS = 1 << 16
-# Slots of each server: two halve the number of draws.  Servers may share a slot: at 3,200 servers in a group
-# 1 slot in 10 is shared.
+# Slots of each server: two need half as many draws as one.  Servers may share a slot: at 3,200 servers in a
+# group 1 slot in 10 is shared.
 SLOTS_PER_SERVER = 2
 # Bound on the slots drawn for an object.  It is reached only if few servers outweigh all others by far.
 MAX_SLOTS_DRAWN = 1 << 16
--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -68,7 +68,7 @@
             self._after_failure(event, attempt)
 
     def _after_cached_only_miss(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Dispatch a request again whose peer lookup missed; give up any other that was not cached.
+        """Dispatch a request again if its peer lookup missed; give up any other whose object was not cached.
 
         A peer lookup that misses executes nothing, so the request may be sent again.
         """
--- a/thornjunction/policy/fill_ranking.py
+++ b/thornjunction/policy/fill_ranking.py
@@ -40,7 +40,7 @@
     fetch_ms: float | None = None  # time to the first byte of its last fill
 
     def decayed(self, now_ms: float) -> float:
-        """Return the count as it stands at this time."""
+        """Return the count, decayed to this time."""
         return self.count * math.exp2((self.counted_at_ms - now_ms) / COUNT_HALF_LIFE_MS)
 
 
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -189,7 +189,7 @@
     def _first_admitting(
         self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
     ) -> Upstream | None:
-        """Return the first server whose gate admits the request; all gates are asked, and each may draw."""
+        """Return the first server whose gate admits the request; all gates are tried, and each may draw."""
         admitting = [
             server
             for server in servers
@@ -262,7 +262,7 @@
         That is so if every cache that rule 2 allows is unreachable or has used up its slow-start budget.
         """
         caches = self.server_list.site_caches
-        # All caches of a small group are examined, so their order does not matter, and ranking takes longer.
+        # All caches of a small group are examined, so their order does not matter; ranking would take longer.
         is_small = len(caches) <= SERVERS_EXAMINED
         servers = iter(caches) if is_small else self._ranked_caches(request.object_hash)
         may_take_later = False
--- a/thornjunction/policy/silence.py
+++ b/thornjunction/policy/silence.py
@@ -13,8 +13,8 @@
 class SilenceDetector:
     """Detects servers that answer no attempt although several are in flight there.
 
-    A server whose attempts are all slow fills cannot be told from a hung one, so they may be cancelled too
-    early; the retry budget bounds how often.
+    A server whose attempts are all slow fills cannot be distinguished from a hung one, so these may be
+    cancelled too early; the retry budget bounds how often.
     """
 
     def __init__(
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -81,7 +81,7 @@
     def record_success(self, now_ms: float) -> None:
         """Record an answer that shows that the server works; an ejected server is back in service.
 
-        A server that was unreachable may be a new process, cold but not yet listed as such.
+        A server that was unreachable may be a new process that is cold, but not listed as restarted yet.
         """
         recovered = self.outliers.record_success()
         if recovered and self.is_unreachable:
