--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -14,7 +14,7 @@
 SILENCE_MS = 500.0
 # Expected transfer time of an attempt, as a multiple of its transfer time without other load.
 TRANSFER_SLACK = 1.5
-# Silent attempts from which on a server counts as hung or unreachable; a single one may only be slow.
+# Minimum of silent attempts at a server that counts as hung or unreachable; a single one may only be slow.
 MIN_SILENT_ATTEMPTS = 2
 
 # The request's id and the number of the attempt.
@@ -54,7 +54,7 @@
         self.in_flight: dict[AttemptKey, OutstandingAttempt] = {}
         # Whether its last attempt was refused a connection, or timed out after one that was.
         self.is_unreachable = False
-        self.last_heard_at_ms = now_ms
+        self.last_contact_at_ms = now_ms
         # Share of its cores in use, as last reported; None before the first report.
         self.load: float | None = None
 
@@ -68,7 +68,7 @@
         """Return whether the server answers none of its attempts in flight: it hangs or is unreachable."""
         silent_count = 0
         for attempt in self.in_flight.values():
-            waited_ms = now_ms - max(attempt.sent_at_ms, self.last_heard_at_ms)
+            waited_ms = now_ms - max(attempt.sent_at_ms, self.last_contact_at_ms)
             if waited_ms - TRANSFER_SLACK * attempt.transfer_ms > SILENCE_MS:
                 silent_count += 1
         return silent_count >= MIN_SILENT_ATTEMPTS
@@ -81,7 +81,7 @@
     def record_success(self, now_ms: float) -> None:
         """Record an answer that shows that the server works; an ejected server is back in service.
 
-        A server that was unreachable may be a new process, cold but not yet listed as such.
+        A server that was unreachable may be a new process that is cold, but not listed as restarted yet.
         """
         recovered = self.outliers.record_success()
         if recovered and self.is_unreachable:
