--- a/packages/control-client/src/control_client/state_follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -33,7 +33,7 @@
 RESET_MARGIN_MS = 1000.0
 
 # A list that is older by this much is rejected whatever its seq: it is from before discovery was reset.
-HISTORY_MARGIN_MS = 2000.0
+OUTDATED_LIST_MARGIN_MS = 2000.0
 
 # Time after a poll from which on it is unknown when its response was written.
 SLOW_RESPONSE_MS = 1300.0
@@ -268,7 +268,7 @@
             return None
         if merged.seq is None or (self.seq is not None and merged.seq < self.seq):
             return self.seq if self.seq is not None else math.inf
-        if self.list_as_of_ms - self._response.latest_as_of_ms >= HISTORY_MARGIN_MS:
+        if self.list_as_of_ms - self._response.latest_as_of_ms >= OUTDATED_LIST_MARGIN_MS:
             # A source that missed discovery's reset still has a higher seq than the new count.
             return math.inf
         return None
--- a/packages/control-client/tests/test_follower_interleavings.py
+++ b/packages/control-client/tests/test_follower_interleavings.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from control_client.resync_limiter import MAX_RESYNC_INTERVAL_MS
-from control_client.state_follower import HISTORY_MARGIN_MS
+from control_client.state_follower import OUTDATED_LIST_MARGIN_MS
 from follower_simulation import ENDPOINTS, DiscoveryModel, FollowingClient, RelayModel
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
@@ -82,7 +82,7 @@
 
     At the end one source brings everything.
     """
-    interleaving = Interleaving(down_ms=2.0 * HISTORY_MARGIN_MS)
+    interleaving = Interleaving(down_ms=2.0 * OUTDATED_LIST_MARGIN_MS)
     for what, argument in steps:
         interleaving.step(what, argument)
     interleaving.now += 2.0 * MAX_RESYNC_INTERVAL_MS
--- a/packages/control-client/tests/test_state_follower.py
+++ b/packages/control-client/tests/test_state_follower.py
@@ -14,7 +14,7 @@
     SyncStatus,
 )
 from control_client.cursor_reset import MIN_LOWER_CURSOR_MS
-from control_client.state_follower import HISTORY_MARGIN_MS, RESET_MARGIN_MS
+from control_client.state_follower import OUTDATED_LIST_MARGIN_MS, RESET_MARGIN_MS
 
 
 def complete(number: int, seq: int | None, **endpoints: Any) -> EndpointListEvent:
@@ -83,7 +83,7 @@
         (5, 500.0, True),
         (4, 500.0, False),
         (None, 500.0, False),
-        (9, HISTORY_MARGIN_MS + 900, False),
+        (9, OUTDATED_LIST_MARGIN_MS + 900, False),
     ],
 )
 def test_complete_list_is_accepted_by_its_seq(seq: int | None, age_ms: float, taken: bool) -> None:
@@ -140,7 +140,7 @@
 def test_source_that_missed_a_reset_of_discovery_is_rejected() -> None:
     """Its seq is higher, but its state is older than the current one."""
     follower = following(seq=5)
-    late = PollResponse("b", HISTORY_MARGIN_MS + 2000.0, 1, (complete(1, 70, s="history"),))
+    late = PollResponse("b", OUTDATED_LIST_MARGIN_MS + 2000.0, 1, (complete(1, 70, s="history"),))
     assert poll(follower, 2000.0, late) == ([], SyncStatus.SOURCE_STALE)
     response = PollResponse("b", 4000.0, 2, (change(2, 71, s="history"),))
     assert poll(follower, 2100.0, response) == ([], SyncStatus.SOURCE_STALE)
--- a/packages/control-relay/src/control_relay/members.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -18,14 +18,14 @@
 MAX_REPORTED_LAGGING = 1 << 20
 
 
-class ResumePosition(Enum):
+class PollContinuity(Enum):
     """Where a poll continues, compared with what its sender polled for before."""
 
     CONTINUED = "continued"
     # Below the last poll's number: the sender restarted.
     REWOUND = "rewound"
     # Not a number that this relay has given out in this epoch.
-    FOREIGN = "foreign"
+    UNKNOWN_NUMBER = "foreign"
 
 
 class MemberTableFullError(Exception):
@@ -74,7 +74,7 @@
         member.block_ms = block_ms
         return member
 
-    def apply_poll(self, member: Member, request: PollRequest, resume: int) -> ResumePosition:
+    def apply_poll(self, member: Member, request: PollRequest, resume: int) -> PollContinuity:
         """Record the events that a member's poll in this epoch acknowledges.
 
         A number below that of the last poll is a restart, which acknowledges nothing.
@@ -82,7 +82,7 @@
         if resume < member.resume:
             self.restart(member)
             member.resume = resume
-            return ResumePosition.REWOUND
+            return PollContinuity.REWOUND
         # A response that never arrived must not be acknowledged by the number of a later event.
         member.discard_responses_after(resume)
         member.resume = resume
@@ -91,7 +91,7 @@
             acknowledged = min(resume, int_or_default(request.acknowledged))
             self._record_progress(member, request)
         self._set_acknowledged(member, member.acknowledge(acknowledged))
-        return ResumePosition.CONTINUED
+        return PollContinuity.CONTINUED
 
     def restart(self, member: Member) -> None:
         """Forget what a member has acknowledged: it starts with nothing."""
--- a/packages/control-relay/src/control_relay/poll_handling.py
+++ b/packages/control-relay/src/control_relay/poll_handling.py
@@ -14,7 +14,7 @@
     RelayAction,
 )
 from control_relay.member import Member
-from control_relay.members import MemberTable, MemberTableFullError, ResumePosition
+from control_relay.members import MemberTable, MemberTableFullError, PollContinuity
 from control_relay.relay_state import RelayState
 from control_relay.settings import RelaySettings
 from control_relay.validation import NAME_PATTERN, duration_or_zero, int_or_default
@@ -70,7 +70,7 @@
         resume = int_or_default(request.resume)
         position = self._resume_position(member, request, resume)
         self._delivery.advance_low_water_marks(now)
-        if position is ResumePosition.FOREIGN:
+        if position is PollContinuity.UNKNOWN_NUMBER:
             return self._delivery.respond_with_complete_state(now, poller, member, resume=0)
         if not self._has_list(member, resume, position):
             return self._delivery.respond_with_complete_state(now, poller, member, resume)
@@ -89,18 +89,18 @@
         member.poller = poller
         return member
 
-    def _resume_position(self, member: Member | None, request: PollRequest, resume: int) -> ResumePosition:
+    def _resume_position(self, member: Member | None, request: PollRequest, resume: int) -> PollContinuity:
         """Return where a poll continues, and record what it acknowledges."""
         is_current_epoch = not request.epoch or request.epoch == self._epoch.name
         if not is_current_epoch or not self._epoch.first_number <= resume <= self._log.delivered:
             if member is not None:
                 self._members.restart(member)
-            return ResumePosition.FOREIGN
+            return PollContinuity.UNKNOWN_NUMBER
         if member is None:
-            return ResumePosition.CONTINUED
+            return PollContinuity.CONTINUED
         return self._members.apply_poll(member, request, resume)
 
-    def _has_list(self, member: Member | None, resume: int, position: ResumePosition) -> bool:
+    def _has_list(self, member: Member | None, resume: int, position: PollContinuity) -> bool:
         """Return whether the poller has the list to which the changes after ``resume`` apply.
 
         It may have received purges of a complete state and not yet the list that follows them.
@@ -110,7 +110,7 @@
         complete_state_number = self._delivery.latest_complete_state_number
         if member is not None and member.complete_state_number is not None:
             complete_state_number = member.complete_state_number
-        if position is not ResumePosition.CONTINUED:
+        if position is not PollContinuity.CONTINUED:
             return False
         return resume >= self._log.floor and resume >= complete_state_number
 
--- a/packages/control-sim/tests/mutants.py
+++ b/packages/control-sim/tests/mutants.py
@@ -22,7 +22,7 @@
 from control_relay.freshness import Freshness
 from control_relay.low_water_marks import LowWaterMarks
 from control_relay.member import Member
-from control_relay.members import MemberTable, ResumePosition
+from control_relay.members import MemberTable, PollContinuity
 from control_relay.paged_responses import Page, PagedResponses
 from control_relay.poll_handling import PollHandler
 from control_sim import run_seed, topology
@@ -86,13 +86,13 @@
     self.remove(number)
 
 
-def assume_list(self: PollHandler, member: Member | None, resume: int, position: ResumePosition) -> bool:
+def assume_list(self: PollHandler, member: Member | None, resume: int, position: PollContinuity) -> bool:
     return resume >= self._log.floor
 
 
 def trust_resume_of_relay(
     self: MemberTable, member: Member, request: PollRequest, resume: int
-) -> ResumePosition:
+) -> PollContinuity:
     return original_apply_poll(self, member, replace(request, acknowledged=resume), resume)
 
 
@@ -115,7 +115,7 @@
 def accept_lists_of_any_age() -> Iterator[None]:
     with (
         patch.object(control_client.state_follower, "RESET_MARGIN_MS", float("-inf")),
-        patch.object(control_client.state_follower, "HISTORY_MARGIN_MS", float("inf")),
+        patch.object(control_client.state_follower, "OUTDATED_LIST_MARGIN_MS", float("inf")),
     ):
         yield
 
