--- a/packages/control-client/src/control_client/events.py
+++ b/packages/control-client/src/control_client/events.py
@@ -15,7 +15,7 @@
 
 
 class SwitchReason(StrEnum):
-    """Why the selector switched; the values are those of the log.  A failure has a reason of the caller."""
+    """Why the selector switched; the values appear in the log.  ``PollFailed`` states a reason of its own."""
 
     STARTED = "start"
     RETRY = "again"
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollFailed:
-    """Connecting or polling failed, or the connection ended; the caller has no connection any more."""
+    """Connecting or polling failed, or the connection ended; no connection is left."""
 
     source: Address
     reason: str
@@ -126,8 +126,8 @@
 class PurgeEvent:
     """A purge of an object or group.
 
-    A time in the future has to be replaced by the present: otherwise purges that are issued before that time
-    would count as earlier ones.
+    The caller replaces an issue time in the future by the present: otherwise purges that are issued before
+    that time would count as earlier ones.
     """
 
     number: int
@@ -165,7 +165,7 @@
 
     # All events of the source were accepted.
     IN_SYNC = "in sync"
-    # The source has more events, which the next poll gets without waiting.
+    # The source has more events, which it sends to the next poll without waiting.
     MORE_AVAILABLE = "more available"
     # The current list is kept because the source's is older; another source should be polled.
     SOURCE_STALE = "source stale"
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseOutcome:
-    """The result of a response's end: a list to apply, if one was merged and accepted, and the status."""
+    """The result of a complete response: the merged list if it has to be applied, and the status."""
 
     merged_list: EndpointListEvent | None
     status: SyncStatus
--- a/packages/control-client/src/control_client/notices.py
+++ b/packages/control-client/src/control_client/notices.py
@@ -9,6 +9,6 @@
     """What a source selector reports to the log."""
 
     SOURCE_FAILED = "source_failed"
-    """The source that was polled is given up."""
+    """The polled source has failed and is no longer polled."""
     SOURCE_SELECTED = "source_selected"
-    """A source is polled from now on."""
+    """The selector has started to poll this source."""
--- a/packages/control-client/src/control_client/recent_purges.py
+++ b/packages/control-client/src/control_client/recent_purges.py
@@ -19,7 +19,7 @@
     """Recognizes purges that were accepted before.
 
     A purge is remembered for ``retention_ms``, and at most ``max_purges`` are.  One that was forgotten counts
-    as new again, which only repeats it.
+    as new again, which only repeats the removal.
     """
 
     def __init__(self, retention_ms: float, max_purges: int) -> None:
@@ -31,8 +31,8 @@
     def __len__(self) -> int:
         return len(self._accepted)
 
-    def is_new(self, now: float, target: Hashable, issued_unix_ms: float) -> bool:
-        """Return whether no purge of the target issued then or later was accepted; accept it if so."""
+    def accept_if_new(self, now: float, target: Hashable, issued_unix_ms: float) -> bool:
+        """Accept a purge, and return True, unless one of its target that is no older is known."""
         known = self._accepted.get(target)
         if known is not None and issued_unix_ms <= known.issued_unix_ms and not self._has_expired(known, now):
             return False
--- a/packages/control-client/src/control_client/response_timeout.py
+++ b/packages/control-client/src/control_client/response_timeout.py
@@ -7,10 +7,10 @@
 from control_client.backoff import exponential_backoff
 from control_client.selection_timings import SelectionTimings
 
-# A timer that fires later than this shows that this process was late: responses may be unread.
+# A timer that fires later than this shows that this process was delayed and may have unread responses.
 LATE_TIMER_MS = 100.0
 
-# Upper bound of the grace period after a late timer, in which such responses are read.
+# Upper bound of the grace period that a late timer grants to read them.
 MAX_GRACE_MS = 500.0
 
 
@@ -45,7 +45,7 @@
         self._consecutive_timeouts += 1
 
     def has_expired(self, now: float, timer_late_ms: float) -> bool:
-        """Return whether the source timed out; grants a grace period where this process was late itself."""
+        """Return whether the source timed out; a late timer grants a grace period instead."""
         if now < self.deadline_ms:
             return False
         if timer_late_ms > LATE_TIMER_MS:
--- a/packages/control-client/src/control_client/resync_limiter.py
+++ b/packages/control-client/src/control_client/resync_limiter.py
@@ -10,12 +10,12 @@
 # Upper bound of that time, which doubles with each request.
 MAX_RESYNC_INTERVAL_MS = 30_000.0
 
-# Time without a resynchronization after which the interval is reset to its minimum.
+# Time after the end of an interval after which a resynchronization resets the interval to its minimum.
 STABLE_MS = 60_000.0
 
 
 class ResyncLimiter:
-    """The interval between resynchronizations doubles until there was none for ``STABLE_MS``."""
+    """Doubles the interval between resynchronizations; resets it after ``STABLE_MS`` without one."""
 
     def __init__(self) -> None:
         self._next_allowed_ms = -math.inf
--- a/packages/control-client/src/control_client/selection_timings.py
+++ b/packages/control-client/src/control_client/selection_timings.py
@@ -1,4 +1,4 @@
-"""The durations that ``SourceSelector`` decides by, in milliseconds."""
+"""Durations that configure ``SourceSelector``, in milliseconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class SelectionTimings:
-    """Durations in ms, all above 0, else InvalidTimingError.
+    """Durations in ms.  Raises InvalidTimingError where one is not above 0.
 
     A duration ``x_ms`` with a maximum ``max_x_ms`` is doubled repeatedly up to it.  Waits have jitter: each
     is drawn between half of its duration and all of it.
@@ -26,7 +26,7 @@
 
     # A source whose state is older than this is degraded.
     degraded_age_ms: float = 2000.0
-    # Another source is fresher if its freshness timestamp is later by this.
+    # Another source counts as fresher if its freshness timestamp is later by at least this.
     fresher_by_ms: float = 1000.0
     # Wait until a failed source may be polled again; doubles with consecutive failures.
     retry_ms: float = 100.0
@@ -36,12 +36,12 @@
     probe_interval_ms: float = 2000.0
     max_probe_interval_ms: float = 16_000.0
 
-    # How long a preferred source has to be healthy before the selector returns to it; doubles with each time
-    # that it failed while it was polled.
+    # How long a preferred source has to be healthy before the selector returns to it; doubles with each
+    # failure or degradation of that source while it was polled.
     recovery_ms: float = 10_000.0
     max_recovery_ms: float = 160_000.0
 
-    # Returns are spread over this time, so that a fleet does not return at once.
+    # Returns are spread over this time, so that the clients of a fleet do not all return at once.
     return_spread_ms: float = 10_000.0
     # Returns from a sibling, which need no recovery time, are spread over this time.
     sibling_return_spread_ms: float = 1000.0
@@ -49,8 +49,8 @@
     switch_interval_ms: float = 1000.0
     max_switch_interval_ms: float = 30_000.0
 
-    # Time after which doublings are reset: of the switch interval, without such a switch; of a source's
-    # recovery time, while that source is polled without interruption.
+    # Time after which a doubled duration is reset: the switch interval if there was no such switch, and a
+    # source's recovery time if that source was polled without interruption.
     stable_ms: float = 60_000.0
 
     def __post_init__(self) -> None:
--- a/packages/control-client/src/control_client/source_health.py
+++ b/packages/control-client/src/control_client/source_health.py
@@ -1,4 +1,4 @@
-"""The health of one source, as a selector knows it."""
+"""The health of one source as observed by polls and probes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
     """Health of a source.  Times are on the caller's clock; infinity stands for never.
 
     ``priority`` is the source's index in the operators' order, 0 the preferred one.  ``penalties`` counts
-    failures and degradations while it was polled, until it has been stable.
+    failures and degradations while it was polled, and is reset once it was polled for ``stable_ms``.
+    ``as_of_ms`` is the freshness timestamp of its state.
     """
 
     address: Address
--- a/packages/control-client/src/control_client/source_pool.py
+++ b/packages/control-client/src/control_client/source_pool.py
@@ -49,9 +49,9 @@
         return list(self)
 
     def first_available(self, now: float) -> SourceHealth | None:
-        """Return the first eligible source whose retry time has come.
+        """Return the first eligible source whose retry time is reached.
 
-        A source that answered last precedes one that failed.
+        A source whose last poll or probe was answered precedes one that failed.
         """
         return min(
             (source for source in self.eligible() if source.retry_at_ms <= now),
@@ -60,14 +60,14 @@
         )
 
     def alternatives_to(self, current: SourceHealth) -> list[SourceHealth]:
-        """Return the sources that may replace the polled one; siblings only replace a sibling."""
+        """Return the sources that may replace the polled one; a sibling may replace only a sibling."""
         others = (source for source in self if source is not current)
         return [source for source in others if current.is_sibling or not source.is_sibling]
 
     def replacement_for(self, current: SourceHealth, now: float) -> SourceHealth | None:
         """Return a fresher source for a degraded one: the first that is healthy, else the freshest.
 
-        Which one is the freshest is known once no probe is in flight.
+        Without a healthy one the result is None until no probe is in flight.
         """
         alternatives = self.alternatives_to(current)
         fresher = [
--- a/packages/control-client/src/control_client/source_selection.py
+++ b/packages/control-client/src/control_client/source_selection.py
@@ -2,9 +2,9 @@
 
 Upstreams are polled in the operators' order, siblings only if no upstream answers.  After a failure the
 selector switches at once.  If the polled source's state is too old, it switches only to a fresher source, at
-increasing intervals.  Sources that are not polled are probed: preferred ones in order to return to them, all
-of them while the polled one is degraded.  Waits have jitter, so that the clients of a region do not switch at
-once.
+increasing intervals.  Of the sources that are not polled, preferred ones are probed in order to return to
+them, and all alternatives while the polled one is degraded.  Waits have jitter, so that the clients of a
+region do not switch at once.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 from control_client.source_pool import SourcePool
 from control_client.switch_limiter import SwitchLimiter
 
-# The shortest timer that is set.
+# Minimum duration of a timer.
 MIN_TIMER_MS = 1.0
 
-# The durations by which a selector decides unless others are given.
+# The durations of a selector unless others are given.
 DEFAULT_TIMINGS = SelectionTimings()
 
 
@@ -66,7 +66,7 @@
         self._polled_since_ms = 0.0
         self._pool = SourcePool(upstreams, siblings, timings)
         self._timeout = ResponseTimeout(timings)
-        self._limiter = SwitchLimiter(timings)
+        self._switch_limiter = SwitchLimiter(timings)
         self._probes = ProbeScheduler(timings, draw)
         self._timer_token = 0
         self._timer_due_ms = math.inf
@@ -91,11 +91,11 @@
             case PollFailed():
                 source = self._pool.by_address[event.source]
                 if source is self.current:
-                    self._fail_current(source, now, event.reason)
+                    self._handle_source_failure(source, now, event.reason)
             case ProbeAnswered():
                 self._handle_probe_answer(self._pool.by_address[event.source], now, event.age_ms)
             case ProbeFailed():
-                self._fail_probe(self._pool.by_address[event.source], now)
+                self._handle_probe_failure(self._pool.by_address[event.source], now)
         self._arm_timer(now)
         return self._actions
 
@@ -123,7 +123,7 @@
         if now - self._polled_since_ms >= self.timings.stable_ms:
             source.penalties = 0
 
-    def _fail_current(self, source: SourceHealth, now: float, reason: str) -> None:
+    def _handle_source_failure(self, source: SourceHealth, now: float, reason: str) -> None:
         self.current = None
         self.state = SelectorState.SEARCHING
         if reason == SwitchReason.TIMEOUT:
@@ -142,9 +142,9 @@
         """Poll the first available source; if there is none, the timer causes the next attempt."""
         source = self._pool.first_available(now)
         if source is not None:
-            self._poll(source, now, reason)
+            self._start_polling(source, now, reason)
 
-    def _poll(self, source: SourceHealth, now: float, reason: str) -> None:
+    def _start_polling(self, source: SourceHealth, now: float, reason: str) -> None:
         if self._last_polled is not None and self._last_polled is not source:
             self.switches += 1
         self._last_polled = source
@@ -162,12 +162,12 @@
 
     def _switch(self, source: SourceHealth, now: float, reason: str) -> None:
         """Switch to another source although the polled one has not failed."""
-        self._limiter.record(now)
+        self._switch_limiter.record(now)
         if self.current is not None:
             if self.state is SelectorState.DEGRADED:
                 self.current.penalties += 1
             self._actions.append(StopPolling(self.current.address))
-        self._poll(source, now, reason)
+        self._start_polling(source, now, reason)
 
     # Probes
 
@@ -197,7 +197,7 @@
             self._probes.start(source, now)
             self._actions.append(SendProbe(source.address))
 
-    def _fail_probe(self, source: SourceHealth, now: float) -> None:
+    def _handle_probe_failure(self, source: SourceHealth, now: float) -> None:
         if not source.is_probed:
             return
         source.probe_deadline_ms = math.inf
@@ -245,16 +245,20 @@
         for source in self._pool:
             if source.return_at_ms > now:
                 continue
-            if self._limiter.allows(now):
+            if self._switch_limiter.allows(now):
                 self._switch(source, now, SwitchReason.RECOVERED)
                 return
             delay_ms = self.draw() * self.timings.return_spread_ms
-            source.return_at_ms = self._limiter.next_allowed_ms + delay_ms
+            source.return_at_ms = self._switch_limiter.next_allowed_ms + delay_ms
 
     def _switch_to_fresher(self, now: float) -> None:
         """While the polled source is degraded, switch to a fresher one."""
         current = self.current
-        if current is None or self.state is not SelectorState.DEGRADED or not self._limiter.allows(now):
+        if (
+            current is None
+            or self.state is not SelectorState.DEGRADED
+            or not self._switch_limiter.allows(now)
+        ):
             return
         replacement = self._pool.replacement_for(current, now)
         if replacement is not None:
@@ -264,7 +268,7 @@
 
     def _handle_timer(self, now: float, token: int) -> None:
         if token != self._timer_token:
-            return  # an earlier timer, which a later one has replaced
+            return  # superseded by a timer that was set later
         late_ms = now - self._timer_due_ms
         self._timer_due_ms = math.inf
         if self.current is None:
@@ -272,11 +276,11 @@
             return
         if self._timeout.has_expired(now, late_ms):
             self._actions.append(StopPolling(self.current.address))
-            self._fail_current(self.current, now, SwitchReason.TIMEOUT)
+            self._handle_source_failure(self.current, now, SwitchReason.TIMEOUT)
             return
         for source in self._pool:
             if source.probe_deadline_ms <= now:
-                self._fail_probe(source, now)
+                self._handle_probe_failure(source, now)
         self._return_to_preferred(now)
         self._send_due_probes(now)
 
--- a/packages/control-client/src/control_client/state_follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -1,10 +1,11 @@
 """Accepts the state that sources send, so that no older state undoes a drain or a purge.
 
-Every state has a freshness timestamp (as-of): when discovery itself confirmed it.  For a response it lies
-between the poll's time and the response's, less the age that the response states.  For the current state the
-later end counts, for a received one the earlier.  After a change of epoch, or a request for everything, list
-events are merged until the source has sent all, and only the resulting list is accepted or rejected: a plain
-discovery sends its history from the first list on, and no intermediate list may be used.
+Every state has a freshness timestamp (as-of): the time at which discovery itself confirmed it.  For a
+response it lies between the poll's time and the response's, less the age that the response states.  The
+current state counts with the later bound, a received one with the earlier.  After a change of epoch, or a
+request for the complete state, list events are merged until the source has sent all of them, and only the
+resulting list is accepted or rejected: a plain discovery sends its history from the first list on, and no
+intermediate list may be used.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 # A list that is older by this much is rejected whatever its seq: it is from before discovery was reset.
 OUTDATED_LIST_MARGIN_MS = 2000.0
 
-# Time after a poll from which on it is unknown when its response was written.
+# A response that takes longer than this may have been written at any time since its poll.
 SLOW_RESPONSE_MS = 1300.0
 
 # Default upper bound on the purges that are remembered.
@@ -47,7 +48,7 @@
 # Default time for which a purge is remembered.
 PURGE_RETENTION_MS = 10_000.0
 
-# Event number before the first event of a response.
+# Value of ``_ResponseProgress.last_event`` before the first event of a response.
 NO_EVENT = -1
 
 
@@ -56,7 +57,7 @@
 
     # They are merged into a complete list, which is accepted or rejected once the source has sent all.
     MERGING = "merging"
-    # They are accepted as they come.
+    # Each is accepted when it is received.
     FOLLOWING = "following"
     # The source's list is older than the current one: its changes are skipped.
     SKIPPING = "skipping"
@@ -66,8 +67,8 @@
 class _ResponseProgress:
     """The response that is being received.
 
-    ``floor`` is the last event taken before it, ``last_event`` the highest number in it.  ``is_unrelated``
-    marks the answer of a plain discovery to a number of another epoch, which it took for one of its numbers.
+    ``floor`` is the last event accepted before it, ``last_event`` the highest number in it.  ``is_unrelated``
+    marks the response of a plain discovery that read the number of another epoch as one of its own.
     """
 
     received_at_ms: float = 0.0
@@ -87,7 +88,7 @@
 
 
 class StateFollower:
-    """Follows one source at a time, whichever is polled.
+    """Follows the source that is polled, one at a time.
 
     Call ``begin_poll`` at each poll, then ``accept_response`` with the response; or, for a response in
     pieces, ``begin_response``, ``accept_event`` for each event and ``end_response``.  A response that is
@@ -121,10 +122,10 @@
         self._response = _ResponseProgress()
 
     def seed(self, now: float, cursor: int, seq: int | None) -> None:
-        """Start with a list that was obtained otherwise, in the numbers of a plain discovery.
+        """Start with a list that was not polled; ``cursor`` and ``seq`` are those of a plain discovery.
 
-        It counts as current now, so that nothing undoes its drains; a list that is truly fresher is accepted
-        a second later.
+        The list counts as current at ``now``, so that no older list undoes its drains; a list with a lower
+        seq is accepted if it is fresher by ``RESET_MARGIN_MS``.
         """
         self.cursor = cursor
         self.seq = seq
@@ -168,10 +169,10 @@
             cursor = max(self.cursor, self._polled_from)
         is_unrelated = False
         if epoch != self.epoch:
-            self._enter_epoch(epoch)
+            self._restart_merge(epoch)
             is_unrelated = epoch == "" and self._polled_from > 0
         elif self._cursor_reset.observe(now, cursor, self.cursor):
-            self._enter_epoch(epoch)
+            self._restart_merge(epoch)
         self._response = _ResponseProgress(
             received_at_ms=now,
             earliest_as_of_ms=min(self._polled_at_ms, now) - age_ms,
@@ -190,7 +191,9 @@
             return False
         self.cursor = max(self.cursor, event.number)
         if isinstance(event, PurgeEvent):
-            return self.recent_purges.is_new(response.received_at_ms, event.target, event.issued_unix_ms)
+            return self.recent_purges.accept_if_new(
+                response.received_at_ms, event.target, event.issued_unix_ms
+            )
         if self.state is FollowerState.SKIPPING and event.is_complete:
             self.state = FollowerState.MERGING
         if self.state is FollowerState.MERGING:
@@ -214,15 +217,15 @@
         if self.state is FollowerState.MERGING and self.merge.has_dropped_changes:
             self._has_gap = True
         if self.state is FollowerState.FOLLOWING:
-            self._confirm()
+            self._advance_freshness()
         if self._needs_resync() and self._resync_limiter.try_acquire(response.received_at_ms):
-            self._enter_epoch(self.epoch)
+            self._restart_merge(self.epoch)
             return ResponseOutcome(merged_list, SyncStatus.MORE_AVAILABLE)
         is_following = self.state is FollowerState.FOLLOWING
         return ResponseOutcome(merged_list, SyncStatus.IN_SYNC if is_following else SyncStatus.SOURCE_STALE)
 
-    def _enter_epoch(self, epoch: str) -> None:
-        """Start to merge the complete state of an epoch."""
+    def _restart_merge(self, epoch: str) -> None:
+        """Forget all event numbers, and merge the complete state of this epoch from now on."""
         self.epoch = epoch
         self.cursor = 0
         self.state = FollowerState.MERGING
@@ -237,7 +240,7 @@
             self.has_list = True
             return True
         if self.state is FollowerState.SKIPPING:
-            # The changes may be of another history: later ones make the follower ask for the complete state.
+            # The changes may be of another history: a later one only causes a request for the complete state.
             if event.seq is not None and event.seq > self._skip_through_seq:
                 self._has_gap = True
             return False
@@ -251,7 +254,7 @@
         """Return the merged list if it is accepted; None if the current list is kept."""
         merged = self.merge.result()
         self.merge.clear()
-        skip_through_seq = self._seq_to_keep(merged)
+        skip_through_seq = self._skip_limit(merged)
         if skip_through_seq is not None:
             self.state = FollowerState.SKIPPING
             self._skip_through_seq = skip_through_seq
@@ -262,18 +265,18 @@
         self.list_as_of_ms = max(self.list_as_of_ms, self._response.latest_as_of_ms)
         return merged
 
-    def _seq_to_keep(self, merged: EndpointListEvent) -> float | None:
-        """Return the seq up to which a source's changes are skipped; None if its list is accepted."""
+    def _skip_limit(self, merged: EndpointListEvent) -> float | None:
+        """Return the seq up to which the source's changes are skipped; None if its list is accepted."""
         if not self.has_list or self._response.earliest_as_of_ms - self.list_as_of_ms >= RESET_MARGIN_MS:
             return None
         if merged.seq is None or (self.seq is not None and merged.seq < self.seq):
             return self.seq if self.seq is not None else math.inf
         if self.list_as_of_ms - self._response.latest_as_of_ms >= OUTDATED_LIST_MARGIN_MS:
-            # A source that missed discovery's reset still has a higher seq than the new count.
+            # A source that missed discovery's reset still has a higher seq than discovery itself.
             return math.inf
         return None
 
-    def _confirm(self) -> None:
+    def _advance_freshness(self) -> None:
         """Advance the freshness timestamps after a complete response."""
         response = self._response
         is_slow = response.received_at_ms - self._polled_at_ms > SLOW_RESPONSE_MS
@@ -282,7 +285,7 @@
         self._confirmed_as_of_ms = max(self._confirmed_as_of_ms, as_of_ms)
 
     def _needs_resync(self) -> bool:
-        """Return whether a complete state is needed, or could be accepted although the last one was not."""
+        """Return whether a change was missed, or whether the rejected list would be accepted by now."""
         if self._has_gap:
             return True
         if self.state is not FollowerState.SKIPPING:
--- a/packages/sansio-core/src/sansio_core/__init__.py
+++ b/packages/sansio-core/src/sansio_core/__init__.py
@@ -14,7 +14,7 @@
 # IPv4 address in dotted form, and port.
 Address = tuple[str, int]
 
-# Bytes of a datagram: no network fragments it, and a forged one amplifies nothing.
+# Maximum size of a datagram: no network fragments it, and a reply to a forged sender amplifies nothing.
 MAX_DATAGRAM_BYTES = 256
 
 # Returns the next random number, uniform in [0, 1).
@@ -81,7 +81,7 @@
 
 
 class StateMachine(Protocol[EventT, ActionT]):
-    """A component driven by events and actions; packages may add types of their own to those above."""
+    """A component driven by events; packages may define further event and action types."""
 
     def handle(self, now: float, event: EventT) -> list[ActionT]:
         """Process one event that occurred at ``now`` (ms); return the actions to carry out, in order."""
--- a/packages/sansio-core/src/sansio_core/log_thinning.py
+++ b/packages/sansio-core/src/sansio_core/log_thinning.py
@@ -1,4 +1,4 @@
-"""Log thinning: reports only some of many equal occurrences, so that they cannot fill the log."""
+"""Log thinning: selects which of many equal occurrences are reported, so that they cannot fill the log."""
 
 from __future__ import annotations
 
