--- a/packages/control-relay/src/control_relay/active_purges.py
+++ b/packages/control-relay/src/control_relay/active_purges.py
@@ -1,4 +1,4 @@
-"""Purges that are still delivered, by their target: a later one supersedes an earlier one of the target."""
+"""Purges that are still delivered, by their target: a later purge supersedes an earlier one."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def parse_target(key: object, group: object) -> PurgeTarget | None:
-    """Return the object or group that a purge names; None where it cannot be read."""
+    """Return the object or group that a purge names; None where it names neither."""
     if key is None:
         number = parse_group(group)
         return number if number != UNKNOWN_GROUP else None
--- a/packages/control-relay/src/control_relay/delivery.py
+++ b/packages/control-relay/src/control_relay/delivery.py
@@ -49,8 +49,8 @@
     # Batches
 
     def schedule_batch(self, now: float) -> list[RelayAction]:
-        """Start the batch timer for new events, or deliver them now where the log is crowded."""
-        if self._log.is_crowded:
+        """Start the batch timer for new events, or deliver them now if too many superseded ones are kept."""
+        if self._log.has_too_many_superseded:
             return self.deliver_batch(now)
         if self._log.has_undelivered and self._batch_due_at_ms is None:
             self._batch_due_at_ms = now + self._batch_window_ms
@@ -97,7 +97,7 @@
         """Answer a poll with the complete list and the active purges after ``resume``."""
         actions: list[RelayAction] = []
         if self._endpoints.number > self._log.delivered:
-            # The list's number would acknowledge undelivered purges before it.
+            # An acknowledgement of the list's number covers the purges before it: deliver them first.
             actions = self.deliver_batch(now)
         response = self._responses.complete_state(now, self.freshness.age_ms(now), resume)
         actions.append(self._respond(poller, member, resume, response))
@@ -128,7 +128,7 @@
         self.pending_polls.timer_fired(now)
         return actions + self._arm_deadline_timer(now)
 
-    # Parts used by batches and polls
+    # Shared by batches and polls
 
     def advance_low_water_marks(self, now: float) -> None:
         """Update the low-water marks after a change of members or of the log."""
--- a/packages/control-relay/src/control_relay/encoding.py
+++ b/packages/control-relay/src/control_relay/encoding.py
@@ -1,4 +1,4 @@
-"""JSON encoding of events and poll responses, in the form of the command channel's wire."""
+"""JSON encoding of events and poll responses, in the command channel's wire format."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from control_relay.validation import MAX_SAFE_INTEGER
 
-# Encoded size of an endpoint; a larger one is reduced to ``KNOWN_KEYS``.
+# Maximum encoded size of an endpoint; a larger one is reduced to ``KNOWN_KEYS``.
 MAX_ENDPOINT_BYTES = 4_096
 
-# Characters of a text in a reduced endpoint, and of an endpoint's name.
+# Maximum length of a text in a reduced endpoint, and of an endpoint's name.
 MAX_TEXT_LENGTH = 255
 
 # Keys of an endpoint that routers read.
@@ -49,7 +49,7 @@
     except (ValueError, TypeError, RecursionError):
         data = b""
     if not 0 < len(data) <= MAX_ENDPOINT_BYTES:
-        # Bounds memory per endpoint.  Routers replace missing keys by their most cautious reading.
+        # Bounds memory per endpoint.  Routers use the safest default for a missing key.
         known = {key: endpoint[key] for key in KNOWN_KEYS if key in endpoint}
         data = encode_json({key: value for key, value in known.items() if _is_short_scalar(value)})
     return EncodedEndpoint(name, data, endpoint.get("health") == "left")
@@ -62,7 +62,7 @@
 
 
 def encode_list_event(number: int, seq: int | None, is_complete: bool, endpoints: Iterable[bytes]) -> bytes:
-    """Encode a list event of endpoints that are encoded already."""
+    """Encode a list event from endpoints that are already encoded."""
     header = b'{"cursor":%d,"nodes":{"seq":%s,"whole":%s,"hosts":[' % (
         number,
         encode_json(seq),
@@ -74,7 +74,7 @@
 def encode_purge_event(number: int, target: str | int, issued_unix_ms: float) -> bytes:
     """Encode a purge of an object (text) or group (number).
 
-    A non-finite time is sent as null, which every router reads as now.
+    A non-finite time is sent as null, which every router interprets as the present time.
     """
     purge: dict[str, Any] = {"id": target} if isinstance(target, str) else {"family": target}
     if not math.isfinite(issued_unix_ms):
@@ -87,5 +87,5 @@
 
 
 def encode_response(epoch: str, age_ms: int, cursor: int, events: bytes) -> bytes:
-    """Encode a poll response around events that are encoded and joined already."""
+    """Encode a poll response from events that are already encoded and joined by commas."""
     return b'{"cursor":%d,"epoch":"%s","age":%d,"cmds":[%s]}' % (cursor, epoch.encode(), age_ms, events)
--- a/packages/control-relay/src/control_relay/endpoints.py
+++ b/packages/control-relay/src/control_relay/endpoints.py
@@ -9,10 +9,10 @@
 
 
 class EndpointList:
-    """The endpoints that are in the list now; those that have left are not kept.
+    """The endpoints of the current list; those that have left it are not kept.
 
-    ``number`` is the relay's number of the last change, 0 until a complete list has come; ``seq`` is
-    discovery's version; ``rejected`` counts endpoints that were not taken.
+    ``number`` is the relay's number of the last change, 0 until a complete list has arrived; ``seq`` is
+    discovery's version; ``rejected`` counts endpoints that were invalid or beyond ``max_endpoints``.
     """
 
     def __init__(self, max_endpoints: int) -> None:
@@ -27,7 +27,7 @@
         return len(self._endpoints)
 
     def replace(self, endpoints: Iterable[Any], seq: int | None) -> bool:
-        """Take a complete list; return False if it equals the current one."""
+        """Replace the list by a complete one; return False if it equals the current one."""
         replacement: dict[str, bytes] = {}
         self._merge(replacement, endpoints)
         if self.number and replacement == self._endpoints and seq == self.seq:
@@ -37,7 +37,7 @@
         return True
 
     def apply(self, endpoints: Iterable[Any], seq: int | None) -> list[bytes]:
-        """Apply a change; return the encoded endpoints that were taken."""
+        """Apply a change; return the encoded endpoints that were not rejected."""
         self.seq = seq
         return self._merge(self._endpoints, endpoints)
 
@@ -52,19 +52,19 @@
             self._encoded = encode_list_event(self.number, self.seq, True, self._endpoints.values())
         return self._encoded
 
-    def _merge(self, into: dict[str, bytes], endpoints: Iterable[Any]) -> list[bytes]:
-        taken = []
+    def _merge(self, by_name: dict[str, bytes], endpoints: Iterable[Any]) -> list[bytes]:
+        applied = []
         for endpoint in endpoints:
             encoded = encode_endpoint(endpoint)
             if encoded is None:
                 self.rejected += 1
                 continue
             if encoded.has_left:
-                into.pop(encoded.name, None)
-            elif encoded.name in into or len(into) < self._max_endpoints:
-                into[encoded.name] = encoded.data
-            else:  # Bounds memory: members never hear of an endpoint that is not kept here.
+                by_name.pop(encoded.name, None)
+            elif encoded.name in by_name or len(by_name) < self._max_endpoints:
+                by_name[encoded.name] = encoded.data
+            else:  # Bounds memory: an endpoint that is not kept here is not delivered either.
                 self.rejected += 1
                 continue
-            taken.append(encoded.data)
-        return taken
+            applied.append(encoded.data)
+        return applied
--- a/packages/control-relay/src/control_relay/event_log.py
+++ b/packages/control-relay/src/control_relay/event_log.py
@@ -52,7 +52,7 @@
         return self.head > self.delivered
 
     @property
-    def is_crowded(self) -> bool:
+    def has_too_many_superseded(self) -> bool:
         """Whether so many superseded events are kept that the batch should be delivered now."""
         return len(self._superseded) > self._max_list_changes
 
--- a/packages/control-relay/src/control_relay/events.py
+++ b/packages/control-relay/src/control_relay/events.py
@@ -18,11 +18,11 @@
 
 
 class PollerRole(StrEnum):
-    """Who sends a poll; the values are those of the wire.  An unknown value counts as ``ROUTER``."""
+    """Who sends a poll; the values are those of the wire format.  An unknown value counts as ``ROUTER``."""
 
     ROUTER = "router"
     RELAY = "relay"
-    # A relay of the same level, which is served but neither tracked nor waited for.
+    # A relay of the same level, which is served without being tracked as a member.
     SIBLING = "sibling"
     # A health check: answered at once with the age alone.  A probe with a name deregisters its sender.
     PROBE = "probe"
@@ -74,8 +74,8 @@
     """The upstream sent a purge of an object (``key``, hexadecimal) or of a group (``key`` is None).
 
     With a key, ``group`` is the object's group, or -1 where it is unknown.  A non-finite ``issued_unix_ms``
-    could not be read and counts as now.  ``age_ms`` is the least time since the purge was issued, 0 where it
-    is unknown; it shortens the retention.
+    could not be read and counts as now.  ``age_ms`` is a lower bound of the time since the purge was
+    issued, 0 where it is unknown; it shortens the retention.
     """
 
     number: int
@@ -103,8 +103,8 @@
 class PollRequest:
     """The content of a poll.
 
-    ``resume`` is the number of the last event that the poller has, and ``epoch`` the numbers it belongs to,
-    empty where the poll names none.  ``name`` is empty for a poller that is known by its connection only.
+    ``resume`` is the number of the last event that the poller has, and ``epoch`` the epoch of that number,
+    empty where the poll states none.  ``name`` is empty for a poller that is known by its connection only.
     The last three fields are a relay's ``UpstreamProgress``.
     """
 
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberDeregistered:
-    """Operators took a router or relay out of service: it is not waited for until it polls again."""
+    """Operators took a router or relay out of service: it is no member until it polls again."""
 
     name: str
 
@@ -217,8 +217,8 @@
 class MemberStatus:
     """A member that has not acknowledged the last delivered event.
 
-    It lacks something since ``lagging_since_ms``.  For a relay the last two fields describe the routers below
-    it, as it reported them last.
+    It has lacked a delivered event since ``lagging_since_ms``.  For a relay the last two fields describe the
+    routers below it, as it reported them last.
     """
 
     name: str
@@ -233,7 +233,7 @@
 class UpstreamProgress:
     """What a relay reports with its own polls (``done``, ``behind`` and ``names`` on the wire).
 
-    ``acknowledged`` is in the upstream's numbers; ``lagging_count`` routers have not acknowledged more.
+    ``acknowledged`` is in the upstream's numbers; ``lagging_count`` routers have acknowledged nothing later.
     """
 
     acknowledged: int
--- a/packages/control-relay/src/control_relay/freshness.py
+++ b/packages/control-relay/src/control_relay/freshness.py
@@ -1,4 +1,4 @@
-"""Freshness timestamps: when discovery confirmed the known state, and the delivered one."""
+"""Freshness timestamps: when discovery confirmed the known state, and the delivered state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class Freshness:
     """Two times on the relay's clock, -inf until discovery has confirmed a state.
 
-    While an event waits for its batch, what was delivered is older than what is known.
+    While an event waits for its batch, the delivered state is older than the known one.
     """
 
     def __init__(self) -> None:
@@ -29,5 +29,5 @@
         self._delivered_as_of_ms = self.known_as_of_ms
 
     def age_ms(self, now: float) -> float:
-        """Return how long ago the delivered state was current, at most; infinite where that is unknown."""
+        """Return an upper bound of the delivered state's age; infinite where that is unknown."""
         return max(0.0, now - self._delivered_as_of_ms)
--- a/packages/control-relay/src/control_relay/low_water_marks.py
+++ b/packages/control-relay/src/control_relay/low_water_marks.py
@@ -47,11 +47,11 @@
         self._last_upstream_number = 0
         self._checkpoints.clear()
 
-    def note_upstream_event(self, upstream_number: int) -> None:
+    def record_upstream_event(self, upstream_number: int) -> None:
         """Record that an upstream event was processed.
 
-        Events of one response need not come in the order of their numbers, so that none counts as processed
-        before ``add_checkpoint`` covers it.
+        Events of one response need not come in the order of their numbers: none counts as processed before
+        ``add_checkpoint`` covers it.
         """
         self._last_upstream_number = max(self._last_upstream_number, upstream_number)
 
@@ -69,7 +69,7 @@
     def advance(self, now: float, lowest_acknowledged: float, delivered: int) -> None:
         """Raise the marks to what all members have acknowledged.
 
-        ``lowest_acknowledged`` is infinite without members: then all that was delivered counts.
+        ``lowest_acknowledged`` is infinite without members: then all delivered events are acknowledged.
         """
         acknowledged = min(lowest_acknowledged, delivered)
         if acknowledged > self.acknowledged:
--- a/packages/control-relay/src/control_relay/member.py
+++ b/packages/control-relay/src/control_relay/member.py
@@ -8,7 +8,7 @@
 
 from control_relay.events import PollerRole
 
-# Names of lagging routers that are shown or reported upstream.
+# Maximum number of names of lagging routers that are shown or reported upstream.
 MAX_LAGGING_NAMES = 8
 
 # Upper bound on the stored responses of a member; if it is reached, every other one is dropped.
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """A member by its name, which is ``#`` and its connection's number if its polls state none.
+    """A member; ``name`` is ``#`` and its connection's number if its polls state none.
 
     ``complete_state_number`` is the list's number in the last complete state that the member was sent: 0
     where it was sent none since it registered, None where that is unknown.
--- a/packages/control-relay/src/control_relay/members.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -14,17 +14,18 @@
 from control_relay.settings import RelaySettings
 from control_relay.validation import NAME_PATTERN, int_or_default
 
-# Upper bound on the lagging routers that a relay reports; a higher report is reduced to this.
+# Upper bound on the number of lagging routers in a relay's report; a higher one is reduced to this.
 MAX_REPORTED_LAGGING = 1 << 20
 
 
 class PollContinuity(Enum):
-    """Where a poll continues, compared with what its sender polled for before."""
+    """How the resume number of a poll relates to that of its sender's previous poll."""
 
+    # At or above the last poll's number.
     CONTINUED = "continued"
     # Below the last poll's number: the sender restarted.
     REWOUND = "rewound"
-    # Not a number that this relay has given out in this epoch.
+    # Not a number that this relay has assigned in this epoch.
     UNKNOWN_NUMBER = "foreign"
 
 
@@ -33,7 +34,7 @@
 
 
 class MemberTable:
-    """Members by name, by what they have acknowledged, and by how long they have been silent."""
+    """Members by name, by what they have acknowledged, and by the time since their last poll."""
 
     def __init__(self, settings: RelaySettings) -> None:
         self.lowest_acknowledged = math.inf  # infinite without members
@@ -42,7 +43,7 @@
         self._max_members = settings.max_members
         self._by_name: dict[str, Member] = {}
         self._by_acknowledged: SortedDict[int, dict[str, Member]] = SortedDict()
-        self._evictable: OrderedDict[str, Member] = OrderedDict()  # not expected; longest silent first
+        self._evictable: OrderedDict[str, Member] = OrderedDict()  # not expected; least recent poll first
         for name in settings.expected_members[: self._max_members]:
             self._insert(Member(name, PollerRole.ROUTER, is_expected=True, last_poll_at_ms=0.0))
 
@@ -89,12 +90,12 @@
         acknowledged = resume
         if member.role is PollerRole.RELAY:
             acknowledged = min(resume, int_or_default(request.acknowledged))
-            self._record_progress(member, request)
+            self._record_reported_progress(member, request)
         self._set_acknowledged(member, member.acknowledge(acknowledged))
         return PollContinuity.CONTINUED
 
     def restart(self, member: Member) -> None:
-        """Forget what a member has acknowledged: it starts with nothing."""
+        """Forget what a member has acknowledged, because it restarted without any state."""
         member.unacknowledged.clear()
         member.resume = 0
         self._set_acknowledged(member, 0)
@@ -105,7 +106,7 @@
         if member is not None:
             del self._by_name[member.name]
             self._evictable.pop(member.name, None)
-            self._remove_from_level(member)
+            self._remove_from_index(member)
 
     def is_unreachable(self, member: Member, now: float) -> bool:
         """Return whether a member has missed the time of its next poll."""
@@ -118,7 +119,7 @@
                 return
             yield from members.values()
 
-    def _record_progress(self, member: Member, request: PollRequest) -> None:
+    def _record_reported_progress(self, member: Member, request: PollRequest) -> None:
         count = int_or_default(request.lagging_count)
         names = request.lagging_names[:MAX_LAGGING_NAMES]
         member.reported_lagging_count = min(max(0, count), MAX_REPORTED_LAGGING)
@@ -130,36 +131,36 @@
         self._by_name[member.name] = member
         if not member.is_expected:
             self._evictable[member.name] = member
-        self._add_to_level(member)
+        self._add_to_index(member)
 
     def _set_acknowledged(self, member: Member, number: int) -> None:
         if number == member.acknowledged:
             return
-        self._remove_from_level(member)
+        self._remove_from_index(member)
         member.acknowledged = number
-        self._add_to_level(member)
+        self._add_to_index(member)
 
-    def _add_to_level(self, member: Member) -> None:
-        level = self._by_acknowledged.get(member.acknowledged)
-        if level is None:
-            level = {}
-            self._by_acknowledged[member.acknowledged] = level
+    def _add_to_index(self, member: Member) -> None:
+        same_acknowledged = self._by_acknowledged.get(member.acknowledged)
+        if same_acknowledged is None:
+            same_acknowledged = {}
+            self._by_acknowledged[member.acknowledged] = same_acknowledged
             self.lowest_acknowledged = min(self.lowest_acknowledged, member.acknowledged)
-        level[member.name] = member
+        same_acknowledged[member.name] = member
 
-    def _remove_from_level(self, member: Member) -> None:
-        level = self._by_acknowledged[member.acknowledged]
-        del level[member.name]
-        if level:
+    def _remove_from_index(self, member: Member) -> None:
+        same_acknowledged = self._by_acknowledged[member.acknowledged]
+        del same_acknowledged[member.name]
+        if same_acknowledged:
             return
         del self._by_acknowledged[member.acknowledged]
-        levels = self._by_acknowledged.keys()
-        self.lowest_acknowledged = levels[0] if levels else math.inf
+        numbers = self._by_acknowledged.keys()
+        self.lowest_acknowledged = numbers[0] if numbers else math.inf
 
     def _evict_longest_unreachable(self, now: float) -> None:
         """Remove the member that has been unreachable for longest; expected ones are never evicted."""
-        longest_silent = next(iter(self._evictable.values()), None)
-        if longest_silent is None or not self.is_unreachable(longest_silent, now):
+        least_recent_poller = next(iter(self._evictable.values()), None)
+        if least_recent_poller is None or not self.is_unreachable(least_recent_poller, now):
             raise MemberTableFullError
-        self.remove(longest_silent.name)
+        self.remove(least_recent_poller.name)
         self.evicted += 1
--- a/packages/control-relay/src/control_relay/notices.py
+++ b/packages/control-relay/src/control_relay/notices.py
@@ -9,8 +9,8 @@
     """What a relay reports to the log."""
 
     PURGES_MERGED = "purges_merged"
-    """Too many purges are active, so that the oldest were replaced by purges of their groups."""
+    """Too many purges were active; the oldest were replaced by purges of their groups."""
     RELAY_INPUT_REJECTED = "relay_input_rejected"
-    """Input of the relay's upstream can't be applied."""
+    """An event from the relay's upstream could not be applied."""
     RELAY_READY = "relay_ready"
-    """The relay has a state to serve."""
+    """The relay has a confirmed endpoint list and answers polls from now on."""
--- a/packages/control-relay/src/control_relay/paged_responses.py
+++ b/packages/control-relay/src/control_relay/paged_responses.py
@@ -1,4 +1,4 @@
-"""Poll responses: pages of the log or of the complete state, shared by all members that lack the same."""
+"""Poll responses: pages of the log or of the complete state; members that lack the same events share one."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 class Page:
     """A page of encoded events.
 
-    ``last_number`` is that of the last event, None without events.  Whoever has them is complete up to
-    ``complete_up_to``; None where more pages follow, because a member may not apply a list before the last.
+    ``last_number`` is that of the last event, None without events.  A member that has them is complete up
+    to ``complete_up_to``; None where more pages follow, because a list is only applied after the last one.
     """
 
     events: bytes
@@ -112,7 +112,7 @@
         return response
 
     def _page(self, events: Iterable[LogEvent]) -> Page:
-        """Fill a page.
+        """Return a page with as many events as fit, but at least one if there is any.
 
         Its cursor is the last event's number, or that of the last delivered event where more pages follow.
         """
--- a/packages/control-relay/src/control_relay/pending_polls.py
+++ b/packages/control-relay/src/control_relay/pending_polls.py
@@ -1,4 +1,4 @@
-"""Long polls that wait for an event.  All of them have what was delivered, so one response answers all."""
+"""Long polls that wait for an event.  Their senders lack no delivered event, so one response answers all."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
             self._armed_slot = math.inf
 
     def arm_timer(self, now: float) -> float | None:
-        """Return after how many ms a timer has to fire; None where one that runs is early enough."""
+        """Return the delay (ms) of a timer to set; None where a running one fires early enough."""
         if not self._slots:
             return None
         first_slot = next(iter(self._slots))
--- a/packages/control-relay/src/control_relay/poll_handling.py
+++ b/packages/control-relay/src/control_relay/poll_handling.py
@@ -115,9 +115,9 @@
         return resume >= self._log.floor and resume >= complete_state_number
 
     def _deregister_prober(self, now: float, poller: int, request: PollRequest) -> None:
-        """Stop waiting for a member whose probe says that another source serves it.
+        """Remove a member whose probe states its name, which shows that another source serves it.
 
-        A member that came back and waits on another connection is kept: the probe is a late one.
+        A member that has returned, with a poll pending on another connection, is kept: the probe was delayed.
         """
         member = self._members.get(request.name)
         if member is None:
--- a/packages/control-relay/src/control_relay/relay.py
+++ b/packages/control-relay/src/control_relay/relay.py
@@ -60,7 +60,9 @@
         self._polls = PollHandler(
             settings, Epoch(epoch, first_number), self.state, self.members, self.delivery
         )
-        self._reporter = StatusReporter(epoch, self.state, self.members, self.low_water_marks, self.delivery)
+        self._status_reporter = StatusReporter(
+            epoch, self.state, self.members, self.low_water_marks, self.delivery
+        )
 
     def handle(self, now: float, event: RelayEvent) -> list[RelayAction]:
         """Process one event that occurred at ``now`` (ms); return the actions to carry out, in order."""
@@ -90,21 +92,21 @@
     # Reports
 
     def status(self, now: float) -> RelayStatus:
-        """Return the relay's figures at ``now`` (ms)."""
+        """Return the relay's readiness, event numbers, sizes and counts at ``now`` (ms)."""
         self._expire_purges(now)
-        return self._reporter.status(now, self.readiness)
+        return self._status_reporter.status(now, self.readiness)
 
     def recent_purges(self) -> tuple[PurgeStatus, ...]:
         """Return the propagation of the last purges, the latest last."""
-        return self._reporter.recent_purges()
+        return self._status_reporter.recent_purges()
 
     def lagging_members(self, now: float) -> tuple[MemberStatus, ...]:
         """Return the members that have not acknowledged the last delivered event, the most lagging first."""
-        return self._reporter.lagging_members(now)
+        return self._status_reporter.lagging_members(now)
 
     def upstream_progress(self) -> UpstreamProgress:
         """Return the progress that this relay reports to its upstream in its polls."""
-        return self._reporter.upstream_progress()
+        return self._status_reporter.upstream_progress()
 
     def age_ms(self, now: float) -> float:
         """Return an upper bound of the delivered state's age; infinite if discovery never confirmed it."""
@@ -123,7 +125,7 @@
         return [*result.notices, *self._after_upstream_event(now, event.number)]
 
     def _after_upstream_event(self, now: float, upstream_number: int) -> list[RelayAction]:
-        self.low_water_marks.note_upstream_event(int_or_default(upstream_number))
+        self.low_water_marks.record_upstream_event(int_or_default(upstream_number))
         actions = self.delivery.schedule_batch(now)
         self.delivery.advance_low_water_marks(now)
         return actions
--- a/packages/control-relay/src/control_relay/relay_state.py
+++ b/packages/control-relay/src/control_relay/relay_state.py
@@ -51,7 +51,7 @@
         self._settings = settings
 
     def apply_list_update(self, event: EndpointListUpdate) -> list[Notice]:
-        """Apply a complete list or a change; a complete list that equals the current one is no event."""
+        """Apply a complete list or a change; a complete list that equals the current one creates no event."""
         endpoints = self.endpoints
         rejected_before = endpoints.rejected
         seq = None if event.seq is None else int_or_default(event.seq)
@@ -129,7 +129,7 @@
         return Notice(RelayNotice.PURGES_MERGED, {"objects": len(oldest), "groups": len(latest_by_group)})
 
     def _count_fault(self, code: str) -> list[Notice]:
-        """Count a fault; return a notice of the 1st, 2nd, 4th, 8th and so on, which bounds the log."""
+        """Count a fault; return a notice of the 1st, 2nd, 4th, 8th and so on, so that the log stays short."""
         self.faults[code] += 1
         count = self.faults[code]
         if not is_power_of_two(count):
--- a/packages/control-relay/src/control_relay/settings.py
+++ b/packages/control-relay/src/control_relay/settings.py
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Bounds and durations by which ``Relay`` works."""
+    """Bounds and durations of ``Relay``."""
 
-    # Routers and relays that count as unacknowledged until they have polled for the first time.
+    # Names of routers and relays that are members, without an acknowledgement, before their first poll.
     expected_members: tuple[str, ...] = ()
     # Events that arrive within this time of the first undelivered one are delivered in one response.
     batch_window_ms: float = 150.0
@@ -22,7 +22,7 @@
     absence_timeout_ms: float = 3_000.0
     # Upper bound of a long poll's block time.
     max_block_ms: float = 5_000.0
-    # Encoded events in one response; a single event may exceed it.
+    # Maximum size of the encoded events in one response; a single event may exceed it.
     max_page_bytes: int = 64_000
     # Purges retained before the oldest ones are merged into purges of groups.
     max_purges: int = 4_096
@@ -30,11 +30,11 @@
     max_endpoints: int = 4_096
     # Changes of the endpoint list that the log retains.
     max_list_changes: int = 1_024
-    # Encoded size of the changes that the log retains.
+    # Total encoded size of the changes that the log retains.
     max_list_change_bytes: int = 1_000_000
     # Routers and relays tracked by name; beyond it the longest unreachable one is evicted.
     max_members: int = 2_048
     # Long polls that wait for an event at the same time.
     max_pending_polls: int = 4_096
-    # Purges that ``Relay.recent_purges`` reports.
+    # Number of purges that ``Relay.recent_purges`` reports.
     recent_purges: int = 16
--- a/packages/control-relay/src/control_relay/status.py
+++ b/packages/control-relay/src/control_relay/status.py
@@ -17,12 +17,12 @@
 from control_relay.members import MemberTable
 from control_relay.relay_state import RelayState
 
-# The summary of no lagging routers.
-NONE_LAGGING = LaggingSummary(0, ())
+# The summary where no router lags.
+NO_LAGGING_ROUTERS = LaggingSummary(0, ())
 
 
 class StatusReporter:
-    """Makes reports from the parts of a relay, and changes none of them."""
+    """Builds reports from the components of a relay without changing them."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._delivery = delivery
 
     def status(self, now: float, readiness: Readiness) -> RelayStatus:
-        """Return the relay's figures."""
+        """Return the relay's readiness, event numbers, sizes and counts at ``now`` (ms)."""
         state = self._state
         freshness = self._delivery.freshness
         unreachable = sum(self._members.is_unreachable(member, now) for member in self._members)
@@ -83,7 +83,7 @@
 
     def upstream_progress(self) -> UpstreamProgress:
         """Return what the relay reports in its polls; lagging members are those at the low-water mark."""
-        summary = NONE_LAGGING
+        summary = NO_LAGGING_ROUTERS
         if self._low_water_marks.acknowledged < self._state.log.delivered:
             summary = summarize_lagging(
                 self._members.not_acknowledged(self._low_water_marks.acknowledged + 1)
@@ -91,7 +91,7 @@
         return UpstreamProgress(self._low_water_marks.upstream_acknowledged, summary.count, summary.names)
 
     def _purge_status(self, purge: PropagatingPurge) -> PurgeStatus:
-        summary = NONE_LAGGING
+        summary = NO_LAGGING_ROUTERS
         if purge.propagated_at_ms is None:
             summary = summarize_lagging(self._members.not_acknowledged(purge.number))
         target = purge.target
