--- a/packages/control-client/tests/follower_simulation.py
+++ b/packages/control-client/tests/follower_simulation.py
@@ -1,7 +1,7 @@
-"""A discovery, relays that copy it, and a client that moves between them.
+"""Models of a discovery, of relays that copy its state, and of a client that polls one relay or another.
 
-Every list that ever stood has a rank, in the order of time; an endpoint's value is the rank of the change
-that made it, so that a list shows which one it is.
+The rank of a list is its position among all lists that discovery ever had.  An endpoint's value is the rank
+of the change that set it, so that the highest value in a list is the rank of that list.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class DiscoveryModel:
-    """``lists`` by rank; ``reset`` goes back to a seq that was used before, as a restart does."""
+    """``lists`` holds all lists by rank; ``reset`` returns to an earlier seq, as a restart does."""
 
     def __init__(self) -> None:
         self.rank = 0
@@ -59,7 +59,7 @@
 
 
 class RelayModel:
-    """A log under an epoch; ``as_of`` is when the relay copied discovery last."""
+    """An event log in one epoch; ``as_of_ms`` is when the relay last copied discovery's state."""
 
     def __init__(self, name: str, discovery: DiscoveryModel) -> None:
         self.name = name
@@ -74,17 +74,17 @@
     def restart(self, now: float) -> None:
         """Begin a new epoch with discovery's current state."""
         self.incarnation += 1
-        self.first = self.incarnation << 20
-        self.head = self.first
+        self.first_number = self.incarnation << 20
+        self.head = self.first_number
         self.changes: list[ListChange] = []
         self.purges: list[PurgeEvent] = []
         self.rank = self.discovery.rank
-        self.as_of = now
+        self.as_of_ms = now
         self._copied_purges = 0
         self._append_list(self.rank, is_complete=True)
         self._copy_purges()
 
-    def copy(self, now: float) -> None:
+    def copy_discovery(self, now: float) -> None:
         """Copy discovery's current state."""
         for rank in range(self.rank + 1, self.discovery.rank + 1):
             seq, _ = self.discovery.lists[rank]
@@ -92,22 +92,22 @@
             self._append_list(rank, is_complete=seq != previous_seq + 1)
         self._copy_purges()
         self.rank = self.discovery.rank
-        self.as_of = now
+        self.as_of_ms = now
 
     def response(self, now: float, epoch: str, resume: int) -> PollResponse:
         """Return a page of the events after ``resume`` in this epoch, else of the complete state."""
         events: list[StateEvent]
         page_events = PAGE_EVENTS
-        if epoch == self.epoch and self.first < resume <= self.head:
+        if epoch == self.epoch and self.first_number < resume <= self.head:
             events = [self._event(change) for change in self.changes if change.number > resume]
             events += [purge for purge in self.purges if purge.number > resume]
         else:
             current = self.changes[-1]._replace(is_complete=True)
             events = [self._event(current), *self.purges]
-            # A page without the list would be followed by changes alone.
+            # If the page ended before the list, only changes would follow and never the complete list.
             page_events = max(page_events, sum(event.number <= current.number for event in events))
         events.sort(key=lambda event: event.number)
-        return PollResponse(self.epoch, now - self.as_of, self.head, tuple(events[:page_events]))
+        return PollResponse(self.epoch, now - self.as_of_ms, self.head, tuple(events[:page_events]))
 
     def _copy_purges(self) -> None:
         for target, issued_unix_ms in self.discovery.purges[self._copied_purges :]:
@@ -127,7 +127,7 @@
 
 
 class FollowingClient:
-    """Applies what its follower accepts, and checks each step."""
+    """Applies the events that its follower accepts, and checks the list and purges after each step."""
 
     def __init__(self, discovery: DiscoveryModel, purge_retention_ms: float = 1e9) -> None:
         self.follower = StateFollower(purge_retention_ms=purge_retention_ms)
@@ -148,7 +148,9 @@
 
     def apply(self, event: StateEvent) -> None:
         if isinstance(event, PurgeEvent):
-            assert event.issued_unix_ms > self.purged.get(event.target, -1.0), "a purge was undone"
+            assert event.issued_unix_ms > self.purged.get(event.target, -1.0), (
+                "an accepted purge is no later than the one before"
+            )
             self.purged[event.target] = event.issued_unix_ms
             self.applied_purges.append((event.target, event.issued_unix_ms))
             return
@@ -161,17 +163,17 @@
                 self.endpoints[name] = endpoint
 
     def check_list(self) -> None:
-        """Check that the list stood at discovery, and is no older than the one before."""
+        """Check that the list was once discovery's, and is no older than the previous one."""
         if self.endpoints:
             rank = max(self.endpoints.values())
-            assert self.endpoints == self.discovery.lists[rank][1], "a list that never stood"
-            assert rank >= self.rank, "an older list"
+            assert self.endpoints == self.discovery.lists[rank][1], "the list was never discovery's"
+            assert rank >= self.rank, "the list is older than the previous one"
             self.rank = rank
 
     def poll_until_in_sync(self, now: float, relay: RelayModel) -> None:
-        """Poll one relay, which copies before each poll, until it has sent all."""
+        """Poll one relay, which copies discovery before each poll, until the client is in sync."""
         for _ in range(MAX_POLLS_UNTIL_IN_SYNC):
             now += POLL_INTERVAL_MS
-            relay.copy(now)
+            relay.copy_discovery(now)
             if self.poll(now, relay).status is SyncStatus.IN_SYNC:
                 return
--- a/packages/control-client/tests/selection_simulation.py
+++ b/packages/control-client/tests/selection_simulation.py
@@ -1,4 +1,4 @@
-"""Sources that answer, hang, refuse, lag and recover, and a client that polls them, in simulated time."""
+"""Sources that answer, hang, refuse, lag and recover, and a client that polls them in simulated time."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 class SourceMode(Enum):
     UP = "up"
     DEAD = "dead"
-    """Nobody listens."""
+    """Connections are refused."""
 
     HUNG = "hung"
-    """Nothing is answered."""
+    """Connections are accepted; no poll or probe is answered."""
 
     NO_STATE = "no state"
     """Polls are answered with status 503."""
@@ -55,7 +55,7 @@
 
 
 class SelectionSimulation:
-    """``stale_since`` has the time since when a source's state is no longer updated."""
+    """``stale_since`` holds the time from which a source's state is no longer updated."""
 
     def __init__(self, upstreams: int, siblings: int = 0, seed: int = 1) -> None:
         self.addresses: list[Address] = [(f"127.0.0.{index + 1}", 1) for index in range(upstreams + siblings)]
@@ -74,11 +74,11 @@
         self.feed(Started())
 
     def set_mode(self, index: int, mode: SourceMode) -> None:
-        """Change how a source behaves; one that dies ends its connections."""
+        """Change how a source behaves; one that becomes ``DEAD`` closes its connections."""
         address = self.addresses[index]
         self.modes[address] = mode
         if mode is SourceMode.DEAD and self._polled == address:
-            self._lose(address, "lost")
+            self._lose_connection(address, "lost")
 
     def set_stale(self, index: int, since_ms: float) -> None:
         self.stale_since[self.addresses[index]] = since_ms
@@ -136,7 +136,7 @@
         if connection != self._connection or self._polled is None:
             return
         if self.modes[self._polled] is SourceMode.DEAD:
-            self._lose(self._polled, "dial-failed")
+            self._lose_connection(self._polled, "dial-failed")
         else:
             self._poll(connection, LATENCY_MS)
 
@@ -152,13 +152,13 @@
             case SourceMode.HUNG:
                 self._call_later(LATENCY_MS, lambda: self._answer_poll(connection))
             case SourceMode.NO_STATE:
-                self._lose(self._polled, "status-503")
+                self._lose_connection(self._polled, "status-503")
             case _:
                 self.feed(PollAnswered(self._polled, self._age_ms(self._polled)))
                 if connection == self._connection:
                     self._poll(connection, BLOCK_MS)
 
-    def _lose(self, address: Address, reason: str) -> None:
+    def _lose_connection(self, address: Address, reason: str) -> None:
         self._polled = None
         self._connection += 1
         self.feed(PollFailed(address, reason))
--- a/packages/control-client/tests/test_follower_interleavings.py
+++ b/packages/control-client/tests/test_follower_interleavings.py
@@ -1,4 +1,4 @@
-"""Interleavings of older, fresher and restarted sources: nothing is lost, repeated or undone."""
+"""Interleavings of older, fresher and restarted sources: no event is lost, repeated or undone."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
         self.discovery = DiscoveryModel()
         self.relays = [RelayModel(f"r{index}", self.discovery) for index in range(RELAYS)]
         for relay in self.relays:
-            relay.copy(self.now)
+            relay.copy_discovery(self.now)
         self.client = FollowingClient(self.discovery)
 
-    def step(self, what: str, argument: Any) -> None:
+    def step(self, operation: str, argument: Any) -> None:
         self.now += 1.0
-        match what:
+        match operation:
             case "wait":
                 self.now += argument
             case "change":
@@ -55,16 +55,16 @@
             case "purge":
                 self.discovery.purge(argument, self.now)
             case "copy":
-                self.relays[argument].copy(self.now)
+                self.relays[argument].copy_discovery(self.now)
             case "restart":
                 self.relays[argument].restart(self.now)
             case "poll":
                 self.client.poll(self.now, self.relays[argument])
             case "cut":
-                self.cut(self.relays[argument])
+                self.interrupt_response(self.relays[argument])
 
-    def cut(self, relay: RelayModel) -> None:
-        """A response that breaks off after its first event."""
+    def interrupt_response(self, relay: RelayModel) -> None:
+        """Receive a response that is interrupted after its first event."""
         follower = self.client.follower
         position = follower.begin_poll(self.now)
         response = relay.response(self.now, position.epoch, position.resume)
@@ -77,16 +77,18 @@
 
 @given(STEPS, st.integers(0, RELAYS - 1))
 @deterministic
-def test_any_interleaving_loses_repeats_and_undoes_nothing(steps: list[tuple[str, Any]], last: int) -> None:
-    """Each list is one that stood, none older than the one before; no purge is applied twice.
+def test_no_interleaving_loses_repeats_or_undoes_an_event(
+    steps: list[tuple[str, Any]], last_relay: int
+) -> None:
+    """Each list was discovery's, none is older than the previous one, and no purge is applied twice.
 
-    At the end one source brings everything.
+    In the end one source provides the current list and all purges.
     """
     interleaving = Interleaving(down_ms=2.0 * OUTDATED_LIST_MARGIN_MS)
-    for what, argument in steps:
-        interleaving.step(what, argument)
+    for operation, argument in steps:
+        interleaving.step(operation, argument)
     interleaving.now += 2.0 * MAX_RESYNC_INTERVAL_MS
-    interleaving.client.poll_until_in_sync(interleaving.now, interleaving.relays[last])
+    interleaving.client.poll_until_in_sync(interleaving.now, interleaving.relays[last_relay])
     assert interleaving.client.endpoints == interleaving.discovery.endpoints
     latest = dict(interleaving.discovery.purges)
     assert interleaving.client.purged == latest
--- a/packages/control-client/tests/test_selection_invariants.py
+++ b/packages/control-client/tests/test_selection_invariants.py
@@ -1,4 +1,4 @@
-"""Any sequence of events: one source is polled at a time, and the work stays bounded."""
+"""After any sequence of events at most one source is polled, and the work stays bounded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EventFeeder:
-    """Feeds a selector any events, and checks its actions."""
+    """Feeds events to a selector, and checks its actions."""
 
     def __init__(self) -> None:
         self.addresses = [("127.0.0.1", port) for port in range(1, 5)]
@@ -80,12 +80,12 @@
 
 @given(st.lists(STEPS, max_size=30))
 @deterministic
-def test_any_events_poll_one_source_at_a_time_with_bounded_work(steps: list[tuple[Any, int, float]]) -> None:
+def test_any_events_lead_to_one_polled_source_and_bounded_work(steps: list[tuple[Any, int, float]]) -> None:
     feeder = EventFeeder()
-    for what, source, ms in steps:
-        if isinstance(what, str):
-            feeder.pass_time(ms, process_is_late=what == "process is late")
+    for step, source, ms in steps:
+        if isinstance(step, str):
+            feeder.pass_time(ms, process_is_late=step == "process is late")
         else:
-            feeder.feed(what(feeder.addresses[source], ms))
+            feeder.feed(step(feeder.addresses[source], ms))
         assert feeder.timers or feeder.polled, "no timer would wake the selector"
     assert len(feeder.timers) <= 40
--- a/packages/control-client/tests/test_source_selection.py
+++ b/packages/control-client/tests/test_source_selection.py
@@ -1,4 +1,4 @@
-"""Which source is polled: each reason to switch, the return, and the bounds of both."""
+"""Which source is polled: each reason to switch, the return to a preferred source, and their bounds."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from selection_simulation import TIMINGS, SelectionSimulation, SourceMode
 
 SWITCH_WITHIN_MS = 2000.0
-"""Until a router polls another source."""
+"""Maximum time until a router polls another source."""
 
 MINUTE_MS = 60_000.0
 
 
 @pytest.mark.parametrize("mode", [SourceMode.DEAD, SourceMode.HUNG, SourceMode.NO_STATE])
-def test_source_that_does_not_answer_is_left_for_the_next(mode: SourceMode) -> None:
+def test_source_that_does_not_answer_is_replaced_by_the_next(mode: SourceMode) -> None:
     simulation = SelectionSimulation(3)
     simulation.run(5000.0)
     simulation.set_mode(0, mode)
@@ -35,7 +35,7 @@
     assert simulation.poll_starts[1].at_ms - failed_at < SWITCH_WITHIN_MS
 
 
-def test_next_source_may_fail_as_well() -> None:
+def test_several_failed_sources_are_skipped() -> None:
     simulation = SelectionSimulation(3)
     simulation.set_mode(0, SourceMode.DEAD)
     simulation.set_mode(1, SourceMode.NO_STATE)
@@ -61,12 +61,12 @@
     simulation.set_mode(0, SourceMode.UP)
     simulation.set_mode(1, SourceMode.HUNG)
     hung_at = simulation.now
-    simulation.run(SWITCH_WITHIN_MS)  # after one answer a timeout is short again
+    simulation.run(SWITCH_WITHIN_MS)  # an answer has reset the response timeout
     assert simulation.poll_starts[-1].at_ms - hung_at < SWITCH_WITHIN_MS
     assert simulation.current() == 0
 
 
-def test_degraded_source_is_left_for_a_fresher_one() -> None:
+def test_degraded_source_is_replaced_by_a_fresher_one() -> None:
     simulation = SelectionSimulation(3)
     simulation.run(5000.0)
     simulation.set_stale(0, simulation.now)
@@ -86,7 +86,7 @@
     simulation.probes.clear()
     simulation.run(10.0 * MINUTE_MS)
     assert simulation.polled_sources() == [0, 1]
-    assert 2 * 30 <= len(simulation.probes) <= 2 * 100  # of each, in ten minutes
+    assert 2 * 30 <= len(simulation.probes) <= 2 * 100  # 30 to 100 probes of each alternative in ten minutes
     simulation.stale_since.pop(simulation.addresses[2])
     simulation.run(TIMINGS.max_probe_interval_ms + 1.0)
     assert simulation.current() == 2
@@ -101,7 +101,7 @@
     assert simulation.polled_sources() == [0]
 
 
-def test_stale_source_is_left_for_a_fresher_one() -> None:
+def test_stale_source_is_replaced_by_a_fresher_one() -> None:
     simulation = SelectionSimulation(2)
     simulation.run(5000.0)
     # Not degraded by its age, but older than the current list.
@@ -126,8 +126,8 @@
         assert simulation.selector.switches == 2
         returns.append(simulation.poll_starts[-1].at_ms - up_at)
     assert min(returns) >= TIMINGS.recovery_ms
-    crowd = max(sum(start <= at < start + 1000.0 for at in returns) for start in returns)
-    assert crowd <= 40, f"{crowd} of 200 within one second"
+    most_per_second = max(sum(start <= at < start + 1000.0 for at in returns) for start in returns)
+    assert most_per_second <= 40, f"{most_per_second} of 200 returns within one second"
 
 
 def test_failed_probe_restarts_the_recovery_time() -> None:
@@ -142,7 +142,7 @@
     assert simulation.polled_sources() == [0, 1]
 
 
-def test_flapping_source_is_returned_to_ever_more_rarely() -> None:
+def test_returns_to_a_flapping_source_become_rarer() -> None:
     simulation = SelectionSimulation(2)
     while simulation.now < 60.0 * MINUTE_MS:
         simulation.run(100.0)
@@ -151,7 +151,7 @@
             simulation.set_mode(0, SourceMode.DEAD)
             simulation.run(100.0)
             simulation.set_mode(0, SourceMode.UP)
-    assert 10 <= simulation.selector.switches <= 60  # in an hour; without the growing recovery time some 300
+    assert 10 <= simulation.selector.switches <= 60  # in an hour; about 300 with a constant recovery time
 
 
 def test_alternating_ages_cause_few_switches() -> None:
@@ -161,10 +161,10 @@
         simulation.set_stale(current, simulation.now - 5000.0)
         simulation.stale_since.pop(simulation.addresses[1 - current], None)
         simulation.run(3000.0)
-    assert simulation.selector.switches <= 40  # without the growing interval 200
+    assert simulation.selector.switches <= 40  # 200 with a constant switch interval
 
 
-def test_outage_of_all_sources_costs_few_connections_and_ends_at_once() -> None:
+def test_outage_of_all_sources_causes_few_connections_and_is_left_promptly() -> None:
     for first in range(3):
         simulation = SelectionSimulation(3)
         simulation.run(5000.0)
@@ -209,7 +209,7 @@
     assert simulation.polled_sources() == [0, 0]
 
 
-def test_late_process_gets_a_grace_period_before_a_timeout() -> None:
+def test_late_timer_grants_a_grace_period_before_a_timeout() -> None:
     source = ("a", 1)
     selector = SourceSelector([source, ("b", 1)], lambda: 0.5)
     selector.handle(0.0, Started())
--- a/packages/control-client/tests/test_state_follower.py
+++ b/packages/control-client/tests/test_state_follower.py
@@ -1,4 +1,4 @@
-"""Which events a follower accepts: each rule by itself."""
+"""Which events a follower accepts: each rule separately."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return EndpointListEvent(number, seq, False, endpoints)
 
 
-def following(seq: int | None = 5) -> StateFollower:
+def synced_follower(seq: int | None = 5) -> StateFollower:
     """Return a follower in epoch ``a`` whose list, confirmed at 1,000 ms, has this seq."""
     follower = StateFollower()
     follower.begin_poll(1000.0)
@@ -34,13 +34,13 @@
 
 
 def poll(follower: StateFollower, now: float, response: PollResponse) -> tuple[list[Any], SyncStatus]:
-    """Return what is accepted, endpoints or targets of purges, and the status."""
+    """Return the endpoints or purge target of each accepted event, and the status."""
     follower.begin_poll(now)
-    taken = follower.accept_response(now, response)
+    outcome = follower.accept_response(now, response)
     accepted = [
-        event.target if isinstance(event, PurgeEvent) else dict(event.endpoints) for event in taken.events
+        event.target if isinstance(event, PurgeEvent) else dict(event.endpoints) for event in outcome.events
     ]
-    return accepted, taken.status
+    return accepted, outcome.status
 
 
 def test_memory_is_bounded() -> None:
@@ -62,7 +62,7 @@
 
 
 def test_purges_are_accepted_from_any_source_by_their_time() -> None:
-    follower = following()
+    follower = synced_follower()
     first = PollResponse("a", 0.0, 12, (PurgeEvent(11, "x", 50.0), PurgeEvent(12, "y", 60.0)))
     assert poll(follower, 1100.0, first) == (["x", "y"], SyncStatus.IN_SYNC)
     events = (
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seq", "age_ms", "taken"),
+    ("seq", "age_ms", "is_accepted"),
     [
         (6, 500.0, True),
         (5, 500.0, True),
@@ -86,37 +86,39 @@
         (9, OUTDATED_LIST_MARGIN_MS + 900, False),
     ],
 )
-def test_complete_list_is_accepted_by_its_seq(seq: int | None, age_ms: float, taken: bool) -> None:
-    follower = following()
+def test_complete_list_is_accepted_by_its_seq(seq: int | None, age_ms: float, is_accepted: bool) -> None:
+    follower = synced_follower()
     accepted, status = poll(follower, 1100.0, PollResponse("b", age_ms, 1, (complete(1, seq, s="theirs"),)))
-    assert accepted == [{"s": "theirs"}] * taken
-    assert status is (SyncStatus.IN_SYNC if taken else SyncStatus.SOURCE_STALE)
+    assert accepted == [{"s": "theirs"}] * is_accepted
+    assert status is (SyncStatus.IN_SYNC if is_accepted else SyncStatus.SOURCE_STALE)
 
 
-@pytest.mark.parametrize(("later_ms", "taken"), [(RESET_MARGIN_MS - 1.0, False), (RESET_MARGIN_MS, True)])
-def test_lower_seq_is_accepted_only_if_it_is_fresher(later_ms: float, taken: bool) -> None:
-    follower = following()
+@pytest.mark.parametrize(
+    ("later_ms", "is_accepted"), [(RESET_MARGIN_MS - 1.0, False), (RESET_MARGIN_MS, True)]
+)
+def test_lower_seq_is_accepted_only_if_it_is_fresher(later_ms: float, is_accepted: bool) -> None:
+    follower = synced_follower()
     response = PollResponse("b", 200.0, 1, (complete(1, 2, s="theirs"),))
-    assert poll(follower, 1200.0 + later_ms, response)[0] == [{"s": "theirs"}] * taken
+    assert poll(follower, 1200.0 + later_ms, response)[0] == [{"s": "theirs"}] * is_accepted
 
 
-def test_late_response_counts_as_of_its_poll() -> None:
-    """The response may have waited for a process that was stopped."""
-    follower = following()
+def test_state_of_a_slow_response_is_dated_by_its_poll() -> None:
+    """The response may have been written long before it was read, while this process was stopped."""
+    follower = synced_follower()
     follower.begin_poll(1500.0)
-    taken = follower.accept_response(9000.0, PollResponse("b", 0.0, 1, (complete(1, 2, s="theirs"),)))
-    assert taken.status is SyncStatus.SOURCE_STALE
-    assert not taken.events
+    outcome = follower.accept_response(9000.0, PollResponse("b", 0.0, 1, (complete(1, 2, s="theirs"),)))
+    assert outcome.status is SyncStatus.SOURCE_STALE
+    assert not outcome.events
     assert follower.age_ms(9000.0) == 8000.0
 
 
 def test_changes_of_an_older_source_are_skipped_up_to_the_current_seq() -> None:
-    follower = following()
+    follower = synced_follower()
     older = PollResponse("b", 100.0, 1, (complete(1, 3, s="old"),))
     assert poll(follower, 1100.0, older)[1] is SyncStatus.SOURCE_STALE
     events = (change(2, 4, s="older"), change(3, 5, s="same"))
     assert poll(follower, 1200.0, PollResponse("b", 100.0, 3, events)) == ([], SyncStatus.SOURCE_STALE)
-    # A later change is news, but may be of another history: the complete state is requested.
+    # A change after the current seq may be of another history: the complete state is requested.
     assert poll(follower, 1300.0, PollResponse("b", 100.0, 4, (change(4, 6, s="new"),))) == (
         [],
         SyncStatus.MORE_AVAILABLE,
@@ -126,8 +128,8 @@
     assert poll(follower, 1300.0, response) == ([{"s": "new"}], SyncStatus.IN_SYNC)
 
 
-def test_older_source_is_judged_again_once_it_is_fresher() -> None:
-    follower = following()
+def test_older_source_is_resynchronized_once_it_is_fresher() -> None:
+    follower = synced_follower()
     older = PollResponse("b", 100.0, 1, (complete(1, 3, s="old"),))
     assert poll(follower, 1100.0, older)[1] is SyncStatus.SOURCE_STALE
     assert poll(follower, 2000.0, PollResponse("b", 100.0, 1))[1] is SyncStatus.SOURCE_STALE
@@ -139,40 +141,40 @@
 
 def test_source_that_missed_a_reset_of_discovery_is_rejected() -> None:
     """Its seq is higher, but its state is older than the current one."""
-    follower = following(seq=5)
+    follower = synced_follower(seq=5)
     late = PollResponse("b", OUTDATED_LIST_MARGIN_MS + 2000.0, 1, (complete(1, 70, s="history"),))
     assert poll(follower, 2000.0, late) == ([], SyncStatus.SOURCE_STALE)
     response = PollResponse("b", 4000.0, 2, (change(2, 71, s="history"),))
     assert poll(follower, 2100.0, response) == ([], SyncStatus.SOURCE_STALE)
 
 
-def test_numbers_alone_give_the_order_within_an_epoch() -> None:
-    follower = following()
+def test_event_numbers_alone_determine_the_order_within_an_epoch() -> None:
+    follower = synced_follower()
     events = (change(10, 6, s="again"), change(11, 4, s="by its number"), complete(12, 1, t="complete"))
     accepted, status = poll(follower, 1100.0, PollResponse("a", 0.0, 12, events))
     assert (accepted, status) == ([{"s": "by its number"}, {"t": "complete"}], SyncStatus.IN_SYNC)
     assert follower.begin_poll(1200.0) == ResumePosition("a", 12)
 
 
-def test_gaps_request_the_complete_state_ever_more_rarely() -> None:
-    follower = following()
+def test_requests_for_the_complete_state_after_gaps_become_rarer() -> None:
+    follower = synced_follower()
     now = 1100.0
-    from_zero = 0
+    resyncs = 0
     for index in range(200):
         number = 20 + index
         seq = 10 + 2 * index
         response = PollResponse("a", 0.0, number, (change(number, seq, s=index),))
         assert poll(follower, now, response)[0] in ([{"s": index}], [])
         if follower.begin_poll(now).resume == 0:
-            from_zero += 1
+            resyncs += 1
             poll(follower, now, PollResponse("a", 0.0, number, (complete(number, seq, s=index),)))
         now += 300.0
-    assert 5 <= from_zero <= 8  # in a minute: after 1, 2, 4, 8, 16 and 30 s
+    assert 5 <= resyncs <= 8  # within a minute: after 1, 2, 4, 8, 16 and 30 s
 
 
 def test_plain_discovery_after_a_relay_is_polled_from_the_start() -> None:
-    """Its response to a number of another epoch is not accepted, nor is a list of its history."""
-    follower = following()
+    """Its response to a number of another epoch is not accepted, nor is an intermediate list."""
+    follower = synced_follower()
     response = PollResponse("", 0.0, 9, (change(1 << 40, 9, s="stray"),))
     assert poll(follower, 3000.0, response) == ([], SyncStatus.MORE_AVAILABLE)
     assert follower.begin_poll(3000.0) == ResumePosition("", 0)
@@ -191,7 +193,7 @@
     ("cursor", "events", "accepted"),
     [
         (1, (complete(1, 1, s="new"),), {"s": "new"}),
-        (41, (complete(1, 1, s="old"), change(41, 31, t="new")), {"t": "new"}),  # it was no reset
+        (41, (complete(1, 1, s="old"), change(41, 31, t="new")), {"t": "new"}),  # the numbers were not reset
     ],
 )
 def test_reset_of_numbers_is_verified_by_a_poll_from_0(
@@ -209,8 +211,8 @@
     assert follower.begin_poll(now).resume == cursor
 
 
-def test_briefly_lower_cursor_is_no_reset() -> None:
-    follower = following()
+def test_briefly_lower_cursor_is_not_a_reset() -> None:
+    follower = synced_follower()
     now = 1100.0
     for last in (3, 3, 10, 3, 3, 10):
         poll(follower, now, PollResponse("a", 0.0, last))
@@ -235,8 +237,8 @@
     assert poll(follower, 2.0, response) == ([{"s": "now"}], SyncStatus.IN_SYNC)
 
 
-def test_state_in_pages_counts_once_it_is_complete() -> None:
-    follower = following()
+def test_paged_state_is_confirmed_once_it_is_complete() -> None:
+    follower = synced_follower()
     follower.begin_poll(3000.0)
     first = follower.accept_response(
         3000.0, PollResponse("b", 0.0, 9, (PurgeEvent(7, "x", 1.0), complete(8, 2, s="theirs")))
--- a/packages/control-relay/tests/relay_driver.py
+++ b/packages/control-relay/tests/relay_driver.py
@@ -26,7 +26,7 @@
 
 FIRST_NUMBER = 1_764_600_000 << 20
 MAX_POLLS = 1_000
-"""Polls until a member that gets the same events again and again counts as a failure."""
+"""Polls after which a member that still receives events counts as a failure."""
 
 
 def endpoint(name: str, **fields: Any) -> dict[str, Any]:
@@ -34,7 +34,7 @@
 
 
 class RelayDriver:
-    """Feeds a relay and keeps what it sends: ``bodies`` and ``rejected`` by connection, and ``notices``."""
+    """Feeds a relay and records its actions: ``bodies`` and ``rejected`` by connection, and ``notices``."""
 
     def __init__(self, epoch: str = "r1", first_number: int = FIRST_NUMBER, **settings: Any) -> None:
         self.relay = Relay(RelaySettings(**settings), epoch, first_number)
@@ -96,7 +96,7 @@
     # Members
 
     def poll(self, poller: int, resume: int, name: str = "", **fields: Any) -> dict[str, Any] | None:
-        """Return the response if it was sent at once."""
+        """Send a poll; return the response if it was sent immediately, else None."""
         self.bodies.pop(poller, None)
         request = {"epoch": self.epoch, "block_ms": 1_000.0, **fields}
         self.feed(PollReceived(poller, PollRequest(resume, name=name, **request)))
@@ -107,13 +107,13 @@
         return json.loads(body) if body is not None else None
 
     def poll_until_current(self, poller: int, resume: int = 0, name: str = "") -> int:
-        """Poll until there is nothing more; return the last event's number."""
+        """Poll until a poll stays pending; return the last event's number."""
         for _ in range(MAX_POLLS):
             response = self.poll(poller, resume, name)
             if response is None:
                 return resume
             resume = last_number(response, resume)
-        pytest.fail("the same events are sent again and again")
+        pytest.fail("events are still sent after MAX_POLLS polls")
 
 
 def event_numbers(response: dict[str, Any] | None) -> list[int]:
--- a/packages/control-relay/tests/test_acknowledgements.py
+++ b/packages/control-relay/tests/test_acknowledgements.py
@@ -1,4 +1,4 @@
-"""What counts as fully propagated, and who has not acknowledged it."""
+"""When an event counts as propagated, and which members are reported as lagging."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from relay_driver import FIRST_NUMBER, RelayDriver, endpoint, last_number
 
 
-def ready(**settings: Any) -> RelayDriver:
+def ready_relay(**settings: Any) -> RelayDriver:
     return RelayDriver(**settings).make_ready()
 
 
 def test_purge_is_propagated_once_the_last_router_acknowledges_it() -> None:
-    relay = ready()
+    relay = ready_relay()
     heads = [relay.poll_until_current(poller, 0, f"x{poller}") for poller in range(3)]
     relay.purge("a1")
     relay.advance(150)
@@ -43,7 +43,7 @@
 
 
 def test_lost_response_acknowledges_nothing() -> None:
-    relay = ready()
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(150)
@@ -54,7 +54,7 @@
 
 
 def test_later_response_does_not_acknowledge_a_lost_superseded_event() -> None:
-    relay = ready(max_page_bytes=100)
+    relay = ready_relay(max_page_bytes=100)
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1", 1.0)
     relay.advance(150)  # this response is lost
@@ -69,7 +69,7 @@
 
 
 def test_pages_acknowledge_nothing_before_the_last() -> None:
-    relay = ready(max_page_bytes=100)
+    relay = ready_relay(max_page_bytes=100)
     head = relay.poll_until_current(1, 0, "x")
     for number in range(4):
         relay.purge(f"{number}")
@@ -82,7 +82,7 @@
 
 
 def test_expired_purge_is_acknowledged_with_the_response_that_omits_it() -> None:
-    relay = ready()
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(10_200)
@@ -93,7 +93,7 @@
 
 
 def test_expected_members_count_from_the_start_even_when_unreachable() -> None:
-    relay = ready(expected_members=("x", "y"))
+    relay = ready_relay(expected_members=("x", "y"))
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(150)
@@ -111,7 +111,7 @@
 
 
 def test_member_is_unreachable_after_its_block_time_and_the_timeout() -> None:
-    relay = ready(absence_timeout_ms=3_000.0)
+    relay = ready_relay(absence_timeout_ms=3_000.0)
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(150)
@@ -127,7 +127,7 @@
 
 
 def test_number_of_another_epoch_acknowledges_nothing() -> None:
-    relay = ready()
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(150)
@@ -135,16 +135,16 @@
     assert relay.relay.status(relay.now).acknowledged == head
 
 
-def test_restarted_router_undoes_nothing_and_is_waited_for_again() -> None:
-    relay = ready()
+def test_restarted_router_undoes_no_propagation_but_must_acknowledge_later_events() -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(150)
     relay.poll(1, head + 1, "x")
-    since = relay.relay.recent_purges()[0].propagated_at_ms
+    propagated_at = relay.relay.recent_purges()[0].propagated_at_ms
     response = relay.poll(2, 0, "x", epoch="")
     assert last_number(response) == head + 1
-    assert relay.relay.recent_purges()[0].propagated_at_ms == since
+    assert relay.relay.recent_purges()[0].propagated_at_ms == propagated_at
     relay.purge("a2")
     relay.advance(150)
     assert relay.relay.status(relay.now).acknowledged == head + 1
@@ -153,7 +153,7 @@
 
 
 def test_lower_number_counts_as_a_restart() -> None:
-    relay = ready()
+    relay = ready_relay()
     for number in range(3):
         relay.purge(f"{number}")
     relay.advance(150)
@@ -166,15 +166,15 @@
 
 
 def test_siblings_and_probes_are_not_tracked() -> None:
-    relay = ready()
+    relay = ready_relay()
     relay.poll(1, 0, "r2", role="sibling", epoch="")
     relay.poll(2, 0, "x", role="probe", epoch="")
     status = relay.relay.status(relay.now)
     assert (status.reachable_members, status.acknowledged) == (0, FIRST_NUMBER)
 
 
-def test_downstream_relay_counts_by_its_reported_progress() -> None:
-    relay = ready()
+def test_downstream_relay_acknowledges_by_its_reported_progress() -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.poll_until_current(2, 0, "c")
     relay.poll(2, head, "c", role="relay", acknowledged=head)
@@ -192,7 +192,7 @@
 
 
 def test_upstream_progress_is_in_the_upstreams_numbers() -> None:
-    relay = ready()
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     assert relay.relay.upstream_progress() == UpstreamProgress(1, 0, ())
     for _ in range(2):
@@ -205,10 +205,10 @@
 
 
 def test_upstream_progress_covers_only_confirmed_responses() -> None:
-    relay = ready()
+    relay = ready_relay()
     relay.feed(EndpointListUpdate(10, 2, True, (endpoint("c"),)))
     relay.advance(150)
-    assert relay.relay.status(relay.now).acknowledged == FIRST_NUMBER + 1  # without members
+    assert relay.relay.status(relay.now).acknowledged == FIRST_NUMBER + 1  # there are no members
     assert relay.relay.upstream_progress().acknowledged == 1
     head = relay.poll_until_current(1, 0, "x")
     relay.feed(PurgeReceived(5, "a1", -1, 1.0))
@@ -228,8 +228,8 @@
         MemberDeregistered("x"),
     ],
 )
-def test_member_is_not_waited_for_after_its_deregistration(deregistration: RelayEvent) -> None:
-    relay = ready()
+def test_deregistered_member_does_not_hold_back_the_low_water_mark(deregistration: RelayEvent) -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
     relay.advance(150)
@@ -238,16 +238,16 @@
     assert relay.relay.status(relay.now).acknowledged == head + 1
 
 
-def test_late_probe_does_not_deregister_a_member_that_came_back() -> None:
-    relay = ready()
+def test_late_probe_does_not_deregister_a_member_that_has_returned() -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.poll(2, head, "x")
     relay.poll(1, head, "x", role="probe")
     assert relay.relay.status(relay.now).reachable_members == 1
 
 
-def test_unnamed_member_counts_while_its_connection_lasts() -> None:
-    relay = ready()
+def test_unnamed_member_is_tracked_while_its_connection_lasts() -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1)
     relay.purge("a1")
     relay.advance(150)
@@ -256,8 +256,8 @@
     assert relay.relay.status(relay.now).acknowledged == head + 1
 
 
-def test_superseded_event_is_delivered_until_its_successor_is() -> None:
-    relay = ready()
+def test_superseded_event_is_delivered_until_the_superseding_one_is() -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1", 1.0)
     relay.advance(150)  # this response is lost
@@ -268,8 +268,8 @@
     assert last_number(relay.poll(1, head, "x")) == head + 2
 
 
-def test_restarted_router_has_to_acknowledge_again_what_was_not_propagated() -> None:
-    relay = ready()
+def test_restarted_router_has_to_acknowledge_unpropagated_events_again() -> None:
+    relay = ready_relay()
     head = relay.poll_until_current(1, 0, "x")
     relay.poll_until_current(2, 0, "y")
     relay.purge("a1")
--- a/packages/control-relay/tests/test_complete_state.py
+++ b/packages/control-relay/tests/test_complete_state.py
@@ -25,7 +25,7 @@
     assert response["cmds"][2]["drop"] == {"family": 7, "when": 5}
 
 
-def test_member_with_half_a_complete_state_gets_the_complete_list() -> None:
+def test_member_with_part_of_a_complete_state_gets_the_complete_list() -> None:
     relay = RelayDriver(max_page_bytes=100)
     relay.update_list(endpoint("a"))
     relay.purge("a1")
@@ -39,14 +39,16 @@
         hosts: list[tuple[bool, int]] = []
         while (response := relay.poll(poller, resume, name)) is not None and len(hosts) < 9:
             hosts += [
-                (c["nodes"]["whole"], len(c["nodes"]["hosts"])) for c in response["cmds"] if "nodes" in c
+                (event["nodes"]["whole"], len(event["nodes"]["hosts"]))
+                for event in response["cmds"]
+                if "nodes" in event
             ]
             resume = last_number(response)
         assert hosts == [(True, 2)], name
 
 
 @pytest.mark.parametrize("epoch", ["other", ""])
-def test_foreign_epoch_or_number_gets_the_complete_state(epoch: str) -> None:
+def test_poll_with_an_unknown_epoch_or_number_gets_the_complete_state(epoch: str) -> None:
     relay = RelayDriver().make_ready()
     relay.poll_until_current(1, 0, "x")
     for resume in (0, 5, FIRST_NUMBER - 1, FIRST_NUMBER + 1_000, 1 << 60):
@@ -57,7 +59,7 @@
     assert (inside is not None) is (epoch == "other")
 
 
-def test_number_below_the_log_floor_gets_the_complete_state() -> None:
+def test_poll_below_the_log_floor_gets_the_complete_state() -> None:
     relay = RelayDriver(max_list_changes=3).make_ready()
     heads = [relay.poll_until_current(1, 0, "x")]
     for seq in range(2, 8):
@@ -86,7 +88,7 @@
     assert len(response["cmds"][0]["nodes"]["hosts"]) == 8
 
 
-def test_complete_list_without_a_change_is_no_event() -> None:
+def test_unchanged_complete_list_creates_no_event() -> None:
     relay = RelayDriver().make_ready(endpoint("a"), endpoint("b"))
     head = relay.relay.status(0).head
     relay.update_list({"health": "active", "host": "b"}, endpoint("a"), endpoint("gone", health="left"))
--- a/packages/control-relay/tests/test_poll_responses.py
+++ b/packages/control-relay/tests/test_poll_responses.py
@@ -1,4 +1,4 @@
-"""Which response a relay sends to whom, and when."""
+"""Which response a relay sends to which poll, and when."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         Relay(RelaySettings(), epoch, FIRST_NUMBER)
 
 
-def test_polls_are_rejected_until_a_complete_list_has_come() -> None:
+def test_polls_are_rejected_until_a_complete_list_has_arrived() -> None:
     relay = RelayDriver()
     relay.purge("a1")
     relay.update_list(endpoint("a"), is_complete=False)
@@ -38,7 +38,7 @@
     assert 30 <= response["age"] <= 100
 
 
-def test_events_are_batched_and_current_members_share_one_body() -> None:
+def test_events_are_batched_and_up_to_date_members_share_one_body() -> None:
     relay = RelayDriver().make_ready()
     heads = [relay.poll_until_current(poller, 0, f"x{poller}") for poller in range(5)]
     relay.purge("a1")
@@ -82,7 +82,7 @@
     assert relay.response(1) is not None
 
 
-def test_second_poll_of_a_connection_replaces_the_first() -> None:
+def test_second_poll_of_a_connection_replaces_the_pending_one() -> None:
     relay = RelayDriver().make_ready()
     head = relay.poll_until_current(1, 0, "x")
     relay.poll(1, head, "x")
@@ -112,7 +112,7 @@
     assert list_events == 1
 
 
-def test_current_member_gets_changes_although_others_join() -> None:
+def test_member_with_the_list_gets_changes_although_others_join() -> None:
     relay = RelayDriver().make_ready()
     head = relay.poll_until_current(1, 0, "x")
     relay.purge("a1")
@@ -121,7 +121,7 @@
     relay.poll_until_current(2, 0, "y")
     response = relay.poll(1, head, "x")
     assert response is not None
-    assert [c["nodes"]["whole"] for c in response["cmds"] if "nodes" in c] == [False]
+    assert [event["nodes"]["whole"] for event in response["cmds"] if "nodes" in event] == [False]
 
 
 def test_age_is_that_of_the_delivered_state() -> None:
--- a/packages/control-relay/tests/test_purge_retention.py
+++ b/packages/control-relay/tests/test_purge_retention.py
@@ -17,7 +17,7 @@
     assert response["cmds"][0]["drop"] == {"id": "00000000000000a1", "when": 30}
 
 
-def test_purge_with_an_unreadable_time_is_sent_as_null_and_hides_no_later_one() -> None:
+def test_purge_with_an_unreadable_time_is_sent_as_null_and_suppresses_no_later_one() -> None:
     relay = RelayDriver().make_ready()
     relay.poll_until_current(1, 0, "x")
     for issued in (float("inf"), 20.0, float("nan")):
@@ -25,7 +25,7 @@
     relay.advance(150)
     response = relay.response(1)
     assert response is not None
-    assert [c["drop"]["when"] for c in response["cmds"]] == [None]
+    assert [event["drop"]["when"] for event in response["cmds"]] == [None]
 
 
 def test_purge_is_delivered_until_its_retention_ends() -> None:
@@ -53,9 +53,11 @@
     assert any(notice.name == "purges_merged" for notice in relay.notices)
     response = relay.poll(1, 0, "x")
     assert response is not None
-    objects = {c["drop"]["id"] for c in response["cmds"] if "id" in c.get("drop", {})}
+    objects = {event["drop"]["id"] for event in response["cmds"] if "id" in event.get("drop", {})}
     groups = {
-        c["drop"]["family"]: c["drop"]["when"] for c in response["cmds"] if "family" in c.get("drop", {})
+        event["drop"]["family"]: event["drop"]["when"]
+        for event in response["cmds"]
+        if "family" in event.get("drop", {})
     }
     assert len(objects) == 49
     assert groups == dict.fromkeys(range(256), 15)
--- a/packages/control-relay/tests/test_resource_bounds.py
+++ b/packages/control-relay/tests/test_resource_bounds.py
@@ -1,4 +1,4 @@
-"""Any input: no exception, bounded memory, readable responses, and no event lost."""
+"""For any input: no exception, bounded memory, valid responses, and no lost event."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from relay_driver import FIRST_NUMBER, RelayDriver, endpoint
 from sansio_core import SetTimer, Started, TimerFired
 
-SMALL = RelaySettings(
+SMALL_BOUNDS = RelaySettings(
     expected_members=("e",),
     max_purges=16,
     max_endpoints=8,
@@ -34,7 +34,7 @@
     max_pending_polls=5,
     max_page_bytes=200,
 )
-odd: st.SearchStrategy[Any] = st.one_of(
+any_value: st.SearchStrategy[Any] = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-(1 << 70), 1 << 70),
@@ -42,30 +42,44 @@
     st.text(max_size=40),
     st.lists(st.integers(), max_size=3),
 )
-number = st.one_of(st.integers(FIRST_NUMBER - 3, FIRST_NUMBER + 40), st.integers(0, 40), odd)
-lines: st.SearchStrategy[Any] = st.one_of(
-    odd,
+number = st.one_of(st.integers(FIRST_NUMBER - 3, FIRST_NUMBER + 40), st.integers(0, 40), any_value)
+endpoint_values: st.SearchStrategy[Any] = st.one_of(
+    any_value,
     st.fixed_dictionaries(
-        {"host": st.one_of(st.sampled_from("abcdefghijkl"), odd)},
-        optional={"health": st.one_of(st.sampled_from(("active", "leaving", "left")), odd), "x": odd},
+        {"host": st.one_of(st.sampled_from("abcdefghijkl"), any_value)},
+        optional={
+            "health": st.one_of(st.sampled_from(("active", "leaving", "left")), any_value),
+            "x": any_value,
+        },
     ),
 )
-name = st.one_of(st.sampled_from(("", "e", "x", "y", "z")), st.text(max_size=34), odd)
+name = st.one_of(st.sampled_from(("", "e", "x", "y", "z")), st.text(max_size=34), any_value)
 events = st.one_of(
     st.builds(
-        EndpointListUpdate, number, st.one_of(st.none(), number), st.booleans(), st.lists(lines).map(tuple)
+        EndpointListUpdate,
+        number,
+        st.one_of(st.none(), number),
+        st.booleans(),
+        st.lists(endpoint_values).map(tuple),
     ),
-    st.builds(PurgeReceived, number, st.one_of(st.none(), st.sampled_from("abc"), odd), odd, odd, odd),
-    st.builds(UpstreamConfirmed, st.one_of(st.just(0.0), odd), number),
+    st.builds(
+        PurgeReceived,
+        number,
+        st.one_of(st.none(), st.sampled_from("abc"), any_value),
+        any_value,
+        any_value,
+        any_value,
+    ),
+    st.builds(UpstreamConfirmed, st.one_of(st.just(0.0), any_value), number),
     st.builds(
         PollReceived,
         st.integers(0, 9),
         st.builds(
             PollRequest,
             number,
-            st.one_of(st.sampled_from((0.0, 800.0)), odd),
-            st.one_of(st.sampled_from(("", "r1", "r2")), odd),
-            st.one_of(st.sampled_from(("router", "relay", "sibling", "probe")), odd),
+            st.one_of(st.sampled_from((0.0, 800.0)), any_value),
+            st.one_of(st.sampled_from(("", "r1", "r2")), any_value),
+            st.one_of(st.sampled_from(("router", "relay", "sibling", "probe")), any_value),
             name,
             number,
             number,
@@ -81,10 +95,10 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 3_000), events), max_size=40))
-def test_any_events_keep_memory_bounded_and_responses_readable(
+def test_any_events_keep_memory_bounded_and_responses_valid(
     steps: list[tuple[float, Any]],
 ) -> None:
-    relay = Relay(SMALL, "r1", FIRST_NUMBER)
+    relay = Relay(SMALL_BOUNDS, "r1", FIRST_NUMBER)
     now = 0.0
     relay.handle(now, Started())
     for elapsed_ms, event in steps:
@@ -121,7 +135,7 @@
         self.purges: dict[str, float] = {}
         self.resume = 0
         self._seq = 1
-        self._issued = 0.0
+        self._issued_unix_ms = 0.0
         self._other_resume = 0
 
     def apply(self, response: dict[str, Any] | None) -> None:
@@ -135,15 +149,15 @@
                 continue
             if event["nodes"]["whole"]:
                 self.endpoints.clear()
-            for line in event["nodes"]["hosts"]:
-                self.endpoints[line["host"]] = line
+            for entry in event["nodes"]["hosts"]:
+                self.endpoints[entry["host"]] = entry
 
     def poll(self) -> None:
         self.apply(self.relay.poll(1, self.resume, "x"))
 
-    def step(self, what: str, key: int) -> None:
-        self._issued += 1.0
-        match what:
+    def step(self, operation: str, key: int) -> None:
+        self._issued_unix_ms += 1.0
+        match operation:
             case "change":
                 self._seq += 1
                 changed = endpoint(f"s{self._seq % 5}", seq=self._seq)
@@ -152,9 +166,9 @@
                 self._seq += 1
                 self.relay.update_list(endpoint("a", seq=self._seq), endpoint("b"), seq=self._seq)
             case "purge":
-                self.relay.purge(f"{key + self._seq:x}"[-1], self._issued)
+                self.relay.purge(f"{key + self._seq:x}"[-1], self._issued_unix_ms)
             case "older purge":
-                self.relay.purge(f"{self._seq:x}"[-1], self._issued - 1.5)
+                self.relay.purge(f"{self._seq:x}"[-1], self._issued_unix_ms - 1.5)
             case "poll":
                 self.poll()
             case "lose response":
@@ -180,14 +194,14 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.lists(st.sampled_from(STEPS), max_size=60))
-def test_current_router_has_the_relays_list_and_purges(steps: list[str]) -> None:
+def test_up_to_date_router_has_the_relays_list_and_purges(steps: list[str]) -> None:
     router = RouterModel()
     for step in [*steps, "wait", *["poll"] * 9]:
         router.step(step, len(steps))
     router.relay.poll(1, router.resume, "x")
     state = router.relay.relay.state
     expected = json.loads(state.endpoints.encoded_event())["nodes"]["hosts"]
-    assert router.endpoints == {line["host"]: line for line in expected}
+    assert router.endpoints == {entry["host"]: entry for entry in expected}
     for purge in state.purges.by_expiry():
         assert router.purges.get(str(purge.target), 0) >= purge.issued_unix_ms
 
@@ -211,7 +225,7 @@
     assert relay.relay.status(0).faults == {"host-line": 1}
 
 
-def test_fault_notices_become_rarer() -> None:
+def test_notices_of_repeated_faults_become_rarer() -> None:
     relay = RelayDriver().make_ready()
     for _ in range(1_000):
         relay.purge("no number")
@@ -238,29 +252,29 @@
     assert (status.purges, status.log_events) == (1, 2)
 
 
-def test_polls_of_many_routers_need_no_search() -> None:
-    """Counts accesses instead of time: no poll iterates over the members."""
+def test_polls_do_not_iterate_over_the_members() -> None:
+    """Counts iterations over the table of members instead of measuring time."""
     relay = RelayDriver().make_ready()
     heads = [relay.poll_until_current(poller, 0, f"x{poller}") for poller in range(1_200)]
     relay.purge("a1")
     relay.advance(150)
-    before = relay.relay.members
-    calls = 0
-    original = type(before).__iter__
+    member_table = relay.relay.members
+    iterations = 0
+    original = type(member_table).__iter__
 
-    def counted(self: Any) -> Any:
-        nonlocal calls
-        calls += 1
+    def counting_iter(self: Any) -> Any:
+        nonlocal iterations
+        iterations += 1
         return original(self)
 
-    type(before).__iter__ = counted  # type: ignore[method-assign]
+    type(member_table).__iter__ = counting_iter  # type: ignore[method-assign]
     try:
         for poller in range(1_200):
             relay.poll(poller, heads[poller] + 1, f"x{poller}")
             relay.relay.upstream_progress()
     finally:
-        type(before).__iter__ = original  # type: ignore[method-assign]
-    assert calls == 0
+        type(member_table).__iter__ = original  # type: ignore[method-assign]
+    assert iterations == 0
     assert relay.relay.status(relay.now).acknowledged == heads[0] + 1
 
 
