--- a/packages/control-client/src/control_client/resync_limiter.py
+++ b/packages/control-client/src/control_client/resync_limiter.py
@@ -10,7 +10,7 @@
 # Upper bound of that time, which doubles with each request.
 MAX_RESYNC_INTERVAL_MS = 30_000.0
 
-# Time after the end of an interval after which a resynchronization resets the interval to its minimum.
+# A resynchronization this long after the end of the last interval resets the interval to its minimum.
 STABLE_MS = 60_000.0
 
 
--- a/packages/control-client/src/control_client/state_follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -1,8 +1,8 @@
 """Accepts the state that sources send, so that no older state undoes a drain or a purge.
 
 Every state has a freshness timestamp (as-of): the time at which discovery itself confirmed it.  For a
-response it lies between the poll's time and the response's, less the age that the response states.  The
-current state counts with the later bound, a received one with the earlier.  After a change of epoch, or a
+response it lies between the poll's time and the response's, less the age that the response states: the later
+bound is used for the current state, the earlier one for a received state.  After a change of epoch, or a
 request for the complete state, list events are merged until the source has sent all of them, and only the
 resulting list is accepted or rejected: a plain discovery sends its history from the first list on, and no
 intermediate list may be used.
--- a/packages/control-client/tests/test_state_follower.py
+++ b/packages/control-client/tests/test_state_follower.py
@@ -140,7 +140,7 @@
 
 
 def test_source_that_missed_a_reset_of_discovery_is_rejected() -> None:
-    """Its seq is higher, but its state is older than the current one."""
+    """The source's seq is higher, but its state is older than the current one."""
     follower = synced_follower(seq=5)
     late = PollResponse("b", OUTDATED_LIST_MARGIN_MS + 2000.0, 1, (complete(1, 70, s="history"),))
     assert poll(follower, 2000.0, late) == ([], SyncStatus.SOURCE_STALE)
@@ -173,7 +173,7 @@
 
 
 def test_plain_discovery_after_a_relay_is_polled_from_the_start() -> None:
-    """Its response to a number of another epoch is not accepted, nor is an intermediate list."""
+    """Discovery's response to a number of another epoch is not accepted, nor is an intermediate list."""
     follower = synced_follower()
     response = PollResponse("", 0.0, 9, (change(1 << 40, 9, s="stray"),))
     assert poll(follower, 3000.0, response) == ([], SyncStatus.MORE_AVAILABLE)
--- a/packages/control-relay/src/control_relay/events.py
+++ b/packages/control-relay/src/control_relay/events.py
@@ -74,8 +74,8 @@
     """The upstream sent a purge of an object (``key``, hexadecimal) or of a group (``key`` is None).
 
     With a key, ``group`` is the object's group, or -1 where it is unknown.  A non-finite ``issued_unix_ms``
-    could not be read and counts as now.  ``age_ms`` is a lower bound of the time since the purge was
-    issued, 0 where it is unknown; it shortens the retention.
+    could not be read: the purge counts as issued now.  ``age_ms`` is a lower bound of the time since it was
+    issued, 0 where that is unknown; it shortens the retention.
     """
 
     number: int
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayStatus:
-    """Figures of a relay.
+    """Readiness, event numbers, sizes and counts of a relay.
 
     ``head`` is the last delivered event number and ``acknowledged`` the last one that all members have
     acknowledged.  ``age_ms`` is None until discovery has confirmed the state.
--- a/packages/control-relay/src/control_relay/members.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -21,7 +21,7 @@
 class PollContinuity(Enum):
     """How the resume number of a poll relates to that of its sender's previous poll."""
 
-    # At or above the last poll's number.
+    # At or above the last poll's number, or from a sibling, which is not tracked.
     CONTINUED = "continued"
     # Below the last poll's number: the sender restarted.
     REWOUND = "rewound"
@@ -95,7 +95,7 @@
         return PollContinuity.CONTINUED
 
     def restart(self, member: Member) -> None:
-        """Forget what a member has acknowledged, because it restarted without any state."""
+        """Reset what a member has acknowledged to 0, because it may lack every earlier event."""
         member.unacknowledged.clear()
         member.resume = 0
         self._set_acknowledged(member, 0)
--- a/packages/control-relay/src/control_relay/paged_responses.py
+++ b/packages/control-relay/src/control_relay/paged_responses.py
@@ -25,7 +25,7 @@
     """A page of encoded events.
 
     ``last_number`` is that of the last event, None without events.  A member that has them is complete up
-    to ``complete_up_to``; None where more pages follow, because a list is only applied after the last one.
+    to ``complete_up_to``; None where more pages follow, because members apply a list after the last one.
     """
 
     events: bytes
--- a/packages/control-relay/src/control_relay/pending_polls.py
+++ b/packages/control-relay/src/control_relay/pending_polls.py
@@ -40,7 +40,7 @@
         return poller in self._polls
 
     def add(self, poller: int, member: Member | None, resume: int, deadline_ms: float) -> None:
-        """Add a poll whose connection has none."""
+        """Add a poll; its connection must not have a pending one."""
         slot = math.ceil(deadline_ms / DEADLINE_SLOT_MS)
         self._polls[poller] = PendingPoll(poller, member, resume, slot)
         pollers = self._slots.get(slot)
--- a/packages/control-relay/src/control_relay/poll_handling.py
+++ b/packages/control-relay/src/control_relay/poll_handling.py
@@ -68,11 +68,11 @@
         self, now: float, poller: int, member: Member | None, request: PollRequest, block_ms: float
     ) -> list[RelayAction]:
         resume = int_or_default(request.resume)
-        position = self._resume_position(member, request, resume)
+        continuity = self._poll_continuity(member, request, resume)
         self._delivery.advance_low_water_marks(now)
-        if position is PollContinuity.UNKNOWN_NUMBER:
+        if continuity is PollContinuity.UNKNOWN_NUMBER:
             return self._delivery.respond_with_complete_state(now, poller, member, resume=0)
-        if not self._has_list(member, resume, position):
+        if not self._has_list(member, resume, continuity):
             return self._delivery.respond_with_complete_state(now, poller, member, resume)
         if resume >= self._log.delivered or self._log.first_after(resume) is None:
             return self._delivery.wait_for_event(now, poller, member, resume, block_ms)
@@ -89,8 +89,8 @@
         member.poller = poller
         return member
 
-    def _resume_position(self, member: Member | None, request: PollRequest, resume: int) -> PollContinuity:
-        """Return where a poll continues, and record what it acknowledges."""
+    def _poll_continuity(self, member: Member | None, request: PollRequest, resume: int) -> PollContinuity:
+        """Record what a poll acknowledges; return how its resume number relates to the previous poll."""
         is_current_epoch = not request.epoch or request.epoch == self._epoch.name
         if not is_current_epoch or not self._epoch.first_number <= resume <= self._log.delivered:
             if member is not None:
@@ -100,7 +100,7 @@
             return PollContinuity.CONTINUED
         return self._members.apply_poll(member, request, resume)
 
-    def _has_list(self, member: Member | None, resume: int, position: PollContinuity) -> bool:
+    def _has_list(self, member: Member | None, resume: int, continuity: PollContinuity) -> bool:
         """Return whether the poller has the list to which the changes after ``resume`` apply.
 
         It may have received purges of a complete state and not yet the list that follows them.
@@ -110,7 +110,7 @@
         complete_state_number = self._delivery.latest_complete_state_number
         if member is not None and member.complete_state_number is not None:
             complete_state_number = member.complete_state_number
-        if position is not PollContinuity.CONTINUED:
+        if continuity is not PollContinuity.CONTINUED:
             return False
         return resume >= self._log.floor and resume >= complete_state_number
 
--- a/packages/control-relay/src/control_relay/status.py
+++ b/packages/control-relay/src/control_relay/status.py
@@ -17,7 +17,7 @@
 from control_relay.members import MemberTable
 from control_relay.relay_state import RelayState
 
-# The summary where no router lags.
+# The summary if no router lags.
 NO_LAGGING_ROUTERS = LaggingSummary(0, ())
 
 
--- a/packages/control-relay/tests/test_complete_state.py
+++ b/packages/control-relay/tests/test_complete_state.py
@@ -1,4 +1,4 @@
-"""Who gets the complete state instead of changes, and what it contains."""
+"""Which polls get the complete state instead of changes, and what it contains."""
 
 from __future__ import annotations
 
