--- a/packages/control-relay/src/control_relay/poll_handling.py
+++ b/packages/control-relay/src/control_relay/poll_handling.py
@@ -14,7 +14,7 @@
     RelayAction,
 )
 from control_relay.member import Member
-from control_relay.members import MemberTable, MemberTableFullError, ResumePosition
+from control_relay.members import MemberTable, MemberTableFullError, PollContinuity
 from control_relay.relay_state import RelayState
 from control_relay.settings import RelaySettings
 from control_relay.validation import NAME_PATTERN, duration_or_zero, int_or_default
@@ -68,11 +68,11 @@
         self, now: float, poller: int, member: Member | None, request: PollRequest, block_ms: float
     ) -> list[RelayAction]:
         resume = int_or_default(request.resume)
-        position = self._resume_position(member, request, resume)
+        continuity = self._poll_continuity(member, request, resume)
         self._delivery.advance_low_water_marks(now)
-        if position is ResumePosition.FOREIGN:
+        if continuity is PollContinuity.UNKNOWN_NUMBER:
             return self._delivery.respond_with_complete_state(now, poller, member, resume=0)
-        if not self._has_list(member, resume, position):
+        if not self._has_list(member, resume, continuity):
             return self._delivery.respond_with_complete_state(now, poller, member, resume)
         if resume >= self._log.delivered or self._log.first_after(resume) is None:
             return self._delivery.wait_for_event(now, poller, member, resume, block_ms)
@@ -89,18 +89,18 @@
         member.poller = poller
         return member
 
-    def _resume_position(self, member: Member | None, request: PollRequest, resume: int) -> ResumePosition:
-        """Return where a poll continues, and record what it acknowledges."""
+    def _poll_continuity(self, member: Member | None, request: PollRequest, resume: int) -> PollContinuity:
+        """Record what a poll acknowledges; return how its resume number relates to the previous poll."""
         is_current_epoch = not request.epoch or request.epoch == self._epoch.name
         if not is_current_epoch or not self._epoch.first_number <= resume <= self._log.delivered:
             if member is not None:
                 self._members.restart(member)
-            return ResumePosition.FOREIGN
+            return PollContinuity.UNKNOWN_NUMBER
         if member is None:
-            return ResumePosition.CONTINUED
+            return PollContinuity.CONTINUED
         return self._members.apply_poll(member, request, resume)
 
-    def _has_list(self, member: Member | None, resume: int, position: ResumePosition) -> bool:
+    def _has_list(self, member: Member | None, resume: int, continuity: PollContinuity) -> bool:
         """Return whether the poller has the list to which the changes after ``resume`` apply.
 
         It may have received purges of a complete state and not yet the list that follows them.
@@ -110,14 +110,14 @@
         complete_state_number = self._delivery.latest_complete_state_number
         if member is not None and member.complete_state_number is not None:
             complete_state_number = member.complete_state_number
-        if position is not ResumePosition.CONTINUED:
+        if continuity is not PollContinuity.CONTINUED:
             return False
         return resume >= self._log.floor and resume >= complete_state_number
 
     def _deregister_prober(self, now: float, poller: int, request: PollRequest) -> None:
-        """Stop waiting for a member whose probe says that another source serves it.
+        """Remove a member whose probe states its name, which shows that another source serves it.
 
-        A member that came back and waits on another connection is kept: the probe is a late one.
+        A member that has returned, with a poll pending on another connection, is kept: the probe was delayed.
         """
         member = self._members.get(request.name)
         if member is None:
