--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -38,7 +38,7 @@
 
 def shrunk_story(outcome: Outcome) -> str:
     """Return the story of a failure, with as few faults as still cause it."""
-    return shrink(build_subject(), outcome).story()
+    return shrink(build_subject(), outcome).report_text()
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -46,7 +46,7 @@
     options = _parse(arguments)
     if options.seed is not None:
         outcome = run(build_subject(), draw_plan(options.seed), trace=True)
-        print(outcome.story(0))
+        print(outcome.report_text(0))
         return 1 if outcome.violation else 0
     return _run_many(options)
 
--- a/packages/control-sim/tests/test_control_sim.py
+++ b/packages/control-sim/tests/test_control_sim.py
@@ -33,7 +33,7 @@
     kinds_met = set()
     for seed in range(SEEDS):
         outcome = run_seed(seed)
-        assert outcome.violation is None, run(build_subject(), outcome.plan, trace=True).story()
+        assert outcome.violation is None, run(build_subject(), outcome.plan, trace=True).report_text()
         kinds_met |= {type(fault) for fault in outcome.plan.schedule}
     assert len(kinds_met) >= 7
 
@@ -77,7 +77,7 @@
     assert shrunk.violation is not None
     assert shrunk.violation.check == "early"
     assert len(shrunk.plan.schedule) <= len(failed.plan.schedule)
-    assert f"seed {failed.plan.seed}" in shrunk.story()
+    assert f"seed {failed.plan.seed}" in shrunk.report_text()
 
 
 def test_command_runs_seeds_prints_one_and_tells_the_story_of_a_failure(
@@ -97,10 +97,10 @@
 def test_restart_of_all_relays_while_discovery_is_down_loses_nothing() -> None:
     faults = (KillAllRelays(2_000.0, 300.0), Kill(1_900.0, 4_000.0, "d"))
     outcome = run(build_subject(), Plan(1, NODE_NAMES, faults))
-    assert outcome.violation is None, outcome.story()
+    assert outcome.violation is None, outcome.report_text()
 
 
 def test_router_paused_for_longer_than_the_log_gets_back_in_sync() -> None:
     faults = (Pause(500.0, 9_000.0, "x1"), Pause(500.0, 9_000.0, "c1"))
     outcome = run(build_subject(), Plan(1, NODE_NAMES, faults))
-    assert outcome.violation is None, outcome.story()
+    assert outcome.violation is None, outcome.report_text()
--- a/packages/fleet-sim/src/fleet_sim/command.py
+++ b/packages/fleet-sim/src/fleet_sim/command.py
@@ -122,7 +122,7 @@
 
 def _run_one(runner: SeedRunner, seed: int) -> int:
     outcome = runner.run_traced(seed)
-    print(outcome.story(max_entries=0))
+    print(outcome.report_text(max_entries=0))
     if outcome.violation is None:
         return 0
     _print_shrunk(runner, outcome)
@@ -159,4 +159,4 @@
 
 def _print_shrunk(runner: SeedRunner, failed: Outcome) -> None:
     print(f"\nshrinking seed {failed.plan.seed} from {len(failed.plan.schedule)} faults")
-    print(shrink(runner.make_subject(), failed).story())
+    print(shrink(runner.make_subject(), failed).report_text())
--- a/packages/fleet-sim/src/fleet_sim/fault_plans.py
+++ b/packages/fleet-sim/src/fleet_sim/fault_plans.py
@@ -19,7 +19,7 @@
     Partition,
     Pause,
     Replay,
-    WallStep,
+    WallClockStep,
 )
 from .network import LinkQuality
 
@@ -57,7 +57,7 @@
 TIMER_DELAYS_MS = (50.0, 400.0, 1_500.0)
 
 # Steps of the wall clock by an hour, as from a wrong time zone.
-WALL_STEPS_MS = (-3.6e6, 3.6e6)
+WALL_CLOCK_STEPS_MS = (-3.6e6, 3.6e6)
 
 # Upper bound on the datagrams of a replay.
 MAX_REPLAYED = 20
@@ -191,8 +191,8 @@
     return Lag(draw.at_ms, draw.duration_ms, draw.node(), draw.source.choice(TIMER_DELAYS_MS))
 
 
-def _draw_wall_step(draw: _FaultDraw) -> Fault:
-    return WallStep(draw.at_ms, 0.0, draw.node(), draw.source.choice(WALL_STEPS_MS))
+def _draw_wall_clock_step(draw: _FaultDraw) -> Fault:
+    return WallClockStep(draw.at_ms, 0.0, draw.node(), draw.source.choice(WALL_CLOCK_STEPS_MS))
 
 
 def _draw_replay(draw: _FaultDraw) -> Fault:
@@ -214,7 +214,7 @@
     "leave": _draw_leave,
     "pause": _draw_pause,
     "lag": _draw_lag,
-    "step": _draw_wall_step,
+    "step": _draw_wall_clock_step,
     "replay": _draw_replay,
     "garbage": _draw_garbage,
 }
--- a/packages/fleet-sim/src/fleet_sim/faults.py
+++ b/packages/fleet-sim/src/fleet_sim/faults.py
@@ -209,7 +209,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WallStep(Fault):
+class WallClockStep(Fault):
     """A step of the wall clock; no state machine reads that clock, so it only appears in the trace."""
 
     node: str
--- a/packages/fleet-sim/src/fleet_sim/run.py
+++ b/packages/fleet-sim/src/fleet_sim/run.py
@@ -19,7 +19,7 @@
 POLL_INTERVAL_MS = 250.0
 
 # Entries at the end of the trace that a story shows: enough for a shrunk failure.
-STORY_ENTRIES = 120
+REPORT_ENTRIES = 120
 
 
 def _nothing_unsettled(_cluster: SimulatedCluster) -> str | None:
@@ -77,7 +77,7 @@
     counts: Counter[str]
     trace: list[TraceEntry]
 
-    def story(self, max_entries: int = STORY_ENTRIES) -> str:
+    def report_text(self, max_entries: int = REPORT_ENTRIES) -> str:
         """Return the failure, the schedule and the end of the timeline (0 entries: all of it) as text."""
         heading = f"seed {self.plan.seed}, {len(self.plan.names)} nodes: {self.violation or 'holds'}"
         faults = "\n".join(f"  {fault}" for fault in self.plan.schedule)
--- a/packages/fleet-sim/src/fleet_sim/scenario_actions.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_actions.py
@@ -5,7 +5,20 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from .cluster import SimulatedCluster
-from .faults import Cut, Fault, Flap, Garbage, Kill, Lag, Leave, Noise, Partition, Pause, Replay, WallStep
+from .faults import (
+    Cut,
+    Fault,
+    Flap,
+    Garbage,
+    Kill,
+    Lag,
+    Leave,
+    Noise,
+    Partition,
+    Pause,
+    Replay,
+    WallClockStep,
+)
 from .network import Link, LinkQuality
 from .scenario import ScenarioSyntaxError
 
@@ -23,7 +36,7 @@
 }
 
 # Faults without a duration, which later actions cannot end.
-MOMENTARY_FAULTS = (WallStep, Replay, Garbage)
+MOMENTARY_FAULTS = (WallClockStep, Replay, Garbage)
 
 
 class ScenarioActions:
@@ -152,8 +165,8 @@
     return [Lag(0, 0, words[0], float(words[1]))]
 
 
-def _parse_wall_step(words: Words) -> list[Fault]:
-    return [WallStep(0, 0, words[0], float(words[1]))]
+def _parse_wall_clock_step(words: Words) -> list[Fault]:
+    return [WallClockStep(0, 0, words[0], float(words[1]))]
 
 
 def _parse_replay(words: Words) -> list[Fault]:
@@ -174,7 +187,7 @@
     "leave": _parse_leave,
     "pause": _parse_pause,
     "late": _parse_lag,
-    "step": _parse_wall_step,
+    "step": _parse_wall_clock_step,
     "replay": _parse_replay,
     "garbage": _parse_garbage,
 }
--- a/packages/fleet-sim/tests/test_membership_simulation.py
+++ b/packages/fleet-sim/tests/test_membership_simulation.py
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(("profile", "seeds"), [(FaultProfile(), 60), (LONG_FAULTS, 20)])
 def test_members_and_quotas_hold_under_drawn_faults(profile: FaultProfile, seeds: int) -> None:
     for outcome in run_seeds(range(seeds), profile):
-        assert outcome.violation is None, outcome.story()
+        assert outcome.violation is None, outcome.report_text()
 
 
 @pytest.mark.parametrize(
--- a/packages/fleet-sim/tests/test_simulation_runs.py
+++ b/packages/fleet-sim/tests/test_simulation_runs.py
@@ -5,7 +5,7 @@
 import pytest
 from counter_gossip import Mutant, gossip_subject
 from fleet_sim import Fault, FaultProfile, Outcome, Plan, draw_plan, render_trace, run, shrink
-from fleet_sim.faults import Cut, Flap, Garbage, Kill, Lag, Leave, Partition, Pause, Replay, WallStep
+from fleet_sim.faults import Cut, Flap, Garbage, Kill, Lag, Leave, Partition, Pause, Replay, WallClockStep
 
 NAMES = ("a", "b", "c", "d")
 
@@ -18,7 +18,7 @@
 def test_a_sound_state_machine_holds_under_every_kind_of_fault() -> None:
     for seed in range(25):
         outcome = run(gossip_subject(), draw_plan(seed, 4, FaultProfile()))
-        assert outcome.violation is None, outcome.story()
+        assert outcome.violation is None, outcome.report_text()
     assert outcome.steps > 200
 
 
@@ -49,8 +49,8 @@
     assert small.violation
     assert small.violation.check == check
     assert [type(fault) for fault in small.plan.schedule] == remaining
-    assert f"seed {failed.plan.seed}" in small.story()
-    assert check in small.story()
+    assert f"seed {failed.plan.seed}" in small.report_text()
+    assert check in small.report_text()
 
 
 def test_only_a_failure_can_be_shrunk() -> None:
@@ -77,7 +77,7 @@
         (Leave(1_000, 500, "a"), ["! asked to", "bye", "* ended", "* started (2)"]),
         (Pause(1_000, 500, "a"), ["* paused", ": ", "* continued"]),
         (Lag(1_000, 500, "a", 900.0), ["! timers up to", "! timers on"]),
-        (WallStep(1_000, 0, "a", -5.0), ["! wall clock -5"]),
+        (WallClockStep(1_000, 0, "a", -5.0), ["! wall clock -5"]),
         (Replay(1_000, 0, "a", "b", 2), ["! 2 datagrams"]),
     ],
 )
