--- a/packages/fleet-membership/src/fleet_membership/__init__.py
+++ b/packages/fleet-membership/src/fleet_membership/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet membership: who is in the fleet and who has failed, by SWIM with Lifeguard's extensions."""
+"""Fleet membership and failure detection: SWIM with Lifeguard's extensions."""
 
 from __future__ import annotations
 
--- a/packages/fleet-membership/src/fleet_membership/anti_entropy.py
+++ b/packages/fleet-membership/src/fleet_membership/anti_entropy.py
@@ -1,7 +1,7 @@
 """Anti-entropy: members compare their tables by digests and send each other the claims that differ.
 
 Most exchanges are with a live member; every third one is with a member that failed, or with a seed that is
-not among the live ones.  By these, two sides of a partition find each other again, and a member joins.
+not among the live ones.  These let two sides of a partition merge after it heals, and let a member join.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from fleet_membership.member_table import LIVE_STATES
 from fleet_membership.tasks import SynchronizeTables
 
-# One in this many exchanges is with an unreachable peer.
+# One exchange in this many is with an unreachable peer.
 EXCHANGES_PER_UNREACHABLE = 3
 
-# Upper bound on the datagrams of one exchange; a larger difference needs several exchanges.
+# Maximum number of datagrams sent in one exchange; a larger difference takes several exchanges.
 MAX_EXCHANGE_DATAGRAMS = 16
 
-# Probe intervals between exchanges while there is no majority or while tables differ.
+# Interval between exchanges, in probe intervals, while there is no majority or while tables differ.
 EAGER_PROBE_INTERVALS = 2.0
 
-# The shortest time between exchanges as a share of their interval.
+# Lower bound of the random factor that is applied to the interval between exchanges.
 MIN_JITTER = 0.75
 
-# The range in which that share is drawn, so that not all routers exchange at once.
+# Width of the range of that factor; the jitter keeps routers from exchanging at the same time.
 JITTER_RANGE = 0.5
 
 
@@ -35,11 +35,11 @@
     def __init__(self, context: MemberContext) -> None:
         self._context = context
         self._exchanges = 0
-        self._next_stranger_ms = float("-inf")
+        self._next_unknown_sender_ms = float("-inf")
         self._due_ms = float("inf")
 
     def start(self, now: float) -> None:
-        """Exchange tables with the seeds, and begin the periodic exchanges."""
+        """Request the tables of all seeds and schedule the periodic exchanges."""
         settings = self._context.settings
         for seed in settings.seeds:
             if seed != settings.address:
@@ -47,7 +47,7 @@
         self._schedule_next(now, eager=True)
 
     def run_exchange(self, now: float, has_majority: bool) -> None:
-        """Begin the periodic exchange, unless it was moved to another time."""
+        """Run the periodic exchange; the task of an exchange that was rescheduled has no effect."""
         if now < self._due_ms:
             return
         self._schedule_next(now, eager=not has_majority)
@@ -55,16 +55,16 @@
         for peer in self._choose_peers(has_majority):
             self._request(peer)
 
-    def synchronize_with_stranger(self, now: float, peer: Address) -> None:
-        """Exchange tables with an unknown sender, at most once per probe interval."""
-        if now >= self._next_stranger_ms:
-            self._next_stranger_ms = now + self._context.settings.probe_every_ms
+    def synchronize_with_unknown_sender(self, now: float, peer: Address) -> None:
+        """Exchange tables with a sender that is not in the table, at most once per probe interval."""
+        if now >= self._next_unknown_sender_ms:
+            self._next_unknown_sender_ms = now + self._context.settings.probe_every_ms
             self._request(peer)
 
     def handle_sync(self, now: float, peer: Address, message: Sync) -> None:
-        """Send the claims that differ, and run the next exchange soon, since tables differ."""
+        """Reply with the claims of the buckets that differ, if any, and run the next exchange earlier."""
         context = self._context
-        differing = context.table.differing(message.digests)
+        differing = context.table.differing_claims(message.digests)
         if not differing:
             return
         if self._due_ms > now + EAGER_PROBE_INTERVALS * context.settings.probe_every_ms:
@@ -75,7 +75,7 @@
             context.send(peer, sync, (context.table.local_update,))
 
     def _send_claims(self, peer: Address, claims: list[Update]) -> None:
-        """Send claims from a random one on, so that those that do not fit may be sent the next time."""
+        """Send claims from a random offset, so that later exchanges send those that do not fit now."""
         start = int(self._context.random() * len(claims))
         remaining = claims[start:] + claims[:start]
         for _ in range(MAX_EXCHANGE_DATAGRAMS):
@@ -107,7 +107,7 @@
         return context.sample(live, 1)
 
     def _unreachable(self, live: list[Address]) -> list[Address]:
-        """Return the failed members, and the seeds that are neither live nor failed."""
+        """Return the addresses of failed members, and of seeds that are neither live nor failed."""
         context = self._context
         failed = [
             unpack_address(member.update.address) for member in context.table.others(MemberState.FAILED)
--- a/packages/fleet-membership/src/fleet_membership/broadcast_queue.py
+++ b/packages/fleet-membership/src/fleet_membership/broadcast_queue.py
@@ -1,6 +1,6 @@
 """Dissemination: piggybacks each update on a bounded number of other datagrams.
 
-After SWIM, section 4.1.
+This follows SWIM, section 4.1.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class BroadcastQueue:
-    """The updates to piggyback: new ones first, then those that were sent longest ago.
+    """The updates to piggyback: new ones first, then the least recently sent ones.
 
-    An update on a member replaces the earlier ones.  Only suspicions of one incarnation by several accusers
-    are all kept, since they confirm each other.
+    An update about a member replaces earlier ones about it.  Only suspicions of the same incarnation by
+    different accusers are all kept, since they confirm each other.
     """
 
     def __init__(self, retransmit_multiplier: float) -> None:
@@ -26,7 +26,7 @@
         self._by_member: dict[str, list[Update]] = {}
 
     def enqueue(self, update: Update) -> None:
-        """Add an update as the first to send; it replaces those that it outdates."""
+        """Put an update at the head of the queue and remove the updates that it replaces."""
         for queued in list(self._by_member.get(update.name, ())):
             if queued == update or not _confirm_each_other(queued, update):
                 self._remove(queued)
@@ -35,11 +35,11 @@
         self._by_member.setdefault(update.name, []).append(update)
 
     def next_batch(self) -> list[Update]:
-        """Return as many updates as a datagram may carry."""
+        """Return the first ``MAX_UPDATES`` updates."""
         return list(islice(self._transmissions, MAX_UPDATES))
 
     def mark_sent(self, updates: Sequence[Update], live_members: int) -> None:
-        """Count a transmission of each update; drop those sent multiplier x log10(members + 1) times."""
+        """Count a transmission of each update; drop those sent multiplier * log10(members + 1) times."""
         limit = max(1, ceil(self._retransmit_multiplier * log10(live_members + 1)))
         for update in updates:
             if update not in self._transmissions:
--- a/packages/fleet-membership/src/fleet_membership/context.py
+++ b/packages/fleet-membership/src/fleet_membership/context.py
@@ -1,4 +1,4 @@
-"""The context that the parts of a member share: settings, tables, schedule and the sending of datagrams."""
+"""The context shared by the components of a member: settings, tables, schedule and datagram sending."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from fleet_membership.settings import MembershipSettings
 from fleet_membership.task_schedule import TaskSchedule
 
-# The first probe id is drawn below this, so that ids cannot be guessed from outside.
+# The first probe id is drawn at random below this bound, so that outsiders cannot guess ids.
 PROBE_ID_RANGE = 1 << 32
 
 T = TypeVar("T")
 
 
 class MemberContext:
-    """The shared state of one member; ``actions`` collects the actions of the present event."""
+    """The shared state of one member; ``actions`` collects the actions of the event being handled."""
 
     def __init__(self, settings: MembershipSettings, random: RandomSource) -> None:
         self.settings = settings
@@ -43,7 +43,7 @@
         return self.settings.name
 
     def next_probe_id(self) -> int:
-        """Return a probe id that was not used before."""
+        """Return an unused probe id."""
         self._probe_id += 1
         return self._probe_id
 
@@ -54,11 +54,11 @@
         return [remaining.pop(int(self.random() * len(remaining))) for _ in range(count)]
 
     def notify(self, event: str, /, **fields: str | int | float) -> None:
-        """Report an event to the log."""
+        """Add a ``Notice`` for the log."""
         self.actions.append(Notice(event, fields))
 
     def send(self, address: Address, message: Message, updates: Sequence[Update] = ()) -> int:
-        """Send a message with updates, and with as many broadcasts as still fit.
+        """Send a message with ``updates``, and with as many queued broadcasts as still fit.
 
         Returns how many of ``updates`` fitted into the datagram.
         """
@@ -71,13 +71,13 @@
         return min(datagram.updates_packed, len(updates))
 
     def send_to_member(self, member: Member, message: Message, updates: tuple[Update, ...] = ()) -> None:
-        """Send to a member; one that is not alive here is informed of that (Lifeguard's buddy system)."""
+        """Send to a member, with the claim about it if it is not alive here (Lifeguard's buddy system)."""
         if member.state is not MemberState.ALIVE:
             updates = (*updates, member.update)
         self.send(unpack_address(member.update.address), message, updates)
 
     def reply(self, name: str, source: Address, message: Message) -> None:
-        """Send to a sender at its known address, or to ``source`` if it is unknown."""
+        """Send to member ``name`` at its known address, or to ``source`` if it is not in the table."""
         member = self.table.get(name)
         if member is None:
             self.send(source, message)
--- a/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
+++ b/packages/fleet-membership/src/fleet_membership/failure_verdicts.py
@@ -1,4 +1,4 @@
-"""Failure verdicts: suspicion, refutation and failure of members, and members that flap."""
+"""Failure verdicts: suspicion, refutation and failure of members, and detection of flapping members."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from fleet_membership.tasks import EndFlapHold, ProbeSuspect, SuspicionTimeout
 from fleet_membership.view import LinkState
 
-# Probe intervals within which a member that sent a datagram counts as heard recently.
+# A member counts as heard recently if it sent a datagram within this many probe intervals.
 RECENT_PROBE_INTERVALS = 5.0
 
 
@@ -27,10 +27,10 @@
     def apply_claim(self, now: float, update: Update, reason: str, table_sender: str = "") -> None:
         """Apply a claim and broadcast it if it changed the table.
 
-        ``table_sender`` is the sender if the claim is part of its table.  New members in such a claim are not
-        broadcast: the other members know them, or learn of them by anti-entropy.  A member that failed in
-        that table is asked to refute if it was heard recently, and is otherwise only a suspect here: when two
-        sides of a partition meet again, neither takes over the other's verdicts.
+        ``table_sender`` is the sender if the claim is part of its table, and empty otherwise.  Claims of such
+        a table about unknown members are not broadcast: the other members know them, or learn of them by
+        anti-entropy.  A live member that failed in that table is asked to refute if it was heard recently,
+        and only suspected otherwise, so that sides of a healed partition do not adopt each other's verdicts.
         """
         context = self._context
         if update.name == context.name:
@@ -56,12 +56,12 @@
                 self._record_flap(now, known)
 
     def suspect(self, now: float, member: Member) -> None:
-        """Suspect a member that did not answer this router, or confirm a suspicion that others started."""
+        """Suspect a member that did not answer this router's probe, or confirm an existing suspicion."""
         update = replace(member.update, state=MemberState.SUSPECT, accuser=self._context.name)
         self.apply_claim(now, update, "no-answer")
 
     def handle_suspicion_timeout(self, now: float, name: str) -> None:
-        """Declare a suspect failed, unless the local health has extended its deadline."""
+        """Declare a suspect failed, or reschedule if the local health has extended its deadline."""
         suspicion = self._suspicions.get(name)
         member = self._context.table.get(name)
         if suspicion is None or member is None:
@@ -74,18 +74,18 @@
             self.apply_claim(now, failed, "suspicion-ran-out")
 
     def probe_suspect(self, name: str) -> None:
-        """Probe a suspect again, since its refutation may have been lost."""
+        """Probe a suspect once more, since its refutation may have been lost."""
         member = self._context.table.get(name)
         if member is not None and name in self._suspicions:
             self._context.send_to_member(member, Probe(self._context.next_probe_id(), name))
 
     def postpone_suspicions(self, by_ms: float) -> None:
-        """Extend all suspicions by the duration of a pause of this process."""
+        """Extend all suspicions by a pause of this process, in ms."""
         for suspicion in self._suspicions.values():
             suspicion.started_ms += by_ms
 
     def supersede_incarnation(self, now: float, incarnation: int, reason: str) -> None:
-        """Claim this router alive with an incarnation above ``incarnation``."""
+        """Announce this router as alive with an incarnation above ``incarnation``."""
         context = self._context
         update = replace(
             context.table.local_update, incarnation=incarnation + 1, state=MemberState.ALIVE, accuser=""
@@ -98,7 +98,7 @@
         context = self._context
         local_update = context.table.local_update
         if (update.incarnation, update.state) <= (local_update.incarnation, local_update.state):
-            if update.state is not MemberState.ALIVE:  # refuted before, but not everybody received it
+            if update.state is not MemberState.ALIVE:  # not every member has received the refutation
                 context.broadcasts.enqueue(local_update)
             return
         if update.state in (MemberState.SUSPECT, MemberState.FAILED):
@@ -115,7 +115,7 @@
         scale = max(1.0, log10(live_count))
         min_ms = context.settings.suspicion_least_ms * scale
         max_ms = context.settings.suspicion_most_ms * scale
-        possible_confirmers = max(0, live_count - 2)  # neither the suspect nor the accuser
+        possible_confirmers = max(0, live_count - 2)  # all but the suspect and the accuser
         suspicion = Suspicion(now, min_ms, max_ms, possible_confirmers, update.accuser)
         self._suspicions[update.name] = suspicion
         deadline_ms = suspicion.deadline_ms(context.local_health.multiplier)
--- a/packages/fleet-membership/src/fleet_membership/local_health.py
+++ b/packages/fleet-membership/src/fleet_membership/local_health.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-# The worst score, the paper's saturation limit.
+# The worst score: the saturation limit of the Lifeguard paper.
 MAX_SCORE = 8
 
 
 class LocalHealth:
-    """A score that grows with signs that this router is slow or unreachable; 0 is healthy."""
+    """A score that grows with evidence that this router is slow or unreachable; 0 is healthy."""
 
     def __init__(self) -> None:
         self.score = 0
@@ -18,9 +18,9 @@
         return 1 + self.score
 
     def degrade(self, by: int = 1) -> None:
-        """Record signs of bad health."""
+        """Raise the score after evidence of bad health, such as a missed ``Nack`` or a late timer."""
         self.score = min(MAX_SCORE, self.score + by)
 
     def improve(self) -> None:
-        """Record a sign of good health."""
+        """Lower the score by one after evidence of good health."""
         self.score = max(0, self.score - 1)
--- a/packages/fleet-membership/src/fleet_membership/member_table.py
+++ b/packages/fleet-membership/src/fleet_membership/member_table.py
@@ -1,8 +1,8 @@
-"""The member table: the known members with their states, and digests to compare two tables by.
+"""The member table: the known members with their states, and digests for comparing two tables.
 
-Of two claims on a member the one with the higher (incarnation, state) prevails, with the states in the order
-alive, suspect, failed, left.  So the tables of routers that received the same claims agree, in whatever order
-the claims came.
+Of two claims about a member the one with the higher (incarnation, state) prevails; states are ordered alive,
+suspect, failed, left.  So the tables of routers that received the same claims agree, whatever the order in
+which the claims arrived.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 # States of members that are kept as tombstones.
 DEAD_STATES = (MemberState.FAILED, MemberState.LEFT)
 
-# Times of suspicions that are kept to recognize a flapping member.
+# Maximum number of suspicion times that are kept to detect a flapping member.
 MAX_SUSPECTED_TIMES = 16
 
 # The time of an event that has not happened.
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True)
 class Member:
-    """A member's newest claim and what this router observed of it; times in ms.
+    """The newest claim about a member and this router's observations of it; times in ms.
 
-    ``missed_probes`` counts the direct probes in a row that it did not answer, the first of them sent at
-    ``missing_since_ms``; ``suspected_at_ms`` holds the times of its recent suspicions.
+    ``missed_probes`` counts consecutive direct probes that it did not answer, the first of them sent at
+    ``first_missed_ms``; ``suspected_at_ms`` holds the times of its recent suspicions.
     """
 
     update: Update
@@ -43,7 +43,7 @@
     last_heard_ms: float = NEVER
     flap_hold_until_ms: float = NEVER
     missed_probes: int = 0
-    missing_since_ms: float = float("inf")
+    first_missed_ms: float = float("inf")
     link: LinkState = LinkState.DIRECT
     suspected_at_ms: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_SUSPECTED_TIMES))
 
@@ -58,13 +58,13 @@
         return self.update.state in LIVE_STATES
 
     def visible_state(self, now: float) -> MemberState:
-        """Return the state shown to other components: suspect while it flaps."""
+        """Return the state shown to other components: an alive member is shown as suspect while it flaps."""
         if self.state is MemberState.ALIVE and now < self.flap_hold_until_ms:
             return MemberState.SUSPECT
         return self.state
 
     def view(self, now: float) -> MemberView:
-        """Return the member as other components see it."""
+        """Return the snapshot of the member that other components see."""
         link = LinkState.FLAPPING if now < self.flap_hold_until_ms else self.link
         address = unpack_address(self.update.address)
         return MemberView(self.update.name, address, self.update.incarnation, self.visible_state(now), link)
@@ -80,7 +80,7 @@
 
 
 class MemberTable:
-    """The known members; ``version`` grows with each change that a view shows."""
+    """The known members; ``version`` increases with each change that is visible in a view."""
 
     def __init__(self, local_update: Update, max_members: int) -> None:
         self.name = local_update.name
@@ -97,7 +97,7 @@
 
     @property
     def local_update(self) -> Update:
-        """What this router claims of itself."""
+        """This router's claim about itself."""
         return self._members[self.name].update
 
     def members(self) -> Iterator[Member]:
@@ -109,13 +109,14 @@
         return [m for m in self._members.values() if m.state in states and m.update.name != self.name]
 
     def bump_version(self) -> None:
-        """Record a change besides the claims that a view shows."""
+        """Record a change that is visible in a view but is not a change of a claim."""
         self.version += 1
 
     def apply(self, now: float, update: Update) -> bool:
-        """Apply a claim; True if it changed the table.
+        """Apply a claim; return whether it changed the table.
 
-        A claim that an unknown member failed or left, or one that finds the table full, changes nothing.
+        Outdated claims are ignored; so is a claim about an unknown member if it failed or left, or if the
+        table is full.
         """
         member = self._members.get(update.name)
         if member is None:
@@ -143,13 +144,13 @@
     def digests(self) -> bytes:
         """Return the digests of the live members' names and incarnations by bucket.
 
-        They leave out suspicions, which come and go, and tombstones, which expire at each router's own time:
-        neither shall cause an exchange.
+        They exclude suspicions, which are short-lived, and tombstones, which each router drops at a time of
+        its own: a difference in these must not cause an exchange.
         """
         return b"".join(digest.to_bytes(DIGEST_BYTES, "big") for digest in self._digests)
 
-    def differing(self, digests: bytes) -> list[Update]:
-        """Return all claims of the buckets whose digests differ from a peer's."""
+    def differing_claims(self, digests: bytes) -> list[Update]:
+        """Return all claims in the buckets whose digests differ from a peer's ``digests``."""
         local_digests = self.digests()
         differing_buckets = set()
         for bucket in range(DIGEST_BUCKETS):
--- a/packages/fleet-membership/src/fleet_membership/membership.py
+++ b/packages/fleet-membership/src/fleet_membership/membership.py
@@ -34,10 +34,10 @@
 )
 from fleet_membership.view import MembershipView
 
-# Members, besides the voters, that are notified when this one leaves; they broadcast it to the others.
+# Maximum number of members besides the voters that are notified of a leave; they broadcast it to the others.
 MAX_LEAVE_RECIPIENTS = 8
 
-# Checks for expired tombstones within the time for which they are kept.
+# Number of checks for expired tombstones within ``tombstone_ms``.
 TOMBSTONE_CHECKS = 10
 
 
@@ -97,7 +97,7 @@
         return context.actions + context.schedule.request_timer(now)
 
     def send_user_message(self, name: str, channel: int, body: bytes) -> list[Action]:
-        """Send another state machine's message to a member, once and unreliably.
+        """Send another state machine's message to a member, once and without confirmation.
 
         Returns no actions if the member is unknown or this one has left.  Raises MessageTooLargeError.
         """
@@ -109,7 +109,7 @@
         return context.actions
 
     def view(self, now: float) -> MembershipView:
-        """Return a snapshot of the fleet: the same object until something in it changes."""
+        """Return a snapshot of the fleet; the same object is returned until its contents change."""
         table = self._context.table
         local_health = self._context.local_health.score
         view = self._view
@@ -126,7 +126,7 @@
         return view
 
     def _detect_pause(self, now: float) -> None:
-        """Postpone everything if the timers are so late that this process, not the others, was away."""
+        """Postpone all tasks and suspicions if timers are so late that this process must have been paused."""
         context = self._context
         late_ms = context.schedule.lateness_ms(now)
         if late_ms <= context.settings.pause_ms:
@@ -135,7 +135,7 @@
         context.notify("paused", late_ms=round(late_ms, 3), health=context.local_health.score)
         context.schedule.postpone(late_ms)
         self._verdicts.postpone_suspicions(late_ms)
-        self._prober.abandon()
+        self._prober.discard_probes()
         if late_ms > context.settings.probe_every_ms:
             self._quorum.restart(now)
 
@@ -150,7 +150,7 @@
         self._schedule_tombstone_check(now)
 
     def _leave(self, now: float) -> None:
-        """Announce the leave to the voters and some others."""
+        """Announce the leave to the voters and to up to ``MAX_LEAVE_RECIPIENTS`` other members."""
         context = self._context
         update = replace(context.table.local_update, state=MemberState.LEFT)
         context.table.apply(now, update)
--- a/packages/fleet-membership/src/fleet_membership/message_handling.py
+++ b/packages/fleet-membership/src/fleet_membership/message_handling.py
@@ -1,4 +1,4 @@
-"""Message handling: rejects received datagrams, or dispatches them to the parts of the member."""
+"""Message handling: rejects received datagrams or dispatches them to the components of the member."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRecipients:
-    """The parts of a member that received messages are dispatched to.
+    """The components of a member that received messages are dispatched to.
 
     ``handle_user_message`` is None if no other state machine uses the fleet's datagrams.
     """
@@ -60,7 +60,7 @@
         self._handle_user_message = recipients.handle_user_message
 
     def handle_datagram(self, now: float, source: Address, data: bytes) -> None:
-        """Handle a datagram; report one that is rejected to the log."""
+        """Handle a datagram; a rejected one is reported to the log."""
         context = self._context
         try:
             envelope = context.codec.decode(data)
@@ -69,13 +69,13 @@
             if error.envelope is not None:
                 self._answer_outdated(error.envelope, source)
             return
-        if envelope.sender == context.name:  # sent by this router, or by another process of the same name
+        if envelope.sender == context.name:  # sent by this router, or by another process with the same name
             self._notify_rejected(OWN_NAME_REASON, source)
             return
         self._apply_updates(now, envelope)
         member = context.table.get(envelope.sender)
-        if member is None:  # the sender may know further members that this router does not
-            self._anti_entropy.synchronize_with_stranger(now, source)
+        if member is None:  # the sender may know members that this router does not know
+            self._anti_entropy.synchronize_with_unknown_sender(now, source)
         else:
             member.last_heard_ms = now
             self._answer_outdated(envelope, source)
@@ -91,7 +91,7 @@
             self._verdicts.apply_claim(now, update, f"told-by-{envelope.sender}", table_sender)
 
     def _answer_outdated(self, envelope: Envelope, source: Address) -> None:
-        """Inform a sender of an outdated incarnation, which will then use one above the newest."""
+        """Tell a sender with an outdated incarnation the newest one, so that it adopts a higher one."""
         context = self._context
         if envelope.sender == context.name:
             return
--- a/packages/fleet-membership/src/fleet_membership/probing.py
+++ b/packages/fleet-membership/src/fleet_membership/probing.py
@@ -1,7 +1,7 @@
 """Probing: direct, then indirect probes of all members in random order (SWIM, sections 3.1 and 4.3).
 
-A probe lasts one interval.  Members asked for an indirect probe answer ``Nack`` if the target is silent: a
-missing ``Nack`` is a sign of bad health of this router, not of the target (Lifeguard, section IV.A).
+A probe lasts one interval.  A member asked for an indirect probe answers ``Nack`` if the target stays silent:
+a missing ``Nack`` is evidence of bad health of this router, not of the target (Lifeguard, section IV.A).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ProbeState(Enum):
-    """Whether and how a probe of this router was answered."""
+    """Whether and how a probe sent by this router was answered."""
 
     WAITING = "waiting"
     ANSWERED_INDIRECTLY = "answered indirectly"
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class PendingProbe:
-    """The probe of the current interval; ``helpers`` were asked to probe indirectly."""
+    """The probe of the current interval; ``helpers`` are the members asked for an indirect probe."""
 
     probe_id: int
     target: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe that is sent on behalf of ``origin``, which numbered it ``origin_probe_id``."""
+    """A probe sent on behalf of ``origin``, whose own id for it is ``origin_probe_id``."""
 
     origin: str
     origin_probe_id: int
@@ -55,26 +55,26 @@
 
 @dataclass(frozen=True, slots=True)
 class AnsweredProbe:
-    """A probe that its target answered, directly or through others."""
+    """A probe that its target answered, directly or through another member."""
 
     target: str
     sent_ms: float
 
 
 class Prober:
-    """Probes one member in each interval, and probes members for others."""
+    """Probes one member in each interval, and relays probes for other members."""
 
     def __init__(self, context: MemberContext, verdicts: FailureVerdicts) -> None:
         self._context = context
         self._verdicts = verdicts
-        self._round: list[str] = []
+        self._round_names: list[str] = []
         self._pending: PendingProbe | None = None
         self._relayed: dict[int, RelayedProbe] = {}
 
     def probe_next(self, now: float) -> None:
-        """Conclude the probe of the last interval and send the next one."""
+        """Evaluate the probe of the last interval and send the next one."""
         context = self._context
-        self._conclude(now)
+        self._conclude_probe(now)
         multiplier = context.local_health.multiplier
         context.schedule.add(now + context.settings.probe_every_ms * multiplier, ProbeNextMember())
         member = self._next_member()
@@ -85,13 +85,13 @@
         context.send_to_member(member, Probe(probe.probe_id, probe.target))
         self._schedule_timeout(now, probe.probe_id)
 
-    def abandon(self) -> None:
-        """Forget all probes: this process was paused, so that missing answers show nothing."""
+    def discard_probes(self) -> None:
+        """Discard all pending probes: this process was paused, so missing answers prove nothing."""
         self._pending = None
         self._relayed.clear()
 
     def handle_timeout(self, now: float, probe_id: int) -> None:
-        """Probe a silent target indirectly and once more directly; repeat this until the interval ends."""
+        """Probe an unresponsive target indirectly and again directly; repeat until the interval ends."""
         context = self._context
         probe = self._pending
         if probe is None or probe.probe_id != probe_id or probe.state is not ProbeState.WAITING:
@@ -121,7 +121,7 @@
         context.schedule.add(nack_ms, RelayedProbeTimeout(probe_id))
 
     def handle_relayed_timeout(self, now: float, probe_id: int) -> None:
-        """Send ``Nack`` for an unanswered relayed probe; forget it one interval later."""
+        """Send ``Nack`` for an unanswered relayed probe; discard the probe one interval later."""
         context = self._context
         relayed = self._relayed.get(probe_id)
         if relayed is None:
@@ -135,7 +135,7 @@
         context.schedule.add(now + context.settings.probe_every_ms, RelayedProbeTimeout(probe_id))
 
     def handle_ack(self, sender: str, probe_id: int) -> AnsweredProbe | None:
-        """Handle an acknowledgement; return the probe of this router that it answers, if any."""
+        """Handle an acknowledgement; return this router's probe that it answers, or None."""
         relayed = self._relayed.pop(probe_id, None)
         if relayed is not None:
             origin = self._context.table.get(relayed.origin)
@@ -156,7 +156,7 @@
         return AnsweredProbe(probe.target, probe.sent_ms)
 
     def handle_nack(self, sender: str, probe_id: int) -> None:
-        """Record that a helper has not got an answer from the target yet."""
+        """Record that a helper is reachable but has no answer from the target yet."""
         probe = self._pending
         if probe is not None and probe.probe_id == probe_id and sender in probe.helpers:
             probe.nacked_by.add(sender)
@@ -165,7 +165,7 @@
         timeout_ms = self._context.settings.probe_timeout_ms * self._context.local_health.multiplier
         self._context.schedule.add(now + timeout_ms, ProbeTimeout(probe_id))
 
-    def _conclude(self, now: float) -> None:
+    def _conclude_probe(self, now: float) -> None:
         context = self._context
         probe = self._pending
         self._pending = None
@@ -183,10 +183,10 @@
     def _update_link(self, member: Member, probe: PendingProbe) -> None:
         if probe.state is ProbeState.ANSWERED_DIRECTLY:
             member.missed_probes = 0
-            member.missing_since_ms = float("inf")
+            member.first_missed_ms = float("inf")
         else:
             member.missed_probes += 1
-            member.missing_since_ms = min(member.missing_since_ms, probe.sent_ms)
+            member.first_missed_ms = min(member.first_missed_ms, probe.sent_ms)
         link = self._link_after(member, probe)
         if link is not member.link:
             member.link = link
@@ -199,19 +199,19 @@
         if member.missed_probes < MIN_MISSED_PROBES:
             return member.link
         timeout_ms = self._context.settings.probe_timeout_ms * self._context.local_health.multiplier
-        if member.last_heard_ms > member.missing_since_ms + timeout_ms:
+        if member.last_heard_ms > member.first_missed_ms + timeout_ms:
             return LinkState.ONE_WAY
         if probe.state is ProbeState.ANSWERED_INDIRECTLY:
             return LinkState.INDIRECT
         return member.link
 
     def _next_member(self) -> Member | None:
-        """Return the next live member, round-robin in an order shuffled for each round; None if alone."""
+        """Return the next live member, round-robin in a new random order per round; None if there is none."""
         for _ in range(2):
-            while self._round:
-                member = self._context.table.get(self._round.pop())
+            while self._round_names:
+                member = self._context.table.get(self._round_names.pop())
                 if member is not None and member.is_live:
                     return member
             names = [member.update.name for member in self._context.table.others(*LIVE_STATES)]
-            self._round = self._context.sample(names, len(names))
+            self._round_names = self._context.sample(names, len(names))
         return None
--- a/packages/fleet-membership/src/fleet_membership/quorum.py
+++ b/packages/fleet-membership/src/fleet_membership/quorum.py
@@ -10,10 +10,10 @@
 from fleet_membership.tasks import EndRejoin, ProbeVoters
 from fleet_membership.view import PartitionMode
 
-# Probe intervals within which a voter must have answered while this router's health is bad.
+# While this router's health is bad, a voter must have answered within this many probe intervals.
 RECENT_PROBE_INTERVALS = 5.0
 
-# Probes of voters that may still be answered; the oldest is forgotten first.
+# Maximum number of unanswered probes of voters that are kept; the oldest is dropped first.
 MAX_PENDING_PROBES = 64
 
 # The time of an event that has not happened.
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _VoterProbe:
-    """A probe of a voter that was not answered yet."""
+    """A probe of a voter that has not been answered yet."""
 
     target: str
     sent_ms: float
@@ -31,11 +31,11 @@
 class VoterQuorum:
     """Determines whether a majority of the voters is reachable, and the partition mode.
 
-    A voter counts while it is alive in this router's table and has answered a probe sent since this process
-    started or last resumed after a pause: answers from before a pause do not count.
+    A voter counts as reachable while it is alive in this router's table and has answered a probe sent since
+    this process started or last resumed after a pause: answers from before a pause do not count.
 
     While the local health is bad the voters are probed in each interval, and count only if they answered
-    recently: a partitioned router misses many answers, so its own health is bad and its suspicions take long.
+    recently: a partitioned router misses many answers, so its health is bad and its suspicions expire late.
     """
 
     def __init__(self, context: MemberContext) -> None:
@@ -46,11 +46,11 @@
         self._valid_since_ms = NEVER
         self._rejoin_until_ms = NEVER
         self._last_healthy_ms = 0.0
-        self._answered_ms: dict[str, float] = {}  # by voter: when its newest answered probe was sent
+        self._answered_ms: dict[str, float] = {}  # by voter: send time of its newest answered probe
         self._pending: dict[int, _VoterProbe] = {}
 
     def restart(self, now: float) -> None:
-        """Forget all answers: the process starts, or resumes after a pause."""
+        """Discard all answers after a start of the process or a pause, and begin to rejoin."""
         self._valid_since_ms = now
         self._rejoin_until_ms = now + self._context.settings.rejoin_ms
         self._last_healthy_ms = now
@@ -59,7 +59,7 @@
         self._context.schedule.add(self._rejoin_until_ms, EndRejoin())
 
     def probe_voters(self, now: float) -> None:
-        """Probe the voters without a valid answer, or all while the local health is bad."""
+        """Probe the voters without a valid answer, or all voters while the local health is bad."""
         context = self._context
         context.schedule.add(now + context.settings.probe_every_ms, ProbeVoters())
         healthy = context.local_health.score == 0
@@ -77,18 +77,18 @@
             context.send_to_member(member, Probe(probe_id, name))
 
     def handle_ack(self, sender: str, probe_id: int) -> None:
-        """Handle an acknowledgement, which may answer a probe of a voter."""
+        """Handle an acknowledgement, which may belong to a probe of a voter."""
         probe = self._pending.pop(probe_id, None)
         if probe is not None and probe.target == sender:
             self.record_answer(probe.target, probe.sent_ms)
 
     def record_answer(self, name: str, sent_ms: float) -> None:
-        """Record that a member answered a probe sent at ``sent_ms``, itself or through others."""
+        """Record that a member answered a probe sent at ``sent_ms``, directly or through another member."""
         if name in self._context.settings.voters and sent_ms >= self._valid_since_ms:
             self._answered_ms[name] = max(sent_ms, self._answered_ms.get(name, sent_ms))
 
     def evaluate(self, now: float) -> None:
-        """Determine the majority and the mode again, and report changes to the log."""
+        """Update ``has_majority`` and ``mode``, and report changes to the log."""
         context = self._context
         voters = context.settings.voters
         reachable_count = sum(1 for name in voters if self._is_reachable(now, name))
--- a/packages/fleet-membership/src/fleet_membership/settings.py
+++ b/packages/fleet-membership/src/fleet_membership/settings.py
@@ -18,23 +18,23 @@
 
 @dataclass(frozen=True)
 class MembershipSettings:
-    """Who this member is, whom it contacts, and its timeouts in ms.
+    """The identity of this member, the members it contacts, and its timeouts in ms.
 
     The names of the fields after ``incarnation`` are the keys of the operators' settings (docs/FLEET.md).
 
     - ``incarnation`` must be higher at each start under the same name (Unix ms will do); if a peer knows a
       higher one, the member takes one above that.
-    - ``voters`` are names, of which a majority decides; ``seeds`` are contacted first.
-    - ``indirect``: members asked for an indirect probe.
-    - ``suspicion_most_ms`` is the suspicion timeout without, ``suspicion_least_ms`` with enough
-      confirmations; both times log10 of the members (at least 1) and the local health multiplier.
-    - ``rejoin_ms``: how long after a start or a pause the voters have to answer.
-    - ``tombstone_ms``: how long a member that failed or left is remembered.
+    - ``voters``: names whose majority forms the quorum; ``seeds``: addresses that are contacted first.
+    - ``indirect``: how many members are asked for an indirect probe.
+    - ``suspicion_most_ms`` is the suspicion timeout without confirmations, ``suspicion_least_ms`` that with
+      enough; both are multiplied by log10 of the members (at least 1) and the local health multiplier.
+    - ``rejoin_ms``: time that the voters have to answer after a start or a pause.
+    - ``tombstone_ms``: how long a member that failed or left stays in the table.
     - ``pause_ms``: lateness of a timer that counts as a pause of this process; a pause longer than
-      ``probe_every_ms`` also ends its majority.
-    - ``retransmit``: transmissions of an update, times log10 of the members.
-    - ``members_most``: size of the member table.
-    - A member suspected more than ``flaps_most`` times within ``flap_window_ms`` flaps: it is shown as
+      ``probe_every_ms`` also ends its majority until the voters answer again.
+    - ``retransmit``: an update is sent this many times log10(members + 1).
+    - ``members_most``: maximum number of members in the table.
+    - A member suspected more than ``flaps_most`` times within ``flap_window_ms`` is flapping: it is shown as
       suspect for ``flap_hold_ms``, doubled each further time up to ``flap_hold_most_ms``.
 
     Raises InvalidSettingError, or another ValueError for an address.
--- a/packages/fleet-membership/src/fleet_membership/tasks.py
+++ b/packages/fleet-membership/src/fleet_membership/tasks.py
@@ -1,4 +1,4 @@
-"""What a member has to do at a later time; ``TaskSchedule`` keeps these, ``Membership`` carries them out."""
+"""The delayed tasks of a member; ``TaskSchedule`` stores them and ``Membership`` runs them."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeNextMember:
-    """A probe interval ends: conclude its probe and begin the next."""
+    """A probe interval ends: evaluate its probe and send the next one."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeVoters:
-    """Probe the voters whose answers the majority depends on."""
+    """Probe the voters, all of them or those without a valid answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTimeout:
-    """The target of a probe may not have answered in time."""
+    """The timeout of a probe; ignored if its target has answered."""
 
     probe_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedProbeTimeout:
-    """The target of a probe that was sent for another member may not have answered in time."""
+    """The timeout of a probe sent for another member; ignored if its target has answered."""
 
     probe_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuspicionTimeout:
-    """The suspicion of a member may have expired."""
+    """The timeout of a suspicion; ignored if the member is no longer suspected."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeSuspect:
-    """Give a suspect one more chance to refute before its suspicion expires."""
+    """Probe a suspect again, so that it can refute before its suspicion expires."""
 
     name: str
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DropTombstones:
-    """Forget the members that failed or left long ago."""
+    """Remove members that failed or left more than ``tombstone_ms`` ago."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRejoin:
-    """The time to rejoin is over: a router without a majority is in a minority or isolated."""
+    """The time to rejoin ends: a router without a majority is then in a minority or isolated."""
 
 
 Task = (
--- a/packages/fleet-membership/src/fleet_membership/view.py
+++ b/packages/fleet-membership/src/fleet_membership/view.py
@@ -1,4 +1,4 @@
-"""The view of the fleet that a member gives to the other components of its router."""
+"""The view of the fleet that a member provides to the other components of its router."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PartitionMode(Enum):
-    """The side of a possible partition that this router is on; the values are those of the log."""
+    """The side of a possible partition that this router is on; the values appear in the log."""
 
     # A majority of the voters is reachable.
     WITH_MAJORITY = "with-majority"
@@ -24,21 +24,21 @@
 
 
 class LinkState(Enum):
-    """How a member is reached from this router; the values are those of the log."""
+    """How a member is reached from this router; the values appear in the log."""
 
-    # Probes are answered.
+    # Probes are answered directly.
     DIRECT = "direct"
     # Probes are answered through other members only.
     INDIRECT = "indirect"
     # Probes are not answered directly, but the member's datagrams arrive.
     ONE_WAY = "one-way"
-    # The member was suspected too often, and is shown as suspect for some time.
+    # The member was suspected too often, and is shown as suspect for a hold time.
     FLAPPING = "flapping"
 
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """One member as this router sees it."""
+    """The state of one member as known to this router."""
 
     name: str
     address: Address
@@ -51,9 +51,9 @@
 class MembershipView:
     """An immutable snapshot of the fleet.
 
-    ``members`` includes this router.  ``majority_since_ms`` is when ``has_majority`` last changed, on the
-    caller's monotonic clock.  ``local_health`` is Lifeguard's score, 0 being healthy: probe and suspicion
-    timeouts are multiplied by 1 + ``local_health``.
+    ``members`` includes this router.  ``majority_since_ms`` is the time of the last change of
+    ``has_majority`` on the caller's monotonic clock.  ``local_health`` is Lifeguard's score, 0 being
+    healthy: probe and suspicion timeouts are multiplied by 1 + ``local_health``.
     """
 
     version: int
--- a/packages/fleet-membership/tests/membership_cluster.py
+++ b/packages/fleet-membership/tests/membership_cluster.py
@@ -1,4 +1,4 @@
-"""Members on a simulated network, for tests."""
+"""A simulated cluster of members, for tests."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from sansio_core import Action, Address, Notice, RandomSource
 
 SECRET = bytes(range(16))
-STRANGER = ("127.0.0.1", 9)  # an address at which no member is
+UNUSED_ADDRESS = ("127.0.0.1", 9)  # the address of no member
 POLL_MS = 500.0
 
 
-class Observed(NamedTuple):
-    """A notice, and who gave it at which simulated time."""
+class ObservedNotice(NamedTuple):
+    """A notice, with the member that emitted it and the simulated time in ms."""
 
     at_ms: float
     observer: str
@@ -31,15 +31,15 @@
 
 
 class MembershipCluster(SimulatedCluster):
-    """Members ``r0``, ``r1``...; records all notices and datagrams.
+    """Members ``r0``, ``r1`` and so on; records all notices and sent datagrams.
 
-    ``overrides`` has settings of single members that differ from the others'.
+    ``overrides`` holds the settings by member that differ from the defaults.
     """
 
     def __init__(self, count: int, voters: int = 3, seed: int = 1, loss: float = 0.0) -> None:
         names = [f"r{index}" for index in range(count)]
         self.voters = tuple(names[:voters])
-        self.observed: list[Observed] = []
+        self.observed: list[ObservedNotice] = []
         self.sent: list[bytes] = []
         self.overrides: dict[str, dict[str, Any]] = {}
         self.user_message_handlers: dict[str, UserMessageHandler] = {}
@@ -52,7 +52,7 @@
         return ""
 
     def _record_notice(self, node: Node, notice: Notice) -> None:
-        self.observed.append(Observed(self.now, node.name, notice))
+        self.observed.append(ObservedNotice(self.now, node.name, notice))
 
     def build_member(
         self, name: str, address: Address, incarnation: int, random: RandomSource, disk: object
@@ -78,7 +78,7 @@
     def heal_partition(self) -> None:
         self.heal("partition")
 
-    def running(self) -> list[Node]:
+    def running_nodes(self) -> list[Node]:
         return [node for node in self.nodes.values() if node.is_running]
 
     def member(self, name: str) -> Membership:
@@ -87,18 +87,18 @@
     def view(self, name: str) -> MembershipView:
         return self.member(name).view(self.nodes[name].monotonic_ms(self.now))
 
-    def state(self, of: str, seen_by: str) -> MemberState | None:
-        member = self.view(seen_by).members.get(of)
+    def state(self, name: str, seen_by: str) -> MemberState | None:
+        member = self.view(seen_by).members.get(name)
         return member.state if member else None
 
-    def states(self, of: str) -> set[MemberState | None]:
-        """Return the states of a member as the others see it."""
-        return {self.state(of, node.name) for node in self.running() if node.name != of}
+    def states(self, name: str) -> set[MemberState | None]:
+        """Return the states of a member in the views of the other running members."""
+        return {self.state(name, node.name) for node in self.running_nodes() if node.name != name}
 
     def modes(self) -> dict[str, PartitionMode]:
-        return {node.name: self.view(node.name).mode for node in self.running()}
+        return {node.name: self.view(node.name).mode for node in self.running_nodes()}
 
-    def notices(self, event: str, **fields: object) -> list[Observed]:
+    def notices(self, event: str, **fields: object) -> list[ObservedNotice]:
         return [
             observed
             for observed in self.observed
@@ -110,13 +110,13 @@
             self.carry_out(self.nodes[name], action)
 
     def datagrams_from(self, sender: str) -> list[Envelope]:
-        """Return what a member sent, in order."""
+        """Return the decoded datagrams that a member sent, in order."""
         codec = Codec("fleet", SECRET)
         return [envelope for envelope in map(codec.decode, self.sent) if envelope.sender == sender]
 
     def converged(self) -> bool:
-        """Whether all that run see each other alive, in the same incarnations, and with a majority."""
-        names = {node.name for node in self.running()}
+        """Return whether all running members agree that all of them are alive, and all have a majority."""
+        names = {node.name for node in self.running_nodes()}
         views = [self.view(name) for name in names]
         expected = {(name, MemberState.ALIVE, self.view(name).members[name].incarnation) for name in names}
         tables = [
--- a/packages/fleet-membership/tests/test_membership_components.py
+++ b/packages/fleet-membership/tests/test_membership_components.py
@@ -1,4 +1,4 @@
-"""The components of a member: the member table, suspicions and the broadcast queue."""
+"""Tests of the components of a member: member table, suspicions and broadcast queue."""
 
 from __future__ import annotations
 
@@ -32,31 +32,35 @@
 
 @settings(derandomize=True)
 @given(st.lists(claims, max_size=12), st.randoms(use_true_random=False))
-def test_tables_agree_whatever_the_order_of_the_claims(updates: list[Update], source: random.Random) -> None:
+def test_tables_agree_whatever_order_the_claims_are_applied_in(
+    updates: list[Update], source: random.Random
+) -> None:
     shuffled = list(updates)
     source.shuffle(shuffled)
     first = table_after(updates)
     second = table_after(shuffled + updates)
     assert [member.update for member in first.members()] == [member.update for member in second.members()]
     assert first.digests() == second.digests()
-    assert first.differing(second.digests()) == []
+    assert first.differing_claims(second.digests()) == []
 
 
 @settings(derandomize=True)
 @given(st.lists(claims, max_size=12), st.lists(claims, max_size=12))
-def test_tables_that_exchange_differing_claims_agree_on_the_live(a: list[Update], b: list[Update]) -> None:
+def test_tables_that_exchange_differing_claims_agree_on_live_members(
+    a: list[Update], b: list[Update]
+) -> None:
     first = table_after(a)
     second = table_after(b)
-    for update in first.differing(second.digests()):
+    for update in first.differing_claims(second.digests()):
         second.apply(0.0, update)
-    for update in second.differing(first.digests()):
+    for update in second.differing_claims(first.digests()):
         first.apply(0.0, update)
     assert live_incarnations(first) == live_incarnations(second)
 
 
 @settings(derandomize=True)
 @given(st.integers(0, 100), st.lists(st.sampled_from("abcdef")), st.integers(1, 9))
-def test_a_suspicion_shrinks_with_confirmations_within_its_bounds(
+def test_the_timeout_of_a_suspicion_shrinks_with_confirmations_within_its_bounds(
     possible_confirmers: int, accusers: list[str], multiplier: int
 ) -> None:
     suspicion = Suspicion(100.0, 1000.0, 5000.0, possible_confirmers, "a")
@@ -72,7 +76,7 @@
     assert not suspicion.confirm("a")
 
 
-def test_an_update_is_broadcast_a_bounded_number_of_times_and_the_newest_first() -> None:
+def test_an_update_is_broadcast_a_bounded_number_of_times_and_the_newest_is_sent_first() -> None:
     queue = BroadcastQueue(4.0)
     first, second = (Update(name, ADDRESS, 1, MemberState.ALIVE) for name in "ab")
     queue.enqueue(first)
@@ -82,10 +86,10 @@
     suspicions = [Update("a", ADDRESS, 1, MemberState.SUSPECT, accuser) for accuser in "xy"]
     for update in suspicions:
         queue.enqueue(update)
-    assert first not in queue.next_batch()  # the suspicions replace it
+    assert first not in queue.next_batch()  # the suspicions have replaced it
     assert set(suspicions) < set(queue.next_batch())  # two accusers confirm each other
     transmissions = 0
     while queue.next_batch():
         queue.mark_sent(queue.next_batch()[:1], 99)
         transmissions += 1
-    assert transmissions == 3 * 8  # 4 x log10(100), for each of the three
+    assert transmissions == 3 * 8  # 4 * log10(100) transmissions of each of the three updates
--- a/packages/fleet-membership/tests/test_membership_scenarios.py
+++ b/packages/fleet-membership/tests/test_membership_scenarios.py
@@ -1,4 +1,4 @@
-"""Members on a simulated network: crashes, pauses, partitions, loss and forged datagrams."""
+"""Tests of members on a simulated network: crashes, pauses, partitions, loss and forged datagrams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     Probe,
     UserMessage,
 )
-from membership_cluster import SECRET, STRANGER, MembershipCluster
+from membership_cluster import SECRET, UNUSED_ADDRESS, MembershipCluster
 from sansio_core import MAX_DATAGRAM_BYTES
 
 FAILED = MemberState.FAILED
@@ -19,7 +19,7 @@
 SUSPECT = MemberState.SUSPECT
 
 
-def started(count: int = 5) -> MembershipCluster:
+def converged_cluster(count: int = 5) -> MembershipCluster:
     cluster = MembershipCluster(count).start_all()
     assert cluster.converges_within(5000.0)
     return cluster
@@ -37,13 +37,13 @@
     assert max(map(len, cluster.sent)) <= MAX_DATAGRAM_BYTES
 
 
-def test_a_crash_is_seen_by_all_and_a_restart_rejoins_with_any_incarnation() -> None:
-    cluster = started()
+def test_all_members_detect_a_crash_and_a_restart_rejoins_with_any_incarnation() -> None:
+    cluster = converged_cluster()
     cluster.kill("r1")
     cluster.run_for(10_000.0)
     assert cluster.states("r1") == {FAILED}
     assert cluster.view("r0").has_majority
-    for incarnation in (0, 1, 9):  # below, at and above what is known
+    for incarnation in (0, 1, 9):  # below, at and above the known incarnation
         cluster.overrides["r1"] = {"incarnation": incarnation}
         cluster.start("r1")
         assert cluster.converges_within(10_000.0)
@@ -51,8 +51,8 @@
         cluster.run_for(10_000.0)
 
 
-def test_a_paused_member_fails_nobody_and_rejoins_soon() -> None:
-    cluster = started()
+def test_a_paused_member_declares_no_member_failed_and_rejoins_soon() -> None:
+    cluster = converged_cluster()
     cluster.pause("r0")
     cluster.run_for(30_000.0)
     assert cluster.states("r0") == {FAILED}
@@ -66,8 +66,8 @@
     assert not {"suspect", "failed"} & set(states)
 
 
-def test_two_sides_of_a_partition_fail_each_other_and_merge_again() -> None:
-    cluster = started()
+def test_two_sides_of_a_partition_declare_each_other_failed_and_merge_when_it_heals() -> None:
+    cluster = converged_cluster()
     cluster.partition(["r0", "r1"], ["r2", "r3", "r4"])
     cluster.run_for(60_000.0)
     majority = dict.fromkeys(["r0", "r1"], PartitionMode.WITH_MAJORITY)
@@ -93,19 +93,19 @@
 
 
 def test_an_isolated_member_degrades_its_local_health() -> None:
-    cluster = started()
+    cluster = converged_cluster()
     cluster.partition(["r0"], ["r1", "r2", "r3", "r4"])
     cluster.run_for(10_000.0)
     assert cluster.view("r0").local_health > 0
     assert {cluster.view(name).local_health for name in cluster.nodes if name != "r0"} == {
         0
-    }  # their helpers sent Nack
+    }  # the members that they asked for indirect probes sent Nack
     cluster.run_for(120_000.0)
     assert cluster.modes()["r0"] is PartitionMode.ISOLATED
 
 
-def test_a_one_way_cut_is_named_and_fails_nobody() -> None:
-    cluster = started()
+def test_a_one_way_cut_is_shown_as_link_state_and_no_member_fails() -> None:
+    cluster = converged_cluster()
     cluster.cut([("r0", "r3")], "partition")
     cluster.run_for(30_000.0)
     assert cluster.view("r0").members["r3"].link is LinkState.ONE_WAY
@@ -116,19 +116,19 @@
     assert cluster.view("r0").members["r3"].link is LinkState.DIRECT
 
 
-def test_a_member_that_receives_nothing_fails_and_rejoins() -> None:
-    cluster = started()
+def test_a_member_that_receives_nothing_is_declared_failed_and_rejoins() -> None:
+    cluster = converged_cluster()
     cluster.cut([(name, "r0") for name in cluster.nodes], "partition")
     cluster.run_for(8000.0)
-    assert cluster.modes()["r0"] is PartitionMode.MINORITY  # soon, though it suspects others only slowly
+    assert cluster.modes()["r0"] is PartitionMode.MINORITY  # although its suspicions expire late
     cluster.run_for(12_000.0)
     assert cluster.states("r0") == {FAILED}
     cluster.heal_partition()
     assert cluster.converges_within(20_000.0)
 
 
-def test_a_flapping_member_is_named_and_shown_as_suspect_for_longer_each_time() -> None:
-    cluster = started()
+def test_a_flapping_member_is_shown_as_flapping_and_as_suspect_for_longer_each_time() -> None:
+    cluster = converged_cluster()
     for _ in range(6):
         cluster.partition(["r1"], ["r0", "r2", "r3", "r4"])
         cluster.run_for(4000.0)
@@ -136,7 +136,7 @@
         cluster.run_for(5000.0)
     assert cluster.view("r0").members["r1"].link is LinkState.FLAPPING
     assert cluster.state("r1", seen_by="r0") is SUSPECT
-    assert cluster.view("r0").has_majority  # of the stable voters
+    assert cluster.view("r0").has_majority  # formed by the stable voters
     flaps = [observed for observed in cluster.notices("link", link="flapping") if observed.observer == "r0"]
     holds = [observed.notice.fields["hold_ms"] for observed in flaps]
     assert holds == sorted(holds)
@@ -145,15 +145,15 @@
 
 
 @pytest.mark.parametrize(("count", "loss"), [(5, 0.05), (5, 0.2), (20, 0.2)])
-def test_loss_fails_nobody(count: int, loss: float) -> None:
+def test_no_member_fails_under_datagram_loss(count: int, loss: float) -> None:
     cluster = MembershipCluster(count, loss=loss).start_all()
     cluster.run_for(90_000.0)
     assert not cluster.notices("member", state="failed")
     assert cluster.converged()
 
 
-def test_a_leave_is_no_failure_and_its_tombstone_expires() -> None:
-    cluster = started()
+def test_a_leave_is_not_a_failure_and_its_tombstone_expires() -> None:
+    cluster = converged_cluster()
     cluster.leave("r4")
     cluster.run_for(3000.0)
     assert cluster.states("r4") == {LEFT}
@@ -162,8 +162,8 @@
     assert not cluster.notices("member", name="r4", state="suspect")
 
 
-def test_all_voters_restarted_at_once_form_a_majority_again() -> None:
-    cluster = started()
+def test_all_voters_restarted_at_the_same_time_form_a_majority_again() -> None:
+    cluster = converged_cluster()
     for name in cluster.voters:
         cluster.kill(name)
     cluster.run_for(500.0)
@@ -173,19 +173,19 @@
 
 
 def test_foreign_forged_and_replayed_datagrams_are_rejected_and_change_nothing() -> None:
-    cluster = started()
+    cluster = converged_cluster()
     view = cluster.view("r0")
     for codec in (Codec("other", SECRET), Codec("fleet", SECRET[::-1])):
-        cluster.inject("r0", STRANGER, codec.encode("x", 1, Probe(1, "r0")).data)
-    cluster.inject("r0", STRANGER, b"?")
-    cluster.inject("r0", STRANGER, cluster.network.recorded("r1", "r0")[-1].data)
+        cluster.inject("r0", UNUSED_ADDRESS, codec.encode("x", 1, Probe(1, "r0")).data)
+    cluster.inject("r0", UNUSED_ADDRESS, b"?")
+    cluster.inject("r0", UNUSED_ADDRESS, cluster.network.recorded("r1", "r0")[-1].data)
     cluster.run_for(0.0)
     reasons = [observed.notice.fields["cause"] for observed in cluster.notices("refused")]
     assert reasons == ["fleet", "tag", "size", "replay"]
     assert cluster.view("r0") is view
 
 
-def test_bytes_sent_by_a_member_do_not_grow_with_the_fleet() -> None:
+def test_bytes_sent_by_a_member_do_not_grow_with_the_fleet_size() -> None:
     rates = []
     for count in (5, 40):
         cluster = MembershipCluster(count).start_all()
@@ -222,7 +222,9 @@
         ("seeds", (("localhost", 1),), "Expected 4 octets"),
     ],
 )
-def test_invalid_settings_raise_and_are_named(setting: str, value: object, message: str) -> None:
+def test_invalid_settings_raise_an_error_that_names_the_setting(
+    setting: str, value: object, message: str
+) -> None:
     settings = MembershipSettings("a", ("127.0.0.1", 1), "f", SECRET, (), ("a",), 1)
     with pytest.raises(ValueError, match=message):
         replace(settings, **{setting: value})  # type: ignore[arg-type]
--- a/packages/fleet-membership/tests/test_suspicion_and_sync.py
+++ b/packages/fleet-membership/tests/test_suspicion_and_sync.py
@@ -1,10 +1,10 @@
-"""One member among scripted peers: suspicions, probes of suspects, and table exchanges."""
+"""Tests of one member with scripted peers: suspicions, probes of suspects, and table exchanges."""
 
 from __future__ import annotations
 
 import pytest
 from gossip_codec import Codec, MemberState, Message, Probe, Sync, Update, UpdateBatch, pack_address
-from membership_cluster import SECRET, STRANGER, MembershipCluster
+from membership_cluster import SECRET, UNUSED_ADDRESS, MembershipCluster
 
 ALIVE = MemberState.ALIVE
 SUSPECT = MemberState.SUSPECT
@@ -12,7 +12,7 @@
 
 
 class ScriptedPeers(MembershipCluster):
-    """The member ``r0`` among peers that send only what the test makes them send."""
+    """The member ``r0`` with peers that send only the messages of the test."""
 
     def __init__(self, *names: str) -> None:
         super().__init__(1 + len(names), voters=1)
@@ -22,7 +22,7 @@
 
     def send(self, sender: str, message: Message, *updates: Update) -> None:
         data = self.codecs[sender].encode(sender, 1, message, updates).data
-        self.inject("r0", STRANGER, data)
+        self.inject("r0", UNUSED_ADDRESS, data)
 
     def claim(self, sender: str, state: MemberState, *names: str) -> None:
         accuser = sender if state is SUSPECT else ""
@@ -32,7 +32,7 @@
         self.run_for(0.0)
 
 
-def test_a_pause_during_a_suspicion_or_a_probe_counts_against_nobody() -> None:
+def test_a_pause_during_a_suspicion_or_a_probe_counts_against_no_peer() -> None:
     cluster = ScriptedPeers("a", "b", "c", "d", "e")
     cluster.claim("b", SUSPECT, "a")
     cluster.run_for(1100.0)  # a probe is pending
@@ -43,8 +43,8 @@
         cluster.claim(accuser, SUSPECT, "a")
     assert cluster.state("a", seen_by="r0") is SUSPECT
     cluster.run_for(950.0)
-    assert cluster.view("r0").local_health == 1  # for the pause alone
-    cluster.run_for(40_000.0)  # nobody answers, so the local health is at its worst
+    assert cluster.view("r0").local_health == 1  # degraded by the pause alone
+    cluster.run_for(40_000.0)  # no peer answers, so the local health reaches its worst score
     assert cluster.state("a", seen_by="r0") is FAILED
 
 
@@ -62,7 +62,7 @@
     assert probed == set(names)
 
 
-def test_tables_are_exchanged_eagerly_while_they_differ_and_with_strangers_once_an_interval() -> None:
+def test_tables_are_exchanged_sooner_while_they_differ_and_with_unknown_senders_once_per_interval() -> None:
     cluster = ScriptedPeers("a")
     cluster.run_for(10_000.0)
     for prefix, message, within_ms in (
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("is_reply", [False, True])
-def test_a_sync_is_answered_by_claims_and_by_a_sync_unless_it_is_a_reply(is_reply: bool) -> None:
+def test_a_sync_is_answered_with_claims_and_with_a_sync_unless_it_is_a_reply(is_reply: bool) -> None:
     cluster = ScriptedPeers("a")
     cluster.sent.clear()
     cluster.send("a", Sync(bytes(128), is_reply))
