--- a/packages/gossip-codec/src/gossip_codec/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -1,4 +1,4 @@
-"""The datagram: version (1 byte), fleet id (8), body (msgpack), tag (16); 256 bytes at most.
+"""The datagram format: version (1 byte), fleet id (8), msgpack body, tag (16); at most 256 bytes.
 
 The tag is HMAC-SHA256 (RFC 2104) with the fleet's secret over everything before it, truncated to 16 bytes and
 compared in constant time.  The body is authenticated, not encrypted.
@@ -21,21 +21,21 @@
 # The first byte of each datagram.
 FORMAT_VERSION = 1
 
-# Bytes of the hash that identifies the fleet.
+# Length in bytes of the hash that identifies the fleet.
 FLEET_ID_BYTES = 8
 
-# Bytes of the authentication tag.
+# Length in bytes of the authentication tag.
 TAG_BYTES = 16
 
-# Bytes before the body.
+# Length in bytes of the part before the body.
 HEADER_BYTES = 1 + FLEET_ID_BYTES
 
-# Minimum length of a secret; a shorter one could be guessed.
+# Minimum length in bytes of a secret; a shorter one could be guessed.
 MIN_SECRET_BYTES = 16
 
 
 class RejectReason(Enum):
-    """Why a datagram was rejected; the values are those of the log."""
+    """Why a datagram was rejected; the values appear in the log."""
 
     SIZE = "size"
     VERSION = "version"
@@ -48,8 +48,8 @@
 class DatagramRejectedError(Exception):
     """A datagram was not accepted.
 
-    ``envelope`` is set with ``RejectReason.REPLAY`` alone: its author knows the secret, its sender
-    may be anyone.
+    ``envelope`` is set with ``RejectReason.REPLAY`` only: its author knows the secret, but whoever
+    sent it may be an attacker.
     """
 
     def __init__(self, reason: RejectReason, envelope: Envelope | None = None) -> None:
@@ -66,7 +66,7 @@
 
 
 class MessageTooLargeError(ValueError):
-    """A message that does not fit into a datagram."""
+    """A message that does not fit into a datagram; ``body_bytes`` is its encoded length."""
 
     def __init__(self, body_bytes: int) -> None:
         super().__init__(f"a message of {body_bytes} bytes is too large for a datagram")
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedDatagram:
-    """A datagram, and how many of the updates offered, from the first on, fitted into it."""
+    """A datagram; ``updates_packed`` is the number of offered updates, from the first on, that it holds."""
 
     data: bytes
     updates_packed: int
 
 
 class Codec:
-    """Encodes and decodes one router's datagrams; numbers those sent and rejects replayed ones."""
+    """Encodes and decodes one router's datagrams; numbers sent datagrams and rejects replayed ones."""
 
     def __init__(self, fleet: str, secret: bytes, window: ReplayWindow | None = None) -> None:
         """Raise ShortSecretError if the secret is too short."""
@@ -100,7 +100,7 @@
     ) -> EncodedDatagram:
         """Encode a message with as many of ``updates`` as fit.
 
-        Raises MessageTooLargeError if the message alone does not.
+        Raises MessageTooLargeError if the message does not fit even without updates.
         """
         self._sequence += 1
         body = self._encoder.encode(Envelope(sender, incarnation, self._sequence, message))
--- a/packages/gossip-codec/src/gossip_codec/messages.py
+++ b/packages/gossip-codec/src/gossip_codec/messages.py
@@ -2,7 +2,7 @@
 
 Messages follow SWIM (Das, Gupta and Motivala, 2002): a probe, its acknowledgement, and an indirect probe; the
 negative acknowledgement is Lifeguard's (Dadgar, Phillips and Currey, 2017).  All are encoded as msgpack
-arrays, so that the order of their fields, not the names, is the wire form.
+arrays, so their wire form depends on the order of their fields and not on the names.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 # Buckets into which ``Sync`` divides the member table.
 DIGEST_BUCKETS = 16
 
-# Bytes of each bucket's digest.
+# Length in bytes of the digest of a bucket.
 DIGEST_BYTES = 8
 
-# Updates in a datagram: the msgpack array of up to 15 elements has a header of one byte.
+# Maximum number of updates in a datagram: a msgpack array of up to 15 elements has a header of one byte.
 MAX_UPDATES = 15
 
-# The largest integer on the wire: signed 64 bits, which every msgpack implementation has.
+# The largest integer on the wire: signed 64 bits, which every msgpack implementation supports.
 MAX_INTEGER = (1 << 63) - 1
 
-# Bytes of a UDP port in a packed address.
+# Length in bytes of the UDP port in a packed address.
 PORT_BYTES = 2
 
-# Bytes of an IPv4 address in a packed address.
+# Length in bytes of the IPv4 address in a packed address.
 IP_BYTES = 4
 
 # The name of a member, unique in its fleet.
@@ -38,7 +38,7 @@
 # The name of a member, or the empty string.
 OptionalMemberName = Annotated[str, Meta(max_length=32, pattern=r"\A[A-Za-z0-9._-]*\Z")]
 
-# An integer that is not negative.
+# A non-negative integer of the wire format.
 Natural = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
 
 # IPv4 address and port in network byte order.
@@ -46,7 +46,7 @@
 
 
 class InvalidPortError(ValueError):
-    """A number that is no UDP port."""
+    """A port number that is not a valid UDP port."""
 
     def __init__(self, port: int) -> None:
         super().__init__(f"invalid port: {port}")
@@ -54,7 +54,7 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member; of two claims on the same incarnation the higher state prevails."""
+    """The state of a member; of two claims about the same incarnation the higher state prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -63,9 +63,9 @@
 
 
 def pack_address(address: Address) -> bytes:
-    """Return the form of an address on the wire.
+    """Return the wire form of an address.
 
-    Raises ValueError if the host is no IPv4 address in dotted form or the port is out of range.
+    Raises ValueError if the host is not a dotted IPv4 address or the port is out of range.
     """
     host, port = address
     try:
@@ -82,7 +82,7 @@
 
 
 class Update(Struct, frozen=True, array_like=True):
-    """A claim on the state of one member; ``accuser`` suspects it, and is empty with other states."""
+    """A claim about the state of a member; ``accuser`` is the member that suspects it, else empty."""
 
     name: MemberName
     address: PackedAddress
@@ -94,7 +94,8 @@
 class Probe(Struct, frozen=True, array_like=True, tag=1):
     """Asks ``target`` for an ``Ack``.
 
-    No other member answers, so a reused address does not vouch for the member that had it before.
+    Other members do not answer it, so a process that reuses the address of a failed member does not make
+    that member appear alive.
     """
 
     probe_id: Natural
@@ -102,13 +103,13 @@
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=2):
-    """The target of a probe is alive; sent by the target, or by a member that probed it for the reader."""
+    """The target of a probe is alive; sent by the target, or by a member that probed it on request."""
 
     probe_id: Natural
 
 
 class IndirectProbe(Struct, frozen=True, array_like=True, tag=3):
-    """Asks the reader to probe ``target`` for the sender, and to answer ``Ack`` or, in time, ``Nack``."""
+    """Asks the receiver to probe ``target`` for the sender and answer ``Ack``, or ``Nack`` on timeout."""
 
     probe_id: Natural
     target: MemberName
@@ -116,7 +117,7 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """The target of an ``IndirectProbe`` has not answered the sender yet."""
+    """The target of an ``IndirectProbe`` has not answered the sender of this message yet."""
 
     probe_id: Natural
 
@@ -124,7 +125,7 @@
 class Sync(Struct, frozen=True, array_like=True, tag=5):
     """Anti-entropy: digests of the sender's member table by bucket.
 
-    The reader sends its members of the buckets that differ and, unless this is a reply, its own ``Sync``.
+    The receiver sends its claims in the buckets that differ and, unless this is a reply, its own ``Sync``.
     """
 
     digests: Annotated[
@@ -134,17 +135,17 @@
 
 
 class UpdateBatch(Struct, frozen=True, array_like=True, tag=6):
-    """Carries updates and nothing else."""
+    """Carries updates and no other content."""
 
 
 class Superseded(Struct, frozen=True, array_like=True, tag=7):
-    """The reader's incarnation is outdated: ``incarnation`` of the same name was seen."""
+    """The receiver's incarnation is outdated: the higher ``incarnation`` is known under its name."""
 
     incarnation: Natural
 
 
 class UserMessage(Struct, frozen=True, array_like=True, tag=8):
-    """The payload of another state machine of the fleet, which ``channel`` identifies."""
+    """The payload of another state machine of the fleet, which is identified by ``channel``."""
 
     channel: Annotated[int, Meta(ge=0, lt=128)]
     body: bytes
@@ -154,7 +155,7 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """The body of a datagram; ``updates`` stays the last field, since the codec appends to it."""
+    """The body of a datagram; ``updates`` must be the last field, since the codec appends to it."""
 
     sender: MemberName
     incarnation: Natural
--- a/packages/gossip-codec/src/gossip_codec/replay_window.py
+++ b/packages/gossip-codec/src/gossip_codec/replay_window.py
@@ -1,17 +1,17 @@
-"""Replay protection: remembers which datagrams of a sender were accepted (RFC 4303, section 3.4.3)."""
+"""Replay protection: a sliding window of accepted sequence numbers per sender (RFC 4303, section 3.4.3)."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# Sequence numbers that a datagram may be older than the newest one of its sender.
+# A sequence number must be less than this far below the newest one of its sender.
 WINDOW_SIZE = 256
 
-# Bits of a full window.
+# Bit mask of the window.
 WINDOW_MASK = (1 << WINDOW_SIZE) - 1
 
-# Senders remembered unless the caller says otherwise: as many as a member table holds.
+# Default maximum number of senders: the default size of a member table.
 MAX_SENDERS = 4096
 
 
@@ -27,7 +27,7 @@
     accepted: int = 1
 
     def accept(self, sequence: int) -> bool:
-        """Mark a sequence number as accepted; return False if it was accepted before or is too old."""
+        """Accept a sequence number; return False if it was accepted before or is too old."""
         if sequence > self.newest:
             shift = min(sequence - self.newest, WINDOW_SIZE)
             self.accepted = (self.accepted << shift | 1) & WINDOW_MASK
@@ -44,8 +44,8 @@
 class ReplayWindow:
     """The newest incarnation of each sender and the sequence numbers accepted in it.
 
-    Remembers at most ``max_senders`` senders, about 300 bytes each, and evicts the least recently heard one.
-    A window starts empty: a datagram that was recorded before this process started can be replayed once.
+    Holds at most ``max_senders`` senders, about 300 bytes each, and evicts the least recently heard one.  A
+    window starts empty: a datagram that was recorded before this process started can be replayed once.
     """
 
     def __init__(self, max_senders: int = MAX_SENDERS) -> None:
@@ -53,12 +53,12 @@
         self._senders: OrderedDict[str, _SenderWindow] = OrderedDict()
 
     def newest_incarnation(self, sender: str) -> int | None:
-        """The newest incarnation accepted from a sender; None if nothing was."""
+        """Return the newest incarnation accepted from a sender, or None if there is none."""
         window = self._senders.get(sender)
         return window.incarnation if window else None
 
     def accept(self, sender: str, incarnation: int, sequence: int) -> bool:
-        """Accept a datagram that is neither a replay nor of a past incarnation; False if it is one."""
+        """Accept a datagram; return False if it is a replay or of an older incarnation."""
         window = self._senders.get(sender)
         if window is None or incarnation > window.incarnation:
             self._senders[sender] = _SenderWindow(incarnation, sequence)
--- a/packages/gossip-codec/tests/test_gossip_codec.py
+++ b/packages/gossip-codec/tests/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The codec: what is encoded is decoded again, and any other datagram is rejected for a named reason."""
+"""Tests of the codec: encoding and decoding round-trip, and rejections of datagrams with their reasons."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
     return Codec(fleet, secret)
 
 
-def rejection(reader: Codec, data: bytes) -> str:
+def rejection(receiver_codec: Codec, data: bytes) -> str:
     with pytest.raises(DatagramRejectedError) as caught:
-        reader.decode(data)
+        receiver_codec.decode(data)
     return caught.value.reason.value
 
 
 @settings(derandomize=True, max_examples=300)
 @given(member_names, counts, messages, st.lists(updates, max_size=20))
-def test_updates_that_fit_are_decoded_again_and_no_datagram_is_too_large(
+def test_encoded_updates_are_decoded_unchanged_and_no_datagram_is_too_large(
     sender: str, incarnation: int, message: Message, offered: list[Update]
 ) -> None:
     encoded = codec().encode(sender, incarnation, message, offered)
@@ -60,11 +60,11 @@
     envelope = codec().decode(encoded.data)
     assert (envelope.sender, envelope.incarnation, envelope.message) == (sender, incarnation, message)
     assert envelope.updates == offered[: encoded.updates_packed]
-    if encoded.updates_packed < min(len(offered), MAX_UPDATES):  # the next one would not have fitted
+    if encoded.updates_packed < min(len(offered), MAX_UPDATES):  # the next update would not have fitted
         assert len(encoded.data) + 80 + 12 > MAX_DATAGRAM_BYTES
 
 
-def test_every_truncation_bit_flip_and_addition_is_rejected_for_its_reason() -> None:
+def test_every_truncation_bit_flip_and_addition_is_rejected_with_its_reason() -> None:
     data = codec().encode("a", 7, Probe(1, "b"), [Update("c", bytes(6), 1, MemberState.ALIVE)]).data
     for size in range(len(data)):
         assert rejection(codec(), data[:size]) in ("size", "tag")
@@ -77,39 +77,39 @@
     assert rejection(codec(), bytes(MAX_DATAGRAM_BYTES + 1)) == "size"
 
 
-def test_other_fleets_other_secrets_and_malformed_bodies_are_rejected() -> None:
+def test_datagrams_of_other_fleets_or_secrets_and_malformed_bodies_are_rejected() -> None:
     data = codec().encode("a", 7, Ack(1)).data
     assert rejection(codec(fleet="other"), data) == "fleet"
     assert rejection(codec(secret=b"another secret, as long"), data) == "tag"
-    writer = codec()
+    sender_codec = codec()
     for sender, probe_id in (("a b", 1), ("a", -1), ("", 1)):
-        assert rejection(codec(), writer.encode(sender, 7, Ack(probe_id)).data) == "malformed"
+        assert rejection(codec(), sender_codec.encode(sender, 7, Ack(probe_id)).data) == "malformed"
     with pytest.raises(ValueError, match="too large"):
-        writer.encode("a", 7, UserMessage(1, bytes(230)))
+        sender_codec.encode("a", 7, UserMessage(1, bytes(230)))
     with pytest.raises(ValueError, match="16 bytes"):
         codec(secret=b"short")
 
 
-def test_a_datagram_is_accepted_once_and_one_of_an_older_incarnation_never() -> None:
-    writer = codec()
-    reader = codec()
-    old = writer.encode("a", 7, Ack(1)).data
-    reader.decode(old)
-    assert rejection(reader, old) == "replay"
-    reader.decode(writer.encode("a", 8, Ack(2)).data)
-    late = writer.encode("a", 7, Ack(3)).data
-    assert rejection(reader, late) == "replay"
+def test_a_datagram_is_accepted_once_and_never_one_of_an_older_incarnation() -> None:
+    sender_codec = codec()
+    receiver_codec = codec()
+    datagram = sender_codec.encode("a", 7, Ack(1)).data
+    receiver_codec.decode(datagram)
+    assert rejection(receiver_codec, datagram) == "replay"
+    receiver_codec.decode(sender_codec.encode("a", 8, Ack(2)).data)
+    late_datagram = sender_codec.encode("a", 7, Ack(3)).data
+    assert rejection(receiver_codec, late_datagram) == "replay"
 
 
 @settings(derandomize=True)
 @given(st.lists(st.integers(0, 600), max_size=300))
-def test_the_window_accepts_each_number_once_and_rejects_those_too_old(numbers: list[int]) -> None:
+def test_the_window_accepts_each_number_once_and_rejects_numbers_that_are_too_old(numbers: list[int]) -> None:
     window = ReplayWindow()
     accepted = set[int]()
     newest = -1
     for number in numbers:
-        fresh = number not in accepted and number > newest - 256
-        assert window.accept("a", 1, number) == fresh
+        acceptable = number not in accepted and number > newest - 256
+        assert window.accept("a", 1, number) == acceptable
         accepted.add(number)
         newest = max(newest, number)
 
@@ -123,6 +123,6 @@
 
 def test_addresses_are_packed_and_unpacked_and_invalid_ones_raise() -> None:
     assert unpack_address(pack_address(("127.0.0.1", 65535))) == ("127.0.0.1", 65535)
-    for bad in (("localhost", 1), ("127.0.0.1", 65536)):
+    for invalid in (("localhost", 1), ("127.0.0.1", 65536)):
         with pytest.raises(ValueError, match=r"port|Expected"):
-            pack_address(bad)
+            pack_address(invalid)
--- a/packages/gossip-transport/src/gossip_transport/endpoint.py
+++ b/packages/gossip-transport/src/gossip_transport/endpoint.py
@@ -1,8 +1,8 @@
 """The UDP endpoint of one state machine: delivers datagrams to it and carries out its actions in order.
 
 The cost of a flood is bounded in each turn of the reactor: at most ``MAX_HANDLED_PER_TURN`` datagrams reach
-the state machine and at most ``MAX_READ_PER_TURN`` are read from the socket.  Those between the two are
-dropped and counted.  Further ones stay in the kernel's buffer, which drops those that do not fit.
+the state machine and at most ``MAX_READ_PER_TURN`` are read from the socket.  Datagrams read beyond the first
+limit are dropped and counted.  Unread ones stay in the kernel's buffer, which drops those that do not fit.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 # Time after which a timer whose handling failed fires again; it is below the periods of the fleet's timers.
 TIMER_RETRY_MS = 1_000.0
 
-# Datagrams delivered to the state machine in one turn of the reactor, so that a flood leaves time for
-# requests.
+# Maximum number of datagrams delivered to the state machine in one turn of the reactor, so that a flood
+# leaves time for requests.
 MAX_HANDLED_PER_TURN = 32
 
-# Datagrams read from the socket in one turn of the reactor, handled or dropped.
+# Maximum number of datagrams read from the socket in one turn of the reactor, whether handled or dropped.
 MAX_READ_PER_TURN = 512
 
 _log = logging.getLogger(__name__)
@@ -48,9 +48,9 @@
 class EndpointCounters:
     """The counters of an endpoint since its start.
 
-    ``oversize_received`` and ``oversize_unsent`` are datagrams over the size limit, ``flood_dropped`` those
-    over the limit of one turn, ``send_failures`` those that the socket refused, and ``faults`` exceptions
-    raised by the state machine or by a callback.
+    ``oversize_received`` and ``oversize_unsent`` count datagrams over the size limit, ``flood_dropped``
+    those over the limit of one turn, ``send_failures`` those whose sending failed, and ``faults`` the
+    exceptions raised by the state machine or by a callback.
     """
 
     received: int = 0
@@ -63,11 +63,11 @@
 
 
 class DatagramEndpoint(protocol.DatagramProtocol):
-    """One state machine and its socket.
+    """Connects one state machine with one UDP socket.
 
-    ``clock_ms`` returns the time on a monotonic clock.  ``schedule(in_ms, callback)`` calls back once,
-    later and never from within the call itself.  ``on_notice`` receives each ``Notice`` of the state
-    machine.
+    ``clock_ms`` returns the time on a monotonic clock.  ``schedule(in_ms, callback)`` calls
+    ``callback`` once, and never before ``schedule`` has returned.  ``on_notice`` receives each ``Notice`` of
+    the state machine.
     """
 
     def __init__(
@@ -87,12 +87,12 @@
         self._max_throughput_bytes = 0
 
     def listen(self, reactor: Any, address: Address) -> Any:
-        """Bind the socket and start; return Twisted's port, which knows its own address and can be closed.
+        """Bind the socket and start; return Twisted's port, which has the bound address and can be closed.
 
         Raises ``CannotListenError`` if the address is in use.
         """
         host, port = address
-        # One byte more than is allowed: a longer datagram would arrive truncated to a valid size.
+        # One byte above the limit: at the limit, a longer datagram would arrive truncated to a valid size.
         return reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
 
     def startProtocol(self) -> None:  # noqa: N802
@@ -105,9 +105,9 @@
         self.closed = True
 
     def shut_down(self) -> None:
-        """Let the state machine announce a graceful shutdown, once; no event reaches it afterwards.
+        """Let the state machine announce a graceful shutdown; no event is delivered to it afterwards.
 
-        An endpoint that never listened has no peers to notify.
+        Further calls have no effect.  An endpoint that never listened has no peers to notify.
         """
         if self.transport is not None:
             self.deliver(ShutdownRequested())
@@ -126,20 +126,20 @@
             self.deliver(DatagramReceived((host, port), datagram))
 
     def deliver(self, event: Event) -> None:
-        """Deliver one event to the state machine and carry out its actions; ignore it if closed."""
+        """Deliver an event to the state machine and carry out its actions; do nothing if closed."""
         if self.closed:
             return
         now = self.clock_ms()
         actions: list[Action] = []
-        if not self._guarded("handle", lambda: actions.extend(self.machine.handle(now, event))):
+        if not self._call_guarded("handle", lambda: actions.extend(self.machine.handle(now, event))):
             self._retry_timer(event)
         for action in actions:
-            self._guarded("action", lambda action=action: self._carry_out(action))  # type: ignore[misc]
+            self._call_guarded("action", lambda action=action: self._carry_out(action))  # type: ignore[misc]
 
     def _count_read(self) -> None:
         self._read_in_turn += 1
         if self._read_in_turn == 1:
-            self._guarded("schedule", lambda: self.schedule(0.0, self._start_next_turn))
+            self._call_guarded("schedule", lambda: self.schedule(0.0, self._start_next_turn))
         elif self._read_in_turn == MAX_READ_PER_TURN:
             self._limit_throughput(0)
 
@@ -150,16 +150,16 @@
     def _limit_throughput(self, max_bytes: int) -> None:
         """Set how many bytes Twisted reads from the socket before it returns to the reactor.
 
-        Empty datagrams never reach a limit in bytes, so the limit itself is set to 0 once enough datagrams
-        have been read in one turn.
+        Empty datagrams never use up a limit in bytes, so the limit is set to 0 once ``MAX_READ_PER_TURN``
+        datagrams have been read in one turn.
         """
         if self._max_throughput_bytes:
             cast(Any, self.transport).maxThroughput = max_bytes
 
     def _retry_timer(self, event: Event) -> None:
-        """Fire a timer again whose handling failed: it may have been the only one that was set."""
+        """Fire a timer again if its handling failed, since it may have been the only pending timer."""
         if isinstance(event, TimerFired):
-            self._guarded("schedule", lambda: self.schedule(TIMER_RETRY_MS, lambda: self.deliver(event)))
+            self._call_guarded("schedule", lambda: self.schedule(TIMER_RETRY_MS, lambda: self.deliver(event)))
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -178,14 +178,14 @@
         try:
             cast(Any, self.transport).write(data, to)
             self.counters.sent += 1
-        except OSError:  # a full buffer or no route: to the state machine it is one lost datagram
+        except OSError:  # a full buffer or no route: for the state machine the datagram is lost
             self.counters.send_failures += 1
 
-    def _guarded(self, step: str, call: Callable[[], object]) -> bool:
-        """Call a function; log an exception, and return whether there was none.
+    def _call_guarded(self, step: str, call: Callable[[], object]) -> bool:
+        """Call a function; return False if it raised an exception, which is counted.
 
-        A fault must neither end the process nor fill its log: only the 1st, 2nd, 4th, 8th and so on are
-        logged.
+        An exception must neither end the process nor flood the log: only the 1st, 2nd, 4th, 8th and so on
+        are logged.
         """
         try:
             call()
--- a/packages/gossip-transport/src/gossip_transport/log_events.py
+++ b/packages/gossip-transport/src/gossip_transport/log_events.py
@@ -6,9 +6,9 @@
 
 
 class TransportLogEvent(StrEnum):
-    """What the endpoint reports to the log itself."""
+    """The events that the endpoint itself logs."""
 
     DATAGRAM_OVERSIZED = "datagram_oversized"
-    """A datagram of the fleet exceeds its size limit and is not sent."""
+    """An outgoing datagram of the fleet exceeds the size limit and is not sent."""
     ENDPOINT_FAILED = "endpoint_failed"
-    """A step of the fleet's endpoint raised an exception; the process goes on."""
+    """A step of the fleet's UDP endpoint raised an exception; the process continues."""
--- a/packages/gossip-transport/tests/test_datagram_endpoint.py
+++ b/packages/gossip-transport/tests/test_datagram_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint with a fake transport, clock and scheduler, and a pair of them on loopback."""
+"""Tests of the endpoint with a fake transport, clock and scheduler, and of two endpoints on loopback."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class ScriptedMachine:
-    """Answers each event by what is scripted for its kind; keeps all events with their times."""
+    """Returns the scripted actions for each type of event; records all events with their times."""
 
     def __init__(self, script: dict[type, Any]) -> None:
         self.script = script
@@ -42,31 +42,31 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append((now, event))
-        answer = self.script.get(type(event), [])
-        if isinstance(answer, Exception):
-            raise answer
-        if callable(answer):
-            answer = answer(event)
-        return list(answer)
+        scripted = self.script.get(type(event), [])
+        if isinstance(scripted, Exception):
+            raise scripted
+        if callable(scripted):
+            scripted = scripted(event)
+        return list(scripted)
 
 
 class FakeTransport:
-    """Keeps what is written; ``fails`` makes the socket refuse."""
+    """Records written datagrams; with ``write_fails``, writing raises an error."""
 
     maxThroughput = 4096  # noqa: N815
-    fails = False
+    write_fails = False
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, Any]] = []
 
     def write(self, data: bytes, to: Any) -> None:
-        if self.fails:
+        if self.write_fails:
             raise BlockingIOError
         self.sent.append((data, to))
 
 
 class EndpointHarness:
-    """One endpoint on a fake clock."""
+    """One endpoint with a fake clock, scheduler and transport."""
 
     def __init__(self, script: dict[type, Any]) -> None:
         self.now = 5.0
@@ -89,7 +89,7 @@
             callback()
 
 
-def test_actions_are_carried_out_in_order_and_timers_come_back() -> None:
+def test_actions_are_carried_out_in_order_and_timers_fire_as_events() -> None:
     order: list[str] = []
     harness = EndpointHarness(
         {Started: [Notice("a"), SendDatagram(PEER, b"x"), SetTimer(7.0, 3), Notice("b")]}
@@ -105,23 +105,23 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "taken"), [(0, True), (MAX_DATAGRAM_BYTES, True), (MAX_DATAGRAM_BYTES + 1, False)]
+    ("size", "accepted"), [(0, True), (MAX_DATAGRAM_BYTES, True), (MAX_DATAGRAM_BYTES + 1, False)]
 )
-def test_oversize_datagrams_pass_neither_way(
-    size: int, taken: bool, caplog: pytest.LogCaptureFixture
+def test_oversize_datagrams_are_neither_received_nor_sent(
+    size: int, accepted: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     harness = EndpointHarness({DatagramReceived: [SendDatagram(PEER, b"y" * size), Notice("after")]})
     harness.endpoint.datagramReceived(b"z" * size, PEER)
-    assert ((5.0, DatagramReceived(PEER, b"z" * size)) in harness.machine.events) is taken
-    assert harness.endpoint.counters.oversize_received == (not taken)
+    assert ((5.0, DatagramReceived(PEER, b"z" * size)) in harness.machine.events) is accepted
+    assert harness.endpoint.counters.oversize_received == (not accepted)
     harness.endpoint.datagramReceived(b"small", PEER)
-    assert (len(harness.transport.sent) > 0) is taken
-    assert harness.endpoint.counters.oversize_unsent == (not taken)
+    assert (len(harness.transport.sent) > 0) is accepted
+    assert harness.endpoint.counters.oversize_unsent == (not accepted)
     assert harness.notices[-1] == Notice("after")
-    assert bool(caplog.records) is not taken
+    assert bool(caplog.records) is not accepted
 
 
-def test_a_flood_is_bounded_in_each_turn() -> None:
+def test_the_datagrams_handled_and_read_in_one_turn_are_limited() -> None:
     harness = EndpointHarness({})
     for turn in (1, 2):
         for _ in range(MAX_READ_PER_TURN):
@@ -129,12 +129,14 @@
             harness.endpoint.datagramReceived(b"", PEER)
         assert harness.endpoint.counters.received == turn * MAX_HANDLED_PER_TURN
         assert harness.endpoint.counters.flood_dropped == turn * (MAX_READ_PER_TURN - MAX_HANDLED_PER_TURN)
-        assert harness.transport.maxThroughput == 0  # the socket is read no further
+        assert harness.transport.maxThroughput == 0  # nothing more is read from the socket in this turn
         harness.advance()
         assert harness.transport.maxThroughput == 4096
 
 
-def test_faults_are_logged_sparsely_and_end_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_exceptions_are_logged_at_powers_of_two_and_do_not_stop_the_endpoint(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     harness = EndpointHarness(
         {DatagramReceived: RuntimeError("machine"), Started: [Notice("a"), SetTimer(1.0, 1)]}
     )
@@ -143,12 +145,12 @@
             harness.endpoint.datagramReceived(b"x", PEER)
             harness.advance()
     assert harness.endpoint.counters.faults == 9
-    assert len(caplog.records) == 4  # 1st, 2nd, 4th, 8th
+    assert len(caplog.records) == 4  # the 1st, 2nd, 4th and 8th exceptions
     harness.endpoint.on_notice = lambda notice: 1 / 0  # type: ignore[assignment]
     harness.endpoint.deliver(Started())
     assert harness.endpoint.counters.faults == 10
-    assert harness.timers  # the action after the one that failed is carried out all the same
-    harness.transport.fails = True
+    assert harness.timers  # the action after the failed one is still carried out
+    harness.transport.write_fails = True
     harness.machine.script[DatagramReceived] = [SendDatagram(PEER, b"x")]
     harness.endpoint.datagramReceived(b"x", PEER)
     assert harness.endpoint.counters.send_failures == 1
@@ -169,14 +171,14 @@
     harness.advance(10.0)
     assert [event for _, event in harness.machine.events] == [Started(), ShutdownRequested()]
     assert harness.transport.sent == [(b"bye", PEER)]
-    silent = DatagramEndpoint(harness.machine, lambda: 0.0, harness.schedule, print)
-    silent.shut_down()
-    assert silent.closed
-    assert silent.counters == EndpointCounters()
+    never_listened = DatagramEndpoint(harness.machine, lambda: 0.0, harness.schedule, print)
+    never_listened.shut_down()
+    assert never_listened.closed
+    assert never_listened.counters == EndpointCounters()
 
 
-class PairTest(TestCase):
-    """Two endpoints on loopback."""
+class LoopbackPairTest(TestCase):
+    """Tests of two endpoints on loopback."""
 
     timeout = 20
 
@@ -185,20 +187,20 @@
         endpoint = DatagramEndpoint(
             ScriptedMachine(script), clock.seconds, lambda ms, call: clock.callLater(ms / 1000, call), print
         )
-        bound = endpoint.listen(reactor, ("127.0.0.1", 0))
-        self.addCleanup(bound.stopListening)
-        return endpoint, bound.getHost()
+        listening_port = endpoint.listen(reactor, ("127.0.0.1", 0))
+        self.addCleanup(listening_port.stopListening)
+        return endpoint, listening_port.getHost()
 
     @inlineCallbacks
-    def test_a_datagram_goes_there_and_back(self) -> Any:
-        back: Deferred[DatagramReceived] = Deferred()
+    def test_a_datagram_is_received_and_answered_over_loopback(self) -> Any:
+        received_back: Deferred[DatagramReceived] = Deferred()
         _, address = self.listening_endpoint(
             {DatagramReceived: lambda event: [SendDatagram(event.source, event.data + b"!")]}
         )
         sender, _ = self.listening_endpoint({DatagramReceived: [Notice("back")]})
-        sender.on_notice = lambda notice: back.callback(sender.machine.events[-1][1])  # type: ignore[attr-defined]
+        sender.on_notice = lambda notice: received_back.callback(sender.machine.events[-1][1])  # type: ignore[attr-defined]
         sender.deliver(Started())
         sender._carry_out(SendDatagram((address.host, address.port), b"hello"))
-        received = yield back
+        received = yield received_back
         assert received == DatagramReceived((address.host, address.port), b"hello!")
         assert sender.counters == EndpointCounters(sent=1, received=1)
--- a/packages/quota-leases/src/quota_leases/__init__.py
+++ b/packages/quota-leases/src/quota_leases/__init__.py
@@ -1,4 +1,4 @@
-"""What a router may do in each partition mode, and its quota of the fleet's budgets."""
+"""Rules for operations in each partition mode, and leases on quotas of the fleet's budgets."""
 
 from __future__ import annotations
 
--- a/packages/quota-leases/src/quota_leases/lease_exchange.py
+++ b/packages/quota-leases/src/quota_leases/lease_exchange.py
@@ -14,10 +14,10 @@
 # The channel of ``gossip_codec.UserMessage`` that carries leases.
 LEASE_CHANNEL = 1
 
-# Requests in the time of one lease, so that three may be lost before it expires.
+# Requests within the duration of one lease; three in a row may be lost before it expires.
 RENEWALS_PER_LEASE = 4
 
-# An integer that is not negative and has at most 64 bits with its sign.
+# A non-negative integer that fits into signed 64 bits.
 Natural = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
 
@@ -29,7 +29,7 @@
 
 
 class LeaseGrant(Struct, frozen=True, array_like=True, tag=2):
-    """Answers the request of that incarnation and id with a lease of ``units``, which may be 0."""
+    """Answers the request with the same incarnation and id by a lease of ``units``, which may be 0."""
 
     incarnation: Natural
     request_id: Natural
@@ -47,7 +47,7 @@
 class LeaseExchange:
     """The lease holder of a router, and its lease issuer if the router is a voter.
 
-    Call ``renew`` every ``renewal_interval_ms``.
+    The caller must call ``renew`` every ``renewal_interval_ms``.
     """
 
     def __init__(self, settings: QuotaSettings, name: str, incarnation: int, started_ms: float) -> None:
@@ -59,7 +59,7 @@
         self._decoder = msgpack.Decoder(LeaseRequest | LeaseGrant)
 
     def renew(self, now: float, live_routers: Collection[str]) -> list[OutgoingRequest]:
-        """Request a lease from each voter; return the requests to send to other routers than this one."""
+        """Request a lease from each voter; return the requests to send to voters other than this router."""
         outgoing = []
         for voter in self._settings.voters:
             request = LeaseRequest(self._holder.incarnation, self._holder.request(now, voter))
--- a/packages/quota-leases/src/quota_leases/leases.py
+++ b/packages/quota-leases/src/quota_leases/leases.py
@@ -1,30 +1,30 @@
-"""Quotas of the fleet's budgets, which never add up to more than a budget in any partition.
+"""Leases on quotas of the fleet's budgets, which never add up to more than a budget in any partition.
 
-The claim: at every moment of real time, the quotas of all routers add up to at most ``BUDGET_UNITS``.
+The invariant: at every moment of real time, the quotas of all routers add up to at most ``BUDGET_UNITS``.
 
-1. Floors.  Each configured router may use its floor without a lease, forever.  Floors are fixed parts that no
-   other router ever gets, so partitions, pauses and views do not matter to them.  They add up to
+1. Floors.  Each configured router may always use its floor without a lease.  Floors are fixed parts that no
+   other router ever gets, so they do not depend on partitions, pauses or views.  They add up to
    ``floor_fraction`` of the budget.
 2. Slices.  The remainder is divided into one fixed slice for each voter, and a voter leases out its own slice
-   alone.  So voters need not agree on anything: it is enough that no slice is ever leased out twice.
-3. One slice.  A voter counts for each router the largest lease it issued that may still be valid, and issues
-   no more than the slice less those of the others (``LeaseIssuer.issue``).  Its view of the live routers sets
-   only the size that it aims at.
-4. Time.  A holder counts its lease from when it *requested* it, for ``lease_ms`` of its clock: at most
-   ``lease_ms / (1 - max_clock_drift)`` of real time.  The voter counts it from when it *issued* it, which is
-   later, for ``lease_ms * (1 + max_clock_drift) / (1 - max_clock_drift)`` of its own clock: at least
-   ``lease_ms / (1 - max_clock_drift)`` of real time.  So the voter's count ends last.  An answer lost, late,
-   duplicated or reordered only shortens the lease.
-5. Restarts.  A voter that starts issues nothing for that same time: all that its incarnation before issued
-   has expired by then.  A holder that starts has no leases; its requests carry its incarnation, so that no
-   answer to an older incarnation is accepted.
+   only.  So voters need not agree on anything: it is enough that no slice is ever leased out twice.
+3. One slice.  For each router a voter counts the largest lease it issued that may still be valid, and issues
+   no more than the slice minus those of the other routers (``LeaseIssuer.issue``).  Its view of the live
+   routers only determines the size that it aims at.
+4. Time.  For its holder a lease begins when it *requested* it and lasts ``lease_ms`` of its clock: at most
+   ``lease_ms / (1 - max_clock_drift)`` of real time.  For the voter it begins when it *issued* it, which is
+   later, and lasts ``lease_ms * (1 + max_clock_drift) / (1 - max_clock_drift)`` of its own clock: at least
+   ``lease_ms / (1 - max_clock_drift)`` of real time.  So a lease expires at its voter last.  An answer that
+   is lost, late, duplicated or reordered only shortens the lease.
+5. Restarts.  A voter that starts issues nothing for the time that a lease lasts at a voter: by then all
+   leases of its previous incarnation have expired.  A holder that starts has no leases; its requests
+   carry its incarnation, so no answer to an older incarnation is accepted.
 
 Cost: the floor of a failed router stays unused, since it cannot be distinguished from a partitioned one that
-uses it.  The slice of a failed voter stays unused until the voter is restarted or replaced.  A floor of 1/N,
-with the quotas of failed routers for the others, is impossible: the floors alone would add up to the budget.
+uses it.  The slice of a failed voter stays unused until the voter is restarted or replaced.  Floors of 1/N
+cannot be combined with giving the quotas of failed routers to others: they already add up to the budget.
 
 Assumptions: one process at a time under each name, the same settings at every router, and clocks that advance
-while the process or its host is stopped (a suspended virtual machine needs one that counts that time).
+while the process or its host is stopped (a suspended virtual machine needs one that includes that time).
 """
 
 from __future__ import annotations
@@ -35,32 +35,32 @@
 
 from quota_leases.settings import QuotaSettings
 
-# Upper bound on the unanswered requests to one voter that are stored; the oldest is dropped first.
+# Maximum number of unanswered requests to one voter that are kept; the oldest is dropped first.
 MAX_PENDING_REQUESTS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class _Lease:
-    """Units of a voter's slice, until a time on the clock of the process that stores the lease."""
+    """Units of a voter's slice; ``expires_ms`` is on the clock of the process that holds this object."""
 
     expires_ms: float
     units: int
 
 
 class LeaseIssuer:
-    """One voter's slice and the leases issued on it.
+    """The slice of one voter and the leases issued on it.
 
-    ``started_ms`` is when this incarnation started, on the clock of ``now``.
+    ``started_ms`` is the start time of this incarnation, on the same clock as ``now``.
     """
 
     def __init__(self, settings: QuotaSettings, started_ms: float) -> None:
         self._settings = settings
         self._issue_from_ms = started_ms + settings.issuer_lease_ms
-        # By router; the first lease is the largest and expires first.
+        # By router, in order of expiry; the first lease is the largest and expires first.
         self._leases: dict[str, deque[_Lease]] = {}
 
     def issue(self, now: float, router: str, live_routers: Collection[str]) -> int:
-        """Issue a lease and return its units, at most an equal part of the slice per live router."""
+        """Issue a lease; return its units, at most the slice divided by the number of live routers."""
         if now < self._issue_from_ms:
             return 0
         for name in list(self._leases):
@@ -74,7 +74,7 @@
 
     def _record(self, router: str, lease: _Lease) -> None:
         leases = self._leases.setdefault(router, deque())
-        while leases and leases[-1].units <= lease.units:  # expires sooner and is no larger
+        while leases and leases[-1].units <= lease.units:  # it expires sooner and is not larger
             leases.pop()
         leases.append(lease)
 
@@ -87,7 +87,7 @@
 
 
 class LeaseHolder:
-    """One router's floor and leases; ``incarnation`` must be higher at each start under the same name."""
+    """The floor and leases of one router; ``incarnation`` must be higher at each start under a name."""
 
     def __init__(self, settings: QuotaSettings, name: str, incarnation: int) -> None:
         self.incarnation = incarnation
@@ -98,7 +98,7 @@
         self._leases: dict[str, _Lease] = {}  # by voter
 
     def request(self, now: float, voter: str) -> int:
-        """Return the id of a request that is sent to a voter now."""
+        """Record a request sent to a voter now, and return its id."""
         self._request_id += 1
         pending = self._requested_ms[voter]
         pending[self._request_id] = now
@@ -107,7 +107,7 @@
         return self._request_id
 
     def accept(self, voter: str, incarnation: int, request_id: int, units: int) -> None:
-        """Accept a lease, unless it answers another incarnation or is older than one accepted before."""
+        """Accept a lease, unless it is for another incarnation or not newer than one accepted before."""
         pending = self._requested_ms.get(voter, {})
         if incarnation != self.incarnation or request_id not in pending:
             return
@@ -117,7 +117,7 @@
     def quota_units(self, now: float) -> int:
         """Return the units that this router may use now.
 
-        That is its floor, and its leases while it holds leases of a majority of the voters.
+        This is its floor, plus its leases while it holds valid leases of a majority of the voters.
         """
         valid = [lease.units for lease in self._leases.values() if now < lease.expires_ms]
         if len(valid) <= len(self._settings.voters) // 2:
--- a/packages/quota-leases/src/quota_leases/partition_modes.py
+++ b/packages/quota-leases/src/quota_leases/partition_modes.py
@@ -1,8 +1,8 @@
 """The decision on each kind of operation in each partition mode.
 
 The table follows two rules.  An operation that would do harm if both sides of a partition carried it out is
-rejected at once, with a time to retry.  One that only reads, or only evicts from caches, is carried out with
-the state that this router has.
+rejected immediately, with a retry time.  One that only reads, or only evicts from caches, is carried out with
+the state that is known to this router.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 from fleet_membership import PartitionMode
 
-# Time to retry while rejoining, which ends as soon as the voters answer.
+# Retry time while rejoining, which ends as soon as the voters answer.
 REJOINING_RETRY_MS = 2_000.0
 
-# Time to retry in a minority: unreachable members are contacted every two probe intervals.
+# Retry time in a minority: unreachable members are contacted every two probe intervals.
 MINORITY_RETRY_MS = 5_000.0
 
-# Time to retry while isolated, when an operator may have to act.
+# Retry time while isolated, when an operator may have to intervene.
 ISOLATED_RETRY_MS = 10_000.0
 
 
 class Operation(Enum):
-    """Kinds of operations that a partition concerns."""
+    """Kinds of operations that are affected by a partition."""
 
     SAFE_READ = "safe read"
     KEYED_REQUEST = "keyed request"
@@ -35,12 +35,12 @@
 
 
 class Decision(Enum):
-    """What to do with an operation."""
+    """What a router does with an operation in a partition mode."""
 
     ALLOW = "allow"
-    # Carry it out with the latest known placement.
+    # Carry the operation out with the last known placement.
     USE_LAST_KNOWN = "use last known"
-    # Carry it out on this router, and do not report it as carried out by the fleet.
+    # Carry the operation out on this router, and do not report it as carried out by the fleet.
     LOCAL_ONLY = "local only"
     # Use no more than the floor of the quota.
     FLOOR_ONLY = "floor only"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """A decision; ``retry_after_ms`` is set with ``Decision.REJECT`` alone."""
+    """A decision; ``retry_after_ms`` is only set with ``Decision.REJECT``."""
 
     decision: Decision
     retry_after_ms: float | None = None
--- a/packages/quota-leases/src/quota_leases/settings.py
+++ b/packages/quota-leases/src/quota_leases/settings.py
@@ -6,7 +6,7 @@
 
 from fleet_membership import InvalidSettingError
 
-# Units of a full budget; quotas are integers of this unit, so that their sums are exact.
+# Units of a full budget; quotas are integer numbers of units, so that their sums are exact.
 BUDGET_UNITS = 1_000_000_000
 
 
@@ -14,11 +14,11 @@
 class QuotaSettings:
     """How a budget is divided.
 
-    ``floor_fraction`` of it is given to the configured ``routers`` in equal floors that no other router ever
-    gets; the ``voters`` lease out the rest in equal slices.
+    ``floor_fraction`` of it is divided into equal floors for the configured ``routers``, which no other
+    router ever gets; the rest is divided into equal slices, which the ``voters`` lease out.
 
     A lease lasts ``lease_ms`` on its holder's clock.  No clock may run faster or slower than real time by
-    more than the share ``max_clock_drift``.  Raises InvalidSettingError.
+    more than the fraction ``max_clock_drift``.  Raises InvalidSettingError.
     """
 
     routers: tuple[str, ...]
@@ -40,7 +40,7 @@
             raise InvalidSettingError("lease_ms", "must be above 0")
 
     def floor_units(self, router: str) -> int:
-        """Return the units that a router may use without a lease: none if it is not configured."""
+        """Return the units that a router may use without a lease; 0 if it is not a configured router."""
         if router not in self.routers:
             return 0
         return self._all_floors_units // len(self.routers)
@@ -52,7 +52,7 @@
 
     @property
     def issuer_lease_ms(self) -> float:
-        """How long a voter counts a lease on its own clock: until it has expired on its holder's for sure."""
+        """Duration of a lease on its voter's clock, after which it has certainly expired at its holder."""
         return self.lease_ms * (1.0 + self.max_clock_drift) / (1.0 - self.max_clock_drift)
 
     @property
--- a/packages/quota-leases/tests/test_partition_modes.py
+++ b/packages/quota-leases/tests/test_partition_modes.py
@@ -1,4 +1,4 @@
-"""The rules of the partition modes: every operation has one, and a rejection says when to retry."""
+"""Tests of the partition rules: every operation has one, and each rejection has a retry time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("mode", PartitionMode)
-def test_every_mode_has_a_rule_for_every_operation_and_a_rejection_says_when_to_retry(
+def test_every_mode_has_a_rule_for_every_operation_and_rejections_have_a_retry_time(
     mode: PartitionMode,
 ) -> None:
     rules = PARTITION_RULES[mode]
--- a/packages/quota-leases/tests/test_quota_leases.py
+++ b/packages/quota-leases/tests/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Quotas never add up to more than a budget, and are of use while all is well."""
+"""Tests of quota leases: they never exceed a budget in total, and divide all of it without faults."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 FLOOR = 0.1
 
 
-class InFlight(NamedTuple):
-    """A message on its way; ``serial`` is unique."""
+class MessageInFlight(NamedTuple):
+    """A message that has not arrived yet; ``serial`` is unique."""
 
     arrives_ms: float
     serial: int
@@ -28,10 +28,10 @@
 
 
 class LeaseCluster:
-    """Routers on clocks of their own.
+    """Simulated routers, each with its own clock.
 
-    Messages are lost, delayed, duplicated and reordered, and the routers' views agree on nothing unless
-    ``live`` sets them.
+    Messages are lost, delayed, duplicated and reordered.  Each view of the live routers is drawn at random,
+    unless ``shared_live_view`` sets it for all routers.
     """
 
     def __init__(self, seed: int, drift: float = 0.01) -> None:
@@ -43,9 +43,9 @@
         self.clock_rate = {name: 1.0 + self.random.choice((-drift, 0.0, drift)) for name in ROUTERS}
         self.partitioned: set[str] = set()
         self.paused: set[str] = set()
-        self.live: tuple[str, ...] | None = None
+        self.shared_live_view: tuple[str, ...] | None = None
         self.routers: dict[str, LeaseExchange] = {}
-        self.queue: list[InFlight] = []
+        self.queue: list[MessageInFlight] = []
         for name in ROUTERS:
             self.start(name)
 
@@ -57,7 +57,7 @@
         self.routers[name] = LeaseExchange(SETTINGS, name, self.serial, self.now(name))
 
     def live_routers(self) -> tuple[str, ...]:
-        return self.live or tuple(name for name in ROUTERS if self.random.random() < 0.6)
+        return self.shared_live_view or tuple(name for name in ROUTERS if self.random.random() < 0.6)
 
     def renew(self, name: str) -> None:
         if name in self.routers and name not in self.paused:
@@ -71,14 +71,14 @@
             if not lost and (sender in self.partitioned) == (target in self.partitioned):
                 self.serial += 1
                 arrives_ms = self.time_ms + self.random.random() * self.delay_ms
-                heapq.heappush(self.queue, InFlight(arrives_ms, self.serial, sender, target, body))
+                heapq.heappush(self.queue, MessageInFlight(arrives_ms, self.serial, sender, target, body))
 
     def run_for(self, ms: float) -> None:
         end_ms = self.time_ms + ms
         while self.queue and self.queue[0].arrives_ms <= end_ms:
             message = heapq.heappop(self.queue)
             self.time_ms = max(self.time_ms, message.arrives_ms)
-            if message.target in self.paused:  # it waits in the socket
+            if message.target in self.paused:  # the message stays in the socket's buffer
                 heapq.heappush(self.queue, message._replace(arrives_ms=end_ms + 1.0))
             elif message.target in self.routers:
                 self.deliver(message)
@@ -86,7 +86,7 @@
         self.time_ms = end_ms
         assert self.used_units() <= BUDGET_UNITS
 
-    def deliver(self, message: InFlight) -> None:
+    def deliver(self, message: MessageInFlight) -> None:
         target = message.target
         reply = self.routers[target].handle_message(
             self.now(target), message.sender, message.body, self.live_routers()
@@ -95,7 +95,7 @@
             self.send(target, message.sender, reply)
 
     def used_units(self) -> int:
-        """Return what all routers together may use at this moment."""
+        """Return the units that all routers together may use now."""
         return sum(round(self.quota(name) * BUDGET_UNITS) for name in self.routers)
 
     def run_renewals(self, ms: float) -> None:
@@ -114,20 +114,20 @@
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(st.integers(0, 10_000))
 def test_quotas_never_add_up_to_more_than_the_budget(seed: int) -> None:
-    """The voters favour one router at a time, so that what one gives up the next takes as soon as it may.
+    """The voters grant leases to one preferred router at a time, so the next one takes them at expiry.
 
-    Routers restart, the favoured fall silent, and messages are delayed or lost.
+    Routers restart, the preferred ones are paused, and messages are delayed or lost.
     """
     cluster = LeaseCluster(seed, drift=0.01)
     draw = cluster.random
-    favoured = set[str]()
+    preferred = set[str]()
     for _ in range(12):
         cluster.delay_ms = draw.choice((5.0, 5.0, 3000.0))
         cluster.loss = draw.choice((0.0, 0.0, 0.3))
-        cluster.paused = {name for name in favoured if draw.random() < 0.7}
+        cluster.paused = {name for name in preferred if draw.random() < 0.7}
         cluster.partitioned = {name for name in ROUTERS if draw.random() < 0.1}
-        favoured = {draw.choice(ROUTERS)} - cluster.paused
-        cluster.live = tuple(favoured) or None
+        preferred = {draw.choice(ROUTERS)} - cluster.paused
+        cluster.shared_live_view = tuple(preferred) or None
         for _ in range(draw.choice((20, 60, 130))):
             if draw.random() < 0.02:
                 cluster.start(draw.choice(ROUTERS))
@@ -137,13 +137,13 @@
             cluster.run_for(100.0)
 
 
-def test_a_lease_counts_from_its_request_and_only_the_newest_grant_to_this_incarnation_is_accepted() -> None:
+def test_a_lease_begins_at_its_request_and_only_the_newest_grant_to_this_incarnation_is_accepted() -> None:
     holder = LeaseHolder(QuotaSettings(("a",), ("v",), floor_fraction=0.0), "a", incarnation=2)
     first, second, third = (holder.request(now, "v") for now in (0.0, 1000.0, 5000.0))
     for incarnation, request_id, units, expected in (
-        (1, second, 9, 0),  # meant for the incarnation before
+        (1, second, 9, 0),  # for the previous incarnation
         (2, second, 5, 5),
-        (2, first, 9, 5),  # overtaken
+        (2, first, 9, 5),  # older than an accepted one
         (2, second, 9, 5),  # duplicated
     ):
         holder.accept("v", incarnation, request_id, units)
@@ -153,28 +153,28 @@
     assert (holder.quota_units(14_999.0), holder.quota_units(15_000.0)) == (7, 0)
 
 
-def test_survivors_grow_when_the_leases_of_the_dead_have_expired_and_make_room_again() -> None:
+def test_quotas_grow_after_leases_of_failed_routers_expire_and_shrink_when_one_restarts() -> None:
     cluster = LeaseCluster(1)
-    cluster.live = ROUTERS
+    cluster.shared_live_view = ROUTERS
     cluster.run_renewals(30_000.0)
     assert cluster.quotas() == [0.2] * 5
     for name in ("r3", "r4"):
         del cluster.routers[name]
-    cluster.live = ROUTERS[:3]
+    cluster.shared_live_view = ROUTERS[:3]
     cluster.run_renewals(5000.0)
-    assert max(cluster.quotas()) <= 0.2  # not yet: the dead may still be using theirs
+    assert max(cluster.quotas()) <= 0.2  # the leases of the failed routers may still be valid
     cluster.run_renewals(25_000.0)
     assert cluster.quotas() == [round(FLOOR + 0.5 / 3, 6)] * 3
     cluster.start("r3")
-    cluster.live = ROUTERS[:4]
+    cluster.shared_live_view = ROUTERS[:4]
     cluster.run_renewals(30_000.0)
     assert cluster.quotas() == [FLOOR + 0.5 / 4] * 4
 
 
 @pytest.mark.parametrize("partitioned", [{"r0"}, {"r0", "r3"}, {"r3"}])
-def test_routers_without_the_majority_keep_their_floor_alone(partitioned: set[str]) -> None:
+def test_routers_without_a_majority_keep_only_their_floor(partitioned: set[str]) -> None:
     cluster = LeaseCluster(2)
-    cluster.live = ROUTERS
+    cluster.shared_live_view = ROUTERS
     cluster.run_renewals(30_000.0)
     cluster.partitioned = partitioned
     cluster.run_renewals(12_500.0)
@@ -201,7 +201,7 @@
         ("lease_ms", 0.0),
     ],
 )
-def test_invalid_settings_raise_and_are_named(setting: str, value: object) -> None:
+def test_invalid_settings_raise_an_error_that_names_the_setting(setting: str, value: object) -> None:
     valid: dict[str, object] = {"routers": ("a",), "voters": ("a",)}
     with pytest.raises(ValueError, match=f"{setting} must"):
         QuotaSettings(**valid | {setting: value})  # type: ignore[arg-type]
