--- a/packages/fleet-sim/src/fleet_sim/cluster.py
+++ b/packages/fleet-sim/src/fleet_sim/cluster.py
@@ -1,7 +1,7 @@
 """A cluster of state machines on one simulated clock and network.
 
-A run is determined by the seed, the names, the factory and the scheduled callbacks: there is no other source
-of random numbers, and no order depends on hashing.
+A run is determined by the seed, the names, the factory and the scheduled callbacks: no other source of random
+numbers is used, and no order depends on hashing.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 from .trace import EntryKind, TraceEntry, notice_text
 from .violations import InvariantViolationError
 
-# Steps within a simulated ms that only a state machine with a busy loop makes.
+# Maximum number of steps within a simulated ms; only a state machine with a busy loop exceeds it.
 MAX_STEPS_PER_MS = 100_000
 
-# The UDP port of every node; nodes differ in their hosts.
+# The UDP port of every node; the addresses of nodes differ in their hosts.
 PORT = 7000
 
-# Carries out an action that is not one of ``sansio_core``.
+# Carries out an action whose type is not defined in ``sansio_core``.
 ActionHandler = Callable[["SimulatedCluster", Node, Any], None]
 
-# Describes a notable datagram in a few words; returns the empty string for all others.
+# Describes a datagram in a few words for the trace; returns an empty string for those not to be shown.
 MessageDescriber = Callable[[bytes], str]
 
 
@@ -49,13 +49,13 @@
     name: str
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Return what is wrong after ``node`` handled an event, or None."""
+        """Return a description of the violation after ``node`` handled an event, or None."""
 
 
 class _QueuedEvent(NamedTuple):
-    """A callback, or an event for a node; ``serial`` is unique and keeps events of a time in order.
+    """A callback, or an event for a node; ``serial`` is unique and keeps simultaneous events in order.
 
-    ``incarnation`` is set if the event is for that incarnation of the node alone.
+    ``incarnation`` is set if only that incarnation of the node may handle the event.
     """
 
     at_ms: float
@@ -69,8 +69,8 @@
 class ClusterOptions:
     """The network, the invariants and the extensions of a cluster.
 
-    ``base_quality`` None stands for ``LinkQuality()``.  ``describe`` is None in a run whose trace has no
-    messages.  ``action_handlers`` carry out actions that are not of ``sansio_core``, by their types.
+    ``base_quality`` None stands for ``LinkQuality()``.  ``describe`` is None if the trace shall not contain
+    messages.  ``action_handlers`` carry out actions not defined in ``sansio_core``, by action type.
     """
 
     base_quality: LinkQuality | None = None
@@ -80,10 +80,10 @@
 
 
 class SimulatedCluster:
-    """A simulated cluster: its event queue, and the operations that faults and scenarios consist of.
+    """A simulated cluster: its event queue, and the operations used by faults and scenarios.
 
-    ``topology_version`` rises with every change of a link or of a process; ``link_changed_ms`` has the time
-    at which a link was last cut or healed; ``active_faults`` are the causes of the faults in effect.
+    ``topology_version`` increases with every change of a link or a process; ``link_changed_ms`` holds the
+    time at which each link was last cut or healed; ``active_faults`` are the causes of the faults in effect.
     """
 
     def __init__(
@@ -112,11 +112,11 @@
     # -- time
 
     def schedule(self, at_ms: float, callback: Callable[[], None]) -> None:
-        """Call back at a simulated time, before events of the same time that are queued later."""
+        """Call back at a simulated time, before events with the same time that are queued later."""
         self._push(at_ms, None, None, callback)
 
     def run_until(self, until_ms: float) -> None:
-        """Handle all events that are due up to a time.
+        """Handle all events that are due up to ``until_ms``.
 
         Raises InvariantViolationError.
         """
@@ -130,7 +130,7 @@
         self.now = until_ms
 
     def deliver(self, node: Node, event: Any) -> None:
-        """Deliver an event now; a paused process handles it when it continues, one that is down never."""
+        """Deliver an event now; it is queued if the process is paused, and dropped if it is down."""
         if node.state is ProcessState.RUNNING:
             self._handle(node, event)
         elif node.state is ProcessState.PAUSED:
@@ -147,7 +147,7 @@
             self._handle(node, Started())
 
     def kill(self, name: str, cause: str = "", keep_disk: bool = True) -> None:
-        """End a process at once, as ``kill -9`` does."""
+        """End a process immediately, as ``kill -9`` does."""
         node = self.nodes[name]
         if node.state is not ProcessState.DOWN:
             node.stop(self.now, cause, keep_disk)
@@ -170,7 +170,7 @@
             self._process_changed(node, "paused")
 
     def resume(self, name: str) -> None:
-        """Continue a paused process, which then handles the events that waited for it."""
+        """Continue a paused process, which then handles its queued events."""
         node = self.nodes[name]
         if node.state is ProcessState.PAUSED:
             node.set_state(ProcessState.RUNNING, self.now)
@@ -189,11 +189,11 @@
         self._links_changed(self.network.heal(cause), EntryKind.LINK_HEALED)
 
     def heal_links(self, links: Iterable[Link]) -> None:
-        """Heal these links, for whichever causes they were cut."""
+        """Heal these links, whatever the causes for which they were cut."""
         self._links_changed(self.network.heal_links(links), EntryKind.LINK_HEALED)
 
     def inject(self, target: str, source: Address, data: bytes) -> None:
-        """Deliver a replayed or forged datagram, which no process of this cluster sends now."""
+        """Deliver a replayed or forged datagram to ``target`` as if it came from ``source``."""
         self._push(self.now, self.nodes[target], None, DatagramReceived(source, data))
 
     # -- trace
@@ -225,23 +225,23 @@
             return
         try:
             actions = node.machine.handle(node.monotonic_ms(self.now), event)
-        except Exception as error:  # a state machine must not raise: the run ends with its trace
+        except Exception as error:  # a state machine must not raise: the run ends as a violation
             frame = traceback.extract_tb(error.__traceback__)[-1]
             reason = f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
             raise self._violation("raised", node, reason) from error
         for action in actions:
             self.carry_out(node, action)
         for invariant in self._invariants:
-            wrong = invariant.check(self, node)
-            if wrong is not None:
-                raise self._violation(invariant.name, node, wrong)
+            violation = invariant.check(self, node)
+            if violation is not None:
+                raise self._violation(invariant.name, node, violation)
 
     def _check_progress(self, node: Node) -> None:
         if self.now > self._steps_counted_from_ms + 1:
             self._steps_counted_from_ms = self.now
             self._steps_before = self.steps
         elif self.steps - self._steps_before > MAX_STEPS_PER_MS:
-            raise self._violation("busy-loop", node, f"{MAX_STEPS_PER_MS} steps within a ms")
+            raise self._violation("busy-loop", node, f"more than {MAX_STEPS_PER_MS} steps within 1 ms")
 
     def carry_out(self, node: Node, action: Any) -> None:
         """Carry out an action of a node's state machine.
@@ -260,17 +260,17 @@
         elif kind in self._action_handlers:
             self._action_handlers[kind](self, node, action)
         else:
-            raise self._violation("action", node, f"no one carries out {kind.__name__}")
+            raise self._violation("action", node, f"no handler for the action {kind.__name__}")
 
     def _set_timer(self, node: Node, timer: SetTimer) -> None:
         if not (math.isfinite(timer.in_ms) and timer.in_ms >= 0):
-            raise self._violation("timer", node, f"a timer in {timer.in_ms} ms")
+            raise self._violation("timer", node, f"invalid timer delay: {timer.in_ms} ms")
         due_ms = node.timer_due_ms(self.now, timer.in_ms)
         self._push(due_ms, node, node.incarnation, TimerFired(timer.token))
 
     def _send(self, node: Node, send: SendDatagram) -> None:
         if len(send.data) > MAX_DATAGRAM_BYTES:
-            raise self._violation("size", node, f"a datagram of {len(send.data)} bytes")
+            raise self._violation("size", node, f"datagram too large: {len(send.data)} bytes")
         node.sent_datagrams += 1
         node.sent_bytes += len(send.data)
         target = self._node_at.get(send.to)
@@ -289,5 +289,5 @@
 
 
 def address_of(index: int) -> Address:
-    """Return the address of the node with this index among the names."""
+    """Return the address of the node with this index in the list of names."""
     return f"10.{index >> 16}.{(index >> 8) & 255}.{index & 255}", PORT
--- a/packages/fleet-sim/src/fleet_sim/command.py
+++ b/packages/fleet-sim/src/fleet_sim/command.py
@@ -1,4 +1,4 @@
-"""``python -m fleet_sim``: runs many seeds of a subject; shrinks a failing one and prints its timeline."""
+"""``python -m fleet_sim``: runs a subject with many seeds; shrinks a failure and prints its timeline."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from .run import Outcome, Subject, draw_plan, node_names, run
 from .shrink import shrink
 
-# The subject that is run unless the command line names another.
+# The subject to run unless the command line selects another one.
 DEFAULT_SUBJECT = "fleet_sim.membership:subject"
 
-# Seeds that a worker process takes at a time.
+# Number of seeds that are handed to a worker process at a time.
 SEEDS_PER_TASK = 20
 
-# Makes a subject for the nodes of these names.
+# Makes a subject for nodes with the given names.
 SubjectFactory = Callable[[tuple[str, ...]], Subject]
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return a percentile by the nearest rank; nan for no values."""
+    """Return a percentile by the nearest-rank method; nan if there are no values."""
     if not values:
         return math.nan
     rank = math.ceil(share * len(values))
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedRunner:
-    """Runs seeds of a subject, which it makes anew in each process that it is sent to."""
+    """Runs a subject with seeds; holds only the subject's name, so that worker processes can receive it."""
 
     subject: str
     nodes: int
@@ -47,18 +47,18 @@
         return make(node_names(self.nodes))
 
     def run(self, seed: int) -> Outcome:
-        """Run one seed; the outcome has no trace, which is large to send to another process."""
+        """Run one seed; the trace is cleared, since it is large to send to another process."""
         outcome = run(self.make_subject(), draw_plan(seed, self.nodes, self.profile))
         outcome.trace.clear()
         return outcome
 
     def run_traced(self, seed: int) -> Outcome:
-        """Run one seed with messages in its trace."""
+        """Run one seed and keep its trace, including messages."""
         return run(self.make_subject(), draw_plan(seed, self.nodes, self.profile), trace=True)
 
 
 class OutcomeTotals:
-    """Sums over the outcomes of many seeds."""
+    """Totals over the outcomes of many seeds."""
 
     def __init__(self) -> None:
         self.failures: Counter[str] = Counter()
@@ -81,16 +81,16 @@
 
     def text(self, elapsed_s: float) -> str:
         """Return the totals in one line."""
-        ranks = "/".join(f"{percentile(self.settled_ms, share):.0f}" for share in (0.5, 0.99, 1.0))
+        percentiles = "/".join(f"{percentile(self.settled_ms, share):.0f}" for share in (0.5, 0.99, 1.0))
         return (
             f"{self.seeds} seeds, {self.failures.total()} failed {dict(sorted(self.failures.items()))}, "
             f"{self.steps} steps, {self.simulated_ms / 1_000:.0f} s simulated in {elapsed_s:.1f} s, "
-            f"settled after healing p50/p99/max {ranks} ms, counts {dict(sorted(self.counts.items()))}"
+            f"settled after healing p50/p99/max {percentiles} ms, counts {dict(sorted(self.counts.items()))}"
         )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command; the exit status is 1 if a seed fails."""
+    """Run the command; return the exit status, which is 1 if a seed fails."""
     args = _parser().parse_args(arguments)
     kinds = tuple(args.kinds.split(","))
     profile = FaultProfile(max_faults=args.faults, max_duration_ms=args.longest_ms, kinds=kinds)
@@ -103,18 +103,22 @@
 def _parser() -> argparse.ArgumentParser:
     defaults = FaultProfile()
     parser = argparse.ArgumentParser(prog="python -m fleet_sim", description=__doc__)
-    parser.add_argument("--seeds", type=int, default=2_000, help="how many seeds")
-    parser.add_argument("--first", type=int, default=0, help="the first of them")
-    parser.add_argument("--seed", type=int, help="this seed alone, with its timeline")
+    parser.add_argument("--seeds", type=int, default=2_000, help="number of seeds")
+    parser.add_argument("--first", type=int, default=0, help="first seed")
+    parser.add_argument("--seed", type=int, help="run only this seed and print its timeline")
     parser.add_argument("--nodes", type=int, default=5)
-    parser.add_argument("--faults", type=int, default=defaults.max_faults, help="faults a seed, at most")
     parser.add_argument(
-        "--longest-ms", type=float, default=defaults.max_duration_ms, help="duration of a fault, at most"
+        "--faults", type=int, default=defaults.max_faults, help="maximum number of faults per seed"
     )
-    parser.add_argument("--kinds", default=",".join(FAULT_KINDS), help="which faults are drawn")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that share the seeds")
     parser.add_argument(
-        "--keep-going", action="store_true", help="shrink the first failure, count the others"
+        "--longest-ms", type=float, default=defaults.max_duration_ms, help="maximum duration of a fault in ms"
+    )
+    parser.add_argument(
+        "--kinds", default=",".join(FAULT_KINDS), help="kinds of faults to draw, separated by commas"
+    )
+    parser.add_argument("--jobs", type=int, default=1, help="number of worker processes")
+    parser.add_argument(
+        "--keep-going", action="store_true", help="continue after a failure; only the first one is shrunk"
     )
     parser.add_argument("--subject", default=DEFAULT_SUBJECT, help="module:function that makes the subject")
     return parser
@@ -149,7 +153,7 @@
 
 
 def _outcomes(runner: SeedRunner, seeds: range, jobs: int) -> Iterator[Outcome]:
-    """Yield one outcome for each seed, in their order."""
+    """Yield the outcome of each seed, in the order of the seeds."""
     if jobs == 1:
         yield from map(runner.run, seeds)
         return
--- a/packages/fleet-sim/src/fleet_sim/fault_plans.py
+++ b/packages/fleet-sim/src/fleet_sim/fault_plans.py
@@ -1,4 +1,4 @@
-"""Fault plans: draws schedules of faults from a seed, and schedules them on a cluster."""
+"""Fault plans: draws schedules of faults from a seed and applies them to a cluster."""
 
 from __future__ import annotations
 
@@ -26,43 +26,43 @@
 # Faults in the order of their start times.
 Schedule = tuple[Fault, ...]
 
-# The shortest duration of a drawn fault that is not momentary.
+# Minimum duration of a drawn fault that is not momentary.
 MIN_DURATION_MS = 100.0
 
-# Mean of the duration beyond that, as a share of the longest duration.
+# Mean of the duration above that minimum, as a fraction of the maximum duration.
 MEAN_DURATION_SHARE = 0.25
 
 # Probability that a killed process keeps its disk.
 KEEP_DISK_PROBABILITY = 0.7
 
-# Intervals of a flapping link: below a probe's timeout, below a probe interval, and above it.
+# Intervals of a flapping link: below the probe timeout, below the probe interval, and above it.
 FLAP_INTERVALS_MS = (150.0, 700.0, 2_500.0)
 
-# Shortest delays of a network within a rack, within a region and across regions.
+# Minimum delays of a network within a rack, within a region and across regions.
 MIN_DELAYS_MS = (0.2, 5.0, 40.0)
 
-# Longest delays, as a multiple of the shortest one.
+# Maximum delays, as a multiple of the minimum delay.
 DELAY_RANGE_FACTORS = (2, 5)
 
-# Probabilities of the loss of a datagram.
+# Probabilities that a datagram is lost.
 LOSSES = (0.0, 0.05, 0.2, 0.5)
 
-# Probabilities of the duplication of a datagram.
+# Probabilities that a datagram is duplicated.
 DUPLICATED_SHARES = (0.0, 0.1)
 
-# Probabilities of the reordering of a datagram.
+# Probabilities that a datagram is reordered.
 REORDERED_SHARES = (0.0, 0.3)
 
-# Delays of timers: below and above the lateness that counts as a pause, and above a probe interval.
+# Timer delays: below and above the lateness that counts as a pause, and above the probe interval.
 TIMER_DELAYS_MS = (50.0, 400.0, 1_500.0)
 
-# Steps of the wall clock by an hour, as from a wrong time zone.
+# Wall clock steps of one hour, such as a wrong time zone causes.
 WALL_CLOCK_STEPS_MS = (-3.6e6, 3.6e6)
 
-# Upper bound on the datagrams of a replay.
+# Maximum number of datagrams of a replay.
 MAX_REPLAYED = 20
 
-# Upper bound on the datagrams of garbage that are sent at once.
+# Maximum number of datagrams of one ``Garbage`` fault.
 MAX_GARBAGE = 5
 
 
@@ -99,51 +99,51 @@
 
 def draw_schedule(seed: int, names: tuple[str, ...], profile: FaultProfile) -> Schedule:
     """Draw a schedule; equal arguments give equal schedules."""
-    source = random.Random(f"{seed}/schedule")
-    count = source.randint(1, profile.max_faults)
-    faults = [_draw_fault(source, names, profile) for _ in range(count)]
+    rng = random.Random(f"{seed}/schedule")
+    count = rng.randint(1, profile.max_faults)
+    faults = [_draw_fault(rng, names, profile) for _ in range(count)]
     return tuple(sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_fault(source: random.Random, names: tuple[str, ...], profile: FaultProfile) -> Fault:
-    at_ms = round(source.uniform(profile.window_start_ms, profile.window_end_ms), 1)
+def _draw_fault(rng: random.Random, names: tuple[str, ...], profile: FaultProfile) -> Fault:
+    at_ms = round(rng.uniform(profile.window_start_ms, profile.window_end_ms), 1)
     mean_ms = profile.max_duration_ms * MEAN_DURATION_SHARE
-    duration_ms = round(min(profile.max_duration_ms, MIN_DURATION_MS + source.expovariate(1 / mean_ms)), 1)
-    kind = source.choice(profile.kinds)
-    return FAULT_KINDS[kind](_FaultDraw(source, names, at_ms, duration_ms))
+    duration_ms = round(min(profile.max_duration_ms, MIN_DURATION_MS + rng.expovariate(1 / mean_ms)), 1)
+    kind = rng.choice(profile.kinds)
+    return FAULT_KINDS[kind](_FaultDraw(rng, names, at_ms, duration_ms))
 
 
 @dataclass(frozen=True, slots=True)
 class _FaultDraw:
-    """The drawn time of a fault, and the random source and names that its other properties are drawn from."""
+    """The drawn time of a fault, with the random source and node names for drawing its other properties."""
 
-    source: random.Random
+    rng: random.Random
     names: tuple[str, ...]
     at_ms: float
     duration_ms: float
 
     def node(self) -> str:
         """Draw a node."""
-        return self.source.choice(self.names)
+        return self.rng.choice(self.names)
 
     def link(self) -> tuple[str, str]:
         """Draw the source and the target of a link."""
-        source, target = self.source.sample(self.names, 2)
+        source, target = self.rng.sample(self.names, 2)
         return source, target
 
     def groups(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
         """Draw the two sides of a partition."""
-        shuffled = self.source.sample(self.names, len(self.names))
-        size = self.source.randint(1, len(self.names) - 1)
+        shuffled = self.rng.sample(self.names, len(self.names))
+        size = self.rng.randint(1, len(self.names) - 1)
         return tuple(shuffled[:size]), tuple(shuffled[size:])
 
     def chance(self, probability: float = 0.5) -> bool:
-        """Return True with this probability."""
-        return self.source.random() < probability
+        """Return True with the given probability."""
+        return self.rng.random() < probability
 
     def quality(self) -> LinkQuality:
-        """Draw a quality; the order of the fields is the order of the draws."""
-        choice = self.source.choice
+        """Draw a link quality; the order of the fields determines the order of the draws."""
+        choice = self.rng.choice
         min_delay_ms = choice(MIN_DELAYS_MS)
         return LinkQuality(
             loss=choice(LOSSES),
@@ -165,13 +165,13 @@
 
 def _draw_flap(draw: _FaultDraw) -> Fault:
     source, target = draw.link()
-    interval_ms = draw.source.choice(FLAP_INTERVALS_MS)
+    interval_ms = draw.rng.choice(FLAP_INTERVALS_MS)
     return Flap(draw.at_ms, draw.duration_ms, source, target, interval_ms, draw.chance())
 
 
 def _draw_noise(draw: _FaultDraw) -> Fault:
     quality = draw.quality()
-    node = draw.source.choice(("", *draw.names))
+    node = draw.rng.choice(("", *draw.names))
     return Noise(draw.at_ms, draw.duration_ms, quality, node)
 
 
@@ -188,20 +188,20 @@
 
 
 def _draw_lag(draw: _FaultDraw) -> Fault:
-    return Lag(draw.at_ms, draw.duration_ms, draw.node(), draw.source.choice(TIMER_DELAYS_MS))
+    return Lag(draw.at_ms, draw.duration_ms, draw.node(), draw.rng.choice(TIMER_DELAYS_MS))
 
 
 def _draw_wall_clock_step(draw: _FaultDraw) -> Fault:
-    return WallClockStep(draw.at_ms, 0.0, draw.node(), draw.source.choice(WALL_CLOCK_STEPS_MS))
+    return WallClockStep(draw.at_ms, 0.0, draw.node(), draw.rng.choice(WALL_CLOCK_STEPS_MS))
 
 
 def _draw_replay(draw: _FaultDraw) -> Fault:
     source, target = draw.link()
-    return Replay(draw.at_ms, 0.0, source, target, draw.source.randint(1, MAX_REPLAYED))
+    return Replay(draw.at_ms, 0.0, source, target, draw.rng.randint(1, MAX_REPLAYED))
 
 
 def _draw_garbage(draw: _FaultDraw) -> Fault:
-    return Garbage(draw.at_ms, 0.0, draw.node(), draw.source.randint(1, MAX_GARBAGE))
+    return Garbage(draw.at_ms, 0.0, draw.node(), draw.rng.randint(1, MAX_GARBAGE))
 
 
 # The function that draws each kind of fault, by the kind's name on the command line.
--- a/packages/fleet-sim/src/fleet_sim/faults.py
+++ b/packages/fleet-sim/src/fleet_sim/faults.py
@@ -1,4 +1,4 @@
-"""Faults: each begins at a time, is in effect for a duration, and ends."""
+"""The faults of a run: each begins at a time, is in effect for a duration, and ends."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .network import Link, LinkQuality
 from .trace import EntryKind
 
-# The source of garbage: an address for documentation (RFC 5737), which no node has.
+# The source address of garbage: one reserved for documentation (RFC 5737), which no node has.
 FORGED_SOURCE: Address = ("192.0.2.1", 9)
 
 
@@ -38,7 +38,7 @@
 class Fault(ABC):
     """A fault that begins at ``at_ms`` and ends ``duration_ms`` later (0: a momentary fault).
 
-    ``cause``, which its methods are called with, is the name that it has in the run.
+    The argument ``cause`` of its methods is the unique identifier of the fault within the run.
     """
 
     at_ms: float
@@ -46,10 +46,10 @@
 
     @abstractmethod
     def begin(self, cluster: SimulatedCluster, cause: str, /) -> None:
-        """Bring the fault into effect."""
+        """Begin the effect of the fault."""
 
     def end(self, cluster: SimulatedCluster, cause: str, /) -> None:  # noqa: B027 - momentary faults have no end
-        """End the effect; faults that last override this."""
+        """End the effect; faults with a duration override this."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Flap(Fault):
-    """A link that is cut and healed in turn, each for ``interval_ms``."""
+    """A link that is cut and healed alternately, each for ``interval_ms``."""
 
     source: str
     target: str
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Noise(Fault):
-    """Loss, delay, duplication and reordering on all links, or on those from and to one node."""
+    """Loss, delay, duplication and reordering on all links, or on those from and to ``node``."""
 
     quality: LinkQuality
     node: str = ""
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill(Fault):
-    """The end of a process by SIGKILL, and a restart at the end of the fault."""
+    """A process that is killed (SIGKILL), and restarted at the end of the fault."""
 
     node: str
     keep_disk: bool = True
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave(Fault):
-    """A graceful shutdown, and a restart at the end of the fault."""
+    """A process that is shut down gracefully, and restarted at the end of the fault."""
 
     node: str
 
@@ -170,14 +170,14 @@
 
 
 def _restart(cluster: SimulatedCluster, name: str, cause: str) -> None:
-    """Start a process again, unless another fault stopped it."""
+    """Restart a process if it was stopped by this fault."""
     if cluster.nodes[name].stopped_by == cause:
         cluster.start(name)
 
 
 @dataclass(frozen=True, slots=True)
 class Pause(Fault):
-    """A pause of a process (SIGSTOP), which continues at the end (SIGCONT)."""
+    """A process that is paused (SIGSTOP), and continued at the end of the fault (SIGCONT)."""
 
     node: str
 
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lag(Fault):
-    """A busy process, whose timers fire up to ``max_delay_ms`` late."""
+    """A busy process: its timers fire up to ``max_delay_ms`` late."""
 
     node: str
     max_delay_ms: float
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WallClockStep(Fault):
-    """A step of the wall clock; no state machine reads that clock, so it only appears in the trace."""
+    """A step of the wall clock; it only appears in the trace, since no state machine reads that clock."""
 
     node: str
     by_ms: float
@@ -222,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay(Fault):
-    """Recorded datagrams of a link, which an attacker sends again."""
+    """The newest recorded datagrams of a link, sent again as by an attacker."""
 
     source: str
     target: str
@@ -237,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Garbage(Fault):
-    """Datagrams of random bytes, from an address that no node has."""
+    """Datagrams of random bytes, sent from the address of no node."""
 
     target: str
     count: int
@@ -245,7 +245,7 @@
     def begin(self, cluster: SimulatedCluster, cause: str) -> None:
         """Send the datagrams."""
         cluster.record(EntryKind.FAULT, f"{self.count} datagrams of garbage", self.target)
-        draw = random.Random(f"{cluster.seed}/{cause}")
+        rng = random.Random(f"{cluster.seed}/{cause}")
         for _ in range(self.count):
-            data = draw.randbytes(draw.randrange(MAX_DATAGRAM_BYTES + 1))
+            data = rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES + 1))
             cluster.inject(self.target, FORGED_SOURCE, data)
--- a/packages/fleet-sim/src/fleet_sim/membership.py
+++ b/packages/fleet-sim/src/fleet_sim/membership.py
@@ -1,4 +1,4 @@
-"""The members of a fleet, with their quota leases, as a subject of the simulation."""
+"""The simulation subject for fleet membership and quota leases."""
 
 from __future__ import annotations
 
@@ -34,22 +34,23 @@
 from .scenario import Scenario
 from .simulated_router import SimulatedRouter
 
-# Upper bound on the voters of a fleet whose voters are not named.
+# Maximum number of voters of a fleet whose voters are not given.
 MAX_VOTERS = 5
 
-# Time after the last fault within which all routers must agree: several exchanges with unreachable peers.
+# Time after the last fault within which all routers must agree: several exchanges with unreachable peers fit
+# into it.
 SETTLE_TIMEOUT_MS = 60_000.0
 
 # The name of the fleet.
 FLEET = "fleet"
 
-# The secret of all routers but the foreign ones.
+# The secret of all routers except the foreign ones.
 FLEET_SECRET = b"the secret of the fleet"
 
 # The secret of foreign routers, whose datagrams the fleet must reject.
 FOREIGN_SECRET = b"another secret of theirs"
 
-# Settings that are integers, since the numbers in a scenario's header are read as floats.
+# Settings to convert to integers, since the numbers in a scenario's header are parsed as floats.
 INTEGER_SETTINGS = ("indirect", "flaps_most")
 
 _envelope_decoder = msgpack.Decoder(Envelope)
@@ -64,10 +65,10 @@
     checked: bool = True,
     timings: Mapping[str, float] | None = None,
 ) -> Subject:
-    """Return a fleet of these routers.
+    """Return a subject that simulates a fleet of these routers.
 
-    ``foreign`` ones have another secret; ``timings`` are settings of ``MembershipSettings``; without
-    ``checked`` there are no invariants.
+    ``foreign`` routers have another secret; ``timings`` are settings of ``MembershipSettings``; if not
+    ``checked``, there are no invariants.
     """
     voters = voters or names[:MAX_VOTERS]
     quotas = QuotaSettings(tuple(name for name in names if name not in foreign), voters)
@@ -111,7 +112,7 @@
 
 
 def describe(data: bytes) -> str:
-    """Describe indirect probes, batches of claims that a member is not alive, and outdated incarnations."""
+    """Describe indirect probes, outdated incarnations and batches of claims that members are not alive."""
     try:
         envelope = _envelope_decoder.decode(data[HEADER_BYTES:-TAG_BYTES])
     except (DecodeError, ValueError):
--- a/packages/fleet-sim/src/fleet_sim/membership_invariants.py
+++ b/packages/fleet-sim/src/fleet_sim/membership_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of members and their quotas, and the check that a fleet has settled after the last fault."""
+"""The invariants of members and quotas, and the check that a fleet has settled after the last fault."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from .reachability import Reachability, connected_for_ms
 from .simulated_router import SimulatedRouter
 
-# Connection time between a failed member and the router that declared it failed, from which on the failure is
-# counted as false.
+# A failure is counted as false if the failed member and the router that reported it have been connected for
+# at least this time.
 CONNECTED_MS = 5_000.0
 
-# Connection time between a failed member and all running nodes, from which on the failure is a violation.
+# A failure is a violation if the member has been connected to all running nodes for at least this time.
 CONNECTED_TO_ALL_MS = 15_000.0
 
-# Time after which a router must have detected that it lost the majority of the voters.
+# Time within which a router must detect that it no longer reaches a majority of the voters.
 MAJORITY_LOSS_MS = 12_000.0
 
-# Rounding error by which a sum of quotas may exceed 1.
+# Tolerated rounding error by which a sum of quotas may exceed 1.
 ROUNDING_ERROR = 1e-9
 
 
 def view_of(cluster: SimulatedCluster, node: Node) -> MembershipView | None:
-    """Return the node's present view of the fleet, or None if the node is down."""
+    """Return the node's current view of the fleet, or None if the node is down."""
     if node.machine is None:
         return None
     return _router_of(node).membership.view(node.monotonic_ms(cluster.now))
@@ -43,7 +43,7 @@
 class MonotonicViews:
     """Checks that versions and members' incarnations never decrease while a process runs.
 
-    ``majority_since_ms`` changes whenever ``has_majority`` does.
+    Also checks that ``majority_since_ms`` changes whenever ``has_majority`` does.
     """
 
     name = "monotonic-views"
@@ -52,7 +52,7 @@
         self._last: dict[tuple[str, int], MembershipView] = {}
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Compare the node's view with the one before."""
+        """Compare the node's view with its previous one."""
         view = view_of(cluster, node)
         process = (node.name, node.incarnation)
         last = self._last.get(process)
@@ -64,21 +64,21 @@
 
 def _regression(last: MembershipView, view: MembershipView) -> str | None:
     if view.version < last.version:
-        return f"version {last.version} went back to {view.version}"
+        return f"version decreased from {last.version} to {view.version}"
     majority_changed = view.has_majority != last.has_majority
     if majority_changed and view.majority_since_ms == last.majority_since_ms:
-        return f"majority turned to {view.has_majority} and since_ms stayed {view.majority_since_ms}"
+        return f"has_majority changed to {view.has_majority}, since_ms is still {view.majority_since_ms}"
     for name, member in view.members.items():
         before = last.members.get(name)
         if before and member.incarnation < before.incarnation:
-            return f"incarnation of {name} went back from {before.incarnation} to {member.incarnation}"
+            return f"incarnation of {name} decreased from {before.incarnation} to {member.incarnation}"
     return None
 
 
 class SingleMajority:
-    """Checks that a router claims no majority if it had none in reach for ``MAJORITY_LOSS_MS``.
+    """Checks that a router claims no majority if it could reach none for ``MAJORITY_LOSS_MS``.
 
-    So at most one side of a partition claims a majority.
+    This implies that at most one side of a partition claims a majority.
     """
 
     name = "single-majority"
@@ -90,7 +90,7 @@
         self._minority_since_ms: dict[str, float] = {}
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Compare the node's view with what it can reach."""
+        """Compare the node's view with the nodes that it can reach."""
         if cluster.topology_version != self._topology_version:
             self._topology_version = cluster.topology_version
             self._update_minorities(cluster)
@@ -101,7 +101,7 @@
         if view is None or not view.has_majority:
             return None
         reachable = " ".join(sorted(self._reachability.component(cluster, node.name)))
-        return f"majority held, but only {reachable} in reach for {cluster.now - since_ms:.0f} ms"
+        return f"claims a majority, but has reached only {reachable} for {cluster.now - since_ms:.0f} ms"
 
     def _update_minorities(self, cluster: SimulatedCluster) -> None:
         for name in cluster.nodes:
@@ -113,7 +113,7 @@
 
 
 class NoFalseFailures:
-    """Checks that no member fails that all running nodes are connected to, by links without noise."""
+    """Checks that no member is declared failed while all running nodes are connected to it without noise."""
 
     name = "false-failure"
 
@@ -121,7 +121,7 @@
         self._entries_read = 0
 
     def check(self, cluster: SimulatedCluster, _node: Node) -> str | None:
-        """Read the notices since the last check."""
+        """Check the notices since the last call."""
         new_entries = cluster.trace[self._entries_read :]
         self._entries_read = len(cluster.trace)
         for entry in new_entries:
@@ -129,9 +129,9 @@
             if words[0] != "member" or words[2] != "failed" or words[1] not in cluster.nodes:
                 continue
             failed = cluster.nodes[words[1]]
-            disturbed = cluster.network.is_degraded or failed.timer_delays_ms
-            if not disturbed and _connected_to_all(cluster, failed):
-                return f"{failed.name} failed, and all reach it"
+            has_interference = cluster.network.is_degraded or failed.timer_delays_ms
+            if not has_interference and _connected_to_all(cluster, failed):
+                return f"{failed.name} was declared failed, but all running nodes are connected to it"
         return None
 
 
@@ -141,12 +141,12 @@
 
 
 class QuotasFitBudget:
-    """Checks that the quotas of all processes, also of paused ones, never exceed a budget in total."""
+    """Checks that the quotas of all processes, including paused ones, never exceed a budget in total."""
 
     name = "quotas"
 
     def check(self, cluster: SimulatedCluster, _node: Node) -> str | None:
-        """Add up the quotas."""
+        """Check the sum of the quotas."""
         total = 0.0
         for node in cluster.nodes.values():
             if node.machine is not None:
@@ -157,7 +157,7 @@
 
 
 def count_failures_and_rejections(cluster: SimulatedCluster, counts: Counter[str]) -> None:
-    """Count failures, false failures among them (``CONNECTED_MS``), and rejected datagrams."""
+    """Count failures, the false ones among them (``CONNECTED_MS``), and rejected datagrams by cause."""
 
     def count(node: Node, notice: Notice) -> None:
         if notice.name == "member" and notice.fields["state"] == "failed":
@@ -183,7 +183,7 @@
             return f"{observer}: majority is {view.has_majority}"
         known_foreign = foreign & view.members.keys()
         if known_foreign:
-            return f"{observer}: knows {' '.join(sorted(known_foreign))} of another fleet"
+            return f"{observer}: knows the foreign members {' '.join(sorted(known_foreign))}"
         for node in fleet:
             difference = _member_difference(view, node, incarnations)
             if difference is not None:
@@ -196,12 +196,12 @@
     member = view.members.get(node.name)
     if not node.is_running:
         if member is not None and member.state not in DEAD_STATES:
-            return f"{node.name} is gone and is {member.state.name}"
+            return f"{node.name} is not running but is {member.state.name}"
         return None
     if member is None:
-        return f"{node.name} runs and is unknown"
+        return f"{node.name} is running but unknown"
     if member.state is not MemberState.ALIVE:
-        return f"{node.name} runs and is {member.state.name}"
+        return f"{node.name} is running but is {member.state.name}"
     if member.incarnation != incarnations[node.name]:
-        return f"{node.name} is held as incarnation {member.incarnation}"
+        return f"{node.name} is known with the wrong incarnation {member.incarnation}"
     return None
--- a/packages/fleet-sim/src/fleet_sim/network.py
+++ b/packages/fleet-sim/src/fleet_sim/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: loss, delay and duplication of datagrams on each directed link."""
+"""The simulated network: loss, delay, duplication and cuts of directed links."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 # A directed link: the names of its source and its target.
 Link = tuple[str, str]
 
-# Upper bound on the recorded datagrams of each sender.
+# Maximum number of recorded datagrams per sender; the oldest are dropped.
 MAX_RECORDED = 64
 
 
 @dataclass(frozen=True, slots=True)
 class LinkQuality:
-    """How a link that is not cut carries datagrams: probabilities in [0, 1], times in ms.
+    """The quality of a link that is not cut: probabilities in [0, 1], times in ms.
 
-    Delays are uniform in their range, so datagrams sent within its width may overtake each other; a reordered
-    one is delayed by up to ``reorder_delay_ms`` more.
+    Delays are uniform in their range, so datagrams sent shortly after each other may overtake each other; a
+    reordered one is delayed by up to ``reorder_delay_ms`` more.
     """
 
     loss: float = 0.0
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedDatagram:
-    """A datagram that was recorded for a replay."""
+    """A sent datagram that was recorded for a replay."""
 
     source: Address
     target: str
@@ -42,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _Degradation:
-    """A quality that replaces the base quality on all links, or on those of one node."""
+    """A quality that replaces the base quality on all links, or on those of ``node`` if it is set."""
 
     quality: LinkQuality
     node: str
 
     def applies_to(self, link: Link) -> bool:
-        """Return whether the degradation concerns a link."""
+        """Return whether the degradation applies to a link."""
         return not self.node or self.node in link
 
 
 class Network:
-    """Cuts and degradations by their causes, so that overlapping faults end one by one.
+    """The cuts and degradations of links, stored by cause, so that overlapping faults can end independently.
 
-    A cut stops datagrams as they are sent: those already on their way arrive.
+    A cut drops datagrams when they are sent: datagrams already in flight arrive.
     """
 
     def __init__(self, base_quality: LinkQuality | None = None) -> None:
@@ -65,7 +65,7 @@
         self._recorded: dict[str, deque[RecordedDatagram]] = {}
 
     def delivery_delays_ms(self, link: Link, random: RandomSource) -> tuple[float, ...]:
-        """Return the delay of each copy of a datagram that will arrive: none if it is lost."""
+        """Return the delay of each copy of a datagram that will arrive; empty if it is lost."""
         if link in self._cuts:
             return ()
         quality = self._quality(link) if self._degradations else self.base_quality
@@ -77,7 +77,7 @@
         return (delay_ms,)
 
     def cut(self, links: Iterable[Link], cause: str) -> list[Link]:
-        """Cut the links for a cause; returns those that carried datagrams until now."""
+        """Cut the links for a cause; return those that were not cut before."""
         newly_cut = []
         for link in links:
             if link not in self._cuts:
@@ -86,7 +86,7 @@
         return newly_cut
 
     def heal(self, cause: str) -> list[Link]:
-        """End a cause's cuts; returns the links that carry datagrams again."""
+        """End the cuts of a cause; return the links that are no longer cut."""
         healed = []
         for link, causes in list(self._cuts.items()):
             causes.discard(cause)
@@ -96,7 +96,7 @@
         return healed
 
     def heal_links(self, links: Iterable[Link]) -> list[Link]:
-        """End every cause's cut of these links; returns those that carry datagrams again."""
+        """End the cuts of these links for all causes; return those that were cut."""
         return [link for link in links if self._cuts.pop(link, None) is not None]
 
     def is_cut(self, link: Link) -> bool:
@@ -104,20 +104,20 @@
         return link in self._cuts
 
     def degrade(self, cause: str, quality: LinkQuality, node: str = "") -> None:
-        """Give all links, or those from and to one node, another quality; the last cause prevails."""
+        """Set another quality for all links, or those from and to one node; the latest cause prevails."""
         self._degradations[cause] = _Degradation(quality, node)
 
     def end_degradation(self, cause: str) -> None:
-        """End a cause's degradation."""
+        """End the degradation of a cause."""
         self._degradations.pop(cause, None)
 
     @property
     def is_degraded(self) -> bool:
-        """Whether any link has another quality than the base quality."""
+        """Whether any degradation is in effect."""
         return bool(self._degradations)
 
     def record(self, sender: str, datagram: RecordedDatagram) -> None:
-        """Keep a datagram for a replay."""
+        """Record a sent datagram for a replay."""
         self._recorded.setdefault(sender, deque(maxlen=MAX_RECORDED)).append(datagram)
 
     def recorded(self, sender: str, target: str) -> list[RecordedDatagram]:
--- a/packages/fleet-sim/src/fleet_sim/node.py
+++ b/packages/fleet-sim/src/fleet_sim/node.py
@@ -1,4 +1,4 @@
-"""A simulated process: its state machine, clocks and disk, and the events that wait while it is paused."""
+"""A simulated process: its state machine, clock and disk, and the events queued while it is paused."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from sansio_core import Address, DatagramReceived, RandomSource, StateMachine
 
-# The data that survive a kill; a process that lost its disk starts with an empty one.
+# The data that survive a kill, unless the disk is lost as well: then the process starts with an empty one.
 Disk = dict[str, Any]
 
 # Makes a process's state machine: name, address, incarnation, random source, disk.
 MachineFactory = Callable[[str, Address, int, RandomSource, Disk], StateMachine[Any, Any]]
 
-# Upper bound on the datagrams that wait for a paused process; further ones are lost, as in a full socket
+# Maximum number of datagrams queued for a paused process; further ones are lost, as with a full socket
 # buffer.
 MAX_WAITING_DATAGRAMS = 128
 
-# The largest difference between the rates of a clock and of simulated time, as a share of the latter.
+# Maximum relative difference between the rate of a node's clock and that of simulated time.
 MAX_CLOCK_DRIFT = 5e-4
 
-# The shortest time until a timer fires, since a process takes time for its work.
+# Minimum delay of a timer, since a process takes time for its work.
 MIN_TIMER_MS = 0.05
 
-# Upper bound on the reading of a process's monotonic clock at its start.
-MAX_CLOCK_ZERO_MS = 1e6
+# Upper bound of the value of a process's monotonic clock at its start.
+MAX_INITIAL_CLOCK_MS = 1e6
 
 
 class ProcessState(Enum):
@@ -38,11 +38,11 @@
 
 
 class Node:
-    """One name and address, over all incarnations of its process.
+    """One name and address, with all successive incarnations of its process.
 
-    ``stopped_by`` is the fault that ended the process, if one did.  ``timer_delays_ms`` has the upper
-    bounds of the lateness of timers, by cause.  ``random`` draws the delivery of the node's datagrams and the
-    lateness of its timers; the state machine of each incarnation has another random source.
+    ``stopped_by`` is the cause of the fault that ended the process, or empty.  ``timer_delays_ms`` holds the
+    upper bounds of the lateness of timers, by cause.  ``random`` draws the delivery of the node's datagrams
+    and the lateness of its timers; the state machine of each incarnation has its own random source.
     """
 
     def __init__(self, name: str, address: Address, seed: int) -> None:
@@ -73,14 +73,14 @@
         """Start the next incarnation, with a new clock and random source."""
         self.incarnation += 1
         machine_random = random.Random(f"{self._seed}/{self.name}/{self.incarnation}").random
-        self._clock_zero_ms = now - MAX_CLOCK_ZERO_MS * self.random()
+        self._clock_zero_ms = now - MAX_INITIAL_CLOCK_MS * self.random()
         self._clock_rate = 1 + MAX_CLOCK_DRIFT * (2 * self.random() - 1)
         self.machine = factory(self.name, self.address, self.incarnation, machine_random, self.disk)
         self.stopped_by = ""
         self.set_state(ProcessState.RUNNING, now)
 
     def stop(self, now: float, cause: str, keep_disk: bool) -> None:
-        """End the process."""
+        """End the process, and clear its disk unless ``keep_disk`` is set."""
         self.machine = None
         self.stopped_by = cause
         self._waiting = []
@@ -95,11 +95,11 @@
         self.state_changed_ms = now
 
     def monotonic_ms(self, now: float) -> float:
-        """Return the node's monotonic clock, whose zero and rate differ from simulated time."""
+        """Return the time on the node's monotonic clock, whose origin and rate differ from simulated time."""
         return (now - self._clock_zero_ms) * self._clock_rate
 
     def timer_due_ms(self, now: float, in_ms: float) -> float:
-        """Return the simulated time at which a timer fires: by the node's clock, later under a fault."""
+        """Return the simulated time at which a timer set now for ``in_ms`` on the node's clock fires."""
         due_ms = now + max(in_ms, MIN_TIMER_MS) / self._clock_rate
         max_delay_ms = max(self.timer_delays_ms.values(), default=0.0)
         if max_delay_ms:
@@ -107,7 +107,7 @@
         return due_ms
 
     def enqueue(self, event: Any) -> None:
-        """Queue an event until the process continues; a datagram is lost if too many are queued."""
+        """Queue an event until the process continues; a datagram is dropped if the queue is full."""
         if isinstance(event, DatagramReceived):
             if self._waiting_datagrams >= MAX_WAITING_DATAGRAMS:
                 return
@@ -115,7 +115,7 @@
         self._waiting.append(event)
 
     def dequeue_all(self) -> list[Any]:
-        """Return the queued events: at random all datagrams first or last, as a reactor may read them."""
+        """Remove and return the queued events, with all datagrams either first or last, drawn at random."""
         waiting = self._waiting
         self._waiting = []
         self._waiting_datagrams = 0
--- a/packages/fleet-sim/src/fleet_sim/reachability.py
+++ b/packages/fleet-sim/src/fleet_sim/reachability.py
@@ -7,7 +7,7 @@
 
 
 class Reachability:
-    """The connected components of one cluster, computed again when its topology changes."""
+    """The strongly connected components of a cluster, updated when its topology has changed."""
 
     def __init__(self) -> None:
         self._topology_version = -1
@@ -16,8 +16,8 @@
     def component(self, cluster: SimulatedCluster, name: str) -> frozenset[str]:
         """Return the running nodes with a path to ``name`` and back, itself included.
 
-        Paths may lead over other running nodes: it is a strongly connected component, empty if the node is
-        not running.
+        Paths may pass through other running nodes, so this is a strongly connected component.  It is empty if
+        the node is not running.
         """
         if cluster.topology_version != self._topology_version:
             self._topology_version = cluster.topology_version
@@ -26,7 +26,7 @@
 
 
 def connected_for_ms(cluster: SimulatedCluster, node: Node, other: Node) -> float:
-    """Return how long both nodes have been running with both links between them intact; 0 if not now."""
+    """Return how long both nodes have been running and connected in both directions; 0 if they are not."""
     if not (node.is_running and other.is_running):
         return 0.0
     outgoing = (node.name, other.name)
--- a/packages/fleet-sim/src/fleet_sim/run.py
+++ b/packages/fleet-sim/src/fleet_sim/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of a subject under a schedule of faults, and its outcome."""
+"""Runs a subject with a seed and a schedule of faults, and returns the outcome."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from .trace_rendering import render_trace
 from .violations import InvariantViolationError
 
-# Simulated time between checks whether the subject has settled.
+# Simulated time between checks of whether the subject has settled.
 POLL_INTERVAL_MS = 250.0
 
-# Entries at the end of the trace that a story shows: enough for a shrunk failure.
+# Default number of entries at the end of the trace that a report shows: enough for a shrunk failure.
 REPORT_ENTRIES = 120
 
 
@@ -38,8 +38,8 @@
 class Subject:
     """The simulated system and its invariants.
 
-    ``find_unsettled`` returns what has not settled yet after the last fault, or None; the subject has
-    ``settle_timeout_ms`` for that.  ``invariants`` are made anew for each run; ``attach_counters`` adds
+    ``find_unsettled`` describes what has not settled since the last fault, or returns None, which it must do
+    within ``settle_timeout_ms``.  ``invariants`` makes new objects for each run; ``attach_counters`` adds
     listeners that only count and never fail a run.
     """
 
@@ -66,7 +66,8 @@
 class Outcome:
     """The outcome of a run.
 
-    ``settled_ms`` counts from the end of the last fault.  ``trace`` has messages in a traced run only.
+    ``settled_ms`` is the time from the end of the last fault to the end of the run.  ``trace`` contains
+    messages only in a traced run.
     """
 
     plan: Plan
@@ -78,7 +79,7 @@
     trace: list[TraceEntry]
 
     def report_text(self, max_entries: int = REPORT_ENTRIES) -> str:
-        """Return the failure, the schedule and the end of the timeline (0 entries: all of it) as text."""
+        """Return the result, the schedule and the last ``max_entries`` of the timeline (0: all) as text."""
         heading = f"seed {self.plan.seed}, {len(self.plan.names)} nodes: {self.violation or 'holds'}"
         faults = "\n".join(f"  {fault}" for fault in self.plan.schedule)
         timeline = render_trace(self.trace, self.plan.names, max_entries)
@@ -86,20 +87,20 @@
 
 
 def node_names(count: int) -> tuple[str, ...]:
-    """Return the names a, b, c, ..., or n0, n1, ... for more than 26 nodes."""
+    """Return the names a, b, c, ..., or n0, n1, ... if there are more than 26 nodes."""
     if count <= len(string.ascii_lowercase):
         return tuple(string.ascii_lowercase[:count])
     return tuple(f"n{index}" for index in range(count))
 
 
 def draw_plan(seed: int, count: int, profile: FaultProfile) -> Plan:
-    """Draw a plan for ``count`` nodes, which the arguments determine."""
+    """Draw a plan for ``count`` nodes; equal arguments give equal plans."""
     names = node_names(count)
     return Plan(seed, names, draw_schedule(seed, names, profile))
 
 
 def run(subject: Subject, plan: Plan, *, trace: bool = False) -> Outcome:
-    """Run to the first violation, or until the subject has settled after the last fault."""
+    """Run until the first violation, or until the subject has settled after the last fault."""
     cluster = make_cluster(subject, plan.seed, plan.names, trace=trace)
     counts: Counter[str] = Counter()
     subject.attach_counters(cluster, counts)
--- a/packages/fleet-sim/src/fleet_sim/scenario.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario.py
@@ -10,13 +10,13 @@
 from fnmatch import fnmatchcase
 from pathlib import Path
 
-# Default time that a scenario waits for an expectation: longer than any suspicion.
+# Default time for which a scenario waits for an expectation; longer than any suspicion.
 DEFAULT_TIMEOUT_MS = 20_000.0
 
-# Default number of seeds that a scenario is run with.
+# Default number of seeds with which a scenario is run.
 DEFAULT_SEEDS = 3
 
-# The expectation that has no nodes: the subject itself is asked whether it has settled.
+# The expectation without nodes: it is met if the subject has settled.
 SETTLED = "settled"
 
 _STEP = re.compile(r"(?:at\s+(?P<at>[\d_.]+)|then(?:\s+(?P<pause>[\d_.]+))?)\s+(?P<action>\S.*)")
@@ -25,20 +25,20 @@
 
 
 class ScenarioSyntaxError(ValueError):
-    """A text that is not of the format; the message names its line if it is one."""
+    """A text that does not conform to the format; the message names the line if there is one."""
 
     @classmethod
     def at_line(cls, line: int, problem: str) -> ScenarioSyntaxError:
-        """Return the error for a line."""
+        """Return an error whose message names the line."""
         return cls(f"line {line}: {problem}")
 
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """One ``nodes: words`` of the right side; ``settled`` has no nodes.
+    """One ``nodes: words`` on the right side; ``settled`` has no nodes.
 
-    ``forbidden``: it must not be observed until the next step.  ``ordered``: only after all lines above it of
-    the same step.
+    ``forbidden``: it must not be observed until the next step.  ``ordered``: it may only be met after all
+    expectations above it in the same step.
     """
 
     line: int
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An action at a time, or (``at_ms`` None) ``pause_ms`` after all that was expected before it."""
+    """An action at ``at_ms``, or if that is None, ``pause_ms`` after all earlier expectations were met."""
 
     line: int
     at_ms: float | None
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A parsed file.
+    """A parsed ``.timeline`` file.
 
-    ``started_later`` are the nodes that are not started at 0; ``timeout_ms`` is how long the run goes on
+    ``started_later`` are the nodes that are not started at 0; ``timeout_ms`` is how long the run continues
     after the last step, and the limit of each ``then``; ``forbidden`` must not be observed in the entire run.
-    ``options`` are the header lines that only the subject knows.
+    ``options`` are the header lines that are interpreted by the subject.
     """
 
     title: str
@@ -95,12 +95,12 @@
 
 
 def load(path: Path) -> Scenario:
-    """Parse a file; raises ScenarioSyntaxError."""
+    """Parse a ``.timeline`` file; raises ScenarioSyntaxError."""
     return parse(path.read_text(encoding="utf-8"))
 
 
 def parse(text: str) -> Scenario:
-    """Parse a text; raises ScenarioSyntaxError."""
+    """Parse the text of a scenario; raises ScenarioSyntaxError."""
     parser = _Parser()
     for number, raw in enumerate(text.splitlines(), 1):
         parser.add_line(number, raw)
@@ -108,7 +108,7 @@
 
 
 class _Parser:
-    """Collects the lines of a file."""
+    """Parses a scenario line by line."""
 
     def __init__(self) -> None:
         self._header: dict[str, tuple[str, ...]] = {}
@@ -138,7 +138,7 @@
             self._header[key] = tuple(value.split())
 
     def scenario(self) -> Scenario:
-        """Return the scenario of the lines added; raises ScenarioSyntaxError if it is incomplete."""
+        """Return the scenario of all added lines; raises ScenarioSyntaxError if it is incomplete."""
         header = dict(self._header)
         names = header.pop("nodes", ())
         if not names or not self._steps:
--- a/packages/fleet-sim/src/fleet_sim/scenario_actions.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_actions.py
@@ -1,4 +1,4 @@
-"""The actions of a scenario's steps: faults that last until they are healed, and ends of faults."""
+"""The actions of a scenario's steps, which begin faults or end faults that are in effect."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from .network import Link, LinkQuality
 from .scenario import ScenarioSyntaxError
 
-# The words of an action, or those after its verb.
+# The words of an action, with or without its verb.
 Words = tuple[str, ...]
 
-# The field of ``LinkQuality`` for each word of the action ``noise``, which the files' format fixes.
+# The field of ``LinkQuality`` for each key of the action ``noise``; the keys are part of the file format.
 QUALITY_KEYS: Mapping[str, str] = {
     "loss": "loss",
     "least_ms": "min_delay_ms",
@@ -35,12 +35,12 @@
     "held_ms": "reorder_delay_ms",
 }
 
-# Faults without a duration, which later actions cannot end.
+# Types of faults without a duration, which no later action can end.
 MOMENTARY_FAULTS = (WallClockStep, Replay, Garbage)
 
 
 class ScenarioActions:
-    """Carries out actions on a cluster; remembers the faults in effect so that later actions can end them."""
+    """Carries out actions on a cluster; keeps the faults in effect so that later actions can end them."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
@@ -62,7 +62,7 @@
 
     def _begin(self, fault: Fault) -> None:
         self._count += 1
-        cause = f"act {self._count}"  # garbage is drawn from it: another word would be another run
+        cause = f"act {self._count}"  # it seeds the garbage: another text would change the run
         self._cluster.active_faults.add(cause)
         fault.begin(self._cluster, cause)
         if isinstance(fault, MOMENTARY_FAULTS):
@@ -115,7 +115,7 @@
 
 
 def parse_quality(words: Sequence[str]) -> dict[str, float]:
-    """Return the fields of ``LinkQuality`` that pairs of words name; raises KeyError or ValueError."""
+    """Return fields of ``LinkQuality`` from pairs of key and value; raises KeyError or ValueError."""
     pairs = zip(words[::2], words[1::2], strict=True)
     return {QUALITY_KEYS[key]: float(value) for key, value in pairs}
 
--- a/packages/fleet-sim/src/fleet_sim/scenario_runner.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario and compares observations with expectations, by order and cause rather than by time."""
+"""Runs a scenario and compares observations with expectations, by step and order rather than by time."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from .trace_rendering import TIME_WIDTH, TraceRenderer
 from .violations import InvariantViolationError
 
-# Makes the subject of a scenario, which may depend on the options in its header.
+# Makes the subject of a scenario; it may depend on the options in the scenario's header.
 SubjectFactory = Callable[[Scenario], Subject]
 
-# Simulated time between readings of the trace, by which a ``then`` may be late.
+# Simulated time between readings of the trace; a ``then`` step may start late by this time.
 POLL_INTERVAL_MS = 10.0
 
-# Characters between the timeline and the expectations beside it, with those after its times.
+# Characters between the timeline and the expectations beside it, including those after the time column.
 COLUMN_GAP = 4
 
 
 @dataclass
 class ScenarioReport:
-    """The result of a scenario under one seed.
+    """The result of running a scenario with one seed.
 
-    ``annotations`` holds by index of the trace which expectation an entry met or broke.
+    ``annotations`` says, by index of a trace entry, which expectation the entry met or violated.
     """
 
     scenario: Scenario
@@ -44,23 +44,23 @@
         rows = [f"{self.scenario.title} (seed {self.seed})", *self.failures]
         rows.append(f"{renderer.header():<{width}}expected")
         for index, entry in enumerate(self.trace):
-            first, *more = renderer.draw(entry)
-            rows.append(f"{first:<{width}}{self.annotations.get(index, '')}".rstrip())
-            rows += more
+            first_row, *further_rows = renderer.draw(entry)
+            rows.append(f"{first_row:<{width}}{self.annotations.get(index, '')}".rstrip())
+            rows += further_rows
         rows += [f"{'':<{width}}{failure}" for failure in self.failures]
         return "\n".join(rows)
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """An expectation that a node has not met yet."""
+    """An expectation that is not met yet, for one of its nodes."""
 
     expectation: Expectation
     node: str
 
 
 class _StepExpectations:
-    """The expectations of one step, which are met one by one."""
+    """The expectations of one step, which notices meet one by one."""
 
     def __init__(self, step: Step) -> None:
         self.forbidden = [line for line in step.expectations if line.forbidden]
@@ -69,7 +69,7 @@
         self._pending = [_Pending(line, node) for line in expected for node in line.nodes]
 
     def meet(self, node: str, text: str) -> Expectation | None:
-        """Return the expectation that a notice meets, if any."""
+        """Return the expectation that a notice meets and remove it, or return None."""
         for index, pending in enumerate(self._pending):
             if pending.node == node and pending.expectation.matches(node, text) and self._may_meet(index):
                 del self._pending[index]
@@ -77,13 +77,13 @@
         return None
 
     def _may_meet(self, index: int) -> bool:
-        """Return whether an expectation may be met now: an ordered one needs all lines above it to be met."""
+        """Return whether an expectation may be met now: an ordered one only after all lines above it."""
         expectation = self._pending[index].expectation
         lines_before = [pending.expectation.line for pending in self._pending[:index]]
         return not expectation.ordered or all(line >= expectation.line for line in lines_before)
 
     def missing(self, cluster: SimulatedCluster, subject: Subject) -> list[str]:
-        """Return a failure for each expectation that is not met."""
+        """Return a failure text for each expectation that is not met."""
         failures = [f"MISSING {pending.expectation} (at {pending.node})" for pending in self._pending]
         unsettled = subject.find_unsettled(cluster) if self._settled else None
         if unsettled:
@@ -104,7 +104,7 @@
         self.report = ScenarioReport(scenario, seed, self._cluster.trace)
 
     def run(self) -> None:
-        """Run all steps, up to the first failure."""
+        """Run the steps until the first failure."""
         self._catch_violation(self._start_nodes)
         for step in self._scenario.steps:
             self._wait_for(step)
@@ -165,7 +165,7 @@
 
 
 def run_scenario(scenario: Scenario, make_subject: SubjectFactory, seed: int) -> ScenarioReport:
-    """Run a scenario once: it holds if the report has no failures.
+    """Run a scenario with one seed; it passed if the report has no failures.
 
     Raises ScenarioSyntaxError for an unknown action.
     """
--- a/packages/fleet-sim/src/fleet_sim/shrink.py
+++ b/packages/fleet-sim/src/fleet_sim/shrink.py
@@ -1,4 +1,4 @@
-"""Shrinking: finds a smaller plan that fails by the same check as a given one."""
+"""Shrinking: finds a smaller plan that fails the same check as a given plan."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from .faults import Fault
 from .run import Outcome, Plan, Subject, run
 
-# The shortest duration that a fault is shortened to.
+# Minimum duration to which a fault is shortened.
 MIN_DURATION_MS = 50.0
 
-# Upper bound on the runs of one search.
+# Default maximum number of runs of one search.
 MAX_RUNS = 300
 
 
 class NothingToShrinkError(ValueError):
-    """The run did not fail."""
+    """The given run did not fail."""
 
     def __init__(self) -> None:
-        super().__init__("nothing to shrink: the run holds")
+        super().__init__("nothing to shrink: the run did not fail")
 
 
 def shrink(subject: Subject, failed: Outcome, max_runs: int = MAX_RUNS) -> Outcome:
     """Remove faults and then shorten them, as long as the same check fails; return a traced run.
 
-    Greedy and one fault at a time: no single drop or halving of the result fails by that check, unless
+    The search is greedy: no plan that is one step smaller than the result fails the check, unless
     ``max_runs`` ended the search.  Raises NothingToShrinkError.
     """
     if failed.violation is None:
@@ -34,7 +34,7 @@
     check = failed.violation.check
     smallest = failed.plan
     remaining_runs = max_runs
-    candidates = _smaller(smallest)
+    candidates = _smaller_plans(smallest)
     while remaining_runs > 0:
         candidate = next(candidates, None)
         if candidate is None:
@@ -42,7 +42,7 @@
         remaining_runs -= 1
         if _fails(subject, candidate, check):
             smallest = candidate
-            candidates = _smaller(smallest)
+            candidates = _smaller_plans(smallest)
     return run(subject, smallest, trace=True)
 
 
@@ -51,7 +51,7 @@
     return violation is not None and violation.check == check
 
 
-def _smaller(plan: Plan) -> Iterator[Plan]:
+def _smaller_plans(plan: Plan) -> Iterator[Plan]:
     """Yield plans that are one step smaller, those with the fewest faults first."""
     for schedule in _smaller_schedules(plan.schedule):
         yield replace(plan, schedule=schedule)
@@ -65,11 +65,11 @@
     for index in range(len(schedule)):
         yield schedule[:index] + schedule[index + 1 :]
     for index, fault in enumerate(schedule):
-        for shorter in _shorter(fault):
+        for shorter in _shortened(fault):
             yield (*schedule[:index], shorter, *schedule[index + 1 :])
 
 
-def _shorter(fault: Fault) -> Iterator[Fault]:
+def _shortened(fault: Fault) -> Iterator[Fault]:
     if fault.duration_ms > 2 * MIN_DURATION_MS:
         yield replace(fault, duration_ms=round(fault.duration_ms / 2, 1))
     if fault.duration_ms > 4 * MIN_DURATION_MS:
--- a/packages/fleet-sim/src/fleet_sim/simulated_router.py
+++ b/packages/fleet-sim/src/fleet_sim/simulated_router.py
@@ -1,4 +1,4 @@
-"""The fleet membership and quota leases of a router, as one state machine of the simulation."""
+"""The fleet membership and quota leases of a router, as one state machine for the simulation."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from quota_leases import LEASE_CHANNEL, LeaseExchange, QuotaSettings
 from sansio_core import Action, Event, RandomSource, SetTimer, ShutdownRequested, Started, TimerFired
 
-# The timer of lease renewals; the tokens of ``Membership`` are not negative.
+# The token of the timer for lease renewals; the tokens of ``Membership`` are not negative.
 RENEWAL_TOKEN = -1
 
 
 class SimulatedRouter:
-    """A member, and its quota leases on the same datagrams."""
+    """A member of the fleet, with quota leases that are exchanged by its datagrams."""
 
     def __init__(self, settings: MembershipSettings, quotas: QuotaSettings, random: RandomSource) -> None:
         self.name = settings.name
@@ -35,7 +35,7 @@
         return self.membership.handle(now, event)
 
     def quota(self, now: float) -> float:
-        """Return the share of each budget that this router may use now: none once it has left."""
+        """Return the share of each budget that this router may use now; 0 once it has left."""
         return self._leases.quota(now) if self._leases else 0.0
 
     def _renew(self, now: float) -> list[Action]:
--- a/packages/fleet-sim/src/fleet_sim/trace.py
+++ b/packages/fleet-sim/src/fleet_sim/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a run: its occurrences in order; ``trace_rendering`` draws it as a timeline."""
+"""The trace of a run: its occurrences in order, which ``trace_rendering`` draws as a timeline."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
     # A process starts, pauses, continues or ends.
     PROCESS = "process"
-    # A fault of one node, or of all.
+    # A fault of one node or of all nodes begins or ends, or a step of a scenario is carried out.
     FAULT = "fault"
     # A link stops carrying datagrams.
     LINK_CUT = "link cut"
     # A link carries datagrams again.
     LINK_HEALED = "link healed"
-    # A notable message that will arrive.
+    # A described message that will arrive.
     SENT = "sent"
-    # A notable message that will not arrive.
+    # A described message that will not arrive.
     LOST = "lost"
     # A notice of a state machine.
     NOTICE = "notice"
--- a/packages/fleet-sim/src/fleet_sim/trace_rendering.py
+++ b/packages/fleet-sim/src/fleet_sim/trace_rendering.py
@@ -1,7 +1,7 @@
-"""A trace as text: one column for each node, time downwards, with faults, messages and links drawn in.
+"""Renders a trace as text: one column per node, with the entries from top to bottom in order of time.
 
 Lifelines: ``|`` running, ``:`` paused, blank down.  ``|-X cut X->`` is a link that is cut,
-``|-=healed=->`` one that heals, ``|--ping-->`` a notable message, with ``x`` before its head if it is lost.
+``|-=healed=->`` one that is healed, ``|--ping-->`` a message, with ``x`` before the arrow head if it is lost.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 
 from .trace import EntryKind, TraceEntry
 
-# How a node's column is drawn after a process entry, by the first word of its text.
+# The character of a node's lifeline after a process entry, by the first word of the entry's text.
 LIFELINES = {"started": "|", "continued": "|", "paused": ":", "killed": " ", "ended": " "}
 
-# Characters of the times in the first column.
+# Width of the time column in characters.
 TIME_WIDTH = 10
 
-# Characters of a node's column at least.
+# Minimum width of a node's column in characters.
 MIN_COLUMN_WIDTH = 16
 
-# Characters of a node's column at most.
+# Maximum width of a node's column in characters.
 MAX_COLUMN_WIDTH = 30
 
-# Characters that the columns together aim at.
+# Width in characters that all node columns together should not exceed.
 LINE_WIDTH = 150
 
-# Entries that are drawn from one node to another.
+# Kinds of entries that are drawn as arrows from one node to another.
 ARROW_KINDS = {EntryKind.LINK_CUT, EntryKind.LINK_HEALED, EntryKind.SENT, EntryKind.LOST}
 
-# What distinguishes texts of faults and processes from notices.
+# Prefixes that distinguish faults and process changes from notices.
 TEXT_PREFIXES = {EntryKind.FAULT: "! ", EntryKind.PROCESS: "* "}
 
 
 class TraceRenderer:
-    """Draws entries one by one; ``column_width`` 0 chooses a width by the number of nodes."""
+    """Draws entries one by one; ``column_width`` 0 selects a width by the number of nodes."""
 
     def __init__(self, names: Sequence[str], column_width: int = 0) -> None:
         self.names = list(names)
@@ -48,7 +48,7 @@
         return f"{'ms':>{TIME_WIDTH}}  {columns}".rstrip()
 
     def draw(self, entry: TraceEntry) -> list[str]:
-        """Return the rows of an entry, of which the first has its time."""
+        """Return the rows of an entry; the first one contains its time."""
         if entry.kind is EntryKind.PROCESS:
             self._lifelines[entry.node] = LIFELINES[entry.text.split(" ")[0].rstrip(",")]
         if entry.kind in ARROW_KINDS:
@@ -72,7 +72,7 @@
         end = self.names.index(entry.peer) * self.column_width
         left = min(start, end)
         right = max(start, end)
-        text_width = right - left - 3  # between the lifelines, less the head
+        text_width = right - left - 3  # between the lifelines, minus the arrow head
         text = _arrow_label(entry)[:text_width].center(text_width, "-")
         arrow = f"{text}->" if end > start else f"<-{text}"
         row = self._row({})
@@ -92,12 +92,12 @@
 
 
 def render_trace(trace: Iterable[TraceEntry], names: Sequence[str], max_entries: int = 0) -> str:
-    """Return the timeline of a trace, or of its last ``max_entries`` (0: all of them).
+    """Return the timeline of a trace, or of its last ``max_entries`` entries (0: all of them).
 
-    The same trace gives the same text.
+    Equal traces give equal texts.
     """
     renderer = TraceRenderer(names)
-    drawn = [renderer.draw(entry) for entry in trace]  # the first ones too: they set the lifelines
+    drawn = [renderer.draw(entry) for entry in trace]  # skipped entries too, since they set the lifelines
     skipped = max(0, len(drawn) - max_entries) if max_entries else 0
     lines = [renderer.header()]
     if skipped:
--- a/packages/fleet-sim/src/fleet_sim/violations.py
+++ b/packages/fleet-sim/src/fleet_sim/violations.py
@@ -1,10 +1,10 @@
-"""The error that ends a run when a check fails."""
+"""The exception that ends a run when a check fails."""
 
 from __future__ import annotations
 
 
 class InvariantViolationError(Exception):
-    """A check failed at a simulated time; ``node`` is empty if it concerns all nodes."""
+    """A check failed at simulated time ``at_ms``; ``node`` is empty if it concerns all nodes."""
 
     def __init__(self, check: str, at_ms: float, node: str, reason: str) -> None:
         super().__init__(check, at_ms, node, reason)
--- a/packages/fleet-sim/tests/counter_gossip.py
+++ b/packages/fleet-sim/tests/counter_gossip.py
@@ -1,4 +1,4 @@
-"""A small gossip state machine, and mutants of it that a simulation must find."""
+"""A small gossip state machine, and mutants of it that a simulation must detect."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class Mutant(Enum):
-    """Faults that can be seeded into the state machine."""
+    """Defects that can be injected into the state machine."""
 
     OVERSIZED_DATAGRAMS = "sends datagrams that are too large"
-    TRUSTS_INPUT = "decodes datagrams without a check"
+    SKIPS_INPUT_CHECK = "decodes datagrams without a check"
     ACCEPTS_LOWER_COUNTS = "takes over lower counts"
 
 
 @dataclass
 class CounterGossip:
-    """Spreads the largest count that it knows of each name; counts its own starts on its disk."""
+    """Gossips the largest known count for each name; counts its own starts on its disk."""
 
     name: str
     peers: list[Address]
@@ -49,9 +49,9 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         match event:
             case Started():
-                starts = 1 + self.disk.get("starts", 0)
-                self.disk["starts"] = starts
-                self.counts[self.name] = starts
+                start_count = 1 + self.disk.get("starts", 0)
+                self.disk["starts"] = start_count
+                self.counts[self.name] = start_count
                 return [SetTimer(GOSSIP_INTERVAL_MS, 1)]
             case TimerFired():
                 return self._send()
@@ -67,7 +67,7 @@
         return [SendDatagram(peer, json.dumps(self.counts).encode()), SetTimer(GOSSIP_INTERVAL_MS, 1)]
 
     def _merge(self, data: bytes) -> list[Action]:
-        if Mutant.TRUSTS_INPUT not in self.mutants and not data.startswith(b'{"'):
+        if Mutant.SKIPS_INPUT_CHECK not in self.mutants and not data.startswith(b'{"'):
             return []
         notices: list[Action] = []
         for name, count in json.loads(data).items():
@@ -83,7 +83,7 @@
 
 
 class MonotonicCounts:
-    """No count that a process knows decreases."""
+    """Checks that no count known to a process decreases."""
 
     name = "monotonic counts"
 
@@ -95,7 +95,7 @@
         for name, count in node.machine.counts.items():
             key = (node.name, node.incarnation, name)
             if count < self._observed_counts.get(key, 0):
-                return f"{name} went back to {count}"
+                return f"count of {name} decreased to {count}"
             self._observed_counts[key] = count
         return None
 
--- a/packages/fleet-sim/tests/test_membership_simulation.py
+++ b/packages/fleet-sim/tests/test_membership_simulation.py
@@ -1,4 +1,4 @@
-"""Members and their quotas under drawn faults: sound ones hold, mutants are found."""
+"""Tests of members and quotas under drawn faults: invariants hold, and mutants violate them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
 
 
 @pytest.mark.parametrize(("profile", "seeds"), [(FaultProfile(), 60), (LONG_FAULTS, 20)])
-def test_members_and_quotas_hold_under_drawn_faults(profile: FaultProfile, seeds: int) -> None:
+def test_members_and_quotas_keep_their_invariants_under_drawn_faults(
+    profile: FaultProfile, seeds: int
+) -> None:
     for outcome in run_seeds(range(seeds), profile):
         assert outcome.violation is None, outcome.report_text()
 
@@ -34,12 +36,14 @@
         (MemberTable, "bump_version", lambda *_: None, "settled"),
     ],
 )
-def test_mutants_are_found(
+def test_mutants_are_detected(
     owner: type, attribute: str, mutation: object, check: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, attribute, mutation)
-    found = {outcome.violation.check for outcome in run_seeds(range(20), LONG_FAULTS) if outcome.violation}
-    assert check in found
+    failed_checks = {
+        outcome.violation.check for outcome in run_seeds(range(20), LONG_FAULTS) if outcome.violation
+    }
+    assert check in failed_checks
 
 
 def test_the_command_runs_many_seeds_or_one(capsys: pytest.CaptureFixture[str]) -> None:
--- a/packages/fleet-sim/tests/test_membership_timelines.py
+++ b/packages/fleet-sim/tests/test_membership_timelines.py
@@ -1,4 +1,4 @@
-"""The scenarios of ``tests/timelines``, each with the seeds that its header names."""
+"""Runs the scenarios in ``tests/timelines``, each with the number of seeds in its header."""
 
 from __future__ import annotations
 
--- a/packages/fleet-sim/tests/test_scenarios.py
+++ b/packages/fleet-sim/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is observed is compared with what is expected, and malformed files are rejected."""
+"""Tests of scenarios: comparison of observations with expectations, and rejection of malformed files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from fleet_sim.scenario_runner import ScenarioReport, run_scenario
 
 HEADER = "title: Starts are counted\nnodes: a b c d\n"
-SOUND = (
+VALID_SCENARIO = (
     HEADER
     + """
 never: a: learned b 3
@@ -29,8 +29,8 @@
     return run_scenario(scenario, lambda _: gossip_subject(*mutants, nodes=len(scenario.names)), seed=1)
 
 
-def test_a_scenario_holds_up_to_the_expectation_that_is_not_met() -> None:
-    report = report_of(SOUND)
+def test_a_scenario_is_met_up_to_its_first_unmet_expectation() -> None:
+    report = report_of(VALID_SCENARIO)
     assert report.failures == ["MISSING line 12: c: bye (at c)"]
     text = report.text()
     assert "ok line 5: a b: learned c 1" in text
@@ -48,14 +48,14 @@
         ("at 3000 pause b\nthen kill c\nthen restart c\nthen 900 continue b | b: learned c *", None),
         ("at 3000 cut a <-> b\nthen flap c -> d every 100\nthen 900 heal | settled", None),
         ("at 3000 kill c\nthen restart c | no a: learned c *", "BROKEN line 4: no a: learned c *"),
-        ("at 3000 wait | a: learned b 1", "MISSING line 3: a: learned b 1"),  # seen, but before the step
+        ("at 3000 wait | a: learned b 1", "MISSING line 3: a: learned b 1"),  # observed, but before the step
         ("at 0 garbage a 3 | settled", "VIOLATION raised"),
         ("at 0 noise loss 1 node a\nat 5000 wait | settled", "settled (tables differ)"),
         ("at 0 late a 90000\nat 5000 ontime a | settled", None),
     ],
 )
 def test_observations_are_compared_with_expectations(steps: str, failure: str | None) -> None:
-    report = report_of(HEADER + steps, Mutant.TRUSTS_INPUT)
+    report = report_of(HEADER + steps, Mutant.SKIPS_INPUT_CHECK)
     assert bool(report.failures) is bool(failure), report.text()
     assert failure is None or failure in report.failures[0]
 
--- a/packages/fleet-sim/tests/test_simulation_runs.py
+++ b/packages/fleet-sim/tests/test_simulation_runs.py
@@ -1,4 +1,4 @@
-"""Seeded runs: determined by their plans, failing on mutants, and shrunk to the faults that matter."""
+"""Tests of seeded runs: reproducible, failing for mutants, and shrunk to the faults that cause a failure."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return next(outcome for outcome in outcomes if outcome.violation)
 
 
-def test_a_sound_state_machine_holds_under_every_kind_of_fault() -> None:
+def test_a_correct_state_machine_passes_under_every_kind_of_fault() -> None:
     for seed in range(25):
         outcome = run(gossip_subject(), draw_plan(seed, 4, FaultProfile()))
         assert outcome.violation is None, outcome.report_text()
@@ -35,25 +35,25 @@
     ("mutant", "check", "remaining"),
     [
         (Mutant.OVERSIZED_DATAGRAMS, "size", []),
-        (Mutant.TRUSTS_INPUT, "raised", [Garbage]),
+        (Mutant.SKIPS_INPUT_CHECK, "raised", [Garbage]),
         (Mutant.ACCEPTS_LOWER_COUNTS, "monotonic counts", [Kill]),
     ],
 )
-def test_mutants_are_found_and_their_schedules_shrunk(
+def test_mutants_are_detected_and_their_schedules_shrunk(
     mutant: Mutant, check: str, remaining: list[type[Fault]]
 ) -> None:
     failed = first_failure(mutant)
     assert failed.violation
     assert failed.violation.check == check
-    small = shrink(gossip_subject(mutant), failed)
-    assert small.violation
-    assert small.violation.check == check
-    assert [type(fault) for fault in small.plan.schedule] == remaining
-    assert f"seed {failed.plan.seed}" in small.report_text()
-    assert check in small.report_text()
+    shrunk = shrink(gossip_subject(mutant), failed)
+    assert shrunk.violation
+    assert shrunk.violation.check == check
+    assert [type(fault) for fault in shrunk.plan.schedule] == remaining
+    assert f"seed {failed.plan.seed}" in shrunk.report_text()
+    assert check in shrunk.report_text()
 
 
-def test_only_a_failure_can_be_shrunk() -> None:
+def test_a_run_that_did_not_fail_cannot_be_shrunk() -> None:
     outcome = run(gossip_subject(), draw_plan(0, 4, FaultProfile()))
     with pytest.raises(ValueError, match="nothing to shrink"):
         shrink(gossip_subject(), outcome)
@@ -61,13 +61,13 @@
 
 def test_a_subject_that_does_not_settle_fails() -> None:
     plan = Plan(1, NAMES, (Cut(0.0, 1.0, "a", "b"),))
-    outcome = run(gossip_subject(nodes=2, settle_timeout_ms=1_000.0), plan)  # c and d are nobody's peers
+    outcome = run(gossip_subject(nodes=2, settle_timeout_ms=1_000.0), plan)  # no node has c or d as a peer
     assert outcome.violation
     assert outcome.violation.check == "settled"
 
 
 @pytest.mark.parametrize(
-    ("fault", "drawn"),
+    ("fault", "expected_parts"),
     [
         (Cut(1_000, 500, "a", "b"), ["|--", "X cut X--", ">|", "=healed=--", ">|"]),
         (Cut(1_000, 500, "b", "a", True), ["|<--", "X cut X--", "|<--", "=healed=--"]),
@@ -81,11 +81,11 @@
         (Replay(1_000, 0, "a", "b", 2), ["! 2 datagrams"]),
     ],
 )
-def test_each_fault_is_drawn_and_undone(fault: Fault, drawn: list[str]) -> None:
+def test_each_fault_appears_in_the_timeline_and_is_ended(fault: Fault, expected_parts: list[str]) -> None:
     outcome = run(gossip_subject(), Plan(5, NAMES, (fault,)), trace=True)
     assert outcome.violation is None
     timeline = render_trace(outcome.trace, NAMES)
     position = 0
-    for part in drawn:
+    for part in expected_parts:
         assert part in timeline[position:], timeline
         position = timeline.index(part, position)
