--- a/packages/fleet-membership/src/fleet_membership/membership.py
+++ b/packages/fleet-membership/src/fleet_membership/membership.py
@@ -1,6 +1,7 @@
 """A member of the fleet as one sans-I/O state machine.
 
-SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar, Phillips and Currey, 2017) and anti-entropy.
+It implements SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar, Phillips and Currey, 2017) and
+anti-entropy.
 """
 
 from __future__ import annotations
--- a/packages/fleet-membership/src/fleet_membership/settings.py
+++ b/packages/fleet-membership/src/fleet_membership/settings.py
@@ -22,7 +22,7 @@
 
     The names of the fields after ``incarnation`` are the keys of the operators' settings (docs/FLEET.md).
 
-    - ``incarnation`` must be higher at each start under the same name (Unix ms will do); if a peer knows a
+    - ``incarnation`` must be higher at each start under the same name (such as Unix ms); if a peer knows a
       higher one, the member takes one above that.
     - ``voters``: names whose majority forms the quorum; ``seeds``: addresses that are contacted first.
     - ``indirect``: how many members are asked for an indirect probe.
@@ -67,7 +67,7 @@
         for address in (self.address, *self.seeds):
             pack_address(address)
         if not self.voters or len(set(self.voters)) < len(self.voters):
-            raise InvalidSettingError("voters", "must be named, each once")
+            raise InvalidSettingError("voters", "must not be empty or have duplicates")
         if not 0 < self.probe_timeout_ms < self.probe_every_ms:
             raise InvalidSettingError("probe_timeout_ms", "must be above 0 and below probe_every_ms")
         if not 0 < self.suspicion_least_ms <= self.suspicion_most_ms:
--- a/packages/fleet-membership/tests/test_membership_components.py
+++ b/packages/fleet-membership/tests/test_membership_components.py
@@ -33,10 +33,10 @@
 @settings(derandomize=True)
 @given(st.lists(claims, max_size=12), st.randoms(use_true_random=False))
 def test_tables_agree_whatever_order_the_claims_are_applied_in(
-    updates: list[Update], source: random.Random
+    updates: list[Update], rng: random.Random
 ) -> None:
     shuffled = list(updates)
-    source.shuffle(shuffled)
+    rng.shuffle(shuffled)
     first = table_after(updates)
     second = table_after(shuffled + updates)
     assert [member.update for member in first.members()] == [member.update for member in second.members()]
--- a/packages/fleet-sim/tests/test_scenarios.py
+++ b/packages/fleet-sim/tests/test_scenarios.py
@@ -14,11 +14,11 @@
 never: a: learned b 3
 at 0     wait                       | a b: learned c 1
                                     | settled
-then 100 kill c                     # its disk stays
+then 100 kill c                     # its disk is kept
 at 3000  restart c                  | a b d: learned c 2
                                     | no d: learned a *
 then     split a b / c d
-then 500 kill d without disk        # it counts from one again: no one learns of it
+then 500 kill d without disk        # its count restarts at 1, so no node accepts it
 then     restart d                  | c: bye
 """
 )
@@ -29,7 +29,7 @@
     return run_scenario(scenario, lambda _: gossip_subject(*mutants, nodes=len(scenario.names)), seed=1)
 
 
-def test_a_scenario_is_met_up_to_its_first_unmet_expectation() -> None:
+def test_a_scenario_passes_until_its_first_unmet_expectation() -> None:
     report = report_of(VALID_SCENARIO)
     assert report.failures == ["MISSING line 12: c: bye (at c)"]
     text = report.text()
--- a/packages/gossip-codec/src/gossip_codec/codec.py
+++ b/packages/gossip-codec/src/gossip_codec/codec.py
@@ -62,7 +62,7 @@
     """A secret of fewer than ``MIN_SECRET_BYTES``."""
 
     def __init__(self) -> None:
-        super().__init__(f"the fleet's secret needs {MIN_SECRET_BYTES} bytes or more")
+        super().__init__(f"the fleet's secret must have at least {MIN_SECRET_BYTES} bytes")
 
 
 class MessageTooLargeError(ValueError):
--- a/packages/gossip-codec/src/gossip_codec/replay_window.py
+++ b/packages/gossip-codec/src/gossip_codec/replay_window.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# A sequence number must be less than this far below the newest one of its sender.
+# A datagram is rejected if it is this many sequence numbers or more behind its sender's newest one.
 WINDOW_SIZE = 256
 
-# Bit mask of the window.
+# Mask with one bit for each sequence number of the window.
 WINDOW_MASK = (1 << WINDOW_SIZE) - 1
 
 # Default maximum number of senders: the default size of a member table.
--- a/packages/quota-leases/src/quota_leases/settings.py
+++ b/packages/quota-leases/src/quota_leases/settings.py
@@ -29,9 +29,9 @@
 
     def __post_init__(self) -> None:
         if not self.routers or len(set(self.routers)) < len(self.routers):
-            raise InvalidSettingError("routers", "must be named, each once")
+            raise InvalidSettingError("routers", "must not be empty or have duplicates")
         if not self.voters or len(set(self.voters)) < len(self.voters):
-            raise InvalidSettingError("voters", "must be named, each once")
+            raise InvalidSettingError("voters", "must not be empty or have duplicates")
         if not 0.0 <= self.floor_fraction <= 1.0:
             raise InvalidSettingError("floor_fraction", "must be in [0, 1]")
         if not 0.0 <= self.max_clock_drift < 1.0:
--- a/packages/quota-leases/tests/test_quota_leases.py
+++ b/packages/quota-leases/tests/test_quota_leases.py
@@ -119,20 +119,20 @@
     Routers restart, the preferred ones are paused, and messages are delayed or lost.
     """
     cluster = LeaseCluster(seed, drift=0.01)
-    draw = cluster.random
+    rng = cluster.random
     preferred = set[str]()
     for _ in range(12):
-        cluster.delay_ms = draw.choice((5.0, 5.0, 3000.0))
-        cluster.loss = draw.choice((0.0, 0.0, 0.3))
-        cluster.paused = {name for name in preferred if draw.random() < 0.7}
-        cluster.partitioned = {name for name in ROUTERS if draw.random() < 0.1}
-        preferred = {draw.choice(ROUTERS)} - cluster.paused
+        cluster.delay_ms = rng.choice((5.0, 5.0, 3000.0))
+        cluster.loss = rng.choice((0.0, 0.0, 0.3))
+        cluster.paused = {name for name in preferred if rng.random() < 0.7}
+        cluster.partitioned = {name for name in ROUTERS if rng.random() < 0.1}
+        preferred = {rng.choice(ROUTERS)} - cluster.paused
         cluster.shared_live_view = tuple(preferred) or None
-        for _ in range(draw.choice((20, 60, 130))):
-            if draw.random() < 0.02:
-                cluster.start(draw.choice(ROUTERS))
+        for _ in range(rng.choice((20, 60, 130))):
+            if rng.random() < 0.02:
+                cluster.start(rng.choice(ROUTERS))
             for name in ROUTERS:
-                if draw.random() < 0.25:
+                if rng.random() < 0.25:
                     cluster.renew(name)
             cluster.run_for(100.0)
 
