--- a/packages/control-sim/src/control_sim/__init__.py
+++ b/packages/control-sim/src/control_sim/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from control_sim.command import run_seed, run_seeds, shrunk_story
+from control_sim.command import run_seed, run_seeds, shrunk_timeline
 from control_sim.fault_plans import FAULT_KINDS, draw_plan
 from control_sim.node_names import NODE_NAMES
 from control_sim.topology import build_subject
@@ -14,5 +14,5 @@
     "draw_plan",
     "run_seed",
     "run_seeds",
-    "shrunk_story",
+    "shrunk_timeline",
 ]
--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -1,4 +1,4 @@
-"""``python -m control_sim``: run many seeds; shrink a failing one and print its timeline."""
+"""``python -m control_sim``: run many seeds; reduce a failing one to few faults and print its timeline."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from control_sim.fault_plans import draw_plan
 from control_sim.topology import build_subject
 
-# Default number of seeds.
+# Seeds that are run without the option ``--seeds``.
 DEFAULT_SEEDS = 500
 
-# Seeds that a worker process takes at once.
+# Seeds that a worker process receives at once.
 SEEDS_PER_CHUNK = 10
 
 
 def run_seed(seed: int) -> Outcome:
-    """Run one seed; return its outcome without the trace."""
+    """Run one seed; return its outcome, whose trace is cleared to save memory."""
     outcome = run(build_subject(), draw_plan(seed))
     outcome.trace.clear()
     return outcome
 
 
 def run_seeds(seeds: Iterable[int], jobs: int = 1) -> Iterator[Outcome]:
-    """Yield the outcomes in the order of the seeds."""
+    """Yield the outcomes in the order of the seeds, which ``jobs`` processes run."""
     if jobs == 1:
         yield from map(run_seed, seeds)
         return
@@ -36,13 +36,13 @@
         yield from pool.imap(run_seed, seeds, chunksize=SEEDS_PER_CHUNK)
 
 
-def shrunk_story(outcome: Outcome) -> str:
-    """Return the story of a failure, with as few faults as still cause it."""
+def shrunk_timeline(outcome: Outcome) -> str:
+    """Return the timeline of a failure, with the fault plan reduced to the faults that cause it."""
     return shrink(build_subject(), outcome).story()
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command; return 1 if a seed fails, else 0."""
+    """Run the command line; return exit code 1 if a seed fails, else 0."""
     options = _parse(arguments)
     if options.seed is not None:
         outcome = run(build_subject(), draw_plan(options.seed), trace=True)
@@ -53,11 +53,15 @@
 
 def _parse(arguments: Sequence[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m control_sim", description=__doc__)
-    parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="how many seeds")
-    parser.add_argument("--first", type=int, default=0, help="the first of them")
-    parser.add_argument("--seed", type=int, help="this one alone, with its timeline")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that share the seeds")
-    parser.add_argument("--keep-going", action="store_true", help="count all failures, shrink the first")
+    parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="number of seeds to run")
+    parser.add_argument("--first", type=int, default=0, help="the first seed")
+    parser.add_argument("--seed", type=int, help="run only this seed and print its timeline")
+    parser.add_argument("--jobs", type=int, default=1, help="number of worker processes")
+    parser.add_argument(
+        "--keep-going",
+        action="store_true",
+        help="run all seeds after a failure; shrink only the first failure",
+    )
     return parser.parse_args(arguments)
 
 
@@ -76,5 +80,5 @@
     print(total.text(time.perf_counter() - started))
     if first_failure is None:
         return 0
-    print(shrunk_story(first_failure))
+    print(shrunk_timeline(first_failure))
     return 1
--- a/packages/control-sim/src/control_sim/connections.py
+++ b/packages/control-sim/src/control_sim/connections.py
@@ -1,7 +1,8 @@
 """Polls and replies on connections between simulated processes.
 
-The network of ``fleet_sim`` carries datagrams; here it decides about streams.  What it loses arrives late, as
-TCP retransmits it; what it duplicates is a reply that is cut off in the middle; a cut link is silent.
+The network model of ``fleet_sim`` is made for datagrams; here its decisions apply to TCP streams.  A message
+that the model loses arrives late, because TCP retransmits it; a reply that it duplicates is truncated; a
+message on a cut link is dropped, and its sender gets no error.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 from control_relay import PollRequest
 from fleet_sim import EntryKind, Node, ProcessState, SimulatedCluster
 
-# Delay of a message that the network loses and that is retransmitted.
+# Delay of a message that the network model loses and TCP retransmits.
 RETRANSMISSION_MS = 300.0
 
-# Bits of a connection's number for the process's incarnation, and as many for a count.
+# Bits of a connection's number for the incarnation of its process, and also for the count of its connections.
 INCARNATION_BITS = 20
 
 
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReply:
-    """Action: answer the poll on a connection; without a body, with status 503."""
+    """Action: answer the poll on a connection; the status is 503 if there is no body."""
 
     to: str
     connection: int
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyReceived:
-    """A reply arrived, completely or ``is_truncated``; without a body it has status 503."""
+    """A reply arrived, which may be truncated; its status is 503 if there is no body."""
 
     connection: int
     body: bytes | None
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionFailed:
-    """A connection was refused."""
+    """A connection was refused because the target process is down."""
 
     connection: int
 
@@ -84,7 +85,7 @@
 
 
 def first_connection(node_index: int, incarnation: int) -> int:
-    """Return a number from which a process may count its connections; it tells node and incarnation."""
+    """Return the number from which a process counts its connections; it encodes node and incarnation."""
     return (node_index << INCARNATION_BITS | incarnation) << INCARNATION_BITS
 
 
@@ -93,8 +94,8 @@
     return connection >> INCARNATION_BITS & (1 << INCARNATION_BITS) - 1
 
 
-def carry_request(cluster: SimulatedCluster, node: Node, action: SendRequest) -> None:
-    """Deliver a poll; a process that is down refuses the connection."""
+def deliver_request(cluster: SimulatedCluster, node: Node, action: SendRequest) -> None:
+    """Deliver a poll; if the target process is down, the poller gets ``ConnectionFailed``."""
     target = cluster.nodes[action.to]
 
     def arrive() -> None:
@@ -108,13 +109,13 @@
         _schedule(cluster, transmission, arrive)
 
 
-def carry_close(cluster: SimulatedCluster, node: Node, action: CloseConnection) -> None:
-    """Deliver the end of a connection."""
+def deliver_close(cluster: SimulatedCluster, node: Node, action: CloseConnection) -> None:
+    """Tell the polled process that the poller has closed a connection."""
     _deliver_later(cluster, node, cluster.nodes[action.to], ConnectionClosed(action.connection))
 
 
-def carry_reply(cluster: SimulatedCluster, node: Node, action: SendReply) -> None:
-    """Deliver a reply, truncated where the network duplicates it."""
+def deliver_reply(cluster: SimulatedCluster, node: Node, action: SendReply) -> None:
+    """Deliver a reply, truncated if the network model duplicates it."""
     target = cluster.nodes[action.to]
     transmission = _transmit(cluster, node, target)
     if transmission is None:
@@ -123,7 +124,7 @@
     reply = ReplyReceived(action.connection, action.body, is_truncated)
     _schedule(cluster, transmission, lambda: cluster.deliver(target, reply))
     if is_truncated:
-        cluster.record(EntryKind.LOST, "answer cut", node.name, target.name)
+        cluster.record(EntryKind.LOST, "reply truncated", node.name, target.name)
 
 
 def _deliver_later(cluster: SimulatedCluster, source: Node, target: Node, event: object) -> None:
@@ -133,7 +134,7 @@
 
 
 def _transmit(cluster: SimulatedCluster, source: Node, target: Node) -> _Transmission | None:
-    """Return what the network does with the bytes; None on a cut link."""
+    """Return the delay and the duplication that the network model draws; None on a cut link."""
     link = (source.name, target.name)
     if cluster.network.is_cut(link):
         return None
@@ -146,9 +147,9 @@
     cluster.schedule(cluster.now + transmission.delay_ms, arrive)
 
 
-# How the cluster carries out the actions of this module.
-CARRIERS: dict[type, Callable[[SimulatedCluster, Node, Any], None]] = {
-    SendRequest: carry_request,
-    CloseConnection: carry_close,
-    SendReply: carry_reply,
+# The function that carries out each action of this module, by the action's type.
+ACTION_HANDLERS: dict[type, Callable[[SimulatedCluster, Node, Any], None]] = {
+    SendRequest: deliver_request,
+    CloseConnection: deliver_close,
+    SendReply: deliver_reply,
 }
--- a/packages/control-sim/src/control_sim/discovery.py
+++ b/packages/control-sim/src/control_sim/discovery.py
@@ -1,4 +1,4 @@
-"""Simulated discovery by the plain protocol, which issues a number of list changes and purges."""
+"""Simulated discovery with the plain protocol; it issues a limited number of list changes and purges."""
 
 from __future__ import annotations
 
@@ -10,62 +10,63 @@
 
 from control_sim.connections import ConnectionClosed, RequestReceived, SendReply
 
-# Names of the endpoints that changes are drawn for.
+# Names of the endpoints that list changes add, change or remove.
 ENDPOINT_NAMES = ("s1", "s2", "s3", "s4")
 
-# Name of an endpoint that changes with every version of the list, so that each list shows its version.
+# Name of an endpoint that changes with every version of the list and therefore identifies that version.
 VERSION_ENDPOINT = "clock"
 
-# Keys of the objects that are purged.
+# Keys of the objects that purges are drawn from.
 OBJECT_KEYS = tuple(f"{number:016x}" for number in range(6))
 
-# Number of the groups that are purged.
+# Number of the groups that purges are drawn from.
 GROUP_COUNT = 2
 
 # First event number of the first incarnation.
 FIRST_NUMBER = 1_000_000
 
-# Event numbers by which each incarnation begins lower than the last, so that the reset can be detected.
+# Difference by which each incarnation begins at a lower event number than the one before, so that pollers can
+# detect the restart.
 NUMBERS_PER_INCARNATION = 1_000
 
-# Bits of a list's version below those of the incarnation, so that versions after a reset differ from earlier
-# ones.
+# Low bits of a list's version that count changes; the bits above are the incarnation of the reset, so that
+# versions after a reset differ from earlier ones.
 INCARNATION_VERSION_BITS = 20
 
-# Events that discovery issues in a run.
+# Upper bound on the events that discovery issues in a run.
 MAX_ISSUED_EVENTS = 16
 
-# Purges that a restarted discovery sends again.
+# The most recent purges, which a restarted discovery sends again.
 RETAINED_PURGES = 12
 
-# The seq of the first list.
+# Sequence number (``seq``) of the first list.
 FIRST_SEQ = 3
 
 # Shortest time between two issued events.
 MIN_ISSUE_DELAY_MS = 50.0
 
-# Range of that time, in which it is drawn.
+# Upper bound on the random time that is added to ``MIN_ISSUE_DELAY_MS``.
 ISSUE_DELAY_SPREAD_MS = 700.0
 
-# Probability that an event is a change of the list rather than a purge.
+# Probability that an event is a list change rather than a purge.
 CHANGE_PROBABILITY = 0.4
 
-# Probability that a purge is one of an object rather than of a group.
+# Probability that a purge is for an object rather than for a group.
 OBJECT_PURGE_PROBABILITY = 0.8
 
-# Probability that a purge is sent later than it was issued.
+# Probability that a purge is sent ``LATE_PURGE_MS`` after the issue time that it states.
 LATE_PURGE_PROBABILITY = 0.1
 
-# Lateness of such a purge.
+# Time from the stated issue of a late purge until it is sent.
 LATE_PURGE_MS = 400.0
 
-# Unix time between two incarnations.
+# Unix time between the starts of two incarnations.
 UNIX_MS_PER_INCARNATION = 1e7
 
-# Shortest block time of a poll.
+# A poll with a shorter block time is answered at once.
 MIN_BLOCK_MS = 1.0
 
-# Token of the timer that issues events; timers of polls have higher tokens.
+# Token of the timer that issues events; the timers of held polls have higher tokens.
 ISSUE_TIMER = 0
 
 
@@ -83,9 +84,9 @@
 
 
 class Discovery:
-    """Keeps list and recent purges on its disk.
+    """Discovery, whose endpoint list and recent purges are kept on its disk.
 
-    Without the disk it is set back; in both cases its event numbers start anew.
+    A restart with an empty disk resets the list.  Any restart begins a new range of event numbers.
     """
 
     def __init__(self, incarnation: int, draw: RandomSource, disk: Disk) -> None:
@@ -99,7 +100,7 @@
         disk.setdefault("purges", [])
         disk.setdefault("issued", 0)
         self.endpoints: dict[str, dict[str, Any]] = disk["endpoints"]
-        self.purges: list[PurgeIssue] = []  # of this incarnation, in the order of their issue
+        self.purges: list[PurgeIssue] = []  # of this incarnation, in the order of issue
         self._first_number = FIRST_NUMBER - NUMBERS_PER_INCARNATION * incarnation
         self._events: list[str] = []
         self._pending_polls: dict[int, _PendingPoll] = {}  # by timer
@@ -108,7 +109,7 @@
 
     @property
     def version(self) -> int:
-        """The version of the list, of which every change has another one."""
+        """The version of the list, which increases with every change."""
         return int(self._disk["version"])
 
     def handle(self, now: float, event: object) -> list[Any]:
--- a/packages/control-sim/src/control_sim/discovery_history.py
+++ b/packages/control-sim/src/control_sim/discovery_history.py
@@ -1,4 +1,4 @@
-"""The history of discovery: all versions of the list and all purges that it issued in a run."""
+"""The history of discovery: all list versions and purges that it issued in a run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class IssuedPurge(NamedTuple):
-    """A purge, and when it was issued in simulated time."""
+    """A purge, with the simulated time at which it was issued."""
 
     target: str | int
     issued_unix_ms: float
@@ -24,24 +24,24 @@
 
 
 def version_of(endpoints: Endpoints) -> int:
-    """Return the version of a list, ``NO_VERSION`` of an empty one."""
+    """Return the version of a list; ``NO_VERSION`` if the list is empty."""
     return int(endpoints[VERSION_ENDPOINT]["version"]) if endpoints else NO_VERSION
 
 
 class DiscoveryHistory:
-    """Versions of the list with their times, and purges in the order of their issue."""
+    """List versions with the times at which they became current, and purges in the order of issue."""
 
     def __init__(self) -> None:
         self.lists: dict[int, Endpoints] = {}
         self.purges: list[IssuedPurge] = []
-        self.reset_at_ms = -math.inf  # the last time that discovery was set back
+        self.reset_at_ms = -math.inf  # the last time that discovery lost its disk
         self._versions: list[int] = []
-        self._current_since_ms: list[float] = []  # of each version
+        self._current_since_ms: list[float] = []  # for each version
         self._incarnation = 0
         self._observed_purges = 0
 
     def observe(self, cluster: SimulatedCluster, node: Node, discovery: Discovery) -> None:
-        """Record what discovery has issued since the last call."""
+        """Record the list version and the purges that discovery has issued since the last call."""
         if node.incarnation != self._incarnation:
             self._incarnation = node.incarnation
             self._observed_purges = 0
@@ -51,12 +51,12 @@
         self._observed_purges = len(discovery.purges)
 
     def version_at(self, at_ms: float) -> int:
-        """Return the version that was current at a time."""
+        """Return the version that was current at a simulated time."""
         index = bisect_right(self._current_since_ms, at_ms) - 1
         return self._versions[index] if index >= 0 else NO_VERSION
 
     def issued_at_ms(self, target: str | int, issued_unix_ms: float) -> float:
-        """Return when a purge was issued last; -inf where it never was."""
+        """Return the simulated time at which a purge was last issued; -inf if it never was."""
         for purge in reversed(self.purges):
             if purge.target == target and purge.issued_unix_ms == issued_unix_ms:
                 return purge.issued_at_ms
--- a/packages/control-sim/src/control_sim/fault_plans.py
+++ b/packages/control-sim/src/control_sim/fault_plans.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults that fit the topology."""
+"""Random fault plans for the simulated topology."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, RELAY_NAMES, ROUTER_NAMES
 from control_sim.topology import SIBLINGS, UPSTREAMS
 
-# The links that polls use, from the poller to the source.
+# The links on which polls are sent, each from the poller to the source.
 LINKS = tuple(
     (poller, source)
     for table in (UPSTREAMS, SIBLINGS)
@@ -32,19 +32,19 @@
 # Shortest duration of a fault.
 MIN_DURATION_MS = 100.0
 
-# Rate of the exponential distribution of durations, by which most faults are short.
+# Rate of the exponential distribution of durations, which makes most faults short.
 DURATION_RATE = 3 / MAX_DURATION_MS
 
 # Upper bound on the faults of a plan.
 MAX_FAULTS = 5
 
-# Draws a fault of a kind; takes its start and duration (ms).
+# Draws a fault of one kind; takes the random source, and the fault's start and duration (ms).
 DrawFault = Callable[[random.Random, float, float], Fault]
 
 
 @dataclass(frozen=True, slots=True)
 class KillAllRelays(Fault):
-    """The end of all relays at once by SIGKILL; each restarts without state."""
+    """All relays are killed by SIGKILL at the same time; each restarts without state."""
 
     def begin(self, cluster: SimulatedCluster, cause: str) -> None:
         """Kill the relays."""
@@ -60,7 +60,7 @@
 
 
 def draw_plan(seed: int) -> Plan:
-    """Return the plan of a seed: one to ``MAX_FAULTS`` faults."""
+    """Return the fault plan of a seed, with one to ``MAX_FAULTS`` faults."""
     draw = random.Random(f"{seed}/schedule")
     faults = [_draw_fault(draw) for _ in range(draw.randint(1, MAX_FAULTS))]
     return Plan(seed, NODE_NAMES, tuple(sorted(faults, key=lambda fault: fault.at_ms)))
@@ -94,7 +94,7 @@
     return Cut(at_ms, duration_ms, target, source)
 
 
-# By name; a draw depends on their order.
+# The kinds of faults by name.  The order determines the plan that a seed gives.
 FAULT_KINDS: dict[str, DrawFault] = {
     "cut": lambda draw, at_ms, ms: Cut(at_ms, ms, *draw.choice(LINKS), both_ways=True),
     "cut one way": _draw_one_way_cut,
--- a/packages/control-sim/src/control_sim/invariants.py
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -1,6 +1,6 @@
 """The invariants of a run, which compare each node's state with what discovery issued.
 
-The names of the invariants are those of ``docs/design/control.md``.
+The ``name`` of each invariant is the one that ``docs/design/control.md`` uses.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 from control_sim.relay_node import RelayNode
 from control_sim.router_nodes import RouterNode
 
-# Error of a stated age per hop: a client does not know when, within this time, a response was written.
+# Error of a stated age per hop: a client does not know when within this time the response was written.
 HOP_UNCERTAINTY_MS = 1400.0
 
-# Hops from discovery by a name's first letter; a sibling is one more.
+# Hops from discovery by the first letter of a node's name, including one for a poll of a sibling.
 HOPS_BY_LEVEL = {"r": 2, "c": 3, "x": 4}
 
-# Time after a reset of discovery in which a source that missed it may count as fresher.
+# Time after a reset of discovery in which a source that has not noticed the reset may count as fresher.
 RESET_UNCERTAINTY_MS = 6_000.0
 
-# Time before the expiry of a purge in which it need not be present.
+# Time before the expiry of a purge in which a node may already have removed it.
 EXPIRY_MARGIN_MS = 500.0
 
-# Factor for the drift of the simulated processes' clocks.
+# Factor by which a stated age is extended for the drift of the simulated processes' clocks.
 CLOCK_TOLERANCE = 1.001
 
 
 def build_invariants(purge_retention_ms: float) -> list[Invariant]:
-    """Return the invariants of one run, in the order of their checks."""
+    """Return the invariants of one run, in the order in which they are checked."""
     observations = Observations()
     return [
         Recorder(observations),
         ListIntegrity(observations),
         ListOrder(observations),
         StatedAge(observations, purge_retention_ms),
-        NothingLost(observations),
+        NoLostEvents(observations),
         PropagationInvariant(observations, RESET_UNCERTAINTY_MS),
     ]
 
 
 class Recorder:
-    """Records each step for the invariants after it; never fails."""
+    """Records each step for the invariants that are checked after it; never fails."""
 
     name = "recorder"
 
@@ -55,29 +55,29 @@
         self._observations = observations
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Record what the node did."""
+        """Record what the node did in this step; always returns None."""
         self._observations.record(cluster, node)
         return None
 
 
 class ListIntegrity:
-    """A list was discovery's at some time, never a mixture."""
+    """Each node's list is a version that discovery published, never a mixture of versions."""
 
     name = "mixed"
 
     def __init__(self, observations: Observations) -> None:
         self._observations = observations
 
-    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:  # noqa: ARG002 - an invariant's interface
-        """Return what is wrong with the node's list."""
+    def check(self, cluster: SimulatedCluster, node: Node) -> str | None:  # noqa: ARG002 - the interface of an invariant
+        """Return the list if discovery never published it, else None."""
         endpoints = self._observations.endpoints_of(node.machine)
         if endpoints and endpoints != self._observations.history.lists.get(version_of(endpoints)):
-            return f"a list that never stood: {json.dumps(endpoints)}"
+            return f"a list that discovery never published: {json.dumps(endpoints)}"
         return None
 
 
 class ListOrder:
-    """No older list is accepted within an incarnation, except after discovery was set back."""
+    """No older list is accepted within an incarnation, except after a reset of discovery."""
 
     name = "backwards"
 
@@ -86,7 +86,7 @@
         self._versions: dict[tuple[str, int], int] = {}
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Return what is wrong with the version of the node's list."""
+        """Return the versions if the node's list is older than its list before, else None."""
         if not isinstance(node.machine, RouterNode | RelayNode):
             return None
         endpoints = self._observations.endpoints_of(node.machine)
@@ -100,11 +100,11 @@
             return None
         if cluster.now - self._observations.history.reset_at_ms < RESET_UNCERTAINTY_MS:
             return None
-        return f"from version {version_before} back to {version}"
+        return f"the list went from version {version_before} back to {version}"
 
 
 class StatedAge:
-    """Everything that was issued before the freshness timestamp is present."""
+    """A node has everything that was issued before the time that its stated age implies."""
 
     name = "age"
 
@@ -113,7 +113,7 @@
         self._purge_retention_ms = purge_retention_ms
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Return what the node lacks, given its age."""
+        """Return what the node lacks although its stated age covers it, else None."""
         machine = node.machine
         if not isinstance(machine, RouterNode | RelayNode):
             return None
@@ -139,7 +139,7 @@
         as_of_ms: float,
     ) -> str | None:
         purges = active_purges(machine)
-        # What discovery itself has lost, nobody can know.
+        # Purges from before a reset are not checked: discovery itself has lost them.
         oldest_ms = max(cluster.now - self._purge_retention_ms + EXPIRY_MARGIN_MS, history.reset_at_ms)
         for purge in reversed(history.purges):
             if purge.issued_at_ms < oldest_ms:
@@ -153,8 +153,8 @@
         return None
 
 
-class NothingLost:
-    """A router with all numbers of its relay has the relay's list and active purges."""
+class NoLostEvents:
+    """A router has each active purge and list whose event number its cursor at the relay covers."""
 
     name = "lost"
 
@@ -162,7 +162,7 @@
         self._observations = observations
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Return what a router lacks of what its relay has."""
+        """Return what the router lacks although its cursor covers it, else None."""
         router = node.machine
         if not isinstance(router, RouterNode):
             return None
@@ -174,12 +174,12 @@
         for purge in relay_node.relay.state.purges.by_expiry():
             latest = router.state.purges.get(purge.target, -math.inf)
             if purge.number <= cursor and latest < purge.issued_unix_ms:
-                return f"has {cursor} of {epoch} but not the purge of {purge.target} under {purge.number}"
+                return f"has cursor {cursor} in {epoch} but lacks the purge of {purge.target}, {purge.number}"
         number = relay_node.relay.state.endpoints.number
         if router.client.completed_epochs.get(epoch, 0) < number or not router.client.is_in_sync:
             return None
         if version_of(router.state.endpoints) < version_of(self._observations.relay_list(relay_node)):
-            return f"has {cursor} of {epoch} but not its list under {number}"
+            return f"has cursor {cursor} in {epoch} but not list {number}"
         return None
 
 
@@ -192,7 +192,7 @@
 
 
 def _relay_of(cluster: SimulatedCluster, epoch: str) -> RelayNode | None:
-    """Return the relay whose current epoch this is, if there is one."""
+    """Return the relay whose current epoch has this name; None if there is none."""
     node = cluster.nodes.get(epoch.partition("-")[0])
     machine = node.machine if node is not None else None
     if isinstance(machine, RelayNode) and machine.relay.epoch == epoch:
--- a/packages/control-sim/src/control_sim/node_names.py
+++ b/packages/control-sim/src/control_sim/node_names.py
@@ -5,14 +5,14 @@
 # Discovery.
 DISCOVERY_NAME = "d"
 
-# Relays: two siblings, and one below both.
+# Relays: two siblings, and one that polls both.
 RELAY_NAMES = ("r1", "r2", "c1")
 
 # Routers that poll relays.
 ROUTER_NAMES = ("x1", "x2")
 
-# The router that knows only the plain protocol.
+# The router that uses only the plain protocol, which has no epochs.
 PLAIN_ROUTER_NAME = "x3"
 
-# All processes.
+# All processes of the topology.
 NODE_NAMES = (DISCOVERY_NAME, *RELAY_NAMES, *ROUTER_NAMES, PLAIN_ROUTER_NAME)
--- a/packages/control-sim/src/control_sim/observations.py
+++ b/packages/control-sim/src/control_sim/observations.py
@@ -29,31 +29,31 @@
 
 
 class Observations:
-    """Records what each node has taken or numbered.
+    """Records the events that each node has accepted and that each relay has numbered.
 
-    ``taken`` has the last number taken, by node and epoch.
+    ``accepted_numbers`` has the last event number that was accepted, by node and epoch.
     """
 
     def __init__(self) -> None:
         self.history = DiscoveryHistory()
-        self.taken: dict[tuple[str, str], int] = {}
+        self.accepted_numbers: dict[tuple[str, str], int] = {}
         self._relay_purges: dict[str, dict[int, RelayPurge]] = {}  # by epoch and number
         self._relay_lists: dict[str, _NumberedList] = {}  # by epoch
 
     def record(self, cluster: SimulatedCluster, node: Node) -> None:
-        """Record what a node did in the last step."""
+        """Record what a node did in the last step, by the kind of its state machine."""
         machine = node.machine
         if isinstance(machine, Discovery):
             self.history.observe(cluster, node, machine)
         elif isinstance(machine, RouterNode):
-            self._record_taken(machine.name, machine.client)
+            self._record_accepted(machine.name, machine.client)
         elif isinstance(machine, RelayNode):
-            self._record_taken(machine.name, machine.client)
+            self._record_accepted(machine.name, machine.client)
             if machine.relay.readiness is Readiness.READY:
                 self._record_purges(machine)
 
     def endpoints_of(self, machine: object) -> Endpoints | None:
-        """Return the list by which a node serves; None where it has none to serve by."""
+        """Return the list that a node serves from; None for a relay that is not ready, and for discovery."""
         if isinstance(machine, RouterNode | PlainRouterNode):
             return machine.state.endpoints
         if isinstance(machine, RelayNode) and machine.relay.readiness is Readiness.READY:
@@ -61,7 +61,7 @@
         return None
 
     def relay_list(self, machine: RelayNode) -> Endpoints:
-        """Return a relay's list, decoded once for each of its numbers."""
+        """Return a relay's list, which is decoded once for each event number."""
         number = machine.relay.state.endpoints.number
         cached = self._relay_lists.get(machine.relay.epoch)
         if cached is None or cached.number != number:
@@ -70,12 +70,12 @@
         return cached.endpoints
 
     def relay_purges(self, epoch: str) -> Mapping[int, RelayPurge]:
-        """Return all purges that a relay has numbered in an epoch."""
+        """Return all purges of a relay's epoch, by event number."""
         return self._relay_purges.get(epoch, {})
 
-    def _record_taken(self, name: str, client: PollClient) -> None:
+    def _record_accepted(self, name: str, client: PollClient) -> None:
         for epoch, number in client.completed_epochs.items():
-            self.taken[name, epoch] = max(number, self.taken.get((name, epoch), 0))
+            self.accepted_numbers[name, epoch] = max(number, self.accepted_numbers.get((name, epoch), 0))
 
     def _record_purges(self, machine: RelayNode) -> None:
         seen = self._relay_purges.setdefault(machine.relay.epoch, {})
@@ -85,7 +85,7 @@
 
 
 def active_purges(machine: RouterNode | RelayNode) -> Mapping[Any, float]:
-    """Return the latest time by target of the purges that a node has."""
+    """Return the latest issue time (Unix ms) of the purges that a node has, by target."""
     if isinstance(machine, RouterNode):
         return machine.state.purges
     return {purge.target: purge.issued_unix_ms for purge in machine.relay.state.purges.by_expiry()}
--- a/packages/control-sim/src/control_sim/poll_client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -38,13 +38,13 @@
 # Block time of a probe, which is answered at once.
 PROBE_BLOCK_MS = 1.0
 
-# Time before the next poll after a response without events.
+# Pause before the next poll after a response without events.
 PAUSE_MS = 50.0
 
-# Token of the timer of that pause.  The selector's tokens are mapped to 2 * token + 1.
+# Token of the timer of that pause.  A token of the selector is mapped to 2 * token + 1.
 PAUSE_TIMER = 1
 
-# Durations by which the selector decides, short enough for runs of seconds.
+# Timings of source selection, short enough for runs of some seconds.
 TIMINGS = SelectionTimings(
     probe_interval_ms=1000.0,
     max_probe_interval_ms=4000.0,
@@ -57,16 +57,16 @@
     """The router or relay that a client belongs to."""
 
     def poll_request(self, is_sibling: bool) -> PollRequest:
-        """Return the request of a poll of an upstream or sibling, with the fields about this node."""
+        """Return a poll of an upstream or sibling, with the fields that describe this node."""
         ...
 
     def apply(self, now: float, events: Sequence[StateEvent], is_complete: bool) -> list[Any]:
-        """Apply accepted events; ``is_complete`` if the source has sent all."""
+        """Apply accepted events; ``is_complete`` if the source has sent all that it has."""
         ...
 
 
 def decode_response(body: bytes, received_fraction: float = 1.0) -> PollResponse:
-    """Decode a response, or the part of its events that was received."""
+    """Decode a response; of its events, only the first ``received_fraction`` are returned."""
     response = json.loads(body)
     events = [_decode_event(event) for event in response["cmds"]]
     return PollResponse(
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollClientSettings:
-    """The sources of a node, the number of its first connection, and how long it remembers purges."""
+    """The sources of a node, the number of its first connection, and its retention of purges (ms)."""
 
     upstreams: tuple[str, ...]
     siblings: tuple[str, ...]
@@ -100,7 +100,7 @@
 class PollClient:
     """Polls sources and passes the accepted events to the node.
 
-    ``completed_epochs`` has, by epoch, the last number taken once the epoch's list was complete.
+    ``completed_epochs`` has, by epoch, the last event number accepted since the list was first complete.
     """
 
     def __init__(self, node: PollingNode, settings: PollClientSettings, draw: RandomSource) -> None:
@@ -118,12 +118,12 @@
         self._last_connection = settings.first_connection
         # The probed sources, by connection.
         self._probes: dict[int, Address] = {}
-        # Whether a poll was sent that has no reply yet.
+        # Whether a poll has been sent and its reply has not arrived.
         self._has_polled = False
 
     @property
     def is_in_sync(self) -> bool:
-        """Whether the last response contained all events of its source, and the source is not stale."""
+        """Whether the last response ended with the source's latest event, and the source is not stale."""
         return self.status is SyncStatus.IN_SYNC
 
     def age_ms(self, now: float) -> float:
@@ -155,10 +155,10 @@
     def _select(self, now: float, event: SelectorEvent) -> list[Any]:
         actions: list[Any] = []
         for action in self._selector.handle(now, event):
-            actions += self._carry_out(now, action)
+            actions += self._execute(now, action)
         return actions
 
-    def _carry_out(self, now: float, action: SelectorAction) -> list[Any]:
+    def _execute(self, now: float, action: SelectorAction) -> list[Any]:
         match action:
             case StartPolling(source):
                 self._source = source
@@ -184,7 +184,7 @@
         return [probe, close]
 
     def _probe_request(self) -> PollRequest:
-        """Return a probe with this node's name, which deregisters the node at the probed source."""
+        """Return a probe with this node's name, by which the probed source deregisters the node."""
         name = self._node.poll_request(is_sibling=False).name
         follower = self.follower
         return PollRequest(follower.cursor, PROBE_BLOCK_MS, follower.epoch, PollerRole.PROBE, name)
@@ -228,17 +228,17 @@
         if event.body is None:
             return self._fail(now, "refused")
         if event.is_truncated:
-            return self._take_part(now, event.body) + self._fail(now, "cut")
-        return self._take_response(now, decode_response(event.body))
+            return self._apply_truncated_response(now, event.body) + self._fail(now, "cut")
+        return self._apply_response(now, decode_response(event.body))
 
-    def _take_part(self, now: float, body: bytes) -> list[Any]:
-        """Apply the part of a truncated response that was received."""
+    def _apply_truncated_response(self, now: float, body: bytes) -> list[Any]:
+        """Apply the received part of a truncated response."""
         response = decode_response(body, received_fraction=self._draw())
         self.follower.begin_response(now, response.epoch, response.age_ms, response.cursor)
         accepted = [event for event in response.events if self.follower.accept_event(event)]
         return self._node.apply(now, accepted, is_complete=False)
 
-    def _take_response(self, now: float, response: PollResponse) -> list[Any]:
+    def _apply_response(self, now: float, response: PollResponse) -> list[Any]:
         source = self._source
         assert source is not None
         position_before = (self.follower.cursor, self.follower.epoch)
@@ -260,8 +260,8 @@
             return
         has_more = self.status is SyncStatus.MORE_AVAILABLE
         if not has_more or epoch in self.completed_epochs:
-            taken_before = self.completed_epochs.get(epoch, 0)
-            self.completed_epochs[epoch] = max(taken_before, self.follower.cursor)
+            number_before = self.completed_epochs.get(epoch, 0)
+            self.completed_epochs[epoch] = max(number_before, self.follower.cursor)
 
 
 def _addresses(names: Sequence[str]) -> list[Address]:
--- a/packages/control-sim/src/control_sim/propagation.py
+++ b/packages/control-sim/src/control_sim/propagation.py
@@ -1,4 +1,4 @@
-"""The invariant of propagation: each member has all events that a relay counts as acknowledged."""
+"""The invariant of propagation: each member has all events that its relay counts as acknowledged."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from control_sim.relay_node import RelayNode
 from control_sim.router_nodes import RouterNode
 
-# Members that are known by their connection only are not checked.
+# Prefix of members that polled without a name and are known only by their connection; they are not checked.
 CONNECTION_NAME_PREFIX = "#"
 
 
 class PropagationInvariant:
-    """Acknowledged events are present at each member that polled: by their numbers, and truly."""
+    """Each member of a relay has accepted the acknowledged event numbers, and has their purges and list."""
 
     name = "early"
 
@@ -27,7 +27,7 @@
         self._acknowledged: dict[tuple[str, int], int] = {}
 
     def check(self, cluster: SimulatedCluster, node: Node) -> str | None:
-        """Return which member lacks something that its relay counts as acknowledged."""
+        """Return which member lacks an event that its relay counts as acknowledged, else None."""
         relay_node = node.machine
         if not isinstance(relay_node, RelayNode) or relay_node.relay.readiness is not Readiness.READY:
             return None
@@ -42,7 +42,7 @@
             if member.name.startswith(CONNECTION_NAME_PREFIX):
                 continue
             failure = (
-                self._untaken_event(relay_node, member.name, numbers)
+                self._unaccepted_event(relay_node, member.name, numbers)
                 or self._missing_purge(cluster, node, relay_node, member.name, numbers)
                 or self._missing_list(cluster, relay_node, member.name, acknowledged)
             )
@@ -50,18 +50,18 @@
                 return failure
         return None
 
-    def _untaken_event(self, relay_node: RelayNode, name: str, numbers: range) -> str | None:
+    def _unaccepted_event(self, relay_node: RelayNode, name: str, numbers: range) -> str | None:
         relay = relay_node.relay
         events = [event.number for event in relay.state.log.events_after(0) if event.number in numbers]
-        taken = self._observations.taken.get((name, relay.epoch), 0)
-        if events and taken < events[-1]:
-            return f"{numbers[-1]} is acknowledged, but {name} has {taken} of {events[-1]}"
+        accepted = self._observations.accepted_numbers.get((name, relay.epoch), 0)
+        if events and accepted < events[-1]:
+            return f"{numbers[-1]} is acknowledged, but {name} has accepted {accepted}, not {events[-1]}"
         return None
 
     def _missing_list(
         self, cluster: SimulatedCluster, relay_node: RelayNode, name: str, acknowledged: int
     ) -> str | None:
-        """Check the list of routers that have one: they have not restarted since it came."""
+        """Check the list of a router that has one; a router without a list has restarted since it got it."""
         router = cluster.nodes[name].machine
         number = relay_node.relay.state.endpoints.number
         if number > acknowledged or not isinstance(router, RouterNode) or not router.state.endpoints:
@@ -78,7 +78,7 @@
     def _missing_purge(
         self, cluster: SimulatedCluster, node: Node, relay_node: RelayNode, name: str, numbers: range
     ) -> str | None:
-        """Check members that polled in this incarnation, or that are older than the purge."""
+        """Check a member that polled in its present incarnation, or that started before the purge."""
         member = cluster.nodes[name]
         has_polled = relay_node.served_incarnations.get(name) == member.incarnation
         local_now = node.monotonic_ms(cluster.now)
@@ -95,7 +95,7 @@
         return self._observations.history.issued_at_ms(purge.target, purge.issued_unix_ms)
 
     def _lacks(self, machine: object, purge: RelayPurge) -> bool:
-        """Return whether a router, or a member of a relay below, lacks a purge."""
+        """Return whether a router lacks a purge, or a downstream relay has not acknowledged it."""
         if isinstance(machine, RouterNode):
             return machine.state.purges.get(purge.target, -math.inf) < purge.issued_unix_ms
         if not isinstance(machine, RelayNode):
--- a/packages/control-sim/src/control_sim/relay_node.py
+++ b/packages/control-sim/src/control_sim/relay_node.py
@@ -1,4 +1,4 @@
-"""A simulated relay: the real core, and the client that feeds it."""
+"""A simulated relay: the production core of ``control_relay``, and the client that feeds it."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from control_sim.poll_client import PollClient, PollClientSettings
 from control_sim.router_nodes import Endpoints
 
-# Group of an object whose group is unknown, as ``control_relay`` has it.
+# The group that ``control_relay`` gives to an object whose group is unknown.
 UNKNOWN_GROUP = -1
 
 
 class RelayNode:
-    """A relay's process.  Timers of the core are even, those of the client odd.
+    """The process of a relay.  Timer tokens of the core are even, those of the client are odd.
 
-    ``served_incarnations`` has the last incarnation of each node that polled.
+    ``served_incarnations`` has, by node, the incarnation of the last one that polled.
     """
 
     def __init__(self, name: str, relay: Relay, settings: PollClientSettings, draw: RandomSource) -> None:
@@ -70,7 +70,7 @@
         return self.client.handle(now, event)
 
     def poll_request(self, is_sibling: bool) -> PollRequest:
-        """Return the request of a poll, with the fields about this relay."""
+        """Return a poll of an upstream or sibling, with the fields that describe this relay."""
         if is_sibling:
             return PollRequest(0, 0, role=PollerRole.SIBLING)
         progress = self.relay.upstream_progress()
@@ -85,7 +85,7 @@
         )
 
     def apply(self, now: float, events: Sequence[StateEvent], is_complete: bool) -> list[Any]:
-        """Feed accepted events to the core, and confirm them once the source has sent all."""
+        """Feed accepted events to the core; confirm them if the source has sent all that it has."""
         actions: list[Any] = []
         follower = self.client.follower
         if follower.epoch != self._upstream_epoch:
--- a/packages/control-sim/src/control_sim/router_nodes.py
+++ b/packages/control-sim/src/control_sim/router_nodes.py
@@ -1,4 +1,4 @@
-"""Simulated routers: one that knows relays, and one that knows only the plain protocol."""
+"""Simulated routers: one that polls relays, and one that uses only the plain protocol."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from control_sim.connections import ConnectionFailed, ReplyReceived, SendRequest
 from control_sim.poll_client import BLOCK_MS, PollClient, PollClientSettings, decode_response
 
-# Endpoints by name, in the form of the wire.
+# Endpoints by name, each as the JSON object of the protocol.
 Endpoints = dict[str, Any]
 
-# Time that a plain router waits for a response.
+# Time for which a plain router waits for a response before it reconnects.
 RESPONSE_TIMEOUT_MS = 1300.0
 
-# Time before the next poll of a plain router.
+# Time until the next poll of a plain router after a failure or a response without new events.
 RETRY_MS = 200.0
 
 
 class AppliedState:
-    """The list and the purges that a router has applied; of several purges of a target the latest counts."""
+    """The endpoint list and the latest purge of each target that a router has applied."""
 
     def __init__(self) -> None:
         self.endpoints: Endpoints = {}
-        # The latest time of a purge, by target.
+        # The latest issue time of a purge (Unix ms), by target.
         self.purges: dict[Any, float] = {}
 
     def apply(self, event: StateEvent) -> None:
-        """Apply an event that was accepted."""
+        """Apply an accepted event."""
         if not isinstance(event, EndpointListEvent):
             latest = self.purges.get(event.target, event.issued_unix_ms)
             self.purges[event.target] = max(event.issued_unix_ms, latest)
@@ -58,23 +58,23 @@
         return self.client.handle(now, event)
 
     def poll_request(self, is_sibling: bool) -> PollRequest:  # noqa: ARG002 - a router has no siblings
-        """Return the request of a poll, with the fields about this router."""
+        """Return a poll, with the fields that describe this router."""
         return PollRequest(0, 0, name=self.name)
 
     def apply(
         self,
-        now: float,  # noqa: ARG002 - the client's interface
+        now: float,  # noqa: ARG002 - the interface of a polling node
         events: Sequence[StateEvent],
         is_complete: bool,  # noqa: ARG002
     ) -> list[Any]:
-        """Apply accepted events."""
+        """Apply accepted events; returns no actions."""
         for event in events:
             self.state.apply(event)
         return []
 
 
 class PlainRouterNode:
-    """A router that uses the plain protocol: one source, and a position that never decreases."""
+    """A router that uses the plain protocol: it has one source, and its cursor never decreases."""
 
     def __init__(self, source: str, first_connection: int) -> None:
         self.state = AppliedState()
@@ -82,10 +82,10 @@
         self._cursor = 0
         self._connection = first_connection
         self._timer = 0
-        # Whether a poll was sent that has no reply yet.
+        # Whether a poll has been sent and its reply has not arrived.
         self._has_polled = False
 
-    def handle(self, now: float, event: object) -> list[Any]:  # noqa: ARG002 - a state machine's interface
+    def handle(self, now: float, event: object) -> list[Any]:  # noqa: ARG002 - the interface of a state machine
         """Process one event; return the actions to carry out."""
         match event:
             case Started():
--- a/packages/control-sim/src/control_sim/settling.py
+++ b/packages/control-sim/src/control_sim/settling.py
@@ -1,4 +1,4 @@
-"""The conditions that must hold some time after the last fault has ended."""
+"""The conditions that must hold within ``SETTLING_TIME_MS`` after the last fault has ended."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def unsettled_reason(cluster: SimulatedCluster) -> str | None:
-    """Return what is not settled: all that run have discovery's list, and relays know that they do."""
+    """Return which process lacks discovery's list, or which relay counts it as unacknowledged, else None."""
     discovery = cluster.nodes[DISCOVERY_NAME].machine
     assert isinstance(discovery, Discovery)
     for name, node in cluster.nodes.items():
@@ -37,7 +37,7 @@
 
 
 def _unacknowledged_reason(node: Node, machine: RelayNode, now: float) -> str | None:
-    """Return who lags, or that something is unacknowledged and nobody is named for it."""
+    """Return which member lags, or that events are unacknowledged without a lagging member."""
     relay = machine.relay
     lagging = relay.lagging_members(node.monotonic_ms(now))
     for member in lagging:
@@ -46,10 +46,10 @@
     acknowledged = relay.low_water_marks.acknowledged
     delivered = relay.state.log.delivered
     if acknowledged < delivered and not lagging:
-        return f"{machine.name} has {acknowledged} acknowledged of {delivered}, and names nobody"
+        return f"{machine.name} has acknowledged {acknowledged} of {delivered}, but reports no lagging member"
     return None
 
 
 def _lags_itself(member: MemberStatus) -> bool:
-    """Return whether a member lags, rather than routers that it names."""
+    """Return whether a member itself lags, rather than the routers that it reports as lagging."""
     return member.role is not PollerRole.RELAY or member.lagging_names == (member.name,)
--- a/packages/control-sim/src/control_sim/topology.py
+++ b/packages/control-sim/src/control_sim/topology.py
@@ -1,7 +1,7 @@
 """The topology: the simulated processes, and the sources that each of them polls.
 
-Discovery ``d``; relays ``r1`` and ``r2``, which are siblings; relay ``c1`` below both; routers ``x1`` and
-``x2``; and ``x3``, a router that knows only the plain protocol.
+Discovery is ``d``; relays ``r1`` and ``r2`` are siblings, and relay ``c1`` polls both; routers are ``x1``,
+``x2`` and ``x3``, of which ``x3`` uses only the plain protocol.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from fleet_sim import Disk, LinkQuality, Node, SimulatedCluster, Subject
 from sansio_core import Address, Notice, RandomSource
 
-from control_sim.connections import CARRIERS, first_connection
+from control_sim.connections import ACTION_HANDLERS, first_connection
 from control_sim.discovery import Discovery
 from control_sim.invariants import build_invariants
 from control_sim.node_names import DISCOVERY_NAME, NODE_NAMES, PLAIN_ROUTER_NAME, ROUTER_NAMES
@@ -22,16 +22,16 @@
 from control_sim.router_nodes import PlainRouterNode, RouterNode
 from control_sim.settling import unsettled_reason
 
-# Time for which relays deliver a purge, and clients remember it.
+# Time for which relays deliver a purge, and clients remember it to detect duplicates.
 PURGE_RETENTION_MS = 4_000.0
 
 # Time after the last fault within which all processes must have settled.
 SETTLING_TIME_MS = 25_000.0
 
-# Unix time at which simulated time begins; a relay's event numbers follow from it.
+# Unix time at which simulated time begins; the first event number of a relay is derived from it.
 START_UNIX_S = 1_764_600_000
 
-# Unix time between two incarnations of a relay.
+# Unix time between the starts of two incarnations of a relay.
 INCARNATION_S = 10
 
 # The upstreams of each process, the preferred one first.
@@ -47,12 +47,12 @@
 # The siblings of a relay.
 SIBLINGS = {"r1": ("r2",), "r2": ("r1",)}
 
-# The members that a relay waits for although they have never polled.
+# The members that a relay waits for even before they have polled.
 EXPECTED_MEMBERS = {"r1": ("x1",), "c1": ("x2",)}
 
 
 def relay_settings(name: str) -> RelaySettings:
-    """Return settings with a short retention, small pages and a small log, whose bounds a run reaches."""
+    """Return settings with a retention, page size and log size so small that a run reaches these bounds."""
     return RelaySettings(
         expected_members=EXPECTED_MEMBERS.get(name, ()),
         purge_retention_ms=PURGE_RETENTION_MS,
@@ -62,8 +62,8 @@
     )
 
 
-def build_node(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Any:  # noqa: ARG001 - the factory's interface
-    """Return the state machine of a process that starts."""
+def build_node(name: str, address: Address, incarnation: int, draw: RandomSource, disk: Disk) -> Any:  # noqa: ARG001 - the interface of a node factory
+    """Return the state machine of a new process."""
     connection = first_connection(NODE_NAMES.index(name) + 1, incarnation)
     if name == DISCOVERY_NAME:
         return Discovery(incarnation, draw, disk)
@@ -80,22 +80,22 @@
 
 
 def count_notices(cluster: SimulatedCluster, counts: Counter[str]) -> None:
-    """Count the notices of relays and clients by name, for the report of a run."""
+    """Count the notices of relays and clients by name, for the totals of a run."""
 
-    def count(node: Node, notice: Notice) -> None:  # noqa: ARG001 - the listener's interface
+    def count(node: Node, notice: Notice) -> None:  # noqa: ARG001 - the interface of a listener
         counts[str(notice.name)] += 1
 
     cluster.listeners.append(count)
 
 
 def build_subject() -> Subject:
-    """Return the simulated system with its invariants."""
+    """Return the simulated system, with its invariants and its settling condition."""
     return Subject(
         build_node,
         lambda: build_invariants(PURGE_RETENTION_MS),
         unsettled_reason,
         SETTLING_TIME_MS,
         LinkQuality(min_delay_ms=0.5, max_delay_ms=4.0),
-        action_handlers=CARRIERS,
+        action_handlers=ACTION_HANDLERS,
         attach_counters=count_notices,
     )
--- a/packages/control-sim/tests/mutants.py
+++ b/packages/control-sim/tests/mutants.py
@@ -1,4 +1,4 @@
-"""Mutants: seeded defects of relays and routers, which the simulation's invariants must find.
+"""Mutants: injected defects of relays and routers, which the simulation's invariants must detect.
 
 ``python packages/control-sim/tests/mutants.py [SEEDS]`` counts the failing seeds of each mutant by invariant,
 for the table in ``docs/design/control.md``.
@@ -28,7 +28,7 @@
 from control_sim import run_seed, topology
 
 Mutant = Callable[[], AbstractContextManager[Any]]
-"""Returns a context in which the code has the defect."""
+"""Returns a context manager within which the code has the defect."""
 
 DEFAULT_SEEDS = 500
 
@@ -39,7 +39,7 @@
 original_relay_settings = topology.relay_settings
 
 
-def replacing(owner: Any, name: str, defect: Any) -> Mutant:
+def replace_attribute(owner: Any, name: str, defect: Any) -> Mutant:
     return lambda: patch.object(owner, name, defect)
 
 
@@ -121,31 +121,35 @@
 
 
 MUTANTS: dict[str, Mutant] = {
-    "unreachable routers count as acknowledged": replacing(
+    "unreachable routers count as acknowledged": replace_attribute(
         Delivery, "advance_low_water_marks", advance_by_reachable_members
     ),
-    "the epoch of a poll is ignored": replacing(PollHandler, "handle", accept_any_epoch),
+    "the epoch of a poll is ignored": replace_attribute(PollHandler, "handle", accept_any_epoch),
     "an older list is accepted from another source": accept_lists_of_any_age,
-    "the end of a page skips an event": replacing(PagedResponses, "_page", skip_event_at_page_end),
-    "the floor of the log is ignored": replacing(
+    "the end of a page skips an event": replace_attribute(PagedResponses, "_page", skip_event_at_page_end),
+    "the floor of the log is ignored": replace_attribute(
         EventLog, "_drop_oldest_change", drop_change_without_raising_floor
     ),
-    "purges are retained for 0.3 s instead of 4": replacing(topology, "relay_settings", short_retention),
-    "a relay's resume counts instead of its progress": replacing(
+    "purges are retained for 0.3 s instead of 4": replace_attribute(
+        topology, "relay_settings", short_retention
+    ),
+    "a relay's resume counts instead of its progress": replace_attribute(
         MemberTable, "apply_poll", trust_resume_of_relay
     ),
-    "each page acknowledges": replacing(PagedResponses, "_page", acknowledge_each_page),
-    "half a complete state counts as the list": replacing(PollHandler, "_has_list", assume_list),
-    "a complete state overtakes undelivered events": replacing(
+    "each page acknowledges": replace_attribute(PagedResponses, "_page", acknowledge_each_page),
+    "half a complete state counts as the list": replace_attribute(PollHandler, "_has_list", assume_list),
+    "a complete state overtakes undelivered events": replace_attribute(
         Delivery, "respond_with_complete_state", respond_without_delivering_first
     ),
-    "the age ignores undelivered events": replacing(Freshness, "age_ms", age_of_known_state),
-    "superseded events are removed at once": replacing(EventLog, "supersede", EventLog.remove),
-    "a restarted router keeps its acknowledgements": replacing(
+    "the age ignores undelivered events": replace_attribute(Freshness, "age_ms", age_of_known_state),
+    "superseded events are removed at once": replace_attribute(EventLog, "supersede", EventLog.remove),
+    "a restarted router keeps its acknowledgements": replace_attribute(
         MemberTable, "restart", lambda self, member: None
     ),
-    "an earlier purge replaces a later one": replacing(ActivePurges, "get", lambda self, target: None),
-    "propagation goes by the most advanced router": replacing(
+    "an earlier purge replaces a later one": replace_attribute(
+        ActivePurges, "get", lambda self, target: None
+    ),
+    "propagation goes by the most advanced router": replace_attribute(
         LowWaterMarks, "advance", advance_by_most_advanced_member
     ),
 }
--- a/packages/control-sim/tests/test_control_sim.py
+++ b/packages/control-sim/tests/test_control_sim.py
@@ -1,4 +1,4 @@
-"""The simulation: no seed fails, and the invariants find seeded defects."""
+"""The simulation: no seed fails, and the invariants detect injected defects."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from mutants import MUTANTS, count_failures
 
 SEEDS = 500
-RARELY_FOUND = {  # by few seeds or none: see docs/design/control.md
+RARELY_DETECTED = {  # few seeds or none detect these mutants: see docs/design/control.md
     "the epoch of a poll is ignored",
     "an older list is accepted from another source",
     "the age ignores undelivered events",
@@ -24,18 +24,18 @@
 
 
 def first_failure(seeds: int) -> Outcome | None:
-    """Return the first outcome with a violation."""
+    """Return the first of the seeds' outcomes that has a violation."""
     outcomes = (run_seed(seed) for seed in range(seeds))
     return next((outcome for outcome in outcomes if outcome.violation), None)
 
 
 def test_no_seed_violates_an_invariant() -> None:
-    kinds_met = set()
+    kinds_drawn = set()
     for seed in range(SEEDS):
         outcome = run_seed(seed)
         assert outcome.violation is None, run(build_subject(), outcome.plan, trace=True).story()
-        kinds_met |= {type(fault) for fault in outcome.plan.schedule}
-    assert len(kinds_met) >= 7
+        kinds_drawn |= {type(fault) for fault in outcome.plan.schedule}
+    assert len(kinds_drawn) >= 7
 
 
 def test_all_kinds_of_faults_are_drawn() -> None:
@@ -55,8 +55,8 @@
     assert outcome.steps != run_seed(4).steps
 
 
-@pytest.mark.parametrize("mutant", [mutant for mutant in MUTANTS if mutant not in RARELY_FOUND])
-def test_mutant_is_found(mutant: str) -> None:
+@pytest.mark.parametrize("mutant", [mutant for mutant in MUTANTS if mutant not in RARELY_DETECTED])
+def test_mutant_is_detected(mutant: str) -> None:
     with MUTANTS[mutant]():
         assert first_failure(30)
 
@@ -65,7 +65,7 @@
     ("mutant", "invariant"),
     [("the floor of the log is ignored", "mixed"), ("the epoch of a poll is ignored", "lost")],
 )
-def test_rare_mutant_is_found_by_more_seeds(mutant: str, invariant: str) -> None:
+def test_rarely_detected_mutant_is_detected_with_more_seeds(mutant: str, invariant: str) -> None:
     assert count_failures(mutant, 250)[invariant] > 0
 
 
@@ -80,7 +80,7 @@
     assert f"seed {failed.plan.seed}" in shrunk.story()
 
 
-def test_command_runs_seeds_prints_one_and_tells_the_story_of_a_failure(
+def test_command_runs_seeds_and_prints_the_timeline_of_one_seed_and_of_a_failure(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert main(["--seeds", "3"]) == 0
