--- a/packages/control-harness/src/control_harness/__init__.py
+++ b/packages/control-harness/src/control_harness/__init__.py
@@ -1,4 +1,4 @@
-"""A test harness: relays and routers as real processes on loopback, and faults between them."""
+"""A test harness: relays and routers as real processes on loopback, with faults on their connections."""
 
 from __future__ import annotations
 
--- a/packages/control-harness/src/control_harness/environment.py
+++ b/packages/control-harness/src/control_harness/environment.py
@@ -1,4 +1,4 @@
-"""The environment of a test: processes, fake servers and proxies, all ended with it."""
+"""The environment of a test: its processes, fake servers and proxies, which all end with it."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from control_harness.participants import Participant, RelayParticipant, RouterParticipant
 
 CONDITION_TIMEOUT_S = 30.0
-"""Seconds until a condition must hold; on an idle machine most do well within one."""
+"""Seconds within which a condition must hold; on an idle machine most hold in less than one."""
 
 CHECK_INTERVAL_S = 0.02
 """Seconds between two checks of a condition."""
 
 MAX_LOG_CHARACTERS = 6000
-"""Characters of each process's log that a failure shows, the last ones."""
+"""The last characters of each process's log that a failure message includes."""
 
 ParticipantT = TypeVar("ParticipantT", bound=Participant)
 
 Condition = Callable[[], bool | Awaitable[bool]]
-"""Whether something holds now; it may ask a process."""
+"""Returns whether a condition holds now; awaitable if it has to ask a process."""
 
 
 class Environment:
     """All processes and servers of a test.
 
-    As an asynchronous context manager it ends what was started, also if the test fails.
+    As an asynchronous context manager it ends all of them on exit, also if the test fails.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -52,14 +52,14 @@
             await server.stop()
 
     async def start_cache_server(self, name: str, kind: str = "box") -> FakeCacheServer:
-        """Start a fake cache server."""
+        """Start a fake cache server; ``kind`` is its machine type in the platform's settings."""
         server = FakeCacheServer(name, kind)
         self.cache_servers.append(server)
         await server.start()
         return server
 
     async def start_proxy(self, target: str) -> FaultProxy:
-        """Start a proxy before a target."""
+        """Start a proxy that forwards connections to the address ``target``."""
         proxy = FaultProxy(target)
         self._proxies.append(proxy)
         await proxy.start()
@@ -76,22 +76,23 @@
     async def wait_until(
         self, condition: Condition, description: str, timeout_s: float = CONDITION_TIMEOUT_S
     ) -> None:
-        """Wait until a condition holds; raises AssertionError, with all logs, after the timeout."""
+        """Wait until a condition holds; raises AssertionError with the logs after the timeout."""
         deadline_s = time.monotonic() + timeout_s
         while not await _holds(condition):
             if time.monotonic() > deadline_s:
-                message = f"never: {description}\n{self.logs()}"
+                message = f"condition not met: {description}\n{self.logs()}"
                 raise AssertionError(message)
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def wait_for_exit(self, *participants: Participant) -> None:
         """Wait until these processes have ended."""
         await self.wait_until(
-            lambda: all(participant.exit_code is not None for participant in participants), "processes end"
+            lambda: all(participant.exit_code is not None for participant in participants),
+            "all processes have ended",
         )
 
     def logs(self) -> str:
-        """Return the end of each process's log."""
+        """Return the last ``MAX_LOG_CHARACTERS`` of each process's log."""
         return "\n".join(
             f"== {participant.name}\n{participant.log_text()[-MAX_LOG_CHARACTERS:]}"
             for participant in self.participants
--- a/packages/control-harness/src/control_harness/fake_cache_server.py
+++ b/packages/control-harness/src/control_harness/fake_cache_server.py
@@ -1,4 +1,4 @@
-"""A fake cache server that answers each request at once, and counts them."""
+"""A fake cache server that answers each request at once and counts the requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakeCacheServer(LoopbackServer):
-    """A cache server by name; its answer to every request is that name."""
+    """A named cache server; the body of each answer is that name.  ``request_count`` counts requests."""
 
     def __init__(self, name: str, kind: str = "box") -> None:
         super().__init__()
@@ -23,7 +23,7 @@
         self.request_count = 0
 
     def host_entry(self, health: str = "active") -> dict[str, object]:
-        """Return its entry of discovery's list."""
+        """Return the server's entry in discovery's list."""
         return {
             "host": self.name,
             "dial": self.address,
--- a/packages/control-harness/src/control_harness/fake_discovery.py
+++ b/packages/control-harness/src/control_harness/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake of discovery: numbered events by long poll, and its faults."""
+"""A fake discovery that serves numbered events by long poll, and can be stopped or reset."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from control_harness.loopback_server import LoopbackServer
 
-# One cache server, as discovery lists it.
+# The entry of one cache server in discovery's list.
 HostEntry = Mapping[str, object]
 
-# Seconds that a poll is held at most, whatever it asks for: a test ends soon after its last event.
+# Upper bound on the seconds that a poll is held, so that a test ends soon after its last event.
 MAX_BLOCK_S = 5.0
 
 
 class FakeDiscovery(LoopbackServer):
     """Publishes a list of cache servers and its changes; ``poll_count`` counts the polls received.
 
-    ``stop`` and ``start`` keep the address and the events.
+    The address and the events are kept by ``stop`` and a later ``start``.
     """
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
         await self._publish([{"nodes": nodes}])
 
     async def publish_purges(self, *objects: int, ages_ms: Sequence[float] = ()) -> None:
-        """Publish a purge of each object, issued now, or as long ago as ``ages_ms`` says for each."""
+        """Publish a purge of each object, issued now or ``ages_ms`` ago (one age for each object)."""
         now_ms = time.time() * 1000
         ages = ages_ms or [0.0] * len(objects)
         purges = [
@@ -48,7 +48,7 @@
         await self._publish(purges)
 
     async def restart_numbering(self, hosts: Sequence[HostEntry]) -> None:
-        """Restart without any earlier event: numbers begin at 1, with a new version of the list."""
+        """Restart without any earlier event: event numbers and list versions begin at 1 again."""
         await self.stop()
         self._log.clear()
         self._list_version = 0
@@ -73,7 +73,7 @@
             self._published.notify_all()
 
     async def _wait_for_events(self, resume: int, block_s: float) -> None:
-        """Wait until there are events after ``resume``, for the time that the poll blocks."""
+        """Wait until there are events after ``resume``, for at most the poll's block time."""
         async with self._published:
             has_events = self._published.wait_for(lambda: self._log.has_events_after(resume))
             with suppress(TimeoutError):
--- a/packages/control-harness/src/control_harness/fault_proxy.py
+++ b/packages/control-harness/src/control_harness/fault_proxy.py
@@ -1,6 +1,6 @@
 """A TCP proxy between two processes that injects faults.
 
-What a blocked direction holds back is delivered once it is unblocked, as on a network that retransmits.
+Data of a blocked direction is delivered once that is unblocked, as on a network where TCP retransmits.
 """
 
 from __future__ import annotations
@@ -14,15 +14,14 @@
 """Bytes read at a time."""
 
 EVENTS_START = re.compile(rb'"cmds": ?\[(?=\{)')
-"""Where the first event of an answer begins; an answer without events does not match."""
+"""Matches up to the start of an answer's first event; an answer without events does not match."""
 
 
 class FaultProxy(LoopbackServer):
-    """Forwards connections to ``target``.
+    """Forwards connections to ``target``; ``connection_count`` counts the connections accepted.
 
-    ``truncate_events_bytes``: the next answer that has
-    events is truncated after so many bytes of them and its connection is closed; None again once that has
-    happened.  ``connection_count`` counts the connections accepted.
+    If ``truncate_events_bytes`` is set, the next answer that has events is truncated after so many bytes of
+    them and its connection is closed; the attribute is None again once that has happened.
     """
 
     def __init__(self, target: str) -> None:
@@ -37,19 +36,19 @@
         self.unblock()
 
     def block(self, to_target: bool = True, from_target: bool = True) -> None:
-        """Hold back what is sent in these directions; connections stay, and new ones are accepted."""
+        """Hold back data in these directions; connections stay open, and new ones are accepted."""
         if to_target:
             self._to_target_open.clear()
         if from_target:
             self._from_target_open.clear()
 
     def unblock(self) -> None:
-        """Deliver what was held back, and everything that follows."""
+        """Deliver the data that was held back, and forward in both directions again."""
         self._to_target_open.set()
         self._from_target_open.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Forward one connection in both directions until either side ends it."""
+        """Forward one connection in both directions until either side closes it."""
         self.connection_count += 1
         target_reader, target_writer = await asyncio.open_connection(self._target_host, self._target_port)
         directions = [
@@ -82,7 +81,7 @@
         await self._from_target_open.wait()
 
     def _truncate_events(self, data: bytes) -> bytes | None:
-        """Return the truncated data if it begins the answer that is to be truncated."""
+        """Return the truncated data if it has the start of the answer to be truncated, else None."""
         if self.truncate_events_bytes is None:
             return None
         events_start = EVENTS_START.search(data)
--- a/packages/control-harness/src/control_harness/loopback_server.py
+++ b/packages/control-harness/src/control_harness/loopback_server.py
@@ -1,4 +1,4 @@
-"""What the harness's own servers share: a port that stays the same, and connections that end with them."""
+"""The base class of the harness's servers, which keep their port and end their connections on stop."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
     @property
     def address(self) -> str:
-        """Host and port; the port is known once the server has been started."""
+        """Host and port; the port is 0 until the server has been started."""
         return f"{HOST}:{self._port}"
 
     async def start(self) -> None:
-        """Listen, on the same port as before."""
+        """Listen on a free port, or on the same one as before a ``stop``."""
         self._server = await asyncio.start_server(self._accept, HOST, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
@@ -48,7 +48,7 @@
         assert task is not None
         self._connections[task] = writer
         try:
-            # These end the connection; one that was cancelled ends like the others.
+            # These exceptions end the connection; a cancelled task ends it like a connection error.
             with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 await self.serve(reader, writer)
         finally:
--- a/packages/control-harness/src/control_harness/participants.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -1,4 +1,4 @@
-"""The processes of a test: relays and request routers, their files, and calls to their endpoints."""
+"""The relays and request routers of a test: their processes, files and admin endpoints."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from thornjunction.net.wire import fastcgi
 
 CALL_TIMEOUT_S = 5.0
-"""Seconds that a call to an endpoint may take on a busy machine."""
+"""Seconds that a call to an endpoint may take; enough for a busy machine."""
 
 REQUEST_TTL_MS = 1500
-"""Milliseconds that a request may take unless the test says otherwise."""
+"""Default time to live of a request (ms)."""
 
 MAX_SOCKETS = 90
-"""Sockets of each router: few, because all processes of a test share the limit of one user."""
+"""Upper bound on the sockets of each router; all processes of a test share the limit of one user."""
 
 RELAY_JOIN_MS = 20
-"""Milliseconds that a relay waits for more events before it answers a poll: few, so that tests are fast."""
+"""Milliseconds that a relay waits for more events before it answers a poll; small to keep tests fast."""
 
 READ_BYTES = 65_536
 """Bytes read at a time."""
 
 REQUEST_PARAMS = {"SCRIPT_NAME": "/do/clips", "HTTP_X_WORKING_SET_KB": "412.5"}
-"""The parameters that all requests share."""
+"""FastCGI parameters that are the same in all requests."""
 
 
 def free_addresses(count: int) -> list[str]:
     """Return addresses with a free port each.
 
-    They are on a loopback host drawn for this call, where nothing else is likely to take them.
+    They are on a loopback host drawn for this call, so that another process is unlikely to take the ports.
     """
     random = Random()
     host = ".".join(["127", *(str(random.randint(1, 254)) for _ in range(3))])
@@ -60,7 +60,7 @@
         self.admin_address = admin_address
 
     async def call_admin(self, line: str) -> list[str]:
-        """Return the lines of the admin endpoint's reply; none while nobody answers there."""
+        """Return the lines of the admin endpoint's reply; an empty list if it does not answer in time."""
         host, _, port = self.admin_address.rpartition(":")
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -78,14 +78,14 @@
 
 
 class RelayParticipant(Participant):
-    """A relay; ``listen_address`` is where it is polled."""
+    """A relay, which accepts polls at ``listen_address``."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self.listen_address, admin_address = free_addresses(2)
         super().__init__(folder, name, admin_address)
 
     def configure(self, upstreams: Sequence[str], **settings: object) -> None:
-        """Write its operators' file."""
+        """Write the operators' file; ``settings`` are added to its section ``[relay]``."""
         values = {
             "listen": self.listen_address,
             "admin_addr": self.admin_address,
@@ -97,41 +97,41 @@
         self._write_operators_file("relay", values)
 
     async def status(self) -> dict[str, str]:
-        """Return the values of the call ``relay`` by name."""
+        """Return the values of the admin call ``relay`` by name; empty if the relay does not answer."""
         values = _parse_values(await self.call_admin("relay"))
         return {key.removeprefix("relay."): value for key, value in values.items()}
 
     async def purge_lines(self) -> list[str]:
-        """Return the lines of the call ``purges``, one for each purge."""
+        """Return the lines of the admin call ``purges``, one for each purge."""
         return [line for line in await self.call_admin("purges") if line.startswith("purge ")]
 
 
 class RouterParticipant(Participant):
-    """A request router; ``front_address`` is where it takes requests."""
+    """A request router, which accepts requests at ``front_address``."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        self.front_address, admin_address, closed_channel = free_addresses(3)
+        self.front_address, admin_address, unused_address = free_addresses(3)
         super().__init__(folder, name, admin_address, folder / "config.json")
-        self._write_platform_config(closed_channel)
+        self._write_platform_config(unused_address)
 
     def configure_without_relays(self, channel: str) -> None:
-        """Write an empty operators' file: the router polls the channel of the platform's configuration."""
+        """Write an empty operators' file, so that the router polls the platform configuration's channel."""
         self._write_platform_config(channel)
         (self.folder / OPERATORS_FILE).write_text("")
 
     def configure(self, sources: Sequence[str]) -> None:
-        """Write its operators' file with these sources."""
+        """Write the operators' file with these sources of the control plane."""
         self._write_operators_file("control", {"name": self.name, "sources": list(sources)})
 
-    async def figures(self) -> dict[str, int]:
-        """Return the values of the call ``vars`` by name."""
+    async def metrics(self) -> dict[str, int]:
+        """Return the values of the admin call ``vars`` by name; empty if the router does not answer."""
         values = _parse_values(await self.call_admin("vars"))
         return {key.removeprefix("router."): int(value) for key, value in values.items()}
 
     async def request(
         self, object_number: int = 1, timeout_s: float = CALL_TIMEOUT_S, ttl_ms: int = REQUEST_TTL_MS
     ) -> str:
-        """Request an object; return the name of the cache server that served it, or the status line."""
+        """Request an object; return the name of the cache server that served it, or the failure's status."""
         host, _, port = self.front_address.rpartition(":")
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -166,7 +166,7 @@
 
 
 async def _read_output(reader: asyncio.StreamReader) -> bytes:
-    """Return the output of one FastCGI request, up to its end or that of the connection."""
+    """Return the output of one FastCGI request, read until the request or the connection ends."""
     output = b""
     records = fastcgi.RecordReader()
     ended = False
@@ -180,6 +180,6 @@
 
 
 def _parse_values(lines: Sequence[str]) -> dict[str, str]:
-    """Parse ``NAME=VALUE`` lines; others are ignored."""
+    """Parse ``NAME=VALUE`` lines; other lines are ignored."""
     pairs = (line.partition("=") for line in lines)
     return {name: value for name, separator, value in pairs if separator}
--- a/packages/control-harness/src/control_harness/poller.py
+++ b/packages/control-harness/src/control_harness/poller.py
@@ -1,4 +1,4 @@
-"""A client that polls as a router does and does nothing else: many of them cost one process little."""
+"""A client that only polls, as a router does; one process can run many of them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from typing import Any
 
 BLOCK_MS = 1200
-"""Milliseconds that each poll asks to be held."""
+"""Block time of each poll (ms)."""
 
 RECONNECT_S = 0.05
-"""Seconds from the end of a connection to the next one."""
+"""Seconds from the end of a connection to the next connect."""
 
 
 class Poller:
     """Polls a relay or discovery until it is cancelled.
 
-    ``purged_objects`` are in the order in which they were received; ``out_of_order_count`` counts events
-    whose number was not above the last one of the same epoch.
+    ``purged_objects`` lists the purged objects in the order of receipt; ``out_of_order_count`` counts events
+    whose number was not above that of the event before in the same epoch.
     """
 
     def __init__(self, source: str, name: str) -> None:
@@ -32,7 +32,7 @@
         self._port = int(port)
 
     async def run(self) -> None:
-        """Poll on one connection after the other."""
+        """Poll; when a connection fails or is refused, connect again after ``RECONNECT_S``."""
         while True:
             try:
                 await self._poll_on_connection()
--- a/packages/control-harness/src/control_harness/process.py
+++ b/packages/control-harness/src/control_harness/process.py
@@ -1,4 +1,4 @@
-"""One process of the program: started, signalled by its own id, and ended with the harness."""
+"""One process of the program, which is signalled by its own id and ended with the harness."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     "PROXY_SOCKET_FD",
     "PROXY_CONFIG",
 )
-"""Environment variables that would override the process's own files."""
+"""Environment variables that would override the files of the process, and are not passed on."""
 
 OPERATORS_FILE = "extras.toml"
 """The name of the operators' file in the folder of a process."""
 
 
 class ProgramProcess:
-    """``thornjunction run --extras FILE`` in a folder of its own, where the file ``log`` is its log."""
+    """``thornjunction run --extras FILE`` in a folder of its own, whose file ``log`` has its output."""
 
     def __init__(self, folder: Path, config: Path | None = None) -> None:
         self.folder = folder
@@ -30,7 +30,7 @@
         self._popen: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it, again if it has ended; the log is continued."""
+        """Start the process, which must not be running; its output is appended to the log."""
         assert self.exit_code is not None or self._popen is None
         operators_file = self.folder / OPERATORS_FILE
         command = [sys.executable, "-m", "thornjunction", "run", "--extras", str(operators_file)]
@@ -49,24 +49,24 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, negative for a signal; None while it runs and before it was started."""
+        """The exit code, negative for a signal; None while the process runs and before it is started."""
         if self._popen is None:
             return None
         return self._popen.poll()
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Signal this process alone, while it lives."""
+        """Send a signal to this process, if it is running."""
         if self._popen is not None and self.exit_code is None:
             self._popen.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once, also if it is stopped, and wait until it has ended."""
+        """Kill the process by SIGKILL, which also ends a stopped one, and wait until it has ended."""
         self.send_signal(signal.SIGKILL)
         if self._popen is not None:
             self._popen.wait()
 
     def log_text(self) -> str:
-        """Return all that it has logged."""
+        """Return the output of the process so far; empty before it is started."""
         if not self._log_path.exists():
             return ""
         return self._log_path.read_text(encoding="utf-8", errors="replace")
--- a/packages/control-harness/src/control_harness/relay_environment.py
+++ b/packages/control-harness/src/control_harness/relay_environment.py
@@ -1,4 +1,4 @@
-"""The environment that most tests share: a discovery, two relays, and routers with both as their sources."""
+"""The environment of most tests: discovery, two relays, and two routers with both relays as sources."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from control_harness.participants import RelayParticipant, RouterParticipant
 
 Scenario = Callable[["RelayEnvironment"], Awaitable[None]]
-"""A test's steps in the environment."""
+"""Carries out the steps of a test in the environment."""
 
 ScenarioRunner = Callable[[Scenario], None]
-"""Runs a scenario, and ends its processes whatever happens."""
+"""Runs a scenario, and ends its processes whether it succeeds or fails."""
 
 SCENARIO_TIMEOUT_S = 60.0
-"""Seconds that a scenario may take on a busy machine."""
+"""Seconds that a scenario may take; enough for a busy machine."""
 
 SAMPLED_OBJECTS = 12
-"""Objects that each router is asked for to see which cache servers serve: enough that each has some."""
+"""Objects requested of each router to see which cache servers serve; each server has some of them."""
 
 
 class RelayEnvironment(Environment):
     """Two relays between discovery and two routers, with a proxy on each connection.
 
     Relay N polls discovery, or the root relay, through ``upstream_proxies[N]``, and routers poll it through
-    ``downstream_proxies[N]``.  ``listed_servers`` is how many cache servers are listed, ``last_purged`` the
-    object that was purged last, and ``extra_clients`` counts pollers beside the routers.
+    ``downstream_proxies[N]``.  ``listed_servers`` is the number of cache servers in discovery's list,
+    ``last_purged`` the object that was purged last, and ``extra_clients`` the number of pollers beside the
+    routers.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -46,9 +47,9 @@
         self._object_numbers = itertools.count(1)
 
     async def start_all(self, with_root: bool = False, **relay_settings: object) -> None:
-        """Start everything, and wait until the routers know the list from the first relay.
+        """Start everything, and wait until the routers have the list from the first relay.
 
-        ``with_root`` puts one more relay, ``root_relay``, above the others.
+        ``with_root`` adds ``root_relay``, a relay from which the two others poll instead of from discovery.
         """
         await self._start_cache_servers()
         upstream = self.discovery.address
@@ -67,7 +68,7 @@
         await self.wait_until_polled_by_all(self.relays[0])
 
     async def wait_until_ready(self, *relays: RelayParticipant) -> None:
-        """Wait until these relays have a state."""
+        """Wait until these relays have a state and serve polls."""
 
         async def ready() -> bool:
             return all([await relay.call_admin("check") == ["ACK"] for relay in relays])
@@ -75,17 +76,17 @@
         await self.wait_until(ready, "relays are ready")
 
     async def wait_until_listed(self, routers: Sequence[RouterParticipant]) -> None:
-        """Wait until these routers have as many cache servers as are listed."""
+        """Wait until these routers have as many cache servers as discovery lists."""
 
         async def listed() -> bool:
-            all_figures = await asyncio.gather(*(router.figures() for router in routers))
-            return all(figures.get("registry_entries") == self.listed_servers for figures in all_figures)
+            all_metrics = await asyncio.gather(*(router.metrics() for router in routers))
+            return all(metrics.get("registry_entries") == self.listed_servers for metrics in all_metrics)
 
         names = [router.name for router in routers]
         await self.wait_until(listed, f"{names} know {self.listed_servers} cache servers")
 
     async def publish_change(self) -> None:
-        """Publish one more cache server, which serves nothing, and a purge."""
+        """Publish one more cache server, which is leaving and serves nothing, and a purge."""
         self.listed_servers += 1
         self.last_purged = next(self._object_numbers)
         leaving = self.origin.host_entry("leaving")
@@ -94,9 +95,9 @@
         await self.discovery.publish_purges(self.last_purged)
 
     async def wait_until_propagated(self, *relays: RelayParticipant) -> None:
-        """Wait until the last change is known to all routers, by themselves and by these relays.
+        """Wait until all routers have the last change, and these relays report it as propagated.
 
-        The relays together serve all routers.
+        The routers and extra clients must all poll one of these relays.
         """
         await self.wait_until_listed(self.routers)
 
@@ -109,10 +110,10 @@
             return clients == len(self.routers) + self.extra_clients
 
         names = [relay.name for relay in relays]
-        await self.wait_until(propagated, f"purge {self.last_purged} is done at {names}")
+        await self.wait_until(propagated, f"purge {self.last_purged} is propagated at {names}")
 
     async def last_purge_line(self, relay: RelayParticipant) -> str:
-        """Return how a relay reports the last purge; empty if it is not known there."""
+        """Return a relay's report line of the last purge; empty if the relay does not have the purge."""
         object_id = f" {self.last_purged:016x} "
         return next((line for line in await relay.purge_lines() if object_id in line), "")
 
@@ -125,14 +126,14 @@
         await self.wait_until(polled_by_all, f"all routers poll {relay.name}")
 
     async def drain_first_edge(self) -> None:
-        """List the first edge as leaving; wait until all routers, which used both, use the other one."""
+        """List the first edge as leaving; wait until all routers use only the other one."""
         self.drained_edge, other_edge = self.edges
         await self.wait_until_served_by(*self.edges)
         await self.discovery.publish_hosts([self.drained_edge.host_entry("leaving")])
         await self.wait_until_served_by(other_edge)
 
     async def wait_until_served_by(self, *servers: FakeCacheServer) -> None:
-        """Wait until the routers' requests go to these cache servers, and to each of them."""
+        """Wait until the routers' requests go to each of these cache servers, and to no other."""
 
         async def served_by_these() -> bool:
             return await self.serving_names() == {server.name for server in servers}
@@ -140,12 +141,12 @@
         await self.wait_until(served_by_these, f"requests go to {[server.name for server in servers]}")
 
     async def serving_names(self) -> set[str]:
-        """Return the names of the cache servers that serve requests now, of all routers together."""
+        """Return the names of the cache servers that now serve requests of any router."""
         requests = [router.request(number) for router in self.routers for number in range(SAMPLED_OBJECTS)]
         return set(await asyncio.gather(*requests))
 
     async def check_drained_edge_unused(self) -> None:
-        """Check that every request is served, and none by the drained edge."""
+        """Check that every request is served by an edge other than the drained one."""
         request_count = self.drained_edge.request_count
         names = await self.serving_names()
         assert names == {edge.name for edge in self.edges if edge is not self.drained_edge}, names
@@ -169,7 +170,7 @@
 
 
 def run_scenario(folder: Path, scenario: Scenario) -> None:
-    """Run a scenario, and end its processes whatever happens."""
+    """Run a scenario, and end its processes whether it succeeds or fails."""
 
     async def run() -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S), RelayEnvironment(folder) as environment:
--- a/packages/control-harness/tests/conftest.py
+++ b/packages/control-harness/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Each scenario runs in a folder of its own."""
+"""The fixture that runs a scenario, in a folder of its own."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 @pytest.fixture
 def run_scenario(tmp_path: Path) -> relay_environment.ScenarioRunner:
-    """Runs a scenario, and ends its processes whatever happens."""
+    """Returns a runner that ends a scenario's processes whether it succeeds or fails."""
     return partial(relay_environment.run_scenario, tmp_path)
--- a/packages/control-harness/tests/test_control_faults.py
+++ b/packages/control-harness/tests/test_control_faults.py
@@ -1,4 +1,4 @@
-"""Faults of relays and of discovery, with real processes, judged by what routers and relays know."""
+"""Faults of relays and discovery, with real processes; routers' and relays' states are checked."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_a_killed_relay_starts_empty(run_scenario: ScenarioRunner) -> None:
-    """Routers poll the other one and still respect a drain; the relay that starts again serves again."""
+    """Routers poll the other relay and keep a drain; the killed relay serves again after its restart."""
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all()
@@ -62,13 +62,13 @@
 
 
 def test_an_older_state_undoes_no_drain(run_scenario: ScenarioRunner) -> None:
-    """The other relay has not received a drain: routers that change to it keep what they know."""
+    """Routers that switch to a relay which has not received a drain keep the drain."""
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all()
         first, second = environment.relays
         environment.upstream_proxies[1].block()
-        environment.downstream_proxies[1].block()  # nor can it be asked whose state is newer
+        environment.downstream_proxies[1].block()  # so that routers cannot probe the age of its state
         await environment.drain_first_edge()
         await environment.publish_change()
         await environment.wait_until_listed(environment.routers)
@@ -86,7 +86,10 @@
 
 
 def test_a_relay_that_starts_while_discovery_is_down_asks_its_sibling(run_scenario: ScenarioRunner) -> None:
-    """Its routers undo nothing by that.  Without a sibling it serves nothing and reports so."""
+    """The relay gets its state from the sibling, and its routers keep a drain.
+
+    Without a sibling it has no state: it refuses polls, and its admin endpoint reports ``no-state``.
+    """
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all()
@@ -108,7 +111,7 @@
             status = await first.status()
             return await first.call_admin("check") == ["NAK no-state"] and "ends.refused-no-state" in status
 
-        await environment.wait_until(refuses_polls, "an empty relay refuses")
+        await environment.wait_until(refuses_polls, "a relay without state refuses polls")
         await environment.check_drained_edge_unused()
         await environment.discovery.start()
         second.start()
@@ -136,7 +139,7 @@
 
 
 def test_routers_restart_while_discovery_is_down(run_scenario: ScenarioRunner) -> None:
-    """Discovery is down until the relays' state counts as lagging; routers accept it."""
+    """Routers accept the relays' state although discovery was down until that counted as lagging."""
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all()
@@ -147,7 +150,7 @@
             ages = [int((await relay.status())["age_ms"]) for relay in environment.relays]
             return min(ages) > 2500
 
-        await environment.wait_until(state_is_old, "relays know that their state is old")
+        await environment.wait_until(state_is_old, "both relays report a state older than 2.5 s")
         for router in environment.routers:
             router.kill()
             router.start()
--- a/packages/control-harness/tests/test_control_lagging_relay.py
+++ b/packages/control-harness/tests/test_control_lagging_relay.py
@@ -1,4 +1,4 @@
-"""Routers that fall behind, and many that come at once, with real processes."""
+"""Routers and relays that lag, and many routers that reconnect at once, with real processes."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from control_harness.poller import Poller
 from control_harness.relay_environment import RelayEnvironment, ScenarioRunner
 
-CHANGES = 1_100  # of the list: more than a relay's log keeps
+CHANGES = 1_100  # list changes: more than a relay's log retains
 POLLERS = 100
 FIRST_OBJECT = 1_000
-BURST_PURGES = 1_500  # purges of one moment: more than 64 KB of events
-HOUR_PURGES = 20_000  # purges of one hour: fewer than there are, and more than a relay keeps
-TRUNCATED_BYTES = 40_010  # bytes of a burst: within one event
+BURST_PURGES = 1_500  # purges issued at once: more than 64 KB of events
+HOUR_PURGES = 20_000  # purges of one hour: fewer than in production, and more than a relay retains
+TRUNCATED_BYTES = 40_010  # bytes of the burst's answer that are sent: the cut is within an event
 
 
 def test_a_router_is_paused_for_longer_than_the_log(run_scenario: ScenarioRunner) -> None:
-    """It receives the complete state, with the drain that it missed, and acknowledges it."""
+    """The router receives the complete state, with the drain that it missed, and acknowledges it."""
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all(hold_ms=1000)
@@ -26,7 +26,9 @@
         paused.send_signal(signal.SIGSTOP)
         environment.routers = [other]
         await environment.drain_first_edge()
-        await environment.publish_change()  # what the log has lost, later
+        await (
+            environment.publish_change()
+        )  # an event that the log has dropped by the time the router continues
         entry = environment.origin.host_entry("leaving") | {"host": "more", "class": "box"}
         for share in range(CHANGES):
             await environment.discovery.publish_hosts([entry | {"share": share}])
@@ -43,9 +45,9 @@
 
 
 def test_a_relay_lags_by_an_hour(run_scenario: ScenarioRunner) -> None:
-    """Purges that no cache can still need are not passed on.
+    """Purges older than the retention are not passed on.
 
-    Otherwise they would be too many to be sent one by one, and groups or everything would be purged instead.
+    Otherwise there would be too many to send one by one, and whole groups or all objects would be purged.
     """
 
     async def scenario(environment: RelayEnvironment) -> None:
@@ -70,7 +72,7 @@
 def test_many_routers_reconnect_at_once(run_scenario: ScenarioRunner) -> None:
     """All connections of a relay are reset at once.
 
-    Each router receives each event once and in order, and discovery notices nothing.
+    Each router receives each event once and in order, and discovery gets no additional polls.
     """
 
     async def scenario(environment: RelayEnvironment) -> None:
@@ -90,7 +92,7 @@
             await environment.downstream_proxies[0].start()
             await environment.wait_until_propagated(*environment.relays)
             assert environment.discovery.poll_count - polls_before < POLLERS, (
-                "reconnecting routers reached discovery"
+                "reconnecting routers caused polls of discovery"
             )
             assert environment.downstream_proxies[0].connection_count - connections_before >= POLLERS
             for poller in pollers:
@@ -104,9 +106,9 @@
 
 @pytest.mark.parametrize("of_relay", [True, False], ids=["of a relay", "of discovery"])
 def test_an_answer_is_truncated_within_an_event(of_relay: bool, run_scenario: ScenarioRunner) -> None:
-    """Complete events count and the rest is polled again: nobody resumes from a number in between.
+    """The complete events are accepted and the rest is polled again, so that no event is skipped.
 
-    The answer of discovery is one that is decoded in pieces.
+    The answer of discovery is large enough to be decoded in pieces.
     """
 
     async def scenario(environment: RelayEnvironment) -> None:
--- a/packages/control-harness/tests/test_control_propagation.py
+++ b/packages/control-harness/tests/test_control_propagation.py
@@ -1,4 +1,4 @@
-"""Propagation of purges as admin endpoints report it, and a relay's shutdown, with real processes."""
+"""Propagation of purges as the admin endpoints report it, and a relay's shutdown, with real processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_the_root_names_routers_that_have_not_confirmed(run_scenario: ScenarioRunner) -> None:
-    """Through two relays: a paused router is named as not having confirmed; then the purge is propagated."""
+    """The root relay reports a downstream relay's paused router until that continues and confirms."""
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all(with_root=True)
@@ -24,7 +24,7 @@
                 f" waits 1 {paused.name}"
             )
 
-        await environment.wait_until(reported, f"the root names {paused.name}")
+        await environment.wait_until(reported, f"the root relay reports {paused.name} as unconfirmed")
         text = "\n".join(await environment.root_relay.call_admin("relay"))
         assert f" 1 {paused.name}" in text, text
         assert "behind relay-" in text, text
@@ -33,14 +33,14 @@
         async def propagated() -> bool:
             return " done " in await environment.last_purge_line(environment.root_relay)
 
-        await environment.wait_until(propagated, "the root says that it is done")
+        await environment.wait_until(propagated, "the root relay reports the purge as propagated")
         await environment.wait_until_propagated(*environment.relays)
 
     run_scenario(scenario)
 
 
 def test_a_router_out_of_service_is_dismissed(run_scenario: ScenarioRunner) -> None:
-    """A killed router is waited for until the operators dismiss it."""
+    """A relay waits for a killed router until an operator dismisses it."""
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all()
@@ -52,7 +52,7 @@
         async def reported() -> bool:
             return (await environment.last_purge_line(first)).endswith(f" waits 1 {killed.name}")
 
-        await environment.wait_until(reported, f"{killed.name} is waited for")
+        await environment.wait_until(reported, f"the relay waits for {killed.name}")
         assert await first.call_admin(f"dismiss {killed.name}") == ["ACK"]
         assert await first.call_admin("dismiss two words") == ["NAK not a name"]
         await environment.wait_until_propagated(first, second)
@@ -80,7 +80,10 @@
 
 
 def test_a_relay_shuts_down_gracefully(run_scenario: ScenarioRunner) -> None:
-    """Exit 0; held polls are answered; its routers poll the other one and are not waited for here."""
+    """The relay answers held polls and exits with 0; its routers poll the other relay.
+
+    After a restart the relay does not wait for routers that poll the other one.
+    """
 
     async def scenario(environment: RelayEnvironment) -> None:
         await environment.start_all()
@@ -90,10 +93,10 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(f"GET /cmd/next?resume={head}&block=5000 HTTP/1.1\r\nHost: x\r\n\r\n".encode())
 
-        async def three_polls_wait() -> bool:
+        async def three_polls_held() -> bool:
             return (await first.status())["waiting"] == "3"
 
-        await environment.wait_until(three_polls_wait, "three polls wait")
+        await environment.wait_until(three_polls_held, "three polls are held")
         first.send_signal(signal.SIGTERM)
         reply = (await reader.read(-1)).decode()
         assert reply.startswith("HTTP/1.1 200 ")
