--- a/packages/fleet-harness/src/fleet_harness/__init__.py
+++ b/packages/fleet-harness/src/fleet_harness/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real router processes on one machine, and scenarios that are run on it."""
+"""A test harness: a fleet of real router processes on loopback, and scenarios that are run on it."""
--- a/packages/fleet-harness/src/fleet_harness/__main__.py
+++ b/packages/fleet-harness/src/fleet_harness/__main__.py
@@ -21,20 +21,20 @@
 from fleet_harness.scenario_batch import ScenarioBatch
 from thornjunction.net.event_loop.reactor import install
 
-# Routers of the smallest demo: with fewer, one failure ends the majority.
+# Routers of the smallest demo; with fewer, one failure loses the majority.
 MIN_ROUTERS = 3
 
 # Routers of the largest demo.
 MAX_ROUTERS = 9
 
-# Scenarios that run at once unless the command line says otherwise.
+# Scenarios that run at the same time without the option ``--jobs``.
 DEFAULT_JOBS = 4
 
 reactor = install()
 
 
 class Stoppable(Protocol):
-    """A run that has started processes and can end them."""
+    """A run that starts processes and can end them."""
 
     def stop(self) -> Deferred[Any]:
         """End all processes; fires once they have ended."""
@@ -60,7 +60,7 @@
         help=f"routers of the fleet, {MIN_ROUTERS} to {MAX_ROUTERS}",
     )
     play = parser.add_subparsers(dest="command").add_parser("play", help="run scenario files")
-    play.add_argument("--jobs", type=int, default=DEFAULT_JOBS, help="scenarios at once")
+    play.add_argument("--jobs", type=int, default=DEFAULT_JOBS, help="scenarios that run at the same time")
     play.add_argument("files", nargs="+", type=Path)
     return parser.parse_args()
 
@@ -78,21 +78,21 @@
 
 
 def _stop_reactor() -> None:
-    """Stop the reactor, unless it is stopping already."""
+    """Stop the reactor, unless it is already stopping."""
     with suppress(ReactorNotRunning):
         reactor.stop()
 
 
 def _stop_on_signals() -> None:
-    """Stop at the first signal; later ones change nothing, because ending the processes takes a moment."""
+    """Stop the reactor at the first signal; later signals are ignored while the processes end."""
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(_stop_reactor))
 
 
 def _run_reactor(target: Stoppable, begin: Callable[[], Deferred[Any]]) -> int:
-    """Run until the target's work or a signal stops the reactor; return the exit code.
+    """Run the reactor until the target's work or a signal stops it; return the exit code.
 
-    Whatever happens, the processes that the target started end before this one does.
+    In every case the processes that the target started end before this one does.
     """
     failures: list[Failure] = []
 
--- a/packages/fleet-harness/src/fleet_harness/admin_client.py
+++ b/packages/fleet-harness/src/fleet_harness/admin_client.py
@@ -9,7 +9,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-# Seconds that a connection on loopback may take, on a busy machine too.
+# Seconds that a connect on loopback may take; enough for a busy machine.
 CONNECT_TIMEOUT_S = 5
 
 
@@ -33,7 +33,7 @@
 
 
 async def call_admin(reactor: Any, address: Address, line: str) -> str:
-    """Send a line and return the complete reply; raises ConnectError if nobody listens."""
+    """Send a line and return the complete reply; raises ConnectError if the router does not listen."""
     host, port = address
     endpoint: Any = TCP4ClientEndpoint(reactor, host, port, timeout=CONNECT_TIMEOUT_S)
     call = await endpoint.connect(Factory.forProtocol(lambda: _AdminCall(line)))
--- a/packages/fleet-harness/src/fleet_harness/demo.py
+++ b/packages/fleet-harness/src/fleet_harness/demo.py
@@ -1,4 +1,4 @@
-"""A demo fleet for a newcomer: routers that know each other, until this program ends."""
+"""A demo fleet: routers that discover each other and run until this program ends."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fleet_harness.environment import Environment
 from fleet_harness.participants import Participants
 
-# Milliseconds until all routers must know each other; seconds on an idle machine.
+# Milliseconds within which all routers must know each other; it takes some seconds on an idle machine.
 START_TIMEOUT_MS = 30_000.0
 
 
@@ -22,13 +22,13 @@
         self._entries_printed = 0
 
     async def run(self) -> None:
-        """Start all routers, wait until each knows the others, and print what can be tried."""
+        """Start all routers, wait until each knows the others, and print their endpoints and instructions."""
         environment = self._environment
         for name in environment.names:
             await environment.start(name)
         print("starting", *environment.names, flush=True)
         await environment.waiter.wait_until(self._all_known, START_TIMEOUT_MS, "all routers know each other")
-        print(self._greeting(), flush=True)
+        print(self._instructions(), flush=True)
         self._entries_printed = len(environment.events.entries)
         environment.on_event = self._print_new_entries
 
@@ -47,8 +47,8 @@
         views = self._environment.events.views
         return all(views[name].alive_members() >= names - {name} for name in names)
 
-    def _greeting(self) -> str:
-        """Return each router's process and admin endpoint, and what to do with them."""
+    def _instructions(self) -> str:
+        """Return each router's process id and admin endpoint, with instructions for their use."""
         environment = self._environment
         lines = [f"{len(environment.names)} routers of one fleet run on loopback and know each other:"]
         for name in environment.names:
@@ -56,8 +56,8 @@
             lines.append(f"  {name}: process {environment.processes[name].pid}, admin endpoint {host}:{port}")
         host, port = environment.admin_addresses[environment.names[0]]
         lines += [
-            f"Ask one for its members:  printf 'fleet\\n' | nc {host} {port}",
+            f"List the members that a router knows:  printf 'fleet\\n' | nc {host} {port}",
             "End one gracefully with SIGTERM, at once with SIGKILL, or pause it with SIGSTOP and SIGCONT,",
-            "and read here what the others log.  SIGTERM or Ctrl-C here ends them all.",
+            "and see here what the others log.  SIGTERM or Ctrl-C to this program ends all of them.",
         ]
         return "\n".join(lines)
--- a/packages/fleet-harness/src/fleet_harness/environment.py
+++ b/packages/fleet-harness/src/fleet_harness/environment.py
@@ -1,4 +1,4 @@
-"""The environment of a run: fake servers, the relay and the router processes, and the faults of each."""
+"""The environment of a run: fake servers, the UDP relay, the router processes, and their faults."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 from fleet_harness.waiting import ConditionWaiter
 from thornjunction.log_events import LogEvent
 
-# Milliseconds from a signal to the exit, a graceful shutdown between them.
+# Milliseconds from a signal to the exit; a graceful shutdown takes part of it.
 EXIT_TIMEOUT_MS = 10_000.0
 
-# Upper bound on the starts of one router: another process may take a port after it was drawn, which ends the
-# start.
+# Upper bound on the attempts to start a router: another process may take one of its ports after they were
+# drawn, and the router then exits.
 MAX_START_ATTEMPTS = 5
 
-# Text of the timeline for a process that receives a signal; other signals are shown as faults.
+# The timeline's text for a process that receives a signal; other signals are recorded as faults.
 PROCESS_CHANGES: Mapping[int, str] = {
     signal.SIGKILL: "killed",
     signal.SIGSTOP: "paused",
     signal.SIGCONT: "continued",
 }
 
-# Signals after which a process is expected to end.
+# Signals after which a process is expected to exit.
 FINAL_SIGNALS = (signal.SIGKILL, signal.SIGTERM)
 
 
 class Environment:
     """The routers of a run, by name; ``stop`` ends everything that was started.
 
-    ``expected_running`` are the routers that have been started and not ended, also while they are paused.
-    ``on_event`` is called after each entry of a router's log.
+    ``expected_running`` are the routers that have been started and not ended, including paused ones.
+    ``on_event`` is called after each log entry of a router.
     """
 
     def __init__(self, reactor: Any, participants: Participants, seed: int = 1) -> None:
@@ -66,18 +66,18 @@
         self._discovery_port = start_fake_servers(reactor)
 
     async def start(self, name: str) -> None:
-        """Start a new process, with the data that earlier ones left, once the last one has ended."""
+        """Start a new process, once the previous one has ended; it finds the data of earlier ones."""
         await self.wait_for_exit(name)
         self._start_attempts[name] = 0
         self.expected_running.add(name)
         self._spawn(name)
 
     async def wait_for_exit(self, name: str) -> None:
-        """Wait until a router's last process, if any, has ended; raises NotObservedError."""
+        """Wait until a router's last process, if any, has ended; raises NotObservedError on timeout."""
         process = self.processes.get(name)
         if process is not None:
             await self.waiter.wait_until(
-                lambda: bool(process.ended.called), EXIT_TIMEOUT_MS, f"the end of {name}"
+                lambda: bool(process.ended.called), EXIT_TIMEOUT_MS, f"the process of {name} has ended"
             )
 
     def remove_data(self, name: str) -> None:
@@ -85,7 +85,7 @@
         shutil.rmtree(self._data_folder(name), ignore_errors=True)
 
     def truncate_data(self, name: str) -> None:
-        """Truncate each file of a router's data to half, as a disk that ignored an fsync might."""
+        """Truncate each data file of a router to half its size, as a crash after an ignored fsync might."""
         for path in self._data_folder(name).iterdir():
             path.write_bytes(path.read_bytes()[: path.stat().st_size // 2])
 
@@ -100,16 +100,16 @@
         self.processes[name].send_signal(number)
 
     async def wait_for_datagrams(self, count: int, timeout_ms: float) -> None:
-        """Wait until ``count`` more datagrams were forwarded, which does not depend on the machine's load."""
+        """Wait until ``count`` more datagrams were forwarded; this does not depend on the machine's load."""
         target = self.relay.counters.forwarded + count
         self.relay.on_forwarded = self.waiter.check
         await self.waiter.wait_until(
-            lambda: self.relay.counters.forwarded >= target, timeout_ms, f"{count} datagrams"
+            lambda: self.relay.counters.forwarded >= target, timeout_ms, f"{count} datagrams are forwarded"
         )
         self.relay.on_forwarded = None
 
     def set_links_cut(self, links: Sequence[tuple[str, str]], cut: bool) -> None:
-        """Cut or heal links; only those that change are recorded."""
+        """Cut or heal links; only links that change are recorded."""
         for source, target in links:
             link = self.relay.links[source, target]
             if link.cut is not cut:
@@ -117,14 +117,14 @@
                 self.events.add_link_change(source, target, cut)
 
     def call_repeatedly(self, interval_ms: float, callback: Callable[[], None]) -> None:
-        """Call at once and then after each interval, until ``stop_repeated_calls``."""
+        """Call now and then after each interval (ms), until ``stop_repeated_calls``."""
         callback()
         self._repeated_calls = [call for call in self._repeated_calls if call.active()]
         next_call = self._reactor.callLater(interval_ms / 1000.0, self.call_repeatedly, interval_ms, callback)
         self._repeated_calls.append(next_call)
 
     def stop_repeated_calls(self) -> None:
-        """End all that ``call_repeatedly`` began."""
+        """Cancel all calls that ``call_repeatedly`` has scheduled."""
         for call in self._repeated_calls:
             if call.active():
                 call.cancel()
@@ -142,7 +142,7 @@
             if process.pid is not None:
                 await process.ended
         await self.relay.stop()
-        # In a thread: a slow disk would hold up the relays of all other scenarios.
+        # In a thread, because a slow disk would otherwise block the UDP relays of all other scenarios.
         await deferToThread(shutil.rmtree, self._folder, True)
 
     def _data_folder(self, name: str) -> Path:
@@ -182,9 +182,9 @@
             self._spawn(name)
         elif name in self.expected_running:
             self.expected_running.discard(name)
-            self.waiter.abort(f"{name} ended by itself")
+            self.waiter.abort(f"{name} exited unexpectedly")
 
     def _can_start_again(self, name: str) -> bool:
-        """Return whether a router ended because one of its ports was taken, and may draw new ones."""
+        """Return whether a router exited because a port was taken, and has start attempts left."""
         port_taken = LogEvent.LISTEN_FAILED in self.events.views[name].events
         return port_taken and self._start_attempts[name] < MAX_START_ATTEMPTS and not self._stopping
--- a/packages/fleet-harness/src/fleet_harness/event_record.py
+++ b/packages/fleet-harness/src/fleet_harness/event_record.py
@@ -1,4 +1,4 @@
-"""The record of a run: all events in order, and the latest view of the fleet that each router logged."""
+"""The record of a run: all events in order, and each router's latest view of the fleet."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from fleet_harness.router_process import EXIT_EVENT, TEXT_EVENT
 from thornjunction.log_events import LogEvent
 
-# Fields that each line of the log has beside the event's own.
+# Fields that every log entry has beside those of its event.
 LOG_FIELDS = frozenset({"level", "logger", "ts", "pid"})
 
-# Events of the log that a timeline shows and that a scenario may expect, with their words in a scenario.
+# Log events that a timeline shows and that a scenario may expect, with their names in a scenario.
 #
-# What the membership reports has the names of its notices, as in a simulated fleet.
+# Events of the membership have the names of its notices, as in a simulated fleet.
 TRACED_EVENTS: dict[str, str] = {
     LogEvent.FLEET_BIND_FAILED: "fleet_bind_failed",
     LogEvent.FLEET_DATAGRAM_REJECTED: "refused",
@@ -32,13 +32,13 @@
     EXIT_EVENT: EXIT_EVENT,
 }
 
-# Lines of a router's tracebacks that the timeline shows, the last ones.
+# The last lines of a router's tracebacks that the timeline shows.
 MAX_TEXT_LINES = 8
 
 
 @dataclass(slots=True)
 class RouterView:
-    """The view of the fleet that one router has logged since its process was started."""
+    """The view of the fleet that one router process has logged since its start."""
 
     states: dict[str, str] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)
@@ -46,12 +46,12 @@
     has_majority: bool = False
 
     def alive_members(self) -> set[str]:
-        """Return the members that the router last called alive."""
+        """Return the members whose last logged state is alive."""
         return {name for name, state in self.states.items() if state == "alive"}
 
 
 class EventRecord:
-    """The entries of a timeline, and the ``views`` of the routers by name.
+    """The ``entries`` of a timeline, and the ``views`` of the routers by name.
 
     ``clock_ms`` returns the milliseconds since the run started.
     """
@@ -61,10 +61,10 @@
         self.entries: list[TraceEntry] = []
         self.views: dict[str, RouterView] = {}
         self.first_entries: dict[str, int] = {}  # index of the first entry of each router's process
-        self._texts: dict[str, list[str]] = {}  # lines that are no events: tracebacks
+        self._texts: dict[str, list[str]] = {}  # log lines that are not events, such as tracebacks
 
     def add_start(self, name: str) -> None:
-        """Record that a new process was started: nothing that an earlier one logged holds for it."""
+        """Record that a new process was started, and reset the view that an earlier one has logged."""
         self.views[name] = RouterView()
         self.first_entries[name] = len(self.entries)
         self.add_process_change(name, "started")
@@ -83,7 +83,7 @@
         self.entries.append(TraceEntry(self.clock_ms(), kind, source, "", target))
 
     def add_log_entry(self, name: str, event: str, fields: Mapping[str, Any]) -> None:
-        """Record one entry of a router's log."""
+        """Record a router's log entry, and update its view if the entry is about the membership."""
         view = self.views[name]
         view.events.add(event)
         if event == TEXT_EVENT or "exception" in fields:
@@ -102,15 +102,15 @@
             self.entries.append(TraceEntry(self.clock_ms(), EntryKind.NOTICE, name, text))
 
     def notices(self, name: str, first_entry: int) -> Iterator[str]:
-        """Return the texts of what a router logged, from the entry of that index on."""
+        """Yield the texts of a router's notices, beginning at the entry with index ``first_entry``."""
         for entry in self.entries[first_entry:]:
             if entry.kind is EntryKind.NOTICE and entry.node == name:
                 yield entry.text
 
     def timeline(self) -> str:
-        """Return the timeline as text, followed by the tracebacks."""
-        drawn = render_trace(self.entries, sorted(self.views))
+        """Return the timeline as text, followed by the tracebacks of each router."""
+        rendered = render_trace(self.entries, sorted(self.views))
         texts = [
             f"-- {name} --\n" + "\n".join(lines[-MAX_TEXT_LINES:]) for name, lines in self._texts.items()
         ]
-        return "\n".join([drawn, *texts])
+        return "\n".join([rendered, *texts])
--- a/packages/fleet-harness/src/fleet_harness/parent_death.py
+++ b/packages/fleet-harness/src/fleet_harness/parent_death.py
@@ -1,6 +1,6 @@
-"""Ends a process with its parent, however the parent ends, by the kernel's parent-death signal.
+"""Ends a process with its parent, even if that is killed, by the kernel's parent-death signal.
 
-``python -m fleet_harness.parent_death PARENT_PID COMMAND..`` requests the signal and becomes the command.
+``python -m fleet_harness.parent_death PARENT_PID COMMAND..`` requests the signal and executes the command.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import sys
 from collections.abc import Sequence
 
-# The option of prctl(2); the setting is kept across execve(2).
+# The option of prctl(2) that sets the parent-death signal, which is kept across execve(2).
 PR_SET_PDEATHSIG = 1
 
 
 def die_with_parent(parent_pid: int) -> None:
-    """Have the kernel kill this process once the thread that started it ends.
+    """Have the kernel kill this process when the thread that started it ends.
 
-    ``parent_pid`` is the id of the parent.  Raises OSError if the system does not support it.
+    ``parent_pid`` is the id of the parent.  Raises OSError if the system does not support the signal.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0) != 0:
@@ -28,7 +28,7 @@
 
 
 def wrapped_command(command: Sequence[str]) -> list[str]:
-    """Return a command that runs the given one and ends with this process."""
+    """Return a command that runs the given one, and is killed when this process ends."""
     return [sys.executable, "-m", "fleet_harness.parent_death", str(os.getpid()), *command]
 
 
--- a/packages/fleet-harness/src/fleet_harness/participants.py
+++ b/packages/fleet-harness/src/fleet_harness/participants.py
@@ -1,4 +1,4 @@
-"""The routers of a scenario, and how some of them differ from the others."""
+"""The routers of a scenario, with their groups and their settings of the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from fleet_sim.scenario import Scenario, ScenarioSyntaxError
 
-# Timings of every router: a failure is detected in one to three seconds, and a busy machine causes none.
+# Timings of every router: a failure is detected in one to three seconds, without false ones under load.
 TIMINGS_MS: Mapping[str, float] = {
     "probe_every_ms": 200,
     "probe_timeout_ms": 80,
@@ -17,13 +17,13 @@
     "rejoin_ms": 1000,
 }
 
-# The name of the fleet.
+# The name of the fleet of a scenario's members.
 FLEET = "harness"
 
 # The name of the fleet to which routers of ``other_fleet`` belong.
 OTHER_FLEET = "other"
 
-# The secret of the fleet.
+# The secret of the fleet's members.
 SECRET = b"r" * 32
 
 # The secret of routers of ``other_secret``.
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True)
 class Participants:
-    """The routers by name, and the groups that a scenario makes of them.
+    """The names of the routers, and the groups into which a scenario's header divides them.
 
-    Routers of ``other_secret`` and ``other_fleet`` are not members of the fleet; all others are.  Each router
-    first contacts those of ``contacts``, or all others if it is empty.  All members vote if ``voters`` is
-    empty.  ``timings_ms`` override ``TIMINGS_MS``.
+    Routers of ``other_secret`` and ``other_fleet`` are not members of the fleet; all others are.  The seeds
+    of each router are ``contacts``, or all others if that is empty.  All members vote if ``voters`` is empty.
+    ``timings_ms`` override ``TIMINGS_MS``.
     """
 
     names: tuple[str, ...]
@@ -56,11 +56,11 @@
 
     @classmethod
     def from_scenario(cls, scenario: Scenario) -> Participants:
-        """Read the header of a scenario; raises ScenarioSyntaxError for other lines or unknown names."""
+        """Read a scenario's header; raises ScenarioSyntaxError for an unsupported line or unknown name."""
         groups = dict(scenario.options)
         timings = [word.partition("=") for word in groups.pop("timings", ())]
         if unknown := groups.keys() - HEADER_GROUPS.keys():
-            message = f"the harness knows no {', '.join(sorted(unknown))}"
+            message = f"the harness does not support the header line {', '.join(sorted(unknown))}"
             raise ScenarioSyntaxError(message)
         if unknown := {name for group in groups.values() for name in group} - set(scenario.names):
             message = f"no node {', '.join(sorted(unknown))}"
@@ -77,7 +77,7 @@
         return frozenset(self.other_secret + self.other_fleet)
 
     def fleet_settings(self, name: str) -> dict[str, object]:
-        """Return what the ``[fleet]`` section of a router's operators' file says of the fleet."""
+        """Return a router's settings of fleet, voters and timings in section ``[fleet]``."""
         members = [other for other in self.names if other not in self.outsiders]
         return {
             "fleet": OTHER_FLEET if name in self.other_fleet else FLEET,
@@ -86,9 +86,9 @@
         }
 
     def seeds(self, name: str) -> list[str]:
-        """Return the routers that a router contacts first."""
+        """Return the names of a router's seeds, which it contacts first."""
         return [seed for seed in self.contacts or self.names if seed != name]
 
     def secret(self, name: str) -> bytes:
-        """Return the secret that a router authenticates its datagrams with."""
+        """Return the secret with which a router authenticates its datagrams."""
         return OTHER_SECRET if name in self.other_secret else SECRET
--- a/packages/fleet-harness/src/fleet_harness/router_files.py
+++ b/packages/fleet-harness/src/fleet_harness/router_files.py
@@ -1,4 +1,4 @@
-"""The files of a router: the platform's configuration on fake servers, and an operators' file."""
+"""The files of a router: the platform's configuration with fake servers, and an operators' file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from fakes.demo_servers import DemoCacheServer, DemoDiscovery
 from sansio_core import Address
 
-# Upper bound on the sockets of each router: all routers of the fleet share the limit of one user.
+# Upper bound on the sockets of each router; all routers of a fleet share the limit of one user.
 MAX_SOCKETS = 90
 
 
@@ -35,8 +35,8 @@
 def write_platform_config(folder: Path, name: str, discovery_port: int) -> Address:
     """Write the platform's file ``config.json``; return the address of the router's admin endpoint.
 
-    Both ports are on a loopback address drawn for this process, where nothing else is likely to take them; a
-    router that finds one taken is started again.
+    Both ports are on a loopback address drawn for this process, so that another process is unlikely to take
+    them; a router that finds one taken is started again with new ones.
     """
     host = ".".join(["127", *(str(randint(1, 254)) for _ in range(3))])
     with socket() as front, socket() as admin:
@@ -64,9 +64,9 @@
     secret: bytes,
     fleet_settings: Mapping[str, object],
 ) -> None:
-    """Write ``extras.toml`` with its ``[fleet]`` section, and the secret beside it.
+    """Write ``extras.toml`` with its ``[fleet]`` section, and the secret in a file beside it.
 
-    The router binds any free port: the others know its public address, which the relay holds.
+    The router binds any free port; the others use its public address, which the UDP relay binds.
     """
     (folder / "fleet.key").write_bytes(secret)
     host, port = public_address
--- a/packages/fleet-harness/src/fleet_harness/router_process.py
+++ b/packages/fleet-harness/src/fleet_harness/router_process.py
@@ -1,4 +1,4 @@
-"""One router's process: started, signalled by its own id, and its log read as events."""
+"""One router's process, which is signalled by its own id and whose log is read as events."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 from fleet_harness.parent_death import wrapped_command
 
-# Bytes of one line of the log; a longer one is split.
+# Upper bound on the bytes of an incomplete log line; a longer one is split.
 MAX_LINE_BYTES = 100_000
 
-# The event of a line that is not a log entry, such as a line of a traceback.
+# The event name of a line that is not a log entry, such as a line of a traceback.
 TEXT_EVENT = "text"
 
-# The event of the process's end; its field ``code`` is an exit code or ``signal N``.
+# The event name of the process's exit; its field ``code`` is the exit code or ``signal N``.
 EXIT_EVENT = "exit"
 
-# Environment variables that would override the router's own files.
+# Environment variables that would override the router's files, and are not passed on.
 INHERITED_SETTINGS = ("PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR", "PROXY_SOCKET_FD")
 
 # Receives a router's name, an event and its fields.
@@ -32,7 +32,7 @@
 
 
 class RouterProcess(protocol.ProcessProtocol):
-    """A router by name; ``on_log`` receives each entry of its log, and ``exit`` at its end."""
+    """A router's process; ``on_log`` receives each of its log entries, and ``EXIT_EVENT`` at its exit."""
 
     def __init__(self, name: str, on_log: LogHandler) -> None:
         self.name = name
@@ -42,7 +42,7 @@
         self._partial_line = b""
 
     def start(self, reactor: Any, config: Path, operators_file: Path) -> None:
-        """Start the process in the folder of its configuration."""
+        """Start the process, with the folder of its configuration as its working directory."""
         command = wrapped_command(
             [sys.executable, "-m", "thornjunction", "run", "--extras", str(operators_file)]
         )
@@ -57,7 +57,7 @@
         self.pid = transport.pid
 
     def send_signal(self, number: int) -> None:
-        """Signal this process alone, while it lives: its id is not reused before it has been waited for."""
+        """Signal this process while it runs; its id is not reused before ``processEnded`` clears it."""
         if self.pid is not None:
             os.kill(self.pid, number)
 
--- a/packages/fleet-harness/src/fleet_harness/scenario_batch.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_batch.py
@@ -1,4 +1,4 @@
-"""Runs scenario files side by side in one reactor, a given number at once."""
+"""Runs scenario files concurrently in one reactor, at most a given number at a time."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class ScenarioBatch:
-    """The scenarios of one call; ``failed`` counts those with an expectation that was not met.
+    """The scenarios of one command; ``failed`` counts those with an error or an unmet expectation.
 
-    Prints one JSON line for each: ``name``, ``why`` (the failure, empty if there is none), ``seconds`` and
+    Prints one JSON line for each scenario: ``name``, ``why`` (the failure, or an empty text), ``seconds`` and
     ``timeline``.
     """
 
@@ -28,11 +28,11 @@
         self._stopping = False
 
     def run(self, paths: Sequence[Path]) -> Deferred[Any]:
-        """Run all; fires once they have ended."""
+        """Run all scenario files; fires once they have ended."""
         return gatherResults([self._jobs.run(self._start, path) for path in paths], consumeErrors=True)
 
     def stop(self) -> Deferred[Any]:
-        """End all that run, and start no more; fires once they have ended."""
+        """End the running scenarios and start no further ones; fires once they have ended."""
         self._stopping = True
         return gatherResults([Deferred.fromCoroutine(run.stop()) for run in self._running])
 
--- a/packages/fleet-harness/src/fleet_harness/scenario_run.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_run.py
@@ -1,7 +1,7 @@
 """Runs one scenario, in the format of ``fleet_sim.scenario``, on real routers.
 
-A step is done once everything that stands beside the one before it was observed; nothing waits for a time.
-README.md says what differs from a simulation.
+A step begins once every expectation of the step before it was observed; steps have no times.  README.md
+describes the differences from a simulation.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """How a scenario ended; ``failure`` is empty if everything was observed."""
+    """The result of a scenario; ``failure`` is empty if every expectation was met."""
 
     failure: str
     seconds: float
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ForbiddenExpectation:
-    """What must not be observed in the entries of the record from ``first_entry`` on."""
+    """An event that must not occur in the entries of the record from ``first_entry`` on."""
 
     expectation: Expectation
     first_entry: int
 
 
 class ScenarioRun:
-    """One scenario in its environment; raises ScenarioSyntaxError for what the harness cannot do."""
+    """One scenario in its environment; raises ScenarioSyntaxError for unsupported steps."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int = 1) -> None:
         _check_supported(scenario)
@@ -54,7 +54,7 @@
         self._forbidden = self._forbidden_always()
 
     async def run(self) -> Verdict:
-        """Carry out the steps, to the first expectation that is not met; end every process."""
+        """Carry out the steps until an expectation is not met; then end every process."""
         started_at_s = self._reactor.seconds()
         try:
             failure = await self._run_steps()
@@ -68,12 +68,12 @@
         await self._environment.stop()
 
     async def _run_steps(self) -> str:
-        """Return why the scenario failed, or an empty text."""
+        """Return why the scenario failed; an empty text if it did not."""
         try:
             for name in self._scenario.names:
                 if name not in self._scenario.started_later:
                     await self._environment.start(name)
-            await self._wait_until(self._settled, "settled, before the first step")
+            await self._wait_until(self._settled, "all routers have settled before the first step")
             for step in self._scenario.steps:
                 await self._run_step(step)
         except (NotObservedError, ConnectError) as error:
@@ -93,7 +93,7 @@
             if expectation.forbidden
         ]
         await self._actions.perform(step.action)
-        # The admin endpoints are asked last: their replies must agree with what was logged.
+        # The admin endpoints are called last, because their replies must agree with what was logged.
         for expectation in sorted(step.expectations, key=_asks_admin_endpoint):
             if _asks_admin_endpoint(expectation):
                 await self._check_admin_reply(expectation)
@@ -112,7 +112,7 @@
             expectation = forbidden.expectation
             for name in expectation.nodes:
                 if self._logged(name, expectation, forbidden.first_entry):
-                    self._environment.waiter.abort(f"seen at {name}: {expectation}")
+                    self._environment.waiter.abort(f"forbidden event at {name}: {expectation}")
 
     def _logged(self, name: str, expectation: Expectation, first_entry: int) -> bool:
         return any(expectation.matches(name, text) for text in self._events.notices(name, first_entry))
@@ -128,7 +128,7 @@
         return all(self._logged(name, expectation, self._step_first_entry) for name in expectation.nodes)
 
     def _settled(self) -> bool:
-        """Return whether each running member last logged a majority, and all other running ones as alive."""
+        """Return whether each running member last logged a majority, and the other running ones as alive."""
         running = self._environment.expected_running - self._environment.participants.outsiders
         views = self._events.views
         return all(
@@ -136,7 +136,7 @@
         )
 
     def _last_logged(self, name: str, expectation: Expectation) -> bool:
-        """Return whether the last that a router's process logged on a subject matches.
+        """Return whether the last event that a router's process logged on a subject matches.
 
         The subject is ``majority``, ``mode`` or ``member NAME``.
         """
@@ -150,19 +150,19 @@
         return replace(expectation, words=words).matches(name, " ".join(texts_on_subject[-1]))
 
     def _restarted(self, name: str, member: str) -> bool:
-        """Return whether a router calls a member alive in a higher incarnation than before the step."""
+        """Return whether a router reports a member alive, with a higher incarnation than before the step."""
         view = self._events.views[name]
         incarnation_before = self._incarnations_before.get(name, {}).get(member, -1)
         return view.states.get(member) == "alive" and view.incarnations[member] > incarnation_before
 
     async def _check_admin_reply(self, expectation: Expectation) -> None:
-        """Ask the admin endpoints once; raises NotObservedError if a reply lacks the text."""
+        """Call each admin endpoint once; raises NotObservedError if a reply lacks the expected text."""
         text = " ".join(expectation.words[1:])
         for name in expectation.nodes:
             reply = await call_admin(self._reactor, self._environment.admin_addresses[name], "fleet")
             complete = reply.startswith("ACK\n") and reply.endswith("\n--\n")
             if not complete or text not in reply:
-                message = f"{expectation}: {reply!r}"
+                message = f"{expectation}: not in the reply {reply!r}"
                 raise NotObservedError(message)
 
 
@@ -173,9 +173,9 @@
 def _check_supported(scenario: Scenario) -> None:
     for step in scenario.steps:
         if step.at_ms or step.pause_ms:
-            raise ScenarioSyntaxError.at_line(step.line, "the harness knows no times")
+            raise ScenarioSyntaxError.at_line(step.line, "the harness does not support times")
     for step in scenario.steps:
         for expectation in step.expectations:
             if expectation.ordered:
-                message = f"{expectation}: the harness checks no order"
+                message = f"{expectation}: the harness does not check the order"
                 raise ScenarioSyntaxError(message)
--- a/packages/fleet-harness/src/fleet_harness/steps.py
+++ b/packages/fleet-harness/src/fleet_harness/steps.py
@@ -1,4 +1,4 @@
-"""The actions of a scenario's steps, carried out on real processes and on the relay between them."""
+"""The actions of a scenario's steps, carried out on real processes and on the UDP relay between them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 from fleet_harness.environment import Environment
 
-# The words of an action, or those after its verb.
+# The words of an action, or the words after its verb.
 Words = Sequence[str]
 
-# The signal that each of these actions sends.
+# The signal that each action of this kind sends.
 SIGNALS: Mapping[str, signal.Signals] = {
     "kill": signal.SIGKILL,
     "pause": signal.SIGSTOP,
@@ -24,14 +24,14 @@
 
 
 class UnknownActionError(ValueError):
-    """An action that the harness does not know."""
+    """The harness has no action with this verb."""
 
     def __init__(self) -> None:
         super().__init__("no such action")
 
 
 class StepActions:
-    """Carries out one action at a time; ``timeout_ms`` limits those that wait."""
+    """Carries out one action at a time; ``timeout_ms`` limits actions that wait."""
 
     def __init__(self, environment: Environment, timeout_ms: float) -> None:
         self._environment = environment
@@ -90,7 +90,7 @@
                 raise UnknownActionError
 
     def _flap(self, arrow: Words, interval_ms: float) -> None:
-        """Cut and heal links in turn."""
+        """Cut and heal links alternately."""
         links = parse_arrow(arrow)
         first_link = self._environment.relay.links[links[0]]
         self._environment.call_repeatedly(
@@ -98,7 +98,7 @@
         )
 
     def _heal(self, arrow: Words) -> None:
-        """End all flapping and heal the given links; without any, heal all and reset their quality."""
+        """End all flapping and heal the given links; if none is given, heal all and reset their quality."""
         environment = self._environment
         environment.stop_repeated_calls()
         if arrow:
--- a/packages/fleet-harness/src/fleet_harness/udp_relay.py
+++ b/packages/fleet-harness/src/fleet_harness/udp_relay.py
@@ -1,8 +1,8 @@
 """A UDP relay between the routers, with faults on each link.
 
 Each router has one public address, which the relay binds.  A datagram to it passes the link from its sender,
-which may drop, delay, duplicate, reorder or cut.  The receiver sees the sender's public address as the
-source, so that no router learns the address on which another one really listens.
+which may drop, delay, duplicate or reorder it.  The receiver sees the sender's public address as the
+source, so that no router learns the address on which another router's process listens.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from sansio_core import Address
 from twisted.internet import protocol
 
-# Upper bound on the stored datagrams of unknown sources: a router logs its port after it has sent the first
-# ones.
+# Upper bound on the stored datagrams of unknown sources: a router logs its port only after it has sent its
+# first datagrams.
 MAX_UNCLAIMED = 64
 
-# Upper bound on the latest datagrams of each link that can be replayed.
+# Upper bound on the last datagrams of each link that are kept for a replay.
 MAX_REPLAYABLE = 64
 
 # The quality of a link unless a scenario changes it: nothing is lost or delayed.
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class RelayedLink:
-    """One direction between two routers; ``sent`` are the last datagrams, also those that were dropped."""
+    """One direction between two routers; ``sent`` has the last datagrams, including dropped ones."""
 
     cut: bool = False
     quality: LinkQuality = PERFECT_QUALITY
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class RelayCounters:
-    """Datagrams that were forwarded, dropped by a fault, and refused by the socket."""
+    """Counts of datagrams that were forwarded, dropped by a fault, or not accepted by the socket."""
 
     forwarded: int = 0
     dropped: int = 0
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnclaimedDatagram:
-    """A datagram from an address that is not yet known to be a router's."""
+    """A datagram from an address that is not yet known to belong to a router."""
 
     source: Address
     target: str
@@ -67,7 +67,7 @@
         self._relay.route(addr, self._name, datagram)
 
     def send(self, datagram: bytes, to: Address) -> None:
-        """Send from the public address; a full buffer is one more loss."""
+        """Send from the public address; a send error is counted and the datagram is lost."""
         try:
             cast(Any, self.transport).write(datagram, to)
         except OSError:
@@ -77,8 +77,8 @@
 class UdpRelay:
     """The public sockets by router, and the links between the routers.
 
-    ``router_addresses`` are those on which the running routers listen; ``on_forwarded`` is called after each
-    datagram that was forwarded.
+    ``router_addresses`` are the addresses on which the running routers listen; ``on_forwarded`` is called
+    after each datagram that was forwarded.
     """
 
     def __init__(self, reactor: Any, seed: int) -> None:
@@ -94,7 +94,7 @@
         self._unclaimed: deque[UnclaimedDatagram] = deque(maxlen=MAX_UNCLAIMED)
 
     def add_router(self, name: str) -> None:
-        """Bind a public address for a router on a free port; link it with all others."""
+        """Bind a public address for a router on a free port, and add its links to all others."""
         public_socket = PublicSocket(self, name)
         port = self._reactor.listenUDP(0, public_socket, interface="127.0.0.1")
         for other in self.public_sockets:
@@ -105,7 +105,7 @@
         self._ports.append(port)
 
     def set_router_address(self, name: str, address: Address) -> None:
-        """Set where a router's process listens; datagrams that it sent earlier are relayed now."""
+        """Set the address of a router's process, and relay the datagrams that it has sent before."""
         self.router_addresses[name] = address
         unclaimed = list(self._unclaimed)
         self._unclaimed.clear()
@@ -113,7 +113,7 @@
             self.route(datagram.source, datagram.target, datagram.data)
 
     def remove_router_address(self, name: str) -> None:
-        """Forget the address of a process that ended; nothing is forwarded to it any more."""
+        """Remove the address of a process that has ended; datagrams to it are discarded from now on."""
         self.router_addresses.pop(name, None)
 
     def route(self, source: Address, target: str, data: bytes) -> None:
@@ -125,12 +125,12 @@
             self._transmit(sender, target, data)
 
     def reset_quality(self) -> None:
-        """Make all links perfect; those that are cut stay cut."""
+        """Set the quality of all links to ``PERFECT_QUALITY``; cut links stay cut."""
         for link in self.links.values():
             link.quality = PERFECT_QUALITY
 
     def replay(self, source: str, target: str, count: int) -> None:
-        """Send again, unchanged, the last datagrams of a link, ``MAX_REPLAYABLE`` at most."""
+        """Send the last ``count`` datagrams of a link again, unchanged; at most ``MAX_REPLAYABLE``."""
         for data in list(self.links[source, target].sent)[-count:]:
             self._forward(source, target, data)
 
--- a/packages/fleet-harness/src/fleet_harness/waiting.py
+++ b/packages/fleet-harness/src/fleet_harness/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for conditions: each is checked after the events that may have met it, without polling."""
+"""Waiting for conditions, which are checked after each event that may have met one, without polling."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class NotObservedError(Exception):
-    """An expected condition was not met in time, or cannot be met any more."""
+    """An expected condition was not met in time, or waiting for it was aborted."""
 
 
 @dataclass(eq=False, slots=True)
@@ -24,7 +24,7 @@
 
 
 class ConditionWaiter:
-    """Conditions that are waited for; ``check`` is called after each event that may have met one."""
+    """Waits for conditions; ``check`` must be called after each event that may have met one."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -46,14 +46,14 @@
                 timeout.cancel()
 
     def check(self) -> None:
-        """End the waits whose conditions hold."""
+        """Finish the waits whose conditions now hold."""
         for pending in list(self._pending):
             if pending.condition():
                 self._pending.remove(pending)
                 pending.fired.callback(None)
 
     def abort(self, reason: str) -> None:
-        """Fail all waits, and those that are still to come; the first reason stays."""
+        """Fail all present and later waits; of several reasons the first is kept."""
         if not self._abort_reason:
             self._abort_reason = reason
         aborted = self._pending
@@ -69,4 +69,4 @@
     def _time_out(self, pending: _PendingWait) -> None:
         if pending in self._pending:
             self._pending.remove(pending)
-            pending.fired.errback(NotObservedError(f"not seen in time: {pending.description}"))
+            pending.fired.errback(NotObservedError(f"not observed in time: {pending.description}"))
--- a/packages/fleet-harness/tests/test_fleet_scenarios.py
+++ b/packages/fleet-harness/tests/test_fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario file, run side by side by one process of the harness; and what a file may not contain."""
+"""Every scenario file, run concurrently by one harness process; unsupported files; and the demo."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 SCENARIOS = sorted((Path(__file__).parent / "timelines").glob("*.timeline"))
 JOBS = 4
-TIMEOUT_S = 180.0  # for all scenarios; a busy machine takes a minute
-EXIT_TIMEOUT_S = 10.0  # a killed process ends at once; a busy machine takes a moment
-ROOT = Path(__file__).parents[3]  # the folder that the router is run from
+TIMEOUT_S = 180.0  # for all scenarios together; they take a minute on a busy machine
+EXIT_TIMEOUT_S = 10.0  # enough for a busy machine; on an idle one a killed process ends at once
+ROOT = Path(__file__).parents[3]  # the working directory of the harness, which has the router's package
 
 
 @pytest.fixture(scope="session")
 def verdicts() -> dict[str, Any]:
-    """The verdict of each file by its name; the harness ends its processes also if this is interrupted."""
+    """The verdict of each file, by its name.  The harness is ended also if the test run is interrupted."""
     command = [sys.executable, "-m", "fleet_harness", "play", "--jobs", str(JOBS), *map(str, SCENARIOS)]
     harness = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT)
     try:
@@ -45,17 +45,20 @@
     assert not verdict["why"], f"{verdict['why']}\n{verdict['timeline']}"
 
 
-HEAD = "title: x\nnodes: a b\n"
+HEADER = "title: x\nnodes: a b\n"
 
 
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        (HEAD + "at 5 wait", "no times"),
-        (HEAD + "voters: c\nthen wait", "no node c"),
-        (HEAD + "then 5 wait", "no times"),
-        (HEAD + "votes: a\nthen wait", "votes"),
-        (HEAD + "then wait | a: x\n | then b: x", "line 4: then b: x: the harness checks no order"),
+        (HEADER + "at 5 wait", "does not support times"),
+        (HEADER + "voters: c\nthen wait", "no node c"),
+        (HEADER + "then 5 wait", "does not support times"),
+        (HEADER + "votes: a\nthen wait", "votes"),
+        (
+            HEADER + "then wait | a: x\n | then b: x",
+            "line 4: then b: x: the harness does not check the order",
+        ),
     ],
 )
 def test_unsupported_scenarios_are_rejected(text: str, message: str) -> None:
@@ -66,19 +69,19 @@
 def test_a_failed_scenario_is_reported_with_its_timeline(tmp_path: Path) -> None:
     actions = {"none": "boil a", "wrong": "wait | a: exit 0"}
     for name, action in actions.items():
-        (tmp_path / name).write_text(HEAD + f"for: 6000\nthen {action}\n")
+        (tmp_path / name).write_text(HEADER + f"for: 6000\nthen {action}\n")
     command = [sys.executable, "-m", "fleet_harness", "play", *(str(tmp_path / name) for name in actions)]
     ended = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
     verdicts = {line["name"]: line for line in map(json.loads, ended.stdout.splitlines())}
     assert ended.returncode == 1
     assert verdicts["none"]["why"] == "line 4: not an action: boil a (no such action)"
-    assert verdicts["wrong"]["why"] == "not seen in time: line 4: a: exit 0"
+    assert verdicts["wrong"]["why"] == "not observed in time: line 4: a: exit 0"
     assert verdicts["wrong"]["timeline"].count("* started") == 2
     assert verdicts["wrong"]["timeline"].count("exit signal_9") == 2
 
 
 def start_demo() -> tuple[subprocess.Popen[str], list[int]]:
-    """Start the demo; return it and the ids of its routers' processes, as it prints them."""
+    """Start the demo; return its process and the process ids that it prints for its routers."""
     command = [sys.executable, "-m", "fleet_harness"]
     demo = subprocess.Popen(command, stdout=subprocess.PIPE, text=True, cwd=ROOT)
     assert demo.stdout is not None
@@ -109,7 +112,7 @@
         assert len(pids) == 3
         os.kill(pids[2], signal.SIGKILL)
         while "member router-3 failed" not in next(demo.stdout):
-            pass  # the pipe ends if this is never printed
+            pass  # if the line is never printed, the pipe ends and next() raises
     finally:
         demo.terminate()
         demo.communicate()
--- a/packages/fleet-harness/tests/test_udp_relay.py
+++ b/packages/fleet-harness/tests/test_udp_relay.py
@@ -1,4 +1,4 @@
-"""The relay with a fake reactor: what a link does to the datagrams on it."""
+"""The UDP relay with a fake reactor: faults of a link, replay, and routers that start and end."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from fleet_harness.udp_relay import MAX_UNCLAIMED, PERFECT_QUALITY, UdpRelay
 from fleet_sim import LinkQuality
 
-ADDRESS_A = ("127.0.0.1", 11)  # where the routers really listen
+ADDRESS_A = ("127.0.0.1", 11)  # the addresses on which the routers' processes listen
 ADDRESS_B = ("127.0.0.1", 12)
 
 
 class FakeReactor:
-    """Binds ports from 100 up; delayed calls wait for ``run_delayed``."""
+    """Binds ports from 101 on; delayed calls run when ``run_delayed`` is called."""
 
     def __init__(self) -> None:
         self.bound = 0
@@ -37,7 +37,7 @@
 
 
 class RelayedPair:
-    """Routers ``a`` and ``b`` behind a relay."""
+    """Routers ``a`` and ``b``, connected by a UDP relay."""
 
     def __init__(self, **quality: float) -> None:
         self.reactor = FakeReactor()
@@ -55,7 +55,7 @@
         self.reactor.run_delayed()
         assert {(port, to) for port, _, to in self.reactor.sent} <= {
             (101, ADDRESS_B)
-        }  # from a's public address
+        }  # sent from a's public address
         return [data[0] for _, data, _ in self.reactor.sent]
 
 
