--- a/packages/control-harness/tests/test_control_faults.py
+++ b/packages/control-harness/tests/test_control_faults.py
@@ -61,7 +61,7 @@
     run_scenario(scenario)
 
 
-def test_an_older_state_undoes_no_drain(run_scenario: ScenarioRunner) -> None:
+def test_an_older_state_does_not_undo_a_drain(run_scenario: ScenarioRunner) -> None:
     """Routers that switch to a relay which has not received a drain keep the drain."""
 
     async def scenario(environment: RelayEnvironment) -> None:
--- a/packages/control-harness/tests/test_control_propagation.py
+++ b/packages/control-harness/tests/test_control_propagation.py
@@ -8,7 +8,7 @@
 from control_harness.relay_environment import RelayEnvironment, ScenarioRunner
 
 
-def test_the_root_names_routers_that_have_not_confirmed(run_scenario: ScenarioRunner) -> None:
+def test_the_root_relay_reports_routers_that_have_not_confirmed(run_scenario: ScenarioRunner) -> None:
     """The root relay reports a downstream relay's paused router until that continues and confirms."""
 
     async def scenario(environment: RelayEnvironment) -> None:
--- a/packages/control-sim/src/control_sim/invariants.py
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -174,12 +174,12 @@
         for purge in relay_node.relay.state.purges.by_expiry():
             latest = router.state.purges.get(purge.target, -math.inf)
             if purge.number <= cursor and latest < purge.issued_unix_ms:
-                return f"has cursor {cursor} in {epoch} but lacks the purge of {purge.target}, {purge.number}"
+                return f"has cursor {cursor} of {epoch}, lacks the purge of {purge.target} ({purge.number})"
         number = relay_node.relay.state.endpoints.number
         if router.client.completed_epochs.get(epoch, 0) < number or not router.client.is_in_sync:
             return None
         if version_of(router.state.endpoints) < version_of(self._observations.relay_list(relay_node)):
-            return f"has cursor {cursor} in {epoch} but not list {number}"
+            return f"has cursor {cursor} of {epoch}, lacks list {number}"
         return None
 
 
--- a/packages/fakes/src/fakes/__init__.py
+++ b/packages/fakes/src/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fake cache servers, discovery and clients on loopback, and environments that run the real router parts."""
+"""Fake cache servers, discovery and clients on loopback, and environments of production router code."""
--- a/packages/fakes/src/fakes/cache_server_messages.py
+++ b/packages/fakes/src/fakes/cache_server_messages.py
@@ -1,6 +1,6 @@
-"""The protocol of cache servers, as the servers' side speaks it: bytes in, commands out, and the reverse.
+"""The server side of the cache servers' protocol: decodes commands and encodes answers.
 
-All fake cache servers share this module, whichever event loop they run on.
+All fake cache servers use this module, whatever their event loop.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 # The command that asks for an object.
 WANT = "want"
 
-# The status word of an answer with an object.
+# The status of an answer that has an object.
 DONE = b"DONE"
 
-# The fields of an answer that says nothing about its object.
+# The fields of an answer without information about its object.
 NO_FIELDS = b"-"
 
 
@@ -24,9 +24,9 @@
     """One command of a router.
 
     Attributes:
-        verb: the command's name, such as ``want`` or ``never_mind``.
-        request_id: the number that the answer repeats.
-        arguments: everything after the number; the first one of a ``want`` describes the request.
+        verb: the name of the command, such as ``want`` or ``never_mind``.
+        request_id: the number that identifies the request; the answer repeats it.
+        arguments: the elements after the number; the first one of a ``want`` describes the request.
     """
 
     verb: str
@@ -35,12 +35,12 @@
 
     @property
     def is_request(self) -> bool:
-        """Whether the command asks for an object and is to be answered."""
+        """Whether the command requests an object and needs an answer."""
         return self.verb == WANT
 
 
 class CommandReader:
-    """Splits the bytes of one connection into commands."""
+    """Decodes the bytes of one connection into commands."""
 
     def __init__(self) -> None:
         self._arrays = ArrayReader()
@@ -49,7 +49,7 @@
         """Return the commands that are complete now.
 
         Raises:
-            ProtocolError: the bytes are no command.
+            ProtocolError: the bytes are not a command.
         """
         return [
             CacheServerCommand(verb.decode(), request_id, tuple(arguments))
--- a/packages/fakes/src/fakes/clients.py
+++ b/packages/fakes/src/fakes/clients.py
@@ -1,6 +1,6 @@
-"""Clients of both fronts on Twisted: HTTP/1.1 with signed URLs, and the platform's FastCGI.
+"""Twisted clients of both fronts: HTTP/1.1 with signed URLs, and the platform's FastCGI.
 
-Each keeps what it receives, and a Deferred fires when a number of answers has come::
+A client keeps what it receives and returns a Deferred that fires after a given number of answers::
 
     client = yield TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(Factory.forProtocol(HttpClient))
     client.send_request("/clips/1/00000000000000ff/0?URISigningPackage=...")
@@ -19,16 +19,16 @@
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.net.wire import fastcgi, http1
 
-# Bytes of one answer, at most.
+# Upper bound on the bytes of one answer.
 MAX_ANSWER_BYTES = 300_000
 
-# The host that requests name; signed URLs of the tests begin with it.
+# The ``Host`` header of requests; the tests' signed URLs have the same host.
 REQUEST_HOST = "cams.example"
 
-# Bytes of the parameters that the first of two records carries.
+# Bytes of the parameters that the first of two records has.
 FIRST_PARAMS_RECORD_BYTES = 9
 
-# The body of a record that begins a request: role responder, then the flags.
+# The parts of a begin record's body, around the byte of the flags; the role is responder.
 BEGIN_ROLE = bytes([0, 1])
 BEGIN_PADDING = bytes(5)
 
@@ -36,7 +36,7 @@
 
 
 class FrontClient(protocol.Protocol, Generic[MessageT]):
-    """A client that waits for a number of answers; ``connection_lost`` fires at its connection's end."""
+    """A client that can wait for a number of answers; ``connection_lost`` fires when the connection ends."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -46,18 +46,18 @@
         self._waiters: list[tuple[int, Deferred[list[MessageT]]]] = []
 
     def answer_count(self) -> int:
-        """Return how many complete answers have come."""
+        """Return how many complete answers have been received."""
         return len(self._messages)
 
     def wait_for_answers(self, count: int) -> Deferred[list[MessageT]]:
-        """Return a Deferred that fires with all messages once ``count`` answers have come."""
+        """Return a Deferred that fires with all messages once ``count`` answers have been received."""
         waiter: Deferred[list[MessageT]] = Deferred()
         self._waiters.append((count, waiter))
         self._notify_waiters()
         return waiter
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: ARG002, N802
-        """Fire ``connection_lost``."""
+        """Fire ``connection_lost`` (called by Twisted)."""
         self.connection_lost.callback(None)
 
     def _notify_waiters(self) -> None:
@@ -69,7 +69,7 @@
 
 
 class HttpClient(FrontClient[http1.HttpResponse]):
-    """A client of the signed front on one keep-alive connection; ``responses`` are in order."""
+    """A client of the signed front on one keep-alive connection; ``responses`` has all so far, in order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,19 +77,19 @@
         self._reader = http1.ResponseReader(MAX_ANSWER_BYTES)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take the responses that are complete now."""
+        """Decode the responses that are complete now (called by Twisted)."""
         self.responses += self._reader.feed(data)
         self._notify_waiters()
 
     def send_request(self, target: str, method: str = "GET", **headers: str) -> None:
-        """Send one request; underscores in the name of a header are sent as dashes."""
+        """Send one request; underscores in header names become dashes."""
         lines = [f"{method} {target} HTTP/1.1", f"Host: {REQUEST_HOST}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         self.transport.write("\r\n".join([*lines, "", ""]).encode())
 
 
 class FastCgiClient(FrontClient[fastcgi.Record]):
-    """A client of the platform's front; ``records`` are all that came, and each end record is an answer."""
+    """A client of the platform's front; ``records`` has all received ones, and each END is an answer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -97,7 +97,7 @@
         self._reader = fastcgi.RecordReader()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take the records that are complete now."""
+        """Decode the records that are complete now (called by Twisted)."""
         self.records += self._reader.feed(data)
         self._notify_waiters()
 
@@ -110,7 +110,7 @@
         return [record for record in self.records if record.kind == fastcgi.RecordType.END]
 
     def output(self, request_id: int) -> bytes:
-        """Return the output of one request so far."""
+        """Return the output of one request that has been received so far."""
         return b"".join(
             record.content
             for record in self.records
--- a/packages/fakes/src/fakes/config.py
+++ b/packages/fakes/src/fakes/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a router before fake servers: an edge and the origin, on free ports."""
+"""The platform's configuration of a router with fake servers, and fake servers on free ports."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from thornjunction.net.event_loop.ports import Reactor
 
-# The only address that fakes listen on.
+# The address on which all fakes listen.
 LOOPBACK_HOST = "127.0.0.1"
 
-# Sockets of a router under test: few, because all processes of a test share the limit of one user.
+# Upper bound on the sockets of a router under test; all processes of a test share the limit of one user.
 MAX_SOCKETS = 90
 
 # The platform's settings of a demo router with one class of requests.
@@ -38,27 +38,27 @@
 
 
 def free_port() -> int:
-    """Return a loopback port that was free a moment ago."""
+    """Return a loopback port that is free now; another process may take it before it is used."""
     with socket.socket() as unused_socket:
         unused_socket.bind((LOOPBACK_HOST, 0))
         return int(unused_socket.getsockname()[1])
 
 
 def listen_on_free_port(reactor: Reactor, build: Callable[[], protocol.Protocol]) -> int:
-    """Start a fake server on a free loopback port, and return the port."""
+    """Start a fake server, whose connections ``build`` makes, on a free loopback port; return the port."""
     port = reactor.listenTCP(0, protocol.Factory.forProtocol(build), interface=LOOPBACK_HOST)
     return int(port.getHost().port)
 
 
 def endpoint_list(*kinds: str, at: str, site: str) -> dict[str, Any]:
-    """Return discovery's answer that lists one active server of each kind, all at one address."""
+    """Return an answer of discovery that lists an active server of each kind, all at the address ``at``."""
     shared_fields = {"dial": at, "site": site, "health": "active"}
     hosts = [shared_fields | {"host": kind, "class": kind} for kind in kinds]
     return {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"whole": True, "hosts": hosts}}]}
 
 
 def platform_config(listen: str, channel: str, cache_server: str, client_timeout_ms: float) -> dict[str, Any]:
-    """Return a router's configuration with an edge and the origin at one cache server's address.
+    """Return a router's configuration with an edge and the origin at the address of one cache server.
 
     Its class ``clips`` is idempotent and its class ``orders`` is not.
     """
--- a/packages/fakes/src/fakes/demo_servers.py
+++ b/packages/fakes/src/fakes/demo_servers.py
@@ -1,7 +1,7 @@
-"""A fake cache server and a fake discovery for the demo, by the platform's published protocols.
+"""A fake cache server and a fake discovery for the demo, which use the platform's published protocols.
 
-The cache server answers every request with bytes drawn from the object's name; discovery lists the servers
-once and then holds each poll for its block time.  What a peer sends is bounded.
+The cache server answers every request with bytes derived from the object's name; discovery lists the servers
+once and then holds each poll for its block time.  The size of messages from a peer is bounded.
 """
 
 from __future__ import annotations
@@ -20,37 +20,37 @@
 # Bytes of each answer's body.
 BODY_BYTES = 16_384
 
-# Milliseconds that a poll is held at most.
+# Upper bound on the time that a poll is held (ms).
 MAX_BLOCK_MS = 2000.0
 
-# What the demo's cache server says about every object: one revision, as old as can be.
+# The fields of every answer of the demo's cache server: one revision, which dates from the Unix epoch.
 DEMO_FIELDS = b"rev=demo1,since=0"
 
 MessageT = TypeVar("MessageT", covariant=True)
 
 
 class Scheduler(Protocol):
-    """What a held poll needs of the reactor."""
+    """The part of the reactor's interface that a held poll needs."""
 
     def callLater(self, _delay_s: float, _function: Callable[..., object], /, *args: object) -> object:  # noqa: N802
-        """Make a call after so many seconds."""
+        """Call the function after a delay (s)."""
 
 
 class MessageReader(Protocol[MessageT]):
-    """Splits the bytes of one connection into messages."""
+    """Decodes the bytes of one connection into messages."""
 
     def feed(self, data: bytes) -> Sequence[MessageT]:
-        """Return the messages that are complete now, or raise ProtocolError."""
+        """Return the messages that are complete now; raises ProtocolError."""
 
 
 def response_body(description: bytes) -> bytes:
-    """Return the body for a request: the same bytes each time, so that a client can check them."""
+    """Return the body for a request: the same bytes every time, so that a client can verify them."""
     seed = hashlib.sha256(description).digest()
     return (seed * (BODY_BYTES // len(seed) + 1))[:BODY_BYTES]
 
 
 def read_or_close(transport: Transport, reader: MessageReader[MessageT], data: bytes) -> Sequence[MessageT]:
-    """Return the messages in a peer's bytes; close the connection of a peer that breaks the protocol."""
+    """Return the messages in a peer's bytes; close its connection on a protocol error."""
     try:
         return reader.feed(data)
     except ProtocolError:
@@ -59,7 +59,7 @@
 
 
 class DemoCacheServer(protocol.Protocol):
-    """One connection of a cache server that answers each request at once."""
+    """A connection of a cache server that answers each request at once."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -67,7 +67,7 @@
         self._reader = CommandReader()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Answer the requests that are complete now."""
+        """Answer the requests that are complete now (called by Twisted)."""
         for command in read_or_close(self.transport, self._reader, data):
             if command.is_request:
                 description = command.arguments[0] if command.arguments else command.request_id
@@ -76,7 +76,7 @@
 
 
 class DemoDiscovery(protocol.Protocol):
-    """One connection of a discovery that lists the same servers for ever."""
+    """A connection of a discovery whose list of servers never changes."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -87,7 +87,7 @@
         self._reader = http1.RequestReader(0)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Answer the polls that are complete now, or hold them."""
+        """Answer or hold the polls that are complete now (called by Twisted)."""
         for request in read_or_close(self.transport, self._reader, data):
             self._handle_poll(request.target)
 
--- a/packages/fakes/src/fakes/event_log.py
+++ b/packages/fakes/src/fakes/event_log.py
@@ -1,6 +1,6 @@
-"""The numbered events of a fake discovery and the polls that ask for them.
+"""The numbered events of a fake discovery, and the polls that request them.
 
-All fake discoveries share this module, whichever event loop they run on.
+All fake discoveries use this module, whatever their event loop.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-# An event as JSON: its number under ``cursor`` and what has changed, or an entry of a list.
+# A JSON object: an event with its number under ``cursor``, or an entry of a list.
 JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class WatchPoll:
-    """One poll of a router or relay.
+    """A poll of a router or relay.
 
     Attributes:
         resume: the number of the last event that the poller has.
-        block_ms: how long discovery may hold the poll while there is no later event.
+        block_ms: upper bound on the time that the poll is held while there is no later event.
     """
 
     resume: int
@@ -29,7 +29,7 @@
 
 
 def parse_query(target: str) -> dict[str, str]:
-    """Return the parameters of a request target; of a repeated one, the first value."""
+    """Return the query parameters of a request target; of a repeated one, the first value."""
     return {name: values[0] for name, values in parse_qs(urlsplit(target).query).items()}
 
 
@@ -56,17 +56,17 @@
         return len(self.events)
 
     def append(self, event: Mapping[str, object]) -> None:
-        """Give an event the next number and add it."""
+        """Add an event with the next number."""
         self.events.append({"cursor": self.cursor + 1, **event})
 
     def clear(self) -> None:
-        """Forget all events: the next one has the number 1."""
+        """Remove all events; the next event gets number 1."""
         self.events = []
 
     def has_events_after(self, resume: int) -> bool:
-        """Whether a poller that has the events up to ``resume`` lacks any."""
+        """Return whether there are events with a number above ``resume``."""
         return self.cursor > resume
 
     def encode_events_after(self, resume: int) -> bytes:
-        """Encode the body that answers a poll with all later events."""
+        """Encode the body of an answer with all events after ``resume``."""
         return encode_events(self.events[resume:], self.cursor)
--- a/packages/fakes/src/fakes/event_loop.py
+++ b/packages/fakes/src/fakes/event_loop.py
@@ -1,4 +1,4 @@
-"""The installed reactor, and waiting for a condition while it runs.
+"""The installed Twisted reactor, and a wait for a condition while it runs.
 
 Importing this module installs Twisted's default reactor unless another one is installed already.
 """
@@ -15,9 +15,9 @@
 ResultT = TypeVar("ResultT")
 
 Steps = Generator[Deferred[Any], Any, ResultT]
-# What a function under ``inlineCallbacks`` returns: the Deferreds that it waits for, then its result.
+# The return type of a function under ``inlineCallbacks``: it yields Deferreds and returns its result.
 
-# Twisted's reactor module has the type of a module, not that of the reactor which takes its place.
+# Type checkers see a module here; at run time Twisted replaces it by the reactor object.
 reactor: Any = installed_reactor
 
 # Seconds between two checks of a condition.
@@ -26,6 +26,6 @@
 
 @inlineCallbacks
 def wait_until(condition: Callable[[], object]) -> Steps[None]:
-    """Run the reactor until a condition holds; the time limit is that of the calling test."""
+    """Wait, while the reactor runs, until a condition holds; the calling test sets the time limit."""
     while not condition():
         yield deferLater(reactor, CHECK_INTERVAL_S, lambda: None)
--- a/packages/fakes/src/fakes/fake_discovery.py
+++ b/packages/fakes/src/fakes/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A scripted discovery: each poll gets the script's next step, or the events that were published."""
+"""A scripted discovery, which handles each poll by the script's next step or else by the published events."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.net.wire import http1
 
-# The block time of a poll that asks for what there is, and is never held.
+# Block time (ms) of a poll that is answered at once, also without events.
 NO_BLOCK_MS = 1
 
 Step = Callable[["FakeDiscoveryConnection"], None]
-# What a connection does with one poll.
+# Handles one poll on a connection.
 
 
 def respond(*pieces: bytes, then: Step | None = None) -> Step:
-    """Return the step that writes these pieces, and then does what ``then`` says."""
+    """Return a step that writes these pieces in order and then runs the step ``then``."""
 
     def step(connection: FakeDiscoveryConnection) -> None:
         for piece in pieces:
@@ -37,21 +37,21 @@
 
 
 def hold_poll(connection: FakeDiscoveryConnection) -> None:
-    """Never answer the poll."""
+    """Step: never answer the poll."""
 
 
 def reset_connection(connection: FakeDiscoveryConnection) -> None:
-    """Reset the connection."""
+    """Step: reset the connection."""
     connection.transport.abortConnection()
 
 
 def close_write_side(connection: FakeDiscoveryConnection) -> None:
-    """Close the sending side of the connection."""
+    """Step: close the sending side of the connection."""
     connection.transport.loseWriteConnection()
 
 
 class FakeDiscoveryConnection(protocol.Protocol):
-    """One connection of a discovery; ``disconnect_cause`` names the exception once it has ended."""
+    """A connection of a discovery; ``disconnect_cause`` is the exception's class name once it has ended."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -61,26 +61,26 @@
         self._reader = http1.RequestReader(0)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Register at the discovery."""
+        """Add the connection to those of its discovery (called by Twisted)."""
         self.transport.setTcpNoDelay(True)
         self.discovery.connections.append(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Handle the polls that are complete now."""
+        """Handle the polls that are complete now (called by Twisted)."""
         for request in self._reader.feed(data):
             self.handle_query(parse_query(request.target))
 
     def handle_query(self, query: dict[str, str]) -> None:
-        """Handle one poll by its parameters."""
+        """Handle one poll, given its query parameters."""
         self.discovery.handle_poll(self, int(query["resume"]), int(query["block"]))
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Keep the cause."""
+        """Store the class name of the cause (called by Twisted)."""
         self.disconnect_cause = type(reason.value).__name__
 
 
 class HeldPoll(NamedTuple):
-    """A poll that waits for the next event."""
+    """A poll that is held until the next event."""
 
     connection: FakeDiscoveryConnection
     resume: int
@@ -89,14 +89,14 @@
 class ScriptedDiscovery:
     """A discovery on a free loopback port.
 
-    Each poll takes the next step of the script.  After the last step, a poll is answered with the later
-    events: at once if there are any or if it does not block, else once an event is published.
+    Each poll is handled by the next step of the script.  After the last step, a poll is answered with the
+    later events: at once if there are any or if it does not block, else when an event is published.
 
     Attributes:
         script: the steps for the next polls.
         polls: ``resume`` and block time of each poll.
         connections: all connections so far.
-        held_poll: the poll that waits for an event.
+        held_poll: the poll that is held until an event, if any.
     """
 
     def __init__(self) -> None:
@@ -116,11 +116,11 @@
 
     @events.setter
     def events(self, events: list[JsonObject]) -> None:
-        """Replace all events, each with its number."""
+        """Replace all events; each must have its number."""
         self._log.events = events
 
     def handle_poll(self, connection: FakeDiscoveryConnection, resume: int, block_ms: int) -> None:
-        """Handle one poll by the script, or else by the events."""
+        """Handle one poll by the script's next step, or else by the events."""
         self.polls.append((resume, block_ms))
         if self.script:
             step = self.script.pop(0)
@@ -139,7 +139,7 @@
         poll.connection.transport.write(encode_answer(self._log.encode_events_after(poll.resume)))
 
     def publish(self, **change: object) -> None:
-        """Publish the next event, as ``nodes`` or ``drop``; it answers the held poll."""
+        """Publish the next event (``nodes`` or ``drop``), and answer the held poll."""
         self._log.append(change)
         self.answer_held_poll()
 
--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -1,4 +1,4 @@
-"""The real core, connection pool and fronts on loopback, before scripted fake cache servers."""
+"""The production core, connection pool and fronts on loopback, with scripted fake cache servers."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 # Unix seconds at which tokens are issued and checked.
 START_UNIX_S = 1_000_000.0
 
-# Bytes that all connections may buffer together.
+# Upper bound on the bytes that all connections together may buffer.
 BUFFER_BYTES = 1_000_000
 
-# Client connections that the fronts accept.
+# Upper bound on the client connections of the fronts.
 MAX_CLIENTS = 10
 
-# The seed of the decisions' random numbers.
+# The seed of the router's random numbers.
 RANDOM_SEED = 7
 
-# What a fake cache server says about each object: its revision and the Unix milliseconds of its age.
+# The fields of an answer with a body: the object's revision, and the start of its age (Unix ms).
 OBJECT_FIELDS = b"rev=t1,since=5"
 
 # The weight of each listed server.
@@ -61,14 +61,14 @@
     max_streams=4, connect_timeout_ms=400.0, idle_timeout_ms=15_000.0, max_connections=20
 )
 
-# A status word and a body; None leaves the request unanswered.
+# The status and body of an answer; None leaves the request unanswered.
 ScriptedAnswer = tuple[bytes, bytes] | None
 
 DEFAULT_ANSWER: ScriptedAnswer = (DONE, b"wave")
 
 
 class PortIndex(IntEnum):
-    """The places of an environment's ports in ``LoopbackEnvironment.ports``."""
+    """Indices of the ports in ``LoopbackEnvironment.ports``."""
 
     EDGE = 0
     ORIGIN = 1
@@ -81,7 +81,7 @@
 
 
 class FakeCacheServerConnection(protocol.Protocol):
-    """One connection of a fake cache server; ``disconnect_error`` is the cause once it has ended."""
+    """A connection of a fake cache server; ``disconnect_error`` is the cause once it has ended."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -92,29 +92,29 @@
         environment.server_connections.append(self)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Keep the cause."""
+        """Store the cause (called by Twisted)."""
         self.disconnect_error = reason.value
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass on the commands that are complete now."""
+        """Pass the complete commands to the environment (called by Twisted)."""
         for command in self._reader.feed(data):
             self.environment.handle_command(self, command)
 
     def send_answer(self, request_id: bytes, status: bytes, body: bytes = b"") -> None:
-        """Answer one request."""
+        """Answer one request; an answer with a body also has the object's fields."""
         fields = OBJECT_FIELDS if body else NO_FIELDS
         self.transport.write(encode_server_answer(request_id, status, fields, body))
 
 
 class LoopbackEnvironment:
-    """A router's core, connection pool and both fronts, before a scripted edge cache and origin.
+    """A router's core, connection pool and both fronts, with a scripted edge cache and origin.
 
     Attributes:
         ports: the listening ports, in the order of ``PortIndex``.
-        script: answers to the next requests at the cache servers; after the last one, ``DEFAULT_ANSWER``.
-        received_commands: all that the cache servers have received.
-        received_requests: connection and number of each request that they have received.
-        unix_time_s: the time by which tokens are issued and checked.
+        script: the answers to the next requests; later requests get ``DEFAULT_ANSWER``.
+        received_commands: all commands that the cache servers have received.
+        received_requests: connection and number of each request that the cache servers have received.
+        unix_time_s: the Unix time (s) at which tokens are issued and checked.
     """
 
     def __init__(
@@ -186,7 +186,7 @@
     def list_servers(
         self, edge_state: api.ServerState = api.ServerState.SERVING, **moved: tuple[str, int]
     ) -> None:
-        """List both servers, the edge in this state; ``moved`` gives servers another address."""
+        """List both servers, with the edge in a state; ``moved`` has other addresses by server name."""
         hosts: list[Host] = []
         entries: list[api.ServerEntry] = []
         for name, role, index in SERVERS:
@@ -198,14 +198,14 @@
         self.engine.feed(api.EndpointListUpdate(tuple(entries)))
 
     def make_unresponsive(self, name: str) -> UnresponsiveListener:
-        """Move a server to a port at which connects hang."""
+        """Move a server to a port at which connects get no response; return its listener."""
         listener = UnresponsiveListener(self._build_cache_server_connection)
         self.unresponsive_listeners.append(listener)
         self.list_servers(api.ServerState.SERVING, **{name: listener.address})
         return listener
 
     def run_pool_deadlines(self, elapsed_ms: float) -> None:
-        """Run what would be due after that time, with the pool's clock advanced meanwhile."""
+        """Run the deadlines that are due in ``elapsed_ms``; the pool's clock is advanced during the call."""
         context = self.pool.context
         clock = context.clock
         context.clock = lambda: core_ms() + elapsed_ms
@@ -214,13 +214,13 @@
 
     @inlineCallbacks
     def close_upstream_connections(self) -> Steps[None]:
-        """Close the pool's connections."""
+        """Close the pool's connections, and wait until they have ended."""
         for connection in self.pool.connections:
             connection.abort("test")
         yield wait_until(lambda: not len(self.pool.connections))
 
     def handle_command(self, connection: FakeCacheServerConnection, command: CacheServerCommand) -> None:
-        """Keep a command that a cache server has received; answer a request by the script."""
+        """Record a command that a cache server has received; answer a request by the script."""
         self.received_commands.append(command)
         if not command.is_request:
             return
@@ -240,13 +240,13 @@
         return waiter
 
     def forwarded_requests(self) -> list[CacheServerCommand]:
-        """Return the requests that the cache servers have received."""
+        """Return the received commands that are requests."""
         return [command for command in self.received_commands if command.is_request]
 
     def connect_client(
         self, front: int = PortIndex.SIGNED_FRONT, build: Callable[[], protocol.Protocol] = HttpClient
     ) -> Deferred[Any]:
-        """Connect a client of the given kind to a front."""
+        """Connect a client, which ``build`` makes, to a front."""
         endpoint: Any = TCP4ClientEndpoint(reactor, LOOPBACK_HOST, self.ports[front].getHost().port)
         connecting: Deferred[Any] = endpoint.connect(BuildFactory(build))
         return connecting
@@ -257,7 +257,7 @@
         return tokens.issue(self.trust, container, self.unix_time_s, lifetime_s, **claims)
 
     def sign_target(self, target: str, **claims: Any) -> str:
-        """Return a target with its token."""
+        """Return a request target with a token that admits it."""
         return f"{target}?URISigningPackage={self.issue_token(target, **claims)}"
 
     def wait_until(self, condition: Callable[[], object]) -> Deferred[None]:
@@ -266,7 +266,7 @@
 
     @inlineCallbacks
     def stop(self) -> Steps[None]:
-        """Close all ports and connections."""
+        """Close all ports and connections, and wait until they have ended."""
         self.timer_service.stop()
         for port in (*self.ports, *self.unresponsive_listeners):
             yield port.stopListening()
--- a/packages/fakes/src/fakes/manual_clock.py
+++ b/packages/fakes/src/fakes/manual_clock.py
@@ -1,4 +1,4 @@
-"""A clock that a test advances, and the deadlines by it."""
+"""A clock that a test advances, with deadlines that it runs."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ManualClock:
-    """Milliseconds that pass only when a test says so."""
+    """A millisecond clock that advances only when a test calls ``advance``."""
 
     def __init__(self) -> None:
         self.now_ms = START_MS
         self.deadlines = Deadlines()
 
     def advance(self, elapsed_ms: float) -> None:
-        """Let time pass; each deadline runs at its time, with no turn of the reactor between."""
+        """Advance the clock; each deadline runs at its due time, and the reactor does not run in between."""
         end_ms = self.now_ms + elapsed_ms
         while (due_ms := self.deadlines.next_due()) <= end_ms:
             self.now_ms = max(self.now_ms, due_ms)
--- a/packages/fakes/src/fakes/raw_socket.py
+++ b/packages/fakes/src/fakes/raw_socket.py
@@ -1,7 +1,7 @@
-"""Clients and a cache server on blocking sockets, for orders of events that must be the same each time.
+"""Clients and a cache server on plain sockets, for tests that need an exact order of events.
 
-They act between two turns of the reactor: what they have sent, and how they closed, is in the router's
-socket before the router reads it.
+They act between two iterations of the reactor, so that all that they have sent, and their close, is in the
+router's socket before the router reads it.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from fakes.config import LOOPBACK_HOST
 from thornjunction.net.wire import fastcgi
 
-# Seconds to wait for a peer's next bytes.
+# Upper bound on the seconds to wait for a peer's next bytes.
 READ_TIMEOUT_S = 20.0
 
-# Seconds to wait until a program listens.
+# Upper bound on the seconds to wait until a program listens.
 CONNECT_TIMEOUT_S = 30.0
 
-# Bytes read at a time.
+# Upper bound on the bytes of one read.
 READ_BYTES = 65_536
 
-# The object of a request that names no other.
+# The object of a request for which none is given.
 DEFAULT_OBJECT = "7f3a9c21e0b4d655"
 
-# The size that requests announce, in kilobytes.
+# The working set size that requests state (KB).
 WORKING_SET_KB = "412.5"
 
 
 class CloseMode(StrEnum):
-    """How a client leaves its connection."""
+    """How a client closes its connection."""
 
     CLOSE = "close"
     RESET = "reset"
@@ -52,7 +52,7 @@
 def encode_request(
     request_id: int, class_name: str = "films", keep: bool = True, ttl_ms: int = 1500, **params: str
 ) -> bytes:
-    """Encode a request of the platform's front, with a transaction number of its own."""
+    """Encode a FastCGI request of the platform's front; its transaction number is derived from its id."""
     defaults = {"SCRIPT_NAME": f"/do/{class_name}", "HTTP_X_ROW": DEFAULT_OBJECT}
     fixed = {
         "HTTP_X_TXN": f"{request_id:016x}",
@@ -63,17 +63,17 @@
 
 
 def encode_abort(request_id: int) -> bytes:
-    """Encode the record by which a client cancels its request."""
+    """Encode the record with which a client cancels its request."""
     return fastcgi.encode_record(fastcgi.RecordType.ABORT, request_id, b"")
 
 
 def bound_address(bound_socket: socket.socket) -> str:
-    """Return the loopback address of a bound socket, with its port."""
+    """Return the loopback address and port of a bound socket."""
     return f"{LOOPBACK_HOST}:{bound_socket.getsockname()[1]}"
 
 
 def connect_when_listening(address: str) -> socket.socket:
-    """Block until a program listens at the address, and connect."""
+    """Connect, retrying until a program listens at the address; raises AssertionError after a timeout."""
     host, _, port = address.partition(":")
     deadline_s = time.monotonic() + CONNECT_TIMEOUT_S
     while time.monotonic() < deadline_s:
@@ -86,18 +86,18 @@
 
 
 def call_admin(admin_address: str, line: str) -> str:
-    """Make one call at an admin endpoint, and return its reply."""
+    """Send one line to an admin endpoint, and return the complete reply."""
     with connect_when_listening(admin_address) as connection:
         connection.sendall(line.encode() + b"\n")
         return b"".join(iter(lambda: connection.recv(READ_BYTES), b"")).decode()
 
 
 class RawSocketClient:
-    """A client of the platform's front that sends, reads and closes only when it is told to.
+    """A client of the platform's front that sends, reads and closes only when a method is called.
 
     Attributes:
-        received: all bytes that were read.
-        connection_end: how the router has ended the connection, as far as it was read.
+        received: all bytes that have been read.
+        connection_end: how the router has ended the connection, as of the last read.
     """
 
     def __init__(self, port: int, receive_buffer_bytes: int = 0) -> None:
@@ -110,11 +110,11 @@
         self.connection_end = ConnectionEnd.OPEN
 
     def send(self, data: bytes) -> None:
-        """Send bytes; they must fit into the system's buffer."""
+        """Send bytes, which must fit into the socket's send buffer."""
         self.socket.sendall(data)
 
     def has_ended(self) -> bool:
-        """Read all that has come, and return whether the router has ended the connection."""
+        """Read all available bytes, and return whether the router has ended the connection."""
         try:
             while not self.connection_end:
                 data = self.socket.recv(READ_BYTES)
@@ -128,19 +128,19 @@
         return bool(self.connection_end)
 
     def answer_count(self) -> int:
-        """Read all that has come, and return how many requests have been answered."""
+        """Read all available bytes, and return how many requests have been answered."""
         self.has_ended()
         records = fastcgi.RecordReader().feed(bytes(self.received))
         return sum(record.kind == fastcgi.RecordType.END for record in records)
 
     def wait_for_end(self) -> tuple[ConnectionEnd, int]:
-        """Block until the router ends the connection; return how, and the number of answers."""
+        """Block until the router ends the connection or a timeout; return the end and the answer count."""
         while not self.has_ended() and select.select([self.socket], [], [], READ_TIMEOUT_S)[0]:
             pass
         return self.connection_end, self.answer_count()
 
     def close(self, mode: str = CloseMode.CLOSE) -> None:
-        """Leave the connection in one of the modes."""
+        """Close the connection in the given mode."""
         if mode == CloseMode.HALF_CLOSE:
             self.socket.shutdown(socket.SHUT_WR)
             return
@@ -150,7 +150,7 @@
 
 
 class RawSocketCacheServer:
-    """A cache server that accepts one connection, and answers only what it is told to."""
+    """A cache server that accepts one connection, and answers only by ``send_answer``."""
 
     def __init__(self) -> None:
         self.listening = socket.create_server((LOOPBACK_HOST, 0))
@@ -159,7 +159,7 @@
         self.reader = CommandReader()
 
     def wait_for_request(self) -> bytes:
-        """Block until the next request comes, and return its number."""
+        """Block until the next command arrives, and return its request number."""
         if self.connection is None:
             self.connection = self.listening.accept()[0]
         self.connection.settimeout(READ_TIMEOUT_S)
--- a/packages/fakes/src/fakes/raw_socket_clients.py
+++ b/packages/fakes/src/fakes/raw_socket_clients.py
@@ -1,4 +1,4 @@
-"""The raw-socket clients of a loopback environment."""
+"""Connects raw-socket clients to the fronts of a loopback environment."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from fakes.raw_socket import RawSocketClient
 from thornjunction.net.downstream.connection import DownstreamConnection
 
-# Bytes of the receive buffer of a client that does not read: it soon blocks the router's writes.
+# Receive buffer of a client that does not read; it is small, so that the router's writes soon block.
 SMALL_RECEIVE_BUFFER_BYTES = 4096
 
 
 class RawSocketClients:
-    """Connects clients to the fronts of an environment; all are closed together."""
+    """Connects clients to the fronts of an environment; ``close`` closes all of them."""
 
     def __init__(self, environment: LoopbackEnvironment) -> None:
         self.environment = environment
@@ -33,9 +33,9 @@
     def connect_accepted(
         self, data: bytes = b"", front: int = PortIndex.FASTCGI_FRONT
     ) -> Steps[tuple[RawSocketClient, DownstreamConnection]]:
-        """Connect a client; wait until it is accepted and, if it sends ``data``, answered.
+        """Connect a client; wait until it is accepted and, if ``data`` is given, its requests are answered.
 
-        Returns the client, and the router's side of its connection.
+        Returns the client, and the router's object for its connection.
         """
         table: Any = self.environment.downstream_table
         known = set(table)
@@ -49,7 +49,7 @@
 
     @inlineCallbacks
     def connect_without_reading(self, data: bytes, request_count: int) -> Steps[RawSocketClient]:
-        """Connect a client that sends requests, and reads none of the answers; wait for these."""
+        """Connect a client that sends requests and does not read; wait until the router has answered them."""
         table: Any = self.environment.downstream_table
         client = self.connect(receive_buffer_bytes=SMALL_RECEIVE_BUFFER_BYTES)
         client.send(data)
@@ -64,7 +64,7 @@
 
     @inlineCallbacks
     def wait_until_gone(self) -> Steps[None]:
-        """Wait until the router has no request, attempt or connection of any client."""
+        """Wait until the router has no requests, attempts or client connections left."""
         engine = self.environment.engine
         yield self.environment.wait_until(lambda: not len(engine.requests) and not len(engine.attempts))
         yield self.environment.wait_until(lambda: not self.environment.downstream_table.connection_count)
--- a/packages/fakes/src/fakes/unresponsive_listener.py
+++ b/packages/fakes/src/fakes/unresponsive_listener.py
@@ -1,4 +1,4 @@
-"""A loopback port at which connects hang until it accepts connections, and hang again once it stops."""
+"""A loopback port at which connects get no response while it does not accept connections."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class UnresponsiveListener:
-    """A listening socket whose queue is filled by one connection that is not accepted.
+    """A listening socket whose accept queue is full with one connection.
 
-    The system ignores further connects, which their clients repeat after a second.  Once the port accepts
-    connections, it accepts all that come, and the one in the queue.
+    The system ignores further connects, which their clients repeat after a second.  ``start_accepting``
+    accepts all later connections, and the one in the queue.
     """
 
     def __init__(self, build: Callable[[], protocol.Protocol]) -> None:
@@ -30,19 +30,19 @@
         self._queue_filler = socket.create_connection(self.address)
 
     def start_accepting(self) -> None:
-        """Accept all connections."""
+        """Accept the connection in the queue and all later ones."""
         self._queue_filler.close()
         factory = BuildFactory(self._build)
         self._port = reactor.adoptStreamPort(self._listening.fileno(), socket.AF_INET, factory)
 
     def stop_accepting(self) -> None:
-        """Accept no further connections; those that were accepted stay."""
+        """Accept no further connections, and fill the queue again; accepted connections stay open."""
         if self._port is not None:
             self._port.stopReading()
         self._queue_filler = socket.create_connection(self.address)
 
     def stopListening(self) -> Any:  # noqa: N802
-        """Close the port; a Deferred, as Twisted's ports return it, where it has accepted connections."""
+        """Close the port; returns Twisted's Deferred if it has accepted connections, else None."""
         self._queue_filler.close()
         self._listening.close()
         port: ListeningPort | None = self._port
--- a/packages/fakes/src/fakes/watch_environment.py
+++ b/packages/fakes/src/fakes/watch_environment.py
@@ -1,4 +1,4 @@
-"""The real watch client at a scripted discovery, with its deadlines on a clock that the test advances."""
+"""The production watch client and a scripted discovery, with deadlines on a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from thornjunction.net.wire.commands import Command
 from thornjunction.runtime.service import Service
 
-# Milliseconds between two looks at whether the next connect has begun.
+# Step (ms) by which the clock advances until the next connect has begun.
 CONNECT_CHECK_MS = 10.0
 
-# A moment on the core's clock at which a router decides.
+# Time on the core's clock (ms) at which ``chosen_server`` makes its decision.
 DECISION_MS = 2e9
 
 
@@ -31,7 +31,7 @@
     Attributes:
         discovery: the scripted discovery.
         watch_client: the client under test.
-        received_events: the events that the client has passed on.
+        received_events: the events that the client has passed to its handler.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         self.watch_client = self.build_watch_client(self.discovery.address)
 
     def build_watch_client(self, address: tuple[str, int]) -> WatchClient:
-        """Put a watch client that knows nothing in the place of the earlier one."""
+        """Replace the watch client by a new one without any state, and return it."""
         context = WatchContext(reactor, self.deadlines, lambda: self.now_ms)
         handlers = WatchHandlers(self.received_events.append)
         self.watch_client = WatchClient(context, address, handlers)
@@ -49,7 +49,7 @@
 
     @inlineCallbacks
     def restart_watch(self, *script: Step) -> Steps[None]:
-        """Start a new watch client, with this script of a discovery that has no polls yet."""
+        """Start a new watch client with a new script, and clear the recorded events and polls."""
         yield self.close_watch()
         self.received_events.clear()
         self.discovery.polls.clear()
@@ -57,7 +57,7 @@
         self.build_watch_client(self.discovery.address).start()
 
     def wait_until_due(self, condition: Callable[[], object]) -> Deferred[None]:
-        """Wait until a condition holds while what is due now runs; no time passes."""
+        """Wait until a condition holds, and run deadlines that are due; the clock does not advance."""
 
         def holds() -> object:
             self.deadlines.run_due(self.now_ms)
@@ -67,12 +67,12 @@
 
     @inlineCallbacks
     def wait_for_polls(self, count: int) -> Steps[None]:
-        """Wait until discovery has had ``count`` polls."""
+        """Wait until discovery has received ``count`` polls."""
         yield wait_until(lambda: len(self.discovery.polls) >= count)
 
     @inlineCallbacks
     def wait_for_failures(self, count: int) -> Steps[None]:
-        """Wait until ``count`` connections in a row have failed; then let the backoff pass."""
+        """Wait until ``count`` consecutive connections have failed; then advance past the backoff."""
         for failures in range(1, count + 1):
             yield wait_until(lambda failures=failures: self.watch_client.retries.failures == failures)  # type: ignore[misc]
             while not self.watch_client.is_connecting and failures < count:
@@ -81,7 +81,7 @@
 
     @inlineCallbacks
     def wait_for_disconnect(self, backoff_ms: float) -> Steps[None]:
-        """Wait until the connection has ended; then let the backoff pass."""
+        """Wait until the connection has ended; then advance the clock by the backoff."""
         yield wait_until(lambda: self.watch_client.connection is None)
         self.advance(backoff_ms)
 
@@ -104,7 +104,7 @@
 
 
 def chosen_server(service: Service) -> str:
-    """Return the server to which a router would forward a request now."""
+    """Return the server that the router chooses for a test request."""
     request = api.Request(os.urandom(4).hex(), "files", 7, 2000.0, size_kb=10.0)
     actions = service.router.handle(DECISION_MS, request)
     (attempt,) = [action for action in actions if isinstance(action, api.StartAttempt)]
--- a/packages/fakes/tests/test_fakes.py
+++ b/packages/fakes/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""The demo's fake servers, and which parts of the project may import the fakes."""
+"""The demo's fake servers, and the imports between the router, the demo and the fakes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 MAX_ANSWER_BYTES = 10_000
 
-# Prints the modules that a router with a configuration has imported.
+# Prints the modules of the fakes, the fleet and the demo that a router with a configuration has imported.
 LIST_IMPORTS = """
 import os, sys
 from pathlib import Path
@@ -36,14 +36,14 @@
 
 
 def connect_transport(server: Any) -> Any:
-    """Connect a server to a transport that keeps what is written."""
+    """Connect a server to a transport that records what is written, and return the transport."""
     module: Any = testing
     transport = module.StringTransport()
     server.makeConnection(transport)
     return transport
 
 
-def test_the_cache_server_answers_a_request_with_the_bytes_of_its_name() -> None:
+def test_the_cache_server_answers_a_request_with_bytes_derived_from_the_object() -> None:
     server = DemoCacheServer()
     transport = connect_transport(server)
     server.dataReceived(encode_array((b"want", b"1", b"name")))
@@ -75,7 +75,7 @@
     assert decode_commands(answers.feed(transport.value())[0].body).events == ()
 
 
-def test_the_demo_finds_the_fakes_where_only_the_platforms_build_was_made(
+def test_the_demo_makes_the_fakes_importable_where_they_are_not_installed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(start, "find_spec", lambda _: None)
@@ -93,7 +93,7 @@
     assert process.stdout == "[]\n", process.stderr
 
 
-def test_only_the_demo_start_is_in_the_routers_own_tree() -> None:
+def test_the_routers_tree_has_only_the_start_of_the_demo() -> None:
     files = [*ROOT.glob("packages/*/src/**/*.py"), *ROOT.glob("tests/**/*.py"), *ROOT.glob("benchmarks/*.py")]
     assert len(files) > 50
     assert [path for path in files if "thornjunction.demo" in path.read_text()] == []
