--- a/packages/control-harness/src/control_harness/environment.py
+++ b/packages/control-harness/src/control_harness/environment.py
@@ -85,7 +85,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def wait_for_exit(self, *participants: Participant) -> None:
-        """Wait until these processes have ended."""
+        """Wait until these processes have ended; raises AssertionError after the timeout."""
         await self.wait_until(
             lambda: all(participant.exit_code is not None for participant in participants),
             "all processes have ended",
--- a/packages/control-harness/src/control_harness/fake_cache_server.py
+++ b/packages/control-harness/src/control_harness/fake_cache_server.py
@@ -9,7 +9,7 @@
 
 from control_harness.loopback_server import LoopbackServer
 
-# Bytes read at a time.
+# Upper bound on the bytes of one read.
 READ_BYTES = 65_536
 
 
--- a/packages/control-harness/src/control_harness/fake_discovery.py
+++ b/packages/control-harness/src/control_harness/fake_discovery.py
@@ -56,7 +56,7 @@
         await self.start()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer polls until the client closes the connection."""
+        """Hold and answer the polls of one connection until the client closes it."""
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             self.poll_count += 1
--- a/packages/control-harness/src/control_harness/fault_proxy.py
+++ b/packages/control-harness/src/control_harness/fault_proxy.py
@@ -11,7 +11,7 @@
 from control_harness.loopback_server import LoopbackServer
 
 READ_BYTES = 65_536
-"""Bytes read at a time."""
+"""Upper bound on the bytes of one read."""
 
 EVENTS_START = re.compile(rb'"cmds": ?\[(?=\{)')
 """Matches up to the start of an answer's first event; an answer without events does not match."""
@@ -31,21 +31,21 @@
         host, _, port = target.rpartition(":")
         self._target_host = host
         self._target_port = int(port)
-        self._to_target_open = asyncio.Event()
-        self._from_target_open = asyncio.Event()
+        self._to_target_unblocked = asyncio.Event()
+        self._from_target_unblocked = asyncio.Event()
         self.unblock()
 
     def block(self, to_target: bool = True, from_target: bool = True) -> None:
         """Hold back data in these directions; connections stay open, and new ones are accepted."""
         if to_target:
-            self._to_target_open.clear()
+            self._to_target_unblocked.clear()
         if from_target:
-            self._from_target_open.clear()
+            self._from_target_unblocked.clear()
 
     def unblock(self) -> None:
         """Deliver the data that was held back, and forward in both directions again."""
-        self._to_target_open.set()
-        self._from_target_open.set()
+        self._to_target_unblocked.set()
+        self._from_target_unblocked.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Forward one connection in both directions until either side closes it."""
@@ -65,20 +65,20 @@
 
     async def _forward_to_target(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(READ_BYTES):
-            await self._to_target_open.wait()
+            await self._to_target_unblocked.wait()
             writer.write(data)
             await writer.drain()
-        await self._to_target_open.wait()
+        await self._to_target_unblocked.wait()
 
     async def _forward_from_target(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(READ_BYTES):
-            await self._from_target_open.wait()
+            await self._from_target_unblocked.wait()
             truncated = self._truncate_events(data)
             writer.write(data if truncated is None else truncated)
             await writer.drain()
             if truncated is not None:
                 return
-        await self._from_target_open.wait()
+        await self._from_target_unblocked.wait()
 
     def _truncate_events(self, data: bytes) -> bytes | None:
         """Return the truncated data if it has the start of the answer to be truncated, else None."""
--- a/packages/control-harness/src/control_harness/participants.py
+++ b/packages/control-harness/src/control_harness/participants.py
@@ -31,7 +31,7 @@
 """Milliseconds that a relay waits for more events before it answers a poll; small to keep tests fast."""
 
 READ_BYTES = 65_536
-"""Bytes read at a time."""
+"""Upper bound on the bytes of one read."""
 
 REQUEST_PARAMS = {"SCRIPT_NAME": "/do/clips", "HTTP_X_WORKING_SET_KB": "412.5"}
 """FastCGI parameters that are the same in all requests."""
--- a/packages/control-sim/src/control_sim/connections.py
+++ b/packages/control-sim/src/control_sim/connections.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Action: poll a process on a connection."""
+    """Action: poll a process on a connection, which is opened if it is new."""
 
     to: str
     connection: int
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A poll arrived."""
+    """A poll arrived on a connection from the process ``source``."""
 
     source: str
     connection: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed:
-    """The poller closed a connection."""
+    """The poller has closed a connection."""
 
     connection: int
 
--- a/packages/control-sim/src/control_sim/discovery_history.py
+++ b/packages/control-sim/src/control_sim/discovery_history.py
@@ -66,12 +66,14 @@
         version = discovery.version
         if self._versions and self._versions[-1] == version:
             return
-        if self._versions and self._range_of(version) != self._range_of(self._versions[-1]):
+        if self._versions and self._reset_incarnation_of(version) != self._reset_incarnation_of(
+            self._versions[-1]
+        ):
             self.reset_at_ms = now
         self._versions.append(version)
         self._current_since_ms.append(now)
         self.lists[version] = dict(discovery.endpoints)
 
     @staticmethod
-    def _range_of(version: int) -> int:
+    def _reset_incarnation_of(version: int) -> int:
         return version >> INCARNATION_VERSION_BITS
--- a/packages/control-sim/src/control_sim/fault_plans.py
+++ b/packages/control-sim/src/control_sim/fault_plans.py
@@ -20,7 +20,7 @@
     for source in sources
 )
 
-# Earliest start of a fault.
+# Earliest start of a fault, in simulated time.
 FIRST_FAULT_MS = 300.0
 
 # Latest start of a fault.
@@ -47,7 +47,7 @@
     """All relays are killed by SIGKILL at the same time; each restarts without state."""
 
     def begin(self, cluster: SimulatedCluster, cause: str) -> None:
-        """Kill the relays."""
+        """Kill all relays."""
         cluster.record(EntryKind.FAULT, "all relays killed")
         for name in RELAY_NAMES:
             cluster.kill(name, cause)
--- a/packages/control-sim/src/control_sim/node_names.py
+++ b/packages/control-sim/src/control_sim/node_names.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# Discovery.
+# The process of discovery.
 DISCOVERY_NAME = "d"
 
 # Relays: two siblings, and one that polls both.
--- a/packages/control-sim/src/control_sim/poll_client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -1,4 +1,4 @@
-"""The polling side of a router or relay, around the real ``SourceSelector`` and ``StateFollower``."""
+"""The polling side of a router or relay, around the production ``SourceSelector`` and ``StateFollower``."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
         # The probed sources, by connection.
         self._probes: dict[int, Address] = {}
         # Whether a poll has been sent and its reply has not arrived.
-        self._has_polled = False
+        self._awaits_reply = False
 
     @property
     def is_in_sync(self) -> bool:
@@ -127,7 +127,7 @@
         return self.status is SyncStatus.IN_SYNC
 
     def age_ms(self, now: float) -> float:
-        """Return the age of the current state (ms)."""
+        """Return the age of the accepted state (ms)."""
         return self.follower.age_ms(now)
 
     def handle(self, now: float, event: object) -> list[Any]:
@@ -136,7 +136,7 @@
             case Started():
                 return self._select(now, event)
             case TimerFired(token) if token == PAUSE_TIMER:
-                may_poll = self._connection is not None and not self._has_polled
+                may_poll = self._connection is not None and not self._awaits_reply
                 return self._poll(now) if may_poll else []
             case TimerFired(token):
                 return self._select(now, TimerFired(token // 2))
@@ -198,7 +198,7 @@
     def _poll(self, now: float) -> list[Any]:
         assert self._source is not None
         assert self._connection is not None
-        self._has_polled = True
+        self._awaits_reply = True
         source = self._source[0]
         position = self.follower.begin_poll(now)
         request = replace(
@@ -224,7 +224,7 @@
         return self._select(now, PollFailed(source, reason))
 
     def _handle_reply(self, now: float, event: ReplyReceived) -> list[Any]:
-        self._has_polled = False
+        self._awaits_reply = False
         if event.body is None:
             return self._fail(now, "refused")
         if event.is_truncated:
@@ -244,7 +244,7 @@
         position_before = (self.follower.cursor, self.follower.epoch)
         accepted = self.follower.accept_response(now, response)
         self.status = accepted.status
-        self._note_completed_epoch()
+        self._record_completed_epoch()
         actions = self._node.apply(now, accepted.events, is_complete=self.is_in_sync)
         is_stale = accepted.status is SyncStatus.SOURCE_STALE
         actions += self._select(now, PollAnswered(source, response.age_ms, is_stale))
@@ -254,7 +254,7 @@
             return [*actions, SetTimer(PAUSE_MS, PAUSE_TIMER)]
         return actions + self._poll(now)
 
-    def _note_completed_epoch(self) -> None:
+    def _record_completed_epoch(self) -> None:
         epoch = self.follower.epoch
         if not epoch:
             return
--- a/packages/control-sim/src/control_sim/relay_node.py
+++ b/packages/control-sim/src/control_sim/relay_node.py
@@ -48,7 +48,7 @@
         self.client = PollClient(self, settings, draw)
 
     def endpoints(self) -> Endpoints:
-        """Return the core's current list."""
+        """Return the core's current list; empty before the first one."""
         endpoint_list = self.relay.state.endpoints
         if not endpoint_list.number:
             return {}
@@ -104,9 +104,9 @@
         return self._feed(now, PollReceived(event.connection, event.request))
 
     def _feed(self, now: float, event: RelayEvent) -> list[Any]:
-        return [self._simulated(action) for action in self.relay.handle(now, event)]
+        return [self._to_simulated_action(action) for action in self.relay.handle(now, event)]
 
-    def _simulated(self, action: RelayAction) -> Any:
+    def _to_simulated_action(self, action: RelayAction) -> Any:
         match action:
             case SendResponse(poller, body):
                 return SendReply(self._pollers[poller], poller, body)
--- a/packages/control-sim/src/control_sim/router_nodes.py
+++ b/packages/control-sim/src/control_sim/router_nodes.py
@@ -83,7 +83,7 @@
         self._connection = first_connection
         self._timer = 0
         # Whether a poll has been sent and its reply has not arrived.
-        self._has_polled = False
+        self._awaits_reply = False
 
     def handle(self, now: float, event: object) -> list[Any]:  # noqa: ARG002 - the interface of a state machine
         """Process one event; return the actions to carry out."""
@@ -91,7 +91,7 @@
             case Started():
                 return self._poll()
             case TimerFired(token) if token == self._timer:
-                if self._has_polled:
+                if self._awaits_reply:
                     self._connection += 1
                 return self._poll()
             case ReplyReceived(connection) if connection == self._connection:
@@ -112,7 +112,7 @@
 
     def _poll(self) -> list[Any]:
         self._timer += 1
-        self._has_polled = True
+        self._awaits_reply = True
         request = SendRequest(self._source, self._connection, PollRequest(self._cursor, BLOCK_MS))
         return [request, SetTimer(RESPONSE_TIMEOUT_MS, self._timer)]
 
@@ -122,5 +122,5 @@
 
     def _poll_later(self) -> list[Any]:
         self._timer += 1
-        self._has_polled = False
+        self._awaits_reply = False
         return [SetTimer(RETRY_MS, self._timer)]
--- a/packages/fakes/src/fakes/cache_server_messages.py
+++ b/packages/fakes/src/fakes/cache_server_messages.py
@@ -9,7 +9,7 @@
 
 from thornjunction.net.wire.resp import ArrayReader, encode_array
 
-# The command that asks for an object.
+# The command that requests an object.
 WANT = "want"
 
 # The status of an answer that has an object.
--- a/packages/fakes/src/fakes/fake_discovery.py
+++ b/packages/fakes/src/fakes/fake_discovery.py
@@ -145,7 +145,7 @@
 
     @inlineCallbacks
     def stop(self) -> Steps[None]:
-        """Close the port and reset all connections."""
+        """Close the port and reset all connections; wait until they have ended."""
         yield self.port.stopListening()
         for connection in self.connections:
             connection.transport.abortConnection()
--- a/packages/fakes/src/fakes/invalid_answers.py
+++ b/packages/fakes/src/fakes/invalid_answers.py
@@ -11,7 +11,7 @@
 # A valid answer with the first event, a purge of one group.
 FIRST_EVENT_ANSWER = encode_answer({"cursor": 1, "cmds": [{"cursor": 1, "drop": {"family": 3, "when": 5}}]})
 
-# The body of that answer.
+# The body of ``FIRST_EVENT_ANSWER``.
 FIRST_EVENT_BODY = FIRST_EVENT_ANSWER.partition(b"\r\n\r\n")[2]
 
 # Steps that give a poll no valid answer, by a description.
--- a/packages/fakes/src/fakes/loopback_environment.py
+++ b/packages/fakes/src/fakes/loopback_environment.py
@@ -39,7 +39,7 @@
 from thornjunction.signing import tokens
 from thornjunction.signing.replay import ReplayWindow
 
-# Unix seconds at which tokens are issued and checked.
+# Initial Unix time (s) at which tokens are issued and checked.
 START_UNIX_S = 1_000_000.0
 
 # Upper bound on the bytes that all connections together may buffer.
@@ -184,13 +184,13 @@
         return port
 
     def list_servers(
-        self, edge_state: api.ServerState = api.ServerState.SERVING, **moved: tuple[str, int]
+        self, edge_state: api.ServerState = api.ServerState.SERVING, **new_addresses: tuple[str, int]
     ) -> None:
-        """List both servers, with the edge in a state; ``moved`` has other addresses by server name."""
+        """List both servers, the edge in ``edge_state``; ``new_addresses`` moves servers, by name."""
         hosts: list[Host] = []
         entries: list[api.ServerEntry] = []
         for name, role, index in SERVERS:
-            address = moved.get(name, (LOOPBACK_HOST, self.ports[index].getHost().port))
+            address = new_addresses.get(name, (LOOPBACK_HOST, self.ports[index].getHost().port))
             state = edge_state if role is api.Role.EDGE else api.ServerState.SERVING
             hosts.append(Host(name, address, "here", "x", 0, state, SERVER_WEIGHT, 0.0))
             entries.append(api.ServerEntry(name, role, "here", state, weight=SERVER_WEIGHT))
--- a/packages/fakes/src/fakes/raw_socket_clients.py
+++ b/packages/fakes/src/fakes/raw_socket_clients.py
@@ -38,10 +38,10 @@
         Returns the client, and the router's object for its connection.
         """
         table: Any = self.environment.downstream_table
-        known = set(table)
+        connections_before = set(table)
         client = self.connect(front)
-        yield self.environment.wait_until(lambda: set(table) - known)
-        (connection,) = set(table) - known
+        yield self.environment.wait_until(lambda: set(table) - connections_before)
+        (connection,) = set(table) - connections_before
         if data:
             client.send(data)
             yield self.environment.wait_until(lambda: connection.response_count)
--- a/packages/fakes/src/fakes/watch_messages.py
+++ b/packages/fakes/src/fakes/watch_messages.py
@@ -15,7 +15,7 @@
 # The status line of every successful answer.
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n"
 
-# The chunk that ends a chunked answer.
+# The empty chunk that ends a chunked answer.
 LAST_CHUNK = b"0\r\n\r\n"
 
 # The origin's entry in a list; nothing listens at its address.
--- a/packages/fleet-harness/src/fleet_harness/admin_client.py
+++ b/packages/fleet-harness/src/fleet_harness/admin_client.py
@@ -1,4 +1,4 @@
-"""A client of a router's admin endpoint: one call on a connection of its own."""
+"""A client of a router's admin endpoint, which uses a new connection for each call."""
 
 from __future__ import annotations
 
--- a/packages/fleet-harness/src/fleet_harness/environment.py
+++ b/packages/fleet-harness/src/fleet_harness/environment.py
@@ -81,7 +81,7 @@
             )
 
     def remove_data(self, name: str) -> None:
-        """Remove a router's data, as the loss of its disk would."""
+        """Remove a router's data, as if its disk were lost."""
         shutil.rmtree(self._data_folder(name), ignore_errors=True)
 
     def truncate_data(self, name: str) -> None:
@@ -90,7 +90,7 @@
             path.write_bytes(path.read_bytes()[: path.stat().st_size // 2])
 
     def send_signal(self, name: str, number: int) -> None:
-        """Send a signal to a router's process."""
+        """Send a signal to a router's process, and record it in the timeline."""
         if number in PROCESS_CHANGES:
             self.events.add_process_change(name, PROCESS_CHANGES[number])
         else:
--- a/packages/fleet-harness/src/fleet_harness/parent_death.py
+++ b/packages/fleet-harness/src/fleet_harness/parent_death.py
@@ -23,7 +23,7 @@
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0) != 0:
         raise OSError(ctypes.get_errno(), "prctl")
-    if os.getppid() != parent_pid:  # the parent ended before the call
+    if os.getppid() != parent_pid:  # the parent has ended before the call to prctl
         os.kill(os.getpid(), signal.SIGKILL)
 
 
--- a/packages/fleet-harness/src/fleet_harness/participants.py
+++ b/packages/fleet-harness/src/fleet_harness/participants.py
@@ -72,13 +72,13 @@
         )
 
     @property
-    def outsiders(self) -> frozenset[str]:
+    def non_members(self) -> frozenset[str]:
         """The routers that are not members of the fleet."""
         return frozenset(self.other_secret + self.other_fleet)
 
     def fleet_settings(self, name: str) -> dict[str, object]:
         """Return a router's settings of fleet, voters and timings in section ``[fleet]``."""
-        members = [other for other in self.names if other not in self.outsiders]
+        members = [other for other in self.names if other not in self.non_members]
         return {
             "fleet": OTHER_FLEET if name in self.other_fleet else FLEET,
             "voters": list(self.voters) or members,
--- a/packages/fleet-harness/src/fleet_harness/router_process.py
+++ b/packages/fleet-harness/src/fleet_harness/router_process.py
@@ -62,7 +62,7 @@
             os.kill(self.pid, number)
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read the log (called by Twisted)."""
+        """Read log lines from the standard error stream (called by Twisted)."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) > MAX_LINE_BYTES:
             lines.append(self._partial_line)
@@ -71,7 +71,7 @@
             self._read_line(line)
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
-        """Report the exit (called by Twisted)."""
+        """Report the exit of the process (called by Twisted)."""
         self.pid = None
         status: Any = reason.value
         code = f"signal {status.signal}" if status.signal else str(status.exitCode)
--- a/packages/fleet-harness/src/fleet_harness/scenario_run.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_run.py
@@ -64,7 +64,7 @@
         return Verdict(failure, seconds, self._events.timeline())
 
     async def stop(self) -> None:
-        """End every process."""
+        """End every process of the scenario."""
         await self._environment.stop()
 
     async def _run_steps(self) -> str:
@@ -129,7 +129,7 @@
 
     def _settled(self) -> bool:
         """Return whether each running member last logged a majority, and the other running ones as alive."""
-        running = self._environment.expected_running - self._environment.participants.outsiders
+        running = self._environment.expected_running - self._environment.participants.non_members
         views = self._events.views
         return all(
             views[name].has_majority and views[name].alive_members() >= running - {name} for name in running
--- a/packages/fleet-harness/src/fleet_harness/udp_relay.py
+++ b/packages/fleet-harness/src/fleet_harness/udp_relay.py
@@ -19,7 +19,7 @@
 
 # Upper bound on the stored datagrams of unknown sources: a router logs its port only after it has sent its
 # first datagrams.
-MAX_UNCLAIMED = 64
+MAX_UNATTRIBUTED = 64
 
 # Upper bound on the last datagrams of each link that are kept for a replay.
 MAX_REPLAYABLE = 64
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnclaimedDatagram:
+class UnattributedDatagram:
     """A datagram from an address that is not yet known to belong to a router."""
 
     source: Address
@@ -56,7 +56,7 @@
 
 
 class PublicSocket(protocol.DatagramProtocol):
-    """The public address of one router."""
+    """The socket at the public address of one router."""
 
     def __init__(self, relay: UdpRelay, name: str) -> None:
         self._relay = relay
@@ -91,7 +91,7 @@
         self._reactor = reactor
         self._random = Random(seed)
         self._ports: list[Any] = []
-        self._unclaimed: deque[UnclaimedDatagram] = deque(maxlen=MAX_UNCLAIMED)
+        self._unattributed: deque[UnattributedDatagram] = deque(maxlen=MAX_UNATTRIBUTED)
 
     def add_router(self, name: str) -> None:
         """Bind a public address for a router on a free port, and add its links to all others."""
@@ -107,9 +107,9 @@
     def set_router_address(self, name: str, address: Address) -> None:
         """Set the address of a router's process, and relay the datagrams that it has sent before."""
         self.router_addresses[name] = address
-        unclaimed = list(self._unclaimed)
-        self._unclaimed.clear()
-        for datagram in unclaimed:
+        unattributed = list(self._unattributed)
+        self._unattributed.clear()
+        for datagram in unattributed:
             self.route(datagram.source, datagram.target, datagram.data)
 
     def remove_router_address(self, name: str) -> None:
@@ -120,7 +120,7 @@
         """Relay a datagram that arrived at a router's public address."""
         sender = self._router_at(source)
         if sender is None:
-            self._unclaimed.append(UnclaimedDatagram(source, target, data))
+            self._unattributed.append(UnattributedDatagram(source, target, data))
         elif sender != target:
             self._transmit(sender, target, data)
 
@@ -148,7 +148,7 @@
         return None
 
     def _transmit(self, source: str, target: str, data: bytes) -> None:
-        """Apply the faults of a link to one datagram."""
+        """Apply the faults of a link to one datagram, and forward it unless it is dropped."""
         link = self.links[source, target]
         link.sent.append(data)
         if link.cut or self._random.random() < link.quality.loss:
--- a/packages/fleet-harness/tests/test_fleet_scenarios.py
+++ b/packages/fleet-harness/tests/test_fleet_scenarios.py
@@ -71,9 +71,9 @@
     for name, action in actions.items():
         (tmp_path / name).write_text(HEADER + f"for: 6000\nthen {action}\n")
     command = [sys.executable, "-m", "fleet_harness", "play", *(str(tmp_path / name) for name in actions)]
-    ended = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
-    verdicts = {line["name"]: line for line in map(json.loads, ended.stdout.splitlines())}
-    assert ended.returncode == 1
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
+    verdicts = {line["name"]: line for line in map(json.loads, completed.stdout.splitlines())}
+    assert completed.returncode == 1
     assert verdicts["none"]["why"] == "line 4: not an action: boil a (no such action)"
     assert verdicts["wrong"]["why"] == "not observed in time: line 4: a: exit 0"
     assert verdicts["wrong"]["timeline"].count("* started") == 2
--- a/packages/fleet-harness/tests/test_udp_relay.py
+++ b/packages/fleet-harness/tests/test_udp_relay.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from fleet_harness.udp_relay import MAX_UNCLAIMED, PERFECT_QUALITY, UdpRelay
+from fleet_harness.udp_relay import MAX_UNATTRIBUTED, PERFECT_QUALITY, UdpRelay
 from fleet_sim import LinkQuality
 
 ADDRESS_A = ("127.0.0.1", 11)  # the addresses on which the routers' processes listen
@@ -104,11 +104,11 @@
 def test_datagrams_pass_once_the_sender_is_known_and_while_the_receiver_runs() -> None:
     pair = RelayedPair()
     new_address = ("127.0.0.1", 13)
-    for number in range(MAX_UNCLAIMED + 5):
+    for number in range(MAX_UNATTRIBUTED + 5):
         pair.relay.public_sockets["b"].datagramReceived(bytes([number]), new_address)
     assert not pair.reactor.sent
     pair.relay.set_router_address("a", new_address)
-    assert [data[0] for _, data, _ in pair.reactor.sent] == list(range(5, MAX_UNCLAIMED + 5))
+    assert [data[0] for _, data, _ in pair.reactor.sent] == list(range(5, MAX_UNATTRIBUTED + 5))
     pair.relay.remove_router_address("b")
     pair.reactor.sent.clear()
     pair.relay.public_sockets["b"].datagramReceived(b"x", new_address)
