--- a/packages/control-harness/tests/test_control_lagging_relay.py
+++ b/packages/control-harness/tests/test_control_lagging_relay.py
@@ -26,9 +26,8 @@
         paused.send_signal(signal.SIGSTOP)
         environment.routers = [other]
         await environment.drain_first_edge()
-        await (
-            environment.publish_change()
-        )  # an event that the log has dropped by the time the router continues
+        # An event that the log has dropped by the time the paused router continues.
+        await environment.publish_change()
         entry = environment.origin.host_entry("leaving") | {"host": "more", "class": "box"}
         for share in range(CHANGES):
             await environment.discovery.publish_hosts([entry | {"share": share}])
