--- a/packages/fleet-harness/tests/test_udp_relay.py
+++ b/packages/fleet-harness/tests/test_udp_relay.py
@@ -1,4 +1,4 @@
-"""The relay with a fake reactor: what a link does to the datagrams on it."""
+"""The UDP relay with a fake reactor: faults of a link, replay, and routers that start and end."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from typing import Any
 
 import pytest
-from fleet_harness.udp_relay import MAX_UNCLAIMED, PERFECT_QUALITY, UdpRelay
+from fleet_harness.udp_relay import MAX_UNATTRIBUTED, PERFECT_QUALITY, UdpRelay
 from fleet_sim import LinkQuality
 
-ADDRESS_A = ("127.0.0.1", 11)  # where the routers really listen
+ADDRESS_A = ("127.0.0.1", 11)  # the addresses on which the routers' processes listen
 ADDRESS_B = ("127.0.0.1", 12)
 
 
 class FakeReactor:
-    """Binds ports from 100 up; delayed calls wait for ``run_delayed``."""
+    """Binds ports from 101 on; delayed calls run when ``run_delayed`` is called."""
 
     def __init__(self) -> None:
         self.bound = 0
@@ -37,7 +37,7 @@
 
 
 class RelayedPair:
-    """Routers ``a`` and ``b`` behind a relay."""
+    """Routers ``a`` and ``b``, connected by a UDP relay."""
 
     def __init__(self, **quality: float) -> None:
         self.reactor = FakeReactor()
@@ -55,7 +55,7 @@
         self.reactor.run_delayed()
         assert {(port, to) for port, _, to in self.reactor.sent} <= {
             (101, ADDRESS_B)
-        }  # from a's public address
+        }  # sent from a's public address
         return [data[0] for _, data, _ in self.reactor.sent]
 
 
@@ -104,11 +104,11 @@
 def test_datagrams_pass_once_the_sender_is_known_and_while_the_receiver_runs() -> None:
     pair = RelayedPair()
     new_address = ("127.0.0.1", 13)
-    for number in range(MAX_UNCLAIMED + 5):
+    for number in range(MAX_UNATTRIBUTED + 5):
         pair.relay.public_sockets["b"].datagramReceived(bytes([number]), new_address)
     assert not pair.reactor.sent
     pair.relay.set_router_address("a", new_address)
-    assert [data[0] for _, data, _ in pair.reactor.sent] == list(range(5, MAX_UNCLAIMED + 5))
+    assert [data[0] for _, data, _ in pair.reactor.sent] == list(range(5, MAX_UNATTRIBUTED + 5))
     pair.relay.remove_router_address("b")
     pair.reactor.sent.clear()
     pair.relay.public_sockets["b"].datagramReceived(b"x", new_address)
