--- a/packages/fleet-scale/src/fleet_scale/__main__.py
+++ b/packages/fleet-scale/src/fleet_scale/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m fleet_scale RUN``: a run with its tables written to a file.
+"""``python -m fleet_scale RUN``: executes a run, prints its report and writes it to a file.
 
-The exit code is 1 if a verdict fails, and 2 for a topology that is not valid.
+The exit code is 1 if a verdict fails, and 2 if the topology is invalid.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from fleet_scale.topology import TOPOLOGY_FOLDER, Topology, read_topology
 
 RUNS = ("small", "compare", "slopes", "faults", "all")
-# Hollow routers of the sizes that are compared.
+# Numbers of hollow routers at which the modes are compared.
 COMPARED_SIZES = (100, 300, 600, 1200)
-# Purges of an hour at 34 a second.
+# Purges in an hour at the peak rate of 34 a second.
 PURGES_PER_HOUR = 122_400
 
 EXIT_PASSED = 0
 EXIT_VERDICT_FAILED = 1
 EXIT_INVALID_TOPOLOGY = 2
-# The exit code of a program that SIGTERM ended, by the shell's convention.
+# The exit code of a program that was terminated by SIGTERM, by the shell's convention.
 EXIT_TERMINATED = 128 + signal.SIGTERM
 
 
@@ -56,7 +56,7 @@
 def _topology(arguments: argparse.Namespace) -> Topology:
     default = "small.toml" if arguments.run == "small" else "full.toml"
     topology = read_topology(arguments.topology or TOPOLOGY_FOLDER / default)
-    return topology.sized(arguments.routers, arguments.shelfs, arguments.relays)
+    return topology.resized(arguments.routers, arguments.shelfs, arguments.relays)
 
 
 def _run(report: Report, topology: Topology, arguments: argparse.Namespace) -> None:
@@ -66,35 +66,40 @@
     if arguments.run in ("compare", "all"):
         run_comparison(report, topology, arguments.sizes, modes, arguments.seconds)
     if arguments.run in ("slopes", "all"):
-        sized = topology.sized(min(arguments.slope_routers, topology.routers))
-        run_slopes(report, sized, modes, arguments.seconds)
+        resized = topology.resized(min(arguments.slope_routers, topology.routers))
+        run_slopes(report, resized, modes, arguments.seconds)
     if arguments.run in ("faults", "all"):
-        sized = topology.sized(min(arguments.fault_routers, topology.routers))
+        resized = topology.resized(min(arguments.fault_routers, topology.routers))
         options = FaultOptions(arguments.behind, arguments.restarts, arguments.most_s)
-        run_faults(report, sized, modes, options)
+        run_faults(report, resized, modes, options)
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m fleet_scale", description=__doc__)
     add = parser.add_argument
     add("run", choices=RUNS)
-    add("--topology", type=Path, help="a TOML file; else full.toml or small.toml")
-    add("--out", type=Path, help="the file for the tables")
-    add("--routers", type=int, default=0, help="in place of the topology's number")
-    add("--shelfs", type=int, default=0, help="cache servers, in place of the topology's number")
-    add("--relays", type=int, default=-1, help="in place of the topology's number")
+    add("--topology", type=Path, help="a TOML file; default: full.toml, or small.toml for the small run")
+    add("--out", type=Path, help="file to write the report to")
+    add("--routers", type=int, default=0, help="hollow routers; default: as in the topology")
+    add("--shelfs", type=int, default=0, help="cache servers; default: as in the topology")
+    add("--relays", type=int, default=-1, help="relays; default: as in the topology")
     add("--modes", nargs="+", type=Mode, choices=tuple(Mode), default=tuple(Mode))
-    add("--sizes", nargs="+", type=int, default=COMPARED_SIZES, help="hollow routers, of compare")
-    add("--seconds", type=float, default=10.0, help="of each measured window")
+    add("--sizes", nargs="+", type=int, default=COMPARED_SIZES, help="numbers of hollow routers, of compare")
+    add("--seconds", type=float, default=10.0, help="duration of each measured window")
     add("--slope-routers", type=int, default=200, help="hollow routers, of slopes")
     add("--fault-routers", type=int, default=1200, help="hollow routers, of faults")
-    add("--behind", type=int, default=PURGES_PER_HOUR, help="purges published while a region is cut off")
+    add("--behind", type=int, default=PURGES_PER_HOUR, help="purges published while a region is isolated")
     add("--restarts", type=int, default=360)
-    add("--most-s", type=float, default=900.0, help="of each environment; of the whole small form")
+    add(
+        "--most-s",
+        type=float,
+        default=900.0,
+        help="time limit of each environment, or of the complete small run",
+    )
     return parser
 
 
 if __name__ == "__main__":
-    # Ends the processes of a run that SIGTERM ends: SystemExit leaves the environment, which stops them.
+    # On SIGTERM, SystemExit leaves the environment, whose exit kills the processes of the run.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     sys.exit(main())
--- a/packages/fleet-scale/src/fleet_scale/environment/__init__.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/__init__.py
@@ -1,1 +1,1 @@
-"""The environment of a scale run: its processes, the addresses between them, and what is asked of them."""
+"""The environment of a scale run: its processes, their addresses, and the commands sent to them."""
--- a/packages/fleet-scale/src/fleet_scale/environment/environment_processes.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/environment_processes.py
@@ -1,4 +1,4 @@
-"""Starts all processes of an environment by its topology."""
+"""Starts the processes of an environment according to a topology."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from fleet_scale.environment.process_group import ProcessGroup
 from fleet_scale.environment.processes import RouterProgram, WorkerProcess
-from fleet_scale.environment.sources import Place, Source, SourceTable
+from fleet_scale.environment.sources import Poller, Source, SourceTable
 from fleet_scale.messages import (
     CacheServerFigures,
     CacheServerSettings,
@@ -27,7 +27,7 @@
     ProxySettings,
 )
 from fleet_scale.router_files import (
-    RouterPlace,
+    RouterLocation,
     format_address,
     free_address,
     free_datagram_address,
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EnvironmentOptions:
-    """Which parts of a topology are started."""
+    """Which parts of a topology are started, and their parameters."""
 
     relays: bool = False
-    proxies: bool = False  # every poll passes a proxy
-    members: bool = False
+    proxies: bool = False  # routers and relays poll through delaying proxies
+    membership: bool = False
     full_routers: bool = False
-    requests_per_s: float = 0.0  # to each full router
-    batch_window_ms: float = 150.0  # of relays
+    requests_per_s: float = 0.0  # sent to each full router
+    batch_window_ms: float = 150.0  # of the relays
     relays_per_router: int = 2
 
 
 class EnvironmentProcesses:
-    """The processes of an environment."""
+    """The processes of an environment and the addresses at which they poll each other."""
 
     def __init__(
         self, topology: Topology, options: EnvironmentOptions, member_timings: Mapping[str, float]
@@ -66,8 +66,8 @@
         self.processes = ProcessGroup()
         self.source_table = SourceTable()
         self.discoveries: list[WorkerProcess] = []
-        self.proxies: dict[WorkerProcess, frozenset[str]] = {}  # with the names of their routes
-        self.hollow_groups: dict[WorkerProcess, frozenset[str]] = {}  # with the names of their routers
+        self.proxies: dict[WorkerProcess, frozenset[str]] = {}  # to the names of their routes
+        self.hollow_groups: dict[WorkerProcess, frozenset[str]] = {}  # to the names of their routers
         self.relays: dict[str, RouterProgram] = {}
         self.full_routers: list[RouterProgram] = []
         self.load: WorkerProcess | None = None
@@ -76,15 +76,15 @@
 
     @property
     def hollow_workers(self) -> list[WorkerProcess]:
-        """The processes of hollow routers."""
+        """The worker processes that hold hollow routers."""
         return list(self.hollow_groups)
 
     def start(self) -> None:
-        """Start everything that the options turn on.  Raises RunError if a process does not come up."""
+        """Start everything that the options enable.  Raises RunError if a process fails to start."""
         self._start_discoveries(self._start_cache_servers())
         if self.options.relays:
             self._start_relays()
-        self._start_proxies([Place(site.name, site.region) for site in self.sites])
+        self._start_proxies([Poller(site.name, site.region) for site in self.sites])
         if self.options.full_routers:
             self._start_full_routers()
         self._start_hollow_routers()
@@ -113,51 +113,51 @@
     # -- relays --
 
     def _start_relays(self) -> None:
-        """Start the relays, which routers poll from here on in place of discovery."""
-        places = [
-            Place(f"relay-{number}", region) for number, region in enumerate(self.topology.relays, start=1)
+        """Start the relays, and make them the sources that routers poll instead of discovery."""
+        pollers = [
+            Poller(f"relay-{number}", region) for number, region in enumerate(self.topology.relays, start=1)
         ]
-        self._start_proxies(places)
+        self._start_proxies(pollers)
         relays = []
-        for place in places:
+        for poller in pollers:
             address = free_address(self._random)
-            self._write_relay_file(place, address)
-            self.start_relay(place.name)
-            relays.append(Source(place.name, place.region, address))
+            self._write_relay_file(poller, address)
+            self.start_relay(poller.name)
+            relays.append(Source(poller.name, poller.region, address))
         self.source_table.sources = relays
 
-    def _write_relay_file(self, place: Place, address: Address) -> None:
-        upstreams = self.source_table.addresses(place, self.source_table.nearest(place))
+    def _write_relay_file(self, poller: Poller, address: Address) -> None:
+        upstreams = self.source_table.addresses(poller, self.source_table.sources_by_proximity(poller))
         values = {
             "listen": format_address(address),
-            "name": place.name,
+            "name": poller.name,
             "admin_addr": format_address(free_address(self._random)),
             "upstreams": [format_address(upstream) for upstream in upstreams],
             "join_ms": self.options.batch_window_ms,
         }
-        path = self.processes.folder / f"{place.name}.toml"
+        path = self.processes.folder / f"{poller.name}.toml"
         path.write_text(toml_section("relay", values))
 
     def start_relay(self, name: str) -> None:
-        """Start a relay that knows no events."""
+        """Start a relay, whose event log is empty at first."""
         operators_file = self.processes.folder / f"{name}.toml"
         self.relays[name] = self.processes.start_router(name, None, operators_file)
 
     def kill_relay(self, name: str) -> None:
-        """Kill a relay and wait for its end."""
-        self.processes.end(self.relays.pop(name))
+        """Kill a relay and wait until its process has exited."""
+        self.processes.kill_process(self.relays.pop(name))
 
     # -- proxies --
 
-    def _start_proxies(self, places: Sequence[Place]) -> None:
-        """Start a route from each place to each source, the places spread over the proxy processes."""
+    def _start_proxies(self, pollers: Sequence[Poller]) -> None:
+        """Start a route from each poller to each source; the pollers are spread over the proxy processes."""
         count = self.topology.proxies if self.options.proxies else 0
         if not count:
             return
         routes: list[list[ProxyRoute]] = [[] for _ in range(count)]
-        for index, place in enumerate(places):
-            routes[index % count] += self.source_table.routes_from(place, self.topology.delays)
-        settings = [ProxySettings(tuple(of_process)) for of_process in routes]
+        for index, poller in enumerate(pollers):
+            routes[index % count] += self.source_table.routes_from(poller, self.topology.delays)
+        settings = [ProxySettings(tuple(process_routes)) for process_routes in routes]
         for worker, figures in self.processes.start_workers("proxy", settings, ProxyFigures):
             self.proxies[worker] = frozenset(figures.ports)
             for route, port in figures.ports.items():
@@ -166,18 +166,18 @@
     # -- routers --
 
     def _channel(self, site: Site) -> Address:
-        """The source that the routers of a site poll first."""
-        place = Place(site.name, site.region)
-        nearest = self.source_table.nearest(place)
-        return self.source_table.addresses(place, nearest[:1])[0]
+        """Return the address of the source that the routers of a site poll first."""
+        poller = Poller(site.name, site.region)
+        sources_by_proximity = self.source_table.sources_by_proximity(poller)
+        return self.source_table.addresses(poller, sources_by_proximity[:1])[0]
 
     def _polled_relays(self, site: Site) -> tuple[Address, ...]:
-        """The relays that the routers of a site poll, in order; none if they poll discovery."""
+        """Return the relays that the routers of a site poll, in order; none if they poll discovery."""
         if not self.options.relays:
             return ()
-        place = Place(site.name, site.region)
-        nearest = self.source_table.nearest(place)
-        return self.source_table.addresses(place, nearest[: self.options.relays_per_router])
+        poller = Poller(site.name, site.region)
+        sources_by_proximity = self.source_table.sources_by_proximity(poller)
+        return self.source_table.addresses(poller, sources_by_proximity[: self.options.relays_per_router])
 
     def _start_hollow_routers(self) -> None:
         members = self._member_settings()
@@ -200,7 +200,7 @@
             self.hollow_groups[worker] = frozenset(router.name for router in group.routers)
 
     def _member_settings(self) -> dict[str, MemberSettings]:
-        """The membership settings of each router; none if membership is off."""
+        """Return the membership settings of each router by its name; none if membership is off."""
         voters = self._voters()
         if not voters:
             return {}
@@ -214,15 +214,15 @@
         }
 
     def _voters(self) -> tuple[str, ...]:
-        """The first router of each voter's region; without routers there, the first router of all."""
-        if not self.options.members:
+        """Return the first router of each voter's region; if those have none, the first router of all."""
+        if not self.options.membership:
             return ()
         first_by_region = {site.region: site.routers[0] for site in reversed(self.sites) if site.routers}
         regions = [region for region in dict.fromkeys(self.topology.voters) if region in first_by_region]
         return tuple(first_by_region[region] for region in regions or list(first_by_region)[:1])
 
     def _start_full_routers(self) -> None:
-        """Start the real routers, and the clients that load them."""
+        """Start the full routers and the clients that send them requests."""
         fronts = []
         for number, region in enumerate(self.topology.full_routers, start=1):
             site = next(site for site in self.sites if site.region == region)
@@ -234,9 +234,9 @@
         """Start a router at a site and return the address of its front."""
         front = free_address(self._random)
         admin = free_address(self._random)
-        place = RouterPlace(name, site.name, [site.name for site in self.sites])
+        location = RouterLocation(name, site.name, [site.name for site in self.sites])
         config = self.processes.folder / f"{name}.json"
-        config.write_text(json.dumps(router_config(place, self._channel(site), front, admin)))
+        config.write_text(json.dumps(router_config(location, self._channel(site), front, admin)))
         operators_file = None
         relays = self._polled_relays(site)
         if relays:
--- a/packages/fleet-scale/src/fleet_scale/environment/process_group.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/process_group.py
@@ -1,4 +1,4 @@
-"""All processes of an environment and the folder of their files."""
+"""The child processes of an environment and the temporary folder of their files."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ProcessGroup:
-    """Starts processes and ends all of them."""
+    """Starts child processes and kills all of them at the end."""
 
     def __init__(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="fleet-scale-"))
@@ -23,9 +23,9 @@
     def start_workers(
         self, role: str, settings: Sequence[Settings], first_reply: type[ReplyT]
     ) -> list[tuple[WorkerProcess, ReplyT]]:
-        """Start workers side by side and return each with its first reply; a role's workers are numbered.
+        """Start workers in parallel and return each with its first reply; names are numbered within a role.
 
-        Raises RunError if one does not come up.
+        Raises RunError if one fails to start.
         """
         workers = []
         for worker_settings in settings:
@@ -37,13 +37,13 @@
         return [(worker, worker.reply(first_reply)) for worker in workers]
 
     def start_router(self, name: str, config: Path | None, operators_file: Path | None) -> RouterProgram:
-        """Start ``thornjunction run`` with these files."""
+        """Start ``thornjunction run`` with these files, either of which may be absent."""
         program = RouterProgram(name, self.folder, config, operators_file)
         self._processes.append(program)
         return program
 
-    def end(self, process: ChildProcess) -> None:
-        """Kill one process and wait for its end."""
+    def kill_process(self, process: ChildProcess) -> None:
+        """Kill one process and wait until it has exited."""
         self._processes.remove(process)
         process.kill()
         process.wait()
@@ -58,5 +58,5 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def resident_mb(self) -> float:
-        """The resident memory of all processes.  Raises RunError if one has ended."""
+        """Return the resident memory of all processes.  Raises RunError if one has exited."""
         return sum(process.usage().resident_mb for process in self._processes)
--- a/packages/fleet-scale/src/fleet_scale/environment/processes.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/processes.py
@@ -1,4 +1,4 @@
-"""The child processes of a run: workers, which carry out commands, and programs of the router itself."""
+"""The child processes of a run: workers, which execute commands, and programs of the router itself."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from fleet_scale.messages import Command, CommandRejected, Message, Reply, Settings
 from fleet_scale.process_usage import ProcessUsage, read_memory_mb
 
-# Time within which a worker answers a command.
+# Time within which a worker must reply to a command.
 REPLY_TIMEOUT_S = 60.0
-# The router's own variables, which a child does not inherit.
+# Environment variables that configure a router, which a child must not inherit.
 ROUTER_VARIABLES = ("PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR", "PROXY_SOCKET_FD", "PROXY_CONFIG")
 # The unit of processor time in /proc.
 TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
-# Fields of /proc/PID/stat after the command's name.
+# Indexes of fields in /proc/PID/stat, counted after the command's name.
 USER_TICKS_FIELD = 11
 SYSTEM_TICKS_FIELD = 12
-# Bytes at the end of a process's log that an error shows.
-SHOWN_LOG_BYTES = 2000
+# Characters from the end of a process's log that an error message includes.
+SHOWN_LOG_CHARACTERS = 2000
 READ_BYTES = 1 << 16
 
 ReplyT = TypeVar("ReplyT", bound=Message)
@@ -44,14 +44,14 @@
 
 
 def child_variables(additional: Mapping[str, str]) -> dict[str, str]:
-    """Return the environment variables of a child: the same import path, and no configuration of a router."""
+    """Return the environment variables of a child: this import path, without a router's configuration."""
     variables = {name: value for name, value in os.environ.items() if name not in ROUTER_VARIABLES}
     variables["PYTHONPATH"] = os.pathsep.join(path or os.getcwd() for path in sys.path)
     return variables | dict(additional)
 
 
 class ChildProcess:
-    """A process with a log of its own, which is ended by its id."""
+    """A child process that writes its standard error to a log file of its own."""
 
     def __init__(
         self,
@@ -75,19 +75,19 @@
         return self._process.pid
 
     def kill(self) -> None:
-        """Kill the process without waiting for its end, so that many can end at once."""
+        """Kill the process without waiting for its exit, so that many can be killed at once."""
         if self._process.poll() is None:
             self._process.kill()
 
     def wait(self) -> None:
-        """Wait for the end of the process and close its pipes."""
+        """Wait until the process has exited and close its pipes."""
         self._process.wait()
         for pipe in (self._process.stdin, self._process.stdout):
             if pipe is not None:
                 pipe.close()
 
     def usage(self) -> ProcessUsage:
-        """Return what the process uses.  Raises RunError if it has ended."""
+        """Return the resource usage of the process.  Raises RunError if it has exited."""
         try:
             stat = Path(f"/proc/{self.pid}/stat").read_text()
             resident_mb, private_mb = read_memory_mb(str(self.pid))
@@ -100,11 +100,11 @@
 
     def _ended_error(self) -> RunError:
         log = self._log_path.read_text(encoding="utf-8", errors="replace")
-        return ProcessEndedError(self.name, log[-SHOWN_LOG_BYTES:])
+        return ProcessEndedError(self.name, log[-SHOWN_LOG_CHARACTERS:])
 
 
 class RouterProgram(ChildProcess):
-    """``thornjunction run`` with its own configuration and operators' file; it ends with this process."""
+    """``thornjunction run`` with its own files; the kernel kills it if this process ends."""
 
     def __init__(self, name: str, folder: Path, config: Path | None, operators_file: Path | None) -> None:
         command = [sys.executable, "-m", "thornjunction", "run"]
@@ -115,7 +115,7 @@
 
 
 class WorkerProcess(ChildProcess):
-    """A process of ``fleet_scale.worker``; its role is that of its settings."""
+    """A process of ``fleet_scale.worker``; the type of its settings determines its role."""
 
     def __init__(self, name: str, folder: Path, settings: Settings) -> None:
         command = [sys.executable, "-m", "fleet_scale.worker", str(os.getpid())]
@@ -133,7 +133,7 @@
         return pipe
 
     def send(self, command: Command) -> None:
-        """Send a command; its reply has to be read before the next one."""
+        """Send a command; its reply must be read before the next command is sent.  Raises RunError."""
         self._send_message(command)
 
     def _send_message(self, message: Command | Settings) -> None:
@@ -147,7 +147,8 @@
     def reply(self, expected: type[ReplyT], timeout_s: float = REPLY_TIMEOUT_S) -> ReplyT:
         """Return the next reply.
 
-        Raises RunError if none comes in time, or if the worker rejected the command.
+        Raises RunError if none arrives within the timeout, if its type is not ``expected``, or if the worker
+        rejected the command.
         """
         reply = _decode_reply(self._read_line(timeout_s))
         if isinstance(reply, CommandRejected):
@@ -157,9 +158,9 @@
         return reply
 
     def _read_line(self, timeout_s: float) -> bytes:
-        until_s = time.monotonic() + timeout_s
+        deadline_s = time.monotonic() + timeout_s
         while b"\n" not in self._unread:
-            if not self._selector.select(max(until_s - time.monotonic(), 0.0)):
+            if not self._selector.select(max(deadline_s - time.monotonic(), 0.0)):
                 raise ReplyTimeoutError(self.name, timeout_s)
             data = os.read(self._replies.fileno(), READ_BYTES)
             if not data:
@@ -168,14 +169,14 @@
         line, _, self._unread = self._unread.partition(b"\n")
         return line
 
-    def ask(self, command: Command, expected: type[ReplyT]) -> ReplyT:
-        """Send a command and return its reply."""
+    def call(self, command: Command, expected: type[ReplyT]) -> ReplyT:
+        """Send a command and return its reply.  Raises RunError."""
         self.send(command)
         return self.reply(expected)
 
 
-def ask_all(workers: Sequence[WorkerProcess], command: Command, expected: type[ReplyT]) -> list[ReplyT]:
-    """Send one command to several workers, which carry it out at once, and return their replies."""
+def call_all(workers: Sequence[WorkerProcess], command: Command, expected: type[ReplyT]) -> list[ReplyT]:
+    """Send one command to several workers, which execute it in parallel, and return their replies."""
     for worker in workers:
         worker.send(command)
     return [worker.reply(expected) for worker in workers]
--- a/packages/fleet-scale/src/fleet_scale/environment/scale_environment.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/scale_environment.py
@@ -1,4 +1,4 @@
-"""A running environment: publishes plans of events, reports what routers know, and waits with bounds."""
+"""A running environment: publishes plans of events, collects the state of routers, and waits with limits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Self
 
 from fleet_scale.environment.environment_processes import EnvironmentOptions, EnvironmentProcesses
-from fleet_scale.environment.processes import ask_all
+from fleet_scale.environment.processes import call_all
 from fleet_scale.errors import MemoryLimitError, TimeLimitError
 from fleet_scale.event_counters import Delivery, merge_deliveries
 from fleet_scale.event_plan import ChangePlan, EventPlan, PurgePlan
@@ -30,21 +30,21 @@
 
 # Share of the machine's memory that a run may use.
 MAX_MEMORY_SHARE = 0.5
-# Memory of the machine that a run leaves to others.
+# Memory of the machine that a run must leave available.
 MIN_FREE_MB = 300.0
-# Interval at which an expected state is looked at.
+# Interval at which a condition that is waited for is checked.
 WAIT_INTERVAL_S = 0.1
-# Time before a plan begins, within which every process receives it.
+# Lead time before a plan begins, so that every discovery process receives it before.
 PLAN_LEAD_S = 0.5
 DEFAULT_TIME_LIMIT_S = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """What hollow routers know: digests of their endpoint lists, and the newest purges that they received.
+    """State of hollow routers: digests of their endpoint lists, and the newest purges that they received.
 
     ``lowest_newest_purge`` is that of the router that is furthest behind, ``highest_newest_purge`` that of
-    the router that is furthest ahead; -1 stands for none.
+    the router that is furthest ahead; -1 means that no purge was received.
     """
 
     running: int
@@ -56,7 +56,7 @@
 
 
 def merge_states(replies: Iterable[RouterStates]) -> FleetState:
-    """Combine what the hollow routers of several processes know."""
+    """Merge the states that several processes of hollow routers report."""
     states = [reply for reply in replies if reply.running]
     digests = Counter[str]()
     for state in states:
@@ -72,10 +72,11 @@
 
 
 class ScaleEnvironment(EnvironmentProcesses):
-    """A context manager that starts all processes and ends them in every outcome.
+    """A context manager that starts all processes and always kills them on exit.
 
-    Raises RunError for what keeps a run from going on, among it the bounds on memory and on time, which is
-    ``time_limit_s`` from the construction on.
+    Its methods raise RunError if the run cannot continue, for instance above its memory limit, or later than
+    ``time_limit_s`` after construction.  A fleet has converged when every running router knows discovery's
+    endpoint list and the newest purge.
     """
 
     def __init__(
@@ -86,8 +87,8 @@
         member_timings: Mapping[str, float] | None = None,
     ) -> None:
         super().__init__(topology, options, member_timings or {})
-        self.until_s = time.monotonic() + time_limit_s
-        self.ended_routers: set[str] = set()  # that were ended at any time
+        self.deadline_s = time.monotonic() + time_limit_s
+        self.ended_routers: set[str] = set()  # that were ended at any time of the run
         self._next_purge = 0
         self._next_change = 1
 
@@ -106,72 +107,72 @@
 
     @property
     def newest_purge(self) -> int:
-        """The highest number of a purge that was reserved."""
+        """The highest purge number that was reserved; -1 if none was."""
         return self._next_purge - 1
 
     def reserve_purges(self, count: int) -> int:
-        """Reserve numbers for so many purges and return the first."""
+        """Reserve ``count`` consecutive purge numbers and return the first."""
         first = self._next_purge
         self._next_purge += count
         return first
 
     def publish_purges(self, purges_per_s: float, count: int) -> PurgePlan:
-        """Publish so many purges from soon on."""
+        """Publish ``count`` purges at a steady rate, after the lead time, and return their plan."""
         first = self.reserve_purges(count)
         plan = PurgePlan(time.monotonic() + PLAN_LEAD_S, purges_per_s, count, first)
         self._publish(plan)
         return plan
 
     def publish_history(self, first: int, count: int, history_s: float) -> PurgePlan:
-        """Publish purges with reserved numbers as those of the last ``history_s`` seconds.
+        """Publish purges with reserved numbers as a history of the last ``history_s`` seconds.
 
-        Routers in step count as having received them; all others lack them from soon on.
+        Only routers that are behind receive them; see ``PurgePlan``.
         """
         plan = PurgePlan(time.monotonic() + PLAN_LEAD_S, 0.0, count, first, history_s)
         self._publish(plan)
         return plan
 
     def publish_changes(self, interval_s: float, count: int) -> ChangePlan:
-        """Publish so many changes of the endpoint list from soon on."""
+        """Publish ``count`` changes of the endpoint list, after the lead time, and return their plan."""
         plan = ChangePlan(time.monotonic() + PLAN_LEAD_S, interval_s, count, self._next_change)
         self._next_change += count
         self._publish(plan)
         return plan
 
     def _publish(self, plan: EventPlan) -> None:
-        ask_all(self.discoveries, PublishPlan(plan), Acknowledged)
+        call_all(self.discoveries, PublishPlan(plan), Acknowledged)
 
     def block_routes(self, routes: Sequence[str], directions: Sequence[Direction]) -> None:
-        """Block these directions of routes, and unblock their others."""
-        for worker, carried in self.proxies.items():
-            of_worker = tuple(route for route in routes if route in carried)
-            worker.ask(BlockRoutes(of_worker, tuple(directions)), Acknowledged)
+        """Block these directions of the routes, and unblock their other directions."""
+        for worker, worker_routes in self.proxies.items():
+            affected_routes = tuple(route for route in routes if route in worker_routes)
+            worker.call(BlockRoutes(affected_routes, tuple(directions)), Acknowledged)
 
-    # -- knowledge --
+    # -- state of the routers --
 
     def deliveries(self, plan: EventPlan, excluded_routers: Iterable[str] = ()) -> dict[int, Delivery]:
-        """Return how the events of a plan were received, without processes that hold an excluded router."""
+        """Return the deliveries of a plan's events, without processes that hold an excluded router."""
         excluded = set(excluded_routers)
         workers = [worker for worker, routers in self.hollow_groups.items() if not routers & excluded]
         numbers = plan.numbers()
         command = ReportDeliveries(plan.kind, numbers.start, numbers.stop)
-        replies = ask_all(workers, command, Deliveries)
+        replies = call_all(workers, command, Deliveries)
         return merge_deliveries(reply.by_number for reply in replies)
 
     def state(self, names: Iterable[str] | None = None) -> FleetState:
-        """Return what these hollow routers know, or all of them."""
+        """Return the state of these hollow routers; without names, of all."""
         command = ReportRouterStates(None if names is None else tuple(names))
-        return merge_states(ask_all(self.hollow_workers, command, RouterStates))
+        return merge_states(call_all(self.hollow_workers, command, RouterStates))
 
     def _discovery_figures(self) -> list[DiscoveryFigures]:
-        return ask_all(self.discoveries, ReportFigures(), DiscoveryFigures)
+        return call_all(self.discoveries, ReportFigures(), DiscoveryFigures)
 
     def list_digests(self) -> frozenset[str]:
-        """The digest of discovery's endpoint list; several only while one of its processes is later."""
+        """Return the digests of discovery's list: one, or several while one of its processes is behind."""
         return frozenset(figures.list_digest for figures in self._discovery_figures())
 
-    def is_in_step(self, names: Iterable[str] | None = None) -> bool:
-        """Whether all plans are published and these routers know discovery's list and the newest purge."""
+    def is_converged(self, names: Iterable[str] | None = None) -> bool:
+        """Whether all plans are published, and these routers have discovery's list and the newest purge."""
         if any(figures.planned_events for figures in self._discovery_figures()):
             return False
         state = self.state(names)
@@ -179,12 +180,12 @@
             return False
         return state.lowest_newest_purge == self.newest_purge
 
-    # -- bounds --
+    # -- waiting and limits --
 
     def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> float | None:
-        """Return the seconds until a condition holds, or None if it does not in time.
+        """Wait for a condition; return the seconds that it took, or None after the timeout.
 
-        Raises RunError at the end of the run's time.
+        Raises RunError at the run's time limit.
         """
         begin_s = time.monotonic()
         while not condition():
@@ -194,21 +195,21 @@
             time.sleep(WAIT_INTERVAL_S)
         return time.monotonic() - begin_s
 
-    def wait_in_step(self, timeout_s: float) -> float | None:
-        """Wait until all routers are in step; see ``wait_until``."""
-        return self.wait_until(self.is_in_step, timeout_s)
+    def wait_until_converged(self, timeout_s: float) -> float | None:
+        """Wait until all routers have converged; returns as ``wait_until`` does."""
+        return self.wait_until(self.is_converged, timeout_s)
 
     def pause(self, seconds: float) -> None:
-        """Let time pass.  Raises RunError at the end of the run's time or above its memory."""
-        time.sleep(max(min(seconds, self.until_s - time.monotonic()), 0.0))
+        """Sleep.  Raises RunError at the run's time limit or above its memory limit."""
+        time.sleep(max(min(seconds, self.deadline_s - time.monotonic()), 0.0))
         self.check_bounds()
 
     def pause_until(self, moment_s: float) -> None:
-        """Let time pass until a moment of the monotonic clock; see ``pause``."""
+        """Sleep until a moment of the monotonic clock; see ``pause``."""
         self.pause(max(moment_s - time.monotonic(), 0.0))
 
     def check_bounds(self) -> None:
-        """Raise RunError at the end of the run's time or above its memory."""
+        """Raise RunError at the run's time limit or above its memory limit."""
         self._check_time()
         used_mb = self.processes.resident_mb()
         total_mb, free_mb = _machine_memory_mb()
@@ -216,12 +217,12 @@
             raise MemoryLimitError(used_mb, total_mb, free_mb)
 
     def _check_time(self) -> None:
-        if time.monotonic() >= self.until_s:
+        if time.monotonic() >= self.deadline_s:
             raise TimeLimitError
 
 
 def _machine_memory_mb() -> tuple[float, float]:
-    """The machine's memory, and what of it is free."""
+    """Return the total and the available memory of the machine."""
     lines = Path("/proc/meminfo").read_text().splitlines()
     values = dict(line.split(":") for line in lines)
     total_mb = float(values["MemTotal"].split()[0]) / 1024.0
--- a/packages/fleet-scale/src/fleet_scale/environment/sources.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/sources.py
@@ -1,4 +1,4 @@
-"""What routers and relays can poll, and by which address each place reaches it."""
+"""The sources that routers and relays poll, and the address at which each poller reaches them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from fleet_scale.topology import Delays
 from thornjunction.runtime.addresses import Address
 
-# Between the names of a place and of a source in the name of a route.
+# Separates the names of the poller and of the source in the name of a route.
 ROUTE_SEPARATOR = ">"
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """A site or a relay that polls sources, and its region."""
+class Poller:
+    """A site, for all of its routers, or a relay that polls sources, and its region."""
 
     name: str
     region: str
@@ -23,52 +23,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """A discovery or a relay that can be polled, and its region."""
+    """A discovery process or a relay that can be polled, and its region."""
 
     name: str
     region: str
     address: Address
 
 
-def route_name(place: str, source: str) -> str:
-    """Return the name of the route from a place to a source."""
-    return f"{place}{ROUTE_SEPARATOR}{source}"
+def route_name(poller: str, source: str) -> str:
+    """Return the name of the route from a poller to a source."""
+    return f"{poller}{ROUTE_SEPARATOR}{source}"
 
 
 class SourceTable:
-    """The sources that places poll, with the addresses of the proxies before them."""
+    """The sources that can be polled, and the proxies through which pollers reach them."""
 
     def __init__(self) -> None:
         self.sources: list[Source] = []
-        self._proxied: dict[tuple[str, str], Address] = {}
+        self._proxy_addresses: dict[tuple[str, str], Address] = {}
 
     def routes(self) -> list[tuple[str, str]]:
-        """The place and the source of every route through a proxy, by their names."""
-        return list(self._proxied)
+        """Return the names of the poller and of the source of every route through a proxy."""
+        return list(self._proxy_addresses)
 
     def add_proxy(self, route: str, address: Address) -> None:
         """Add the address at which a proxy accepts the connections of a route."""
-        place, _, source = route.partition(ROUTE_SEPARATOR)
-        self._proxied[place, source] = address
+        poller, _, source = route.partition(ROUTE_SEPARATOR)
+        self._proxy_addresses[poller, source] = address
 
-    def routes_from(self, place: Place, delays: Delays) -> list[ProxyRoute]:
-        """Return the routes that a proxy needs for a place to reach every source."""
+    def routes_from(self, poller: Poller, delays: Delays) -> list[ProxyRoute]:
+        """Return the proxy routes from a poller to every source, with their delays."""
         return [
             ProxyRoute(
-                route_name(place.name, source.name),
+                route_name(poller.name, source.name),
                 source.address,
-                delays.region_ms if source.region == place.region else delays.remote_ms,
+                delays.region_ms if source.region == poller.region else delays.remote_ms,
             )
             for source in self.sources
         ]
 
-    def nearest(self, place: Place) -> list[Source]:
-        """Return the sources of the place's region first; different places begin the others differently."""
-        local = [source for source in self.sources if source.region == place.region]
-        remote = [source for source in self.sources if source.region != place.region]
-        offset = sum(place.name.encode()) % max(len(remote), 1)
+    def sources_by_proximity(self, poller: Poller) -> list[Source]:
+        """Return the sources of the poller's region, then the others, rotated by a hash of its name."""
+        local = [source for source in self.sources if source.region == poller.region]
+        remote = [source for source in self.sources if source.region != poller.region]
+        offset = sum(poller.name.encode()) % max(len(remote), 1)
         return [*local, *remote[offset:], *remote[:offset]]
 
-    def addresses(self, place: Place, sources: Sequence[Source]) -> tuple[Address, ...]:
-        """Return the addresses at which a place polls these sources."""
-        return tuple(self._proxied.get((place.name, source.name), source.address) for source in sources)
+    def addresses(self, poller: Poller, sources: Sequence[Source]) -> tuple[Address, ...]:
+        """Return the addresses at which a poller reaches these sources, through proxies if there are any."""
+        return tuple(
+            self._proxy_addresses.get((poller.name, source.name), source.address) for source in sources
+        )
--- a/packages/fleet-scale/src/fleet_scale/event_plan.py
+++ b/packages/fleet-scale/src/fleet_scale/event_plan.py
@@ -1,7 +1,7 @@
 """Plans of the events that discovery publishes.
 
 Every process of a run computes the same number and time for an event: purges and changes of the endpoint list
-are numbered by their planned times on the machine's monotonic clock.
+are numbered in the order of their planned times on the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 import msgspec
 
-# Weight of a cache server that was never changed.
+# Weight of a cache server before its first change.
 INITIAL_WEIGHT = 4.0
-# Weight that a change adds, so that a router's endpoint list shows which changes it has taken.
+# Weight that a change adds, so that the weights in a router's endpoint list identify the changes applied.
 WEIGHT_PER_CHANGE = 1e-6
-# Distance between the cache servers of two successive pairs of changes.
+# Offset in the endpoint list between the cache servers of two successive pairs of changes.
 CHANGED_SERVER_STEP = 7
 
 
@@ -26,7 +26,7 @@
 
 
 def weight_of_change(change: int) -> float:
-    """Return the weight that identifies a change of the endpoint list; 0 stands for no change."""
+    """Return the weight that identifies a change of the endpoint list; 0 means no change."""
     return round(INITIAL_WEIGHT + change * WEIGHT_PER_CHANGE, 9)
 
 
@@ -36,10 +36,10 @@
 
 
 class PurgePlan(msgspec.Struct, frozen=True, tag=True):
-    """``count`` purges with consecutive numbers, ``purges_per_s`` of them a second.
+    """``count`` purges with consecutive numbers, published at ``purges_per_s``.
 
-    A rate of 0 publishes all of them at once, as purges of the last ``history_s`` seconds: routers that are
-    in step count as having received them, and only the others receive them all.
+    A rate of 0 publishes a history: all purges at once, with issue times spread over the last ``history_s``
+    seconds.  Discovery sends it only to routers that were behind; the others count as having received it.
     """
 
     start_s: float  # on the monotonic clock
@@ -50,7 +50,7 @@
 
     @property
     def kind(self) -> EventKind:
-        """What the plan publishes."""
+        """The kind of events that the plan publishes."""
         return EventKind.PURGE
 
     @property
@@ -59,13 +59,13 @@
         return not self.purges_per_s
 
     def due_s(self, number: int) -> float:
-        """When discovery publishes the purge, on the monotonic clock."""
+        """Return when discovery publishes the purge, on the monotonic clock."""
         if self.is_history:
             return self.start_s
         return self.start_s + (number - self.first) / self.purges_per_s
 
     def issued_s(self, number: int) -> float:
-        """When the purge was issued by its own statement, on the monotonic clock."""
+        """Return the issue time that the purge carries, on the monotonic clock."""
         if not self.history_s:
             return self.due_s(number)
         remaining_share = 1.0 - (number - self.first + 1) / self.count
@@ -94,20 +94,20 @@
 
     @property
     def kind(self) -> EventKind:
-        """What the plan publishes."""
+        """The kind of events that the plan publishes."""
         return EventKind.CHANGE
 
     def due_s(self, number: int) -> float:
-        """When discovery publishes the change, on the monotonic clock."""
+        """Return when discovery publishes the change, on the monotonic clock."""
         return self.start_s + (number - self.first) * self.interval_s
 
     def server_index(self, number: int, server_count: int) -> int:
-        """Which of the cache servers changes; both changes of a pair have the same."""
+        """Return the index of the cache server that changes; both changes of a pair have the same."""
         pair = (number - 1) // 2
         return pair * CHANGED_SERVER_STEP % server_count
 
     def health(self, number: int) -> str:
-        """The health of the cache server after the change, in the words of the wire."""
+        """Return the health of the cache server after the change, as it is encoded on the wire."""
         return "leaving" if number % 2 else "active"
 
     @property
--- a/packages/fleet-scale/src/fleet_scale/line_fit.py
+++ b/packages/fleet-scale/src/fleet_scale/line_fit.py
@@ -1,4 +1,4 @@
-"""Least squares through a few measured points, and quantiles."""
+"""Least-squares line fits through measured points, and quantiles."""
 
 from __future__ import annotations
 
@@ -6,44 +6,44 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Points that a fit with a standard error needs.
+# Fewest points for which the standard error of the slope is defined.
 MIN_POINTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class LineFit:
-    """The line ``y = at_zero + slope * x``; ``error`` is the slope's standard error, from the residuals."""
+    """The line ``y = intercept + slope * x``; ``slope_error`` is the standard error of the slope."""
 
     slope: float
-    at_zero: float
-    error: float
+    intercept: float
+    slope_error: float
 
-    def at(self, x: float) -> float:
-        """The line's value at ``x``."""
-        return self.at_zero + self.slope * x
+    def value_at(self, x: float) -> float:
+        """Return the line's value at ``x``."""
+        return self.intercept + self.slope * x
 
     @property
     def rises(self) -> bool:
-        """Whether the slope exceeds twice its error, which scatter of the points does not explain."""
-        return self.slope > 2.0 * self.error
+        """Whether the slope exceeds twice its error, so that scatter is unlikely to explain it."""
+        return self.slope > 2.0 * self.slope_error
 
 
 class TooFewPointsError(ValueError):
-    """There are too few points for a fit with an error."""
+    """There are too few points to compute the error of the slope, or not as many ``y`` as ``x``."""
 
     def __init__(self) -> None:
-        super().__init__(f"a fit with an error needs {MIN_POINTS} points or more")
+        super().__init__(f"a line fit needs {MIN_POINTS} points or more, each with x and y")
 
 
 class EqualPointsError(ValueError):
     """All points have the same ``x``."""
 
     def __init__(self) -> None:
-        super().__init__("all points have one x")
+        super().__init__("all points have the same x")
 
 
 def fit_line(xs: Sequence[float], ys: Sequence[float]) -> LineFit:
-    """Fit a line.  Raises TooFewPointsError or EqualPointsError."""
+    """Fit a line by least squares.  Raises TooFewPointsError or EqualPointsError."""
     count = len(xs)
     if count < MIN_POINTS or count != len(ys):
         raise TooFewPointsError
@@ -53,15 +53,15 @@
     if not x_variation:
         raise EqualPointsError
     slope = sum((x - x_mean) * (y - y_mean) for x, y in zip(xs, ys, strict=True)) / x_variation
-    at_zero = y_mean - slope * x_mean
-    residual = sum((y - at_zero - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
-    return LineFit(slope, at_zero, math.sqrt(residual / (count - 2) / x_variation))
+    intercept = y_mean - slope * x_mean
+    residual = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
+    return LineFit(slope, intercept, math.sqrt(residual / (count - 2) / x_variation))
 
 
-def quantile(values: Sequence[float], share: float) -> float:
-    """Return the smallest value that at least ``share`` of the values do not exceed; NaN without values."""
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """Return the smallest value that at least ``fraction`` of all values do not exceed; NaN for no values."""
     if not values:
         return math.nan
     ordered = sorted(values)
-    rank = math.ceil(share * len(ordered))
+    rank = math.ceil(fraction * len(ordered))
     return ordered[min(max(rank - 1, 0), len(ordered) - 1)]
--- a/packages/fleet-scale/src/fleet_scale/messages/__init__.py
+++ b/packages/fleet-scale/src/fleet_scale/messages/__init__.py
@@ -1,7 +1,7 @@
 """The messages between a run and its worker processes, each one line of JSON.
 
-The first line to a worker holds its settings, which name its role; each further line is a command.  The
-worker answers the settings with its figures, and every command with one reply.
+The first line to a worker holds its settings, whose type selects its role; each further line is a command.
+The worker answers the settings with its figures (counters and state), and each command with one reply.
 """
 
 from __future__ import annotations
--- a/packages/fleet-scale/src/fleet_scale/messages/commands.py
+++ b/packages/fleet-scale/src/fleet_scale/messages/commands.py
@@ -7,54 +7,54 @@
 
 
 class ReportFigures(Message, frozen=True):
-    """Report the figures of the role; every role answers it."""
+    """Report the figures of the role; every role implements this command."""
 
 
 class PublishPlan(Message, frozen=True):
-    """Discovery publishes the events of a plan at their times."""
+    """Publish the events of a plan at their times; a command to a discovery."""
 
     plan: EventPlan
 
 
 class BlockRoutes(Message, frozen=True):
-    """A proxy holds back these directions of the routes, and forwards the others again."""
+    """Block these directions of the routes and unblock the others; a command to a proxy."""
 
     routes: tuple[str, ...]
     directions: tuple[Direction, ...]
 
 
 class StartRouters(Message, frozen=True):
-    """Start the hollow routers that do not run; they know nothing of what was published before."""
+    """Start those hollow routers that are not running, without any earlier event."""
 
     names: tuple[str, ...]
 
 
 class EndRouters(Message, frozen=True):
-    """End hollow routers at once, as if their process were killed."""
+    """End hollow routers abruptly, as if their process were killed."""
 
     names: tuple[str, ...]
 
 
 class ResetConnections(Message, frozen=True):
-    """Reset the connections of hollow routers, or of a proxy's routes."""
+    """Reset the connections of these hollow routers, or of these routes of a proxy."""
 
     names: tuple[str, ...]
 
 
 class ReportRouterStates(Message, frozen=True):
-    """Report what hollow routers know: these, or all without names."""
+    """Report the state of these hollow routers; without names, of all."""
 
     names: tuple[str, ...] | None = None
 
 
 class ReportMembers(Message, frozen=True):
-    """Report what the members of the process hold of these members."""
+    """Report the states in which the members of the process list these members."""
 
     names: tuple[str, ...]
 
 
 class ReportDeliveries(Message, frozen=True):
-    """Report who received the events with numbers from ``first`` on and below ``end``."""
+    """Report the deliveries of the events with numbers from ``first`` to ``end - 1``."""
 
     kind: EventKind
     first: int
@@ -62,13 +62,13 @@
 
 
 class SetRequestRate(Message, frozen=True):
-    """Change how many requests a second each router receives."""
+    """Set how many requests a second are sent to each router; 0 stops the load."""
 
     requests_per_s: float
 
 
 class ClearLatencies(Message, frozen=True):
-    """Forget the latencies that were measured so far."""
+    """Discard the latencies that were measured so far."""
 
 
 Command = (
--- a/packages/fleet-scale/src/fleet_scale/messages/replies.py
+++ b/packages/fleet-scale/src/fleet_scale/messages/replies.py
@@ -10,17 +10,17 @@
 
 
 class Acknowledged(Message, frozen=True):
-    """The command was carried out and has no other answer."""
+    """The command was executed and returns no data."""
 
 
 class CommandRejected(Message, frozen=True):
-    """The role of the worker does not know the command."""
+    """The role of the worker does not implement the command."""
 
     reason: str
 
 
 class DiscoveryCounters(msgspec.Struct):
-    """Counts of a fake discovery since its start."""
+    """Counters of a fake discovery since its start."""
 
     polls: int = 0
     answers: int = 0
@@ -30,7 +30,7 @@
 
 
 class DiscoveryFigures(Message, frozen=True):
-    """The figures of a fake discovery."""
+    """The figures of a fake discovery; ``planned_events`` counts the plans with unpublished events."""
 
     port: int
     cursor: int
@@ -49,7 +49,7 @@
 
 
 class ProxyCounters(msgspec.Struct):
-    """Counts of all routes of a proxy."""
+    """Counters of all routes of a proxy together."""
 
     connections: int = 0
     bytes_forwarded: int = 0
@@ -64,7 +64,7 @@
 
 
 class ChannelCounters(msgspec.Struct):
-    """Counts of all connections that the hollow routers of a process opened."""
+    """Counters of all command-channel connections that the hollow routers of a process opened."""
 
     connects: int = 0
     disconnects: int = 0
@@ -84,7 +84,7 @@
 
 
 class LoadFigures(Message, frozen=True):
-    """The figures of the clients; a quantile is None without latencies."""
+    """The figures of the load clients; a quantile is None if no latency was measured."""
 
     sent: int
     served: int
@@ -96,10 +96,10 @@
 
 
 class RouterStates(Message, frozen=True):
-    """What hollow routers know: digests of their endpoint lists, and the highest purges that they received.
+    """State of hollow routers: counts by the digest of the endpoint list, and the newest purges received.
 
     ``lowest_newest_purge`` is the newest purge of the router that is furthest behind,
-    ``highest_newest_purge`` that of the router that is furthest ahead; -1 stands for none.
+    ``highest_newest_purge`` that of the router that is furthest ahead; -1 means that no purge was received.
     """
 
     running: int
@@ -111,7 +111,7 @@
 
 
 class MemberStates(Message, frozen=True):
-    """Counts of the states that members hold of others, and whom any of them declared failed."""
+    """Counts of the states in which members list others, and the names that any of them declared failed."""
 
     states: dict[str, int]
     declared_failed: tuple[str, ...]
--- a/packages/fleet-scale/src/fleet_scale/messages/settings.py
+++ b/packages/fleet-scale/src/fleet_scale/messages/settings.py
@@ -9,7 +9,7 @@
 
 
 class DiscoverySettings(Message, frozen=True):
-    """A fake discovery; its first endpoint list has so many cache servers, spread over sites and ports."""
+    """A fake discovery; its initial endpoint list spreads the cache servers over the sites and ports."""
 
     cache_servers: int
     sites: tuple[str, ...]
@@ -17,11 +17,11 @@
 
 
 class CacheServerSettings(Message, frozen=True):
-    """A fake cache server, for all entries of the endpoint list that name its port."""
+    """A fake cache server, which serves all entries of the endpoint list that have its port."""
 
 
 class ProxyRoute(msgspec.Struct, frozen=True):
-    """A port that forwards to a target; ``delay_ms`` is the delay of each direction."""
+    """A listening port that forwards to a target; ``delay_ms`` is the one-way delay."""
 
     name: str
     target: Address
@@ -35,7 +35,7 @@
 
 
 class MemberSettings(msgspec.Struct, frozen=True):
-    """Fleet membership of a hollow router; ``timings`` replace defaults by their keys."""
+    """Fleet membership of a hollow router; ``timings`` override defaults by key."""
 
     listen: Address
     seeds: tuple[Address, ...]
@@ -44,7 +44,7 @@
 
 
 class HollowRouterSettings(msgspec.Struct, frozen=True):
-    """One hollow router: what it polls without relays, the relays if it polls any, its membership if any."""
+    """One hollow router; ``channel`` is the discovery address that it polls if it has no ``relays``."""
 
     name: str
     site: str
@@ -54,7 +54,7 @@
 
 
 class HollowGroupSettings(Message, frozen=True):
-    """The hollow routers of one process; members keep files in ``folder``."""
+    """The hollow routers of one process; fleet members keep their files in ``folder``."""
 
     sites: tuple[str, ...]
     folder: str
@@ -62,7 +62,7 @@
 
 
 class LoadSettings(Message, frozen=True):
-    """Clients of the routers that listen at ``fronts``, with requests a second to each of them."""
+    """Load clients of the routers that listen at ``fronts``; the request rate is that of each router."""
 
     fronts: tuple[Address, ...]
     requests_per_s: float
--- a/packages/fleet-scale/src/fleet_scale/modes.py
+++ b/packages/fleet-scale/src/fleet_scale/modes.py
@@ -1,4 +1,4 @@
-"""How the routers of a run learn of events."""
+"""The ways in which the routers of a run receive events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Mode(StrEnum):
-    """What the routers poll."""
+    """Which endpoints the routers poll."""
 
     DIRECT = "direct"
     """Each router polls discovery."""
--- a/packages/fleet-scale/src/fleet_scale/process_usage.py
+++ b/packages/fleet-scale/src/fleet_scale/process_usage.py
@@ -1,4 +1,4 @@
-"""What a process uses, as the kernel counts it."""
+"""Processor time and memory of a process, as the kernel accounts them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ProcessUsage(msgspec.Struct, frozen=True):
-    """Processor time since the start, and resident memory with and without what is shared with files."""
+    """Processor time since the start, resident memory, and resident memory without file-backed pages."""
 
     cpu_s: float
     resident_mb: float
@@ -32,6 +32,6 @@
 
 
 def usage_of_this_process() -> ProcessUsage:
-    """Return the usage of the process that calls, its processor time finer than the kernel's ticks."""
+    """Return the usage of the calling process, with processor time finer than the ticks in /proc."""
     resident_mb, private_mb = read_memory_mb("self")
     return ProcessUsage(time.process_time(), resident_mb, private_mb)
--- a/packages/fleet-scale/src/fleet_scale/router_files.py
+++ b/packages/fleet-scale/src/fleet_scale/router_files.py
@@ -1,4 +1,4 @@
-"""The files that routers and relays of a run read: the platform's configuration, the operators' file."""
+"""Contents of the files that routers and relays read: the platform's configuration, the operators' file."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from thornjunction.runtime.addresses import Address
 
-# Time in which all caches have dropped an object that was purged.
+# Time within which all caches have removed a purged object.
 PURGE_PROPAGATION_MS = 10_000.0
-# Descriptors that a router's configuration allows it for connections.
+# Limit on a router's connections, in descriptors.
 CONNECTION_LIMIT = 90
 
 
 @dataclass(frozen=True, slots=True)
-class RouterPlace:
+class RouterLocation:
     """A router's name, its site, and the names of all sites."""
 
     name: str
@@ -28,24 +28,24 @@
     all_sites: Sequence[str]
 
 
-def router_settings(place: RouterPlace) -> dict[str, Any]:
-    """Return the settings of a router: one request class, and every site as a zone."""
+def router_settings(location: RouterLocation) -> dict[str, Any]:
+    """Return the settings of a router, in which every site is a zone with one instance."""
     specifics = SETTINGS["specifics"] | {
-        "instancesByZone": [1] * len(place.all_sites),
+        "instancesByZone": [1] * len(location.all_sites),
         "purgeTakesMs": PURGE_PROPAGATION_MS,
     }
-    return SETTINGS | {"myZone": place.site, "zones": list(place.all_sites), "specifics": specifics}
+    return SETTINGS | {"myZone": location.site, "zones": list(location.all_sites), "specifics": specifics}
 
 
 def router_config(
-    place: RouterPlace, channel: Address, front: Address, admin: Address | None = None
+    location: RouterLocation, channel: Address, front: Address, admin: Address | None = None
 ) -> dict[str, Any]:
     """Return the platform's configuration of a router that polls ``channel`` and listens at ``front``."""
     config = {
-        "name": place.name,
+        "name": location.name,
         "listen": format_address(front),
         "channel": format_address(channel),
-        "settings": router_settings(place),
+        "settings": router_settings(location),
         "limits": {"sockets": CONNECTION_LIMIT},
         "known": {"cursor": 0, "cmds": []},
     }
@@ -55,12 +55,12 @@
 
 
 def format_address(address: Address) -> str:
-    """Return an address as the files hold it."""
+    """Return an address as the files spell it: ``host:port``."""
     return f"{address.host}:{address.port}"
 
 
 def free_address(random: Random, socket_type: int = SOCK_STREAM) -> Address:
-    """Return an address on a random loopback host, so that another process is unlikely to take its port."""
+    """Return a free address on a random loopback host, where another process is unlikely to take the port."""
     host = ".".join(["127", *(str(random.randint(1, 254)) for _ in range(3))])
     with socket(type=socket_type) as probe:
         probe.bind((host, 0))
@@ -68,11 +68,11 @@
 
 
 def free_datagram_address(random: Random) -> Address:
-    """Return an address for datagrams, as ``free_address`` does for connections."""
+    """Return a free address for datagrams; see ``free_address``."""
     return free_address(random, SOCK_DGRAM)
 
 
 def toml_section(name: str, values: Mapping[str, object]) -> str:
-    """Return one section of an operators' file; strings, numbers and lists are written alike in JSON."""
+    """Return one section of an operators' file.  Values are encoded as JSON, which TOML reads as well."""
     lines = [f"{key} = {json.dumps(value)}" for key, value in values.items()]
     return "\n".join([f"[{name}]", *lines, ""])
--- a/packages/fleet-scale/src/fleet_scale/runs/__init__.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/__init__.py
@@ -1,1 +1,1 @@
-"""The runs: each starts environments, measures them and fills the tables of a report."""
+"""The runs: each one starts environments, measures them and fills the tables of a report."""
--- a/packages/fleet-scale/src/fleet_scale/runs/compare.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/compare.py
@@ -1,4 +1,4 @@
-"""Direct polling against relays, in one run, at several sizes."""
+"""Compares direct polling with polling through relays at several fleet sizes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from fleet_scale.environment.environment_processes import EnvironmentOptions
 from fleet_scale.environment.scale_environment import FleetState, ScaleEnvironment
-from fleet_scale.errors import NotInStepError, RunError
+from fleet_scale.errors import NotConvergedError, RunError
 from fleet_scale.messages import Acknowledged, ClearLatencies, LoadFigures
 from fleet_scale.modes import Mode
 from fleet_scale.report import Report, Table
@@ -16,26 +16,28 @@
 from fleet_scale.runs.propagation import Propagation, measure_propagation
 from fleet_scale.topology import Topology
 
-# Purges a second at the peak.
+# Peak rate of purges.
 PEAK_PURGES_PER_S = 34.0
 CHANGE_INTERVAL_S = 1.0
-# Requests a second to each full router.
+# Rate of requests to each full router.
 REQUESTS_PER_S = 20.0
-# Duration of the window without events.
+# Duration of the measured window without events.
 IDLE_WINDOW_S = 3.0
-IN_STEP_TIMEOUT_S = 60.0
-PROPAGATION_QUESTION = (
-    f"Until all routers have it, at {PEAK_PURGES_PER_S:.0f} purges a second and a change of the list a second"
+CONVERGENCE_TIMEOUT_S = 60.0
+PROPAGATION_TITLE = (
+    f"Propagation to all routers, at {PEAK_PURGES_PER_S:.0f} purges and one change of the list a second"
 )
 # Note below the table of routers.
-LIMITS = "Limits: 5.6 s until all have a purge (aim 1.5 s), 14 KB/s (aim 5) and 1.5 % of a core (aim 0.5 %)."
-# Busy share of the machine above which its times are those of a machine at its limit.
-FULL_MACHINE_SHARE = 0.95
+ROUTER_LIMITS_NOTE = (
+    "Limits: 5.6 s until all have a purge (goal 1.5 s), 14 KB/s (goal 5), 1.5 % of a core (goal 0.5 %)."
+)
+# Busy share of all cores above which a row is marked, as a saturated machine distorts its times.
+SATURATED_BUSY_SHARE = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """The cost of a span of time, and the 99th percentile of the requests' latency in it."""
+    """The cost of a measured window, and the 99th percentile of the latency of requests in it."""
 
     cost: Cost
     request_p99_ms: float
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """All that is measured at one size in one mode."""
+    """All measurements at one fleet size in one mode."""
 
     routers: int
     mode: Mode
@@ -55,37 +57,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ComparisonTables:
-    """The tables of the comparison."""
+    """The tables of a comparison, with one row in each for every measurement."""
 
     propagation: Table
     routers: Table
     sources: Table
 
     @classmethod
-    def of(cls, report: Report) -> ComparisonTables:
-        """Add the tables to a report."""
+    def add_to(cls, report: Report) -> ComparisonTables:
+        """Add empty tables to a report."""
         return cls(
             report.table(
-                PROPAGATION_QUESTION,
-                "routers", "way", "purge p50 ms", "p99", "most", "not with all", "change p50 ms", "most",
+                PROPAGATION_TITLE,
+                "routers", "mode", "purge p50 ms", "p99", "max", "incomplete", "change p50 ms", "max",
                 "machine busy %",
             ),
             report.table(
-                "What control costs a router",
-                "routers", "way", "KB/s in", "KB/s out", "answers/s", "core %", "idle core %",
-                "own MB of a hollow one",
-                "whole router: core % under control", "idle core %", "MB resident (own)",
+                "Cost of the control plane for a router",
+                "routers", "mode", "KB/s in", "KB/s out", "answers/s", "core %", "idle core %",
+                "private MB of a hollow router",
+                "full router: core % with events", "idle core %", "MB resident (private)",
                 "requests p99 ms (idle)",
             ),
             report.table(
-                "What it costs discovery and a relay",
-                "routers", "way", "polls/s at discovery", "core % of its 3 processes", "own MB of one",
-                "connections", "a relay's core %", "own MB", "descriptors",
+                "Cost for discovery and for a relay",
+                "routers", "mode", "polls/s at discovery", "core % of its 3 processes", "private MB of one",
+                "connections", "core % of a relay", "private MB", "descriptors",
             ),
         )  # fmt: skip
 
     def add(self, measured: Measurement) -> None:
-        """Add a row to each table."""
+        """Add a row with this measurement to each table."""
         self._add_propagation(measured)
         self._add_routers(measured)
         self._add_sources(measured)
@@ -94,7 +96,7 @@
         purges = measured.purges
         changes = measured.changes
         busy_share = measured.loaded.cost.machine_busy_share
-        full = " (full)" if busy_share > FULL_MACHINE_SHARE else ""
+        saturation_note = " (saturated)" if busy_share > SATURATED_BUSY_SHARE else ""
         self.propagation.add(
             measured.routers,
             measured.mode,
@@ -104,12 +106,12 @@
             purges.incomplete,
             changes.p50_ms,
             changes.max_ms,
-            f"{100 * busy_share:.0f}{full}",
+            f"{100 * busy_share:.0f}{saturation_note}",
         )
 
     def _add_routers(self, measured: Measurement) -> None:
         hollow = measured.loaded.cost.hollow_router
-        full = measured.loaded.cost.full_router
+        full_cost = measured.loaded.cost.full_router
         idle = measured.idle
         self.routers.add(
             measured.routers,
@@ -120,9 +122,9 @@
             100 * hollow.core_share,
             100 * idle.cost.hollow_router.core_share,
             hollow.private_mb,
-            100 * full.core_share,
+            100 * full_cost.core_share,
             100 * idle.cost.full_router.core_share,
-            f"{full.resident_mb:.1f} ({full.private_mb:.1f})",
+            f"{full_cost.resident_mb:.1f} ({full_cost.private_mb:.1f})",
             f"{measured.loaded.request_p99_ms:.1f} ({idle.request_p99_ms:.1f})",
         )
 
@@ -144,29 +146,29 @@
 def run_comparison(
     report: Report, topology: Topology, sizes: Sequence[int], modes: Sequence[Mode], window_s: float
 ) -> None:
-    """Measure an environment for each size and mode, one after the other."""
-    tables = ComparisonTables.of(report)
+    """Measure one environment after the other, for each size in each mode."""
+    tables = ComparisonTables.add_to(report)
     for size in sizes:
         for mode in modes:
             try:
-                tables.add(_measure(report, topology.sized(size), mode, window_s))
+                tables.add(_measure(report, topology.resized(size), mode, window_s))
             except RunError as error:
                 tables.propagation.notes.append(f"{size} routers, {mode}: not measured: {error}.")
-    tables.routers.notes.append(LIMITS)
+    tables.routers.notes.append(ROUTER_LIMITS_NOTE)
 
 
 def _measure(report: Report, topology: Topology, mode: Mode, window_s: float) -> Measurement:
     options = EnvironmentOptions(relays=mode is Mode.RELAYS, full_routers=True, requests_per_s=REQUESTS_PER_S)
-    time_limit_s = 4 * window_s + 3 * IN_STEP_TIMEOUT_S
+    time_limit_s = 4 * window_s + 3 * CONVERGENCE_TIMEOUT_S
     with ScaleEnvironment(topology, options, time_limit_s) as environment:
-        if environment.wait_in_step(IN_STEP_TIMEOUT_S) is None:
-            raise NotInStepError(when=f"within {IN_STEP_TIMEOUT_S:.0f} s of the start")
+        if environment.wait_until_converged(CONVERGENCE_TIMEOUT_S) is None:
+            raise NotConvergedError(when=f"within {CONVERGENCE_TIMEOUT_S:.0f} s of the start")
         idle = _measure_window(environment, IDLE_WINDOW_S)
         purges = environment.publish_purges(PEAK_PURGES_PER_S, int(PEAK_PURGES_PER_S * window_s))
         changes = environment.publish_changes(CHANGE_INTERVAL_S, int(window_s / CHANGE_INTERVAL_S))
         environment.pause_until(purges.start_s)
         loaded = _measure_window(environment, window_s)
-        is_in_step = environment.wait_in_step(IN_STEP_TIMEOUT_S) is not None
+        is_converged = environment.wait_until_converged(CONVERGENCE_TIMEOUT_S) is not None
         measured = Measurement(
             topology.routers,
             mode,
@@ -176,21 +178,21 @@
             measure_propagation(changes, environment.deliveries(changes), topology.routers),
         )
         state = environment.state()
-    _add_verdicts(report, measured, is_in_step, state)
+    _add_verdicts(report, measured, is_converged, state)
     return measured
 
 
-def _add_verdicts(report: Report, measured: Measurement, is_in_step: bool, state: FleetState) -> None:
+def _add_verdicts(report: Report, measured: Measurement, is_converged: bool, state: FleetState) -> None:
     key = f"{measured.routers} routers, {measured.mode}"
-    report.verdict(f"{key}: all in step in the end", is_in_step)
+    report.verdict(f"{key}: all routers converged at the end", is_converged)
     report.verdict(f"{key}: no purge lost", measured.purges.incomplete == 0)
     if measured.mode is Mode.DIRECT:
-        report.verdict(f"{key}: none told twice", state.repeated_purges == 0)
+        report.verdict(f"{key}: no purge received twice", state.repeated_purges == 0)
 
 
 def _measure_window(environment: ScaleEnvironment, seconds: float) -> Window:
     if environment.load is not None:
-        environment.load.ask(ClearLatencies(), Acknowledged)
+        environment.load.call(ClearLatencies(), Acknowledged)
     before = take_sample(environment)
     environment.pause(seconds)
     after = take_sample(environment)
@@ -198,7 +200,7 @@
 
 
 def _request_p99_ms(load: LoadFigures | None) -> float:
-    """The 99th percentile of the requests' latency; 0 without a load, NaN without an answer."""
+    """Return the 99th percentile of the latency of requests; 0 without a load, NaN without an answer."""
     if load is None:
         return 0.0
     return math.nan if load.p99_ms is None else load.p99_ms
--- a/packages/fleet-scale/src/fleet_scale/runs/cost.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/cost.py
@@ -1,4 +1,4 @@
-"""What an environment costs between two moments, by the kind of process."""
+"""The cost of an environment between two samples, by the kind of process."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import TypeVar
 
-from fleet_scale.environment.processes import ask_all
+from fleet_scale.environment.processes import call_all
 from fleet_scale.environment.scale_environment import ScaleEnvironment
 from fleet_scale.messages import DiscoveryFigures, HollowGroupFigures, LoadFigures, ReportFigures
 from fleet_scale.process_usage import ProcessUsage
 
-# Fields of the first line of /proc/stat, in ticks: all kinds of time, and those in which a core is idle.
+# Fields of the first line of /proc/stat, in ticks: all kinds of processor time, and the two idle kinds.
 PROCESSOR_FIELDS = slice(1, 9)
 IDLE_FIELD = 3
 IO_WAIT_FIELD = 4
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineTime:
-    """Processor time of the machine so far, in ticks, and how much of it a core was busy."""
+    """Processor time of all cores since boot, in ticks, and the busy part of it."""
 
     busy: float
     total: float
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """All figures of an environment at one moment of the monotonic clock."""
+    """All figures of an environment; ``taken_s`` is on the monotonic clock."""
 
-    at_s: float
+    taken_s: float
     hollow_groups: Sequence[HollowGroupFigures]
     discoveries: Sequence[DiscoveryFigures]
     relays: Mapping[str, ProcessUsage]
@@ -43,15 +43,15 @@
 
 
 def take_sample(environment: ScaleEnvironment) -> Sample:
-    """Ask all processes for their figures."""
+    """Collect the figures of all processes."""
     load = environment.load
     return Sample(
-        at_s=time.monotonic(),
-        hollow_groups=ask_all(environment.hollow_workers, ReportFigures(), HollowGroupFigures),
-        discoveries=ask_all(environment.discoveries, ReportFigures(), DiscoveryFigures),
+        taken_s=time.monotonic(),
+        hollow_groups=call_all(environment.hollow_workers, ReportFigures(), HollowGroupFigures),
+        discoveries=call_all(environment.discoveries, ReportFigures(), DiscoveryFigures),
         relays={name: relay.usage() for name, relay in environment.relays.items()},
         full_routers=[router.usage() for router in environment.full_routers],
-        load=load.ask(ReportFigures(), LoadFigures) if load is not None else None,
+        load=load.call(ReportFigures(), LoadFigures) if load is not None else None,
         machine=_machine_time(),
     )
 
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowRouterCost:
-    """Of one hollow router on average; bytes are of its channel, without the headers of TCP and IP.
+    """The average cost of a hollow router; bytes are those of its channel, without TCP and IP headers.
 
-    Its memory is the private memory of its process, divided by the routers there.
+    Its memory is the private memory of its process, divided by the routers in the process.
     """
 
     core_share: float
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryCost:
-    """Of all discovery processes together; memory is that of the largest."""
+    """The cost of all discovery processes together; the memory is that of the largest."""
 
     core_share: float
     polls_per_s: float
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCost:
-    """Of the relay that costs most."""
+    """For each kind of cost, that of the relay with the highest."""
 
     core_share: float
     private_mb: float
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FullRouterCost:
-    """Of one full router: processor time on average, memory of the largest."""
+    """The average processor time of a full router, and the memory of the largest."""
 
     core_share: float
     resident_mb: float
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """The cost between two samples; a core share of 1 is one core that is always busy."""
+    """The cost between two samples; a core share of 1 is one core that is busy all the time."""
 
     seconds: float
     routers: int
@@ -117,15 +117,15 @@
     discovery: DiscoveryCost
     relay: RelayCost
     full_router: FullRouterCost
-    machine_busy_share: float  # of all cores, by whatever ran
+    machine_busy_share: float  # of all cores, including other programs
 
 
 def cost_between(before: Sample, after: Sample) -> Cost:
-    """Return what was spent between two samples."""
+    """Return the cost between two samples of one environment."""
     machine_ticks = after.machine.total - before.machine.total
     busy_ticks = after.machine.busy - before.machine.busy
     return Cost(
-        seconds=after.at_s - before.at_s,
+        seconds=after.taken_s - before.taken_s,
         routers=_running(after),
         hollow_router=_hollow_router_cost(before, after),
         discovery=_discovery_cost(before, after),
@@ -135,13 +135,15 @@
     )
 
 
-def increase(before: Sequence[Figures], after: Sequence[Figures], value: Callable[[Figures], float]) -> float:
-    """Return by how much a value has grown, over all processes of one kind."""
+def total_increase(
+    before: Sequence[Figures], after: Sequence[Figures], value: Callable[[Figures], float]
+) -> float:
+    """Return the increase of a value, summed over all processes of one kind."""
     return sum(value(new) - value(old) for old, new in zip(before, after, strict=True))
 
 
 def relay_cpu_s(before: Sample, after: Sample) -> list[float]:
-    """Return the processor time of each relay that ran all the time, in seconds."""
+    """Return the processor time, in seconds, of each relay that was not restarted between the samples."""
     pairs = [(before.relays[name], usage) for name, usage in after.relays.items() if name in before.relays]
     return [new.cpu_s - old.cpu_s for old, new in pairs if new.cpu_s >= old.cpu_s]
 
@@ -150,16 +152,16 @@
     return sum(group.running for group in sample.hollow_groups)
 
 
-def _greatest(values: Iterable[float]) -> float:
+def _maximum(values: Iterable[float]) -> float:
     return max(values, default=0.0)
 
 
 def _hollow_router_cost(before: Sample, after: Sample) -> HollowRouterCost:
     routers = max(_running(after), 1)
-    router_seconds = (after.at_s - before.at_s) * routers
+    router_seconds = (after.taken_s - before.taken_s) * routers
 
     def rate(value: Callable[[HollowGroupFigures], float]) -> float:
-        return increase(before.hollow_groups, after.hollow_groups, value) / router_seconds
+        return total_increase(before.hollow_groups, after.hollow_groups, value) / router_seconds
 
     return HollowRouterCost(
         core_share=rate(lambda group: group.usage.cpu_s),
@@ -172,36 +174,36 @@
 
 
 def _discovery_cost(before: Sample, after: Sample) -> DiscoveryCost:
-    seconds = after.at_s - before.at_s
+    seconds = after.taken_s - before.taken_s
 
     def rate(value: Callable[[DiscoveryFigures], float]) -> float:
-        return increase(before.discoveries, after.discoveries, value) / seconds
+        return total_increase(before.discoveries, after.discoveries, value) / seconds
 
     return DiscoveryCost(
         core_share=rate(lambda figures: figures.usage.cpu_s),
         polls_per_s=rate(lambda figures: figures.counters.polls),
         bytes_out_per_s=rate(lambda figures: figures.counters.bytes_out),
-        private_mb=_greatest(figures.usage.private_mb for figures in after.discoveries),
+        private_mb=_maximum(figures.usage.private_mb for figures in after.discoveries),
         connections=sum(figures.open_connections for figures in after.discoveries),
     )
 
 
 def _relay_cost(before: Sample, after: Sample) -> RelayCost:
-    seconds = after.at_s - before.at_s
+    seconds = after.taken_s - before.taken_s
     relays = after.relays.values()
     return RelayCost(
-        core_share=_greatest(relay_cpu_s(before, after)) / seconds,
-        private_mb=_greatest(usage.private_mb for usage in relays),
+        core_share=_maximum(relay_cpu_s(before, after)) / seconds,
+        private_mb=_maximum(usage.private_mb for usage in relays),
         descriptors=max((usage.descriptors for usage in relays), default=0),
     )
 
 
 def _full_router_cost(before: Sample, after: Sample) -> FullRouterCost:
-    seconds = after.at_s - before.at_s
+    seconds = after.taken_s - before.taken_s
     routers = after.full_routers
-    cpu_s = increase(before.full_routers, routers, lambda usage: usage.cpu_s)
+    cpu_s = total_increase(before.full_routers, routers, lambda usage: usage.cpu_s)
     return FullRouterCost(
         core_share=cpu_s / seconds / max(len(routers), 1),
-        resident_mb=_greatest(usage.resident_mb for usage in routers),
-        private_mb=_greatest(usage.private_mb for usage in routers),
+        resident_mb=_maximum(usage.resident_mb for usage in routers),
+        private_mb=_maximum(usage.private_mb for usage in routers),
     )
--- a/packages/fleet-scale/src/fleet_scale/runs/faults.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/faults.py
@@ -1,4 +1,4 @@
-"""Faults at scale: routers that are gone and come back, regions that are cut off and come back into step."""
+"""Faults at scale: restarts of routers, isolation of regions, and relay failures."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     start_routers,
     unblock_regions,
 )
-from fleet_scale.runs.fault_run import HEAD, Fault, FaultRun
+from fleet_scale.runs.fault_run import FAULT_TABLE_COLUMNS, Fault, FaultRunner
 from fleet_scale.topology import Site, Topology
 
-# Share of the routers that are in one rack.
+# Share of all routers that one rack holds.
 RACK_SHARE = 21 / 1200
 MIN_RACK_ROUTERS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class FaultOptions:
-    """Purges that are missed during an isolation, restarts of routers, and the time for each environment."""
+    """Number of purges missed in an isolation, of router restarts, and the time limit of each environment."""
 
     missed_purges: int
     restarts: int
@@ -40,26 +40,26 @@
 
 
 def routers_of(sites: Sequence[Site]) -> tuple[str, ...]:
-    """Return the routers of several sites."""
+    """Return the names of the routers of several sites."""
     return tuple(name for site in sites for name in site.routers)
 
 
 def run_faults(report: Report, topology: Topology, modes: Sequence[Mode], options: FaultOptions) -> None:
-    """Play the faults one after the other, in one environment for each mode."""
+    """Inject the faults one after the other, in one environment for each mode."""
     for mode in modes:
         title = f"Faults, {topology.routers} routers, {PEAK_PURGES_PER_S:.0f} purges a second, {mode}"
-        table = report.table(title, *HEAD)
-        started = EnvironmentOptions(relays=mode is Mode.RELAYS, proxies=True)
+        table = report.table(title, *FAULT_TABLE_COLUMNS)
+        environment_options = EnvironmentOptions(relays=mode is Mode.RELAYS, proxies=True)
         try:
-            with ScaleEnvironment(topology, started, options.time_limit_s) as environment:
-                run = FaultRun(report, table, environment, mode)
+            with ScaleEnvironment(topology, environment_options, options.time_limit_s) as environment:
+                runner = FaultRunner(report, table, environment, mode)
                 faults = _router_faults(topology, options)
                 if environment.relays:
                     faults += _relay_faults(topology, options)
                 for fault in faults:
-                    run.play(fault)
+                    runner.run(fault)
         except RunError as error:
-            report.verdict(f"{mode}: played to the end ({error})", False)
+            report.verdict(f"{mode}: completed ({error})", False)
 
 
 def _router_faults(topology: Topology, options: FaultOptions) -> list[Fault]:
@@ -72,14 +72,14 @@
     restarted = (all_routers * rounds)[: options.restarts]
     missed = options.missed_purges
     return [
-        Fault("a rack is gone and back", rack, start_routers, end_routers),
-        Fault("a zone is gone and back", zone, start_routers, end_routers),
-        Fault("a region is gone and back", region, start_routers, end_routers),
-        Fault("a zone reconnects at once", zone, reset_connections),
-        Fault(f"{options.restarts} restarts", restarted, restart_routers),
-        Fault("a region is cut, one way (answers)", region, unblock_regions, block_answers),
+        Fault("a rack fails and restarts", rack, start_routers, end_routers),
+        Fault("a zone fails and restarts", zone, start_routers, end_routers),
+        Fault("a region fails and restarts", region, start_routers, end_routers),
+        Fault("a zone's connections are reset", zone, reset_connections),
+        Fault(f"{options.restarts} successive restarts", restarted, restart_routers),
+        Fault("a region receives no answers", region, unblock_regions, block_answers),
         Fault(
-            f"a region is cut, {missed} purges behind",
+            f"a region is isolated and misses {missed} purges",
             region, unblock_regions, isolate_regions, missed, isolates=True,
         ),
     ]  # fmt: skip
@@ -92,9 +92,9 @@
     near_first_relay = routers_of([site for site in sites if site.region in topology.relays[:1]])
     return [
         Fault(
-            f"a region and its relay are cut, {missed} purges behind",
+            f"a region and its relay are isolated and miss {missed} purges",
             near_last_relay, unblock_regions, isolate_regions, missed, isolates=True,
         ),
         Fault("a relay is killed", near_first_relay, kill_first_relay),
-        Fault("it is back, empty", near_first_relay, start_killed_relay),
+        Fault("the killed relay restarts, empty", near_first_relay, start_killed_relay),
     ]  # fmt: skip
--- a/packages/fleet-scale/src/fleet_scale/runs/propagation.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/propagation.py
@@ -1,4 +1,4 @@
-"""How long events take until the last router has received them."""
+"""The time that events take to reach every router."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propagation:
-    """Quantiles over the events of a plan; ``incomplete`` events have not reached every router."""
+    """Quantiles over the events of a plan; ``incomplete`` counts events that did not reach every router."""
 
     p50_ms: float
     p99_ms: float
@@ -25,7 +25,7 @@
 def measure_propagation(
     plan: EventPlan, deliveries: Mapping[int, Delivery], router_count: int
 ) -> Propagation:
-    """Measure from the planned times, so that a late discovery counts as well."""
+    """Measure from the planned times, so that delays of discovery count as well."""
     complete = [
         number
         for number in plan.numbers()
--- a/packages/fleet-scale/src/fleet_scale/topology.py
+++ b/packages/fleet-scale/src/fleet_scale/topology.py
@@ -1,4 +1,4 @@
-"""The topology of a run, read from a TOML file: regions, zones, sites, and what is in them."""
+"""The topology of a run, read from a TOML file: regions, zones, sites, and the processes in them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from fleet_scale.errors import TopologyError
 
-# The folder of the topologies that come with the package.
+# The folder of the topology files that the package ships.
 TOPOLOGY_FOLDER = Path(__file__).resolve().parent
 
 MAX_ROUTERS = 2000
@@ -25,16 +25,16 @@
 MAX_ZONES_PER_REGION = 8
 MAX_SITES_PER_ZONE = 16
 MAX_DELAY_MS = 1000.0
-# Hollow routers in one process.
+# Limit on the hollow routers in one process.
 MAX_HOLLOW_ROUTERS_PER_PROCESS = 200
-# Processes of hollow routers.
+# Limits on the number of processes of hollow routers.
 MIN_HOLLOW_PROCESSES = 4
 MAX_HOLLOW_PROCESSES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """A site with its zone and region, by their names, and its routers."""
+    """A site: its name, the names of its zone and region, and the names of its routers."""
 
     name: str
     zone: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delays:
-    """Delay of one direction to what is in the same zone, in the same region, and in another region."""
+    """One-way delays to a target in the same zone, in the same region, and in another region."""
 
     zone_ms: float
     region_ms: float
@@ -53,7 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """All that a run starts.  ``relays``, ``full_routers`` and ``voters`` hold the region of each."""
+    """Everything that a run starts.  ``relays``, ``full_routers`` and ``voters`` list the region of each one.
+
+    ``regions`` maps the name of a region to the number of sites in each of its zones.
+    """
 
     routers: int
     cache_servers: int
@@ -67,17 +70,17 @@
     regions: Mapping[str, Sequence[int]]
 
     def sites(self) -> tuple[Site, ...]:
-        """All sites, with the routers spread over them as evenly as possible."""
-        places = list(self._places())
-        ends = [self.routers * (index + 1) // len(places) for index in range(len(places))]
+        """Return all sites, with the routers spread over them as evenly as possible."""
+        locations = list(self._locations())
+        ends = [self.routers * (index + 1) // len(locations) for index in range(len(locations))]
         begins = [0, *ends[:-1]]
         return tuple(
             Site(name, zone, region, tuple(f"{name}-{number + 1:02d}" for number in range(end - begin)))
-            for (name, zone, region), begin, end in zip(places, begins, ends, strict=True)
+            for (name, zone, region), begin, end in zip(locations, begins, ends, strict=True)
         )
 
-    def _places(self) -> Iterator[tuple[str, str, str]]:
-        """The name of each site with its zone and region."""
+    def _locations(self) -> Iterator[tuple[str, str, str]]:
+        """Yield the name, the zone and the region of each site."""
         for region, zones in self.regions.items():
             for letter, site_count in zip(string.ascii_lowercase, zones, strict=False):
                 zone = f"{region}{letter}"
@@ -85,29 +88,29 @@
                     yield f"{zone}{number}", zone, region
 
     def zones(self) -> tuple[str, ...]:
-        """The names of all zones."""
+        """Return the names of all zones, in the order of their sites."""
         return tuple(dict.fromkeys(site.zone for site in self.sites()))
 
-    def sized(self, routers: int = 0, cache_servers: int = 0, relays: int = -1) -> Topology:
-        """Return the same places with so many of each.
+    def resized(self, routers: int = 0, cache_servers: int = 0, relays: int = -1) -> Topology:
+        """Return the same regions and sites with other numbers of routers, cache servers and relays.
 
-        0, or a negative number of relays, keeps what the topology has.  Raises TopologyError.
+        0, or a negative number of relays, keeps the present number.  Raises TopologyError.
         """
         router_count = routers or self.routers
         per_process = math.ceil(router_count / MIN_HOLLOW_PROCESSES)
-        sized = replace(
+        resized = replace(
             self,
             routers=router_count,
             cache_servers=cache_servers or self.cache_servers,
             relays=self.relays if relays < 0 else (self.relays * relays)[:relays],
             hollow_routers_per_process=min(self.hollow_routers_per_process, max(per_process, 1)),
         )
-        _check(sized)
-        return sized
+        _check(resized)
+        return resized
 
 
 def read_topology(path: Path) -> Topology:
-    """Read a file.  Raises TopologyError, which names what is wrong with it."""
+    """Read and validate a topology file.  Raises TopologyError."""
     try:
         return _parse(tomllib.loads(path.read_text(encoding="utf-8")))
     except KeyError as error:
@@ -138,7 +141,7 @@
 
 
 def _check(topology: Topology) -> None:
-    """Raise TopologyError for the first value out of its bounds, by its key in the file."""
+    """Raise TopologyError with the key in the file of the first value that is out of bounds."""
     hollow_processes = topology.routers / topology.hollow_routers_per_process
     bounds = {
         "routers": (topology.routers, 1, MAX_ROUTERS),
@@ -153,20 +156,20 @@
     }
     for key, (value, minimum, maximum) in bounds.items():
         if not minimum <= value <= maximum:
-            raise TopologyError(key, f"{value:g} is not within {minimum} and {maximum}")
+            raise TopologyError(key, f"{value:g} is not between {minimum} and {maximum}")
     _check_regions(topology)
     delays = topology.delays
     if any(not 0.0 <= ms <= MAX_DELAY_MS for ms in (delays.zone_ms, delays.region_ms, delays.remote_ms)):
-        raise TopologyError("delays", f"not within 0 and {MAX_DELAY_MS:.0f} ms")
+        raise TopologyError("delays", f"not between 0 and {MAX_DELAY_MS:.0f} ms")
 
 
 def _check_regions(topology: Topology) -> None:
-    named = {"relays": topology.relays, "whole": topology.full_routers, "voters": topology.voters}
-    for key, regions in named.items():
+    regions_by_key = {"relays": topology.relays, "whole": topology.full_routers, "voters": topology.voters}
+    for key, regions in regions_by_key.items():
         if unknown := set(regions) - topology.regions.keys():
-            raise TopologyError(key, f"no region {min(unknown)}")
+            raise TopologyError(key, f"unknown region {min(unknown)}")
     for zones in topology.regions.values():
         zone_count_fits = 0 < len(zones) <= MAX_ZONES_PER_REGION
         if not zone_count_fits or not all(0 < count <= MAX_SITES_PER_ZONE for count in zones):
-            bounds = f"1 to {MAX_ZONES_PER_REGION} zones of 1 to {MAX_SITES_PER_ZONE} sites each"
+            bounds = f"expected 1 to {MAX_ZONES_PER_REGION} zones of 1 to {MAX_SITES_PER_ZONE} sites each"
             raise TopologyError("regions", bounds)
--- a/packages/fleet-scale/src/fleet_scale/worker/__main__.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/__main__.py
@@ -1,7 +1,7 @@
 """A worker process: ``python -m fleet_scale.worker PARENT_PID``.
 
-Settings and commands come as lines on standard input, replies go to standard output.  The process ends with
-its parent, and when standard input is closed.
+Settings and commands are lines on standard input, replies are lines on standard output.  The process ends
+with its parent, or when standard input is closed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def main(parent_pid: int) -> None:
-    """Carry out commands until the parent ends or closes standard input."""
+    """Execute commands until the parent ends or closes standard input."""
     die_with_parent(parent_pid)
     logs.to_stream(sys.stderr)
     reactor = install()
--- a/packages/fleet-scale/src/fleet_scale/worker/command_receiver.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/command_receiver.py
@@ -1,4 +1,4 @@
-"""The worker's side of the messages: decodes lines, hands commands to the role, and sends its replies."""
+"""The worker's end of the connection to the run: decodes commands, executes them, and sends the replies."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from thornjunction.net.event_loop.ports import Transport
 from thornjunction.runtime.start import GC_THRESHOLDS
 
-# Longest line with settings or a command.
+# Longest accepted line, which holds settings or a command.
 MAX_LINE_BYTES = 8 << 20
 
 
 class Role(Protocol):
-    """What one worker process does."""
+    """The function of a worker process."""
 
     def figures(self) -> Reply:
-        """Return the figures of the role."""
+        """Return the counters and the state of the role."""
 
     def handle(self, command: Command) -> Reply:
-        """Carry out a command and return its reply."""
+        """Execute a command and return its reply: CommandRejected if the role does not implement it."""
 
 
 class CommandReceiver(LineOnlyReceiver):
-    """The connection to the parent; its first line holds the settings that the role is built from."""
+    """The connection to the parent process; the role is built from the settings in the first line."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -42,7 +42,7 @@
         self._decode_command = msgspec.json.Decoder(Command).decode
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Build the role by the first line, and carry out the command in any other."""
+        """Build the role from the first line, and execute the command in every other."""
         if self._role is None:
             self._role = self._build_role(self._decode_settings(line))
             gc.freeze()
@@ -59,5 +59,5 @@
         self.transport.write(msgspec.json.encode(reply) + self.delimiter)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: ARG002, N802
-        """End the process with its parent."""
+        """End the process: the parent has closed the connection."""
         self._on_disconnect()
--- a/packages/fleet-scale/src/fleet_scale/worker/counting_reactor.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/counting_reactor.py
@@ -1,4 +1,4 @@
-"""A reactor that counts what passes through the connections that are opened by it."""
+"""A reactor that counts the traffic of the connections opened through it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CountingReactor:
-    """Counts connects, disconnects, writes and bytes, and leaves everything else to a reactor."""
+    """Counts connects, disconnects, writes and bytes, and delegates everything else to the real reactor."""
 
     def __init__(self, reactor: Any, counters: ChannelCounters) -> None:
         self._reactor = reactor
@@ -23,7 +23,7 @@
     def connectTCP(  # noqa: N802
         self, host: str, port: int, factory: Any, *arguments: Any, **named_arguments: Any
     ) -> Any:
-        """Connect, with the protocol that the factory builds counted."""
+        """Connect, and count the traffic of the protocol that the factory builds."""
         self._counters.connects += 1
         build_protocol = factory.buildProtocol
 
@@ -68,8 +68,8 @@
 def _count_disconnect(built: protocol.Protocol, counters: ChannelCounters) -> None:
     connection_lost = built.connectionLost
 
-    def count_and_lose(*reason: Any) -> None:
+    def count_and_disconnect(*reason: Any) -> None:
         counters.disconnects += 1
         connection_lost(*reason)
 
-    built.connectionLost = count_and_lose  # type: ignore[assignment, method-assign]
+    built.connectionLost = count_and_disconnect  # type: ignore[assignment, method-assign]
--- a/packages/fleet-scale/src/fleet_scale/worker/delaying_proxy.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/delaying_proxy.py
@@ -1,9 +1,9 @@
-"""TCP proxies between places, which delay bytes, block a direction, and reset connections.
+"""TCP proxies between pollers and sources, which delay bytes, block directions, and reset connections.
 
-A blocked direction keeps bytes in the system's buffers, so that both ends see silence, as on a network that
-retransmits what was lost; unblocking delivers them.  A connection that was opened while a direction was
-blocked is never established: unblocking resets it.  An end that closes while a direction is blocked is closed
-for the other end once it is unblocked.
+Bytes of a blocked direction stay in the kernel's socket buffers, so that neither end sees an error, as on a
+network with total packet loss; unblocking delivers them.  A connection that was opened while a direction was
+blocked is never established: unblocking resets it.  If one end
+closes while a direction is blocked, the other end sees it once nothing is blocked.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from thornjunction.net.event_loop.transport import BuildFactory
 from thornjunction.runtime.addresses import Address
 
-# Bytes of one direction of one connection that wait for their delay.
+# Delayed bytes of one direction of one connection above which its reads pause.
 MAX_DELAYED_BYTES = 1_000_000
-# Connections through one proxy.
+# Limit on the connections through one proxy.
 MAX_CONNECTIONS = 8192
-# Connections that the system accepts before the process does.
+# Connections that the kernel queues until the process accepts them.
 LISTEN_BACKLOG = 2048
 CONNECT_TIMEOUT_S = 5
 
 
 class PauseReason(Enum):
-    """Why a side of a connection is not read."""
+    """Why reads on one side of a connection are paused."""
 
     DIRECTION_BLOCKED = auto()
     OTHER_SIDE_FULL = auto()
@@ -43,7 +43,7 @@
 
 @implementer(IPushProducer)
 class ProxySide(protocol.Protocol):
-    """One of the two sides of a proxied connection; what it reads is written to the other side."""
+    """One of the two sides of a proxied connection; the bytes that it reads are written to the other side."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -60,7 +60,7 @@
         self._connection.side_connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Forward bytes after the proxy's delay."""
+        """Forward the bytes after the proxy's delay."""
         proxy = self._connection.proxy
         proxy.counters.bytes_forwarded += len(data)
         if not proxy.delay_ms and not self._delayed:
@@ -86,7 +86,7 @@
             other.transport.write(data)
 
     def set_paused(self, reason: PauseReason, is_paused: bool) -> None:
-        """Add or remove a reason; the side is read while there is none."""
+        """Add or remove a reason to pause reads; the side is read while there is none."""
         was_paused = bool(self._pause_reasons)
         if is_paused:
             self._pause_reasons.add(reason)
@@ -100,15 +100,15 @@
             self.transport.resumeProducing()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Read no further: the other side's buffer is full."""
+        """Pause reads: the write buffer of the other side is full."""
         self.set_paused(PauseReason.OTHER_SIDE_FULL, True)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on: the other side's buffer has room."""
+        """Resume reads: the write buffer of the other side has room."""
         self.set_paused(PauseReason.OTHER_SIDE_FULL, False)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: the other side closes by itself."""
+        """Do nothing: ``connectionLost`` of the other side closes this one."""
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: ARG002, N802
         """Close the other side as well, unless a direction is blocked."""
@@ -117,7 +117,7 @@
 
 
 class ProxiedConnection:
-    """A connection that was accepted, and the one to the target that belongs to it."""
+    """An accepted client connection and the corresponding connection to the target."""
 
     def __init__(self, proxy: DelayingProxy) -> None:
         self.proxy = proxy
@@ -134,7 +134,7 @@
         return self._target_side if side is self.client_side else self.client_side
 
     def side_connected(self, side: ProxySide) -> None:
-        """Connect to the target once a client is there, and let both sides read once the target is."""
+        """Connect to the target for a new client side; start reads on both sides for a new target side."""
         if side is self.client_side:
             self.proxy.connections.add(self)
             side.set_paused(PauseReason.NOT_CONNECTED, True)
@@ -157,14 +157,14 @@
         connecting.addErrback(lambda _: self.reset())
 
     def apply_block(self) -> None:
-        """Read each side unless its direction is blocked."""
+        """Pause reads on each side whose direction is blocked, and resume the others."""
         blocked = self.proxy.blocked
         self.client_side.set_paused(PauseReason.DIRECTION_BLOCKED, Direction.FORWARD in blocked)
         if self._target_side is not None:
             self._target_side.set_paused(PauseReason.DIRECTION_BLOCKED, Direction.BACKWARD in blocked)
 
     def unblock(self) -> None:
-        """Read both sides again; reset the connection if it was opened while the proxy blocked."""
+        """Resume reads on both sides; reset the connection if it was opened while the proxy blocked."""
         if self._target_side is None and self._connecting is None:
             self.reset()
             return
@@ -172,7 +172,7 @@
         self.close_if_side_closed()
 
     def close_if_side_closed(self) -> None:
-        """Close the side that is open if the other one is closed and nothing is blocked."""
+        """Close the open side if the other one is closed and no direction is blocked."""
         sides = self._sides()
         open_sides = [side for side in sides if not side.is_closed]
         if len(open_sides) == len(sides):
@@ -191,7 +191,7 @@
 
 
 class DelayingProxy:
-    """A listening port that forwards to a target, with a delay for each direction."""
+    """A listening port that forwards to a target; ``delay_ms`` is the one-way delay."""
 
     def __init__(self, reactor: Reactor, target: Address, delay_ms: float, counters: ProxyCounters) -> None:
         self.reactor = reactor
@@ -204,7 +204,7 @@
 
     def listen(self) -> None:
         """Accept connections on a free loopback port."""
-        accept: Any = self._accept  # returns None to refuse, which the factory's type does not say
+        accept: Any = self._accept  # returns None to refuse, which the factory's type does not allow
         listening = self.reactor.listenTCP(
             0, BuildFactory(accept), backlog=LISTEN_BACKLOG, interface="127.0.0.1"
         )
@@ -227,6 +227,6 @@
                 connection.apply_block()
 
     def reset_connections(self) -> None:
-        """Reset all connections at once."""
+        """Reset all connections."""
         for connection in list(self.connections):
             connection.reset()
--- a/packages/fleet-scale/src/fleet_scale/worker/event_discovery.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/event_discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery for many pollers: publishes planned events, holds polls, and counts both."""
+"""A fake discovery for many pollers: publishes planned events and answers long polls."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from thornjunction.net.event_loop.ports import DelayedCall, ListeningPort, Reactor
 from thornjunction.net.event_loop.transport import BuildFactory
 
-# Interval at which polls that have waited long enough are answered.
+# Interval at which polls whose block time has expired are answered.
 SWEEP_INTERVAL_S = 0.02
-# A poll that would wait no longer is answered at once.
+# A poll with a block time up to this is answered immediately.
 MAX_IMMEDIATE_BLOCK_MS = 20.0
-# Connections that the system accepts before the process does.
+# Connections that the kernel queues until the process accepts them.
 LISTEN_BACKLOG = 2048
 ORIGIN_NAME = "origin"
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingPoll:
-    """A poll that waits for an event: the last event of the poller, and until when it waits."""
+    """A poll that waits for an event: the poller's last cursor, and the end of the poll's block time."""
 
     resume: int
-    until_s: float
+    deadline_s: float
 
 
 class EventDiscovery:
-    """Listens from its construction on; ``clock`` returns seconds of the monotonic clock."""
+    """Listens as soon as it is constructed; ``clock`` returns seconds of the monotonic clock."""
 
     def __init__(
         self, reactor: Reactor, hosts: Sequence[Host], clock: Callable[[], float] = time.monotonic
@@ -54,21 +54,21 @@
     # -- connections --
 
     def listen(self) -> None:
-        """Accept pollers, at the same port each time."""
+        """Accept pollers, on the same port after each stop."""
         self._listening = self._reactor.listenTCP(
             self.port, BuildFactory(self._build_connection), backlog=LISTEN_BACKLOG, interface="127.0.0.1"
         )
         self.port = int(self._listening.getHost().port)
 
     def stop_listening(self) -> None:
-        """Refuse new pollers, and reset the connections of the others."""
+        """Stop accepting pollers, and reset the open connections."""
         if self._listening is not None:
             self._listening.stopListening()
         for connection in list(self._connections):
             connection.abort()
 
     def restart_numbering(self) -> None:
-        """Number events anew, as after a restart of discovery."""
+        """Restart the numbering of events at 1, as after a restart of discovery."""
         self._log.restart()
         self._answer_waiting()
 
@@ -88,11 +88,11 @@
     # -- polls --
 
     def received(self, byte_count: int) -> None:
-        """Count bytes from pollers."""
+        """Count bytes received from pollers."""
         self._counters.bytes_in += byte_count
 
     def polled(self, connection: PollConnection, resume: int, block_ms: float) -> None:
-        """Answer a poll at once if there are events after ``resume``, else hold it."""
+        """Answer a poll immediately if there are events after ``resume``; otherwise hold it."""
         self._counters.polls += 1
         if resume < self._log.cursor or block_ms <= MAX_IMMEDIATE_BLOCK_MS:
             self._answer(connection, resume)
@@ -112,10 +112,10 @@
             self._answer(connection, poll.resume)
 
     def _sweep(self) -> None:
-        """Answer the polls that have waited long enough."""
+        """Answer the polls whose block time has expired."""
         now_s = self._clock()
         for connection, poll in list(self._waiting.items()):
-            if poll.until_s <= now_s:
+            if poll.deadline_s <= now_s:
                 del self._waiting[connection]
                 self._answer(connection, poll.resume)
         self._reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
@@ -137,7 +137,7 @@
             self._publish_call = self._reactor.callLater(wait_s, self._publish_due)
 
     def _publish_due(self) -> None:
-        """Publish all events that are due, and then answer each waiting poll once."""
+        """Publish all events that are due, then answer every waiting poll."""
         self._publish_call = None
         for event in self._schedule.take_due(self._clock()):
             plan = event.plan
@@ -162,7 +162,7 @@
         return (unix_offset_s + plan.issued_s(number)) * 1000.0
 
     def figures(self) -> DiscoveryFigures:
-        """Return counts since the start and the present state."""
+        """Return the counters since the start and the current state."""
         active_weights = {
             name: float(host["share"]) for name, host in self._log.hosts.items() if host["health"] == "active"
         }
--- a/packages/fleet-scale/src/fleet_scale/worker/event_log.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/event_log.py
@@ -1,4 +1,4 @@
-"""The events of a fake discovery, encoded once for all pollers.  Without a clock and without I/O."""
+"""The events of a fake discovery, encoded once for all pollers; uses neither a clock nor I/O."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-# Age up to which a purge is included in a complete state, by the purges' own times.
+# Age up to which a complete state includes a purge, relative to the newest issue time of a purge.
 PURGE_RETENTION_MS = 10_000.0
-# Events of a log; over three hours at 34 purges a second.
+# Capacity of a log; over three hours at 34 purges a second.
 MAX_EVENTS = 400_000
-# Answers that are kept until the next event.
+# Encoded answers that are cached until the next event.
 MAX_CACHED_ANSWERS = 64
-# Events that a poller may lack and still be in step: it is about to ask for them.
-MAX_EVENTS_IN_STEP = 20
+# Events that an up-to-date poller may lack before a history: its next poll asks for them.
+MAX_LAG_EVENTS = 20
 
 Host = dict[str, str | float]
-"""One entry of the endpoint list, with the keys of the wire."""
+"""One entry of the endpoint list, with the keys that it has on the wire."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetainedPurge:
-    """A purge that a complete state includes: when it was issued, and its encoded form without cursor."""
+    """A purge that a complete state includes: its issue time, and its encoding without the cursor."""
 
     issued_unix_ms: float
     body: bytes
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryRange:
-    """Cursors before the first and at the last event of a history that pollers in step count as received."""
+    """A history: the cursors just before its first event and of its last event."""
 
     before: int
     last: int
@@ -41,7 +41,7 @@
 
 
 class TooManyEventsError(OverflowError):
-    """The log is full."""
+    """The log has reached its capacity."""
 
     def __init__(self) -> None:
         super().__init__(f"a run publishes at most {MAX_EVENTS} events")
@@ -53,7 +53,7 @@
 
 
 class EventLog:
-    """Events numbered from 1, of which the first is the complete endpoint list."""
+    """Events numbered from 1; the first is the complete endpoint list."""
 
     def __init__(self, hosts: Sequence[Host]) -> None:
         self.hosts: dict[str, Host] = {str(host["host"]): dict(host) for host in hosts}
@@ -67,7 +67,7 @@
         self._add_list(list(self.hosts.values()), is_complete=True)
 
     def restart(self) -> None:
-        """Number anew from 1, as after a restart of discovery; earlier events are lost."""
+        """Restart the numbering at 1, as after a restart of discovery; earlier events are discarded."""
         self.cursor = 0
         self._history = NO_HISTORY
         self._events.clear()
@@ -75,7 +75,7 @@
         self._add_list(list(self.hosts.values()), is_complete=True)
 
     def purge(self, number: int, issued_unix_ms: float) -> None:
-        """Add the purge of the object with that number."""
+        """Append the purge of the object whose id is ``number``."""
         body = b'"drop":{"id":"%016x","when":%d}}' % (number, issued_unix_ms)
         self._add(body)
         self._newest_purge_ms = max(self._newest_purge_ms, issued_unix_ms)
@@ -86,9 +86,9 @@
             self._retained.popleft()
 
     def add_history(self, purges: Iterable[tuple[int, float]]) -> None:
-        """Add purges, by number and Unix time in ms, that pollers in step have received already.
+        """Append purges, by number and issue time, that count as already received by up-to-date pollers.
 
-        Such pollers receive the last of them alone; a poller that lacks more events receives all.
+        Such a poller receives only the last of them; a poller that lacked earlier events receives all.
         """
         before = self.cursor
         for number, issued_unix_ms in purges:
@@ -96,7 +96,7 @@
         self._history = HistoryRange(before, self.cursor)
 
     def change(self, name: str, health: str, weight: float | None = None) -> None:
-        """Change one entry of the endpoint list.  Raises KeyError if it is not listed."""
+        """Change one entry of the endpoint list.  Raises KeyError if there is no entry ``name``."""
         host = self.hosts[name]
         host["health"] = health
         if weight is not None:
@@ -121,7 +121,7 @@
     def answer(self, resume: int) -> bytes:
         """Return the HTTP response for a poller that has received all events up to ``resume``.
 
-        0 asks for the complete state: the purges that are retained, and the endpoint list.
+        A ``resume`` of 0 returns the complete state: the retained purges and the endpoint list.
         """
         cached = self._answers.get(resume)
         if cached is not None:
@@ -137,7 +137,7 @@
         if resume <= 0:
             return self._complete_state()
         history = self._history
-        if history.before - MAX_EVENTS_IN_STEP <= resume < history.last:
+        if history.before - MAX_LAG_EVENTS <= resume < history.last:
             return self._events[resume : history.before] + self._events[history.last - 1 :]
         return self._events[resume:]
 
@@ -157,9 +157,9 @@
 def build_endpoint_list(
     cache_servers: int, sites: Sequence[str], ports: Sequence[int], weight: float
 ) -> list[Host]:
-    """Return entries of so many edge caches, spread over sites and ports in turn, and of the origin."""
-    places = [(f"s-{number:04d}", sites[number % len(sites)], "box") for number in range(cache_servers)]
-    places.append(("origin", sites[0], "root"))
+    """Return the entries of the edge caches, spread over sites and ports in turn, and of the origin."""
+    servers = [(f"s-{number:04d}", sites[number % len(sites)], "box") for number in range(cache_servers)]
+    servers.append(("origin", sites[0], "root"))
     return [
         {
             "host": name,
@@ -171,13 +171,13 @@
             "share": weight,
             "born_ms": 0,
         }
-        for index, (name, site, kind) in enumerate(places)
+        for index, (name, site, kind) in enumerate(servers)
     ]
 
 
 def list_digest(weights: Mapping[str, float]) -> str:
-    """Return a short name of an endpoint list, computed alike by discovery and by every router.
+    """Return a digest of an endpoint list, by which lists of discovery and of routers are compared.
 
-    ``weights`` has the active cache servers with their weights.
+    ``weights`` maps the names of the active cache servers to their weights.
     """
     return f"{crc32(json.dumps(sorted(weights.items())).encode()):08x}"
--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router.py
@@ -1,4 +1,4 @@
-"""A hollow router: a request router's control side without its requests."""
+"""A hollow router: the control plane of a request router, without requests (a term of kubemark)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from sansio_core import Notice
 
-from fleet_scale.event_counters import DeliveryCounters, PurgeObservations
+from fleet_scale.event_counters import DeliveryCounters, ReceivedPurges
 from fleet_scale.event_plan import EventKind, change_of_weight
 from fleet_scale.messages import MemberSettings
 from fleet_scale.worker.counting_reactor import CountingReactor
@@ -21,15 +21,15 @@
 from thornjunction.runtime.service import Service
 
 FLEET_NAME = "scale"
-# Shared by all members of a run, which are on one machine.
+# The secret of all members of a run, all of which are on this machine.
 FLEET_SECRET = b"the secret of a fleet that stands on one machine"
-# The notice of a member whose state changed, and the state of one that failed.
+# The notice about a change of a member's state, and the state of a failed member.
 MEMBER_NOTICE = "member"
 FAILED_STATE = "failed"
 
 
 class HollowRouter(Service):
-    """The real ``Service`` with command channel, decisions, endpoint list, purges and membership.
+    """The real ``Service`` with its command channel, decisions, endpoint list, purges and membership.
 
     It opens no front and connects to no cache server.
     """
@@ -43,22 +43,22 @@
     ) -> None:
         super().__init__(config, extras, reactor, Counters(), lambda: config)
         self._deliveries = deliveries
-        self.purges = PurgeObservations()
+        self.purges = ReceivedPurges()
         self.member_states: dict[str, str] = {}
         self.declared_failed: set[str] = set()
         if self.fleet is not None:
             self._log_notice = self.fleet.port.on_notice
-            self.fleet.port.on_notice = self._note
+            self.fleet.port.on_notice = self._handle_notice
 
     def begin_serving(self) -> None:
-        """Open no front, and measure no load; membership alone listens."""
+        """Enter the serving state without opening a front or measuring load; only membership listens."""
         if self.state is Lifecycle.STARTING:
             self.state = Lifecycle.SERVING
             if self.fleet is not None:
                 self.fleet.listen(self.reactor)
 
     def handle_command(self, command: Command) -> None:
-        """Handle a command as a router does, and count it."""
+        """Handle a command as a router does, and record its delivery."""
         super().handle_command(command)
         now_s = time.monotonic()
         if isinstance(command, Purge):
@@ -68,8 +68,8 @@
             for host in command.hosts:
                 self._deliveries.record(EventKind.CHANGE, change_of_weight(host.weight), now_s)
 
-    def _note(self, notice: Notice) -> None:
-        """Record the states of members; log any other notice."""
+    def _handle_notice(self, notice: Notice) -> None:
+        """Record the state of a member from its notice; log every other notice."""
         if notice.name != MEMBER_NOTICE:
             self._log_notice(notice)
             return
@@ -85,12 +85,12 @@
         return self.channel.connection is not None
 
     def list_digest(self) -> str:
-        """The digest of the endpoint list as the decisions hold it."""
+        """Return the digest of the endpoint list that the decisions use."""
         servers = self.router.state.placement.server_list.servers
         return list_digest({name: server.entry.weight for name, server in servers.items()})
 
     def end(self) -> None:
-        """End at once, as a process that is killed: no peer is notified."""
+        """Stop abruptly, like a killed process: no peer is notified."""
         self.state = Lifecycle.STOPPED
         self.channel.stop()
         self.reset_connection()
@@ -100,13 +100,13 @@
         self.timer_service.stop()
 
     def reset_connection(self) -> None:
-        """Reset the connection of the command channel."""
+        """Reset the connection of the command channel, if there is one."""
         if self.channel.connection is not None:
             self.channel.connection.transport.abortConnection()
 
 
 def build_fleet_settings(member: MemberSettings, name: str, folder: Path) -> FleetSettings:
-    """Return the settings of a member that keeps its files below ``folder``."""
+    """Return the settings of a member, whose files are in a subfolder of ``folder``."""
     data_folder = folder / name
     data_folder.mkdir(parents=True, exist_ok=True)
     return FleetSettings(
--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router_group.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router_group.py
@@ -1,4 +1,4 @@
-"""The hollow routers of one process: starts them, ends them, and reports what they know."""
+"""The hollow routers of one process: starts them, ends them, and reports their state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     RouterStates,
 )
 from fleet_scale.process_usage import usage_of_this_process
-from fleet_scale.router_files import RouterPlace, router_config
+from fleet_scale.router_files import RouterLocation, router_config
 from fleet_scale.worker.counting_reactor import CountingReactor
 from fleet_scale.worker.hollow_router import HollowRouter, build_fleet_settings
 from thornjunction.net.event_loop.ports import Reactor
@@ -27,14 +27,14 @@
 from thornjunction.runtime.control_settings import ControlSettings
 from thornjunction.runtime.extras import Extras
 
-# The address of the front in a hollow router's configuration, where it never listens.
+# The front's address in a hollow router's configuration; the router never listens there.
 UNUSED_FRONT = Address("127.0.0.1", 9)
-# State of a member that was never heard of.
+# Counted for a member whose state the observer has never received.
 UNKNOWN_STATE = "unknown"
 
 
 class HollowRouterGroup:
-    """Starts all routers of its settings when it is built."""
+    """Starts all routers of its settings when it is constructed."""
 
     def __init__(self, settings: HollowGroupSettings, reactor: Reactor) -> None:
         self.deliveries = DeliveryCounters()
@@ -48,7 +48,7 @@
         self.start(self._settings)
 
     def start(self, names: Iterable[str]) -> None:
-        """Start the routers of this process that do not run; they know no earlier event."""
+        """Start those of the named routers that belong to this process and are not running."""
         for name in names:
             settings = self._settings.get(name)
             if settings is None or name in self._running:
@@ -59,7 +59,7 @@
             router.start()
 
     def _extras(self, settings: HollowRouterSettings) -> Extras | None:
-        """What the operators' file would turn on; None without one, as on the platform."""
+        """Return what an operators' file would enable; None without one, as in a deployment."""
         control = ControlSettings("", settings.relays) if settings.relays else None
         fleet = None
         if settings.member is not None:
@@ -67,11 +67,11 @@
         return Extras(fleet=fleet, control=control) if fleet or control else None
 
     def _config(self, settings: HollowRouterSettings) -> Config:
-        """The configuration of a router; all routers of a site share its parsed form."""
+        """Return the configuration of a router; it is parsed once for each site."""
         site = settings.site
         if site not in self._configs_by_site:
-            place = RouterPlace("hollow", site, self._sites)
-            text = json.dumps(router_config(place, settings.channel, UNUSED_FRONT))
+            location = RouterLocation("hollow", site, self._sites)
+            text = json.dumps(router_config(location, settings.channel, UNUSED_FRONT))
             self._configs_by_site[site] = parse_config(text.encode(), {})
         return replace(self._configs_by_site[site], name=settings.name, discovery=settings.channel)
 
@@ -79,7 +79,7 @@
         return [self._running[name] for name in names if name in self._running]
 
     def end(self, names: Iterable[str]) -> None:
-        """End routers at once, as if killed."""
+        """End routers abruptly, as if killed."""
         for name in names:
             router = self._running.pop(name, None)
             if router is not None:
@@ -91,7 +91,7 @@
             router.reset_connection()
 
     def states(self, names: Iterable[str] | None = None) -> RouterStates:
-        """Return what these routers know, or all that run here."""
+        """Return the merged state of these routers; without names, of all that run."""
         routers = self._select(self._running if names is None else names)
         newest_purges = [router.purges.highest for router in routers]
         return RouterStates(
@@ -103,8 +103,8 @@
             repeated_purges=sum(router.purges.repeated for router in routers),
         )
 
-    def members(self, names: Iterable[str]) -> MemberStates:
-        """Return the states that the members of this process hold of these, and whom they declared failed."""
+    def count_member_states(self, names: Iterable[str]) -> MemberStates:
+        """Return how members of this process list the named ones, and which they ever declared failed."""
         wanted = set(names)
         states = Counter[str]()
         declared_failed: set[str] = set()
@@ -117,7 +117,7 @@
         return MemberStates(dict(states), tuple(sorted(declared_failed)))
 
     def figures(self) -> HollowGroupFigures:
-        """Return what the routers cost together."""
+        """Return the resource usage and the traffic of all routers together."""
         datagrams = [
             router.fleet.port.counters for router in self._running.values() if router.fleet is not None
         ]
--- a/packages/fleet-scale/src/fleet_scale/worker/plan_schedule.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/plan_schedule.py
@@ -1,4 +1,4 @@
-"""The order in which the events of several plans are due."""
+"""A queue that merges the events of several plans in order of their due times."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ScheduledEvent:
-    """The next event of a plan; at one time, the plan that was added first comes first."""
+    """The next event of a plan; of events due at the same time, that of the plan added first precedes."""
 
     due_s: float
     plan_index: int
@@ -20,7 +20,7 @@
 
 
 class PlanSchedule:
-    """The plans that have events left, by the time of their next event."""
+    """The plans that have events left, ordered by the due time of their next event."""
 
     def __init__(self) -> None:
         self._events: list[ScheduledEvent] = []
@@ -31,7 +31,7 @@
 
     @property
     def next_due_s(self) -> float | None:
-        """When the next event is due, or None without one."""
+        """When the next event is due; None if no event is left."""
         return self._events[0].due_s if self._events else None
 
     def add(self, plan: EventPlan) -> None:
@@ -41,7 +41,7 @@
             self._push(plan, self._plan_count, plan.first)
 
     def take_due(self, now_s: float) -> Iterator[ScheduledEvent]:
-        """Yield and remove each event that is due by now; a plan of history yields its first alone."""
+        """Remove and yield each event due by ``now_s``; a history yields only its first event, for all."""
         while self._events and self._events[0].due_s <= now_s:
             event = heapq.heappop(self._events)
             yield event
--- a/packages/fleet-scale/src/fleet_scale/worker/poll_connection.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/poll_connection.py
@@ -15,31 +15,31 @@
 RESUME = re.compile(rb"(?:^|&)resume=(\d{1,18})")
 BLOCK_MS = re.compile(rb"(?:^|&)block=(\d{1,6})")
 MAX_POLL_BYTES = 4096
-# Longest time that a poll waits for an event, whatever it asks for.
+# Upper bound of the block time of a poll.
 MAX_BLOCK_MS = 5000.0
-# Bytes of a long answer that are written at a time.
-PIECE_BYTES = 65_536
+# Size of the chunks in which a long answer is written.
+CHUNK_BYTES = 65_536
 
 
 class PollHandler(Protocol):
-    """Receives what happens on the connections."""
+    """Receives the events of poll connections."""
 
     def connected(self, connection: PollConnection) -> None:
-        """A poller has connected."""
+        """Handle a new connection."""
 
     def received(self, byte_count: int) -> None:
-        """So many bytes have come from a poller."""
+        """Handle the receipt of ``byte_count`` bytes from a poller."""
 
     def polled(self, connection: PollConnection, resume: int, block_ms: float) -> None:
-        """A poller asks for the events after ``resume``, and waits for them as long as ``block_ms``."""
+        """Handle a poll for the events after ``resume``, which may be held for ``block_ms``."""
 
     def disconnected(self, connection: PollConnection) -> None:
-        """A connection has ended."""
+        """Handle the end of a connection."""
 
 
 @implementer(IPullProducer)
 class PollConnection(protocol.Protocol):
-    """Reads polls and writes their answers."""
+    """Parses polls and writes their answers."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -54,7 +54,7 @@
         self._handler.connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read one poll at a time; anything else ends the connection."""
+        """Parse one poll at a time; reset the connection on any other input."""
         self._received += data
         self._handler.received(len(data))
         poll = POLL.fullmatch(self._received)
@@ -71,8 +71,8 @@
         self._handler.polled(self, int(resume[1]), min(float(block_ms[1]), MAX_BLOCK_MS))
 
     def answer(self, data: bytes) -> None:
-        """Write an answer; a long one in pieces, so that all pollers share its bytes and none has a copy."""
-        if len(data) <= PIECE_BYTES:
+        """Write an answer; a long one in chunks, so that pollers share its bytes and none buffers a copy."""
+        if len(data) <= CHUNK_BYTES:
             self.transport.write(data)
             return
         self._unsent = memoryview(data)
@@ -83,14 +83,14 @@
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the next piece of a long answer."""
-        self.transport.write(bytes(self._unsent[:PIECE_BYTES]))
-        self._unsent = self._unsent[PIECE_BYTES:]
+        """Write the next chunk of a long answer."""
+        self.transport.write(bytes(self._unsent[:CHUNK_BYTES]))
+        self._unsent = self._unsent[CHUNK_BYTES:]
         if not self._unsent:
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Drop the unsent pieces: the connection has ended."""
+        """Discard the unsent chunks: the connection has ended."""
         self._unsent = memoryview(b"")
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: ARG002, N802
--- a/packages/fleet-scale/src/fleet_scale/worker/request_load.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/request_load.py
@@ -1,4 +1,4 @@
-"""A small steady load on full routers through the platform's front: it shows what control costs a request."""
+"""A small steady load on full routers, which shows how the control plane affects the latency of requests."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 CONNECT_TIMEOUT_S = 5
 # Pause before the next connect to a router that does not listen yet.
 RECONNECT_PAUSE_S = 0.1
-# Latencies that are kept.
+# Limit on the number of latencies that are kept.
 MAX_LATENCIES = 100_000
-# FastCGI request ids are used in turn.
+# FastCGI request ids run from 1 to this and start again.
 MAX_REQUEST_ID = 60_000
-# Bytes of an answer that are kept, and those of them that hold the status.
+# Bytes kept from the start of an answer, and how many of them hold the status.
 KEPT_ANSWER_BYTES = 16
 STATUS_BYTES = len(b"Status: 200")
 SERVED_STATUS = "Status: 200"
-# Counts requests whose connection ended, beside the statuses.
+# The status under which requests are counted whose connection ended before the answer.
 LOST_STATUS = "lost"
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """A request without its answer yet: when it was sent, and the first bytes of the answer."""
+    """A request whose answer is incomplete: when it was sent, and the first bytes of the answer."""
 
     sent_s: float
-    answer_begin: bytes = b""
+    answer_prefix: bytes = b""
 
 
 class LoadConnection(protocol.Protocol):
@@ -58,33 +58,33 @@
         self._last_request_id = 0
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Take part in the load."""
+        """Register with the load."""
         self.transport.setTcpNoDelay(True)
         self._load.connected(self)
 
     def send_request(self) -> None:
-        """Send the next request."""
+        """Send the next request on this connection."""
         self._last_request_id = self._last_request_id % MAX_REQUEST_ID + 1
         self.unanswered[self._last_request_id] = SentRequest(time.monotonic())
         self.transport.write(encode_request(self._last_request_id, REQUEST_CLASS, ttl_ms=REQUEST_TIMEOUT_MS))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Collect answers, and report each that is complete."""
+        """Parse answers, and report each one that is complete."""
         for record in self._reader.feed(data):
             request = self.unanswered.get(record.request_id, SentRequest(0.0))
-            if record.kind == fastcgi.RecordType.STDOUT and len(request.answer_begin) < KEPT_ANSWER_BYTES:
-                request.answer_begin += record.content[:KEPT_ANSWER_BYTES]
+            if record.kind == fastcgi.RecordType.STDOUT and len(request.answer_prefix) < KEPT_ANSWER_BYTES:
+                request.answer_prefix += record.content[:KEPT_ANSWER_BYTES]
             elif record.kind == fastcgi.RecordType.END:
                 del self.unanswered[record.request_id]
                 self._load.answered(request)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: ARG002, N802
-        """Leave the load, and connect again."""
+        """Deregister from the load, which connects again."""
         self._load.disconnected(self, self._front)
 
 
 class RequestLoad:
-    """Sends so many requests a second to each router; counts answers by their status."""
+    """Sends requests to each router at a fixed rate and counts answers by status."""
 
     def __init__(self, reactor: Reactor, fronts: Sequence[Address], requests_per_s: float) -> None:
         self.requests_per_s = requests_per_s
@@ -98,17 +98,17 @@
         self._send_requests()
 
     def _connect(self, front: Address) -> None:
-        """Connect to a router, again and again until it listens."""
+        """Connect to a router, and retry until it listens."""
         endpoint: Any = TCP4ClientEndpoint(self._reactor, front.host, front.port, timeout=CONNECT_TIMEOUT_S)
         connecting: Deferred[Any] = endpoint.connect(BuildFactory(lambda: LoadConnection(self, front)))
         connecting.addErrback(lambda _: self._reactor.callLater(RECONNECT_PAUSE_S, self._connect, front))
 
     def connected(self, connection: LoadConnection) -> None:
-        """Send requests on this connection from now on."""
+        """Include a connection in the load."""
         self._connections.append(connection)
 
     def disconnected(self, connection: LoadConnection, front: Address) -> None:
-        """Count the requests that were lost with a connection, and connect again."""
+        """Count the unanswered requests of a connection as lost, and connect again."""
         self._connections.remove(connection)
         self._answers_by_status[LOST_STATUS] += len(connection.unanswered)
         self._connect(front)
@@ -122,18 +122,18 @@
         self._reactor.callLater(pause_s, self._send_requests)
 
     def answered(self, request: SentRequest) -> None:
-        """Count an answer with its latency."""
-        status = request.answer_begin[:STATUS_BYTES].decode("latin-1")
+        """Count an answer by its status and record its latency."""
+        status = request.answer_prefix[:STATUS_BYTES].decode("latin-1")
         self._answers_by_status[status] += 1
         if len(self._latencies_ms) < MAX_LATENCIES:
             self._latencies_ms.append((time.monotonic() - request.sent_s) * 1000.0)
 
     def clear_latencies(self) -> None:
-        """Forget the latencies that were measured so far."""
+        """Discard the latencies that were measured so far."""
         self._latencies_ms.clear()
 
     def figures(self) -> LoadFigures:
-        """Return counts of requests and the quantiles of their latencies."""
+        """Return the counts of requests and quantiles of their latencies."""
         latencies_ms = self._latencies_ms
         return LoadFigures(
             sent=self._sent,
--- a/packages/fleet-scale/src/fleet_scale/worker/roles.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/roles.py
@@ -1,4 +1,4 @@
-"""The roles of worker processes: each translates commands into calls of its part."""
+"""The roles of worker processes: each one translates commands into method calls."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def build_role(settings: Settings, reactor: Reactor) -> Role:
-    """Build the role that the settings are for."""
+    """Build the role that belongs to the type of the settings."""
     match settings:
         case DiscoverySettings():
             return DiscoveryRole(settings, reactor)
@@ -59,11 +59,11 @@
 
 
 def _reject(command: Command) -> CommandRejected:
-    return CommandRejected(f"no command {type(command).__name__}")
+    return CommandRejected(f"this role does not implement the command {type(command).__name__}")
 
 
 class DiscoveryRole:
-    """A fake discovery that publishes planned events."""
+    """The role of a fake discovery that publishes planned events."""
 
     def __init__(self, settings: DiscoverySettings, reactor: Reactor) -> None:
         hosts = build_endpoint_list(
@@ -72,11 +72,11 @@
         self._discovery = EventDiscovery(reactor, hosts)
 
     def figures(self) -> Reply:
-        """Return counts since the start and the present state."""
+        """Return the counters since the start and the current state."""
         return self._discovery.figures()
 
     def handle(self, command: Command) -> Reply:
-        """Publish a plan."""
+        """Publish the events of a plan."""
         match command:
             case PublishPlan(plan=plan):
                 self._discovery.publish(plan)
@@ -86,7 +86,7 @@
 
 
 class CacheServerRole:
-    """A fake cache server."""
+    """The role of a fake cache server."""
 
     def __init__(self, reactor: Reactor) -> None:
         self._port = listen_on_free_port(reactor, DemoCacheServer)
@@ -96,12 +96,12 @@
         return CacheServerFigures(self._port)
 
     def handle(self, command: Command) -> Reply:
-        """Reject every command: a cache server has none."""
+        """Reject every command: this role implements none."""
         return _reject(command)
 
 
 class ProxyRole:
-    """The proxies of several routes."""
+    """The role of a proxy process, with one proxy for each of its routes."""
 
     def __init__(self, settings: ProxySettings, reactor: Reactor) -> None:
         self._counters = ProxyCounters()
@@ -112,7 +112,7 @@
             self._proxies[route.name] = proxy
 
     def figures(self) -> Reply:
-        """Return the listening ports and counts of all routes."""
+        """Return the listening ports and the counters of all routes."""
         ports = {name: proxy.port for name, proxy in self._proxies.items()}
         open_connections = sum(len(proxy.connections) for proxy in self._proxies.values())
         return ProxyFigures(ports, open_connections, self._counters)
@@ -132,17 +132,17 @@
 
 
 class HollowGroupRole:
-    """The hollow routers of one process."""
+    """The role of a process that holds hollow routers."""
 
     def __init__(self, settings: HollowGroupSettings, reactor: Reactor) -> None:
         self._group = HollowRouterGroup(settings, reactor)
 
     def figures(self) -> Reply:
-        """Return what the routers cost together."""
+        """Return the resource usage and the traffic of all routers together."""
         return self._group.figures()
 
     def handle(self, command: Command) -> Reply:
-        """Start, end or reset routers, or report what they know."""
+        """Start or end routers, reset their connections, or report their state."""
         group = self._group
         match command:
             case StartRouters(names=names):
@@ -154,26 +154,26 @@
             case ReportRouterStates(names=names_or_all):
                 return group.states(names_or_all)
             case ReportMembers(names=names):
-                return group.members(names)
+                return group.count_member_states(names)
             case ReportDeliveries(kind=kind, first=first, end=end):
-                return Deliveries(group.deliveries.between(kind, first, end))
+                return Deliveries(group.deliveries.in_range(kind, first, end))
             case _:
                 return _reject(command)
         return ACKNOWLEDGED
 
 
 class LoadRole:
-    """The clients of full routers."""
+    """The role of the clients that send requests to full routers."""
 
     def __init__(self, settings: LoadSettings, reactor: Reactor) -> None:
         self._load = RequestLoad(reactor, settings.fronts, settings.requests_per_s)
 
     def figures(self) -> Reply:
-        """Return counts of requests and their latencies."""
+        """Return the counts of requests and quantiles of their latencies."""
         return self._load.figures()
 
     def handle(self, command: Command) -> Reply:
-        """Change the rate, or forget the latencies."""
+        """Change the request rate, or discard the latencies measured so far."""
         match command:
             case SetRequestRate(requests_per_s=requests_per_s):
                 self._load.requests_per_s = requests_per_s
--- a/packages/fleet-scale/tests/test_delaying_proxy.py
+++ b/packages/fleet-scale/tests/test_delaying_proxy.py
@@ -1,4 +1,4 @@
-"""Delaying proxies, in a worker process on real sockets."""
+"""Delaying proxies in a worker process, on real sockets."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @pytest.fixture
 def target() -> Iterator[socket.socket]:
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        listening.settimeout(TIMEOUT_S)
-        yield listening
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        listener.settimeout(TIMEOUT_S)
+        yield listener
 
 
 @pytest.fixture
 def proxy(target: socket.socket, tmp_path: Path) -> Iterator[WorkerProcess]:
-    """The worker of a proxy with one route to the target."""
+    """A proxy worker with one route to the target."""
     route = ProxyRoute(ROUTE, Address(*target.getsockname()), delay_ms=1.0)
     worker = WorkerProcess("proxy", tmp_path, ProxySettings((route,)))
     try:
@@ -48,7 +48,7 @@
 
 
 def figures(proxy: WorkerProcess) -> ProxyFigures:
-    return proxy.ask(ReportFigures(), ProxyFigures)
+    return proxy.call(ReportFigures(), ProxyFigures)
 
 
 def connect(proxy: WorkerProcess) -> socket.socket:
@@ -62,18 +62,18 @@
 
 
 def block(proxy: WorkerProcess, *directions: Direction) -> None:
-    proxy.ask(BlockRoutes((ROUTE,), directions), Acknowledged)
+    proxy.call(BlockRoutes((ROUTE,), directions), Acknowledged)
 
 
 def is_ended(peer: socket.socket) -> bool:
-    """Whether the next that comes is the end of the connection, closed or reset."""
+    """Whether the connection was closed or reset before any further data."""
     try:
         return peer.recv(MAX_BYTES) == b""
     except ConnectionError:
         return True
 
 
-def test_a_proxy_forwards_both_directions_and_holds_one_back(
+def test_a_proxy_forwards_both_directions_and_holds_back_a_blocked_one(
     proxy: WorkerProcess, target: socket.socket
 ) -> None:
     with connect(proxy) as client, accept(target) as server:
@@ -101,16 +101,16 @@
             late_client.sendall(b"never")
             client.sendall(b"later")
             server.sendall(b"too")
-            until_s = time.monotonic() + TIMEOUT_S
+            deadline_s = time.monotonic() + TIMEOUT_S
             while figures(proxy).open_connections < 2:
-                assert time.monotonic() < until_s, "the proxy did not accept"
+                assert time.monotonic() < deadline_s, "the proxy did not accept the connection"
             assert figures(proxy).counters.bytes_forwarded == 0
             block(proxy)
             assert is_ended(late_client)
         assert (server.recv(MAX_BYTES), client.recv(MAX_BYTES)) == (b"later", b"too")
 
 
-def test_an_end_that_closed_during_a_block_is_closed_for_the_other_once_unblocked(
+def test_a_close_during_a_block_reaches_the_other_side_after_unblocking(
     proxy: WorkerProcess, target: socket.socket
 ) -> None:
     with connect(proxy) as client, accept(target) as server:
@@ -123,6 +123,6 @@
 
 def test_reset_connections_are_reset(proxy: WorkerProcess, target: socket.socket) -> None:
     with connect(proxy) as client, accept(target):
-        proxy.ask(ResetConnections((ROUTE,)), Acknowledged)
+        proxy.call(ResetConnections((ROUTE,)), Acknowledged)
         with pytest.raises(ConnectionResetError):
             client.recv(MAX_BYTES)
--- a/packages/fleet-scale/tests/test_event_discovery.py
+++ b/packages/fleet-scale/tests/test_event_discovery.py
@@ -1,4 +1,4 @@
-"""The fake discovery of scale runs, on transports without sockets."""
+"""The fake discovery of scale runs, on in-memory transports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from fleet_scale.event_plan import INITIAL_WEIGHT, ChangePlan, PurgePlan
 from fleet_scale.worker.event_discovery import EventDiscovery
 from fleet_scale.worker.event_log import build_endpoint_list
-from fleet_scale.worker.poll_connection import PIECE_BYTES, PollConnection
+from fleet_scale.worker.poll_connection import CHUNK_BYTES, PollConnection
 from twisted.internet import testing
 
 from thornjunction.net.wire import http1
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def reactor() -> Any:
-    """A reactor on a clock that the test advances."""
+    """A reactor whose clock the test advances."""
     return untyped_testing.MemoryReactorClock()
 
 
@@ -35,7 +35,7 @@
 
 
 def connect(discovery: EventDiscovery) -> tuple[PollConnection, Any]:
-    """A poller's connection and its transport."""
+    """Return a poller's connection and its transport."""
     connection: Any = discovery._build_connection()
     transport = untyped_testing.StringTransport()
     transport.setTcpNoDelay = lambda _: None
@@ -49,13 +49,13 @@
 
 
 def take_answer(transport: Any) -> Commands:
-    """Decode the one answer that was written since the last call."""
+    """Decode and remove the one answer that was written since the last call."""
     (response,) = http1.ResponseReader(MAX_ANSWER_BYTES).feed(transport.value())
     transport.clear()
     return decode_commands(response.body)
 
 
-def test_a_poll_is_held_until_an_event_or_its_time(reactor: Any, discovery: EventDiscovery) -> None:
+def test_a_poll_is_held_until_an_event_or_its_timeout(reactor: Any, discovery: EventDiscovery) -> None:
     connection, transport = connect(discovery)
     connection.dataReceived(poll(0, 1200)[:20])
     connection.dataReceived(poll(0, 1200)[20:])
@@ -80,7 +80,7 @@
     assert take_answer(transport).events == ()
 
 
-def test_changes_and_purges_of_several_plans_are_numbered_by_their_times(
+def test_changes_and_purges_of_several_plans_are_numbered_in_order_of_their_times(
     reactor: Any, discovery: EventDiscovery
 ) -> None:
     discovery.publish(PurgePlan(start_s=1.0, purges_per_s=1.0, count=3))
@@ -104,21 +104,21 @@
     assert not transport.value()
 
 
-def test_a_long_answer_is_written_in_pieces(reactor: Any) -> None:
+def test_a_long_answer_is_written_in_chunks(reactor: Any) -> None:
     connection, transport = connect(build_discovery(reactor, cache_servers=1000))
     connection.dataReceived(poll(0, 1))
-    pieces = 0
+    chunks = 0
     while transport.producer is not None:
         transport.producer.resumeProducing()
-        pieces += 1
-    assert pieces > 1
-    assert len(transport.value()) > PIECE_BYTES
+        chunks += 1
+    assert chunks > 1
+    assert len(transport.value()) > CHUNK_BYTES
     (change,) = take_answer(transport).events
     assert isinstance(change, ListChange)
     assert len(change.hosts) == 1001
 
 
-def test_a_discovery_that_stops_resets_its_pollers_and_listens_again_at_the_same_port(
+def test_a_discovery_that_stops_resets_its_pollers_and_listens_again_on_the_same_port(
     reactor: Any, discovery: EventDiscovery
 ) -> None:
     _, transport = connect(discovery)
--- a/packages/fleet-scale/tests/test_event_log.py
+++ b/packages/fleet-scale/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log of the fake discovery: what it answers to a poller by the poller's last event."""
+"""The event log of the fake discovery: its answers to pollers, by the cursor of their last event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return EventLog(build_endpoint_list(cache_servers, ["a", "b"], [1, 2, 3], INITIAL_WEIGHT))
 
 
-def test_the_log_begins_with_the_complete_list_and_answers_the_events_after_a_number() -> None:
+def test_the_log_begins_with_the_complete_list_and_answers_with_the_events_after_a_cursor() -> None:
     log = build_log(5)
     first = decode(log.answer(0))
     (change,) = first.events
@@ -42,7 +42,7 @@
     assert decode(log.answer(9)).cursor == 3
 
 
-def test_the_complete_state_is_the_present_list_and_the_retained_purges() -> None:
+def test_the_complete_state_is_the_current_list_and_the_retained_purges() -> None:
     log = build_log(2)
     for number, age_ms in ((0, 0), (1, 9000), (2, 12_000)):
         log.purge(number, ISSUED_UNIX_MS + age_ms)
@@ -59,7 +59,7 @@
     assert len(decode(log.answer(0)).events) == 1
 
 
-def test_a_history_is_answered_to_pollers_that_lacked_events_before_it() -> None:
+def test_a_history_is_sent_only_to_pollers_that_lacked_earlier_events() -> None:
     log = build_log(1)
     for number in range(100):
         log.purge(number, ISSUED_UNIX_MS)
@@ -75,7 +75,7 @@
     assert keys(80) == list(range(79, 201))
 
 
-def test_a_list_has_one_digest_whatever_its_order() -> None:
+def test_the_list_digest_does_not_depend_on_order() -> None:
     ordered = list_digest({"a": 1.0, "b": 2.0})
     assert ordered == list_digest({"b": 2.0, "a": 1.0})
     assert ordered != list_digest({"a": 1.0})
--- a/packages/fleet-scale/tests/test_event_plan.py
+++ b/packages/fleet-scale/tests/test_event_plan.py
@@ -1,11 +1,11 @@
-"""Plans of events: their numbers and times."""
+"""Plans of events: the numbers and times of their events."""
 
 from __future__ import annotations
 
 from fleet_scale.event_plan import ChangePlan, PurgePlan, change_of_weight, weight_of_change
 
 
-def test_plans_number_events_by_their_times() -> None:
+def test_plans_number_events_in_order_of_their_times() -> None:
     purges = PurgePlan(start_s=10.0, purges_per_s=4.0, count=8, first=100)
     assert (purges.due_s(100), purges.due_s(104), purges.end_s) == (10.0, 11.0, 11.75)
     history = PurgePlan(start_s=10.0, purges_per_s=0.0, count=4, first=0, history_s=3600.0)
--- a/packages/fleet-scale/tests/test_scale_environment.py
+++ b/packages/fleet-scale/tests/test_scale_environment.py
@@ -1,4 +1,4 @@
-"""An environment of real processes: hollow routers know what discovery published, and the bounds are kept."""
+"""An environment of real processes: hollow routers receive what discovery publishes; limits are enforced."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 @pytest.fixture(scope="module")
 def environment() -> Iterator[ScaleEnvironment]:
-    topology = read_topology(TOPOLOGY_FOLDER / "small.toml").sized(routers=ROUTERS, cache_servers=12)
+    topology = read_topology(TOPOLOGY_FOLDER / "small.toml").resized(routers=ROUTERS, cache_servers=12)
     with ScaleEnvironment(topology, EnvironmentOptions(proxies=True), time_limit_s=300.0) as started:
-        assert started.wait_in_step(TIMEOUT_S) is not None
+        assert started.wait_until_converged(TIMEOUT_S) is not None
         yield started
 
 
-def test_all_routers_receive_each_event_once_and_hold_one_list_in_the_end(
+def test_all_routers_receive_each_event_once_and_finally_hold_the_same_list(
     environment: ScaleEnvironment,
 ) -> None:
     before = take_sample(environment)
     repeated_before = environment.state().repeated_purges
     purges = environment.publish_purges(50.0, 20)
     changes = environment.publish_changes(0.05, 5)
-    assert environment.wait_in_step(TIMEOUT_S) is not None
+    assert environment.wait_until_converged(TIMEOUT_S) is not None
     for plan in (purges, changes):
         propagation = measure_propagation(plan, environment.deliveries(plan), ROUTERS)
         assert (propagation.published, propagation.incomplete) == (plan.count, 0)
@@ -58,26 +58,26 @@
     assert received_s is not None
     assert environment.state(isolated).highest_newest_purge < plan.first
     unblock_regions(environment, isolated)
-    assert environment.wait_in_step(TIMEOUT_S) is not None
+    assert environment.wait_until_converged(TIMEOUT_S) is not None
 
 
-def test_a_router_that_is_back_knows_the_present_list(environment: ScaleEnvironment) -> None:
+def test_a_restarted_router_receives_the_current_list(environment: ScaleEnvironment) -> None:
     names = environment.sites[0].routers
     end_routers(environment, names)
     environment.publish_changes(0.01, 1)
-    assert environment.wait_in_step(TIMEOUT_S) is not None
+    assert environment.wait_until_converged(TIMEOUT_S) is not None
     assert environment.state().running == ROUTERS - len(names)
     start_routers(environment, names)
-    assert environment.wait_in_step(TIMEOUT_S) is not None
+    assert environment.wait_until_converged(TIMEOUT_S) is not None
     assert environment.state().running == ROUTERS
 
 
-def test_a_run_past_its_time_or_its_memory_is_given_up(
+def test_a_run_over_its_time_or_memory_limit_is_aborted(
     environment: ScaleEnvironment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("fleet_scale.environment.scale_environment.MAX_MEMORY_SHARE", 1e-6)
     with pytest.raises(RunError, match="memory"):
         environment.check_bounds()
-    monkeypatch.setattr(environment, "until_s", 0.0)
-    with pytest.raises(RunError, match="longer"):
+    monkeypatch.setattr(environment, "deadline_s", 0.0)
+    with pytest.raises(RunError, match="time limit"):
         environment.check_bounds()
--- a/packages/fleet-scale/tests/test_scale_report.py
+++ b/packages/fleet-scale/tests/test_scale_report.py
@@ -1,4 +1,4 @@
-"""The report of a run."""
+"""The Markdown report of a run."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from fleet_scale.report import Report, RowLengthError
 
 
-def test_a_report_shows_its_command_rows_and_what_fails(tmp_path: Path) -> None:
+def test_a_report_shows_its_command_its_rows_and_failed_verdicts(tmp_path: Path) -> None:
     report = Report("command")
-    table = report.table("How long?", "a", "b", "c")
+    table = report.table("Duration", "a", "b", "c")
     table.add(1, 0.012345, "x")
     table.add(1234.5, math.nan, 0.0)
     with pytest.raises(RowLengthError):
--- a/packages/fleet-scale/tests/test_topology.py
+++ b/packages/fleet-scale/tests/test_topology.py
@@ -1,4 +1,4 @@
-"""Topologies and their files."""
+"""Topologies and the files that they are read from."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fleet_scale.topology import TOPOLOGY_FOLDER, read_topology
 
 
-def test_the_full_topology_is_the_one_that_is_expected_in_two_years() -> None:
+def test_the_full_topology_has_the_size_expected_in_two_years() -> None:
     full = read_topology(TOPOLOGY_FOLDER / "full.toml")
     sites = full.sites()
     assert (len(full.regions), len(full.zones()), len(sites), full.cache_servers) == (8, 22, 58, 440)
@@ -17,11 +17,11 @@
     assert {len(site.routers) for site in sites} == {20, 21}
     names = [name for site in sites for name in site.routers]
     assert len(set(names)) == 1200
-    assert len(full.sized(300).sites()) == 58
+    assert len(full.resized(300).sites()) == 58
 
 
 def replace_key(text: str, replacement: str) -> str:
-    """Return a topology's text with the replacement in place of the key or section that it names."""
+    """Return a topology's text with the replacement instead of the key or section of that name."""
     lines = text.splitlines()
     key = replacement.split(" ")[0]
     if f"[{key}]" in lines:
@@ -46,7 +46,7 @@
         ("links = [", "toml"),
     ],
 )
-def test_a_faulty_topology_is_named(tmp_path: Path, replacement: str, fault: str) -> None:
+def test_an_error_names_the_fault_in_a_topology(tmp_path: Path, replacement: str, fault: str) -> None:
     path = tmp_path / "t.toml"
     path.write_text(replace_key((TOPOLOGY_FOLDER / "small.toml").read_text(), replacement))
     with pytest.raises(TopologyError, match=fault):
