--- a/tests/program/clock_environment.py
+++ b/tests/program/clock_environment.py
@@ -1,8 +1,8 @@
-"""Processes whose wall clock is stepped while they run.
+"""An environment of processes whose wall clock is stepped while they run.
 
-Their interpreter imports a ``sitecustomize`` that replaces ``time.time`` before any other import; the offset
+Their interpreters import a ``sitecustomize`` that replaces ``time.time`` before any other import.  The offset
 of the clock is in a file, so that all processes of a test see a step at once.  Discovery, cache servers and
-clients keep the true time.
+clients run in the test process and keep the true time.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 # Seconds by which the clock is stepped.
 STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
 
-# Seconds by which an answer, or anything else with a due time, may be early or late.
+# Seconds by which an answer, or another event with an expected time, may be early or late.
 TOLERANCE_S = 0.15
 
-# Seconds of a cache's slow start, and of a purge's propagation.
+# Durations of a cache's slow start and of a purge's propagation.
 SLOW_START_S = 0.6
 PURGE_PROPAGATION_S = 0.6
 
-# Seconds that a test may take.
+# Time limit of a test.
 TEST_TIMEOUT_S = 60.0
 
-# Seconds until a process is ready.
+# Time within which a process becomes ready.
 READY_TIMEOUT_S = 30.0
 
 READ_BYTES = 65_536
 
-# The clock is an object and no function, which would become a method as the attribute of a class.
+# The clock is a callable object, since a function would become a method as the attribute of a class.
 SITE_CUSTOMIZE = """
 import os, time
 true_time, path = time.time, {path!r}
@@ -52,7 +52,7 @@
 
 
 class SteppedClock:
-    """The wall clock that the processes of one test see."""
+    """The wall clock of the processes that one test starts."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / "clock"
@@ -68,12 +68,12 @@
         new_file.rename(self._path)
 
     def is_seen_by(self, pid: int) -> bool:
-        """Whether a process has this clock."""
+        """Whether a process uses this clock."""
         return str(pid) in self._path.with_suffix(".pids").read_text().split()
 
 
 class RecordingCacheServer(FakeCacheServer):
-    """A cache server that keeps the description of each request, and answers none while it ``hangs``."""
+    """A cache server that records the description of each request, and answers none while it ``hangs``."""
 
     def __init__(self, name: str, kind: str = "box") -> None:
         super().__init__(name, kind)
@@ -94,7 +94,7 @@
 
 
 class SilentDiscovery(LoopbackServer):
-    """Reads polls and answers none."""
+    """A discovery that reads polls and answers none."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -107,7 +107,7 @@
 
 
 class SteppedRouter:
-    """A router with a discovery, an edge and the origin; each ``step`` moves its clock by the same offset."""
+    """A router with a discovery, an edge and the origin; ``step`` steps its clock by ``step_s`` each time."""
 
     def __init__(self, environment: Environment, clock: SteppedClock, step_s: float) -> None:
         self.environment = environment
@@ -118,7 +118,7 @@
         self.router = environment.add_router("router")
 
     async def start(self, channel: str) -> None:
-        """Start the cache servers, list them, and start the router with this discovery."""
+        """Start the cache servers, publish them, and start the router, which polls ``channel``."""
         servers = (self.edge, self.origin)
         for server in servers:
             self.environment.cache_servers.append(server)
@@ -126,10 +126,10 @@
         hosts = [server.host_entry() for server in servers]
         await self.environment.discovery.publish_hosts(hosts, complete=True)
         self.router.configure_without_relays(channel)
-        self._shorten_times()
+        self._shorten_intervals()
         self.router.start()
 
-    def _shorten_times(self) -> None:
+    def _shorten_intervals(self) -> None:
         path = self.router.folder / "config.json"
         config = json.loads(path.read_text())
         config["settings"]["safety"]["coldMs"] = SLOW_START_S * 1000.0
@@ -137,7 +137,7 @@
         path.write_text(json.dumps(config))
 
     def step(self) -> None:
-        """Step the clock."""
+        """Step the router's clock by ``step_s``."""
         assert self.clock.is_seen_by(self.router.pid)
         self.clock.step(self.step_s)
 
@@ -146,14 +146,14 @@
         await wait_for_reply(self.environment, self.router, "check", "ACK", timeout_s)
 
     async def start_hanging_request(self, ttl_s: float) -> Callable[[], Awaitable[None]]:
-        """Send a request to a cache that hangs; return what waits for its answer."""
+        """Send a request to caches that hang; return a function that awaits and checks the answer."""
         self.edge.hangs = True
         self.origin.hangs = True
         request_count = len(self.edge.descriptions)
         started_s = time.monotonic()
         answer = asyncio.create_task(self.router.request(ttl_ms=int(ttl_s * 1000)))
         await self.environment.wait_until(
-            lambda: len(self.edge.descriptions) > request_count, "the edge has the request"
+            lambda: len(self.edge.descriptions) > request_count, "the edge receives the request"
         )
 
         async def check_answer() -> None:
@@ -165,16 +165,16 @@
         return check_answer
 
 
-def assert_duration(elapsed_s: float, due_s: float) -> None:
-    """Assert that something has taken its time, neither more nor less."""
-    message = f"{elapsed_s:.3f} s in place of {due_s:.3f} s"
-    assert due_s - TOLERANCE_S <= elapsed_s <= due_s + TOLERANCE_S, message
+def assert_duration(elapsed_s: float, expected_s: float) -> None:
+    """Assert that a duration equals the expected one within the tolerance."""
+    message = f"took {elapsed_s:.3f} s instead of {expected_s:.3f} s"
+    assert expected_s - TOLERANCE_S <= elapsed_s <= expected_s + TOLERANCE_S, message
 
 
 async def wait_for_reply(
     environment: Environment, participant: Participant, call: str, line: str, timeout_s: float
 ) -> None:
-    """Wait until a reply of the admin endpoint has this line."""
+    """Wait until the admin endpoint's reply to a call contains this line."""
 
     async def has_line() -> bool:
         return line in await participant.call_admin(call)
@@ -183,7 +183,7 @@
 
 
 async def wait_for_exit(environment: Environment, participant: Participant, timeout_s: float) -> None:
-    """Wait until a process has ended without an error."""
+    """Wait until a process has exited, and assert that its exit code is 0."""
     await environment.wait_until(
         lambda: participant.exit_code is not None, f"{participant.name} exits", timeout_s + TOLERANCE_S
     )
@@ -191,7 +191,7 @@
 
 
 def run_scenario(folder: Path, scenario: Callable[[Environment], Awaitable[None]]) -> None:
-    """Run a scenario in an environment, and end its processes."""
+    """Run a scenario in a new environment, whose processes are ended afterwards."""
 
     async def run() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S), Environment(folder) as environment:
--- a/tests/program/conftest.py
+++ b/tests/program/conftest.py
@@ -1,4 +1,4 @@
-"""The fixture of the tests that step the wall clock."""
+"""The clock fixture of the tests that step the wall clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def clock(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> SteppedClock:
-    """A clock that all processes see which the test starts."""
+    """A clock that all processes started by the test use."""
     folder = tmp_path / "clock-folder"
     folder.mkdir()
     monkeypatch.syspath_prepend(str(folder))
--- a/tests/program/errno_launcher.py
+++ b/tests/program/errno_launcher.py
@@ -1,7 +1,8 @@
-"""Starts the real program with socket calls that fail by a schedule.
+"""Starts the real program with socket calls that fail as configured.
 
-``SOCKET_FAULTS`` has a JSON list of faults: ``call`` (a method of ``socket.socket``), ``errno`` (its name),
-``every`` (2: every second call fails; absent: each) and ``flag`` (a file: calls fail only while it exists).
+``SOCKET_FAULTS`` is a JSON list of faults with the keys ``call`` (a method of ``socket.socket``), ``errno``
+(the name of the error), ``every`` (with 2, every second call fails; by default, every call) and ``flag`` (a
+path: calls fail only while this file exists).
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def install_fault(fault: Mapping[str, Any]) -> None:
-    """Wrap one method of ``socket.socket``; two faults of one method are applied in turn."""
+    """Wrap a method of ``socket.socket``; a second fault of the same method wraps the first."""
     call = getattr(socket.socket, fault["call"])
     error_number = getattr(errno, fault["errno"])
     interval = fault.get("every", 1)
@@ -36,7 +37,7 @@
 
 
 def main() -> int:
-    """Install the faults, and run the program."""
+    """Install the faults, run the program, and return its exit code."""
     for fault in json.loads(os.environ["SOCKET_FAULTS"]):
         install_fault(fault)
     from thornjunction.program import run_program
--- a/tests/program/router_program.py
+++ b/tests/program/router_program.py
@@ -1,4 +1,4 @@
-"""The real program on a listening socket that it inherits."""
+"""Runs the real program on an inherited listening socket."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# Seconds until a program that was told to exit has exited.
+# Time within which a program exits after SIGTERM.
 EXIT_TIMEOUT_S = 20
 
 READ_BYTES = 4096
 
 
 def listen_on_loopback() -> socket.socket:
-    """Return a socket that listens on a free port; as a context manager it closes itself."""
+    """Return a socket that listens on a free loopback port."""
     return socket.create_server((LOOPBACK_HOST, 0))
 
 
 def free_address() -> str:
-    """Return a loopback address whose port was free a moment ago."""
+    """Return a loopback address whose port is currently free; another process may take it."""
     with listen_on_loopback() as unused_socket:
         return bound_address(unused_socket)
 
 
 def fetch_check(connection: socket.socket) -> bytes:
-    """Request ``/check`` on this connection, and return the output."""
+    """Request ``/check`` on this connection, and return the content of the first record of the response."""
     connection.sendall(encode_fastcgi_request(1, {"SCRIPT_NAME": "/check"}))
     reader = fastcgi.RecordReader()
     records: list[fastcgi.Record] = []
@@ -56,9 +56,9 @@
 
 
 class RouterProgram:
-    """A running program with an admin endpoint; as a context manager it is killed at the end.
+    """A running program with an admin endpoint; the context manager kills it on exit.
 
-    Its command channel need not answer: the constructor returns once the program is ready without.
+    The constructor returns once the program is ready, which requires no answer on its command channel.
     """
 
     def __init__(
@@ -98,10 +98,10 @@
         self.kill()
 
     def call(self, line: str) -> str:
-        """Make one call at the admin endpoint, and return its reply."""
+        """Make a call to the admin endpoint, and return its reply."""
         return call_admin(self.admin_address, line)
 
     def kill(self) -> None:
-        """Kill the program if it has not exited, and wait for it."""
+        """Kill the program if it is still running, and wait for its exit."""
         self.process.kill()
         self.process.wait()
--- a/tests/program/test_clock_offset.py
+++ b/tests/program/test_clock_offset.py
@@ -1,4 +1,4 @@
-"""Unix times from outside are mapped to the core's clock, whatever the machine's wall clock says."""
+"""Received Unix times are mapped to the core's clock even if the machine's wall clock is wrong."""
 
 from __future__ import annotations
 
@@ -17,19 +17,18 @@
 from thornjunction.net.wire.commands import Purge, decode_commands
 from thornjunction.runtime.service import Service
 
-# The true Unix time, and how far the core's clock is from it.
+# The true Unix time, and the offset of the core's clock from it.
 TRUE_UNIX_S = 1.8e9
 CORE_OFFSET_MS = 1e12
 
-# Milliseconds within which an age matters.
+# Greatest age in milliseconds that has an effect.
 RECENT_MS = 10_000.0
 
-# Seconds by which the wall clock is wrong at the start.
+# Seconds by which the wall clock is ahead at the start.
 HOUR_S = 3600.0
 
-# At the start the machine's clock is off by the first value, then by the second; what discovery tells has
-# happened the third value ago, and is taken to be as old as the fourth, in seconds.  Ages over 10 s don't
-# matter.
+# Each row, in seconds: the error of the machine's clock at the start, its error later, the true age of an
+# event that discovery reports, and the age that is computed for it.  Ages over 10 s have no effect.
 AGES_S = [
     (0.0, 0.0, 3.0, 3.0),
     (0.0, -3600.0, 3.0, 3.0),
@@ -38,23 +37,23 @@
     (0.0, 5.0, 3.0, 3.0),
     (0.0, -3600.0, 50.0, 50.0),
     (0.0, 3600.0, 3000.0, 3000.0),
-    # Told late, or by a discovery whose clock was stepped too: the younger of the two.
+    # Reported late, or by a discovery whose clock was stepped too: the lower of the two possible ages.
     (0.0, -5.0, 7.0, 2.0),
-    # Discovery's clock is a little ahead.
+    # Discovery's clock is slightly ahead.
     (0.0, 0.0, -0.3, 0.0),
     (0.0, 5.0, -0.3, 0.0),
-    # The clock was wrong at the start and is right by now.
+    # The clock was wrong at the start and is right now.
     (-3600.0, 0.0, 3.0, 3.0),
     (3600.0, 0.0, 3.0, 3.0),
-    # It is still wrong: the event has happened at this moment at the latest.
+    # The clock is still wrong, and the event appears to be in the future: its age is taken as 0.
     (-3600.0, -3600.0, 3.0, 0.0),
-    # It is wrong the other way, which cannot be distinguished from an event that is told late.
+    # The clock is wrong in the other direction, which is indistinguishable from an event reported late.
     (3600.0, 3600.0, 3.0, 3603.0),
 ]
 
 
 @pytest.mark.parametrize(("start_offset_s", "later_offset_s", "true_age_s", "age_s"), AGES_S)
-def test_the_age_of_an_event(
+def test_event_age_with_a_wrong_wall_clock(
     start_offset_s: float, later_offset_s: float, true_age_s: float, age_s: float
 ) -> None:
     offset_s = start_offset_s
@@ -68,7 +67,7 @@
 
 @pytest.fixture
 def service_with_wrong_clock() -> Service:
-    """A service that was built while the wall clock was an hour ahead; it is right since."""
+    """A service that was built while the wall clock was an hour ahead; the clock is right afterwards."""
     true_time = time.time
     offset_s = HOUR_S
     with patch("time.time", lambda: true_time() + offset_s):
@@ -80,7 +79,7 @@
 
 
 def engine_event(service: Service, command: Any) -> api.Event:
-    """Return the event that a command of discovery becomes."""
+    """Return the engine's event for a command from discovery."""
     events: list[api.Event] = []
     with patch.object(service.engine, "feed", events.append):
         service.handle_command(command)
@@ -89,7 +88,7 @@
     return event
 
 
-def test_a_purge_is_not_over_where_the_clock_was_ahead_at_the_start(
+def test_a_purge_stays_in_force_if_the_clock_was_ahead_at_the_start(
     service_with_wrong_clock: Service,
 ) -> None:
     event = engine_event(service_with_wrong_clock, Purge(1, 1, 0, time.time() * 1000.0))
@@ -97,7 +96,7 @@
     assert 0.0 <= event.age_ms < 1000.0
 
 
-def test_a_new_cache_is_not_warm_where_the_clock_was_ahead_at_the_start(
+def test_a_new_cache_is_in_slow_start_if_the_clock_was_ahead_at_the_start(
     service_with_wrong_clock: Service,
 ) -> None:
     host = edge_entry("c1", born_ms=time.time() * 1000.0)
--- a/tests/program/test_clock_steps_control.py
+++ b/tests/program/test_clock_steps_control.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped under a relay, and under the members of a fleet."""
+"""Steps of the wall clock must not affect a relay or the membership of a fleet."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 from thornjunction.net.discovery.multi_source_watch import BLOCK_MS
 from thornjunction.runtime.relay import FLUSH_TIMEOUT_MS
 
-# Seconds for which the relay holds a poll.
+# Block time of a poll, for which the relay holds it.
 BLOCK_S = 0.4
 
-# Seconds until the relay passes the first purge on, and each later one.
+# Time within which the relay forwards the first purge.
 FIRST_PURGE_TIMEOUT_S = 10.0
 
 PURGES = 3
@@ -45,7 +45,7 @@
 
 
 async def step_during_a_poll(relay: RelayParticipant, query: str, clock: SteppedClock, step_s: float) -> None:
-    """The relay answers a poll that it holds in time."""
+    """Step the clock while the relay holds a poll; the answer must come at the end of the block time."""
     host, _, port = relay.listen_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     started_s = time.monotonic()
@@ -60,8 +60,8 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_relay(step_s: float, tmp_path: Path, clock: SteppedClock) -> None:
-    """Purges after a step are passed on, also those of the same object again; polls go on."""
+def test_a_relay_is_unaffected_by_clock_steps(step_s: float, tmp_path: Path, clock: SteppedClock) -> None:
+    """The relay forwards purges after a step, also repeated ones of one object, and keeps polling."""
 
     async def scenario(environment: Environment) -> None:
         discovery = environment.discovery
@@ -76,7 +76,7 @@
             await discovery.publish_purges(1)
             has_purge = partial(lambda count: len(poller.purged_objects) == count, count)
             timeout_s = FIRST_PURGE_TIMEOUT_S if count == 1 else TOLERANCE_S
-            await environment.wait_until(has_purge, f"purge {count}", timeout_s)
+            await environment.wait_until(has_purge, f"the router receives purge {count}", timeout_s)
             clock.step(step_s)
         polling.cancel()
         started_s = time.monotonic()
@@ -84,7 +84,9 @@
         query = f"resume={poller.cursor}&epoch={poller.epoch}"
         await step_during_a_poll(relay, query, clock, step_s)
         remaining_s = started_s + BLOCK_MS / 1000.0 + TOLERANCE_S - time.monotonic()
-        await environment.wait_until(lambda: discovery.poll_count > poll_count, "a poll", remaining_s)
+        await environment.wait_until(
+            lambda: discovery.poll_count > poll_count, "the relay polls discovery", remaining_s
+        )
         relay.send_signal(signal.SIGTERM)
         await wait_for_exit(environment, relay, FLUSH_TIMEOUT_MS / 1000.0)
         assert clock.is_seen_by(relay.pid)
@@ -93,7 +95,7 @@
 
 
 def write_fleet_settings(member: RouterParticipant, listen: str, seed: str) -> None:
-    """Write a member's operators' file."""
+    """Write the operators' file of a member."""
     settings = {
         "listen": listen,
         "fleet": "north",
@@ -110,14 +112,14 @@
 
 
 async def sees_member(observer: RouterParticipant, other: RouterParticipant, state: str) -> bool:
-    """Whether a member lists the other one in this state."""
+    """Whether the observer lists the other member in this state."""
     lines = await observer.call_admin("fleet")
     return any(line.startswith(f"member {other.name} {state} ") for line in lines)
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_fleet(step_s: float, tmp_path: Path, clock: SteppedClock) -> None:
-    """No member is suspected for a step, and probes go on: one that dies is suspected in time."""
+def test_a_fleet_is_unaffected_by_clock_steps(step_s: float, tmp_path: Path, clock: SteppedClock) -> None:
+    """A step makes no member suspect, and probes continue: a killed member is suspected in time."""
 
     async def scenario(environment: Environment) -> None:
         first, second = (environment.add_router(name) for name in "ab")
@@ -132,7 +134,7 @@
         await environment.wait_until(partial(sees_member, second, first, "alive"), "b sees a")
         clock.step(step_s)
         probed_s = time.monotonic() + 2 * PROBE_INTERVAL_S
-        await environment.wait_until(lambda: time.monotonic() > probed_s, "some probes")
+        await environment.wait_until(lambda: time.monotonic() > probed_s, "two probe intervals pass")
         assert not [member.name for member in (first, second) if '"suspect"' in member.log_text()]
         second.kill()
         await environment.wait_until(
--- a/tests/program/test_clock_steps_handover.py
+++ b/tests/program/test_clock_steps_handover.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped while one process takes a listening socket over from another."""
+"""Steps of the wall clock must not affect the handover of a listening socket between processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.program.router_program import RouterProgram, fetch_check, listen_on_loopback, loopback_config
 from thornjunction.runtime.shutdown import CHECK_INTERVAL_MS
 
-# Seconds that the open request may take.
+# Time to live of the open request, in seconds.
 REQUEST_S = 0.4
 
 
@@ -34,7 +34,7 @@
 
 
 def start_request(port: int, new: RouterProgram, cache_server: RawSocketCacheServer) -> RawSocketClient:
-    """Send a request that the old process accepts: the new one is stopped meanwhile."""
+    """Send a request that the old process accepts, because the new one is stopped until then."""
     new.process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, new.process.pid, os.WSTOPPED)
     client = RawSocketClient(port)
@@ -45,8 +45,8 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_handover(step_s: float, tmp_path: Path, clock: SteppedClock) -> None:
-    """The old process answers what is open in time and exits; the new one serves."""
+def test_a_handover_is_unaffected_by_clock_steps(step_s: float, tmp_path: Path, clock: SteppedClock) -> None:
+    """The old process answers its open request at the deadline and exits; the new one serves."""
     with (
         listen_on_loopback() as shared,
         listen_on_loopback() as channel,
--- a/tests/program/test_clock_steps_router.py
+++ b/tests/program/test_clock_steps_router.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped under a router: no timer, deadline, backoff or age of it moves."""
+"""Steps of the wall clock must not change a router's timers, deadlines, backoffs and ages."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 from thornjunction.runtime.service import INITIAL_LIST_TIMEOUT_MS
 from thornjunction.runtime.shutdown import CHECK_INTERVAL_MS
 
-# Seconds that a request to a cache in slow start may take.
+# Time to live of a request to a cache in slow start, in seconds.
 SLOW_START_TTL_S = 0.3
 
-# A cause and an event in the log that tell when to step.
+# A cause and an event in the log after which the clock is stepped.
 CONNECT_FAILURE_CAUSE = "dial-failed"
 DRAINING_EVENT = '"shutdown_started"'
 
-# Requests that show whether a cache gets all of them.
+# Requests sent to find out whether one cache serves all of them.
 REQUEST_COUNT = 20
 
 
 async def step_before_the_first_answer(stepped: SteppedRouter) -> None:
-    """Discovery never answers: the router serves the list that it has, and polls again, in time."""
+    """If discovery never answers, the router gets ready with its known list and polls again in time."""
     silent_discovery = SilentDiscovery()
     await silent_discovery.start()
     try:
@@ -68,7 +68,7 @@
 
 
 async def step_during_slow_start(stepped: SteppedRouter) -> None:
-    """A cache that has just started gets little, and all once it is warm."""
+    """A new cache serves part of the requests during its slow start, and all of them once it is warm."""
     ttl_ms = int(SLOW_START_TTL_S * 1000)
     new_cache = RecordingCacheServer("new")
     started_unix_s = time.time()
@@ -95,7 +95,7 @@
 
 
 async def step_during_a_purge(stepped: SteppedRouter) -> None:
-    """The age of copies is bounded from the moment when the purge arrives until it is propagated."""
+    """Requests bound the age of copies from the arrival of a purge until the end of its propagation time."""
     stepped.step()
     purged_s = time.monotonic()
     await stepped.environment.discovery.publish_purges(1)
@@ -107,14 +107,14 @@
     async def is_over() -> bool:
         return not await is_bounded()
 
-    await stepped.environment.wait_until(is_bounded, "the purge is in force", PURGE_PROPAGATION_S / 2)
+    await stepped.environment.wait_until(is_bounded, "the age of copies is bounded", PURGE_PROPAGATION_S / 2)
     stepped.step()
-    await stepped.environment.wait_until(is_over, "the purge is propagated")
+    await stepped.environment.wait_until(is_over, "the age of copies is no longer bounded")
     assert_duration(time.monotonic() - purged_s, PURGE_PROPAGATION_S)
 
 
 async def step_during_connect_backoff(stepped: SteppedRouter) -> None:
-    """The router polls again once discovery listens, after its backoff at the latest."""
+    """The router polls discovery again at the end of its backoff at the latest."""
     discovery = stepped.environment.discovery
     await discovery.stop()
     await stepped.environment.wait_until(
@@ -124,11 +124,13 @@
     poll_count = discovery.poll_count
     await discovery.start()
     timeout_s = MAX_RETRY_DELAY_MS / 1000.0 + TOLERANCE_S
-    await stepped.environment.wait_until(lambda: discovery.poll_count > poll_count, "a poll", timeout_s)
+    await stepped.environment.wait_until(
+        lambda: discovery.poll_count > poll_count, "the router polls discovery", timeout_s
+    )
 
 
 async def step_during_draining(stepped: SteppedRouter) -> None:
-    """A draining router answers what is open in time, and exits."""
+    """A draining router answers its open request at the deadline, and exits."""
     check_answer = await stepped.start_hanging_request(0.9)
     stepped.router.send_signal(signal.SIGTERM)
     await stepped.environment.wait_until(
@@ -139,8 +141,8 @@
     await wait_for_exit(stepped.environment, stepped.router, 2 * CHECK_INTERVAL_MS / 1000.0)
 
 
-# Steps in the life of one router, in order.
-LIFE = (
+# Clock steps during the run of one router, in order.
+WHILE_RUNNING = (
     step_during_a_request,
     step_during_slow_start,
     step_during_a_purge,
@@ -150,19 +152,21 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-@pytest.mark.parametrize("moments", [(step_before_the_first_answer,), LIFE], ids=["start", "life"])
-def test_a_router(
-    moments: tuple[Callable[[SteppedRouter], Awaitable[None]], ...],
+@pytest.mark.parametrize(
+    "situations", [(step_before_the_first_answer,), WHILE_RUNNING], ids=["start", "running"]
+)
+def test_a_router_is_unaffected_by_clock_steps(
+    situations: tuple[Callable[[SteppedRouter], Awaitable[None]], ...],
     step_s: float,
     tmp_path: Path,
     clock: SteppedClock,
 ) -> None:
     async def scenario(environment: Environment) -> None:
         stepped = SteppedRouter(environment, clock, step_s)
-        if moments is LIFE:
+        if situations is WHILE_RUNNING:
             await stepped.start(environment.discovery.address)
             await stepped.wait_until_ready()
-        for step_at_moment in moments:
-            await step_at_moment(stepped)
+        for step_in_situation in situations:
+            await step_in_situation(stepped)
 
     run_scenario(tmp_path, scenario)
--- a/tests/program/test_local_errors.py
+++ b/tests/program/test_local_errors.py
@@ -1,7 +1,7 @@
-"""Socket calls that fail for this machine's own reasons, or because no route leads to the server.
+"""Socket calls that fail because of this machine's state, or because there is no route to the server.
 
-``tests/program/errno_launcher.py`` makes them fail in the real program, and a server closes its connection
-after each answer.
+``tests/program/errno_launcher.py`` makes calls fail in the real program.  The server closes its connection
+after each answer, so that every request needs a new connect.
 """
 
 from __future__ import annotations
@@ -41,27 +41,27 @@
 from thornjunction.net.wire import fastcgi
 from thornjunction.signing.replay import ReplayEntry, ReplayWindow
 
-# Seconds to wait for one answer.
+# Time to wait for one answer.
 ANSWER_TIMEOUT_S = 5.0
 
-# Seconds for which accepts fail while a request waits.
+# Duration for which accepts fail while a request waits.
 FAILING_ACCEPTS_S = 1.2
 
-# Seconds that the server's thread may block.
+# Time limit of a blocking call in the server's thread.
 SERVER_TIMEOUT_S = 20.0
 
 READ_BYTES = 65_536
 
-# Where an answer's status begins and ends in the first record.
+# Position of the status code in the first record of an answer.
 STATUS_SLICE = slice(8, 11)
 
-# Errors of a connect that this machine causes, and those that the route causes.
+# Connect errors caused by this machine, and those caused by the route to the server.
 LOCAL_ERRORS = ("EADDRNOTAVAIL", "EAGAIN", "EINTR", "ENOBUFS")
 ROUTE_ERRORS = ("ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT")
 
 
 class ClosingServer:
-    """Answers one request per connection, then closes it, in a thread that ends with its listening socket."""
+    """Answers one request per connection and closes it, in a thread that ends with the listening socket."""
 
     def __init__(self) -> None:
         self.listening = listen_on_loopback()
@@ -94,7 +94,7 @@
 
 @contextmanager
 def program_with_faults(folder: Path, **fault: object) -> Iterator[int]:
-    """Run the real program under a fault, before a server; yields the port of its front."""
+    """Run the real program under a fault, with one cache server; yields the port of its front."""
     with (
         closing(ClosingServer()) as server,
         listen_on_loopback() as shared,
@@ -108,14 +108,14 @@
 
 
 def wait_for_answer(client: RawSocketClient) -> None:
-    """Wait until the client has an answer or its connection has ended."""
+    """Wait until the client has received an answer, its connection has ended, or the timeout has passed."""
     deadline_s = time.monotonic() + ANSWER_TIMEOUT_S
     while not client.answer_count() and not client.connection_end and time.monotonic() < deadline_s:
         select.select([client.socket], [], [], 0.1)
 
 
 def fetch_status(port: int, request_id: int, class_name: str = "clips") -> bytes:
-    """Send one request on a connection of its own, and return the status."""
+    """Send a request on a new connection, and return the status; empty if none was received."""
     client = RawSocketClient(port)
     client.send(encode_request(request_id, class_name))
     wait_for_answer(client)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("error", [*LOCAL_ERRORS, *ROUTE_ERRORS])
-def test_a_connect_that_fails_now_and_then_refuses_nothing(tmp_path: Path, error: str) -> None:
+def test_intermittent_connect_failures_fail_no_request(tmp_path: Path, error: str) -> None:
     with program_with_faults(tmp_path, call="connect_ex", errno=error, every=2) as port:
         assert [fetch_status(port, number) for number in range(1, 13)] == [b"200"] * 12
 
@@ -153,12 +153,12 @@
     """A datagram transport whose every write fails."""
 
     def write(self, datagram: bytes, peer: tuple[str, int]) -> None:
-        """Fail for lack of buffers."""
+        """Raise the error for a lack of buffers."""
         raise OSError(errno.ENOBUFS, "no buffer")
 
 
-def test_datagrams_that_cannot_be_sent_are_lost_and_nothing_else() -> None:
-    """Raised out of a deadline, the error would end the metrics, and the deadlines that are due with it."""
+def test_a_failed_datagram_write_loses_only_the_datagram() -> None:
+    """Raised from a deadline, the error would stop the export of metrics and skip other due deadlines."""
     deadlines = Deadlines()
     group = GossipGroup((("127.0.0.1", 9),), b"secret" * 8)
     gossip = ReplayGossip(ReplayWindow(), group, deadlines, lambda: 0.0, lambda: 0.0)
@@ -174,8 +174,8 @@
     assert deadlines.next_due() == 10_000.0
 
 
-# What an attempt is told that waits for connects which go on failing: a missing route is the server's fault
-# once the time is over, and this machine's own lack is not.
+# Status reported for an attempt whose connects keep failing until the connect timeout: a missing route is
+# attributed to the server, a shortage on this machine is not.
 FAULT_ATTRIBUTION = {
     errno.ENETUNREACH: [api.AttemptStatus.CONNECTION_REFUSED],
     errno.EADDRNOTAVAIL: [],
@@ -193,12 +193,12 @@
         outcomes = SimpleNamespace(attempt_ended=lambda _, status, *_more: self.statuses.append(status))
         self.environment.pool.report_to(outcomes)
 
-    def test_fault_attribution_of_connects_that_go_on_failing(self) -> None:
+    def test_fault_attribution_of_persistent_connect_failures(self) -> None:
         for number, statuses in FAULT_ATTRIBUTION.items():
             self.check_failing_connects(number, statuses)
 
     def check_failing_connects(self, error_number: int, statuses: list[api.AttemptStatus]) -> None:
-        """Let all connects of one attempt fail, and check its statuses."""
+        """Make all connects of an attempt fail, and check the statuses that are reported for it."""
         pool = self.environment.pool
         self.statuses.clear()
         error = getConnectError((error_number, "failed"))
@@ -209,6 +209,6 @@
             self.environment.run_pool_deadlines(400.0)
             assert self.statuses == statuses
             assert pool.withdraw(1) == (not statuses)
-            # No attempt waits any more.
+            # No attempt is waiting for a connect any more.
             self.environment.run_pool_deadlines(900.0)
         assert pool.upstreams["edge1"].connect_attempt is None
--- a/tests/program/test_metrics.py
+++ b/tests/program/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics arrive at Graphite and collectd."""
+"""Export of metrics to Graphite and collectd servers on real sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from thornjunction.net.telemetry.graphite_client import ConnectionState
 from thornjunction.net.telemetry.metrics_exporter import MetricsExporter, MetricsSource
 
-# The Unix time that the metrics carry, and how long an attempt has taken.
+# The Unix time of the exported metrics, and the duration of the counted attempt.
 UNIX_S = 10.5
 ELAPSED_MS = 12.5
 
@@ -27,25 +27,25 @@
 
 
 class GraphiteServer(protocol.Protocol):
-    """Passes on what it receives, and closes the connection."""
+    """A Graphite server that fires a deferred with the received lines, and closes the connection."""
 
     def __init__(self, received: Deferred[str]) -> None:
         self._received = received
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass on the lines."""
+        """Fire the deferred with the lines."""
         self._received.callback(data.decode())
         self.transport.loseConnection()
 
 
 class CollectdServer(protocol.DatagramProtocol):
-    """Passes on the packet that it receives."""
+    """A collectd server that fires a deferred with the received packet."""
 
     def __init__(self, received: Deferred[bytes]) -> None:
         self._received = received
 
     def datagramReceived(self, datagram: bytes, addr: object) -> None:  # noqa: N802
-        """Pass on the packet."""
+        """Fire the deferred with the packet."""
         self._received.callback(datagram)
 
 
@@ -62,7 +62,7 @@
         self.metrics = MetricsExporter(reactor, deadlines, core_ms, lambda: UNIX_S, source)
 
     def listen(self, received_lines: Deferred[str], received_packet: Deferred[bytes]) -> None:
-        """Start both servers, and export to them."""
+        """Start both servers, and add them to the exporter."""
         factory = BuildFactory(lambda: GraphiteServer(received_lines))
         tcp_port: ListeningPort = reactor.listenTCP(0, factory, interface="127.0.0.1")
         udp_port: ListeningPort = reactor.listenUDP(0, CollectdServer(received_packet), interface="127.0.0.1")
@@ -72,7 +72,7 @@
         self.metrics.add_collectd(("127.0.0.1", udp_port.getHost().port))
 
     @inlineCallbacks
-    def test_figures_arrive_at_both(self) -> Steps[None]:
+    def test_metrics_arrive_at_graphite_and_collectd(self) -> Steps[None]:
         received_lines: Deferred[str] = Deferred()
         received_packet: Deferred[bytes] = Deferred()
         self.listen(received_lines, received_packet)
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -1,4 +1,4 @@
-"""The real program from its start to the end of its draining."""
+"""The real program from its start to its exit after draining."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 PROGRAM = [sys.executable, "-m", "thornjunction"]
 
-# Seconds that a faulty start may take.
+# Time within which a start with an invalid configuration fails.
 START_TIMEOUT_S = 60
 
-# How the program's first poll begins where its configuration has the events up to 3.
+# The beginning of the program's first poll if its configuration contains the events up to cursor 3.
 FIRST_POLL = b"GET /cmd/next?resume=3&bl"
 
 # The log event of a configuration that was rejected.
 RELOAD_REJECTED_EVENT = b"reload_rejected"
 
-# Modules of a router without extras: neither these libraries nor our packages and modules for them.
+# Libraries and modules that a router without extras must not import.
 EXTRA_LIBRARIES = {"click", "ijson", "joserfc", "msgspec", "re2"}
 EXTRA_PREFIXES = ("fleet_", "control_", "sortedcontainers")
 EXTRA_SUFFIXES = (".fleet", "net.relay", "runtime.relay", "relay_status", "control_settings", "wire.polls")
@@ -43,7 +43,7 @@
 
 
 class ServingProgram:
-    """A program that polls ``channel``, with the connection on which it does so."""
+    """A running program and its connection to ``channel``, on which it polls."""
 
     def __init__(self, folder: Path, channel: socket.socket) -> None:
         self.listen_address = free_address()
@@ -62,23 +62,23 @@
         self.channel_connection = channel.accept()[0]
 
     def call(self, line: str) -> str:
-        """Make one call at the admin endpoint, and return its reply."""
+        """Make a call to the admin endpoint, and return its reply."""
         return call_admin(self.admin_address, line)
 
     def reload(self, text: str) -> None:
-        """Write another configuration, and have it read."""
+        """Write another configuration, and signal the program to reload it."""
         self.config_path.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     def wait_for_log(self, event: bytes) -> bytes:
-        """Return the next log line of an event."""
+        """Return the next log line that contains the event."""
         assert self.process.stderr is not None
         while event not in (line := self.process.stderr.readline()):
-            assert line, "the program has ended"
+            assert line, "the program has closed its log"
         return line
 
     def close(self) -> None:
-        """Kill the program if it has not exited."""
+        """Kill the program if it is still running, and close its connection."""
         self.process.kill()
         self.process.communicate()
         self.channel_connection.close()
@@ -86,7 +86,7 @@
 
 @pytest.fixture
 def program(tmp_path: Path) -> Iterator[ServingProgram]:
-    """A program that serves and has sent its first poll."""
+    """A running program that has sent its first poll."""
     with listen_on_loopback() as channel:
         serving = ServingProgram(tmp_path, channel)
         try:
@@ -97,7 +97,7 @@
 
 
 def udp_sockets(pid: int) -> set[str]:
-    """Return the UDP sockets of a process, by inode."""
+    """Return the UDP sockets of a process, as ``socket:[inode]``."""
     open_files = {os.readlink(entry) for entry in Path(f"/proc/{pid}/fd").iterdir() if entry.is_symlink()}
     rows = Path(f"/proc/{pid}/net/udp").read_text().splitlines()[1:]
     return {f"socket:[{row.split()[9]}]" for row in rows} & open_files
@@ -116,7 +116,7 @@
 
 
 def check_admin_calls(program: ServingProgram) -> None:
-    """Check the calls of a router without a fleet."""
+    """Check the admin calls of a router without fleet membership."""
     assert program.call("check") == "ACK\n"
     assert program.call("drain-on") == "ACK\n"
     assert program.call("check") == "NAK\n"
@@ -126,7 +126,7 @@
 
 
 def check_reload(program: ServingProgram) -> None:
-    """Check that a faulty file is rejected by name, and that a moved channel is polled at its new address."""
+    """Check that an invalid file is rejected with its name in the log, and that a new channel is polled."""
     program.reload("{")
     assert str(program.config_path).encode() in program.wait_for_log(RELOAD_REJECTED_EVENT)
     with listen_on_loopback() as moved_channel:
@@ -136,7 +136,7 @@
         assert moved_channel.accept()[0].recv(len(FIRST_POLL)) == FIRST_POLL
 
 
-def test_a_faulty_configuration_is_named_and_ends_with_two(tmp_path: Path) -> None:
+def test_an_invalid_configuration_is_reported_with_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{}")
     environment = os.environ | {"PROXY_CONFIG": str(path)}
@@ -147,7 +147,7 @@
     assert "'limits' is missing" in completed.stderr
 
 
-def test_a_router_without_extras_pays_for_none_of_their_libraries() -> None:
+def test_a_router_without_extras_imports_none_of_their_libraries() -> None:
     command = [sys.executable, "-c", LIST_MODULES]
     modules = subprocess.run(command, capture_output=True, check=True, text=True).stdout.split()
     assert "twisted" in modules
--- a/tests/program/test_quiet.py
+++ b/tests/program/test_quiet.py
@@ -1,4 +1,4 @@
-"""Faults that begin after a long time without requests are handled as at any other time."""
+"""Faults that begin after a long time without requests are handled like those under load."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from thornjunction import interface as api
 
 
-@pytest.mark.parametrize("quiet_ms", [0.0, 600_000.0])
-def test_a_refusal_and_a_hang_after_a_long_quiet_time_are_met_as_at_once(quiet_ms: float) -> None:
+@pytest.mark.parametrize("idle_ms", [0.0, 600_000.0])
+def test_a_refusal_and_a_hang_after_a_long_idle_time_are_handled_as_usual(idle_ms: float) -> None:
     driver = RouterDriver()
     for key in range(20):
         driver.end_attempt(attempt_of(driver.request(key)))
-    driver.advance(quiet_ms)
+    driver.advance(idle_ms)
     refused = attempt_of(driver.request(1))
     retry = attempt_of(driver.end_attempt(refused, api.AttemptStatus.CONNECTION_REFUSED))
     assert retry.server != refused.server
@@ -25,7 +25,7 @@
     for attempt in attempts:
         if attempt.server != hanging:
             driver.end_attempt(attempt)
-    # Servers that had no requests before are not taken to be silent.
+    # A server without earlier requests must not be treated as unresponsive yet.
     assert not actions_of(driver.advance(300.0), api.CancelAttempt)
     cancelled = {cancel.request_id for cancel in actions_of(driver.advance(1_200.0), api.CancelAttempt)}
     assert cancelled == hanging_ids
--- a/tests/program/test_upstream_outcomes.py
+++ b/tests/program/test_upstream_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts on real sockets, and how many connections and streams they take."""
+"""Outcomes of attempts on real sockets, and the connections and streams that attempts use."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 # The entity tag of the copy that the fake cache server sends.
 COPY_TAG = "t1"
 
-# What a cache server answers, the copy that the client has, and the outcome.
+# The answer of a cache server, the entity tag of the client's copy, and the expected outcome.
 OUTCOMES: list[tuple[ScriptedAnswer, str, api.AttemptStatus]] = [
     ((b"DONE", b"x"), "", api.AttemptStatus.SUCCEEDED),
     ((b"LACK", b""), "", api.AttemptStatus.CACHE_MISS),
     ((b"WAIT", b""), "", api.AttemptStatus.OVERLOADED),
     ((b"BROKE", b""), "", api.AttemptStatus.ERROR),
     ((b"PAST", b""), "", api.AttemptStatus.NOT_STARTED),
-    # The client has no copy that it could keep.
+    # "KEEP" is invalid if the client has no copy.
     ((b"KEEP", b""), "", api.AttemptStatus.ERROR),
-    # The answer names no copy.
+    # The answer does not name the copy that the client may keep.
     ((b"KEEP", b""), COPY_TAG, api.AttemptStatus.ERROR),
     # The answer names the client's copy.
     ((b"KEEP", b"x"), COPY_TAG, api.AttemptStatus.SUCCEEDED),
@@ -49,17 +49,17 @@
     def attempt_ended(
         self, number: int, status: api.AttemptStatus, content: Any = None, report: Any = None
     ) -> None:
-        """Keep the outcome that the pool reports."""
+        """Record the outcome that the pool reports."""
         self.outcomes.append((number, status, content.body if content else None))
 
     def send(self, number: int, name: str, **fields: Any) -> None:
-        """Send an attempt to the edge."""
+        """Start an attempt at the edge."""
         request = ClientRequest(name, "films", "00000000000000ff", 900.0, **fields)
         self.pool.send(UpstreamRequest(number, request, api.StartAttempt("r", "edge1", 900.0, "origin")))
 
     @inlineCallbacks
     def send_without_answer(self, number: int, name: str) -> Steps[None]:
-        """Send an attempt that the edge does not answer, and wait until it has come there."""
+        """Start an attempt that the edge does not answer, and wait until the edge has received it."""
         self.environment.script = [None]
         received = self.environment.next_request()
         self.send(number, name)
@@ -67,7 +67,7 @@
 
     @inlineCallbacks
     def send_one_by_one(self, count: int) -> Steps[None]:
-        """Send attempts, each once the one before has come to the edge and no connect is open."""
+        """Start attempts, each once the edge has received the previous one and no connect is in progress."""
         for number in range(count):
             self.send(number, f"t{number}")
             yield self.environment.wait_until(
@@ -76,7 +76,7 @@
             yield self.environment.wait_until(lambda: self.pool.upstreams["edge1"].connect_attempt is None)
 
     def stream_counts(self) -> list[int]:
-        """Return the streams in flight on each connection."""
+        """Return the number of streams in flight on each connection."""
         return [len(connection.streams) for connection in self.pool.connections]
 
     @inlineCallbacks
@@ -88,7 +88,7 @@
             assert self.outcomes[number][:2] == (number, status)
 
     @inlineCallbacks
-    def test_a_broken_connection_may_have_run_and_a_refused_one_did_not(self) -> Steps[None]:
+    def test_a_reset_may_have_executed_the_request_and_a_refusal_has_not(self) -> Steps[None]:
         yield self.send_without_answer(1, "a")
         yield self.environment.ports[0].stopListening()
         self.environment.server_connections[0].transport.abortConnection()
@@ -99,7 +99,7 @@
         assert statuses == [api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.CONNECTION_REFUSED]
 
     @inlineCallbacks
-    def test_a_late_answer_is_not_taken_for_the_next_attempt_of_its_name(self) -> Steps[None]:
+    def test_a_late_answer_is_not_matched_to_a_later_attempt_with_the_same_name(self) -> Steps[None]:
         yield self.send_without_answer(1, "same")
         self.pool.cancel(1)
         first_connection, first_id = self.environment.received_requests[0]
@@ -122,8 +122,8 @@
         assert self.outcomes == [(1, api.AttemptStatus.CONNECTION_RESET, None)]
 
     @inlineCallbacks
-    def test_a_length_that_swallows_later_answers_ends_the_connection(self) -> Steps[None]:
-        """Bytes that never make an answer are no sign of life; what was in flight may have been executed."""
+    def test_a_length_that_covers_later_answers_closes_the_connection(self) -> Steps[None]:
+        """Bytes that complete no answer are not activity; requests in flight may have been executed."""
         self.environment.script = [None, None]
         for number, name in enumerate("ab"):
             self.send(number, name)
@@ -141,15 +141,15 @@
         assert {outcome[1:] for outcome in self.outcomes} == {(api.AttemptStatus.CONNECTION_RESET, None)}
 
     @inlineCallbacks
-    def test_connections_share_what_is_in_flight(self) -> Steps[None]:
-        """A spoilt answer ends its connection, so not all may be in flight on one."""
+    def test_requests_in_flight_are_spread_over_connections(self) -> Steps[None]:
+        """A malformed answer closes its connection, so not all requests in flight may share one."""
         self.environment.script = [None] * 8
         yield self.send_one_by_one(8)
         assert sorted(self.stream_counts()) == [2, 3, 3]
 
     @inlineCallbacks
-    def test_where_no_connection_has_capacity_more_are_opened_up_to_a_bound(self) -> Steps[None]:
-        """Four of 32 streams are less than a large cache server's share at the peak; others were rejected."""
+    def test_more_connections_are_opened_up_to_a_bound_if_none_has_capacity(self) -> Steps[None]:
+        """Four connections of 32 streams were too few for a large cache server at the peak."""
         streams = self.pool.context.limits.max_streams
         capacity = streams * MAX_CONNECTIONS_IF_EXHAUSTED
         self.environment.script = [None] * (capacity + 1)
@@ -159,8 +159,8 @@
         assert self.outcomes == [(capacity, api.AttemptStatus.NOT_STARTED, None)]
 
     @inlineCallbacks
-    def test_a_connection_is_exhausted_by_what_is_cancelled_on_it(self) -> Steps[None]:
-        """The ids of what was cancelled are kept for its late answers; so many, and no more."""
+    def test_cancelled_attempts_exhaust_a_connection(self) -> Steps[None]:
+        """Ids of cancelled attempts are kept to recognize late answers, up to a limit on each connection."""
         for number in range(MAX_CANCELLED_IDS + 1):
             self.environment.script = [None]
             self.send(number, f"t{number}")
