--- a/packages/fleet-scale/tests/test_scale_command.py
+++ b/packages/fleet-scale/tests/test_scale_command.py
@@ -45,7 +45,9 @@
     """Poll a condition on the process table, of which there are no notifications."""
     deadline_s = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline_s, "the expected processes were not found within the timeout"
+        assert time.monotonic() < deadline_s, (
+            "the process table did not reach the expected state within the timeout"
+        )
         time.sleep(POLL_INTERVAL_S)
 
 
--- a/tests/program/test_upstream_outcomes.py
+++ b/tests/program/test_upstream_outcomes.py
@@ -149,7 +149,7 @@
 
     @inlineCallbacks
     def test_more_connections_are_opened_up_to_a_bound_if_none_has_capacity(self) -> Steps[None]:
-        """Four connections of 32 streams were too few for a large cache server at the peak."""
+        """Four connections of 32 streams are too few for a big server at its peak: requests were rejected."""
         streams = self.pool.context.limits.max_streams
         capacity = streams * MAX_CONNECTIONS_IF_EXHAUSTED
         self.environment.script = [None] * (capacity + 1)
