--- a/tests/conformance/test_http.py
+++ b/tests/conformance/test_http.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.helpers import FILMS
-from tests.loopback import CLIP
+from tests.loopback import FILM_PATH
 from thornjunction.core.ports import Content, Served
 from thornjunction.net.wire import ProtocolError, http1, ranges, signed
 
@@ -62,7 +62,7 @@
 
 def test_head_is_answered_with_the_length_and_without_the_body() -> None:
     """RFC 9110 §9.3.2: HEAD is accepted for a class whose requests are idempotent."""
-    request = http1.HttpRequest("HEAD", CLIP, {}, b"", keep_alive=True)
-    assert signed.decode_request(request, CLIP, "n", {"films": FILMS}).class_name == "films"
+    request = http1.HttpRequest("HEAD", FILM_PATH, {}, b"", keep_alive=True)
+    assert signed.decode_request(request, FILM_PATH, "n", {"films": FILMS}).class_name == "films"
     response = signed.encode_answer(Served(Content(b"abc", "t1", not_modified=False)), request, {})
     assert http1.encode_response(response).endswith(b"Content-Length: 3\r\n\r\n")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,8 +11,8 @@
 from thornjunction.signing import tokens
 
 BASE = "https://cams.example"
-CLIP = "/films/17/7f3a9c21e0b4d655/0"
-ALERT = "/keyed/3/00000000000000aa/0"
+FILM_PATH = "/films/17/7f3a9c21e0b4d655/0"
+KEYED_PATH = "/keyed/3/00000000000000aa/0"
 
 # Key id, the letter that its secret repeats, and the Unix second from which it signs no more.
 KEY_PARAMETERS = (("new", "n", None), ("old", "o", 2e9), ("retired", "r", 10.0))
--- a/tests/net/downstream/builders.py
+++ b/tests/net/downstream/builders.py
@@ -9,7 +9,7 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from tests.loopback import BASE, CLIP, TRUST
+from tests.loopback import BASE, FILM_PATH, TRUST
 from tests.net.wire.builders import PARAMS, encoded_fastcgi_request
 from thornjunction import interface as api
 from thornjunction.core.ports import (
@@ -45,8 +45,8 @@
 
 def signed_request() -> bytes:
     """A request of the signed front with a token that admits it."""
-    token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(BASE + CLIP), UNIX_S, TOKEN_LIFETIME_S)
-    return f"GET {CLIP}?URISigningPackage={token} HTTP/1.1\r\nHost: h\r\n\r\n".encode()
+    token = tokens.issue(TRUST, "hash:" + tokens.uri_hash(BASE + FILM_PATH), UNIX_S, TOKEN_LIFETIME_S)
+    return f"GET {FILM_PATH}?URISigningPackage={token} HTTP/1.1\r\nHost: h\r\n\r\n".encode()
 
 
 def malformed_fastcgi_request() -> bytes:
--- a/tests/net/downstream/test_client_disconnect.py
+++ b/tests/net/downstream/test_client_disconnect.py
@@ -10,7 +10,7 @@
 from fakes.loopback_environment import PortIndex
 from fakes.raw_socket import CloseMode, RawSocketClient, encode_abort, encode_request
 
-from tests.loopback import CLIP
+from tests.loopback import FILM_PATH
 from tests.net.downstream.loopback_case import (
     LARGE_RESPONSE,
     LoopbackTestCase,
@@ -78,7 +78,7 @@
         opened: list[Any] = []
         bursts = {
             PortIndex.FASTCGI_FRONT: b"".join(encode_request(number + 1) for number in range(100)),
-            PortIndex.SIGNED_FRONT: self.clients.encode_signed_request(CLIP) * 5,
+            PortIndex.SIGNED_FRONT: self.clients.encode_signed_request(FILM_PATH) * 5,
         }
         with patch.object(self.engine, "open", lambda call, reply: opened.append(call)):
             for how, (port, burst) in product(CloseMode, bursts.items()):
--- a/tests/net/downstream/test_pending_requests.py
+++ b/tests/net/downstream/test_pending_requests.py
@@ -11,7 +11,7 @@
 from fakes.loopback_environment import PortIndex
 from fakes.raw_socket import RawSocketClient, encode_request
 
-from tests.loopback import CLIP
+from tests.loopback import FILM_PATH
 from tests.net.downstream.loopback_case import LoopbackTestCase
 from thornjunction.net.downstream.connection import DownstreamConnection
 from thornjunction.net.downstream.request_times import IDLE_TIMEOUT_MS, REQUEST_TIMEOUT_MS
@@ -53,7 +53,7 @@
     def requests_by_port(self) -> dict[int, bytes]:
         return {
             PortIndex.FASTCGI_FRONT: encode_request(7),
-            PortIndex.SIGNED_FRONT: self.clients.encode_signed_request(CLIP),
+            PortIndex.SIGNED_FRONT: self.clients.encode_signed_request(FILM_PATH),
         }
 
     def time_limit_cases(self) -> list[TimeLimitCase]:
--- a/tests/net/downstream/test_responses_before_close.py
+++ b/tests/net/downstream/test_responses_before_close.py
@@ -5,7 +5,7 @@
 from fakes.loopback_environment import PortIndex
 from fakes.raw_socket import encode_request
 
-from tests.loopback import CLIP
+from tests.loopback import FILM_PATH
 from tests.net.downstream.loopback_case import (
     LARGE_RESPONSE,
     LoopbackTestCase,
@@ -18,7 +18,7 @@
 class ResponsesBeforeCloseTest(LoopbackTestCase):
     async def test_a_response_on_its_way_survives_a_protocol_violation(self) -> None:
         """What came completely before it is answered too; nothing after it is read."""
-        http_request = self.clients.encode_signed_request(CLIP)
+        http_request = self.clients.encode_signed_request(FILM_PATH)
         await self.check_protocol_violation(PortIndex.FASTCGI_FRONT, encode_request(1), encode_request(2))
         await self.check_protocol_violation(PortIndex.SIGNED_FRONT, http_request, http_request)
 
@@ -51,8 +51,8 @@
         )
 
     async def test_a_request_for_the_close_is_the_last_one_on_the_signed_front(self) -> None:
-        request = self.clients.encode_signed_request(CLIP)
-        last_request = self.clients.encode_signed_request(CLIP, "Connection: close")
+        request = self.clients.encode_signed_request(FILM_PATH)
+        last_request = self.clients.encode_signed_request(FILM_PATH, "Connection: close")
         await self.check_last_request(PortIndex.SIGNED_FRONT, last_request + request, request, forwarded=1)
 
     async def check_last_request(self, port: int, burst: bytes, later_request: bytes, forwarded: int) -> None:
--- a/tests/net/downstream/test_signed_front.py
+++ b/tests/net/downstream/test_signed_front.py
@@ -5,7 +5,7 @@
 from fakes.clients import FastCgiClient
 from fakes.loopback_environment import PortIndex
 
-from tests.loopback import ALERT, CLIP
+from tests.loopback import FILM_PATH, KEYED_PATH
 from tests.net.downstream.signed_front_case import SignedFrontTestCase
 from tests.net.wire.builders import PARAMS, encoded_fastcgi_request
 from thornjunction.net.wire import fastcgi
@@ -13,7 +13,7 @@
 
 class SignedFrontTest(SignedFrontTestCase):
     async def test_a_signed_request_is_served_once(self) -> None:
-        response = await self.request(self.environment.sign_target(CLIP))
+        response = await self.request(self.environment.sign_target(FILM_PATH))
         assert response.status == 200
         assert response.body == b"wave"
         assert response.headers["etag"] == '"t1"'
@@ -25,20 +25,20 @@
     async def test_a_deadline_is_a_504_and_the_attempt_is_cancelled(self) -> None:
         self.environment.script = [None] * 9
         response = await self.request(
-            self.environment.sign_target(ALERT), "POST", X_Ttl_Ms="80", Idempotency_Key="k1"
+            self.environment.sign_target(KEYED_PATH), "POST", X_Ttl_Ms="80", Idempotency_Key="k1"
         )
         assert response.status == 504
         await self.until_cancelled()
 
     async def test_a_rejection_says_when_to_retry(self) -> None:
         self.environment.script = [(b"LACK", b"")]
-        response = await self.request(self.environment.sign_target(CLIP))
+        response = await self.request(self.environment.sign_target(FILM_PATH))
         assert response.status == 503
         assert response.headers["retry-after"] == "1"
 
     async def test_a_failure_does_not_say_when_to_retry(self) -> None:
         self.environment.script = [(b"BROKE", b"")] * 9
-        response = await self.request(self.environment.sign_target(ALERT), "POST", Idempotency_Key="k2")
+        response = await self.request(self.environment.sign_target(KEYED_PATH), "POST", Idempotency_Key="k2")
         assert response.status == 502
         assert "retry-after" not in response.headers
 
@@ -46,7 +46,7 @@
         self.environment.script = [None]
         client = await self.environment.connect_client()
         next_attempt = self.environment.next_request()
-        client.send_request(self.environment.sign_target(CLIP))
+        client.send_request(self.environment.sign_target(FILM_PATH))
         await next_attempt
         client.transport.abortConnection()
         await self.until_cancelled()
@@ -61,12 +61,12 @@
         (response,) = await client.wait_for_answers(1)
         assert response.status == 400
         await client.connection_lost
-        response = await self.request(self.environment.sign_target(CLIP))
+        response = await self.request(self.environment.sign_target(FILM_PATH))
         assert response.status == 200
 
     async def test_ranges_of_an_object(self) -> None:
-        part = await self.request(self.environment.sign_target(CLIP), Range="bytes=1-2")
-        unsatisfiable = await self.request(self.environment.sign_target(CLIP), Range="bytes=9-")
+        part = await self.request(self.environment.sign_target(FILM_PATH), Range="bytes=1-2")
+        unsatisfiable = await self.request(self.environment.sign_target(FILM_PATH), Range="bytes=9-")
         assert part.status == 206
         assert part.body == b"av"
         assert part.headers["content-range"] == "bytes 1-2/4"
--- a/tests/net/downstream/test_signed_tokens.py
+++ b/tests/net/downstream/test_signed_tokens.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from tests.loopback import ALERT, CLIP, TRUST
+from tests.loopback import FILM_PATH, KEYED_PATH, TRUST
 from tests.net.downstream.signed_front_case import SignedFrontTestCase
 from thornjunction.signing.replay import ENTRY_BYTES, ReplayWindow
 
@@ -14,13 +14,13 @@
 
 class SignedTokensTest(SignedFrontTestCase):
     async def test_what_is_not_admitted_never_reaches_the_core(self) -> None:
-        good = self.environment.issue_token(CLIP)
-        other = self.environment.issue_token(CLIP.replace("/0", "/1"))
+        good = self.environment.issue_token(FILM_PATH)
+        other = self.environment.issue_token(FILM_PATH.replace("/0", "/1"))
         status_by_target = {
-            CLIP: 401,
-            f"{CLIP}?URISigningPackage={good}&URISigningPackag%65={good}": 401,
-            f"{CLIP}?URISigningPackage={other}": 403,
-            f"{CLIP}?x=1&URISigningPackage={good}": 403,
+            FILM_PATH: 401,
+            f"{FILM_PATH}?URISigningPackage={good}&URISigningPackag%65={good}": 401,
+            f"{FILM_PATH}?URISigningPackage={other}": 403,
+            f"{FILM_PATH}?x=1&URISigningPackage={good}": 403,
         }
         for target, status in status_by_target.items():
             response = await self.request(target)
@@ -47,7 +47,7 @@
         self.environment.script = [None]
         client = await self.environment.connect_client()
         next_attempt = self.environment.next_request()
-        target = self.environment.sign_target(CLIP)
+        target = self.environment.sign_target(FILM_PATH)
         client.send_request(target)
         await next_attempt
         invalidate()
@@ -62,23 +62,28 @@
         assert len(self.environment.forwarded_requests()) == 1
 
     async def test_a_cookie_renews_a_token_and_is_accepted(self) -> None:
-        response = await self.request(self.environment.sign_target(CLIP, cdniets=30, cdnistt=1, cdnistd=2))
+        response = await self.request(
+            self.environment.sign_target(FILM_PATH, cdniets=30, cdnistt=1, cdnistd=2)
+        )
         cookie = response.headers["set-cookie"]
         assert "; Path=/films/17; Max-Age=30;" in cookie
         self.environment.unix_time_s += 20.0
-        response = await self.request(CLIP, Cookie=cookie.partition(";")[0])
+        response = await self.request(FILM_PATH, Cookie=cookie.partition(";")[0])
         assert response.status == 200
         self.environment.unix_time_s += 100.0
-        response = await self.request(CLIP, Cookie=cookie.partition(";")[0])
+        response = await self.request(FILM_PATH, Cookie=cookie.partition(";")[0])
         assert response.status == 401
 
     async def test_a_rejected_retry_of_an_alert_sends_nothing_and_forgets_nothing(self) -> None:
         self.environment.script = [None]
-        target = self.environment.sign_target(ALERT)
+        target = self.environment.sign_target(KEYED_PATH)
         headers = {"X_Ttl_Ms": "60", "Idempotency_Key": "k3"}
         response = await self.request(target, "POST", **headers)
         assert response.status == 504
-        for unsigned in (ALERT, f"{ALERT}?URISigningPackage={self.environment.issue_token(CLIP)}"):
+        for unsigned in (
+            KEYED_PATH,
+            f"{KEYED_PATH}?URISigningPackage={self.environment.issue_token(FILM_PATH)}",
+        ):
             response = await self.request(unsigned, "POST", **headers)
             assert response.status in (401, 403)
             assert "retry-after" not in response.headers
@@ -96,8 +101,8 @@
 
     async def test_a_token_bound_to_an_address_admits_that_client_alone(self) -> None:
         """RFC 9246 §2.1.10 over loopback: the connection's peer is 127.0.0.1."""
-        same_address = await self.request(self.environment.sign_target(CLIP, cdniip="127.0.0.1"))
-        other_address = await self.request(self.environment.sign_target(CLIP, cdniip="192.0.2.9"))
+        same_address = await self.request(self.environment.sign_target(FILM_PATH, cdniip="127.0.0.1"))
+        other_address = await self.request(self.environment.sign_target(FILM_PATH, cdniip="192.0.2.9"))
         assert same_address.status == 200
         assert other_address.status == 403
 
@@ -105,9 +110,9 @@
         self.environment.signed_context.replays = ReplayWindow(
             cap_bytes=ENTRY_BYTES, slot_s=10.0, horizon_s=600.0
         )
-        first = await self.request(self.environment.sign_target(CLIP, jti="a"))
-        repeated = await self.request(self.environment.sign_target(CLIP, jti="a"))
-        other = await self.request(self.environment.sign_target(CLIP, jti="b"))
+        first = await self.request(self.environment.sign_target(FILM_PATH, jti="a"))
+        repeated = await self.request(self.environment.sign_target(FILM_PATH, jti="a"))
+        other = await self.request(self.environment.sign_target(FILM_PATH, jti="b"))
         assert first.status == 200
         assert repeated.status == 403
         assert other.status == 503
@@ -115,10 +120,10 @@
 
     async def test_a_forged_second_token_of_a_pipeline_spoils_nothing(self) -> None:
         client = await self.environment.connect_client()
-        good = self.environment.issue_token(CLIP)
-        forged = self.environment.issue_token(CLIP)[:-4] + "AAAA"
-        client.send_request(f"{CLIP}?URISigningPackage={good}")
-        client.send_request(f"{CLIP}?URISigningPackage={forged}")
+        good = self.environment.issue_token(FILM_PATH)
+        forged = self.environment.issue_token(FILM_PATH)[:-4] + "AAAA"
+        client.send_request(f"{FILM_PATH}?URISigningPackage={good}")
+        client.send_request(f"{FILM_PATH}?URISigningPackage={forged}")
         client.send_request(f"/films/17/URISigningPackage={good}/7f3a9c21e0b4d655/0")
         statuses = [response.status for response in await client.wait_for_answers(3)]
         assert statuses == [200, 401, 200]
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -23,7 +23,7 @@
 from twisted.internet.endpoints import SSL4ClientEndpoint
 from twisted.trial.unittest import TestCase
 
-from tests.loopback import CLIP, make_loopback_environment
+from tests.loopback import FILM_PATH, make_loopback_environment
 from thornjunction.net.downstream.signed_front import SignedConnection
 from thornjunction.net.event_loop.timer_service import core_ms
 from thornjunction.net.event_loop.transport import BuildFactory
@@ -175,11 +175,11 @@
         environment = make_loopback_environment()
         self.addCleanup(environment.stop)
         client = yield self.connect_to_signed_front(environment)
-        client.send_request(environment.sign_target(CLIP))
+        client.send_request(environment.sign_target(FILM_PATH))
         (response,) = yield client.wait_for_answers(1)
         assert (response.status, response.body) == (200, b"wave")
         with patch.object(environment.engine, "open") as opened:
-            self.send_request_and_shut_down(client, environment.sign_target(CLIP))
+            self.send_request_and_shut_down(client, environment.sign_target(FILM_PATH))
             yield environment.wait_until(lambda: not environment.downstream_table.connection_count)
         opened.assert_not_called()
         client.transport.loseConnection()
