--- a/benchmarks/benchmark_tools/__init__.py
+++ b/benchmarks/benchmark_tools/__init__.py
@@ -1,1 +1,1 @@
-"""What the benchmarks share: command lines, tables, fits, figures of processes, and loads."""
+"""Modules shared by the benchmarks: command lines, tables, fits, process statistics and load generators."""
--- a/benchmarks/benchmark_tools/catch_up_files.py
+++ b/benchmarks/benchmark_tools/catch_up_files.py
@@ -1,4 +1,4 @@
-"""The configuration and the backlog of a router that is an hour behind."""
+"""The configuration of a router that is an hour of events behind discovery, and that backlog of events."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 CLIENT_TIMEOUT_MS = 3000.0
 MAX_SOCKETS = 900
 PURGE_PROPAGATION_MS = 5600.0
-# Purges of an hour, and the changes of the endpoint list among them.
+# Events of an hour; all are purges, except for the changes of the endpoint list.
 MISSED_EVENTS = 122_400
 CHANGES = 28
 FIRST_CHANGED_SERVER = 100
 HOUR_MS = 3_600_000.0
-# Spreads the objects of successive purges.
+# Multiplies the event number, so that successive purges name objects far apart.
 OBJECT_STEP = 7919
 
 
 def host_entry(number: int, address: str, health: str = "active") -> dict[str, Any]:
-    """One cache server of the endpoint list."""
+    """Return the endpoint list's entry of one cache server."""
     return {
         "dial": address,
         "site": ROUTER_SITE if number < SITE_SERVERS else REMOTE_SITE,
@@ -38,7 +38,7 @@
 
 
 def build_backlog(first_cursor: int, address: str) -> dict[str, Any]:
-    """An hour of events after ``first_cursor``; the purges of the last seconds are still in force."""
+    """Return an hour of events after ``first_cursor``; the purges of the last seconds are still in force."""
     last_cursor = first_cursor + MISSED_EVENTS
     now_ms = time.time() * 1000.0
     events: list[dict[str, Any]] = []
@@ -53,7 +53,7 @@
 
 
 def build_config(front: str, channel: str, cache_server: str) -> dict[str, Any]:
-    """The platform's configuration of a router that knows all servers."""
+    """Return the platform's configuration of a router that starts with the complete endpoint list."""
     config = platform_config(front, channel, cache_server, CLIENT_TIMEOUT_MS)
     hosts = [host_entry(number, cache_server) for number in range(LISTED_SERVERS)]
     config["known"]["cmds"][0]["nodes"]["hosts"] += hosts
--- a/benchmarks/benchmark_tools/cold_server_model.py
+++ b/benchmarks/benchmark_tools/cold_server_model.py
@@ -1,4 +1,4 @@
-"""A model of a fleet before cold servers: routers that do not hear one another share their slow start."""
+"""A model of a fleet that sends requests to cold servers; the routers do not communicate with one another."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from thornjunction.policy.router import Router
 
 RANDOM_SEED = 7
-# When the cold servers started; the runs begin then.
+# Time at which the cold servers started and each run begins.
 START_MS = 1000.0
 RUN_MS = 4_000.0
-# The span over which the slow start's rule counts.
+# The window over which slow start limits the requests to a cold server.
 WINDOW_MS = 1000.0
-# Work of one request at a server.
+# Time that a server works on one request.
 WORK_MS = 50.0
 ANSWER_MS = 100.0
-# Moments, from the start, at which each router receives several requests at once.
+# Times after the start at which each router receives several requests at once.
 BURSTS_MS = (1_500.0, 2_600.0)
 REQUESTS_PER_BURST = 3
 OBJECTS = 10_000
-# Share of the attempts that end at once; the others wait, and may be hedged.
-ENDED_SHARE = 0.9
+# Share of the attempts that end at once; the others stay in flight, and may be hedged.
+IMMEDIATE_END_SHARE = 0.9
 RESET_SHARE = 0.2
 
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """The slow start of a role: its full weight, the share at the start, and the time to the full share."""
+    """The slow start of a role: its full weight, the initial share of it, and the time to the full weight."""
 
     weight: float
     initial_share: float
@@ -54,14 +54,14 @@
 
 
 def window_budget(role: api.Role, now_ms: float) -> float:
-    """How many requests of mean work a cold server is allowed in a window, by all routers together."""
+    """Return how many requests of ``WORK_MS`` all routers together may send to a cold server in a window."""
     slow_start = SLOW_STARTS[role]
     grown_share = (1 - slow_start.initial_share) * (now_ms - START_MS) / slow_start.duration_ms
     return 2.0 * (slow_start.initial_share + grown_share) * slow_start.weight * WINDOW_MS / WORK_MS
 
 
 class ColdFleetRouter:
-    """One router of the fleet; ``attempts_ms`` has when it sent attempts to each cold server."""
+    """One router of the fleet; ``attempts_ms`` holds the times of its attempts at each cold server."""
 
     def __init__(self, routers: int, number: int, generator: random.Random) -> None:
         settings = replace(
@@ -78,11 +78,11 @@
         self._router.random.seed(number)
 
     def run(self, request_times_ms: Iterable[float]) -> None:
-        """Receive a request at each of these times from the start."""
+        """Receive a request at each of these times, in ms after ``START_MS``."""
         for request_ms in request_times_ms:
             self._attempts.clear()
-            self._play(self._advance_to(START_MS + request_ms))
-            self._play(self._request(self._generator.randrange(OBJECTS)))
+            self._process(self._advance_to(START_MS + request_ms))
+            self._process(self._request(self._generator.randrange(OBJECTS)))
 
     def _handle(self, event: api.Event) -> list[api.Action]:
         actions = self._router.handle(self._now_ms, event)
@@ -94,7 +94,7 @@
         return actions
 
     def _advance_to(self, end_ms: float) -> list[api.Action]:
-        """Let timers fire that are due by then, and return their actions."""
+        """Fire the timers that are due by ``end_ms``, and return their actions."""
         actions: list[api.Action] = []
         while due := [timer for timer in self._timers if timer[0] <= end_ms]:
             timer = min(due)
@@ -113,16 +113,16 @@
             api.Request(request_id, FILMS.name, key, FILMS.client_timeout_ms, size_kb=size_kb)
         )
 
-    def _play(self, actions: Iterable[api.Action]) -> None:
-        """Count attempts at cold servers, end most attempts, and play what follows."""
+    def _process(self, actions: Iterable[api.Action]) -> None:
+        """Record attempts at cold servers, end most attempts at once, and process the resulting actions."""
         for action in actions:
             if not isinstance(action, api.StartAttempt):
                 continue
             for server in {action.server, action.source} & self.attempts_ms.keys():
                 self.attempts_ms[server].append(self._now_ms)
-            if self._generator.random() < ENDED_SHARE:
+            if self._generator.random() < IMMEDIATE_END_SHARE:
                 is_reset = self._generator.random() < RESET_SHARE
-                self._play(self._end_attempt(action, is_reset))
+                self._process(self._end_attempt(action, is_reset))
 
     def _end_attempt(self, attempt: api.StartAttempt, is_reset: bool) -> list[api.Action]:
         siblings = self._attempts[attempt.request_id]
@@ -136,7 +136,7 @@
 
 
 def simulate_cold_fleet(routers: int, requests_per_s: float) -> dict[str, list[float]]:
-    """Return when each cold server was asked, in ms, by a fleet with these requests a second and router."""
+    """Return the times in ms of all attempts at each cold server; each router gets ``requests_per_s``."""
     generator = random.Random(routers)
     attempts_ms: dict[str, list[float]] = {entry.server: [] for entry in COLD_SERVERS}
     for number in range(routers):
--- a/benchmarks/benchmark_tools/command_line.py
+++ b/benchmarks/benchmark_tools/command_line.py
@@ -1,4 +1,4 @@
-"""Command lines of the benchmarks: lists of numbers, scripts with parts, and a bound on the time of a run."""
+"""Command lines of the benchmarks: lists of numbers, selection of parts, and a time limit on a run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import click
 
-# Time after which a benchmark ends by itself if nothing else is said.
+# Time after which a benchmark ends with an error, unless its caller sets another limit.
 DEFAULT_TIME_LIMIT_S = 3600.0
 
 OptionsT = TypeVar("OptionsT")
@@ -24,7 +24,7 @@
     def convert(
         self, value: str | tuple[int, ...], param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[int, ...]:
-        """Parse the text of an option."""
+        """Parse the text of an option; text that is not a list of whole numbers is a usage error."""
         if isinstance(value, tuple):
             return value
         try:
@@ -34,7 +34,7 @@
 
 
 class TimeLimitExceeded(SystemExit):
-    """The run took longer than it may.  As a SystemExit it passes event loops and ends the process."""
+    """The run exceeded its time limit.  Event loops do not catch a SystemExit, so it ends the process."""
 
     def __init__(self, limit_s: float) -> None:
         super().__init__(f"the run took longer than {limit_s:.0f} s")
@@ -42,12 +42,12 @@
 
 @contextmanager
 def time_limit(limit_s: float = DEFAULT_TIME_LIMIT_S) -> Iterator[None]:
-    """End the process with an error after so many seconds; ``finally`` blocks still run."""
+    """End the process with an error after ``limit_s`` seconds; ``finally`` blocks still run."""
 
-    def stop(number: int, frame: FrameType | None) -> NoReturn:  # noqa: ARG001
+    def raise_time_limit_exceeded(number: int, frame: FrameType | None) -> NoReturn:  # noqa: ARG001
         raise TimeLimitExceeded(limit_s)
 
-    previous = signal.signal(signal.SIGALRM, stop)
+    previous = signal.signal(signal.SIGALRM, raise_time_limit_exceeded)
     signal.setitimer(signal.ITIMER_REAL, limit_s)
     try:
         yield
@@ -59,7 +59,7 @@
 def run_parts(
     parts: Mapping[str, Callable[[OptionsT], None]], selected: Sequence[str], options: OptionsT
 ) -> None:
-    """Run the selected parts of a benchmark within the time limit; all of them if none is selected."""
+    """Run the selected parts of a benchmark, or all if none is selected, within the default time limit."""
     with time_limit():
         for name in selected or parts:
             parts[name](options)
--- a/benchmarks/benchmark_tools/connection_model.py
+++ b/benchmarks/benchmark_tools/connection_model.py
@@ -1,4 +1,4 @@
-"""A model of the connections that a router holds: the decisions, and the pool's rules for new connections."""
+"""A model of a router's upstream connections: its decisions, and the pool's rules for new connections."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ROUTERS_PER_SITE = 21
 EDGES_PER_SITE = 7
 PARENTS = 33
-# Requests a second of a router, and the share of them that run at the origin.
+# Requests per second of a router, and the share of them that only the origin serves.
 REQUESTS_PER_S = 742.0
 KEYED_SHARE = 0.04
 STREAMS_PER_CONNECTION = 32
@@ -31,16 +31,17 @@
 class PoolModel:
     """Connections to each server by the rules of ``ConnectionPool``.
 
-    Another connection opens beside crowded ones, up to ``MAX_CONNECTIONS_IF_CROWDED``, and beside full ones,
-    up to ``MAX_CONNECTIONS_IF_EXHAUSTED``.  None closes: a run is shorter than their idle time.
+    A server gets another connection while all of its connections are crowded, up to
+    ``MAX_CONNECTIONS_IF_CROWDED``, and while all are full, up to ``MAX_CONNECTIONS_IF_EXHAUSTED``.  No
+    connection closes, since a run is shorter than the idle timeout.
     """
 
     def __init__(self) -> None:
-        self._streams: dict[str, list[int]] = {}  # by server: the streams of each connection
+        self._streams: dict[str, list[int]] = {}  # by server: the open streams of each connection
         self._connection_by_request: dict[str, tuple[str, int]] = {}
 
     def begin(self, request_id: str, server: str) -> None:
-        """Begin an attempt on the connection with the fewest streams."""
+        """Begin an attempt on the server's connection with the fewest streams."""
         streams = self._streams.setdefault(server, [0])
         index = min(range(len(streams)), key=streams.__getitem__)
         if streams[index] >= STREAMS_PER_CONNECTION and len(streams) < MAX_CONNECTIONS_IF_EXHAUSTED:
@@ -52,18 +53,18 @@
             streams.append(0)
 
     def end(self, request_id: str) -> None:
-        """End an attempt."""
+        """End the attempt of a request; KeyError if it has none."""
         server, index = self._connection_by_request.pop(request_id)
         self._streams[server][index] -= 1
 
     def connections(self) -> dict[str, int]:
-        """How many connections each server has."""
+        """Return the number of connections to each server."""
         return {server: len(streams) for server, streams in self._streams.items()}
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class DueEvent:
-    """An event that a router receives at a time; events of one time in the order of their numbers."""
+    """An event that a router receives at ``due_ms``; events of the same time are ordered by number."""
 
     due_ms: float
     number: int
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterConnections:
-    """Connections of a router by server, and the health checks that it sent."""
+    """Connections of a router by server, and the number of health checks that it sent."""
 
     by_server: dict[str, int]
     health_checks: int
@@ -95,8 +96,8 @@
     return requests
 
 
-def simulate_router(seed: int, answer_ms: float, routers: int) -> RouterConnections:
-    """One router of a site under its share of the peak, for a time; every attempt takes ``answer_ms``."""
+def simulate_router(seed: int, response_ms: float, routers: int) -> RouterConnections:
+    """Run one router of a site for ``RUN_MS`` at the peak rate; every attempt takes ``response_ms``."""
     settings = replace(
         SETTINGS,
         router_count=routers,
@@ -113,22 +114,24 @@
     health_checks = 0
     heapq.heapify(due)
     while due and due[0].due_ms < START_MS + RUN_MS:
-        now = heapq.heappop(due)
-        if isinstance(now.event, api.AttemptEnded):
-            pool.end(now.event.request_id)
-        for action in router.handle(now.due_ms, now.event):
+        current = heapq.heappop(due)
+        if isinstance(current.event, api.AttemptEnded):
+            pool.end(current.event.request_id)
+        for action in router.handle(current.due_ms, current.event):
             number += 1
             if isinstance(action, api.StartAttempt):
                 pool.begin(action.request_id, action.server)
-                heapq.heappush(due, DueEvent(now.due_ms + answer_ms, number, _success(action, answer_ms)))
+                heapq.heappush(
+                    due, DueEvent(current.due_ms + response_ms, number, _success(action, response_ms))
+                )
             elif isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
-                heapq.heappush(due, DueEvent(now.due_ms + action.in_ms, number, fired))
+                heapq.heappush(due, DueEvent(current.due_ms + action.in_ms, number, fired))
             elif isinstance(action, api.CheckHealth):
                 health_checks += 1
     return RouterConnections(pool.connections(), health_checks)
 
 
-def _success(attempt: api.StartAttempt, answer_ms: float) -> api.AttemptEnded:
+def _success(attempt: api.StartAttempt, response_ms: float) -> api.AttemptEnded:
     succeeded = api.AttemptStatus.SUCCEEDED
-    return api.AttemptEnded(attempt.request_id, 0, attempt.server, succeeded, answer_ms, final=True)
+    return api.AttemptEnded(attempt.request_id, 0, attempt.server, succeeded, response_ms, final=True)
--- a/benchmarks/benchmark_tools/decision_load.py
+++ b/benchmarks/benchmark_tools/decision_load.py
@@ -1,4 +1,4 @@
-"""A steady load on the decisions of one router, in simulated time."""
+"""A steady load on the decision code of one router, in simulated time."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from thornjunction import interface as api
 from thornjunction.policy.router import Router
 
-# Time between two requests at 742 requests a second: 890,000 over 1,200 routers.
+# Time between two requests at 742 requests per second: 890,000 divided among 1,200 routers.
 REQUEST_INTERVAL_MS = 1_000 / 742
 ROUTERS = 1200
 ROUTERS_IN_ZONE = 21
-# Time from the start of an attempt to its answer.
-ANSWER_MS = 80.0
+# Time from the start of an attempt to its response.
+RESPONSE_MS = 80.0
 TIMEOUT_MS = 5_000.0
 OBJECT_KB = 477.0
-# Number of objects in the full deployment: nearly every request is for a new one.
+# Number of objects in the full deployment, of which nearly every request names a new one.
 ALL_OBJECTS = 520_000_000
 START_MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class DueEvent:
-    """An event that the router receives at a time; events of one time in the order of their numbers."""
+    """An event that the router receives at ``due_ms``; events of the same time are ordered by number."""
 
     due_ms: float
     number: int
@@ -36,7 +36,7 @@
 
 
 class DecisionLoad:
-    """One router whose requests all hit at the first attempt."""
+    """One router whose requests all are cache hits at the first attempt."""
 
     def __init__(
         self, entries: tuple[api.ServerEntry, ...], objects: int = ALL_OBJECTS, seed: int = 7
@@ -56,7 +56,7 @@
         self.handle(api.EndpointListUpdate(entries))
 
     def handle(self, event: api.Event) -> float:
-        """Hand an event to the decisions, schedule what follows, and return their processor time in s."""
+        """Pass an event to the router, schedule the resulting events, and return the CPU time in s."""
         begin_s = time.process_time()
         actions = self._router.handle(self._now_ms, event)
         spent_s = time.process_time() - begin_s
@@ -65,14 +65,14 @@
             if isinstance(action, api.SetTimer):
                 self._schedule(action.in_ms, api.TimerFired(action.token))
             elif isinstance(action, api.StartAttempt):
-                self._schedule(ANSWER_MS, _hit(action))
+                self._schedule(RESPONSE_MS, _hit(action))
         return spent_s
 
     def _schedule(self, delay_ms: float, event: api.Event) -> None:
         heapq.heappush(self._due, DueEvent(self._now_ms + delay_ms, self._number, event))
 
     def request_us(self, count: int) -> float:
-        """Send requests and return the processor time of one with its outcome, without timers, in us."""
+        """Send requests; return the mean CPU time in us of one and its outcome, without that of timers."""
         spent_s = 0.0
         for _ in range(count):
             self._now_ms += REQUEST_INTERVAL_MS
@@ -94,7 +94,7 @@
         0,
         attempt.server,
         api.AttemptStatus.SUCCEEDED,
-        ANSWER_MS,
+        RESPONSE_MS,
         api.FillResult.HIT,
         final=True,
     )
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionMemory:
-    """By how much a process grew with the endpoint list, and then with the requests."""
+    """Growth of a process's resident memory by the endpoint list, and then by the requests."""
 
     list_kb: int
     requests_kb: int
@@ -111,7 +111,7 @@
 def measure_memory(
     build_entries: Callable[[int, int], tuple[api.ServerEntry, ...]], sizes: tuple[int, int], requests: int
 ) -> DecisionMemory:
-    """Measure the growth of this process, which ought to be a fresh one."""
+    """Measure the growth of this process, which has to be fresh for the result to be meaningful."""
     start_kb = resident_kb("self")
     load = DecisionLoad(build_entries(*sizes))
     with_list_kb = resident_kb("self")
--- a/benchmarks/benchmark_tools/decision_servers.py
+++ b/benchmarks/benchmark_tools/decision_servers.py
@@ -1,10 +1,10 @@
-"""Settings and servers for the decisions alone, without a process around them."""
+"""Settings and servers for benchmarks of the decision code alone, without a router process."""
 
 from __future__ import annotations
 
 from thornjunction import interface as api
 
-# The zone of the router that decides.
+# The zone of the router under test.
 LOCAL_ZONE = "here"
 REMOTE_ZONE = "hub"
 EDGE_WEIGHT = 8.0
@@ -53,10 +53,10 @@
 
 
 def edge(name: str, zone: str = LOCAL_ZONE) -> api.ServerEntry:
-    """An edge cache."""
+    """Return the entry of an edge cache, by default in the router's zone."""
     return api.ServerEntry(name, api.Role.EDGE, zone, weight=EDGE_WEIGHT)
 
 
 def parent(name: str) -> api.ServerEntry:
-    """A parent, in the remote zone."""
+    """Return the entry of a parent, which is in the remote zone."""
     return api.ServerEntry(name, api.Role.PARENT, REMOTE_ZONE, weight=PARENT_WEIGHT)
--- a/benchmarks/benchmark_tools/front_connection.py
+++ b/benchmarks/benchmark_tools/front_connection.py
@@ -10,7 +10,7 @@
 from benchmark_tools.sized_cache_server import object_name
 
 REQUEST_TIMEOUT_MS = 4_000
-# FastCGI request ids are used in turn.
+# FastCGI request ids start again at 1 after this one.
 MAX_REQUEST_ID = 60_000
 # Layout of a FastCGI record.
 RECORD_HEAD_BYTES = 8
@@ -24,7 +24,7 @@
 
 
 class FrontConnection(asyncio.Protocol):
-    """Counts ended and served requests; sends ``repeat_count`` further requests, one at each end."""
+    """Counts ended and served requests; sends ``repeat_count`` further ones, each when a request ends."""
 
     def __init__(self) -> None:
         self.ended_count = 0
@@ -36,16 +36,16 @@
         self._last_request_id = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport, on which requests can be sent from now on."""
         assert isinstance(transport, asyncio.WriteTransport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Send no further requests."""
+        """Drop the transport; later calls of ``send_request`` raise ConnectionError."""
         self._transport = None
 
     def send_request(self, size_bytes: int) -> None:
-        """Request a new object.  Raises ConnectionError if the router has ended the connection."""
+        """Request a random object of this size.  Raises ConnectionError if the connection is closed."""
         if self._transport is None:
             raise ConnectionError
         self._last_request_id = self._last_request_id % MAX_REQUEST_ID + 1
@@ -59,7 +59,7 @@
         self._transport.write(encode_fastcgi_request(self._last_request_id, params))
 
     def data_received(self, data: bytes) -> None:
-        """Count the records that are complete now."""
+        """Count the requests of the records that are complete, and send repeats."""
         self._buffer += data
         while (record_bytes := self._complete_record_bytes()) is not None:
             is_end = self._buffer[KIND_OFFSET] == END_RECORD_KIND
@@ -72,7 +72,7 @@
                 self.send_request(self.repeat_bytes)
 
     def _complete_record_bytes(self) -> int | None:
-        """The length of the first record, or None while it is not complete."""
+        """Return the length of the first buffered record, or None while it is incomplete."""
         if len(self._buffer) < RECORD_HEAD_BYTES:
             return None
         content_bytes = int.from_bytes(self._buffer[LENGTH_FIELD], "big")
@@ -81,7 +81,7 @@
 
 
 async def connect_all(address: str, count: int) -> list[FrontConnection]:
-    """Open connections as soon as the router listens.  Raises ConnectionRefusedError after a time."""
+    """Open connections once the router listens.  Raises ConnectionRefusedError after 20 s without it."""
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
     until_s = loop.time() + CONNECT_TIMEOUT_S
--- a/benchmarks/benchmark_tools/loaded_router.py
+++ b/benchmarks/benchmark_tools/loaded_router.py
@@ -1,4 +1,4 @@
-"""A router's process with its clients: loads in open and closed loop, and their cost."""
+"""A router process with its client connections: open-loop and closed-loop load, and its cost."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from benchmark_tools.front_connection import FrontConnection
 from benchmark_tools.process_figures import all_threads_cpu_s, resident_mb
 
-# Time within which the last requests of a load must have ended.
-LAST_ENDS_TIMEOUT_S = 20.0
-ENDS_CHECK_S = 0.005
+# Time after a load that its last requests get to end; those still open then count as unserved.
+COMPLETION_TIMEOUT_S = 20.0
+COMPLETION_CHECK_S = 0.005
 SEND_INTERVAL_S = 0.002
-# Requests of a burst.
+# Requests in each burst of a closed loop.
 BURST_REQUESTS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """Duration, processor time of the router, and requests that were sent and served."""
+    """Duration of a load, the router's CPU time over it, and the numbers of requests sent and served."""
 
     seconds: float
     cpu_s: float
@@ -30,28 +30,28 @@
 
     @property
     def request_us(self) -> float:
-        """Processor time of one request."""
+        """CPU time per served request, in us."""
         return self.cpu_s / max(self.served, 1) * 1e6
 
     @property
     def served_per_s(self) -> float:
-        """Requests served a second."""
+        """Requests served per second."""
         return self.served / self.seconds
 
     @property
     def core_share(self) -> float:
-        """Share of a core that the router used."""
+        """CPU time over duration: the share of a core that the router used."""
         return self.cpu_s / self.seconds
 
     @property
     def unserved(self) -> int:
-        """Requests that were sent and not served."""
+        """Number of requests that were sent and not served."""
         return self.sent - self.served
 
 
 @dataclass(frozen=True, slots=True)
 class LoadStart:
-    """Time, processor time and counts of requests at the start of a load."""
+    """Time, CPU time and request counts at the start of a load."""
 
     time_s: float
     cpu_s: float
@@ -60,36 +60,36 @@
 
 
 class LoadedRouter:
-    """A router and the connections of its clients."""
+    """A router process and its client connections, over which the requests are spread."""
 
     def __init__(self, process: subprocess.Popen[bytes], connections: Sequence[FrontConnection]) -> None:
         self.pid = process.pid
         self._connections = connections
 
     def cpu_s(self) -> float:
-        """The processor time of the router so far."""
+        """Return the router's CPU time since its start."""
         return all_threads_cpu_s(self.pid)
 
     def resident_mb(self) -> float:
-        """The resident memory of the router."""
+        """Return the router's resident memory."""
         return resident_mb(self.pid)
 
     @property
     def ended(self) -> int:
-        """Requests that have ended."""
+        """Number of requests that have ended, served or not."""
         return sum(connection.ended_count for connection in self._connections)
 
     @property
     def served(self) -> int:
-        """Requests that were served."""
+        """Number of requests that were answered with status 200."""
         return sum(connection.served_count for connection in self._connections)
 
     def send_request(self, number: int, size_bytes: int) -> None:
-        """Send a request on the connection whose turn it is."""
+        """Send request ``number``; successive numbers use the connections round-robin."""
         self._connections[number % len(self._connections)].send_request(size_bytes)
 
     async def send_at_rate(self, requests_per_s: float, size_bytes: int, seconds: float) -> LoadResult:
-        """Open loop: send at an even rate, whatever is answered."""
+        """Open loop: send at an even rate, independently of the responses."""
         start = self._start()
         sent = 0
         while (elapsed_s := time.monotonic() - start.time_s) < seconds:
@@ -100,7 +100,7 @@
         return await self._finish(start, sent)
 
     async def keep_open(self, open_count: int, size_bytes: int, requests: int) -> LoadResult:
-        """Closed loop: keep so many requests open until so many have been sent."""
+        """Closed loop: keep ``open_count`` requests open until about ``requests`` have been sent."""
         start = self._start()
         connections = self._connections[: min(open_count, len(self._connections))]
         repeats = max(requests - open_count, 0) // len(connections)
@@ -114,7 +114,7 @@
     async def keep_open_in_bursts(self, open_count: int, size_bytes: int, requests: int) -> LoadResult:
         """Closed loop in bursts, each followed by a pause of the same duration.
 
-        The core is half used at most, so that the router's own admission refuses nothing.
+        The router uses half a core at most, so that its load shedding rejects no request.
         """
         bursts = []
         for _ in range(requests // BURST_REQUESTS):
@@ -132,9 +132,9 @@
         return LoadStart(time.monotonic(), self.cpu_s(), self.ended, self.served)
 
     async def _finish(self, start: LoadStart, sent: int) -> LoadResult:
-        """Wait for the ends of the last requests."""
-        until_s = time.monotonic() + LAST_ENDS_TIMEOUT_S
+        """Wait until all requests have ended, or for ``COMPLETION_TIMEOUT_S``, and return the result."""
+        until_s = time.monotonic() + COMPLETION_TIMEOUT_S
         while self.ended - start.ended < sent and time.monotonic() < until_s:
-            await asyncio.sleep(ENDS_CHECK_S)
+            await asyncio.sleep(COMPLETION_CHECK_S)
         seconds = time.monotonic() - start.time_s
         return LoadResult(seconds, self.cpu_s() - start.cpu_s, sent, self.served - start.served)
--- a/benchmarks/benchmark_tools/membership_fleet.py
+++ b/benchmarks/benchmark_tools/membership_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of members, without invariants, and what its members learn of one of them."""
+"""A simulated fleet of members without invariant checks, and when its members learn of a state change."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from fleet_sim.run import make_cluster
 from sansio_core import Notice
 
-# Time in which the members of a fleet meet.
+# Time that the members of a fleet get to discover each other.
 JOIN_MS = 10_000.0
 WAIT_LIMIT_MS = 120_000.0
 CHECK_INTERVAL_MS = 100.0
@@ -21,10 +21,10 @@
 
 
 class MemberWatch:
-    """Records what is noted of one member, and every verdict of failure.
+    """Records the membership notices about one member, and every verdict of failure.
 
-    ``learned_ms`` has when each observer held the member as failed or as restarted; ``declared_failed`` has
-    the member of each verdict.
+    ``learned_ms`` holds, for each observer, when it first saw the watched member as failed or restarted;
+    ``declared_failed`` holds the name of the member that each verdict declares failed.
     """
 
     def __init__(self, cluster: SimulatedCluster, watched: str = "") -> None:
@@ -47,10 +47,10 @@
 
 
 def build_fleet(count: int, seed: int, quality: LinkQuality) -> SimulatedCluster:
-    """Return a fleet whose members have had ``JOIN_MS`` to meet."""
+    """Return a fleet whose members have had ``JOIN_MS`` to discover each other."""
     names = node_names(count)
     cluster = make_cluster(subject(names, base_quality=quality, checked=False), seed, names, trace=False)
-    cluster.listeners.append(lambda _node, _notice: cluster.trace.clear())  # keeps no timeline
+    cluster.listeners.append(lambda _node, _notice: cluster.trace.clear())  # the trace is unused
     for index, name in enumerate(names):
         cluster.schedule(index * JOIN_MS / 2 / count, partial(cluster.start, name))
     cluster.run_until(JOIN_MS)
@@ -60,7 +60,7 @@
 def run_until(
     cluster: SimulatedCluster, condition: Callable[[], bool], limit_ms: float = WAIT_LIMIT_MS
 ) -> float:
-    """Run until a condition holds; return how long that took in ms, infinite if it did not in time."""
+    """Run until a condition holds; return how long that took in ms, infinite beyond ``limit_ms``."""
     begin_ms = cluster.now
     while not condition():
         if cluster.now - begin_ms >= limit_ms:
@@ -69,22 +69,22 @@
     return cluster.now - begin_ms
 
 
-def all_have_met(cluster: SimulatedCluster, count: int) -> bool:
-    """Whether every member knows as many."""
+def all_know_all_members(cluster: SimulatedCluster, count: int) -> bool:
+    """Return whether every member's view has at least ``count`` members."""
     views = (view_of(cluster, node) for node in cluster.nodes.values())
     return all(view is not None and len(view.members) >= count for view in views)
 
 
 @dataclass(frozen=True, slots=True)
 class RestartPropagation:
-    """After how long each other member learned of a restart, infinite if it did not, and when all had."""
+    """Times until each other member learned of a restart, and until all had; infinite if not in time."""
 
     learned_ms: list[float]
     all_learned_ms: float
 
 
 def propagate_restart(cluster: SimulatedCluster, restarted: str, count: int) -> RestartPropagation:
-    """Restart a member and let the news spread."""
+    """Restart a member and run until all others have learned of it, for ``WAIT_LIMIT_MS`` at most."""
     watch = MemberWatch(cluster, restarted)
     cluster.kill(restarted)
     cluster.start(restarted)
@@ -97,5 +97,5 @@
 
 
 def sent_totals(cluster: SimulatedCluster) -> list[tuple[int, int]]:
-    """Datagrams and bytes that each member has sent so far."""
+    """Return the numbers of datagrams and bytes that each member has sent so far."""
     return [(node.sent_datagrams, node.sent_bytes) for node in cluster.nodes.values()]
--- a/benchmarks/benchmark_tools/origin_model.py
+++ b/benchmarks/benchmark_tools/origin_model.py
@@ -1,9 +1,9 @@
-"""A model of a fleet before an origin that stops when it is overloaded for too long.
+"""A model of a fleet whose origin stops serving when it is overloaded for too long.
 
-The origin stops if it is asked for more than ``OVERLOAD_FACTOR`` times its capacity over
-``OVERLOAD_WINDOW_MS``. Seven in ten requests hit at a cache, seven in ten misses at a parent, and what the
-origin rejects is asked of it again by the parent and by the cache. One zone in ten is cold while a burst of
-half as many requests again lasts. The routers' decisions are real, and no router hears another.
+The origin stops if it receives more than ``OVERLOAD_FACTOR`` times its capacity over
+``OVERLOAD_WINDOW_MS``. Seven in ten requests hit at a cache, and seven in ten misses hit at a parent. The
+parent and the cache retry requests that the origin rejects. During a burst the request rate is 1.5 times as
+high, and one zone in ten is cold. The routers' decisions are real; routers do not communicate.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 RANDOM_SEED = 5
 RUN_S = 18.0
-# Time after the run in which the last attempts end.
-LAST_ENDS_MS = 4000.0
+# Time after the run for which the last attempts may still end.
+COMPLETION_MS = 4000.0
 BURST_BEGIN_S = 4.0
 BURST_END_S = 9.5
 BURST_FACTOR = 1.5
-# Time after the burst by which service is to be back.
+# Time after the burst within which the share of requests served in time has to recover.
 RECOVERY_S = 5
 COLD_ZONE_INTERVAL = 10
 HIT_SHARE = 0.7
@@ -38,19 +38,19 @@
     *(parent(f"parent{number}") for number in range(3)),
     ORIGIN,
 )
-# Latencies within which an answer is in time.
+# Latency within which a response counts as in time, by request class.
 IN_TIME_MS = {FILMS.name: 660.0, KEYED.name: 700.0}
-# Durations of attempts.
+# Durations of attempts by their outcome.
 HIT_MS = 100.0
 PARENT_HIT_MS = 150.0
 MISS_MS = 1.0
 PARENT_MISS_MS = 20.0
 ORIGIN_MS = 120.0
 REJECTION_MS = 30.0
-# Attempts at the origin of a router itself, and of a cache and its parent.
-DIRECT_TRIES = 1
-CACHE_TRIES = 4
-# The origin: work that it queues at most, and the overload at which it stops, for a time.
+# Attempts per request at the origin: sent by a router itself, and by a cache and its parent together.
+DIRECT_ATTEMPTS = 1
+CACHE_ATTEMPTS = 4
+# The origin: the longest queue that it accepts, the overload at which it stops, and for how long it stops.
 MAX_QUEUE_MS = 1500.0
 OVERLOAD_FACTOR = 2.5
 OVERLOAD_WINDOW_MS = 3000.0
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """Routers, requests a second of each, and requests a second that the origin serves."""
+    """Number of routers, request rate of each, and the capacity of the origin."""
 
     routers: int
     requests_per_s: float
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ends, and after how long."""
+    """The status with which an attempt ends, and its duration."""
 
     status: api.AttemptStatus
     duration_ms: float
 
 
 class OriginModel:
-    """The origin; ``requests_by_s`` counts what it was asked by second, ``stops_ms`` has when it stopped."""
+    """The origin; ``requests_by_s`` counts its requests in each second, ``stops_ms`` when it stopped."""
 
     def __init__(self, capacity_per_s: float) -> None:
         self.requests_by_s = Counter[int]()
@@ -85,9 +85,9 @@
         self._stopped_until_ms = 0.0
         self._recent_requests_ms: list[float] = []
 
-    def ask(self, now_ms: float, tries: int) -> AttemptResult:
-        """Ask it, and again at each rejection, so many times in all."""
-        for _ in range(tries):
+    def serve(self, now_ms: float, attempt_count: int) -> AttemptResult:
+        """Send a request, and retry it after each rejection, up to ``attempt_count`` in all."""
+        for _ in range(attempt_count):
             self.requests_by_s[int(now_ms / 1000)] += 1
             self._recent_requests_ms.append(now_ms)
             if now_ms >= self._stopped_until_ms and self._busy_until_ms - now_ms < MAX_QUEUE_MS:
@@ -95,7 +95,7 @@
                 duration_ms = ORIGIN_MS + self._busy_until_ms - now_ms
                 return AttemptResult(api.AttemptStatus.SUCCEEDED, duration_ms)
         self._check_overload(now_ms)
-        return AttemptResult(api.AttemptStatus.OVERLOADED, REJECTION_MS * tries)
+        return AttemptResult(api.AttemptStatus.OVERLOADED, REJECTION_MS * attempt_count)
 
     def _check_overload(self, now_ms: float) -> None:
         window_begin_ms = now_ms - OVERLOAD_WINDOW_MS
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ScheduledCall:
-    """A call at a time; at one time in the order of scheduling."""
+    """A call that is due at a time; calls of the same time run in the order of scheduling."""
 
     due_ms: float
     number: int
@@ -119,14 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request and when it came."""
+    """A request and the time at which a client sent it."""
 
     sent_ms: float
     request: api.Request
 
 
 class OriginFleet:
-    """The routers, their clients and caches; requests and those served in time are counted by second."""
+    """The routers, their clients and caches; counts by second all requests and those served in time."""
 
     def __init__(self, size: FleetSize) -> None:
         self.origin = OriginModel(size.origin_per_s)
@@ -154,22 +154,22 @@
             self._schedule_request(router)
 
     def run(self) -> None:
-        """Run to the end."""
+        """Run until ``COMPLETION_MS`` after the last requests."""
         while self._scheduled:
             scheduled = heapq.heappop(self._scheduled)
             self._now_ms = scheduled.due_ms
-            if self._now_ms > RUN_S * 1000 + LAST_ENDS_MS:
+            if self._now_ms > RUN_S * 1000 + COMPLETION_MS:
                 return
             scheduled.call()
 
     def in_time_share(self, seconds: Iterable[int]) -> float:
-        """The share of the requests in these seconds that were served in time."""
+        """Return the share of the requests sent in these seconds that were served in time."""
         span = list(seconds)
         in_time = sum(self.in_time_by_s[second] for second in span)
         return in_time / sum(self.requests_by_s[second] for second in span)
 
     def worst_overload_share(self) -> float:
-        """What the origin was asked in its worst window, over what stops it."""
+        """Return the most requests in one window at the origin, relative to the number that stops it."""
         seconds = int(RUN_S)
         by_second = [self.origin.requests_by_s[second] for second in range(seconds)]
         window_s = int(OVERLOAD_WINDOW_MS / 1000)
@@ -180,17 +180,17 @@
         self._number += 1
         heapq.heappush(self._scheduled, ScheduledCall(due_ms, self._number, call))
 
-    def _is_burst(self) -> bool:
+    def _is_in_burst(self) -> bool:
         return BURST_BEGIN_S <= self._now_ms / 1000 < BURST_END_S
 
     def _schedule_request(self, router: int) -> None:
-        factor = BURST_FACTOR if self._is_burst() else 1.0
+        factor = BURST_FACTOR if self._is_in_burst() else 1.0
         due_ms = self._now_ms + self._random.expovariate(self._size.requests_per_s * factor / 1000)
         if due_ms < RUN_S * 1000:
             self._schedule(due_ms, lambda: self._send_request(router))
 
     def _send_request(self, router: int) -> None:
-        """Send a request to a router, and schedule its next one."""
+        """Send a request to a router, and schedule the router's next one."""
         self._number += 1
         request_class = KEYED if self._random.random() < KEYED_SHARE else FILMS
         key = self._random.getrandbits(40)
@@ -234,9 +234,9 @@
 
     def _attempt_result(self, router: int, attempt: api.StartAttempt) -> AttemptResult:
         if attempt.server == ORIGIN.server:
-            return self.origin.ask(self._now_ms, DIRECT_TRIES)
-        is_cold = router % COLD_ZONE_INTERVAL == 0 and self._is_burst()
-        if not is_cold and self._random.random() < HIT_SHARE:
+            return self.origin.serve(self._now_ms, DIRECT_ATTEMPTS)
+        is_cold_zone = router % COLD_ZONE_INTERVAL == 0 and self._is_in_burst()
+        if not is_cold_zone and self._random.random() < HIT_SHARE:
             return AttemptResult(api.AttemptStatus.SUCCEEDED, HIT_MS)
         if attempt.source == attempt.server:
             return AttemptResult(api.AttemptStatus.CACHE_MISS, MISS_MS)
@@ -244,4 +244,4 @@
             return AttemptResult(api.AttemptStatus.SUCCEEDED, PARENT_HIT_MS)
         if attempt.cached_only:
             return AttemptResult(api.AttemptStatus.CACHE_MISS, PARENT_MISS_MS)
-        return self.origin.ask(self._now_ms, CACHE_TRIES)
+        return self.origin.serve(self._now_ms, CACHE_ATTEMPTS)
--- a/benchmarks/benchmark_tools/record_turns.py
+++ b/benchmarks/benchmark_tools/record_turns.py
@@ -1,8 +1,8 @@
-"""A script that runs the program and prints the long iterations of its event loop when it ends.
+"""A script that runs the router or relay and, when it exits, prints the long iterations of its event loop.
 
-``python record_turns.py TREE [OPERATORS_FILE]`` runs the program of a tree. It prints a JSON list with, for
-each iteration longer than ``MIN_TURN_S``, its start on the monotonic clock, its duration and its processor
-time.
+``python record_turns.py TREE [OPERATORS_FILE]`` runs the program of a source tree. It prints a JSON
+list with, for each iteration longer than ``MIN_TURN_S``, its start on the monotonic clock, its duration and
+its CPU time, in seconds.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RecordingPoller:
-    """Stands before the poller of an epoll reactor: an iteration lasts from one poll to the next."""
+    """Wraps the poller of an epoll reactor: an iteration lasts from one poll's return to the next poll."""
 
     def __init__(self, poller: Any) -> None:
         self.turns: list[tuple[float, float, float]] = []
@@ -47,7 +47,7 @@
 
 
 def main(tree: str, operators_file: str | None = None) -> int:
-    """Run the program and return its exit code."""
+    """Run the program of ``tree`` and return its exit code."""
     sys.path[0] = tree
     from thornjunction.net.event_loop.reactor import install
 
--- a/benchmarks/benchmark_tools/recorded_program.py
+++ b/benchmarks/benchmark_tools/recorded_program.py
@@ -1,4 +1,4 @@
-"""The program with a record of the long iterations of its event loop."""
+"""Runs the program of this tree with a record of the long iterations of its event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """One iteration of the event loop: when it began, its duration and its processor time."""
+    """One iteration of the event loop: its start on the monotonic clock, its duration and its CPU time."""
 
     begin_s: float
     duration_s: float
@@ -34,7 +34,7 @@
 
 
 def end_recorded_program(process: subprocess.Popen[bytes]) -> list[Turn]:
-    """Terminate the program and return its long iterations, in order."""
+    """Terminate the program and return its long iterations, in order.  Raises TimeoutExpired."""
     process.terminate()
     try:
         output, _ = process.communicate(timeout=EXIT_TIMEOUT_S)
@@ -44,10 +44,10 @@
 
 
 def max_duration_s(turns: Sequence[Turn]) -> float:
-    """The duration of the longest iteration; 0 without any."""
+    """Return the duration of the longest iteration, or 0 if there is none."""
     return max((turn.duration_s for turn in turns), default=0.0)
 
 
 def max_cpu_s(turns: Sequence[Turn]) -> float:
-    """The processor time of the most expensive iteration; 0 without any."""
+    """Return the CPU time of the most expensive iteration, or 0 if there is none."""
     return max((turn.cpu_s for turn in turns), default=0.0)
--- a/benchmarks/benchmark_tools/router_config.py
+++ b/benchmarks/benchmark_tools/router_config.py
@@ -1,10 +1,10 @@
-"""Configurations of the router for the benchmarks of the whole program."""
+"""Configurations for the benchmarks that run a router process."""
 
 from __future__ import annotations
 
 from typing import Any
 
-# Kinds of servers in an endpoint list.
+# Values of ``class`` in the endpoint list: edge cache, parent and origin.
 EDGE_KIND = "box"
 PARENT_KIND = "upper"
 ORIGIN_KIND = "root"
@@ -12,7 +12,8 @@
 REMOTE_SITE = "hub"
 SERVER_WEIGHT = 4
 
-# The platform's settings of a router in the first of two sites, with a class of objects and one of writes.
+# The platform's settings of a router in the first of two sites, with one request class for reads of objects
+# and one for writes.
 SETTINGS: dict[str, Any] = {
     "allowed": {"attemptsCap": 4, "cancel": True, "probing": False},
     "classes": [
@@ -46,7 +47,7 @@
 
 
 def host_entry(name: str, kind: str, site: str, address: str) -> dict[str, Any]:
-    """One active server of an endpoint list."""
+    """Return the endpoint list's entry of an active server."""
     return {
         "host": name,
         "class": kind,
@@ -64,7 +65,7 @@
     hosts: list[dict[str, Any]] | None = None,
     settings: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """The platform's configuration of a router, which knows the hosts as event 1 of discovery, if any."""
+    """Return the platform's configuration of a router; ``hosts``, if given, are discovery's event 1."""
     initial_events: dict[str, Any] = {"cursor": 0, "cmds": []}
     if hosts is not None:
         initial_events = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"whole": True, "hosts": hosts}}]}
--- a/benchmarks/benchmark_tools/router_environment.py
+++ b/benchmarks/benchmark_tools/router_environment.py
@@ -1,4 +1,4 @@
-"""A router's process between a fake discovery and fake cache servers, with the connections of its clients."""
+"""Runs a router process with a fake discovery, fake cache servers and client connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from benchmark_tools.front_connection import connect_all
 from benchmark_tools.loaded_router import LoadedRouter
-from benchmark_tools.router_program import end, start_helper, start_program, write_config
+from benchmark_tools.router_program import kill_all, start_helper, start_program, write_config
 
 SERVER_SCRIPT = Path(__file__).with_name("sized_cache_server.py")
 CONNECTIONS = 16
@@ -25,7 +25,7 @@
 
 
 class CacheServerProcess:
-    """The process of all fake cache servers, which share one address."""
+    """The process that runs all fake cache servers, which share one address."""
 
     def __init__(self, delay_ms: float) -> None:
         self.process = start_helper(SERVER_SCRIPT, f"{delay_ms}")
@@ -36,11 +36,11 @@
         return int(await asyncio.get_running_loop().run_in_executor(None, output.readline))
 
     async def address(self) -> str:
-        """The address, once the process listens; to be read first and once."""
+        """Return the address once the process listens; has to be called once, before the other methods."""
         return f"127.0.0.1:{await self._read_number()}"
 
     async def accepted_connections(self) -> int:
-        """How many connections the servers have accepted."""
+        """Return how many connections the servers have accepted."""
         commands = self.process.stdin
         assert commands is not None
         commands.write(b"\n")
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterEnvironment:
-    """All that runs, and the router under load."""
+    """The router under load and its fake cache servers."""
 
     router: LoadedRouter
     cache_servers: CacheServerProcess
@@ -63,7 +63,7 @@
     cache_servers: CacheServerProcess,
     build_config: BuildConfig,
 ) -> AsyncIterator[RouterEnvironment]:
-    """Start discovery, a router and its clients; end them and the cache servers afterwards."""
+    """Start discovery, a router and its clients; stop them and the cache servers afterwards."""
     running: list[subprocess.Popen[bytes]] = [cache_servers.process]
     await discovery.start()
     try:
@@ -74,5 +74,5 @@
         connections = await connect_all(front, CONNECTIONS)
         yield RouterEnvironment(LoadedRouter(process, connections), cache_servers)
     finally:
-        end(running)
+        kill_all(running)
         await discovery.stop()
--- a/benchmarks/benchmark_tools/router_program.py
+++ b/benchmarks/benchmark_tools/router_program.py
@@ -1,4 +1,4 @@
-"""The program as a child process: of this tree or of another, with a configuration of its own."""
+"""Starts the program of this or another source tree as a child process, with a given configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from fleet_harness.parent_death import die_with_parent
 
 ROOT = Path(__file__).resolve().parents[2]
-# The command of a router as the deploy file starts it.
+# The arguments of the interpreter with which deploy/balancer.toml starts a router.
 ROUTER_COMMAND = ("-m", "thornjunction")
 
 
@@ -40,9 +40,9 @@
     log: Path | None = None,
     stdout: int | None = None,
 ) -> subprocess.Popen[bytes]:
-    """Start the program of a tree in its folder; it ends with this process.
+    """Start the program of a source tree in its folder; the kernel kills it when this process dies.
 
-    Without ``log`` its messages are dropped.
+    Standard error is appended to ``log``, or discarded without it.
     """
     variables = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
     if config is not None:
@@ -59,7 +59,7 @@
 
 
 def start_helper(script: Path, *arguments: str) -> subprocess.Popen[bytes]:
-    """Start a script with pipes; it ends with this process."""
+    """Start a script with pipes; the kernel kills it when this process dies."""
     variables = dict(os.environ)
     variables["PYTHONPATH"] = os.pathsep.join(path or os.getcwd() for path in sys.path)
     return subprocess.Popen(
@@ -72,7 +72,7 @@
     )
 
 
-def end(processes: Sequence[subprocess.Popen[bytes]]) -> None:
+def kill_all(processes: Sequence[subprocess.Popen[bytes]]) -> None:
     """Kill processes and wait for each."""
     for process in processes:
         process.kill()
--- a/benchmarks/benchmark_tools/steady_requests.py
+++ b/benchmarks/benchmark_tools/steady_requests.py
@@ -1,4 +1,4 @@
-"""Requests at a steady pace on one connection of the platform's front, on Twisted."""
+"""Sends requests at a steady rate on one connection to the platform's front, on Twisted."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 from thornjunction.net.event_loop.transport import BuildFactory
 
-# FastCGI request ids are used in turn.
+# FastCGI request ids start again at 1 after this one.
 MAX_REQUEST_ID = 60_000
 CONNECT_PAUSE_S = 0.02
-MAX_CONNECTS = 500
+MAX_CONNECT_ATTEMPTS = 500
 
 
 class NeverListenedError(RuntimeError):
-    """The router did not listen in time."""
+    """The router did not listen within ``MAX_CONNECT_ATTEMPTS`` connection attempts."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"nobody listens at {address}")
+        super().__init__(f"no router listens at {address}")
 
 
 class SteadyRequests:
-    """Sends a request at each interval; ``latencies`` has when each was sent and the time to its end."""
+    """Sends a request at each interval; ``latencies`` holds when each was sent and the time to its end."""
 
     def __init__(self, client: FastCgiClient, interval_s: float) -> None:
         self.latencies: list[tuple[float, float]] = []
         self.sent_count = 0
         self._client = client
         self._sent_s: dict[int, float] = {}
-        client._notify_waiters = self._take_ends  # type: ignore[method-assign]
+        client._notify_waiters = self._record_latencies  # type: ignore[method-assign]
         self._sending = task.LoopingCall(self._send_request)
         self._sending.start(interval_s)
 
@@ -52,15 +52,15 @@
         self._sent_s[request_id] = time.monotonic()
         self._client.transport.write(encode_fastcgi_request(request_id, params))
 
-    def _take_ends(self) -> None:
-        """Record the ends that have come, in place of the client's own waiters, and drop all records."""
+    def _record_latencies(self) -> None:
+        """Record the latencies of ended requests, instead of notifying waiters, and discard all records."""
         for record in self._client.end_records():
             sent_s = self._sent_s[record.request_id]
             self.latencies.append((sent_s, time.monotonic() - sent_s))
         self._client.records.clear()
 
     def latencies_between(self, begin_s: float, end_s: float) -> list[float]:
-        """The latencies of the requests that were sent in a span of time."""
+        """Return the latencies of the requests sent from ``begin_s`` until before ``end_s``."""
         return [latency_s for sent_s, latency_s in self.latencies if begin_s <= sent_s < end_s]
 
     def stop(self) -> None:
@@ -74,9 +74,9 @@
 
 @inlineCallbacks
 def connect_steady_requests(address: str, interval_s: float) -> Steps[SteadyRequests]:
-    """Begin to send as soon as the router listens.  Raises NeverListenedError."""
+    """Connect once the router listens, and start to send.  Raises NeverListenedError."""
     host, _, port = address.rpartition(":")
-    for _ in range(MAX_CONNECTS):
+    for _ in range(MAX_CONNECT_ATTEMPTS):
         endpoint: Any = TCP4ClientEndpoint(reactor, host, int(port))
         try:
             client = yield endpoint.connect(BuildFactory(FastCgiClient))
@@ -88,5 +88,5 @@
 
 
 def pause(seconds: float) -> Any:
-    """Return a Deferred that fires after so many seconds."""
+    """Return a Deferred that fires after ``seconds``."""
     return task.deferLater(reactor, seconds, lambda: None)
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -1,11 +1,11 @@
-"""What many routers do together that do not hear one another: the decisions over a model of a fleet.
+"""Measures the combined effect of many routers that do not communicate, with a model of a fleet.
 
     PYTHONPATH=. python benchmarks/capacity_fleet.py [--routers N,N] [PART...]
 
 Parts: ``connections`` (at a server, at the parents, at the origin), ``cold`` (the slow start of cold
-servers, summed over the fleet), ``origin`` (what the origin is asked), ``retries`` (the sum of all retry
-budgets) and ``keyed`` (requests whose repeats must be recognized); all of them by default. No sockets;
-seeds are fixed, so counts are the same each time.
+servers, summed over the fleet), ``origin`` (the load on the origin), ``retries`` (the sum of all retry
+budgets) and ``keyed`` (requests with an idempotency key); all of them by default. No sockets; seeds are
+fixed, so that counts are reproducible.
 """
 
 from __future__ import annotations
@@ -42,25 +42,25 @@
 
 DEFAULT_ROUTERS = (50, 200, 600, 1_200)
 FULL_FLEET = 1_200
-ANSWER_TIMES_MS = (80.0, 1_000.0)
+RESPONSE_TIMES_MS = (80.0, 1_000.0)
 COLD_REQUESTS_PER_S = (1.0, 20.0)
-# The fleet of the origin's model: requests a second of all routers, and what the origin serves.
+# The fleet of the origin model: requests per second of all routers, and the capacity of the origin.
 FLEET_REQUESTS_PER_S = 200 * 6.0
 ORIGIN_PER_S = 170.0
-# A fleet and an origin that are several times as large.
+# Factor by which both the fleet's requests and the origin's capacity are larger in the last row.
 LARGE_FLEET_FACTOR = 6
 SMALL_FLEETS = (4, 20)
-# Keyed requests a second of a router, for how long, and the span at the end that is counted.
+# Keyed requests per second of a router, the duration of a run, and the span at its end that is counted.
 KEYED_RATES_PER_S = (5, 10, 13, 15, 20, 30, 60)
 KEYED_RUN_MS = 1_500_000.0
 KEYED_SPAN_MS = 600_000.0
 KEYED_SIZE_KB = 10.0
-KEYED_ANSWER_MS = 1.0
+KEYED_RESPONSE_MS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConnections:
-    """Connections of a whole fleet, and its health checks."""
+    """Connections of a fleet: at the busiest edge, all parents and the origin; and its health checks."""
 
     busiest_edge: int
     all_parents: int
@@ -69,12 +69,12 @@
 
 
 def measure_connections(fleet_sizes: Sequence[int]) -> None:
-    """Connections by the number of routers, for fast and for slow answers."""
+    """Print connections by the number of routers, for fast and for slow responses."""
     columns = (
-        "routers", "at the busiest shelf", "at most", "at all parents", "at the origin", "at most", "probes",
+        "routers", "at the busiest edge", "bound", "at parents", "at the origin", "bound", "health checks",
     )  # fmt: skip
-    for answer_ms in ANSWER_TIMES_MS:
-        fleets = {routers: _fleet_connections(routers, answer_ms) for routers in fleet_sizes}
+    for response_ms in RESPONSE_TIMES_MS:
+        fleets = {routers: _fleet_connections(routers, response_ms) for routers in fleet_sizes}
         rows = [
             (
                 routers,
@@ -88,19 +88,19 @@
             for routers, fleet in fleets.items()
         ]
         line = fit_line([(routers, fleet.origin) for routers, fleet in fleets.items()])
-        print(f"answers after {answer_ms:.0f} ms\n\n{markdown_table(columns, rows)}")
-        print(f"\nfit, origin: {line.text('connections', 'a router', 3)}\n")
+        print(f"responses after {response_ms:.0f} ms\n\n{markdown_table(columns, rows)}")
+        print(f"\nfit, origin: {line.text('connections', 'per router', 3)}\n")
     print(
-        f"bounds of a pool: {MAX_CONNECTIONS_IF_CROWDED} beside others with room, "
-        f"{MAX_CONNECTIONS_IF_EXHAUSTED} where none has, {MAX_CONNECTIONS_PER_SERVER} in all\n"
+        f"bounds of a pool: {MAX_CONNECTIONS_IF_CROWDED} while some have free streams, "
+        f"{MAX_CONNECTIONS_IF_EXHAUSTED} while none has, {MAX_CONNECTIONS_PER_SERVER} in all\n"
     )
 
 
-def _fleet_connections(routers: int, answer_ms: float) -> FleetConnections:
+def _fleet_connections(routers: int, response_ms: float) -> FleetConnections:
     connections = Counter[str]()
     health_checks = 0
     for seed in range(routers):
-        router = simulate_router(seed, answer_ms, routers)
+        router = simulate_router(seed, response_ms, routers)
         health_checks += router.health_checks
         site = seed // ROUTERS_PER_SITE
         for server, count in router.by_server.items():
@@ -114,9 +114,9 @@
 
 
 def measure_cold_servers(fleet_sizes: Sequence[int]) -> None:
-    """What cold servers are asked if all routers are in one zone: an edge's budget has as many parts."""
+    """Print the load on cold servers if all routers are in one zone, and so divide an edge's budget."""
     columns = (
-        "requests a s a router", "routers", "cold server", "worst window over what is allowed", "last window",
+        "requests per s and router", "routers", "cold server", "worst window over its budget", "last window",
         "first used after ms",
     )  # fmt: skip
     rows = []
@@ -144,13 +144,13 @@
 
 
 def measure_origin(fleet_sizes: Sequence[int]) -> None:
-    """As many requests in all of more routers, and a larger fleet before a larger origin."""
+    """Print the load on the origin by the number of routers at one total rate, and of a larger fleet."""
     sizes = [FleetSize(routers, FLEET_REQUESTS_PER_S / routers, ORIGIN_PER_S) for routers in fleet_sizes]
     requests_per_s = LARGE_FLEET_FACTOR * FLEET_REQUESTS_PER_S / FULL_FLEET
     sizes.append(FleetSize(FULL_FLEET, requests_per_s, LARGE_FLEET_FACTOR * ORIGIN_PER_S))
     columns = (
-        "routers", "requests a s each", "origin bears a s", "falls", "worst 3 s over what fells it",
-        "in time before", "in time from 5 s after the burst",
+        "routers", "requests per s each", "origin capacity per s", "origin stops",
+        "worst 3 s over the stop threshold", "in time before", "in time from 5 s after the burst",
     )  # fmt: skip
     print_table(columns, [_origin_row(size) for size in sizes])
 
@@ -172,38 +172,42 @@
 
 
 def measure_retry_budgets(fleet_sizes: Sequence[int]) -> None:
-    """The sum of all full retry budgets."""
-    points = [(routers, _saved_retries(routers)) for routers in (*SMALL_FLEETS, *fleet_sizes)]
+    """Print the sum of all full retry budgets by the number of routers."""
+    points = [(routers, _fleet_retry_tokens(routers)) for routers in (*SMALL_FLEETS, *fleet_sizes)]
     rows = [
-        (routers, f"{saved:.0f}", f"{MAX_FLEET_RETRIES:.0f}", f"{saved / MAX_FLEET_RETRIES:.1f}")
-        for routers, saved in points
+        (routers, f"{token_count:.0f}", f"{MAX_FLEET_RETRIES:.0f}", f"{token_count / MAX_FLEET_RETRIES:.1f}")
+        for routers, token_count in points
     ]
-    print(markdown_table(("routers", "further attempts saved up by all", "meant", "times"), rows))
-    print(f"\nfit: {fit_line(points).text('attempts', 'a router')}\n")
+    print(markdown_table(("routers", "retries in all budgets", "fleet bound", "ratio"), rows))
+    print(f"\nfit: {fit_line(points).text('retries', 'per router')}\n")
 
 
-def _saved_retries(routers: int) -> float:
+def _fleet_retry_tokens(routers: int) -> float:
     return routers * Router(replace(SETTINGS, router_count=routers), 1).state.retry_budget.tokens
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedService:
-    """The share of keyed requests that get an attempt, and the longest span in which none does."""
+    """The share of keyed requests that get an attempt, and the longest interval between two attempts."""
 
     sent_share: float
     longest_gap_ms: float
 
 
 def measure_keyed_requests(_fleet_sizes: Sequence[int]) -> None:
-    """How many keyed requests a router serves, by their rate."""
+    """Print the share of keyed requests that a router sends to a server, by their rate."""
     rows = []
     for requests_per_s in KEYED_RATES_PER_S:
         service = _keyed_service(requests_per_s)
         rows.append((requests_per_s, f"{service.sent_share:.3f}", f"{service.longest_gap_ms / 1_000:.1f}"))
-    columns = ("keyed requests a s a router", "share sent, of 10 minutes", "longest s without one")
+    columns = (
+        "keyed requests per s and router",
+        "share sent, over 10 minutes",
+        "longest s between two attempts",
+    )
     print(markdown_table(columns, rows))
     lifetime_s = KEY_LIFETIME_MS / 1_000
-    print(f"\nbound: {MAX_KEYS} keys for {lifetime_s:.0f} s: {MAX_KEYS / lifetime_s:.2f} a s\n")
+    print(f"\nbound: {MAX_KEYS} keys for {lifetime_s:.0f} s: {MAX_KEYS / lifetime_s:.2f} per s\n")
 
 
 def _keyed_service(requests_per_s: float) -> KeyedService:
@@ -232,7 +236,7 @@
 
 
 def _keyed_attempts(router: Router, now_ms: float, number: int) -> list[api.StartAttempt]:
-    """Request a new object under a new key, and return the attempts."""
+    """Request a new object with a new idempotency key, and return the attempts."""
     request = api.Request(
         f"{number}",
         KEYED.name,
@@ -247,7 +251,7 @@
 
 def _success(attempt: api.StartAttempt) -> api.AttemptEnded:
     succeeded = api.AttemptStatus.SUCCEEDED
-    return api.AttemptEnded(attempt.request_id, 0, attempt.server, succeeded, KEYED_ANSWER_MS, final=True)
+    return api.AttemptEnded(attempt.request_id, 0, attempt.server, succeeded, KEYED_RESPONSE_MS, final=True)
 
 
 PARTS: dict[str, Callable[[Sequence[int]], None]] = {
@@ -263,7 +267,7 @@
 @click.option("--routers", type=NumberList(), default=DEFAULT_ROUTERS, help="sizes of the fleet")
 @click.argument("parts", nargs=-1, type=click.Choice(list(PARTS)))
 def main(routers: tuple[int, ...], parts: tuple[str, ...]) -> None:
-    """Measure the selected parts."""
+    """Measure the selected parts, or all."""
     run_parts(PARTS, parts, routers)
 
 
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -1,12 +1,12 @@
-"""What the fleet layer costs a member by the number of members: membership, and a voter's leases.
+"""Measures the cost of the fleet layer per member, by the number of members: membership and quota leases.
 
     PYTHONPATH=. python benchmarks/capacity_membership.py [--members N,N] [PART...]
 
-Parts: ``voter`` (processor time of a lease that a voter is asked for), ``door`` (the reply to the
-operators' call ``fleet``) and ``steady`` (datagrams, bytes and processor time of a member, and seconds to
-spread; quota leases are on the same datagrams); all of them by default. Processor time of ``steady`` is
-that of the members' own state machines: without sockets, and without the simulated network. A fleet of
-voters alone is no point of a fit.
+Parts: ``voter`` (CPU time of a lease request at a voter), ``door`` (the reply to the admin command
+``fleet``) and ``steady`` (datagrams, bytes and CPU time of a member, and the time in which a restart
+propagates; quota leases are sent in the same datagrams); all of them by default. CPU time of ``steady`` is
+that of the members' state machines, without sockets or the simulated network. Fleets that consist of voters
+alone are left out of the fits.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from benchmark_tools.line_fit import fit_line
 from benchmark_tools.membership_fleet import (
     JOIN_MS,
-    all_have_met,
+    all_know_all_members,
     build_fleet,
     propagate_restart,
     run_until,
@@ -47,9 +47,9 @@
 FULL_FLEET = 1_200
 VOTERS = 5
 STEADY_MS = 10_000.0
-# Restarts of which the median time to spread is taken.
+# Number of restarts, of whose propagation times the median is taken.
 RESTARTS = 5
-# Members up to which memory is measured: tracing takes too long in a larger fleet.
+# Memory is measured up to this number of members: tracing takes too long in a larger fleet.
 MAX_TRACED_MEMBERS = 400
 LEASE_REQUESTS = 400
 LEASE_ROUNDS = 3
@@ -58,7 +58,7 @@
 
 
 class TimedMachine:
-    """A member's state machine, and the processor time that it used."""
+    """Wraps a member's state machine and adds up its CPU time."""
 
     def __init__(self, machine: Any) -> None:
         self.machine = machine
@@ -68,7 +68,7 @@
         return getattr(self.machine, name)
 
     def handle(self, now_ms: float, event: Any) -> Any:
-        """Handle an event and count the time."""
+        """Pass an event to the state machine and add its CPU time to ``cpu_s``."""
         begin_s = time.process_time()
         actions = self.machine.handle(now_ms, event)
         self.cpu_s += time.process_time() - begin_s
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SteadyCost:
-    """What a member sends and uses a second, the same of a voter, memory, and the time to spread a restart.
+    """Traffic and CPU time per second of a member and of a voter, memory, and propagation time of a restart.
 
     ``member_kb`` is NaN in fleets that are too large to trace.
     """
@@ -99,8 +99,8 @@
     """Print the costs of a steady fleet by its size, and their fits."""
     costs = {count: _steady_cost(count) for count in fleet_sizes}
     columns = (
-        "members", "datagrams a s", "bytes a s", "us of processor a s", "a voter: bytes a s", "us a s",
-        "KB a member holds", "s until all know of a new life",
+        "members", "datagrams per s", "bytes per s", "CPU us per s", "voter: bytes per s", "CPU us per s",
+        "KB per member", "s until all know of a restart",
     )  # fmt: skip
     rows = []
     for count, cost in costs.items():
@@ -118,7 +118,7 @@
 
 def _print_fit(values: dict[int, float], unit: str, per: str, scale: Callable[[float], float]) -> None:
     line = fit_line([(scale(count), value) for count, value in values.items() if not math.isnan(value)])
-    print(f"fit: {line.text(unit, f'a {per}', 3)}; at {FULL_FLEET}: {line.at(scale(FULL_FLEET)):.1f}")
+    print(f"fit: {line.text(unit, f'per {per}', 3)}; at {FULL_FLEET}: {line.at(scale(FULL_FLEET)):.1f}")
 
 
 def _steady_cost(count: int) -> SteadyCost:
@@ -126,10 +126,10 @@
     if is_traced:
         tracemalloc.start()
     cluster = build_fleet(count, 1, LinkQuality())
-    run_until(cluster, lambda: all_have_met(cluster, count))
+    run_until(cluster, lambda: all_know_all_members(cluster, count))
     traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    cluster.run_until(cluster.now + 3 * JOIN_MS)  # the news of the joining is no longer sent
+    cluster.run_until(cluster.now + 3 * JOIN_MS)  # the updates about the joins are no longer sent
     before = sent_totals(cluster)
     cpu_us = _cpu_us_per_s(cluster)
     after = sent_totals(cluster)
@@ -150,7 +150,7 @@
 
 
 def _cpu_us_per_s(cluster: SimulatedCluster) -> list[float]:
-    """Run for ``STEADY_MS`` and return the processor time of each member, in us a second."""
+    """Run for ``STEADY_MS`` and return the CPU time of each member, in us per second."""
     nodes = list(cluster.nodes.values())
     machines = [TimedMachine(node.machine) for node in nodes]
     for node, machine in zip(nodes, machines, strict=True):
@@ -162,7 +162,7 @@
 
 
 def measure_leases(_fleet_sizes: Sequence[int]) -> None:
-    """What a voter's leases cost it by the number of routers."""
+    """Print the cost of lease requests at a voter by the number of routers."""
     costs_us = {count: min(_lease_us(count) for _ in range(LEASE_ROUNDS)) for count in FLEET_SIZES}
     request_interval_s = QuotaSettings(("a",), ("a",)).lease_ms / 1_000 / LEASE_REQUESTS_PER_LEASE
     rows = []
@@ -171,16 +171,16 @@
         rows.append(
             (count, f"{requests_per_s:.0f}", f"{cost_us:.0f}", f"{cost_us * requests_per_s / 1e6:.1%}")
         )
-    print(markdown_table(("routers", "asks a s at a voter", "us an ask", "of a core"), rows))
-    print(f"\nfit: {fit_line(list(costs_us.items())).text('us', 'a router')}\n")
+    print(markdown_table(("routers", "requests per s at a voter", "us per request", "share of a core"), rows))
+    print(f"\nfit: {fit_line(list(costs_us.items())).text('us', 'per router')}\n")
 
 
 def _lease_us(count: int) -> float:
-    """Every router, all of which hold leases, asks a voter in turn: the processor time of one request."""
+    """Return a voter's CPU time of one lease request; all routers hold leases and request in turn."""
     names = node_names(count)
     settings = QuotaSettings(names, names[:VOTERS])
     voter = LeaseExchange(settings, names[0], 1, 0.0)
-    # Requests as a router encodes them, after the tag of their kind: incarnation, and number.
+    # Lease requests as a router encodes them: message tag, incarnation and request number.
     first_request, second_request = (msgpack.encode((1, 1, number)) for number in (1, 2))
     now_ms = settings.issuer_lease_ms + 1.0
     for name in names:
@@ -193,21 +193,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyCost:
-    """Size and processor time of a reply."""
+    """Size and CPU time of a reply."""
 
     size_kb: float
     cpu_us: float
 
 
 def measure_view_replies(_fleet_sizes: Sequence[int]) -> None:
-    """The reply of the call ``fleet`` alone: a member keeps its view until a state changes."""
+    """Print the cost of encoding the reply to the admin command ``fleet`` by the number of members."""
     costs = {count: _view_reply_cost(count) for count in FLEET_SIZES}
     rows = [(count, f"{cost.size_kb:.1f}", f"{cost.cpu_us:.0f}") for count, cost in costs.items()]
-    print_table(("members", "KB a reply", "us a reply"), rows)
+    print_table(("members", "KB per reply", "us per reply"), rows)
     size_line = fit_line([(count, cost.size_kb) for count, cost in costs.items()])
     cpu_line = fit_line([(count, cost.cpu_us) for count, cost in costs.items()])
-    print(f"fit: {size_line.text('KB', 'a member', 3)}")
-    print(f"fit: {cpu_line.text('us', 'a member', 3)}\n")
+    print(f"fit: {size_line.text('KB', 'per member', 3)}")
+    print(f"fit: {cpu_line.text('us', 'per member', 3)}\n")
 
 
 def _view_reply_cost(count: int) -> ReplyCost:
@@ -230,10 +230,12 @@
 
 
 @click.command(help=__doc__)
-@click.option("--members", type=NumberList(), default=DEFAULT_MEMBERS, help="sizes of the fleet, of steady")
+@click.option(
+    "--members", type=NumberList(), default=DEFAULT_MEMBERS, help="sizes of the fleet in the part steady"
+)
 @click.argument("parts", nargs=-1, type=click.Choice(list(PARTS)))
 def main(members: tuple[int, ...], parts: tuple[str, ...]) -> None:
-    """Measure the selected parts."""
+    """Measure the selected parts, or all."""
     run_parts(PARTS, parts, members)
 
 
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -1,14 +1,14 @@
-"""What a full router costs: a real ``run`` process before fake cache servers, by requests and by KB carried.
+"""Measures the capacity of a router process with fake cache servers, by requests and by KB forwarded.
 
     PYTHONPATH=. python benchmarks/capacity_router.py [--requests N] [--seconds S] [--only-full]
 
-440 servers are listed, 8 of them in the router's site. The cache servers have a process of their own, and
-this process is discovery and the clients, so that only the router's time is counted: the kernel's account
-of its run time, in user and system. The first table keeps requests open without a pause until the router's
-own admission refuses some; the second does so in bursts with pauses between, N requests at each size and
-round; both take the median of several rounds. The third sends at even rates, where each request costs
-iterations of the event loop of its own. Loopback moves bytes by the processor alone: the interrupts of a
-network card are not counted, nor is what it takes over.
+440 servers are listed, 8 of them in the router's site. The cache servers run in a process of their own, and
+discovery and the clients in this one, so that only the router's CPU time is counted: user and system time,
+as the kernel reports it. For the first table, requests are kept open without pauses until the router sheds
+some; for the second, they are kept open in bursts with pauses in between, N requests at each size and round.
+Both show the median of several rounds. For the third, requests are sent at even rates, where each takes
+event-loop iterations of its own. The loopback interface copies bytes on the CPU: neither the interrupts of a
+network card nor what it offloads is measured.
 """
 
 from __future__ import annotations
@@ -41,24 +41,24 @@
 LISTED_SERVERS = 440
 PARENTS = 6
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-# Sizes of answers; the platform's largest is the last.
+# Sizes of responses; the last is the largest on the platform.
 SIZES_BYTES = (1_000, 16_000, 64_000, 240_000)
 RATE_SIZE_BYTES = SIZES_BYTES[1]
 RATES_PER_S = (50, 100, 200, 300, 400)
-# Requests that are open at once, in bursts and without pauses.
+# Numbers of requests that are open at once, in bursts and without pauses.
 BURST_OPEN = (4, 16, 48)
 FULL_OPEN = (8, 16, 32, 64)
 ROUNDS = 5
 ROUND_PAUSE_S = 1.0
-# Requests that open every connection: the router closes one that never sends any.
+# Requests sent first, so that every connection has carried some: the router closes unused connections.
 FIRST_REQUESTS = 200
-# What a router of the full deployment carries a second.
-NEEDED_REQUESTS_PER_S = 742
-NEEDED_BYTES_PER_S = 3.4e12 / 8 / 1_200
+# Load of one router in the full deployment of 1,200 routers.
+FULL_DEPLOYMENT_REQUESTS_PER_S = 742
+FULL_DEPLOYMENT_BYTES_PER_S = 3.4e12 / 8 / 1_200
 
 
 def build_hosts(address: str) -> list[dict[str, Any]]:
-    """The endpoint list: caches, parents and the origin, the first of them in the router's site."""
+    """Return the endpoint list: edges, parents and the origin; the first 8 edges are in the router's site."""
     edges = LISTED_SERVERS - PARENTS - 1
     kinds = [EDGE_KIND] * edges + [PARENT_KIND] * PARENTS + [ORIGIN_KIND]
     return [
@@ -68,15 +68,15 @@
 
 
 async def measure_without_pauses(router: LoadedRouter, requests: int) -> None:
-    """As many of the largest answers as the router serves, with its own admission in force."""
+    """Print the greatest rate of the largest responses, at which the router already sheds load."""
     results: dict[int, list[LoadResult]] = {open_count: [] for open_count in FULL_OPEN}
     for _ in range(ROUNDS):
         for open_count, rounds in results.items():
             rounds.append(await router.keep_open(open_count, SIZES_BYTES[-1], 2 * requests))
             await asyncio.sleep(ROUND_PAUSE_S)
     columns = (
-        "open at once, 240 KB", "served a s, median", "Mbit/s (least to most)", "of a core",
-        "us each (least to most)", "not served",
+        "open at once, 240 KB", "served per s, median", "Mbit/s (min to max)", "share of a core",
+        "CPU us each (min to max)", "not served",
     )  # fmt: skip
     print_table(columns, [_full_row(open_count, rounds) for open_count, rounds in results.items()])
 
@@ -98,7 +98,7 @@
 
 
 async def measure_sizes(router: LoadedRouter, requests: int) -> None:
-    """The cost of a request by the KB of its answer and the requests open at once."""
+    """Print the cost of a request by the size of its response and the number of open requests."""
     results: dict[tuple[int, int], list[LoadResult]] = {}
     for _ in range(ROUNDS):
         for open_count in BURST_OPEN:
@@ -106,8 +106,8 @@
                 result = await router.keep_open_in_bursts(open_count, size_bytes, requests)
                 results.setdefault((open_count, size_bytes), []).append(result)
     columns = (
-        "open at once", "KB an answer", "us of processor a request, median", "least to most",
-        "worked out: requests a s of a whole core", "Mbit/s of a whole core", "not served",
+        "open at once", "KB per response", "CPU us per request, median", "min to max",
+        "calculated: requests per s of a full core", "Mbit/s of a full core", "not served",
     )  # fmt: skip
     print_table(columns, [_size_row(*key, rounds) for key, rounds in results.items()])
     for open_count in BURST_OPEN:
@@ -115,7 +115,7 @@
             (size / 1e3, statistics.median(result.request_us for result in results[open_count, size]))
             for size in SIZES_BYTES
         ]
-        _print_needed(open_count, fit_line(points))
+        _print_needed_cores(open_count, fit_line(points))
 
 
 def _size_row(open_count: int, size_bytes: int, rounds: Sequence[LoadResult]) -> tuple[object, ...]:
@@ -132,21 +132,21 @@
     )
 
 
-def _print_needed(open_count: int, line: Line) -> None:
-    """Print the fit, and what it comes to for a router of the full deployment."""
-    answer_kb = NEEDED_BYTES_PER_S / NEEDED_REQUESTS_PER_S / 1_000
-    cores = line.at(answer_kb) * NEEDED_REQUESTS_PER_S / 1e6
-    cores_without_bytes = line.at(0) * NEEDED_REQUESTS_PER_S / 1e6
-    print(f"fit, {open_count} open: {line.text('us', 'a KB')}")
+def _print_needed_cores(open_count: int, line: Line) -> None:
+    """Print the fit, and the cores that a router of the full deployment needs according to it."""
+    answer_kb = FULL_DEPLOYMENT_BYTES_PER_S / FULL_DEPLOYMENT_REQUESTS_PER_S / 1_000
+    cores = line.at(answer_kb) * FULL_DEPLOYMENT_REQUESTS_PER_S / 1e6
+    cores_without_bytes = line.at(0) * FULL_DEPLOYMENT_REQUESTS_PER_S / 1e6
+    print(f"fit, {open_count} open: {line.text('us', 'per KB')}")
     print(
-        f"worked out: {NEEDED_REQUESTS_PER_S} requests a s of {answer_kb:.0f} KB "
-        f"({NEEDED_BYTES_PER_S * 8 / 1e6:,.0f} Mbit/s) take {cores:.2f} cores; "
-        f"without their bytes {cores_without_bytes:.2f}\n"
+        f"calculated: {FULL_DEPLOYMENT_REQUESTS_PER_S} requests per s of {answer_kb:.0f} KB "
+        f"({FULL_DEPLOYMENT_BYTES_PER_S * 8 / 1e6:,.0f} Mbit/s) take {cores:.2f} cores; "
+        f"without response bodies {cores_without_bytes:.2f}\n"
     )
 
 
 async def measure_rates(router: LoadedRouter, seconds: float) -> None:
-    """The cost of requests at even rates."""
+    """Print the cost of requests that are sent at even rates."""
     results = {rate: await router.send_at_rate(rate, RATE_SIZE_BYTES, seconds) for rate in RATES_PER_S}
     rows = [
         (
@@ -159,19 +159,19 @@
         for rate, result in results.items()
     ]
     columns = (
-        f"asked a s, {RATE_SIZE_BYTES / 1e3:.0f} KB",
-        "served a s",
-        "of a core",
-        "us each",
+        f"sent per s, {RATE_SIZE_BYTES / 1e3:.0f} KB",
+        "served per s",
+        "share of a core",
+        "CPU us each",
         "not served",
     )
     print(markdown_table(columns, rows))
     line = fit_line([(result.served_per_s, 100 * result.core_share) for result in results.values()])
-    print(f"\nfit: {line.text('% of a core', 'a request a s', 3)}\n")
+    print(f"\nfit: {line.text('% of a core', 'per request per s', 3)}\n")
 
 
 async def measure(folder: Path, requests: int, seconds: float, only_full: bool) -> None:
-    """Print all tables, or the first alone."""
+    """Start the environment and print all tables, or the first alone if ``only_full``."""
     cache_servers = CacheServerProcess(delay_ms=0.0)
     hosts = build_hosts(await cache_servers.address())
     discovery = FakeDiscovery()
@@ -189,7 +189,7 @@
             return
         await measure_sizes(router, requests)
         await measure_rates(router, seconds)
-        print(f"memory after all: {router.resident_mb():.1f} MB")
+        print(f"memory at the end: {router.resident_mb():.1f} MB")
 
 
 @click.command(help=__doc__)
@@ -197,7 +197,7 @@
 @click.option("--requests", default=600, help="at each size and round")
 @click.option("--only-full", is_flag=True, help="print the first table alone")
 def main(seconds: float, requests: int, only_full: bool) -> None:
-    """Measure a router."""
+    """Measure the capacity of a router."""
     with time_limit(), tempfile.TemporaryDirectory() as folder:
         asyncio.run(measure(Path(folder), requests, seconds, only_full))
 
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -1,13 +1,13 @@
-"""What catching up costs a router: the real program, an hour (122,400 events) behind, under a steady load.
+"""Measures what it costs a router process under load to catch up with the 122,400 events of an hour.
 
     PYTHONPATH=. python benchmarks/catch_up.py [ROUNDS]
     PYTHONPATH=. python benchmarks/catch_up.py --idle OTHER_TREE [ROUNDS]
 
-The program is between a fake cache server and a fake discovery on loopback. The first form prints a
-Markdown table: each round is one process that is never behind, and one that serves for a time and then is.
-The second form compares the idle program of this tree with that of another, both at once: memory and
-processor time. Each round takes less than 60 s, with 200 requests a second, and one process or two at a
-time.
+The router runs with a fake cache server and a fake discovery on loopback. The first form prints a Markdown
+table: each round is one process that misses no events, and one that serves for a time and then has to catch
+up. The second form compares memory and CPU time of this tree's idle router with those of another tree's, run
+at the same time. Each round takes less than 60 s, with 200 requests per second, and one or two processes at
+a time.
 """
 
 from __future__ import annotations
@@ -45,69 +45,69 @@
 
 REQUEST_INTERVAL_S = 0.005
 WARM_UP_S = 1.0
-QUIET_S = 3.0
-# Duration of the second part in a process that is never behind.
+BEFORE_S = 3.0
+# Duration of the second phase in a process that misses no events.
 BASELINE_S = 2.0
 LAST_ANSWERS_S = 0.3
 CATCH_UP_TIMEOUT_S = 15.0
-# Iterations of the event loop above it are counted.
+# Event-loop iterations longer than this are counted.
 LONG_TURN_S = 0.02
-# More polls than a round has.
+# Greater than the number of polls in a round.
 MAX_UNANSWERED_POLLS = 999
 FIRST_CURSOR = 1
 COLUMNS = (
-    "process", "in step after s", "peak MB", "longest turn ms (processor)", "turns over 20 ms",
-    "p50 ms quiet / meanwhile", "p99", "requests meanwhile", "unanswered",
+    "process", "caught up after s", "peak MB", "longest iteration ms (CPU)", "iterations over 20 ms",
+    "p50 ms before / during", "p99", "requests during catch-up", "unanswered",
 )  # fmt: skip
 
 
-class NotInStepError(RuntimeError):
-    """The router did not catch up in time."""
+class NotCaughtUpError(RuntimeError):
+    """The router did not catch up within ``CATCH_UP_TIMEOUT_S``."""
 
     def __init__(self, last_polls: Sequence[tuple[int, int]]) -> None:
-        super().__init__(f"not in step: {last_polls}")
+        super().__init__(f"not caught up; cursor and block time of the last polls: {last_polls}")
 
 
 @dataclass(frozen=True, slots=True)
 class RoundResult:
-    """The figures of one process; latencies are in seconds."""
+    """The results of one process; ``seconds`` is the duration of its second phase."""
 
     misses_events: bool
     seconds: float
     peak_mb: float
     turns: list[Turn]
-    quiet_latencies_s: list[float]
+    before_latencies_s: list[float]
     latencies_s: list[float]
     unanswered: int
 
     def cells(self) -> tuple[object, ...]:
-        """The row of the table."""
+        """Return the process's row of the table."""
         longest_ms = max_duration_s(self.turns) * 1e3
         max_cpu_ms = max_cpu_s(self.turns) * 1e3
-        quiet = [percentile_ms(self.quiet_latencies_s, percent) for percent in (50, 99)]
-        meanwhile = [percentile_ms(self.latencies_s, percent) for percent in (50, 99)]
+        before = [percentile_ms(self.before_latencies_s, percent) for percent in (50, 99)]
+        during = [percentile_ms(self.latencies_s, percent) for percent in (50, 99)]
         return (
-            "behind" if self.misses_events else "not behind",
+            "catching up" if self.misses_events else "baseline",
             f"{self.seconds:.2f}",
             f"{self.peak_mb:.1f}",
             f"{longest_ms:.1f} ({max_cpu_ms:.1f})",
             sum(turn.duration_s > LONG_TURN_S for turn in self.turns),
-            f"{quiet[0]:.2f} / {meanwhile[0]:.2f}",
-            f"{quiet[1]:.1f} / {meanwhile[1]:.1f}",
+            f"{before[0]:.2f} / {during[0]:.2f}",
+            f"{before[1]:.1f} / {during[1]:.1f}",
             len(self.latencies_s),
             self.unanswered,
         )
 
 
 def percentile_ms(latencies_s: Sequence[float], percent: int) -> float:
-    """A percentile of latencies."""
+    """Return a percentile of latencies."""
     return statistics.quantiles(latencies_s, n=100)[percent - 1] * 1000.0
 
 
 def publish(discovery: ScriptedDiscovery, answer: bytes) -> None:
-    """Answer the next poll with many events, and hold all later ones.
+    """Answer the next poll with ``answer``, and leave all later polls unanswered.
 
-    The present connection is reset, as at the end of a partition, so that the router polls at once.
+    The open connection is reset, as at the end of a partition, so that the router polls again at once.
     """
 
     def step(connection: FakeDiscoveryConnection) -> None:
@@ -121,18 +121,18 @@
 
 @inlineCallbacks
 def catch_up(discovery: ScriptedDiscovery, backlog: bytes) -> Steps[None]:
-    """Publish the backlog and wait until the router has taken it.  Raises NotInStepError."""
+    """Publish the backlog and wait until the router acknowledges all of it.  Raises NotCaughtUpError."""
     last_cursor = FIRST_CURSOR + MISSED_EVENTS
     until_s = time.monotonic() + CATCH_UP_TIMEOUT_S
     publish(discovery, backlog)
     yield wait_until(lambda: discovery.polls[-1][0] == last_cursor or time.monotonic() > until_s)
     if discovery.polls[-1][0] != last_cursor:
-        raise NotInStepError(discovery.polls[-3:])
+        raise NotCaughtUpError(discovery.polls[-3:])
 
 
 @inlineCallbacks
 def measure_round(folder: Path, misses_events: bool) -> Steps[RoundResult]:
-    """Measure one process: quiet at first, and then behind, or quiet for as long."""
+    """Measure one process: first without events, and then during catch-up or for ``BASELINE_S``."""
     discovery = ScriptedDiscovery()
     cache_server = f"127.0.0.1:{listen_on_free_port(reactor, DemoCacheServer)}"
     discovery.script = [respond(encode_answer({"cursor": FIRST_CURSOR, "cmds": []})), hold_poll]
@@ -142,8 +142,8 @@
     try:
         requests = yield connect_steady_requests(front, REQUEST_INTERVAL_S)
         yield pause(WARM_UP_S)
-        quiet_s = time.monotonic()
-        yield pause(QUIET_S)
+        before_begin_s = time.monotonic()
+        yield pause(BEFORE_S)
         backlog = encode_answer(json.dumps(build_backlog(FIRST_CURSOR, cache_server)).encode())
         begin_s = time.monotonic()
         yield catch_up(discovery, backlog) if misses_events else pause(BASELINE_S)
@@ -160,7 +160,7 @@
         end_s - begin_s,
         peak_mb,
         [turn for turn in turns if begin_s <= turn.begin_s < end_s],
-        requests.latencies_between(quiet_s, quiet_s + QUIET_S),
+        requests.latencies_between(before_begin_s, before_begin_s + BEFORE_S),
         requests.latencies_between(begin_s, end_s),
         requests.sent_count - len(requests.latencies),
     )
@@ -168,7 +168,7 @@
 
 @inlineCallbacks
 def measure(rounds: int) -> Steps[None]:
-    """Print the table, a row after each process."""
+    """Print the table, with a row after each process."""
     print(markdown_head(COLUMNS))
     with tempfile.TemporaryDirectory() as folder:
         for _ in range(rounds):
@@ -183,7 +183,7 @@
 )
 @click.argument("rounds", default=3)
 def main(other_tree: Path | None, rounds: int) -> None:
-    """Measure the program behind, or compare idle ones."""
+    """Measure catching up, or compare idle routers."""
     react: Any = task.react
     if other_tree is not None:
         react(lambda _: compare_idle_trees(other_tree.resolve(), rounds))
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -1,4 +1,4 @@
-"""Membership in figures, in simulation: writes the tables of docs/FLEET-FIGURES.md.
+"""Measures membership in simulation, and writes the page docs/FLEET-FIGURES.md.
 
 PYTHONPATH=. python benchmarks/fleet_figures.py [--members N,N] [--write docs/FLEET-FIGURES.md]
 """
@@ -15,7 +15,7 @@
 from benchmark_tools.membership_fleet import (
     JOIN_MS,
     MemberWatch,
-    all_have_met,
+    all_know_all_members,
     build_fleet,
     propagate_restart,
     run_until,
@@ -26,26 +26,26 @@
 from fleet_sim.command import percentile
 
 DEFAULT_MEMBERS = (5, 20, 50, 200, 500)
-# Members of a fleet in which something is detected.
+# Members of a fleet in which the detection of crashes or false verdicts is measured.
 FLEET_MEMBERS = 20
-# Crashes of each row.
+# Number of crashes, each in a fleet of its own, per row.
 CRASHES = 40
 LOSS_SHARES = (0.0, 0.05, 0.2)
-# Fleets of each row in which nothing fails, how long they run, and how many of their members are paused.
-WATCHED_FLEETS = 2
-WATCH_MS = 300_000.0
+# Fleets per row in which no member fails, their run time, and the numbers of members that are paused.
+OBSERVED_FLEETS = 2
+OBSERVATION_MS = 300_000.0
 PAUSED_COUNTS = (0, 2)
 PAUSE_MS = 2_500
 PAUSE_INTERVAL_MS = 15_000
 FIRST_PAUSE_MS = 10_000
 HOUR_MS = 3.6e6
-# Restarts of which the median time to spread is taken.
+# Number of restarts, of whose propagation times the median is taken.
 RESTARTS = 5
-# Span over which bytes are counted.
+# Time over which datagrams and bytes are counted.
 STEADY_MS = 20_000.0
 PROBE_PERIOD_MS = 1_000
 
-# The page, with a place for each table.
+# The page, with a placeholder for each table.
 PAGE = f"""# The fleet in figures
 
 Made by `benchmarks/fleet_figures.py` in simulation (`docs/design/fleet-sim.md`) with the default
@@ -76,7 +76,7 @@
 
 
 def measure_detection(loss_share: float) -> Row:
-    """A member is killed: how long until the first other, and until the last, holds it as failed."""
+    """Kill a member; return a row with the times until the first and the last other see it as failed."""
     first_ms = []
     last_ms = []
     false_verdicts = 0
@@ -100,34 +100,34 @@
 
 
 def measure_false_verdicts(loss_share: float, paused_count: int) -> Row:
-    """Nothing fails, and some members are paused for less than a suspicion: every verdict is false."""
+    """Pause some members for less than the suspicion timeout; return a row of the false verdicts."""
     on_others = 0
     on_paused = 0
     paused = node_names(FLEET_MEMBERS)[-paused_count:] if paused_count else ()
-    for seed in range(WATCHED_FLEETS):
+    for seed in range(OBSERVED_FLEETS):
         cluster = build_fleet(FLEET_MEMBERS, seed, LinkQuality(loss=loss_share))
         watch = MemberWatch(cluster)
-        for pause_ms in range(FIRST_PAUSE_MS, int(WATCH_MS), PAUSE_INTERVAL_MS):
+        for pause_ms in range(FIRST_PAUSE_MS, int(OBSERVATION_MS), PAUSE_INTERVAL_MS):
             for name in paused:
                 cluster.schedule(cluster.now + pause_ms, partial(cluster.pause, name))
                 cluster.schedule(cluster.now + pause_ms + PAUSE_MS, partial(cluster.resume, name))
-        cluster.run_until(cluster.now + WATCH_MS)
+        cluster.run_until(cluster.now + OBSERVATION_MS)
         on_others += sum(name not in paused for name in watch.declared_failed)
         on_paused += sum(name in paused for name in watch.declared_failed)
-    member_hours = WATCHED_FLEETS * WATCH_MS * FLEET_MEMBERS / HOUR_MS
+    member_hours = OBSERVED_FLEETS * OBSERVATION_MS * FLEET_MEMBERS / HOUR_MS
     return f"{loss_share:.0%}", paused_count, f"{member_hours:.1f}", on_others, on_paused
 
 
 def measure_cost(count: int) -> Row:
-    """A steady fleet: what a member sends; then how long the news of a restart takes to spread."""
+    """Return a row with the traffic of a steady fleet, and the propagation time of a restart."""
     begin_s = time.perf_counter()
     cluster = build_fleet(count, 1, LinkQuality())
-    met_ms = run_until(cluster, lambda: all_have_met(cluster, count))
-    cluster.run_until(cluster.now + 3 * JOIN_MS)  # the news of the joining is no longer sent
+    discovery_ms = run_until(cluster, lambda: all_know_all_members(cluster, count))
+    cluster.run_until(cluster.now + 3 * JOIN_MS)  # the updates about the joins are no longer sent
     before = sent_totals(cluster)
     cluster.run_until(cluster.now + STEADY_MS)
     after = sent_totals(cluster)
-    member_seconds = count * STEADY_MS / 1_000
+    member_s = count * STEADY_MS / 1_000
     datagrams = sum(new[0] - old[0] for old, new in zip(before, after, strict=True))
     sent_bytes = sum(new[1] - old[1] for old, new in zip(before, after, strict=True))
     propagations = [propagate_restart(cluster, name, count) for name in node_names(count)[:RESTARTS]]
@@ -135,9 +135,9 @@
     all_ms = percentile([max(propagation.learned_ms) for propagation in propagations], 0.5)
     return (
         count,
-        f"{(JOIN_MS + met_ms) / 1_000:.1f}",
-        f"{datagrams / member_seconds:.2f}",
-        f"{sent_bytes / member_seconds:.0f}",
+        f"{(JOIN_MS + discovery_ms) / 1_000:.1f}",
+        f"{datagrams / member_s:.2f}",
+        f"{sent_bytes / member_s:.0f}",
         f"{half_ms / PROBE_PERIOD_MS:.1f} / {all_ms / PROBE_PERIOD_MS:.1f}",
         f"{math.log2(count):.1f}",
         f"{time.perf_counter() - begin_s:.0f}",
@@ -145,13 +145,13 @@
 
 
 def detection_table() -> str:
-    """The table of crashes."""
+    """Return the table of crash detection, with a row for each loss."""
     columns = ("loss", "first knows, p50 s", "p99 s", "all know, p50 s", "p99 s", "false verdicts")
     return markdown_table(columns, [measure_detection(loss_share) for loss_share in LOSS_SHARES])
 
 
 def false_verdict_table() -> str:
-    """The table of fleets in which nothing fails."""
+    """Return the table of false verdicts, by loss and number of paused members."""
     columns = ("loss", "paused members", "member-hours", "verdicts on others", "verdicts on the paused")
     rows = [
         measure_false_verdicts(loss_share, paused_count)
@@ -162,7 +162,7 @@
 
 
 def cost_table(members: tuple[int, ...]) -> str:
-    """The table of costs by size."""
+    """Return the table of costs by fleet size."""
     columns = (
         "members", "all met after s", "datagrams a member and s", "bytes a member and s",
         "rounds to half / all", "log2 of members", "CPU s of this row",
@@ -171,7 +171,7 @@
 
 
 def build_document(members: tuple[int, ...]) -> str:
-    """Return the page with all tables."""
+    """Run all measurements and return the page with their tables."""
     return PAGE.format(
         detection=detection_table(), false_verdicts=false_verdict_table(), costs=cost_table(members)
     )
@@ -180,10 +180,10 @@
 @click.command(help=__doc__)
 @click.option("--members", type=NumberList(), default=DEFAULT_MEMBERS, help="sizes of the fleet")
 @click.option(
-    "--write", "path", type=click.Path(path_type=Path), help="the file, in place of standard output"
+    "--write", "path", type=click.Path(path_type=Path), help="write to this file instead of standard output"
 )
 def main(members: tuple[int, ...], path: Path | None) -> None:
-    """Make the page."""
+    """Run the measurements and write the page."""
     with time_limit():
         document = build_document(members)
     if path is not None:
--- a/benchmarks/front_latency.py
+++ b/benchmarks/front_latency.py
@@ -1,10 +1,11 @@
-"""Latency that the second front adds to a request: both fronts side by side in this process.
+"""Measures the latency that the second front adds to a request; both fronts run in this process.
 
     PYTHONPATH=. python benchmarks/front_latency.py [ROUNDS]
 
-The real core and connection pool are before a fake cache server on loopback, with one keep-alive connection
-to each front. Requests follow one another, in alternating rounds, so that both fronts see the same machine.
-Prints a Markdown table. Bounded: ROUNDS rounds of 200 requests to each front, and 120 s.
+The router's core and connection pool run with a fake cache server on loopback, and one keep-alive connection
+to each front. Requests are sent one at a time, to the fronts in turn, so that other load on the machine
+affects both alike. Prints a Markdown table. ROUNDS rounds of 200 requests to each front run, for 120 s at
+most.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Latencies:
-    """The latencies of all requests to each front, in seconds."""
+    """The latencies of all requests to each front: the platform's, and the signed second one."""
 
     platform_s: list[float] = field(default_factory=list)
     signed_s: list[float] = field(default_factory=list)
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Percentiles:
-    """Percentiles of latencies."""
+    """The 50th and the 99th percentile of latencies."""
 
     p50_us: float
     p99_us: float
 
     @classmethod
     def of(cls, latencies_s: Sequence[float]) -> Percentiles:
-        """Compute them."""
+        """Compute the percentiles of two latencies or more."""
         cuts = statistics.quantiles(latencies_s, n=100)
         return cls(cuts[49] * 1e6, cuts[98] * 1e6)
 
@@ -71,21 +72,21 @@
 ) -> Steps[None]:
     """Send requests to the two fronts in turn."""
     for number in range(1, REQUESTS_PER_ROUND + 1):
-        target = environment.sign_target(TARGET)  # before the time that is measured
+        target = environment.sign_target(TARGET)  # signed outside the measured time
         begin_s = time.perf_counter()
         signed.send_request(target)
         yield signed.wait_for_answers(len(signed.responses) + 1)
         latencies.signed_s.append(time.perf_counter() - begin_s)
         begin_s = time.perf_counter()
-        ended = fastcgi.wait_for_answers(len(fastcgi.end_records()) + 1)
+        answered = fastcgi.wait_for_answers(len(fastcgi.end_records()) + 1)
         fastcgi.transport.write(encode_fastcgi_request(number, FASTCGI_PARAMS))
-        yield ended
+        yield answered
         latencies.platform_s.append(time.perf_counter() - begin_s)
 
 
 @inlineCallbacks
 def measure(rounds: int) -> Steps[None]:
-    """Print the table and what the second front adds."""
+    """Measure up to ``rounds`` rounds and print the result."""
     settings = replace(SETTINGS, may_bypass_caches=True, may_send_retry_after=True, max_retry_after_ms=500.0)
     environment = LoopbackEnvironment(settings, (FILMS, KEYED), TRUST, BASE_URL)
     signed = yield environment.connect_client()
@@ -103,7 +104,7 @@
 
 
 def print_latencies(latencies: Latencies) -> None:
-    """Print the table and what the second front adds."""
+    """Print the table and the latency that the second front adds."""
     platform = Percentiles.of(latencies.platform_s)
     signed = Percentiles.of(latencies.signed_s)
     rows = [
@@ -120,7 +121,7 @@
 @click.command(help=__doc__)
 @click.argument("rounds", default=10)
 def main(rounds: int) -> None:
-    """Measure both fronts."""
+    """Measure the latencies of both fronts."""
     react: Any = task.react
     react(lambda _: measure(rounds))
 
--- a/benchmarks/growth_program.py
+++ b/benchmarks/growth_program.py
@@ -1,13 +1,13 @@
-"""What the whole program needs as the endpoint list grows: the same requests at each size.
+"""Measures the resources of a router process by the size of the endpoint list, at the same request load.
 
     PYTHONPATH=. python benchmarks/growth_program.py [--sizes N,N] [--sites N] [--seconds S] [--requests N]
 
-A real ``run`` process is between fake cache servers and a fake discovery on loopback. A tenth of the
-servers are parents, the others caches, spread evenly over the sites; all objects are new. Discovery
-publishes one changed weight a second. The table holds the router's processor time from its start, its peak
-memory, the most descriptors that were seen open, the connections that the servers accepted, the bytes of
-lists that discovery sent, and the share of requests answered with 200; the last column is the operators'
-bound, computed from the first size. The servers share one listening socket and have a process of their own.
+A router process runs with fake cache servers and a fake discovery on loopback. A tenth of the servers are
+parents, the others edges, spread evenly over the sites; each request is for a new object. Discovery publishes
+one changed weight per second. The table shows the router's CPU time from its start, its peak memory, the
+greatest number of open descriptors observed, the connections that the servers accepted, the bytes that
+discovery sent, and the share of requests answered with 200; the last column is the operators' bound, computed
+from the first size. The servers share one listening socket and run in a process of their own.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
 from benchmark_tools.tables import markdown_table
 from control_harness.fake_discovery import FakeDiscovery
 
-# Sites of the caches; the router is in the first.
+# Number of sites with edge caches; the router is in the first.
 DEFAULT_SITES = 3
-# Routers of all sites, as the settings say.
+# Number of routers in all sites, according to the settings.
 ROUTERS = 200
 SERVERS_PER_PARENT = 10
 LIMITS = {"cores": 1.0, "memory_mb": 96, "sockets": 544}
@@ -48,19 +48,19 @@
 # Interval at which descriptors are counted and due requests are sent.
 SAMPLE_INTERVAL_S = 0.02
 CHANGE_INTERVAL_S = 1.0
-# Time for the last answers after the last request.
+# Time after the last request in which the last responses may arrive.
 LAST_ANSWERS_S = 5.0
 
 
 class CountingWriter:
-    """Writes to a connection of discovery, and counts the bytes."""
+    """Wraps the writer of a connection to discovery, and adds the bytes written to ``sent_bytes``."""
 
     def __init__(self, writer: asyncio.StreamWriter, discovery: CountingDiscovery) -> None:
         self._writer = writer
         self._discovery = discovery
 
     def write(self, data: bytes) -> None:
-        """Write and count."""
+        """Write the data and count its bytes."""
         self._discovery.sent_bytes += len(data)
         self._writer.write(data)
 
@@ -70,17 +70,17 @@
 
 
 class CountingDiscovery(FakeDiscovery):
-    """The fake discovery with a count of the bytes that it sent."""
+    """The fake discovery, with a count of the bytes that it has sent on all connections."""
 
     sent_bytes = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Serve one connection, counting the bytes sent."""
         await super().serve(reader, CountingWriter(writer, self))  # type: ignore[arg-type]
 
 
 def build_hosts(servers: int, sites: int, address: str) -> list[dict[str, Any]]:
-    """The endpoint list."""
+    """Return an endpoint list of ``servers`` caches and parents, and the origin."""
     parents = servers // SERVERS_PER_PARENT
     caches = [
         host_entry(f"cache{number}", EDGE_KIND, f"z{number % sites + 1}", address)
@@ -93,7 +93,7 @@
 
 
 def build_settings(sites: int) -> dict[str, Any]:
-    """The settings of a router among so many sites."""
+    """Return the settings of a router in the first of ``sites`` sites, with the routers spread evenly."""
     specifics = SETTINGS["specifics"] | {"instancesByZone": [0, *[ROUTERS // sites] * sites]}
     zones = [REMOTE_SITE, *(f"z{number + 1}" for number in range(sites))]
     return SETTINGS | {"zones": zones, "instances": ROUTERS, "specifics": specifics}
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Requests that are sent evenly over a number of seconds, and the sites of the caches."""
+    """The number of requests, the time over which they are sent evenly, and the number of sites."""
 
     requests: int
     seconds: float
@@ -109,8 +109,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
-    """What one run needed, and the share of its requests that were served."""
+class ResourceUsage:
+    """The resources that one run used, and the share of its requests that were served."""
 
     cpu_s: float
     peak_mb: float
@@ -120,10 +120,10 @@
     served_share: float
 
 
-def operators_bound(base: Needs, servers: int) -> Needs:
-    """What the operators allow at so many servers, by the needs at the usual size."""
+def operators_bound(base: ResourceUsage, servers: int) -> ResourceUsage:
+    """Return the resources that the operators allow for ``servers``, given the usage at the first size."""
     thousands = servers / 1_000
-    return Needs(
+    return ResourceUsage(
         cpu_s=1.4 * base.cpu_s + 0.02 + 0.12 * thousands,
         peak_mb=1.5 * base.peak_mb + 8 + 4 * thousands,
         descriptors=2 * base.descriptors + 40,
@@ -136,7 +136,7 @@
 async def send_requests(
     environment: RouterEnvironment, discovery: FakeDiscovery, hosts: list[dict[str, Any]], load: Load
 ) -> int:
-    """Send at an even rate while the list changes; return the most descriptors that the router had open."""
+    """Send at an even rate while the list changes; return the greatest number of open descriptors."""
     router = environment.router
     begin_s = time.monotonic()
     sent = 0
@@ -155,8 +155,8 @@
     return max_descriptors
 
 
-async def measure_needs(servers: int, load: Load, folder: Path) -> Needs:
-    """One run at so many servers."""
+async def measure_usage(servers: int, load: Load, folder: Path) -> ResourceUsage:
+    """Run a router with an endpoint list of ``servers`` and return its usage."""
     cache_servers = CacheServerProcess(ANSWER_DELAY_MS)
     hosts = build_hosts(servers, load.sites, await cache_servers.address())
     discovery = CountingDiscovery()
@@ -168,7 +168,7 @@
     async with start_environment(folder, discovery, cache_servers, build_config) as environment:
         descriptors = await send_requests(environment, discovery, hosts, load)
         router = environment.router
-        return Needs(
+        return ResourceUsage(
             cpu_s=router.cpu_s(),
             peak_mb=peak_resident_mb(router.pid),
             descriptors=descriptors,
@@ -179,28 +179,28 @@
 
 
 async def measure(sizes: tuple[int, ...], load: Load) -> None:
-    """Print the table: a column for each size, and the bound at the last."""
+    """Print the table: a column for each size, and the operators' bound for the last size."""
     with tempfile.TemporaryDirectory() as folder:
-        found = [await measure_needs(size, load, Path(folder)) for size in sizes]
-    columns = [*found, operators_bound(found[0], sizes[-1])]
+        usages = [await measure_usage(size, load, Path(folder)) for size in sizes]
+    columns = [*usages, operators_bound(usages[0], sizes[-1])]
     rows = [
-        ("CPU s", *(f"{needs.cpu_s:.2f}" for needs in columns)),
-        ("peak MB", *(f"{needs.peak_mb:.1f}" for needs in columns)),
-        ("descriptors", *(needs.descriptors for needs in columns)),
-        ("connections made", *(needs.connections for needs in columns)),
-        ("KB of lists", *(f"{needs.list_kb:.0f}" for needs in columns)),
-        ("share answered", *(f"{needs.served_share:.3f}" for needs in columns)),
+        ("CPU s", *(f"{usage.cpu_s:.2f}" for usage in columns)),
+        ("peak MB", *(f"{usage.peak_mb:.1f}" for usage in columns)),
+        ("descriptors", *(usage.descriptors for usage in columns)),
+        ("connections accepted", *(usage.connections for usage in columns)),
+        ("KB sent by discovery", *(f"{usage.list_kb:.0f}" for usage in columns)),
+        ("share served", *(f"{usage.served_share:.3f}" for usage in columns)),
     ]
     print(markdown_table(["", *(f"{size:,}" for size in sizes), "bound"], rows))
 
 
 @click.command(help=__doc__)
 @click.option("--sizes", type=NumberList(), default=(200, 3200), help="servers listed")
-@click.option("--sites", default=DEFAULT_SITES, help="of the caches")
+@click.option("--sites", default=DEFAULT_SITES, help="number of sites with caches")
 @click.option("--seconds", default=24.0, help="over which requests are sent")
 @click.option("--requests", default=1_200, help="at each size")
 def main(sizes: tuple[int, ...], sites: int, seconds: float, requests: int) -> None:
-    """Measure the program."""
+    """Measure the router process at each size."""
     with time_limit():
         asyncio.run(measure(sizes, Load(requests, seconds, sites)))
 
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,10 +1,10 @@
-"""What an idle router costs against another commit's: both in one run, side by side.
+"""Compares memory and CPU time of an idle router with those of another commit's, run at the same time.
 
     PYTHONPATH=. python benchmarks/idle.py [COMMIT] [ROUNDS] [SECONDS]
 
-Each router has a fake discovery of its own; they start first in turn. The table has the memory
-(proportional set size) and the processor time (user and system) of each, and their ratio. A round lasts
-SECONDS with nothing but idle polls, after some time for the start. Loopback only, with the development
+Each router has a fake discovery of its own; which of them starts first alternates between rounds. The table
+shows the memory (proportional set size) and the CPU time (user and system) of each, and their ratio. A round
+lasts SECONDS after the start-up time, with idle polls only. Uses loopback only, and needs the development
 packages.
 """
 
@@ -21,29 +21,29 @@
 import click
 from benchmark_tools.command_line import time_limit
 from benchmark_tools.process_figures import main_thread_cpu_ms, proportional_mb
-from benchmark_tools.router_program import ROOT, end, extract_tree, start_program, write_config
+from benchmark_tools.router_program import ROOT, extract_tree, kill_all, start_program, write_config
 from benchmark_tools.tables import print_table
 from control_harness.fake_discovery import FakeDiscovery
 from control_harness.participants import free_addresses
 from fakes.config import SETTINGS
 
 DEFAULT_COMMIT = "159a7f7"
-START_S = 3.0
+STARTUP_S = 3.0
 LISTED_SERVERS = 440
 MAX_SOCKETS = 90
 HOST = {"dial": "127.0.0.1:9", "site": "demo", "class": "box", "health": "active", "share": 1}
 
 
-class NoIdlePollsError(RuntimeError):
-    """A router did not poll as an idle one does."""
+class TooFewPollsError(RuntimeError):
+    """A router sent at most one poll in two seconds."""
 
     def __init__(self, poll_counts: Sequence[int]) -> None:
-        super().__init__(f"no idle polls: {poll_counts}")
+        super().__init__(f"too few idle polls by the routers: {poll_counts}")
 
 
 @dataclass(frozen=True, slots=True)
 class IdleCost:
-    """Memory, and processor time over a round."""
+    """Memory at the end of a round, and CPU time over it."""
 
     memory_mb: float
     cpu_ms: float
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """The costs of both routers in one round."""
+    """The costs of both routers in one round: the other commit's, and this tree's."""
 
     base: IdleCost
-    present: IdleCost
+    current: IdleCost
 
 
 def start_router(tree: Path, folder: Path, channel: str) -> subprocess.Popen[bytes]:
-    """Start a router of a tree, as the deploy file does."""
+    """Start the router of a source tree."""
     front, admin = free_addresses(2)
     config = {
         "name": "idle",
@@ -73,7 +73,7 @@
 
 
 async def measure_trees(trees: Sequence[Path], folder: Path, seconds: float) -> list[IdleCost]:
-    """Run a router of each tree, started in order, and return their costs.  Raises NoIdlePollsError."""
+    """Run the router of each tree, started in order; return their costs.  Raises TooFewPollsError."""
     discoveries = [FakeDiscovery() for _ in trees]
     routers: list[subprocess.Popen[bytes]] = []
     hosts = [HOST | {"host": f"s{number}"} for number in range(LISTED_SERVERS)]
@@ -82,33 +82,33 @@
             await discovery.publish_hosts(hosts, complete=True)
             await discovery.start()
             routers.append(start_router(tree, folder, discovery.address))
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(STARTUP_S)
         cpu_before_ms = [main_thread_cpu_ms(router.pid) for router in routers]
         await asyncio.sleep(seconds)
         poll_counts = [discovery.poll_count for discovery in discoveries]
         if min(poll_counts) <= seconds / 2:
-            raise NoIdlePollsError(poll_counts)
+            raise TooFewPollsError(poll_counts)
         return [
             IdleCost(proportional_mb(router.pid), main_thread_cpu_ms(router.pid) - before_ms)
             for router, before_ms in zip(routers, cpu_before_ms, strict=True)
         ]
     finally:
-        end(routers)
+        kill_all(routers)
         for discovery in discoveries:
             await discovery.stop()
 
 
 async def measure_round(base_tree: Path, base_starts_first: bool, folder: Path, seconds: float) -> Round:
-    """Measure both routers side by side."""
+    """Measure both routers at the same time."""
     if base_starts_first:
-        base, present = await measure_trees([base_tree, ROOT], folder, seconds)
+        base, current = await measure_trees([base_tree, ROOT], folder, seconds)
     else:
-        present, base = await measure_trees([ROOT, base_tree], folder, seconds)
-    return Round(base, present)
+        current, base = await measure_trees([ROOT, base_tree], folder, seconds)
+    return Round(base, current)
 
 
 async def measure(commit: str, round_count: int, seconds: float) -> None:
-    """Print the table."""
+    """Measure all rounds and print the table."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         base_tree = extract_tree(commit, folder / "base")
@@ -117,20 +117,20 @@
         ]
     columns = (f"{round_count} rounds of {seconds:.0f} s idle", commit, "this tree", "ratio")
     rows = [
-        _row(f"memory, MB ({LISTED_SERVERS} shelfs)", rounds, lambda cost: cost.memory_mb),
-        _row("processor, ms a second", rounds, lambda cost: cost.cpu_ms / seconds),
+        _row(f"memory, MB ({LISTED_SERVERS} servers listed)", rounds, lambda cost: cost.memory_mb),
+        _row("CPU ms per s", rounds, lambda cost: cost.cpu_ms / seconds),
     ]
     print_table(columns, rows)
 
 
 def _row(name: str, rounds: Sequence[Round], value: Callable[[IdleCost], float]) -> tuple[object, ...]:
     base = [value(measured.base) for measured in rounds]
-    present = [value(measured.present) for measured in rounds]
-    ratios = [new / old for old, new in zip(base, present, strict=True)]
+    current = [value(measured.current) for measured in rounds]
+    ratios = [new / old for old, new in zip(base, current, strict=True)]
     return (
         name,
         f"{statistics.median(base):.2f}",
-        f"{statistics.median(present):.2f}",
+        f"{statistics.median(current):.2f}",
         f"{statistics.median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})",
     )
 
--- a/benchmarks/list_growth.py
+++ b/benchmarks/list_growth.py
@@ -1,11 +1,11 @@
-"""What the decisions cost as the endpoint list grows, in three layouts, with all objects new.
+"""Measures the cost of routing decisions by the size of the endpoint list, in three layouts.
 
     PYTHONPATH=. python benchmarks/list_growth.py [--requests N] [--sizes N,N] [PART...]
 
-Parts: ``decisions`` (processor time of a request and its outcome), ``changes`` (of one changed entry and of a
-complete list) and ``memory`` (of the list, and of more objects than the caches of the decisions keep); all of
-them by default.  A tenth of the servers are parents.  Processor time is that of the process, the least of
-several rounds; memory is measured in a fresh process for each cell.
+Parts: ``decisions`` (CPU time of a request and its outcome), ``changes`` (CPU time of one changed entry and
+of a complete list) and ``memory`` (of the list, and of more objects than the router's caches hold); all of
+them by default.  Each request is for a new object, and a tenth of the servers are parents.  CPU time is that
+of the process, the minimum of several rounds; memory is measured in a fresh process for each cell.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 ROUNDS = 3
 DEFAULT_REQUESTS = 1_000
 DEFAULT_SIZES = (8, 200, 440, 3_200)
-# Layouts: the sites that the servers are spread over evenly, with their names in the tables.
+# Layouts: the number of sites that the servers are spread over evenly, and its name in the tables.
 LAYOUTS = {1: "one site", 3: "three sites", 58: "58 sites"}
 SERVERS_PER_PARENT = 10
-# More objects than the 8,192 that each cache of the decisions keeps.
+# More than the 8,192 objects that each of the router's internal caches holds.
 CACHED_OBJECTS = 10_000
-# Changes of one entry, of which the mean is taken.
+# Number of changes of one entry, of whose costs the mean is taken.
 CHANGES = 50
 
 
@@ -43,7 +43,7 @@
 
 
 def build_entries(servers: int, sites: int) -> tuple[api.ServerEntry, ...]:
-    """An endpoint list of so many servers, spread over the sites; the router is in the first."""
+    """Return a list of ``servers`` and the origin, spread over the sites; the router is in the first."""
     parents = servers // SERVERS_PER_PARENT
     zones = [LOCAL_ZONE, *(f"site{number}" for number in range(1, sites))]
     edges = (edge(f"edge{number}", zone=zones[number % sites]) for number in range(servers - parents))
@@ -51,7 +51,7 @@
 
 
 def layout_columns(first: str, figure: str) -> list[str]:
-    """The head of a table with a column for each layout, the first of which names the figure."""
+    """Return the header of a table with a column for each layout; the first one names the figure."""
     names = list(LAYOUTS.values())
     return [first, f"{figure}, {names[0]}", *names[1:]]
 
@@ -62,7 +62,7 @@
         (f"{size:,}", *(f"{_request_us(size, sites, options.requests):.0f}" for sites in LAYOUTS))
         for size in options.sizes
     ]
-    print_table(layout_columns("servers", "us a decision"), rows)
+    print_table(layout_columns("servers", "us per decision"), rows)
 
 
 def _request_us(servers: int, sites: int, requests: int) -> float:
@@ -77,11 +77,11 @@
 def measure_changes(options: Options) -> None:
     """Print the cost of a changed entry and of a complete list by servers and layout."""
     rows = [(f"{size:,}", *(_change_cell(size, sites) for sites in LAYOUTS)) for size in options.sizes]
-    print_table(layout_columns("servers", "us a changed entry; us a whole list"), rows)
+    print_table(layout_columns("servers", "us per changed entry; us per complete list"), rows)
 
 
 def _change_cell(servers: int, sites: int) -> str:
-    """The cost of a changed weight, and of a complete list in which nothing changed."""
+    """Return the costs of a changed weight, and of a complete list in which nothing changed."""
     entries = build_entries(servers, sites)
     load = DecisionLoad(entries)
     changes_s = [
@@ -93,7 +93,7 @@
 
 
 def measure_memory_growth(options: Options) -> None:
-    """Print memory by servers and layout."""
+    """Print the growth of memory by the list and by the objects, by servers and layout."""
     rows = [(f"{size:,}", *(_memory_cell(size, sites) for sites in LAYOUTS)) for size in options.sizes]
     print_table(layout_columns("servers", f"KB of the list; KB of {CACHED_OBJECTS:,} objects"), rows)
 
@@ -115,7 +115,7 @@
 @click.option("--sizes", type=NumberList(), default=DEFAULT_SIZES, help="servers listed")
 @click.argument("parts", nargs=-1, type=click.Choice(list(PARTS)))
 def main(requests: int, sizes: tuple[int, ...], parts: tuple[str, ...]) -> None:
-    """Measure the selected parts."""
+    """Measure the selected parts, or all."""
     run_parts(PARTS, parts, Options(sizes, requests))
 
 
--- a/benchmarks/relay_behind.py
+++ b/benchmarks/relay_behind.py
@@ -1,11 +1,11 @@
-"""What an hour behind (122,400 events) costs a relay: a real one, cut off from a fake discovery meanwhile.
+"""Measures what it costs a relay process to catch up with the 122,400 events of an hour after a partition.
 
     PYTHONPATH=. python benchmarks/relay_behind.py [ROUNDS]
 
-440 servers are listed, and one router polls the relay. A Markdown table has a row for each round: time from
-the end of the partition until the router has the last purge, processor time in that, peak memory before and
-after, and the longest and the most expensive iteration of the event loop, all in one process. Loopback
-only; each round takes less than 60 s.
+440 servers are listed, and one router polls the relay. A Markdown table has a row for each round: the time
+from the end of the partition until the router has the last purge, the relay's CPU time in it, its peak memory
+before and after, and its longest and its most expensive event-loop iteration. Discovery, the partition and
+the router are simulated in this process. Loopback only; each round takes less than 60 s.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 from control_harness.poller import Poller
 from control_harness.process import OPERATORS_FILE
 
-# The object of the purge before the partition, and of the first one during it.
+# Objects of the purge before the partition, and of the first purge during it.
 EARLIER_OBJECT = 1
 FIRST_OBJECT = 1000
 CATCH_UP_TIMEOUT_S = 60.0
 CHECK_INTERVAL_S = 0.005
 COLUMNS = (
-    "in step after s", "processor ms", "peak MB before", "after", "longest turn ms", "processor ms of one",
+    "caught up after s", "CPU ms", "peak MB before", "after", "longest iteration ms", "max CPU ms of one",
 )  # fmt: skip
 
 
@@ -52,20 +52,20 @@
     _process: subprocess.Popen[bytes]
 
     def start(self) -> None:
-        """Start it with its operators' file."""
+        """Start the recorded relay with its operators' file."""
         self._process = start_recorded_program(
             None, operators_file=self.folder / OPERATORS_FILE, log=self.folder / "log"
         )
         self._popen = self._process
 
     def end(self) -> list[Turn]:
-        """Terminate it and return its iterations."""
+        """Terminate the relay and return its long iterations."""
         return end_recorded_program(self._process)
 
 
 @dataclass(frozen=True, slots=True)
 class RoundResult:
-    """The figures of one round."""
+    """The results of one round; ``seconds`` is the time until the router has the last purge."""
 
     seconds: float
     cpu_ms: float
@@ -74,7 +74,7 @@
     turns: list[Turn]
 
     def cells(self) -> tuple[object, ...]:
-        """The row of the table."""
+        """Return the round's row of the table."""
         return (
             f"{self.seconds:.2f}",
             f"{self.cpu_ms:.0f}",
@@ -86,14 +86,14 @@
 
 
 async def wait_for_last_purge(poller: Poller) -> None:
-    """Wait until the router has all purges.  Raises TimeoutError."""
+    """Wait until the router has the last purge.  Raises TimeoutError after ``CATCH_UP_TIMEOUT_S``."""
     async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
         while poller.purged_objects[-1] != FIRST_OBJECT + MISSED_EVENTS - 1:
             await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 async def cut_off_and_publish(environment: Environment, proxy: FaultProxy, poller: Poller) -> None:
-    """Publish a purge that the router receives, and then an hour of purges that the relay misses."""
+    """Publish a purge that the router receives, cut the relay off, and publish an hour of purges."""
     await environment.discovery.publish_purges(EARLIER_OBJECT)
     while EARLIER_OBJECT not in poller.purged_objects:
         await asyncio.sleep(CHECK_INTERVAL_S)
@@ -104,7 +104,7 @@
 
 
 async def measure_round(folder: Path) -> RoundResult:
-    """Measure one relay."""
+    """Start a relay, cut it off for an hour of events, and measure its catching up."""
     async with Environment(folder) as environment:
         await environment.discovery.publish_hosts(build_hosts(), complete=True)
         proxy = await environment.start_proxy(environment.discovery.address)
@@ -132,7 +132,7 @@
 
 
 async def measure(rounds: int) -> None:
-    """Print the table, a row after each round."""
+    """Print the table, with a row after each round."""
     print(markdown_head(COLUMNS))
     for _ in range(rounds):
         with tempfile.TemporaryDirectory() as folder:
@@ -143,7 +143,7 @@
 @click.command(help=__doc__)
 @click.argument("rounds", default=3)
 def main(rounds: int) -> None:
-    """Measure a relay."""
+    """Measure a relay's catching up."""
     with time_limit():
         asyncio.run(measure(rounds))
 
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -1,11 +1,11 @@
-"""What a relay costs by the routers that poll it: a real relay before a fake discovery.
+"""Measures CPU time and memory of a relay process by the number of routers that poll it.
 
     PYTHONPATH=. python benchmarks/relay_load.py [SECONDS]
 
-440 servers are listed, discovery publishes 34 purges a second, and the polling side of the routers is in
-this process. The table has a row for 100, 200, 400 and 600 routers; below it is the slope of processor time
-by routers with its standard error. Loopback only, with the development packages; four rounds of SECONDS and
-some for their starts.
+440 servers are listed, a fake discovery publishes 34 purges per second, and the routers' pollers run in this
+process. The table has a row for 100, 200, 400 and 600 routers; below it is the slope of CPU time by routers
+with its standard error. Uses loopback only, and needs the development packages. A run takes four times
+SECONDS plus the start-up times.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 SIZES = (100, 200, 400, 600)
 PURGES_PER_S = 34
-# Time in which the routers connect.
+# Time that the pollers get to connect before a measurement.
 CONNECT_S = 3.0
-# Share of the purges that every router must have received.
+# Share of the published purges that every router must have received for a valid measurement.
 MIN_RECEIVED_SHARE = 0.9
 
 
 class MissedPurgesError(RuntimeError):
-    """A router received too few purges."""
+    """A router received less than ``MIN_RECEIVED_SHARE`` of the published purges."""
 
     def __init__(self, received: int, published: int) -> None:
         super().__init__(f"a router received {received} of {published} purges")
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCost:
-    """Processor time in ms a second, peak memory so far, and connections."""
+    """CPU time per second, peak memory since the relay's start, and number of connections."""
 
     cpu_ms_per_s: float
     peak_mb: float
@@ -51,7 +51,7 @@
 
 
 async def publish_purges(environment: Environment, seconds: float) -> int:
-    """Publish purges at an even rate and return how many."""
+    """Publish ``PURGES_PER_S`` at an even rate and return how many were published."""
     begin_s = time.monotonic()
     count = 0
     while time.monotonic() - begin_s < seconds:
@@ -64,7 +64,7 @@
 async def measure_size(
     environment: Environment, relay: RelayParticipant, routers: int, seconds: float
 ) -> RelayCost:
-    """Measure the relay with so many routers.  Raises MissedPurgesError."""
+    """Measure the relay with this number of routers.  Raises MissedPurgesError."""
     pollers = [Poller(relay.listen_address, f"poller-{number}") for number in range(routers)]
     tasks = [asyncio.create_task(poller.run()) for poller in pollers]
     await asyncio.sleep(CONNECT_S)
@@ -84,8 +84,8 @@
 
 
 async def measure(folder: Path, seconds: float) -> None:
-    """Print the table, a row after each size, and the slope."""
-    print(markdown_head(("routers", "processor, ms a second", "memory, MB (peak so far)", "connections")))
+    """Print the table, with a row after each size, and the slope of CPU time by routers."""
+    print(markdown_head(("routers", "CPU ms per s", "memory, MB (peak so far)", "connections")))
     points: list[tuple[float, float]] = []
     async with Environment(folder) as environment:
         await environment.discovery.publish_hosts(build_hosts(), complete=True)
@@ -100,7 +100,7 @@
             print(markdown_row(cells), flush=True)
     line = fit_line(points)
     print(
-        f"\nprocessor: {line.start:.1f} ms a second and {line.slope:.3f} "
+        f"\nCPU time: {line.intercept:.1f} ms per s and {line.slope:.3f} "
         f"(standard error {line.slope_error:.3f}) for each router"
     )
 
@@ -108,7 +108,7 @@
 @click.command(help=__doc__)
 @click.argument("seconds", default=15.0)
 def main(seconds: float) -> None:
-    """Measure a relay."""
+    """Measure a relay at all sizes."""
     with time_limit(), tempfile.TemporaryDirectory() as folder:
         asyncio.run(measure(Path(folder), seconds))
 
--- a/benchmarks/signed_front.py
+++ b/benchmarks/signed_front.py
@@ -1,9 +1,9 @@
-"""Figures of the second front on one core: tokens verified a second, and the memory of the replay window.
+"""Measures token verification of the second front on one core, and the memory of its replay window.
 
     PYTHONPATH=. python benchmarks/signed_front.py [SECONDS]
 
-Prints Markdown tables: tokens a second by algorithm, and the replay window's memory at its bound. Each row
-of the first is one bounded loop of at most SECONDS of process time; no network.
+Prints Markdown tables: tokens verified per second by algorithm, and the replay window's memory at its limit.
+Each row of the first takes at most SECONDS of CPU time. No network.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 KEY_ID = "k"
 ALGORITHMS = ("HS256", "ES256")
 UNBOUNDED_WINDOW_BYTES = 1 << 30
-# Tokens that are issued: a token with an identifier is accepted once, any other again and again.
+# Numbers of tokens issued: a token with an identifier (jti) is accepted once, one without it repeatedly.
 TOKENS_WITH_IDENTIFIER = 20_000
 TOKENS_WITHOUT_IDENTIFIER = 2_000
 MAX_VERIFICATIONS = 200_000
@@ -41,7 +41,7 @@
 
 
 def build_trust(algorithm: str) -> tokens.Trust:
-    """The trust in one key."""
+    """Return the trust settings of one key of this algorithm."""
     key = ECKey.generate_key("P-256") if algorithm == "ES256" else OctKey.import_key("s" * 40)
     signing_key = tokens.SigningKey(KEY_ID, algorithm, key)
     return tokens.Trust(frozenset({ISSUER}), AUDIENCE, (algorithm,), {KEY_ID: signing_key}, KEY_ID)
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class VerificationCost:
-    """Tokens verified a second, and the 99th percentile of one verification."""
+    """Tokens verified per second, and the 99th percentile of the duration of a verification."""
 
     tokens_per_s: float
     p99_us: float
 
 
 def issue_tokens(trust: tokens.Trust, container: str, with_identifier: bool) -> list[str]:
-    """Tokens for the container, each with an identifier of its own or all without."""
+    """Return tokens for the container, each with a unique identifier (jti), or all without one."""
     if with_identifier:
         return [
             tokens.issue(trust, container, NOW_S, TOKEN_LIFETIME_S, jti=str(number))
@@ -68,7 +68,7 @@
 def measure_verification(
     algorithm: str, container: str, with_identifier: bool, seconds: float
 ) -> VerificationCost:
-    """Verify tokens for so long."""
+    """Verify tokens for ``seconds`` of CPU time, or until each identifier has been used."""
     trust = build_trust(algorithm)
     window = ReplayWindow(cap_bytes=UNBOUNDED_WINDOW_BYTES)
     issued = issue_tokens(trust, container, with_identifier)
@@ -86,14 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowMemory:
-    """Entries of a full replay window, and the bytes that they take."""
+    """Number of entries of a full replay window, and the memory that it uses."""
 
     entries: int
     used_bytes: int
 
 
 def measure_window(bound_bytes: int) -> WindowMemory:
-    """Fill a window up to its bound."""
+    """Fill a replay window up to its memory limit and return its size."""
     tracemalloc.start()
     before_bytes, _ = tracemalloc.get_traced_memory()
     window = ReplayWindow(cap_bytes=bound_bytes, slot_s=WINDOW_SLOT_S, horizon_s=WINDOW_HORIZON_S)
@@ -109,7 +109,7 @@
 
 
 def print_verification(seconds: float) -> None:
-    """Print the table of tokens, a row after each measurement."""
+    """Print the table of token verification, with a row after each measurement."""
     containers = {"hash": "hash:" + tokens.uri_hash(URI), "regex": URI_PATTERN}
     print(markdown_head(("algorithm", "container", "jti", "tokens/s, one core", "p99 µs")))
     for algorithm in ALGORITHMS:
@@ -122,7 +122,7 @@
 
 
 def print_window() -> None:
-    """Print the table of the replay window."""
+    """Print the table of the replay window's memory by its limit."""
     rows = []
     for bound_mib in WINDOW_BOUNDS_MIB:
         memory = measure_window(int(bound_mib * MIB))
@@ -130,13 +130,13 @@
         rows.append((f"{bound_mib} MiB", f"{memory.entries:,}", f"{memory.used_bytes:,}", f"{share:.2f}"))
     columns = ("cap", "entries at the cap", "bytes used at the cap", "share of the cap")
     print("\n" + markdown_table(columns, rows))
-    print(f"\nstated: {ENTRY_BYTES} bytes an entry")
+    print(f"\nassumed by the replay window: {ENTRY_BYTES} bytes per entry")
 
 
 @click.command(help=__doc__)
 @click.argument("seconds", default=3.0)
 def main(seconds: float) -> None:
-    """Measure tokens and the replay window."""
+    """Measure token verification and the replay window."""
     with time_limit():
         print_verification(seconds)
         print_window()
--- a/benchmarks/subset_balance.py
+++ b/benchmarks/subset_balance.py
@@ -1,11 +1,12 @@
-"""What subsetting costs in copies and in balance: blocks of caches beside subsets by rendezvous.
+"""Compares two ways of subsetting, blocks and rendezvous hashing, by copies per object and load balance.
 
     PYTHONPATH=. python benchmarks/subset_balance.py
 
-Every router of a site takes its subset of the caches. Two ways are compared: the block of the router
-(``policy/subsetting.py``), and as many caches as the mean block has, those with the highest rendezvous scores
-for the router. Printed are the copies of an object that all routers ask for (the distinct first choices), the
-spread of load over the caches, and the share of caches that no router asks. One process, no sockets; seeded.
+Every router of a site uses a subset of the caches. Two ways are compared: the block of the router
+(``policy/subsetting.py``), and the caches with the highest rendezvous scores for the router, as many as the
+mean block has. Printed are the copies of an object that all routers request (the distinct first choices), the
+deviation of the load of the caches, and the share of caches that are in no subset. No sockets; seeds are
+fixed.
 """
 
 from __future__ import annotations
@@ -25,42 +26,42 @@
 
 # Layouts: caches and routers of a site.
 LAYOUTS = ((60, 67), (400, 67), (960, 5), (960, 67), (960, 200), (2_880, 5), (2_880, 67), (2_880, 200))
-# Objects over which the copies are averaged.
+# Number of objects over which the copies are averaged.
 OBJECTS = 300
 SEED = 7
-# So many routers that they bound no number of blocks.
+# A number of routers so large that it does not limit the number of blocks.
 UNBOUNDED_ROUTERS = 10**6
 
 Subsets = list[list[int]]
-"""Of each router: the salts of its caches."""
+"""For each router, the salts of the caches in its subset."""
 
 
 @dataclass(frozen=True, slots=True)
 class Balance:
-    """The copies and the balance of one way of subsetting."""
+    """Copies per object, and load of the caches, with one way of subsetting."""
 
     copies: float
-    load_deviation: float  # standard deviation over the mean
-    heaviest_load: float  # over the mean
-    unasked_share: float
+    load_deviation: float  # standard deviation relative to the mean
+    heaviest_load: float  # relative to the mean
+    unused_share: float
 
 
 def divide_by_block(salts: list[int], routers: int, blocks: int) -> Subsets:
-    """The caches of each router's block."""
+    """Return for each router the caches of its block."""
     block_by_router = [router_hash(f"router{number}", 0) * blocks >> 64 for number in range(routers)]
     members = [[salt for salt in salts if salt * blocks >> 64 == block] for block in range(blocks)]
     return [members[block] for block in block_by_router]
 
 
 def divide_by_rendezvous(salts: list[int], routers: int, blocks: int) -> Subsets:
-    """As many caches for each router, by rendezvous of router and cache."""
+    """Return for each router the caches with the highest rendezvous scores, as many as a mean block has."""
     size = round(len(salts) / blocks)
     hashes = [router_hash(f"router{number}", 0) for number in range(routers)]
-    return [sorted(salts, key=lambda salt: mix64(asker ^ salt))[:size] for asker in hashes]
+    return [sorted(salts, key=lambda salt: mix64(hashed_router ^ salt))[:size] for hashed_router in hashes]
 
 
 def measure(salts: list[int], subsets: Subsets) -> Balance:
-    """Copies and balance, with the same rate of requests at every router, spread over all objects."""
+    """Return copies and balance, if every router has the same request rate, spread over all objects."""
     loads: Counter[int] = Counter()
     for subset in subsets:
         for salt in subset:
@@ -77,12 +78,12 @@
         copies=copies / OBJECTS,
         load_deviation=statistics.pstdev(relative_loads),
         heaviest_load=max(relative_loads),
-        unasked_share=relative_loads.count(0.0) / len(relative_loads),
+        unused_share=relative_loads.count(0.0) / len(relative_loads),
     )
 
 
 def layout_rows(caches: int, routers: int) -> Iterator[tuple[object, ...]]:
-    """Both ways in one layout, and once more without the bound on blocks by the number of routers."""
+    """Return rows of both ways in a layout, with and without the limit on blocks by number of routers."""
     salts = [mix64(number) for number in range(caches)]
     block_counts = {
         "": block_count(caches, routers, 1),
@@ -101,15 +102,15 @@
                 f"{balance.copies:.1f}",
                 f"{balance.load_deviation:.2f}",
                 f"{balance.heaviest_load:.2f}",
-                f"{balance.unasked_share:.2f}",
+                f"{balance.unused_share:.2f}",
             )
 
 
 @click.command(help=__doc__)
 def main() -> None:
-    """Print the table."""
+    """Print the table of all layouts."""
     columns = (
-        "caches", "routers", "way", "caches of a router", "copies", "load, sd", "load, most", "asked by none",
+        "caches", "routers", "method", "caches per router", "copies", "load, sd", "load, max", "share unused",
     )  # fmt: skip
     with time_limit():
         print(markdown_table(columns, [row for layout in LAYOUTS for row in layout_rows(*layout)]))
