--- a/Makefile
+++ b/Makefile
@@ -21,11 +21,11 @@
 test: dev
 	$(VENV)/bin/python -m pytest -q || [ $$? -eq 5 ]  # 5: no tests were collected
 
-tidy:  # what a run leaves behind, or what is not yet added, must not go unseen
+tidy:  # fails on files that a run left behind and on changes that are not staged
 	@left="$$(git status --porcelain | grep -v '^[AMDR]  ' || true)"; \
 	if [ -n "$$left" ]; then echo "the tree is not clean:"; echo "$$left"; exit 1; fi
 
-seeds: dev  # under drawn faults: membership and shares (packages/fleet-sim), relays (control-sim)
+seeds: dev  # simulations with random faults: membership and quota leases (fleet-sim), relays (control-sim)
 	$(VENV)/bin/python -m fleet_sim --seeds 2000 --jobs 2
 	$(VENV)/bin/python -m control_sim --seeds 2000 --jobs 2
 
@@ -37,10 +37,10 @@
 sim: build
 	exec .venv/bin/python -m thornjunction.adapter
 
-scale: dev  # the whole: up to 1,200 hollow routers, one stage after the other
+scale: dev  # the complete measurement: up to 1,200 hollow routers, in successive stages
 	$(VENV)/bin/python -m fleet_scale compare --out docs/capacity/compare.md
 	$(VENV)/bin/python -m fleet_scale slopes --out docs/capacity/slopes.md
 	$(VENV)/bin/python -m fleet_scale faults --out docs/capacity/faults.md
 
-scale-small: dev  # the form for CI: verdicts on counts and orders, under 90 s
+scale-small: dev  # the short form for CI, which checks counts and orderings in less than 90 s
 	$(VENV)/bin/python -m fleet_scale small --most-s 90 --out found/scale-small.md
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, endpoint lists, and a router that a test drives by hand."""
+"""Settings, endpoint lists, and a router that a test drives step by step in simulated time."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 ActionT = TypeVar("ActionT")
 
-# Milliseconds at which a router's clock starts.
+# Initial value of the router's clock, in milliseconds.
 START_MS = 1000.0
 
-# Milliseconds that an attempt takes unless the test says otherwise.
+# Duration of an attempt in milliseconds, unless the test sets another one.
 ANSWER_MS = 100.0
 
-# Milliseconds that a request of a class without settings has.
+# Remaining client timeout in milliseconds of a request whose class is not in the settings.
 UNKNOWN_CLASS_TIMEOUT_MS = 3000.0
 
-# Kilobytes that a request announces unless the test says otherwise.
+# Expected object size of a request in kilobytes, unless the test sets another one.
 REQUEST_SIZE_KB = 1000.0
 
-# The seed of the router's random numbers.
+# Seed of the router's random number generator.
 RANDOM_SEED = 7
 
 FILMS = api.RequestClass(
@@ -70,7 +70,7 @@
 
 
 def parent(name: str, **fields: Any) -> api.ServerEntry:
-    """Return the entry of a parent."""
+    """Return the entry of a parent cache, which is in another zone."""
     return replace(api.ServerEntry(name, api.Role.PARENT, "hub", weight=20.0), **fields)
 
 
@@ -80,13 +80,13 @@
 
 
 class RouterDriver:
-    """Gives one router its events, and keeps its clock, timers and attempts.
+    """Passes events to one router, and manages its clock, timers and attempts.
 
     Attributes:
         now_ms: the router's clock.
         attempts: the attempts of each request, in order.
-        action_log: all actions with their times.
-        request_count: requests so far; the number of the last one is its id.
+        action_log: all actions, with the times in ms at which they were returned.
+        request_count: number of requests so far, which is also the id of the last one.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         self.handle(api.EndpointListUpdate(entries))
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Give the router an event now, and return its actions."""
+        """Pass an event to the router at the present time, and return its actions."""
         actions = self.router.handle(self.now_ms, event)
         for action in actions:
             self.action_log.append((self.now_ms, action))
@@ -112,7 +112,7 @@
         return actions
 
     def advance(self, elapsed_ms: float) -> list[api.Action]:
-        """Let time pass and timers fire; return the actions of all timers."""
+        """Advance the clock and fire the timers that become due; return the actions of all of them."""
         end_ms = self.now_ms + elapsed_ms
         actions: list[api.Action] = []
         while due := [timer for timer in self.timers if timer[0] <= end_ms]:
@@ -125,7 +125,7 @@
         return actions
 
     def request(self, key: int = 1, class_name: str = "films", **fields: Any) -> list[api.Action]:
-        """Request an object with all of its class's time left."""
+        """Request an object, with its class's complete client timeout remaining unless set otherwise."""
         self.request_count += 1
         request_class = self.router.admission.classes.get(class_name)
         remaining_ms = request_class.client_timeout_ms if request_class else UNKNOWN_CLASS_TIMEOUT_MS
@@ -138,7 +138,7 @@
         status: api.AttemptStatus = api.AttemptStatus.SUCCEEDED,
         **fields: Any,
     ) -> list[api.Action]:
-        """End an attempt: a hit after 100 ms, unless the status or the fields say otherwise."""
+        """End an attempt, by default with a cache hit after ``ANSWER_MS``; return the router's actions."""
         siblings = self.attempts[attempt.request_id]
         number = next(index for index, sibling in enumerate(siblings) if sibling is attempt)
         succeeded = status is api.AttemptStatus.SUCCEEDED
@@ -155,12 +155,12 @@
 
 
 def actions_of(actions: list[api.Action], kind: type[ActionT]) -> list[ActionT]:
-    """Return the actions of one type."""
+    """Return the actions of one type, in order."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def attempt_of(actions: list[api.Action]) -> api.StartAttempt:
-    """Return the only attempt among the actions."""
+    """Return the only attempt among the actions; ValueError unless there is exactly one."""
     (attempt,) = actions_of(actions, api.StartAttempt)
     return attempt
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""The suite's settings, keys and paths for an environment on loopback (``packages/fakes``)."""
+"""Settings, signing keys and paths that the tests use with the loopback environment of ``packages/fakes``."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 FILM_PATH = "/films/17/7f3a9c21e0b4d655/0"
 KEYED_PATH = "/keyed/3/00000000000000aa/0"
 
-# Key id, the letter that its secret repeats, and the Unix second from which it signs no more.
+# Key id, the letter of which its secret consists, and the Unix time in seconds at which the key expires.
 KEY_PARAMETERS = (("new", "n", None), ("old", "o", 2e9), ("retired", "r", 10.0))
 
 SECRET_BYTES = 40
@@ -32,5 +32,5 @@
 
 
 def make_loopback_environment() -> LoopbackEnvironment:
-    """Build an environment with the suite's settings, classes and keys; its user stops it."""
+    """Start an environment with these settings, classes and keys; the caller has to stop it."""
     return LoopbackEnvironment(LOOPBACK_SETTINGS, (FILMS, KEYED), TRUST, BASE)
--- a/tests/repository/source_files.py
+++ b/tests/repository/source_files.py
@@ -14,16 +14,16 @@
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
-def excused_files() -> dict[str, list[str]]:
-    """Return the files that are excused from some of ruff's rules, as patterns with their rules."""
+def files_with_ignored_rules() -> dict[str, list[str]]:
+    """Return ruff's per-file ignores: file patterns, and the rules that are disabled for them."""
     config = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))
-    ignores: dict[str, list[str]] = config["tool"]["ruff"]["lint"]["per-file-ignores"]
-    return ignores
+    rules_by_pattern: dict[str, list[str]] = config["tool"]["ruff"]["lint"]["per-file-ignores"]
+    return rules_by_pattern
 
 
 @cache
 def source_files() -> tuple[str, ...]:
-    """Return all Python files, as paths relative to the root."""
+    """Return the paths of all Python files, relative to the root."""
     paths = [
         path for folder in FOLDERS for path in (ROOT / folder).rglob("*.py") if "build" not in path.parts
     ]
@@ -31,11 +31,11 @@
 
 
 def read_source(path: str) -> str:
-    """Return the text of a file."""
+    """Return the text of a file; the path is relative to the root."""
     return (ROOT / path).read_text(encoding="utf-8")
 
 
 @cache
 def checked_modules() -> tuple[tuple[str, ast.Module], ...]:
-    """Return path and syntax tree of each file."""
+    """Return the path and the syntax tree of each Python file."""
     return tuple((path, ast.parse(read_source(path))) for path in source_files())
--- a/tests/repository/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt as CI reads it: only the listed tests may fail, and none of them may pass."""
+"""Tests of KNOWN-RED.txt: only the tests listed in it may fail, and all of them have to fail."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def run(pytester: pytest.Pytester) -> Run:
-    """Run a red and a green test under the given list, as a complete run does."""
+    """Return a function that runs a failing and a passing test with the given list, as a complete run."""
     pytester.makeconftest(CONFTEST.read_text(encoding="utf-8"))
     pytester.makeini("[pytest]\ntestpaths = .\n")
     pytester.makepyfile(test_it=TESTS)
@@ -41,16 +41,16 @@
     result.stdout.fnmatch_lines(["KNOWN RED: test_it.py::test_red: adds wrongly (issue 1)"])
 
 
-def test_a_failure_that_is_not_listed_fails(run: Run) -> None:
+def test_an_unlisted_failure_fails_the_run(run: Run) -> None:
     assert run(None).ret == pytest.ExitCode.TESTS_FAILED
 
 
-def test_a_listed_pass_fails(run: Run) -> None:
+def test_a_listed_test_that_passes_fails_the_run(run: Run) -> None:
     assert run(RED_LINE + GREEN_LINE).ret == pytest.ExitCode.TESTS_FAILED
 
 
 @pytest.mark.parametrize(
     "text", [RED_LINE * 4, "test_it.py::test_red\n", "test_it.py::test_gone, x, issue 1\n"]
 )
-def test_a_list_of_another_form_fails(run: Run, text: str) -> None:
+def test_an_invalid_list_fails_the_run(run: Run, text: str) -> None:
     assert run(text).ret not in (0, pytest.ExitCode.TESTS_FAILED)
--- a/tests/repository/test_names.py
+++ b/tests/repository/test_names.py
@@ -1,4 +1,4 @@
-"""No module, class, function, parameter or attribute has a withdrawn word of docs/GLOSSARY.md as its name."""
+"""No name of a module, class, function, parameter or attribute is a withdrawn word of docs/GLOSSARY.md."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 QUOTED_WORD = re.compile(r"`([a-z_]+)`")
 
-# Why a word stays, by the word and the beginning of the paths where it does.
+# Reason for which a withdrawn word is allowed, by the word and the prefix of the paths in which it is.
 EXCEPTIONS: dict[tuple[str, str], str] = {
-    ("code", "packages/control-relay/"): "the cause of a fault, as the relay's counters name it on the wire",
-    ("code", "thornjunction/net/"): "the status code of a response, or the log's field of that name",
-    ("code", "thornjunction/signing/"): "the cause of a rejected token, as the log's field names it",
-    ("drop", "thornjunction/net/wire/"): "the wire's word for a purge event",
+    ("code", "packages/control-relay/"): "the cause of a fault, under which the relay's counters are sent",
+    ("code", "thornjunction/net/"): "the status code of a response, or the log field of this name",
+    ("code", "thornjunction/signing/"): "the cause of a rejected token, which is logged under this name",
+    ("drop", "thornjunction/net/wire/"): "the name of a purge event on the wire",
     ("late", "thornjunction/limits/"): "an answer after its latency objective is late",
     ("late", "thornjunction/policy/"): "an answer after its latency objective is late",
     ("link", "packages/fleet-harness/"): "a directed link of the simulated network between two members",
@@ -32,27 +32,27 @@
     ("plan", "packages/control-client/"): "the verb: a scheduler plans its probes",
     ("plan", "packages/fleet-scale/"): "a workload plan is a term of this package",
     ("plan", "packages/fleet-sim/"): "a fault plan is a term of the glossary",
-    ("retire", "thornjunction/runtime/signed_settings.py"): "the operators' key [signed.retire]",
-    ("settled", "packages/fleet-harness/"): "a word of the scenario files",
-    ("settled", "packages/fleet-sim/"): "a word of the scenario files",
+    ("retire", "thornjunction/runtime/signed_settings.py"): "the key [signed.retire] of the operators' file",
+    ("settled", "packages/fleet-harness/"): "an expectation in the scenario files",
+    ("settled", "packages/fleet-sim/"): "an expectation in the scenario files",
     ("suspect", "packages/gossip-codec/"): "a member's state in the membership protocol",
     ("suspect", "packages/fleet-membership/"): "a member's state in the membership protocol",
-    ("turns", "benchmarks/"): "the recorded turns of an event loop",
-    ("turns", "tests/net/discovery/"): "the turns of an event loop",
+    ("turns", "benchmarks/"): "the recorded iterations of an event loop",
+    ("turns", "tests/net/discovery/"): "the iterations of an event loop",
     ("unread", "packages/fleet-scale/"): "bytes that were received and not parsed yet",
 }
 
 
 @cache
 def withdrawn_words() -> frozenset[str]:
-    """Return the words of the glossary's table."""
+    """Return the words in the glossary's table of withdrawn words."""
     section = read_source("docs/GLOSSARY.md").partition(HEADING)[2]
     words = {word for cell in TABLE_ROW.findall(section) for word in QUOTED_WORD.findall(cell)}
     return frozenset(words)
 
 
 def class_attributes(node: ast.ClassDef) -> Iterator[tuple[str, int]]:
-    """Find the names that a class body annotates or assigns, with their lines."""
+    """Yield the names that a class body annotates or assigns, with their lines."""
     for statement in node.body:
         if isinstance(statement, ast.AnnAssign) and isinstance(statement.target, ast.Name):
             yield statement.target.id, statement.lineno
@@ -63,7 +63,7 @@
 
 
 def names(module: ast.Module) -> Iterator[tuple[str, int]]:
-    """Find the names of classes, functions, parameters and attributes, with their lines."""
+    """Yield the names of classes, functions, parameters and attributes, with their lines."""
     for node in ast.walk(module):
         if isinstance(node, ast.ClassDef | Function):
             yield node.name, node.lineno
@@ -76,7 +76,7 @@
 
 
 def withdrawn_names(path: str, module: ast.Module) -> Iterator[tuple[str, int]]:
-    """Find the names of a file, its own among them, that are withdrawn words, with their lines."""
+    """Yield the names in a file, including the module's, that are withdrawn words, with their lines."""
     for name, line in ((PurePosixPath(path).stem, 1), *names(module)):
         word = name.strip("_").lower()
         if word in withdrawn_words():
@@ -85,7 +85,7 @@
 
 @cache
 def found_words() -> tuple[tuple[str, str, int], ...]:
-    """Return word, path and line of each withdrawn name in the files that are done."""
+    """Return word, path and line of each withdrawn name in all files."""
     return tuple(
         (word, path, line)
         for path, module in checked_modules()
@@ -94,8 +94,8 @@
 
 
 def is_exception(word: str, path: str) -> bool:
-    """Whether the word may stay in this file."""
-    return any(word == listed and path.startswith(start) for listed, start in EXCEPTIONS)
+    """Return whether the word is allowed in this file."""
+    return any(word == listed and path.startswith(prefix) for listed, prefix in EXCEPTIONS)
 
 
 def test_no_name_is_a_withdrawn_word() -> None:
@@ -103,17 +103,17 @@
     assert found == []
 
 
-@pytest.mark.parametrize(("word", "start"), EXCEPTIONS)
-def test_each_exception_is_of_a_withdrawn_word_that_occurs(word: str, start: str) -> None:
+@pytest.mark.parametrize(("word", "prefix"), EXCEPTIONS)
+def test_each_exception_is_a_withdrawn_word_in_use(word: str, prefix: str) -> None:
     assert word in withdrawn_words()
-    assert [path for found, path, _ in found_words() if found == word and path.startswith(start)]
+    assert [path for found, path, _ in found_words() if found == word and path.startswith(prefix)]
 
 
-def test_the_glossary_has_the_words_of_the_earlier_style() -> None:
+def test_the_glossary_lists_withdrawn_words() -> None:
     assert withdrawn_words() >= {"told", "held", "asked", "whole", "behind", "most", "own", "far", "one"}
 
 
-def test_each_kind_of_name_is_found() -> None:
+def test_withdrawn_words_are_found_in_each_kind_of_name() -> None:
     source = (
         "class Rig:\n    held = 1\n    most: int = 2\n    def told(self, whole):\n        self._asked = 3\n"
     )
--- a/tests/repository/test_page_paths.py
+++ b/tests/repository/test_page_paths.py
@@ -1,4 +1,4 @@
-"""Every path of the repository and every test that a page names exists."""
+"""Tests that every path of the repository and every test named on a documentation page exists."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     *sorted((ROOT / "docs").glob("*.md")),
     *sorted((ROOT / "docs" / "design").glob("*.md")),
 ]
-# Named on pages, but not in the repository: the operators write it where they want its sections.
+# Named on pages, but not in the repository: operators create it if they need one of its sections.
 OPERATORS_FILES = {"deploy/extras.toml"}
-# Stands for any file in an example: `tests/test_x.py::test_y`.
+# A placeholder for any file, in the example `tests/test_x.py::test_y`.
 PLACEHOLDERS = {"tests/test_x.py"}
 CODE = re.compile(r"`([^`\n]+)`")
 TEST_NAME = re.compile(r"\btest_[a-z0-9_]+\b(?!\.py)")
@@ -29,7 +29,7 @@
 
 @cache
 def files_and_folders() -> frozenset[str]:
-    """All files and folders of the repository, as paths relative to its root."""
+    """Return the paths of all files and folders of the repository, relative to its root."""
     paths = [path for folder in FOLDERS for path in (ROOT / folder).rglob("*")]
     paths += ROOT.glob("*")
     return frozenset(path.relative_to(ROOT).as_posix() for path in paths)
@@ -37,7 +37,7 @@
 
 @cache
 def suffixes() -> frozenset[str]:
-    """All those paths and their ends, by which a page may name a file: ``net/wire/resp.py``, ``resp.py``."""
+    """Return all paths and their suffixes, by which a page may name a file, as in ``wire/resp.py``."""
     found: set[str] = set()
     for path in files_and_folders():
         parts = path.split("/")
@@ -46,7 +46,7 @@
 
 
 def named_paths(text: str) -> Iterator[str]:
-    """Paths in backticks: what ends in ``.py``, and what begins with a folder of the repository."""
+    """Yield the paths in backticks: words that end in ``.py`` or begin with a folder in ``FOLDERS``."""
     for code in CODE.findall(CODE_BLOCK.sub("", text)):
         for word in code.split():
             path = word.partition("::")[0].rstrip("/,;")
@@ -54,8 +54,8 @@
                 yield path
 
 
-def exists(path: str) -> bool:
-    """Whether a path, or one that a pattern with ``*`` stands for, is in the repository."""
+def is_in_repository(path: str) -> bool:
+    """Return whether the repository has this path, or one that matches a pattern with ``*``."""
     if path in OPERATORS_FILES | PLACEHOLDERS:
         return True
     if "*" in path:
@@ -65,32 +65,32 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
 def test_paths_on_the_page_exist(page: Path) -> None:
-    missing = [path for path in named_paths(page.read_text(encoding="utf-8")) if not exists(path)]
+    missing = [path for path in named_paths(page.read_text(encoding="utf-8")) if not is_in_repository(path)]
     assert missing == []
 
 
 @cache
-def names_of_tests() -> frozenset[str]:
-    """The names of all tests, and of the files that hold them."""
+def known_test_names() -> frozenset[str]:
+    """Return the names of all tests and test modules."""
     files = [ROOT / path for path in files_and_folders() if re.search(r"(^|/)test_[^/]*\.py$", path)]
     texts = [path.read_text(encoding="utf-8") for path in files]
     names = {name for text in texts for name in TEST_DEFINITION.findall(text)}
     return frozenset(names | {path.stem for path in files})
 
 
-def names_a_test(start: str) -> bool:
-    """Whether a test's name begins so: pages may leave out its end."""
-    return start == "test_y" or any(name.startswith(start) for name in names_of_tests())
+def is_prefix_of_a_test(prefix: str) -> bool:
+    """Return whether the name of a test begins with ``prefix``: pages may shorten names."""
+    return prefix == "test_y" or any(name.startswith(prefix) for name in known_test_names())
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
 def test_tests_on_the_page_exist(page: Path) -> None:
     found = TEST_NAME.findall(page.read_text(encoding="utf-8"))
-    assert [name for name in found if not names_a_test(name)] == []
+    assert [name for name in found if not is_prefix_of_a_test(name)] == []
 
 
-def test_a_test_that_does_not_exist_is_found() -> None:
-    assert not names_a_test("test_of_nothing")
+def test_a_missing_test_is_reported() -> None:
+    assert not is_prefix_of_a_test("test_of_nothing")
 
 
 @pytest.mark.parametrize(
@@ -104,5 +104,5 @@
         ("`benchmarks/capacity_*.py` and `benchmarks/none_*.py`", ["benchmarks/none_*.py"]),
     ],
 )
-def test_a_path_that_does_not_exist_is_found(text: str, missing: list[str]) -> None:
-    assert [path for path in named_paths(text) if not exists(path)] == missing
+def test_a_missing_path_is_reported(text: str, missing: list[str]) -> None:
+    assert [path for path in named_paths(text) if not is_in_repository(path)] == missing
--- a/tests/repository/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Tests that the README's example prints the output that the README states."""
 
 import re
 from pathlib import Path
@@ -8,7 +8,7 @@
 README = Path(__file__).resolve().parents[2] / "README.md"
 
 
-def test_example_prints_what_it_says(capsys: pytest.CaptureFixture[str]) -> None:
+def test_example_prints_the_stated_output(capsys: pytest.CaptureFixture[str]) -> None:
     text = README.read_text(encoding="utf-8")
     (example,) = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     exec(compile(example, str(README), "exec"), {})
