--- a/benchmarks/benchmark_tools/front_connection.py
+++ b/benchmarks/benchmark_tools/front_connection.py
@@ -81,7 +81,7 @@
 
 
 async def connect_all(address: str, count: int) -> list[FrontConnection]:
-    """Open connections once the router listens.  Raises ConnectionRefusedError after 20 s without it."""
+    """Open connections once the router listens.  Raises ConnectionRefusedError after 20 s of refusals."""
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
     until_s = loop.time() + CONNECT_TIMEOUT_S
--- a/benchmarks/benchmark_tools/origin_model.py
+++ b/benchmarks/benchmark_tools/origin_model.py
@@ -75,7 +75,7 @@
 
 
 class OriginModel:
-    """The origin; ``requests_by_s`` counts its requests in each second, ``stops_ms`` when it stopped."""
+    """The origin; counts requests by second, and records in ``stops_ms`` the times at which it stopped."""
 
     def __init__(self, capacity_per_s: float) -> None:
         self.requests_by_s = Counter[int]()
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -68,7 +68,7 @@
 
 
 async def measure_without_pauses(router: LoadedRouter, requests: int) -> None:
-    """Print the greatest rate of the largest responses, at which the router already sheds load."""
+    """Print the throughput with the largest responses and no pauses, at which the router may shed load."""
     results: dict[int, list[LoadResult]] = {open_count: [] for open_count in FULL_OPEN}
     for _ in range(ROUNDS):
         for open_count, rounds in results.items():
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -45,8 +45,8 @@
 
 REQUEST_INTERVAL_S = 0.005
 WARM_UP_S = 1.0
-BEFORE_S = 3.0
-# Duration of the second phase in a process that misses no events.
+FIRST_PHASE_S = 3.0
+# Duration of the second phase in a process that misses no events; the first phase is without events.
 BASELINE_S = 2.0
 LAST_ANSWERS_S = 0.3
 CATCH_UP_TIMEOUT_S = 15.0
@@ -76,7 +76,7 @@
     seconds: float
     peak_mb: float
     turns: list[Turn]
-    before_latencies_s: list[float]
+    first_phase_latencies_s: list[float]
     latencies_s: list[float]
     unanswered: int
 
@@ -84,7 +84,7 @@
         """Return the process's row of the table."""
         longest_ms = max_duration_s(self.turns) * 1e3
         max_cpu_ms = max_cpu_s(self.turns) * 1e3
-        before = [percentile_ms(self.before_latencies_s, percent) for percent in (50, 99)]
+        before = [percentile_ms(self.first_phase_latencies_s, percent) for percent in (50, 99)]
         during = [percentile_ms(self.latencies_s, percent) for percent in (50, 99)]
         return (
             "catching up" if self.misses_events else "baseline",
@@ -142,8 +142,8 @@
     try:
         requests = yield connect_steady_requests(front, REQUEST_INTERVAL_S)
         yield pause(WARM_UP_S)
-        before_begin_s = time.monotonic()
-        yield pause(BEFORE_S)
+        first_phase_begin_s = time.monotonic()
+        yield pause(FIRST_PHASE_S)
         backlog = encode_answer(json.dumps(build_backlog(FIRST_CURSOR, cache_server)).encode())
         begin_s = time.monotonic()
         yield catch_up(discovery, backlog) if misses_events else pause(BASELINE_S)
@@ -160,7 +160,7 @@
         end_s - begin_s,
         peak_mb,
         [turn for turn in turns if begin_s <= turn.begin_s < end_s],
-        requests.latencies_between(before_begin_s, before_begin_s + BEFORE_S),
+        requests.latencies_between(first_phase_begin_s, first_phase_begin_s + FIRST_PHASE_S),
         requests.latencies_between(begin_s, end_s),
         requests.sent_count - len(requests.latencies),
     )
@@ -179,7 +179,10 @@
 
 @click.command(help=__doc__)
 @click.option(
-    "--idle", "other_tree", type=click.Path(exists=True, path_type=Path), help="compare idle programs"
+    "--idle",
+    "other_tree",
+    type=click.Path(exists=True, path_type=Path),
+    help="source tree with which to compare idle routers",
 )
 @click.argument("rounds", default=3)
 def main(other_tree: Path | None, rounds: int) -> None:
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -51,7 +51,7 @@
 
 
 async def publish_purges(environment: Environment, seconds: float) -> int:
-    """Publish ``PURGES_PER_S`` at an even rate and return how many were published."""
+    """Publish purges at ``PURGES_PER_S`` for ``seconds`` and return how many were published."""
     begin_s = time.monotonic()
     count = 0
     while time.monotonic() - begin_s < seconds:
