--- a/tests/core/scripted_ports.py
+++ b/tests/core/scripted_ports.py
@@ -37,24 +37,24 @@
         self.engine = Engine(self, 2, lambda: self.now_ms, self.deadlines, self, self.counters)
 
     def handle(self, _now_ms: float, event: api.Event) -> list[api.Action]:
-        """Return the next actions of the script, as the router."""
+        """Return the next scripted actions, in place of the router."""
         self.events.append(event)
         return self.scripted_actions.pop(0) if self.scripted_actions else []
 
     def send(self, request: UpstreamRequest) -> None:
-        """Record an attempt, as the upstreams."""
+        """Record an attempt, in place of the upstreams."""
         self.sent.append(request)
 
     def withdraw(self, _number: int) -> bool:
-        """Return whether the attempt had not begun, as the upstreams."""
+        """Return whether the attempt had not begun, in place of the upstreams."""
         return self.attempts_wait
 
     def cancel(self, number: int) -> None:
-        """Record a cancelled attempt, as the upstreams."""
+        """Record a cancelled attempt, in place of the upstreams."""
         self.cancelled.append(number)
 
     def probe(self, server: str) -> None:
-        """Fail, as the upstreams: no script contains a health check."""
+        """Fail, in place of the upstreams: no script contains a health check."""
         raise NotImplementedError
 
     def open(self) -> int:
@@ -68,5 +68,5 @@
         self.deadlines.run_due(self.now_ms)
 
     def ended_attempts(self) -> list[api.AttemptEnded]:
-        """Return the ends of attempts that the router was passed, in order."""
+        """Return the ``AttemptEnded`` events that the router was given, in order."""
         return [event for event in self.events if isinstance(event, api.AttemptEnded)]
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -89,7 +89,7 @@
 
 
 def test_a_request_during_shutdown_is_answered_before_the_process_ends(ports: ScriptedPorts) -> None:
-    """Without this cap the process was killed before the request's deadline, and the client got no answer."""
+    """If a request's deadline was after the end of the shutdown, the process was killed without answering."""
     ports.engine.shutdown_at_ms = 700.0
     ports.open()
     request = ports.events[0]
--- a/tests/limits/test_slow_start_fleet.py
+++ b/tests/limits/test_slow_start_fleet.py
@@ -19,14 +19,14 @@
 # Time in milliseconds at which the cold servers start.
 START_MS = 1000.0
 
-# Length in milliseconds of the window in which rule 4 limits the load.
+# Length in milliseconds of the window in which rule 4 of the simulator limits the load.
 WINDOW_MS = 1000.0
 
 # Milliseconds for which requests arrive, and their number outside the bursts.
 ARRIVALS_MS = 4000.0
 REQUESTS = 3000
 
-# Times in milliseconds of the bursts: two lie in one window of the rule, but in different ones of a router.
+# Times in milliseconds of the bursts: two lie in one window of rule 4, but in different windows of a router.
 BURSTS_MS = (700.0, 1600.0, 2700.0)
 
 # Requests that each router gets in a burst.
--- a/tests/net/downstream/test_open_requests_answered.py
+++ b/tests/net/downstream/test_open_requests_answered.py
@@ -87,13 +87,13 @@
     async def test_a_request_with_almost_no_time_is_answered_and_not_forwarded(self) -> None:
         """A server may drop a request with so little time without a response."""
         for ttl_ms in (1, 5):
-            await self.check_short_request(ttl_ms, forwarded=0)
+            await self.check_request_with_little_time(ttl_ms, forwarded=0)
 
     async def test_a_request_with_little_time_is_forwarded_and_answered_in_time(self) -> None:
         for ttl_ms in (60, 200):
-            await self.check_short_request(ttl_ms, forwarded=1)
+            await self.check_request_with_little_time(ttl_ms, forwarded=1)
 
-    async def check_short_request(self, ttl_ms: int, forwarded: int) -> None:
+    async def check_request_with_little_time(self, ttl_ms: int, forwarded: int) -> None:
         """Check that a request is answered in time although its server does not respond."""
         self.environment.script = [None]
         forwarded_before = self.forwarded_count()
--- a/tests/policy/test_peer_fill.py
+++ b/tests/policy/test_peer_fill.py
@@ -46,10 +46,8 @@
     return driver
 
 
-@pytest.mark.parametrize(("cpu_load", "responsible"), [(0.1, "behind"), (1.0, "cache"), (None, "cache")])
-def test_a_slow_origin_does_not_shut_the_gates_of_idle_caches(
-    cpu_load: float | None, responsible: str
-) -> None:
+@pytest.mark.parametrize(("cpu_load", "shut_gate"), [(0.1, "origin"), (1.0, "cache"), (None, "cache")])
+def test_a_slow_origin_does_not_shut_the_gates_of_idle_caches(cpu_load: float | None, shut_gate: str) -> None:
     """An object that was requested before is assumed to be cached, which is wrong after a purge."""
     driver = RouterDriver((*EDGES, ORIGIN), **NO_PARENTS)
     for number in range(12):
@@ -62,12 +60,12 @@
         if min(driver.router.state.gates.origin.share, server.gate.share) < 0.9:
             break
     shares = {
-        "behind": driver.router.state.gates.origin.share,
+        "origin": driver.router.state.gates.origin.share,
         "cache": min(
             driver.router.state.placement.server_list.servers[entry.server].gate.share for entry in EDGES
         ),
     }
-    assert shares.pop(responsible) < 0.9
+    assert shares.pop(shut_gate) < 0.9
     assert set(shares.values()) == {1.0}
 
 
@@ -112,7 +110,8 @@
     driver = driver_without_parents(classes=classes)
     driver.handle(api.PurgeReceived(0, 100.0, 1))
     driver.advance(1000.0)
-    assert attempt_of(driver.request(class_name="pages")).max_age_ms <= 1100.0  # rule 5 takes precedence
+    # Rule 5 of the simulator (purges) takes precedence.
+    assert attempt_of(driver.request(class_name="pages")).max_age_ms <= 1100.0
 
 
 COMBINATIONS = list(
--- a/tests/signing/test_key_sets.py
+++ b/tests/signing/test_key_sets.py
@@ -65,9 +65,9 @@
     """Return the settings of a front whose key set has only key ``a``."""
     write_keys(tmp_path, KEY_A)
     (tmp_path / "extras.toml").write_text(EXTRAS)
-    signed = load_extras(tmp_path / "extras.toml").signed
-    assert signed is not None
-    return signed
+    signed_settings = load_extras(tmp_path / "extras.toml").signed
+    assert signed_settings is not None
+    return signed_settings
 
 
 @pytest.fixture
@@ -101,9 +101,9 @@
         'keyset = "keys.json"', 'keys = [{kid = "a", algorithm = "HS256", file = "a.json"}]'
     )
     (tmp_path / "extras.toml").write_text(extras.replace("gossip =", "# gossip ="))
-    signed = load_extras(tmp_path / "extras.toml").signed
-    assert signed is not None
-    assert set(signed.trust.keys) == {"a"}
+    signed_settings = load_extras(tmp_path / "extras.toml").signed
+    assert signed_settings is not None
+    assert set(signed_settings.trust.keys) == {"a"}
 
 
 def test_settings_of_the_front_are_read(settings: SignedFrontSettings) -> None:
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -108,7 +108,7 @@
         self._withdraw_attempts(request)
 
     def answer_all_now(self) -> None:
-        """Make the router answer all open requests now, with what it knows."""
+        """Make the router answer all open requests now, without waiting for further outcomes."""
         for number in self.requests.numbers():
             self.feed(api.RequestExpired(str(number)))
 
--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -93,12 +93,12 @@
 
     def adopt(self, settings: api.Settings) -> None:
         """Use these settings for all later limits."""
-        zone_routers = settings.routers_by_zone.get(settings.zone, settings.router_count)
+        zone_router_count = settings.routers_by_zone.get(settings.zone, settings.router_count)
         edge = RoleParameters(
             initial_share=settings.initial_capacity_share,
             warm_up_ms=settings.slow_start_ms,
             overload_multiple=settings.overload_multiple,
-            routers=max(zone_routers, 1),
+            routers=max(zone_router_count, 1),
             load_share=1.0,
         )
         parent = RoleParameters(
--- a/thornjunction/memory/budget.py
+++ b/thornjunction/memory/budget.py
@@ -13,8 +13,8 @@
 class ByteBudget:
     """Bytes that each connection reserves; a connection is identified by the callback that closes it.
 
-    While the sum is above the limit, the connection with the greatest reservation is evicted.  It sends
-    without end or does not read, and must not exhaust the budget of the others.
+    While the sum is above the limit, the connection with the greatest reservation is evicted.  So a peer
+    that sends without end, or does not read its responses, cannot exhaust the budget of the others.
     """
 
     def __init__(self, limit_bytes: int) -> None:
--- a/thornjunction/net/downstream/connection.py
+++ b/thornjunction/net/downstream/connection.py
@@ -166,7 +166,7 @@
 
         Ends the connection of a client that sends more of them than ``MAX_DISCARDED_BYTES``.
         """
-        if self.lingering_close.discard(data):
+        if self.lingering_close.count_discarded(data):
             return
         if self.state.has_ended:
             self.abort(self.end_reason)
--- a/thornjunction/net/downstream/lingering_close.py
+++ b/thornjunction/net/downstream/lingering_close.py
@@ -34,11 +34,11 @@
         """Whether the sending side was shut down."""
         return self._deadline is not None
 
-    def begin(self, deadlines: Deadlines, due_ms: float, cut_off: Callable[[], None]) -> None:
-        """Wait for the client until ``due_ms``, then call ``cut_off`` to reset the connection."""
-        self._deadline = deadlines.add(due_ms, cut_off)
+    def begin(self, deadlines: Deadlines, due_ms: float, reset_connection: Callable[[], None]) -> None:
+        """Wait for the client until ``due_ms``, then call ``reset_connection`` to reset the connection."""
+        self._deadline = deadlines.add(due_ms, reset_connection)
 
-    def discard(self, data: bytes) -> bool:
+    def count_discarded(self, data: bytes) -> bool:
         """Count discarded bytes; return whether their total is within ``MAX_DISCARDED_BYTES``."""
         self.discarded_bytes += len(data)
         return self.discarded_bytes <= MAX_DISCARDED_BYTES
--- a/thornjunction/net/upstream/connect_errors.py
+++ b/thornjunction/net/upstream/connect_errors.py
@@ -34,7 +34,7 @@
     """The connection was not established within the connect timeout."""
 
     UNREACHABLE = "unreachable"
-    """The server could not be reached over the network, as without a route."""
+    """The server could not be reached over the network, for example because there is no route to it."""
 
     LOCAL = "local"
     """This machine lacked a port, a descriptor or memory; also used for any unknown error."""
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -283,5 +283,5 @@
 
 
 def _order_by_arrival(arrival: _Arrival[ServerT]) -> tuple[float, int]:
-    """Return the sort key of an arrival, the best candidate first."""
+    """Return the sort key of an arrival; the best candidate has the smallest."""
     return arrival.time, arrival.tie_breaker
--- a/thornjunction/policy/fetch_plan.py
+++ b/thornjunction/policy/fetch_plan.py
@@ -51,9 +51,9 @@
     def plan_fill(self, request: PendingRequest, server: Upstream, source: Upstream | None) -> FillPlan:
         """Decide whether a miss may be filled from the chosen source, and restrict the request if not.
 
-        If the gate of fills is shut, the cache answers from its own copy alone; if the origin's gate is shut,
-        the parent does. Caches and parents know their contents, which a router does not. Misses are then
-        rejected, for a short time also after the cause has passed.
+        If the gate of fills is shut, the cache must answer from its own copy; if the origin's gate is shut,
+        the parent must. The request is sent nevertheless, as only caches and parents know what they store.
+        Misses are then rejected, and still are for a short time after the overload has ended.
         """
         if request.request_class.uncacheable:
             return FillPlan(source, cached_only=False)
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -189,7 +189,10 @@
     def _first_admitting(
         self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
     ) -> Upstream | None:
-        """Return the first server whose gate admits the request; all gates are tried, and each may draw."""
+        """Return the first server whose gate admits the request.
+
+        Every gate is asked, and draws a random number if it is not fully open.
+        """
         admitting = [
             server
             for server in servers
@@ -235,7 +238,7 @@
     def _repeatable(
         self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
     ) -> Iterator[Upstream]:
-        """Iterate over the first ``SERVERS_EXAMINED`` servers that rule 2 allows for the request."""
+        """Iterate over the first ``SERVERS_EXAMINED`` servers that rule 2 of the simulator allows."""
         if request.possible_execution is None:
             return islice(servers, SERVERS_EXAMINED)
         allowed = (server for server in servers if self.may_repeat_at(request, server, now_ms))
@@ -259,7 +262,8 @@
     def is_worth_waiting(self, request: PendingRequest, now_ms: float) -> bool:
         """Return whether the request should wait for a cache, rather than be given up.
 
-        That is so if every cache that rule 2 allows is unreachable or has used up its slow-start budget.
+        That is so if every cache that rule 2 of the simulator allows is unreachable or has used up its
+        slow-start budget.
         """
         caches = self.server_list.site_caches
         # All caches of a small group are examined, so their order does not matter; ranking would take longer.
--- a/thornjunction/signing/keyset.py
+++ b/thornjunction/signing/keyset.py
@@ -115,7 +115,8 @@
     try:
         key: Key = key_type.importer.import_key(entry)
     except (JoseError, ValueError, TypeError, KeyError) as error:
-        raise KeySetError(member, ": not a key") from error  # the cause's text may contain the key
+        # The message omits the error's text, which may contain the key.
+        raise KeySetError(member, ": not a key") from error
     return SigningKey(kid, algorithm, key, retired_after_s.get(kid))
 
 
--- a/thornjunction/signing/replay.py
+++ b/thornjunction/signing/replay.py
@@ -82,7 +82,7 @@
 
 
 def replay_key(issuer: str, jti: str) -> bytes:
-    """Return the hash that identifies a token in the window and in gossip, where no ``jti`` is in clear."""
+    """Return the hash that identifies a token in the window and in gossip, which carries no ``jti``."""
     return hashlib.blake2b(f"{issuer}\x00{jti}".encode(), digest_size=KEY_BYTES).digest()
 
 
