--- a/tests/conformance/tokens.py
+++ b/tests/conformance/tokens.py
@@ -58,9 +58,9 @@
     token: str, now_s: float = NOW_S, client: str = CLIENT_V4, window: ReplayWindow | None = None
 ) -> str:
     """Return the code with which a token is rejected; empty: it is accepted."""
-    replays = ReplayWindow() if window is None else window  # an empty window is falsy
+    replay_window = ReplayWindow() if window is None else window  # an empty window is falsy
     try:
-        tokens.verify(token, URI, TRUST, replays, now_s, address.parse_address(client))
+        tokens.verify(token, URI, TRUST, replay_window, now_s, address.parse_address(client))
     except tokens.TokenError as error:
         rejection = error
     else:
--- a/tests/net/downstream/test_signed_tokens.py
+++ b/tests/net/downstream/test_signed_tokens.py
@@ -104,7 +104,7 @@
         assert other_address.status == 403
 
     async def test_a_full_replay_window_rejects_and_says_when_to_retry(self) -> None:
-        self.environment.signed_context.replays = ReplayWindow(
+        self.environment.signed_context.replay_window = ReplayWindow(
             cap_bytes=ENTRY_BYTES, slot_s=10.0, horizon_s=600.0
         )
         first = await self.request(self.environment.sign_target(CLIP, jti="a"))
--- a/tests/net/gossip/test_replay_gossip.py
+++ b/tests/net/gossip/test_replay_gossip.py
@@ -114,5 +114,5 @@
     signed = SignedFrontSettings(("127.0.0.1", 0), "http://a", TRUST, ReplayWindow(), gossip=gossip_settings)
     front = build_signed_front(signed)
     assert front.request_context.gossip is not None
-    assert front.request_context.gossip.window is signed.replays
+    assert front.request_context.gossip.window is signed.replay_window
     assert build_signed_front(replace(signed, gossip=None)).request_context.gossip is None
--- a/tests/signing/test_key_sets.py
+++ b/tests/signing/test_key_sets.py
@@ -109,7 +109,7 @@
 def test_settings_of_the_front_are_read(settings: SignedFrontSettings) -> None:
     assert settings.keyset is not None
     assert settings.keyset.reload_interval_s == 30
-    assert settings.replays.capacity == 3276
+    assert settings.replay_window.capacity == 3276
     assert settings.forwarding.header == "x-forwarded-for"
 
 
@@ -117,12 +117,12 @@
     tmp_path: Path, front: FakeFront, reloader: KeySetReloader
 ) -> None:
     token = token_of_key_b()
-    replays = ReplayWindow()
+    replay_window = ReplayWindow()
     write_keys(tmp_path, KEY_A, KEY_B)
     with pytest.raises(tokens.TokenError, match="token-key"):
-        tokens.verify(token, URI, front.trust, replays, NOW_S)
+        tokens.verify(token, URI, front.trust, replay_window, NOW_S)
     reloader.reload()
-    assert tokens.verify(token, URI, front.trust, replays, NOW_S)
+    assert tokens.verify(token, URI, front.trust, replay_window, NOW_S)
     assert front.trust.keys["b"].retired_after_s == KEY_B_RETIRED_AFTER_S
 
 
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -50,7 +50,7 @@
         classes: the request classes by name.
         base: scheme and authority with which the signed URIs begin.
         trust: the accepted keys; replaced as a whole when the key set changes.
-        replays: the tokens with a ``jti`` that were used.
+        replay_window: the tokens with a ``jti`` that were used.
         unix_s: returns the Unix time in seconds.
         forwarding: which peers may report the client's address, and in which header.
         gossip: sends each used ``jti`` to the peers; None if there are no peers.
@@ -60,7 +60,7 @@
     classes: Mapping[str, api.RequestClass]
     base: str
     trust: tokens.Trust
-    replays: ReplayWindow
+    replay_window: ReplayWindow
     unix_s: Callable[[], float]
     forwarding: Forwarding = field(default_factory=Forwarding)
     gossip: ReplayGossip | None = None
@@ -220,7 +220,9 @@
         target, token = signed.split_token(request)
         now_s = context.unix_s()
         client = client_address(self.peer_host, request.headers, context.forwarding)
-        grant = tokens.verify(token, context.base + target, context.trust, context.replays, now_s, client)
+        grant = tokens.verify(
+            token, context.base + target, context.trust, context.replay_window, now_s, client
+        )
         transaction_id = secrets.token_hex(TRANSACTION_ID_BYTES)
         call = signed.decode_request(request, target, transaction_id, context.classes)
         return VerifiedRequest(request, target, grant, call)
--- a/thornjunction/runtime/signed_front.py
+++ b/thornjunction/runtime/signed_front.py
@@ -63,7 +63,7 @@
             classes,
             settings.base,
             settings.trust,
-            settings.replays,
+            settings.replay_window,
             time.time,
             settings.forwarding,
         )
@@ -109,7 +109,7 @@
 
     def _build_gossip(self, settings: GossipSettings) -> ReplayGossip:
         group = GossipGroup(settings.peers, settings.secret)
-        return ReplayGossip(self._settings.replays, group, self._deadlines, core_ms, time.time)
+        return ReplayGossip(self._settings.replay_window, group, self._deadlines, core_ms, time.time)
 
     def _build_certificates(self, files: TlsFiles) -> CertificateReloader:
         from thornjunction.runtime.tls import CertificateReloader  # imports pyOpenSSL, needed only with TLS
--- a/thornjunction/runtime/signed_settings.py
+++ b/thornjunction/runtime/signed_settings.py
@@ -127,7 +127,7 @@
         listen: the address on which the front listens.
         base: scheme and authority with which the signed URIs begin.
         trust: the issuers, audience, algorithms and keys whose tokens the front accepts.
-        replays: the ids of tokens that the front has accepted.
+        replay_window: the ids of tokens that the front has accepted.
         forwarding: the proxies whose header may give a client's address.
         keyset: the key set file, or None if each key has a file of its own.
         gossip: the exchange of accepted ids, or None if it is off.
@@ -137,7 +137,7 @@
     listen: Address
     base: str
     trust: Trust
-    replays: ReplayWindow
+    replay_window: ReplayWindow
     forwarding: Forwarding = field(default_factory=Forwarding)
     keyset: KeySetFile | None = None
     gossip: GossipSettings | None = None
@@ -160,7 +160,7 @@
         keyset=key_set,
         gossip=_read_gossip(params.section("gossip"), folder) if "gossip" in params.data else None,
         tls=_read_tls(params.section("tls"), folder) if "tls" in params.data else None,
-        replays=_read_replays(params),
+        replay_window=_read_replay_window(params),
         forwarding=_read_forwarding(params),
     )
 
@@ -207,7 +207,7 @@
         raise FaultyKeyError(key, "not between 1 s and 1 day")
 
 
-def _read_replays(params: SettingsReader) -> ReplayWindow:
+def _read_replay_window(params: SettingsReader) -> ReplayWindow:
     capacity_mb = params.number("replay_cap_mb", DEFAULT_REPLAY_CAPACITY_MB)
     horizon_s = params.number("replay_horizon_s", DEFAULT_REPLAY_HORIZON_S)
     capacity_fits = MIN_REPLAY_CAPACITY_MB <= capacity_mb <= MAX_REPLAY_CAPACITY_MB
--- a/thornjunction/signing/tokens/verification.py
+++ b/thornjunction/signing/tokens/verification.py
@@ -28,7 +28,7 @@
     token: str,
     uri: str,
     trust: Trust,
-    replays: ReplayWindow,
+    replay_window: ReplayWindow,
     now_s: float,
     client: address.Address | None = None,
 ) -> Grant:
@@ -41,7 +41,7 @@
         token: the JWT in compact serialization.
         uri: the requested URI without the token (§2.1.15).
         trust: accepted issuers and their keys.
-        replays: the window of the tokens that were accepted before.
+        replay_window: the window of the tokens that were accepted before.
         now_s: Unix time in seconds.
         client: the client's address, against which ``cdniip`` is checked; None: not known.
 
@@ -60,7 +60,7 @@
     check_container(claims.get("cdniuc"), uri)
     if "jti" not in claims:
         return Grant(claims)
-    return Grant(claims, _check_first_use(claims, trust, replays, now_s))
+    return Grant(claims, _check_first_use(claims, trust, replay_window, now_s))
 
 
 def _decode(token: str, trust: Trust, now_s: float) -> Claims:
@@ -85,11 +85,11 @@
     return found.key
 
 
-def _check_first_use(claims: Claims, trust: Trust, replays: ReplayWindow, now_s: float) -> ReplayEntry:
+def _check_first_use(claims: Claims, trust: Trust, replay_window: ReplayWindow, now_s: float) -> ReplayEntry:
     """Check that a token with a ``jti`` was not used before (§2.1.7), and record its use."""
     key = replay_key(str(claims["iss"]), text_claim(claims, "jti"))
     entry = ReplayEntry(key, float(claims["exp"]) + trust.skew_s)
-    verdict = replays.accept(entry.key, entry.expires_s, now_s)
+    verdict = replay_window.accept(entry.key, entry.expires_s, now_s)
     if not verdict.accepted:
         status = 503 if verdict.retry_after_s else 403
         raise TokenError(status, verdict.code, verdict.retry_after_s)
