--- a/tests/runtime/test_configuration_page.py
+++ b/tests/runtime/test_configuration_page.py
@@ -196,7 +196,7 @@
 
 
 def _is_section(name: KeyName) -> bool:
-    """Return whether this is a section instead of a key, or a kid in the table ``retire``, which is free."""
+    """Return whether this is a section instead of a key, or an entry of ``retire``, whose key is any kid."""
     section, key = name
     return f"{section}.{key}".lstrip(".") in {row.name[0] for row in ROWS} or section == "signed.retire"
 
--- a/thornjunction/net/discovery/source_probe.py
+++ b/thornjunction/net/discovery/source_probe.py
@@ -1,6 +1,7 @@
 """A probe: one short poll on a connection of its own, whose events are not used.
 
-Its response reports the age of the source's state.  The source learns that the sender polls another source.
+Its response reports the age of the source's state.  The sender polls another source, so a probed
+relay no longer waits for its acknowledgements.
 """
 
 from __future__ import annotations
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -110,7 +110,7 @@
         self._created_ms = context.clock()
         self._response_timeout = ResponseTimeout(context, self._time_out)
         self._timer: Deadline | None = None  # for the next poll, or for aborting a slow close
-        self._part_timer: Deadline | None = None
+        self._resume_timer: Deadline | None = None  # for the next part of a long response, or for reading
         self._is_keep_alive = True
         self._block_ms = 0.0
         self._poll_sent_ms = 0.0
@@ -154,7 +154,7 @@
         """Report the end of the connection."""
         self._response_timeout.cancel()
         self._deadlines.cancel(self._timer)
-        self._deadlines.cancel(self._part_timer)
+        self._deadlines.cancel(self._resume_timer)
         is_stable = self._was_stable()
         if self.resynchronization is not None:
             has_progress = not self._owner.has_no_progress
@@ -265,7 +265,7 @@
         self.transport.pauseProducing()
         now_ms = self._clock()
         pause_ms = min(PART_PAUSE_SHARE * (now_ms - started_ms), MAX_PART_PAUSE_MS)
-        self._part_timer = self._deadlines.add(now_ms + pause_ms, self._continue_resynchronization)
+        self._resume_timer = self._deadlines.add(now_ms + pause_ms, self._continue_resynchronization)
 
     def _continue_resynchronization(self) -> None:
         if self.state is ConnectionState.CLOSING or self.resynchronization is None:
@@ -279,7 +279,7 @@
             self.close(str(error))
             return
         if self.resynchronization is None:
-            self._part_timer = self._deadlines.add(self._clock(), self.transport.resumeProducing)
+            self._resume_timer = self._deadlines.add(self._clock(), self.transport.resumeProducing)
 
     # Closing
 
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -22,7 +22,7 @@
 PATH = re.compile(r"/([0-9A-Za-z_-]{1,64})/(0|[1-9]\d{0,2})/([0-9a-f]{16})/(0|[1-9]\d{0,6})", re.ASCII)
 
 # Longest waiting time that a client may announce; the request's class limits it further.
-MAX_CLIENT_TIME_MS = 1e9
+MAX_CLIENT_WAIT_MS = 1e9
 
 # ``Retry-After`` is in whole seconds (RFC 9110 §10.2.3); with 0, the client would retry immediately.
 MIN_RETRY_AFTER_S = 1
@@ -146,7 +146,7 @@
         raise RequestError(405, RejectionCause.METHOD)
     idempotency_key = _idempotency_key(request, request_class)
     remaining_ms = _number_header(
-        request, "x-ttl-ms", str(request_class.client_timeout_ms), MAX_CLIENT_TIME_MS, "ttl"
+        request, "x-ttl-ms", str(request_class.client_timeout_ms), MAX_CLIENT_WAIT_MS, "ttl"
     )
     size_kb = _number_header(request, "x-working-set-kb", "0", MAX_SIZE_KB, "size")
     if_none_match = request.headers.get("if-none-match", "").strip('"')
--- a/thornjunction/net/wire/upstream.py
+++ b/thornjunction/net/wire/upstream.py
@@ -85,17 +85,17 @@
     """
     client_request = request.client_request
     fetch = request.fetch
-    has_source = fetch.source != fetch.server
+    has_separate_source = fetch.source != fetch.server
     fields = {
         "profile": client_request.class_name,
         "thing": client_request.object_id,
         "nth": str(client_request.part),
         "max": _rounded_ms(remaining_ms),
         "replay": client_request.idempotency_key,
-        "up": fetch.source if has_source else "",
+        "up": fetch.source if has_separate_source else "",
         "store": str(fetch.retention_rank) if fetch.retention_rank else "",
         "cap": _rounded_ms(fetch.max_age_ms) if fetch.max_age_ms > 0 else "",
-        "do": _directives(fetch, has_source),
+        "do": _directives(fetch, has_separate_source),
         "inm": client_request.if_none_match,
     }
     text = ",".join(f"{name}={value}" for name, value in fields.items() if value)
@@ -107,14 +107,14 @@
     return str(max(math.floor(time_ms), MIN_TIME_MS))
 
 
-def _directives(fetch: api.StartAttempt, has_source: bool) -> str:
-    """Value of the field ``do``; without a source, a copy can be neither fetched nor refreshed."""
+def _directives(fetch: api.StartAttempt, has_separate_source: bool) -> str:
+    """Value of the field ``do``; without a separate source, a copy can be neither fetched nor refreshed."""
     directives: list[str] = []
     if fetch.coalesce:
         directives.append("collapse")
-    if fetch.cached_only and has_source:
+    if fetch.cached_only and has_separate_source:
         directives.append("only-if-cached")
-    if fetch.refresh_in_background and has_source:
+    if fetch.refresh_in_background and has_separate_source:
         directives.append("refresh")
     return "+".join(directives)
 
--- a/thornjunction/runtime/relay.py
+++ b/thornjunction/runtime/relay.py
@@ -93,7 +93,7 @@
     """A relay, from its start to its exit.
 
     Raises:
-        ConfigError: the process may open too few file descriptors.
+        ConfigError: the limit on this process's file descriptors is too low.
     """
 
     def __init__(self, settings: RelaySettings, reactor: ProcessReactor) -> None:
@@ -285,7 +285,7 @@
     """Return the limit on connections, which depends on the limit on file descriptors of this process.
 
     Raises:
-        ConfigError: the process may open too few file descriptors.
+        ConfigError: the limit on this process's file descriptors is too low.
     """
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if limit == resource.RLIM_INFINITY:
--- a/thornjunction/runtime/start.py
+++ b/thornjunction/runtime/start.py
@@ -47,7 +47,7 @@
 
 
 def build_relay(settings: RelaySettings) -> Process:
-    """Build a relay.  Raises ConfigError if the process may open too few file descriptors."""
+    """Build a relay.  Raises ConfigError if the limit on this process's file descriptors is too low."""
     _exit_on_sigterm()
     from thornjunction.net.event_loop.reactor import install
 
