--- a/tests/net/downstream/test_shutdown_with_clients.py
+++ b/tests/net/downstream/test_shutdown_with_clients.py
@@ -18,7 +18,7 @@
         client, _ = await self.clients.connect_accepted()
         client.send(encode_request(1, ttl_ms=3_000))
         await self.wait_until(self.environment.forwarded_requests)
-        shutdown.start(3_000.0, [], accept_new=False)
+        shutdown.start(3_000.0, [], accept_connections=False)
         self.drain_servers()
         client.send(encode_request(2, ttl_ms=300))
         await self.wait_until(lambda: client.answer_count() == 1)
--- a/tests/runtime/test_sigterm.py
+++ b/tests/runtime/test_sigterm.py
@@ -67,7 +67,7 @@
     # A client that never sends anything.
     clients.connect(FASTCGI)
     port = SimpleNamespace(stopListening=partial(record, "close"))
-    shutdown.start(max_deadline_ms, [port], accept_new=True)
+    shutdown.start(max_deadline_ms, [port], accept_connections=True)
     killed_ms = min(max_deadline_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS
     clock.advance(killed_ms)
     assert 500.0 < moments_ms["close"] <= ACCEPT_WINDOW_MS
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -217,7 +217,7 @@
             self._stop()
             return
         self._shutdown.start(
-            self.config.longest_wait_ms, self._listeners.ports, accept_new=not self.has_successor
+            self.config.longest_wait_ms, self._listeners.ports, accept_connections=not self.has_successor
         )
 
     def _stop(self) -> None:
--- a/thornjunction/runtime/shutdown.py
+++ b/thornjunction/runtime/shutdown.py
@@ -69,24 +69,24 @@
         self._clock = clock
         self._stop = stop
         self._ports: Sequence[ListeningPort] = ()
-        self._accept_new = True
+        self._accept_connections = True
         self._stop_at_ms = 0.0
 
-    def start(self, longest_wait_ms: float, ports: Sequence[ListeningPort], accept_new: bool) -> None:
+    def start(self, longest_wait_ms: float, ports: Sequence[ListeningPort], accept_connections: bool) -> None:
         """Begin the shutdown.
 
         Args:
             longest_wait_ms: the longest time that any client waits for a response.
             ports: the listening ports, which are closed after the accept window.
-            accept_new: whether this process accepts the new connections; if not, a successor does.
+            accept_connections: whether this process accepts the new connections; if not, a successor does.
         """
         now_ms = self._clock()
         self._ports = ports
-        self._accept_new = accept_new
+        self._accept_connections = accept_connections
         self._stop_at_ms = now_ms + min(longest_wait_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS - EXIT_MARGIN_MS
         self._engine.shutdown_at_ms = self._stop_at_ms - EXIT_MARGIN_MS
         remaining_ms = self._engine.shutdown_at_ms - now_ms
-        accept_ms = min(ACCEPT_WINDOW_MS, remaining_ms) if accept_new else 0.0
+        accept_ms = min(ACCEPT_WINDOW_MS, remaining_ms) if accept_connections else 0.0
         # Open requests keep their deadlines until the end, and only then are answered at once.  Refusals
         # begin halfway at the latest: with short deadlines, a connection that always has an open request
         # would otherwise receive no refusal.
@@ -96,7 +96,7 @@
 
     def _close_ports(self) -> None:
         for port in self._ports:
-            if self._accept_new and isinstance(port, tcp.Port):
+            if self._accept_connections and isinstance(port, tcp.Port):
                 accept_pending(port)
             port.stopListening()
         self._check_done()
