--- a/packages/control-client/src/control_client/events.py
+++ b/packages/control-client/src/control_client/events.py
@@ -15,7 +15,10 @@
 
 
 class SwitchReason(StrEnum):
-    """Why the selector switched; the values appear in the log.  ``PollFailed`` states a reason of its own."""
+    """Why the selector switched; the values appear in the log.
+
+    After a ``PollFailed`` its ``reason`` is logged instead.
+    """
 
     STARTED = "start"
     RETRY = "again"
--- a/packages/control-client/src/control_client/state_follower.py
+++ b/packages/control-client/src/control_client/state_follower.py
@@ -1,7 +1,7 @@
 """Accepts the state that sources send, so that no older state undoes a drain or a purge.
 
 Every state has a freshness timestamp (as-of): the time at which discovery itself confirmed it.  For a
-response it lies between the poll's time and the response's, less the age that the response states: the later
+response it lies between the poll's time and the response's, minus the age that the response states: the later
 bound is used for the current state, the earlier one for a received state.  After a change of epoch, or a
 request for the complete state, list events are merged until the source has sent all of them, and only the
 resulting list is accepted or rejected: a plain discovery sends its history from the first list on, and no
@@ -240,7 +240,8 @@
             self.has_list = True
             return True
         if self.state is FollowerState.SKIPPING:
-            # The changes may be of another history: a later one only causes a request for the complete state.
+            # The changes may date from before discovery was reset, so none is applied; one with a higher seq
+            # than those to skip causes a request for the complete state.
             if event.seq is not None and event.seq > self._skip_through_seq:
                 self._has_gap = True
             return False
@@ -285,7 +286,7 @@
         self._confirmed_as_of_ms = max(self._confirmed_as_of_ms, as_of_ms)
 
     def _needs_resync(self) -> bool:
-        """Return whether a change was missed, or whether the rejected list would be accepted by now."""
+        """Return whether a change was missed, or whether the rejected list would now be accepted."""
         if self._has_gap:
             return True
         if self.state is not FollowerState.SKIPPING:
--- a/packages/control-client/tests/test_state_follower.py
+++ b/packages/control-client/tests/test_state_follower.py
@@ -118,7 +118,7 @@
     assert poll(follower, 1100.0, older)[1] is SyncStatus.SOURCE_STALE
     events = (change(2, 4, s="older"), change(3, 5, s="same"))
     assert poll(follower, 1200.0, PollResponse("b", 100.0, 3, events)) == ([], SyncStatus.SOURCE_STALE)
-    # A change after the current seq may be of another history: the complete state is requested.
+    # A change after the current seq may date from before a reset: the complete state is requested.
     assert poll(follower, 1300.0, PollResponse("b", 100.0, 4, (change(4, 6, s="new"),))) == (
         [],
         SyncStatus.MORE_AVAILABLE,
--- a/packages/control-relay/src/control_relay/events.py
+++ b/packages/control-relay/src/control_relay/events.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamChanged:
-    """The relay now follows another upstream, or the same one in a new epoch: event numbers start anew."""
+    """The relay now follows another upstream, or the same one in a new epoch: event numbers restart."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/control-relay/src/control_relay/low_water_marks.py
+++ b/packages/control-relay/src/control_relay/low_water_marks.py
@@ -42,7 +42,7 @@
         self._checkpoints: deque[Checkpoint] = deque()
 
     def reset_upstream(self) -> None:
-        """Forget the upstream's numbers, which start anew."""
+        """Forget the upstream's numbers, because they restart."""
         self.upstream_acknowledged = 0
         self._last_upstream_number = 0
         self._checkpoints.clear()
--- a/packages/control-relay/src/control_relay/members.py
+++ b/packages/control-relay/src/control_relay/members.py
@@ -113,7 +113,7 @@
         return now - member.last_poll_at_ms > member.block_ms + self._absence_timeout_ms
 
     def not_acknowledged(self, number: int) -> Iterator[Member]:
-        """Yield the members that have not acknowledged ``number``, those that lack most first."""
+        """Yield the members that have not acknowledged ``number``, those that lack the most events first."""
         for acknowledged, members in self._by_acknowledged.items():
             if acknowledged >= number:
                 return
--- a/packages/control-relay/src/control_relay/relay.py
+++ b/packages/control-relay/src/control_relay/relay.py
@@ -97,7 +97,7 @@
         return self._status_reporter.status(now, self.readiness)
 
     def recent_purges(self) -> tuple[PurgeStatus, ...]:
-        """Return the propagation of the last purges, the latest last."""
+        """Return the propagation status of the most recent purges, oldest first."""
         return self._status_reporter.recent_purges()
 
     def lagging_members(self, now: float) -> tuple[MemberStatus, ...]:
--- a/packages/control-relay/src/control_relay/status.py
+++ b/packages/control-relay/src/control_relay/status.py
@@ -62,7 +62,7 @@
         )
 
     def recent_purges(self) -> tuple[PurgeStatus, ...]:
-        """Return the propagation of the last purges, the latest last."""
+        """Return the propagation status of the most recent purges, oldest first."""
         return tuple(self._purge_status(purge) for purge in self._low_water_marks.recent_purges)
 
     def lagging_members(self, now: float) -> tuple[MemberStatus, ...]:
--- a/packages/fleet-sim/src/fleet_sim/node.py
+++ b/packages/fleet-sim/src/fleet_sim/node.py
@@ -12,7 +12,7 @@
 # The data that survive a kill, unless the disk is lost as well: then the process starts with an empty one.
 Disk = dict[str, Any]
 
-# Makes a process's state machine: name, address, incarnation, random source, disk.
+# Makes a process's state machine: ``(name, address, incarnation, random, disk)``.
 MachineFactory = Callable[[str, Address, int, RandomSource, Disk], StateMachine[Any, Any]]
 
 # Maximum number of datagrams queued for a paused process; further ones are lost, as with a full socket
@@ -41,8 +41,9 @@
     """One name and address, with all successive incarnations of its process.
 
     ``stopped_by`` is the cause of the fault that ended the process, or empty.  ``timer_delays_ms`` holds the
-    upper bounds of the lateness of timers, by cause.  ``random`` draws the delivery of the node's datagrams
-    and the lateness of its timers; the state machine of each incarnation has its own random source.
+    upper bounds of the lateness of timers, by cause.  ``random`` decides the loss, duplication and delay of
+    the datagrams that the node sends, its clock, the lateness of its timers, and the order of events after a
+    pause; the state machine of each incarnation has its own random source.
     """
 
     def __init__(self, name: str, address: Address, seed: int) -> None:
@@ -115,7 +116,7 @@
         self._waiting.append(event)
 
     def dequeue_all(self) -> list[Any]:
-        """Remove and return the queued events, with all datagrams either first or last, drawn at random."""
+        """Remove and return the queued events; whether datagrams or the other events come first is random."""
         waiting = self._waiting
         self._waiting = []
         self._waiting_datagrams = 0
--- a/packages/fleet-sim/src/fleet_sim/scenario.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario.py
@@ -102,8 +102,8 @@
 def parse(text: str) -> Scenario:
     """Parse the text of a scenario; raises ScenarioSyntaxError."""
     parser = _Parser()
-    for number, raw in enumerate(text.splitlines(), 1):
-        parser.add_line(number, raw)
+    for line_number, raw in enumerate(text.splitlines(), 1):
+        parser.add_line(line_number, raw)
     return parser.scenario()
 
 
@@ -115,25 +115,25 @@
         self._forbidden: list[Expectation] = []
         self._steps: list[Step] = []
 
-    def add_line(self, number: int, raw: str) -> None:
+    def add_line(self, line_number: int, raw: str) -> None:
         """Parse one line; raises ScenarioSyntaxError."""
         line = raw.split("#")[0].rstrip()
         left, bar, right = (part.strip() for part in line.partition("|"))
         if left and (step := _STEP.fullmatch(left)):
-            self._steps.append(_step(number, step))
+            self._steps.append(_step(line_number, step))
         elif left and not self._steps and not bar and (entry := _HEADER.fullmatch(left)):
-            self._add_header(number, entry["key"], entry["value"])
+            self._add_header(line_number, entry["key"], entry["value"])
         elif left or (bar and not self._steps):
             problem = f"neither a header, a step nor an expectation: {raw.strip()}"
-            raise ScenarioSyntaxError.at_line(number, problem)
+            raise ScenarioSyntaxError.at_line(line_number, problem)
         if right:
             step_before = self._steps[-1]
-            expectations = (*step_before.expectations, _expectation(number, right))
+            expectations = (*step_before.expectations, _expectation(line_number, right))
             self._steps[-1] = replace(step_before, expectations=expectations)
 
-    def _add_header(self, number: int, key: str, value: str) -> None:
+    def _add_header(self, line_number: int, key: str, value: str) -> None:
         if key == "never":
-            self._forbidden.append(_expectation(number, f"no {value}"))
+            self._forbidden.append(_expectation(line_number, f"no {value}"))
         else:
             self._header[key] = tuple(value.split())
 
@@ -164,18 +164,18 @@
                 raise ScenarioSyntaxError.at_line(expectation.line, f"no node {' '.join(sorted(unknown))}")
 
 
-def _step(number: int, match: re.Match[str]) -> Step:
+def _step(line_number: int, match: re.Match[str]) -> Step:
     at_ms = None if match["at"] is None else float(match["at"])
-    return Step(number, at_ms, float(match["pause"] or 0), tuple(match["action"].split()), ())
+    return Step(line_number, at_ms, float(match["pause"] or 0), tuple(match["action"].split()), ())
 
 
-def _expectation(number: int, text: str) -> Expectation:
+def _expectation(line_number: int, text: str) -> Expectation:
     if text == SETTLED:
-        return Expectation(number, (), (SETTLED,))
+        return Expectation(line_number, (), (SETTLED,))
     match = _EXPECTATION.fullmatch(text)
     if match is None:
-        raise ScenarioSyntaxError.at_line(number, f"not an expectation: {text}")
+        raise ScenarioSyntaxError.at_line(line_number, f"not an expectation: {text}")
     prefix = (match["prefix"] or "").strip()
     nodes = tuple(match["nodes"].split())
     words = tuple(match["words"].split())
-    return Expectation(number, nodes, words, forbidden=prefix == "no", ordered=prefix == "then")
+    return Expectation(line_number, nodes, words, forbidden=prefix == "no", ordered=prefix == "then")
--- a/packages/fleet-sim/src/fleet_sim/scenario_runner.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_runner.py
@@ -60,7 +60,7 @@
 
 
 class _StepExpectations:
-    """The expectations of one step, which notices meet one by one."""
+    """The expectations of one step; each notice meets at most one of them."""
 
     def __init__(self, step: Step) -> None:
         self.forbidden = [line for line in step.expectations if line.forbidden]
