--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -176,7 +176,7 @@
 
 
 def _lease_us(count: int) -> float:
-    """Return a voter's CPU time of one lease request; all routers hold leases and request in turn."""
+    """Return a voter's CPU time of one lease request; all routers hold leases and request one by one."""
     names = node_names(count)
     settings = QuotaSettings(names, names[:VOTERS])
     voter = LeaseExchange(settings, names[0], 1, 0.0)
--- a/benchmarks/front_latency.py
+++ b/benchmarks/front_latency.py
@@ -3,7 +3,7 @@
     PYTHONPATH=. python benchmarks/front_latency.py [ROUNDS]
 
 The router's core and connection pool run with a fake cache server on loopback, and one keep-alive connection
-to each front. Requests are sent one at a time, to the fronts in turn, so that other load on the machine
+to each front. Requests are sent one at a time, alternately to both fronts, so that other load on the machine
 affects both alike. Prints a Markdown table. ROUNDS rounds of 200 requests to each front run, for 120 s at
 most.
 """
@@ -70,7 +70,7 @@
 def measure_round(
     environment: LoopbackEnvironment, signed: HttpClient, fastcgi: FastCgiClient, latencies: Latencies
 ) -> Steps[None]:
-    """Send requests to the two fronts in turn."""
+    """Send requests alternately to the two fronts."""
     for number in range(1, REQUESTS_PER_ROUND + 1):
         target = environment.sign_target(TARGET)  # signed outside the measured time
         begin_s = time.perf_counter()
--- a/conftest.py
+++ b/conftest.py
@@ -31,7 +31,7 @@
 
 
 class KnownRedFileError(pytest.UsageError):
-    """``KNOWN-RED.txt`` is invalid; the message says why."""
+    """``KNOWN-RED.txt`` is invalid; the message gives the reason."""
 
     def __init__(self, fault: str) -> None:
         super().__init__(f"{KNOWN_RED_FILE}: {fault}")
--- a/packages/control-client/src/control_client/events.py
+++ b/packages/control-client/src/control_client/events.py
@@ -1,7 +1,7 @@
 """Events and actions of ``SourceSelector``, and the state that ``StateFollower`` accepts.
 
-Times are milliseconds on the caller's monotonic clock unless a name says ``unix``.  A source is a relay or
-discovery that can be polled.
+Times are milliseconds on the caller's monotonic clock unless a name contains ``unix``.  A source is a relay
+or discovery that can be polled.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 class PollAnswered:
     """A poll was answered.
 
-    ``age_ms`` is the age that the response states, 0 from a plain discovery.  ``is_stale`` says that the
+    ``age_ms`` is the age that the response states, 0 from a plain discovery.  ``is_stale`` means that the
     follower keeps its list because the source's is older (``SyncStatus.SOURCE_STALE``).
     """
 
--- a/packages/control-harness/src/control_harness/fake_discovery.py
+++ b/packages/control-harness/src/control_harness/fake_discovery.py
@@ -14,7 +14,7 @@
 # The entry of one cache server in discovery's list.
 HostEntry = Mapping[str, object]
 
-# Upper bound on the seconds that a poll is held, so that a test ends soon after its last event.
+# Upper bound on the seconds that a poll is kept open, so that a test ends soon after its last event.
 MAX_BLOCK_S = 5.0
 
 
--- a/packages/control-harness/src/control_harness/fault_proxy.py
+++ b/packages/control-harness/src/control_harness/fault_proxy.py
@@ -20,8 +20,8 @@
 class FaultProxy(LoopbackServer):
     """Forwards connections to ``target``; ``connection_count`` counts the connections accepted.
 
-    If ``truncate_events_bytes`` is set, the next answer that has events is truncated after so many bytes of
-    them and its connection is closed; the attribute is None again once that has happened.
+    If ``truncate_events_bytes`` is set, the next answer that has events is truncated after that number of
+    bytes of them and its connection is closed; the attribute is None again once that has happened.
     """
 
     def __init__(self, target: str) -> None:
@@ -43,7 +43,7 @@
             self._from_target_unblocked.clear()
 
     def unblock(self) -> None:
-        """Deliver the data that was held back, and forward in both directions again."""
+        """Deliver the data that was withheld, and forward in both directions again."""
         self._to_target_unblocked.set()
         self._from_target_unblocked.set()
 
--- a/packages/control-harness/tests/test_control_lagging_relay.py
+++ b/packages/control-harness/tests/test_control_lagging_relay.py
@@ -46,7 +46,7 @@
 def test_a_relay_lags_by_an_hour(run_scenario: ScenarioRunner) -> None:
     """Purges older than the retention are not passed on.
 
-    Otherwise there would be too many to send one by one, and whole groups or all objects would be purged.
+    Otherwise there would be too many to send one by one, and entire groups or all objects would be purged.
     """
 
     async def scenario(environment: RelayEnvironment) -> None:
--- a/packages/control-harness/tests/test_control_propagation.py
+++ b/packages/control-harness/tests/test_control_propagation.py
@@ -80,7 +80,7 @@
 
 
 def test_a_relay_shuts_down_gracefully(run_scenario: ScenarioRunner) -> None:
-    """The relay answers held polls and exits with 0; its routers poll the other relay.
+    """The relay answers pending polls and exits with 0; its routers poll the other relay.
 
     After a restart the relay does not wait for routers that poll the other one.
     """
--- a/packages/control-relay/src/control_relay/event_log.py
+++ b/packages/control-relay/src/control_relay/event_log.py
@@ -53,7 +53,7 @@
 
     @property
     def has_too_many_superseded(self) -> bool:
-        """Whether so many superseded events are kept that the batch should be delivered now."""
+        """Whether the superseded events exceed the number at which the batch should be delivered now."""
         return len(self._superseded) > self._max_list_changes
 
     def append_purge(self, data: bytes) -> int:
--- a/packages/control-relay/src/control_relay/events.py
+++ b/packages/control-relay/src/control_relay/events.py
@@ -1,7 +1,7 @@
 """Events and actions of ``Relay``, and the reports that it gives about itself.
 
-Times are milliseconds on the caller's monotonic clock unless a name says ``unix``.  Values that come from the
-network are not trusted: a value of the wrong type or range is replaced by the field's default.
+Times are milliseconds on the caller's monotonic clock unless a name contains ``unix``.  Values that come from
+the network are not trusted: a value of the wrong type or range is replaced by the field's default.
 """
 
 from __future__ import annotations
--- a/packages/control-sim/src/control_sim/discovery.py
+++ b/packages/control-sim/src/control_sim/discovery.py
@@ -66,7 +66,7 @@
 # A poll with a shorter block time is answered at once.
 MIN_BLOCK_MS = 1.0
 
-# Token of the timer that issues events; the timers of held polls have higher tokens.
+# Token of the timer that issues events; the timers of pending polls have higher tokens.
 ISSUE_TIMER = 0
 
 
--- a/packages/fakes/src/fakes/demo_servers.py
+++ b/packages/fakes/src/fakes/demo_servers.py
@@ -20,7 +20,7 @@
 # Bytes of each answer's body.
 BODY_BYTES = 16_384
 
-# Upper bound on the time that a poll is held (ms).
+# Upper bound on the time that a poll is kept open (ms).
 MAX_BLOCK_MS = 2000.0
 
 # The fields of every answer of the demo's cache server: one revision, which dates from the Unix epoch.
@@ -30,7 +30,7 @@
 
 
 class Scheduler(Protocol):
-    """The part of the reactor's interface that a held poll needs."""
+    """The part of the reactor's interface that a pending poll needs."""
 
     def callLater(self, _delay_s: float, _function: Callable[..., object], /, *args: object) -> object:  # noqa: N802
         """Call the function after a delay (s)."""
--- a/packages/fakes/src/fakes/event_log.py
+++ b/packages/fakes/src/fakes/event_log.py
@@ -21,7 +21,7 @@
 
     Attributes:
         resume: the number of the last event that the poller has.
-        block_ms: upper bound on the time that the poll is held while there is no later event.
+        block_ms: upper bound on the time that the poll is kept open while there is no later event.
     """
 
     resume: int
--- a/packages/fakes/src/fakes/fake_discovery.py
+++ b/packages/fakes/src/fakes/fake_discovery.py
@@ -80,7 +80,7 @@
 
 
 class HeldPoll(NamedTuple):
-    """A poll that is held until the next event."""
+    """A poll that is kept open until the next event."""
 
     connection: FakeDiscoveryConnection
     resume: int
@@ -96,7 +96,7 @@
         script: the steps for the next polls.
         polls: ``resume`` and block time of each poll.
         connections: all connections so far.
-        held_poll: the poll that is held until an event, if any.
+        held_poll: the poll that is kept open until an event, if any.
     """
 
     def __init__(self) -> None:
@@ -131,7 +131,7 @@
             self.answer_held_poll()
 
     def answer_held_poll(self) -> None:
-        """Answer the held poll, if any, with the later events."""
+        """Answer the pending poll, if any, with the later events."""
         poll = self.held_poll
         if poll is None:
             return
@@ -139,7 +139,7 @@
         poll.connection.transport.write(encode_answer(self._log.encode_events_after(poll.resume)))
 
     def publish(self, **change: object) -> None:
-        """Publish the next event (``nodes`` or ``drop``), and answer the held poll."""
+        """Publish the next event (``nodes`` or ``drop``), and answer the pending poll."""
         self._log.append(change)
         self.answer_held_poll()
 
--- a/packages/fleet-scale/src/fleet_scale/report.py
+++ b/packages/fleet-scale/src/fleet_scale/report.py
@@ -76,7 +76,7 @@
         return [statement for statement, holds in self.verdicts if not holds]
 
     def markdown(self) -> str:
-        """The whole report as Markdown."""
+        """The complete report as Markdown."""
         parts = [f"Made by `{self.command}`.\n"]
         for table in self.tables:
             parts.append(f"## {table.title}\n\n{_markdown_table(table.columns, table.rows)}")
--- a/packages/fleet-scale/src/fleet_scale/worker/event_log.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/event_log.py
@@ -157,7 +157,7 @@
 def build_endpoint_list(
     cache_servers: int, sites: Sequence[str], ports: Sequence[int], weight: float
 ) -> list[Host]:
-    """Return the entries of the edge caches, spread over sites and ports in turn, and of the origin."""
+    """Return the entries of the edge caches, spread over sites and ports cyclically, and of the origin."""
     servers = [(f"s-{number:04d}", sites[number % len(sites)], "box") for number in range(cache_servers)]
     servers.append(("origin", sites[0], "root"))
     return [
--- a/packages/fleet-scale/src/fleet_scale/worker/poll_connection.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/poll_connection.py
@@ -31,7 +31,7 @@
         """Handle the receipt of ``byte_count`` bytes from a poller."""
 
     def polled(self, connection: PollConnection, resume: int, block_ms: float) -> None:
-        """Handle a poll for the events after ``resume``, which may be held for ``block_ms``."""
+        """Handle a poll for the events after ``resume``, which may be kept open for ``block_ms``."""
 
     def disconnected(self, connection: PollConnection) -> None:
         """Handle the end of a connection."""
--- a/packages/fleet-sim/src/fleet_sim/scenario_runner.py
+++ b/packages/fleet-sim/src/fleet_sim/scenario_runner.py
@@ -28,7 +28,7 @@
 class ScenarioReport:
     """The result of running a scenario with one seed.
 
-    ``annotations`` says, by index of a trace entry, which expectation the entry met or violated.
+    ``annotations`` states, by index of a trace entry, which expectation the entry met or violated.
     """
 
     scenario: Scenario
--- a/packages/gossip-transport/src/gossip_transport/endpoint.py
+++ b/packages/gossip-transport/src/gossip_transport/endpoint.py
@@ -1,8 +1,9 @@
 """The UDP endpoint of one state machine: delivers datagrams to it and carries out its actions in order.
 
-The cost of a flood is bounded in each turn of the reactor: at most ``MAX_HANDLED_PER_TURN`` datagrams reach
-the state machine and at most ``MAX_READ_PER_TURN`` are read from the socket.  Datagrams read beyond the first
-limit are dropped and counted.  Unread ones stay in the kernel's buffer, which drops those that do not fit.
+The cost of a flood is bounded in each iteration of the reactor: at most ``MAX_HANDLED_PER_TURN`` datagrams
+reach the state machine and at most ``MAX_READ_PER_TURN`` are read from the socket.  Datagrams read beyond the
+first limit are dropped and counted.  Unread ones stay in the kernel's buffer, which drops those that do not
+fit.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 # Time after which a timer whose handling failed fires again; it is below the periods of the fleet's timers.
 TIMER_RETRY_MS = 1_000.0
 
-# Maximum number of datagrams delivered to the state machine in one turn of the reactor, so that a flood
+# Maximum number of datagrams delivered to the state machine in one iteration of the reactor, so that a flood
 # leaves time for requests.
 MAX_HANDLED_PER_TURN = 32
 
-# Maximum number of datagrams read from the socket in one turn of the reactor, whether handled or dropped.
+# Maximum number of datagrams read from the socket in one iteration of the reactor, both handled and dropped.
 MAX_READ_PER_TURN = 512
 
 _log = logging.getLogger(__name__)
@@ -49,7 +50,7 @@
     """The counters of an endpoint since its start.
 
     ``oversize_received`` and ``oversize_unsent`` count datagrams over the size limit, ``flood_dropped``
-    those over the limit of one turn, ``send_failures`` those whose sending failed, and ``faults`` the
+    those over the limit of one iteration, ``send_failures`` those whose sending failed, and ``faults`` the
     exceptions raised by the state machine or by a callback.
     """
 
@@ -151,7 +152,7 @@
         """Set how many bytes Twisted reads from the socket before it returns to the reactor.
 
         Empty datagrams never use up a limit in bytes, so the limit is set to 0 once ``MAX_READ_PER_TURN``
-        datagrams have been read in one turn.
+        datagrams have been read in one iteration.
         """
         if self._max_throughput_bytes:
             cast(Any, self.transport).maxThroughput = max_bytes
--- a/packages/gossip-transport/tests/test_datagram_endpoint.py
+++ b/packages/gossip-transport/tests/test_datagram_endpoint.py
@@ -129,7 +129,7 @@
             harness.endpoint.datagramReceived(b"", PEER)
         assert harness.endpoint.counters.received == turn * MAX_HANDLED_PER_TURN
         assert harness.endpoint.counters.flood_dropped == turn * (MAX_READ_PER_TURN - MAX_HANDLED_PER_TURN)
-        assert harness.transport.maxThroughput == 0  # nothing more is read from the socket in this turn
+        assert harness.transport.maxThroughput == 0  # nothing more is read from the socket in this iteration
         harness.advance()
         assert harness.transport.maxThroughput == 4096
 
--- a/tests/net/discovery/resynchronization_test_case.py
+++ b/tests/net/discovery/resynchronization_test_case.py
@@ -12,7 +12,7 @@
 from thornjunction.net.discovery import retry_policy
 from thornjunction.net.discovery.resynchronization import Resynchronization
 
-# Limit of one read of a socket, of a response that is not long, and of the bytes parsed in one turn.
+# Limit of one read of a socket, of a response that is not long, and of the bytes parsed in one iteration.
 READ_BYTES = 65_536
 # Largest event.
 EVENT_BYTES = 1_000_000
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Numbers of bytes of a response that one turn parsed, and that were buffered before it."""
+    """Numbers of bytes of a response that one iteration parsed, and that were buffered before it."""
 
     parsed_bytes: int
     buffered_bytes: int
@@ -65,11 +65,11 @@
             self.addCleanup(patcher.stop)
 
     def max_parsed_bytes(self) -> int:
-        """Most bytes that one turn parsed."""
+        """Most bytes that one iteration parsed."""
         return max(part.parsed_bytes for part in self.parts)
 
     def max_buffered_bytes(self) -> int:
-        """Most bytes that were buffered before a turn."""
+        """Most bytes that were buffered before an iteration."""
         return max(part.buffered_bytes for part in self.parts)
 
     def answered_polls(self) -> int:
--- a/tests/net/discovery/scripted_source.py
+++ b/tests/net/discovery/scripted_source.py
@@ -33,7 +33,7 @@
         self.source.handle_query(self, query)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Discard the poll that is held for this connection, if any."""
+        """Discard the poll that is pending on this connection, if any."""
         super().connectionLost(reason)
         if self.source.held_poll is not None and self.source.held_poll.connection is self:
             self.source.held_poll = None
@@ -156,7 +156,7 @@
             self.answer_held_poll()
 
     def answer_held_poll(self) -> None:
-        """Answer the held poll, if any."""
+        """Answer the pending poll, if any."""
         poll = self.held_poll
         if poll is None or self.is_hung:
             return
--- a/tests/net/discovery/sources_environment.py
+++ b/tests/net/discovery/sources_environment.py
@@ -87,7 +87,7 @@
 
     @inlineCallbacks
     def run_for(self, duration_ms: float, step_ms: float = STEP_MS) -> Steps[None]:
-        """Advance the clock in steps; after each, running sources answer held polls, and probes end."""
+        """Advance the clock in steps; after each, running sources answer pending polls, and probes end."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.advance(min(step_ms, end_ms - self.now_ms))
@@ -95,7 +95,7 @@
 
     @inlineCallbacks
     def settle(self) -> Steps[None]:
-        """Wait until no connection attempt or probe is pending and each held poll was answered."""
+        """Wait until no connection attempt or probe is pending and each open poll was answered."""
         yield wait_until(self._is_settled)
         for source in self.sources:
             if source.held_poll is not None and source.status == OK and not source.is_hung:
--- a/tests/net/discovery/test_address_change.py
+++ b/tests/net/discovery/test_address_change.py
@@ -48,7 +48,7 @@
 
     @inlineCallbacks
     def test_only_the_last_of_several_addresses_is_polled_and_no_event_is_repeated(self) -> Steps[None]:
-        """The address changes several times in one turn, also back to an earlier address."""
+        """The address changes several times in one iteration, also back to an earlier address."""
         others = [self.build_discovery([{"cursor": 1}, PURGE_2]) for _ in range(3)]
         self.discovery.script = [respond(FIRST_EVENT_ANSWER), hold_poll]
         self.watch_client.start()
--- a/tests/net/discovery/test_epoch_change.py
+++ b/tests/net/discovery/test_epoch_change.py
@@ -160,7 +160,7 @@
         yield self.start_watch()
         self.discovery.polls.clear()
         stale_response = encode_answer({"cursor": 3, "cmds": []})
-        for polls in (1, 2, 3):  # each poll is held for longer than it requested
+        for polls in (1, 2, 3):  # each poll is kept open for longer than it requested
             connection = self.discovery.held_poll.connection
             self.discovery.held_poll = None
             self.environment.advance(1900.0)
--- a/tests/net/discovery/test_incomplete_resynchronization.py
+++ b/tests/net/discovery/test_incomplete_resynchronization.py
@@ -171,7 +171,7 @@
         environment.advance(2500.0)
         yield wait_until(lambda: self.discovery.held_poll)
         environment.advance(1200.0)
-        self.discovery.answer_held_poll()  # this poll was held for its full time
+        self.discovery.answer_held_poll()  # this poll was kept open for its full time
         yield wait_until(lambda: len(self.discovery.polls) == 9)
         client.connection.close("test")
         yield environment.wait_until_due(lambda: client.connection is None)
--- a/tests/net/discovery/test_multi_source_watch.py
+++ b/tests/net/discovery/test_multi_source_watch.py
@@ -16,7 +16,7 @@
 
 
 def publish_long_list(source: ScriptedSource, seq: int) -> ScriptedSource:
-    """Publish a list so long that its response is applied in several turns."""
+    """Publish a list so long that its response is applied in several iterations."""
     return source.publish_list(seq, **{f"shelf-of-a-long-name-{number}": "active" for number in range(3000)})
 
 
--- a/tests/net/discovery/test_resynchronization.py
+++ b/tests/net/discovery/test_resynchronization.py
@@ -38,7 +38,7 @@
 
 
 class PartRecorder:
-    """Records for each part that a watch applies its number of events and the turn of the event loop."""
+    """Records for each part that a watch applies its number of events and the iteration of the event loop."""
 
     def __init__(self, client: WatchClient, last_cursor: int) -> None:
         self.event_counts: list[int] = []
@@ -55,7 +55,7 @@
         return self._apply_part(head, events)
 
     def count_turns(self) -> None:
-        """Count the turns of the event loop until the last event was delivered."""
+        """Count the iterations of the event loop until the last event was delivered."""
         self._turn += 1
         if self._client.cursor < self._last_cursor:
             reactor.callLater(0, self.count_turns)
@@ -64,7 +64,7 @@
 class ResynchronizationTest(ResynchronizationTestCase):
     @inlineCallbacks
     def test_the_events_of_an_hour_are_applied_while_requests_are_answered(self) -> Steps[None]:
-        """One turn buffers and parses at most one read of the socket; requests are handled between turns."""
+        """An iteration buffers and parses at most one read of the socket; requests are handled in between."""
         self.discovery.events = purge_events(1, EVENTS_OF_AN_HOUR)
         client = self.environment.watch_client
         loopback = make_loopback_environment()
@@ -79,7 +79,7 @@
         assert self.delivered_cursors() == list(range(1, EVENTS_OF_AN_HOUR + 1))
         assert self.max_parsed_bytes() <= READ_BYTES
         assert self.max_buffered_bytes() <= 2 * READ_BYTES
-        assert sorted(set(recorder.turns)) == recorder.turns  # at most one part in each turn
+        assert sorted(set(recorder.turns)) == recorder.turns  # at most one part in each iteration
         assert max(recorder.event_counts) < 1000
         assert request_count > 10
         outputs = [fastcgi_client.output(number) for number in range(1, request_count + 1)]
@@ -111,7 +111,7 @@
 
     @inlineCallbacks
     def test_received_bytes_are_parsed_before_more_are_read(self) -> Steps[None]:
-        """A turn parses less than one read of the socket; the response after the long one is read too."""
+        """An iteration parses less than one socket read; the response after the long one is read too."""
         next_body = encode_events([purge_event(EVENT_COUNT + 1)], EVENT_COUNT + 1)
         with patch.object(resynchronization, "MAX_PART_BYTES", READ_BYTES // 4):
             yield self.environment.restart_watch(
@@ -142,7 +142,7 @@
 
         The response after a longer one is read as well.
         """
-        events = purge_events(1, 150)  # below a turn's limit on events, so that its limit on bytes applies
+        events = purge_events(1, 150)  # below the event limit of an iteration, so that its byte limit applies
         body = encode_events(events, 150)
         padding = b" " * (READ_BYTES - len(body))
         next_response = encode_answer(encode_events(purge_events(151, 152), 152))
@@ -155,7 +155,7 @@
 
     @inlineCallbacks
     def test_one_turn_applies_a_limited_number_of_events(self) -> Steps[None]:
-        """A relay needs about 20 us for each retained event: 25 to 28 ms per turn without the limit."""
+        """A relay needs about 20 us for each retained event: 25 to 28 ms per iteration without the limit."""
         client = self.environment.watch_client
         recorder = PartRecorder(client, EVENT_COUNT)
         self.discovery.events = purge_events(1, EVENT_COUNT)
--- a/tests/net/downstream/test_client_disconnect.py
+++ b/tests/net/downstream/test_client_disconnect.py
@@ -74,7 +74,7 @@
         assert self.engine.router.state.requests.waiting == {}  # type: ignore[attr-defined]
 
     async def test_a_burst_of_a_disconnected_client_starts_no_request(self) -> None:
-        """The whole burst and the end of its connection have arrived before the router reads."""
+        """The entire burst and the end of its connection have arrived before the router reads."""
         opened: list[Any] = []
         bursts = {
             PortIndex.FASTCGI_FRONT: b"".join(encode_request(number + 1) for number in range(100)),
--- a/tests/net/upstream/test_full_table.py
+++ b/tests/net/upstream/test_full_table.py
@@ -43,7 +43,7 @@
 
     @inlineCallbacks
     def test_more_servers_than_slots_are_all_reached_within_the_bound(self) -> Any:
-        """Each server is reached in turn, twice; evicted connections end with an orderly close."""
+        """The servers are reached one by one, twice; evicted connections end with an orderly close."""
         self.list_servers(count=40, capacity=16)
         most_connections = 0
         for number in range(80):
--- a/tests/net/wire/builders.py
+++ b/tests/net/wire/builders.py
@@ -70,7 +70,7 @@
 
 
 def collectd_values(packet: bytes) -> list[float]:
-    """Decode the values of a packet independently of the encoder, as the protocol's description says."""
+    """Decode the values of a packet independently of the encoder, as the protocol's description specifies."""
     values: list[float] = []
     position = 0
     while position < len(packet):
--- a/tests/policy/test_failing_servers.py
+++ b/tests/policy/test_failing_servers.py
@@ -134,7 +134,7 @@
 
 
 def test_one_broken_connection_counts_as_one_failure() -> None:
-    """All attempts on a connection end together, which says little about a cache that still answers."""
+    """All attempts on a connection end together, which shows little about a cache that still answers."""
     driver = RouterDriver(entries=(EDGES[0], ORIGIN))
     started = [attempt_of(driver.request(key)) for key in range(12)]
     for attempt in started:
--- a/tests/runtime/test_configuration_page.py
+++ b/tests/runtime/test_configuration_page.py
@@ -106,7 +106,7 @@
 
     @property
     def is_required(self) -> bool:
-        """Whether the page says that a section without this key is rejected."""
+        """Whether the page states that a section without this key is rejected."""
         return self.default.startswith("required")
 
 
--- a/tests/signing/test_key_set_parsing.py
+++ b/tests/signing/test_key_set_parsing.py
@@ -1,4 +1,4 @@
-"""Key sets (RFC 7517 §5) are accepted as a whole, or rejected with an error that names the faulty member."""
+"""Key sets (RFC 7517 §5) are accepted completely, or rejected with an error that names the faulty member."""
 
 from __future__ import annotations
 
--- a/thornjunction/core/engine.py
+++ b/thornjunction/core/engine.py
@@ -1,4 +1,4 @@
-"""Drives one router: turns requests into its events, and its actions into attempts and final answers."""
+"""Drives one router: converts requests into its events, and its actions into attempts and final answers."""
 
 from __future__ import annotations
 
--- a/thornjunction/interface/enums.py
+++ b/thornjunction/interface/enums.py
@@ -122,7 +122,7 @@
         NONE: not reported.
         HIT: the server had a copy; there was no fill.
         FILLED: the server fetched the object from its source.
-        FILLED_FROM_ORIGIN: the source in turn fetched the object from the origin.
+        FILLED_FROM_ORIGIN: the server's source fetched the object from the origin for this fill.
         JOINED: the request waited for a fill in progress; with status CACHE_MISS: a fill is in progress.
         STALE: the answer came from a copy older than its freshness time.
         SOURCE_REFUSED: the source rejected the fill.
--- a/thornjunction/interface/events.py
+++ b/thornjunction/interface/events.py
@@ -118,7 +118,7 @@
     Attributes:
         group: the group that was purged, or to which the purged object belongs.
         age_ms: time since the purge was issued.
-        key: the object that was purged; None: the whole group.
+        key: the object that was purged; None: the entire group.
     """
 
     group: int
--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start (rule 4 of the simulator): limits the load that a router sends to a server that started lately.
 
 The routers of a fleet do not communicate. Each one limits itself to its share of a cold server's capacity in
-its own time windows, so that all together do not exceed the capacity.
+time windows of its own, so that all together do not exceed the capacity.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
         self.spent_ms = 0.0
         # Length of the present window as a share of a full one; its budget is the same share.
         self.length_share = 1.0
-        # A random number drawn for each window. It turns a budget of a fraction of one request into the same
-        # probability of one request.
+        # A random number drawn for each window. It converts a budget of a fraction of one request into the
+        # same probability of one request.
         self.rounding = 1.0
         self._ends_at_ms = math.nan
 
--- a/thornjunction/log_events.py
+++ b/thornjunction/log_events.py
@@ -1,6 +1,6 @@
 """The log events, each declared once.
 
-An event is named ``noun_verb`` or ``noun_state``.  The docstring of a member says what the event means.  The
+An event is named ``noun_verb`` or ``noun_state``.  The docstring of a member defines the event.  The
 table of ``docs/ON-CALL.md`` repeats this text; ``tests/test_log_events.py`` compares the two, and the table
 with the levels and fields of the log calls.  Packages that do not depend on this one declare their events
 themselves: ``gossip_transport.log_events``, ``control_relay.notices`` and ``control_client.notices``.
--- a/thornjunction/net/discovery/response_timeout.py
+++ b/thornjunction/net/discovery/response_timeout.py
@@ -45,5 +45,5 @@
         self._timer = self._deadlines.add(now_ms + local_delay_ms, self._wait_for_sockets)
 
     def _wait_for_sockets(self) -> None:
-        """Wait for one more turn of the event loop, which runs deadlines before it reads sockets."""
+        """Wait for one more iteration of the event loop, which runs deadlines before it reads sockets."""
         self._timer = self._deadlines.add(self._clock(), self._on_timeout)
--- a/thornjunction/net/discovery/resynchronization.py
+++ b/thornjunction/net/discovery/resynchronization.py
@@ -13,15 +13,15 @@
 MAX_BUFFERED_BODY_BYTES = 65_536
 # Largest body; the events of an hour, 122,400 purges, take 10 MB.
 MAX_BODY_BYTES = 64_000_000
-# Most bytes that are parsed in one turn of the event loop.
+# Most bytes that are parsed in one iteration of the event loop.
 MAX_PART_BYTES = 65_536
 # Bytes that are parsed between two readings of the clock.
 SLICE_BYTES = 8192
-# Time for parsing in one turn; afterwards the complete events are applied.
+# Time for parsing in one iteration; afterwards the complete events are applied.
 MAX_PARSE_MS = 4.0
-# Changes of the endpoint list in one turn; it is limited because the decisions process each of them.
+# Changes of the endpoint list in one iteration; it is limited because the decisions process each of them.
 MAX_PART_LIST_CHANGES = 16
-# Events in one turn, exceeded by at most those of one slice; a relay needs about 20 us for each event.
+# Events in one iteration, exceeded by at most those of one slice; a relay needs about 20 us for each event.
 MAX_PART_EVENTS = 200
 
 ApplyPart = Callable[[Commands | None, list[Any]], Commands]
@@ -57,7 +57,7 @@
 
     @property
     def has_unparsed_bytes(self) -> bool:
-        """Whether received bytes are left to be parsed in the next turn."""
+        """Whether received bytes are left to be parsed in the next iteration."""
         return bool(self._unparsed)
 
     def receive(self, data: bytes, is_last: bool) -> None:
@@ -66,7 +66,7 @@
         self.is_received = is_last
 
     def apply_next_part(self) -> bool:
-        """Parse and apply as much as one turn of the event loop allows.
+        """Parse and apply as much as one iteration of the event loop allows.
 
         Returns:
             Whether there was progress: a complete event, or ``MAX_PART_BYTES`` of a long one.
@@ -107,7 +107,7 @@
             self.discarded_bytes = 0
 
     def _parse_part(self) -> tuple[list[Any], int]:
-        """Parse for one turn; return the complete events and the number of bytes parsed."""
+        """Parse for one iteration; return the complete events and the number of bytes parsed."""
         events: list[Any] = []
         parsed_bytes = 0
         list_changes = 0
--- a/thornjunction/net/discovery/retry_policy.py
+++ b/thornjunction/net/discovery/retry_policy.py
@@ -61,7 +61,7 @@
 
         Args:
             discarded_bytes: bytes that were read after the last new event.
-            is_useful: whether the response contained a new event, or the source held the poll.
+            is_useful: whether the response contained a new event, or the source kept the poll open.
         """
         if discarded_bytes > MAX_BUFFERED_BODY_BYTES:
             self.discarded_responses += 1
--- a/thornjunction/net/discovery/watch_connection.py
+++ b/thornjunction/net/discovery/watch_connection.py
@@ -229,7 +229,7 @@
         self._poll_again(now_ms, resynchronization)
 
     def _poll_again(self, now_ms: float, resynchronization: Resynchronization | None) -> None:
-        """Poll immediately after a new event or a held poll, otherwise after a pause."""
+        """Poll immediately after a new event or a poll that was kept open, otherwise after a pause."""
         held_ms = now_ms - self._poll_sent_ms
         is_early = resynchronization is not None or held_ms < self._block_ms - self.timings.block_ms / 2
         is_unproductive = self._owner.has_no_progress and is_early
--- a/thornjunction/net/downstream/signed_front.py
+++ b/thornjunction/net/downstream/signed_front.py
@@ -49,7 +49,7 @@
         core: takes the requests.
         classes: the request classes by name.
         base: scheme and authority with which the signed URIs begin.
-        trust: the accepted keys; replaced as a whole when the key set changes.
+        trust: the accepted keys; replaced atomically when the key set changes.
         replay_window: the tokens with a ``jti`` that were used.
         unix_s: returns the Unix time in seconds.
         forwarding: which peers may report the client's address, and in which header.
--- a/thornjunction/net/event_loop/listening_port.py
+++ b/thornjunction/net/event_loop/listening_port.py
@@ -1,6 +1,6 @@
 """A listening port that pauses accepting, with backoff, while the system cannot accept a connection.
 
-Twisted's port retries at once for as long as a client waits.  This uses a whole CPU core, and the admission
+Twisted's port retries at once for as long as a client waits.  This uses an entire CPU core, and the admission
 gate closes although no requests arrive.  When descriptors run out, Twisted also accepts waiting clients and
 closes them unread.  Here they stay in the system's accept queue until they can be accepted.
 """
--- a/thornjunction/net/upstream/connection_pool.py
+++ b/thornjunction/net/upstream/connection_pool.py
@@ -73,7 +73,7 @@
                 ended += self._remove(server)
         for host in hosts:
             ended += self._apply(host)
-        # Reported after the whole change is applied, because a retry may go to another server of the change.
+        # Reported after the complete change is applied, because a retry may go to another of its servers.
         for stream in ended:
             self._outcomes.report(stream, api.AttemptStatus.NOT_STARTED)
 
--- a/thornjunction/net/wire/signed.py
+++ b/thornjunction/net/wire/signed.py
@@ -222,8 +222,8 @@
 def encode_rejection(status: int, keep_alive: bool, retry_after_s: float = 0.0) -> HttpResponse:
     """Return the response to a request that was rejected before it reached the core.
 
-    Only 503, for a full replay window, says that a retry is harmless, because nothing was executed.  Other
-    responses do not say so, because nothing is known of an earlier attempt.
+    Only 503, for a full replay window, states that a retry is harmless, because nothing was executed.  Other
+    responses do not state it, because nothing is known of an earlier attempt.
     """
     if status == 503:
         return encode_unavailable(retry_after_s, keep_alive)
--- a/thornjunction/policy/__init__.py
+++ b/thornjunction/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: ``Router`` turns events into actions (``thornjunction.interface``)."""
+"""Routing decisions: ``Router`` converts events into actions (``thornjunction.interface``)."""
--- a/thornjunction/policy/outcomes.py
+++ b/thornjunction/policy/outcomes.py
@@ -63,7 +63,7 @@
         attempt.server.record_report(report)
 
     def _learn_server(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
-        """Learn whether the server works; a rejection for overload says nothing about that."""
+        """Learn whether the server works; a rejection for overload gives no evidence of that."""
         server = attempt.server
         status = event.status
         now_ms = self._context.now_ms
--- a/thornjunction/runtime/assembly.py
+++ b/thornjunction/runtime/assembly.py
@@ -1,7 +1,7 @@
 """The composition root: which parts a router has, and how they are connected.
 
-A part that the operators' file turns on is imported only if it is on: a router without it does not load its
-libraries.
+A part that the operators' file enables is imported only if it is enabled: a router without it does not load
+its libraries.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
     classes: dict[str, api.RequestClass],
     reactor: ProcessReactor,
 ) -> OptionalParts:
-    """Build the parts that the operators' file turns on.
+    """Build the parts that the operators' file enables.
 
     Raises:
         ConfigError: a part cannot be built from its settings.
--- a/thornjunction/runtime/extras.py
+++ b/thornjunction/runtime/extras.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Extras:
-    """Settings of the features that the operators' file turns on; a feature that is off has None.
+    """Settings of the features that the operators' file enables; a feature that is disabled has None.
 
     Attributes:
         signed: settings of the signed-URL front.
--- a/thornjunction/runtime/optional_parts.py
+++ b/thornjunction/runtime/optional_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a router that the operators' file turns on."""
+"""The parts of a router that the operators' file enables."""
 
 from __future__ import annotations
 
--- a/thornjunction/runtime/service.py
+++ b/thornjunction/runtime/service.py
@@ -28,7 +28,7 @@
 from thornjunction.runtime.settings_in_force import SettingsInForce
 from thornjunction.runtime.shutdown import Shutdown
 
-if TYPE_CHECKING:  # optional parts are imported at run time only if the operators' file turns them on
+if TYPE_CHECKING:  # optional parts are imported at run time only if the operators' file enables them
     from thornjunction.core.engine import Engine
     from thornjunction.net.event_loop.timer_service import TimerService
     from thornjunction.policy.router import Router
@@ -47,7 +47,7 @@
 
     Args:
         config: the configuration at the start.
-        extras: the features that the operators' file turns on, or None if there is no file.
+        extras: the features that the operators' file enables, or None if there is no file.
         reactor: the event loop.
         counters: count requests and attempts.
         load: reads the configuration again.
@@ -62,7 +62,7 @@
         admin_calls: the calls of the admin endpoint.
 
     Raises:
-        ConfigError: a part that the operators' file turns on cannot be built.
+        ConfigError: a part that the operators' file enables cannot be built.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
 
     @property
     def fleet(self) -> FleetMember | None:
-        """The fleet membership, or None if the operators' file does not turn it on."""
+        """The fleet membership, or None if the operators' file does not enable it."""
         return self._optional_parts.fleet
 
     def run(self) -> int:
--- a/thornjunction/signing/keyset.py
+++ b/thornjunction/signing/keyset.py
@@ -1,4 +1,4 @@
-"""Key sets, replaceable at run time: a JSON Web Key Set (RFC 7517 §5) is accepted as a whole or rejected.
+"""Key sets, replaceable at run time: a JSON Web Key Set (RFC 7517 §5) is accepted completely or rejected.
 
 Each key has a ``kid`` and exactly one ``alg`` (§4.4, §4.5) and is used for no other algorithm, so that an
 HMAC secret is never taken for a public key.  Operators retire a key by a date for its ``kid`` in a file of
--- a/thornjunction/signing/tokens/container.py
+++ b/thornjunction/signing/tokens/container.py
@@ -41,7 +41,7 @@
 
 
 def _matches_pattern(pattern: str, uri: str) -> bool:
-    """Match POSIX extended syntax against the whole URI, in linear time."""
+    """Match POSIX extended syntax against the complete URI, in linear time."""
     options = re2.Options()
     options.posix_syntax = True
     options.log_errors = False
