--- a/packages/control-sim/src/control_sim/command.py
+++ b/packages/control-sim/src/control_sim/command.py
@@ -46,7 +46,7 @@
     options = _parse(arguments)
     if options.seed is not None:
         outcome = run(build_subject(), draw_plan(options.seed), trace=True)
-        print(outcome.story(0))
+        print(outcome.report_text(0))
         return 1 if outcome.violation else 0
     return _run_many(options)
 
