--- a/benchmarks/list_growth.py
+++ b/benchmarks/list_growth.py
@@ -28,8 +28,9 @@
 # Layouts: the number of sites that the servers are spread over evenly, and its name in the tables.
 LAYOUTS = {1: "one site", 3: "three sites", 58: "58 sites"}
 SERVERS_PER_PARENT = 10
-# More than the 8,192 objects that each of the router's internal caches holds.
-CACHED_OBJECTS = 10_000
+# Number of requests, each for a new object, after which memory is measured: more than the 8,192 objects
+# that each of the router's internal caches holds.
+MEMORY_REQUESTS = 10_000
 # Number of changes of one entry, of whose costs the mean is taken.
 CHANGES = 50
 
@@ -95,11 +96,11 @@
 def measure_memory_growth(options: Options) -> None:
     """Print the growth of memory by the list and by the objects, by servers and layout."""
     rows = [(f"{size:,}", *(_memory_cell(size, sites) for sites in LAYOUTS)) for size in options.sizes]
-    print_table(layout_columns("servers", f"KB of the list; KB of {CACHED_OBJECTS:,} objects"), rows)
+    print_table(layout_columns("servers", f"KB of the list; KB of {MEMORY_REQUESTS:,} objects"), rows)
 
 
 def _memory_cell(servers: int, sites: int) -> str:
-    memory = run_in_fresh_process(measure_memory, build_entries, (servers, sites), CACHED_OBJECTS)
+    memory = run_in_fresh_process(measure_memory, build_entries, (servers, sites), MEMORY_REQUESTS)
     return f"{memory.list_kb}; {memory.requests_kb}"
 
 
--- a/packages/fakes/src/fakes/config.py
+++ b/packages/fakes/src/fakes/config.py
@@ -50,9 +50,9 @@
     return int(port.getHost().port)
 
 
-def endpoint_list(*kinds: str, at: str, site: str) -> dict[str, Any]:
-    """Return an answer of discovery that lists an active server of each kind, all at the address ``at``."""
-    shared_fields = {"dial": at, "site": site, "health": "active"}
+def endpoint_list(*kinds: str, address: str, site: str) -> dict[str, Any]:
+    """Return an answer of discovery that lists an active server of each kind, all at ``address``."""
+    shared_fields = {"dial": address, "site": site, "health": "active"}
     hosts = [shared_fields | {"host": kind, "class": kind} for kind in kinds]
     return {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"whole": True, "hosts": hosts}}]}
 
@@ -73,7 +73,7 @@
         "name": "demo",
         "listen": listen,
         "channel": channel,
-        "known": endpoint_list("box", "root", at=cache_server, site="demo"),
+        "known": endpoint_list("box", "root", address=cache_server, site="demo"),
         "limits": {"sockets": MAX_SOCKETS},
         "settings": settings,
     }
--- a/packages/fleet-harness/src/fleet_harness/scenario_run.py
+++ b/packages/fleet-harness/src/fleet_harness/scenario_run.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForbiddenExpectation:
+class ForbiddenEvent:
     """An event that must not occur in the entries of the record from ``first_entry`` on."""
 
     expectation: Expectation
@@ -88,7 +88,7 @@
             name: dict(view.incarnations) for name, view in self._events.views.items()
         }
         self._forbidden = self._forbidden_always() + [
-            ForbiddenExpectation(expectation, self._step_first_entry)
+            ForbiddenEvent(expectation, self._step_first_entry)
             for expectation in step.expectations
             if expectation.forbidden
         ]
@@ -104,8 +104,8 @@
     async def _wait_until(self, condition: Condition, description: str) -> None:
         await self._environment.waiter.wait_until(condition, self._scenario.timeout_ms, description)
 
-    def _forbidden_always(self) -> list[ForbiddenExpectation]:
-        return [ForbiddenExpectation(expectation, 0) for expectation in self._scenario.forbidden]
+    def _forbidden_always(self) -> list[ForbiddenEvent]:
+        return [ForbiddenEvent(expectation, 0) for expectation in self._scenario.forbidden]
 
     def _check_forbidden(self) -> None:
         for forbidden in self._forbidden:
--- a/thornjunction/demo/start.py
+++ b/thornjunction/demo/start.py
@@ -86,8 +86,8 @@
     edge_port = listen_on_free_port(reactor, DemoCacheServer)
     origin_port = listen_on_free_port(reactor, DemoCacheServer)
     hosts = [
-        *endpoint_list("box", at=f"127.0.0.1:{edge_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
-        *endpoint_list("root", at=f"127.0.0.1:{origin_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
+        *endpoint_list("box", address=f"127.0.0.1:{edge_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
+        *endpoint_list("root", address=f"127.0.0.1:{origin_port}", site="demo")["cmds"][0]["nodes"]["hosts"],
     ]
     discovery_port = listen_on_free_port(reactor, lambda: DemoDiscovery(hosts, reactor))
     configuration: dict[str, Any] = {
