--- a/benchmarks/benchmark_tools/decision_load.py
+++ b/benchmarks/benchmark_tools/decision_load.py
@@ -21,7 +21,7 @@
 RESPONSE_MS = 80.0
 TIMEOUT_MS = 5_000.0
 OBJECT_KB = 477.0
-# Number of objects in the full deployment, of which nearly every request names a new one.
+# Number of objects in the full deployment; so many that random requests rarely repeat one.
 ALL_OBJECTS = 520_000_000
 START_MS = 1_000.0
 
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -47,7 +47,7 @@
 FULL_FLEET = 1_200
 VOTERS = 5
 STEADY_MS = 10_000.0
-# Number of restarts, of whose propagation times the median is taken.
+# Number of restarts; the median of their propagation times is reported.
 RESTARTS = 5
 # Memory is measured up to this number of members: tracing takes too long in a larger fleet.
 MAX_TRACED_MEMBERS = 400
--- a/benchmarks/fleet_figures.py
+++ b/benchmarks/fleet_figures.py
@@ -39,7 +39,7 @@
 PAUSE_INTERVAL_MS = 15_000
 FIRST_PAUSE_MS = 10_000
 HOUR_MS = 3.6e6
-# Number of restarts, of whose propagation times the median is taken.
+# Number of restarts; the median of their propagation times is reported.
 RESTARTS = 5
 # Time over which datagrams and bytes are counted.
 STEADY_MS = 20_000.0
--- a/benchmarks/list_growth.py
+++ b/benchmarks/list_growth.py
@@ -3,9 +3,10 @@
     PYTHONPATH=. python benchmarks/list_growth.py [--requests N] [--sizes N,N] [PART...]
 
 Parts: ``decisions`` (CPU time of a request and its outcome), ``changes`` (CPU time of one changed entry and
-of a complete list) and ``memory`` (of the list, and of more objects than the router's caches hold); all of
-them by default.  Each request is for a new object, and a tenth of the servers are parents.  CPU time is that
-of the process, the minimum of several rounds; memory is measured in a fresh process for each cell.
+of a complete list) and ``memory`` (its growth by the list, and then by requests for more objects than the
+router's caches hold); all of them by default.  Each request is for a new object, and a tenth of the servers
+are parents.  CPU time is that of the process, the minimum of several rounds; memory is measured in a fresh
+process for each cell.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 # Number of requests, each for a new object, after which memory is measured: more than the 8,192 objects
 # that each of the router's internal caches holds.
 MEMORY_REQUESTS = 10_000
-# Number of changes of one entry, of whose costs the mean is taken.
+# Number of changes of one entry; the mean of their costs is reported.
 CHANGES = 50
 
 
--- a/benchmarks/relay_behind.py
+++ b/benchmarks/relay_behind.py
@@ -69,8 +69,8 @@
 
     seconds: float
     cpu_ms: float
-    peak_before_mb: float
-    peak_after_mb: float
+    peak_before_catch_up_mb: float
+    peak_after_catch_up_mb: float
     turns: list[Turn]
 
     def cells(self) -> tuple[object, ...]:
@@ -78,8 +78,8 @@
         return (
             f"{self.seconds:.2f}",
             f"{self.cpu_ms:.0f}",
-            f"{self.peak_before_mb:.1f}",
-            f"{self.peak_after_mb:.1f}",
+            f"{self.peak_before_catch_up_mb:.1f}",
+            f"{self.peak_after_catch_up_mb:.1f}",
             f"{max_duration_s(self.turns) * 1000:.1f}",
             f"{max_cpu_s(self.turns) * 1000:.1f}",
         )
@@ -117,18 +117,18 @@
             poller = Poller(relay.listen_address, "router")
             polling = asyncio.create_task(poller.run())
             await cut_off_and_publish(environment, proxy, poller)
-            peak_before_mb = peak_resident_mb(relay.pid)
+            peak_before_catch_up_mb = peak_resident_mb(relay.pid)
             cpu_before_ms = main_thread_cpu_ms(relay.pid)
             begin_s = time.monotonic()
             proxy.unblock()
             await wait_for_last_purge(poller)
             seconds = time.monotonic() - begin_s
-            peak_after_mb = peak_resident_mb(relay.pid)
+            peak_after_catch_up_mb = peak_resident_mb(relay.pid)
             cpu_ms = main_thread_cpu_ms(relay.pid) - cpu_before_ms
             polling.cancel()
         finally:
             turns = [turn for turn in relay.end() if turn.begin_s >= begin_s]
-    return RoundResult(seconds, cpu_ms, peak_before_mb, peak_after_mb, turns)
+    return RoundResult(seconds, cpu_ms, peak_before_catch_up_mb, peak_after_catch_up_mb, turns)
 
 
 async def measure(rounds: int) -> None:
--- a/benchmarks/signed_front.py
+++ b/benchmarks/signed_front.py
@@ -56,7 +56,7 @@
 
 
 def issue_tokens(trust: tokens.Trust, container: str, with_identifier: bool) -> list[str]:
-    """Return tokens for the container, each with a unique identifier (jti), or all without one."""
+    """Return tokens for the container, each with a unique identifier (jti), or without identifiers."""
     if with_identifier:
         return [
             tokens.issue(trust, container, NOW_S, TOKEN_LIFETIME_S, jti=str(number))
--- a/packages/control-sim/src/control_sim/invariants.py
+++ b/packages/control-sim/src/control_sim/invariants.py
@@ -127,10 +127,10 @@
         may_be_reset = as_of_ms - history.reset_at_ms < RESET_UNCERTAINTY_MS
         if version < history.version_at(as_of_ms) and not may_be_reset:
             return f"list {version} is older than its age of {age_ms:.0f} ms"
-        missing = self._missing_purge(cluster, node, machine, history, as_of_ms)
+        missing = self._missing_purge_failure(cluster, node, machine, history, as_of_ms)
         return f"{missing}, age {age_ms:.0f} ms" if missing else None
 
-    def _missing_purge(
+    def _missing_purge_failure(
         self,
         cluster: SimulatedCluster,
         node: Node,
--- a/packages/control-sim/src/control_sim/poll_client.py
+++ b/packages/control-sim/src/control_sim/poll_client.py
@@ -134,25 +134,25 @@
         """Process one event; return the actions to carry out."""
         match event:
             case Started():
-                return self._select(now, event)
+                return self._handle_selector_event(now, event)
             case TimerFired(token) if token == PAUSE_TIMER:
                 may_poll = self._connection is not None and not self._awaits_reply
                 return self._poll(now) if may_poll else []
             case TimerFired(token):
-                return self._select(now, TimerFired(token // 2))
+                return self._handle_selector_event(now, TimerFired(token // 2))
             case ReplyReceived(connection) if connection in self._probes:
                 return self._handle_probe_reply(now, event)
             case ReplyReceived(connection) if connection == self._connection:
                 return self._handle_reply(now, event)
             case ConnectionFailed(connection) if connection in self._probes:
-                return self._select(now, ProbeFailed(self._probes.pop(connection)))
+                return self._handle_selector_event(now, ProbeFailed(self._probes.pop(connection)))
             case ConnectionFailed(connection) if connection == self._connection:
                 return self._fail(now, "broken")
         return []
 
     # Selection
 
-    def _select(self, now: float, event: SelectorEvent) -> list[Any]:
+    def _handle_selector_event(self, now: float, event: SelectorEvent) -> list[Any]:
         actions: list[Any] = []
         for action in self._selector.handle(now, event):
             actions += self._execute(now, action)
@@ -208,20 +208,20 @@
             block_ms=BLOCK_MS,
         )
         send = SendRequest(source, self._connection, request)
-        return [send, *self._select(now, PollSent(self._source))]
+        return [send, *self._handle_selector_event(now, PollSent(self._source))]
 
     def _handle_probe_reply(self, now: float, event: ReplyReceived) -> list[Any]:
         source = self._probes.pop(event.connection)
         if event.body is None or event.is_truncated:
-            return self._select(now, ProbeFailed(source))
-        return self._select(now, ProbeAnswered(source, decode_response(event.body).age_ms))
+            return self._handle_selector_event(now, ProbeFailed(source))
+        return self._handle_selector_event(now, ProbeAnswered(source, decode_response(event.body).age_ms))
 
     def _fail(self, now: float, reason: str) -> list[Any]:
         source = self._source
         assert source is not None
         self._source = None
         self._connection = None
-        return self._select(now, PollFailed(source, reason))
+        return self._handle_selector_event(now, PollFailed(source, reason))
 
     def _handle_reply(self, now: float, event: ReplyReceived) -> list[Any]:
         self._awaits_reply = False
@@ -247,7 +247,7 @@
         self._record_completed_epoch()
         actions = self._node.apply(now, accepted.events, is_complete=self.is_in_sync)
         is_stale = accepted.status is SyncStatus.SOURCE_STALE
-        actions += self._select(now, PollAnswered(source, response.age_ms, is_stale))
+        actions += self._handle_selector_event(now, PollAnswered(source, response.age_ms, is_stale))
         if source != self._source:
             return actions
         if position_before == (self.follower.cursor, self.follower.epoch):
--- a/packages/control-sim/src/control_sim/propagation.py
+++ b/packages/control-sim/src/control_sim/propagation.py
@@ -17,7 +17,7 @@
 
 
 class PropagationInvariant:
-    """Each member of a relay has accepted the acknowledged event numbers, and has their purges and list."""
+    """Each member of a relay has the events that the relay counts as acknowledged by all members."""
 
     name = "early"
 
@@ -42,15 +42,15 @@
             if member.name.startswith(CONNECTION_NAME_PREFIX):
                 continue
             failure = (
-                self._unaccepted_event(relay_node, member.name, numbers)
-                or self._missing_purge(cluster, node, relay_node, member.name, numbers)
-                or self._missing_list(cluster, relay_node, member.name, acknowledged)
+                self._unaccepted_event_failure(relay_node, member.name, numbers)
+                or self._missing_purge_failure(cluster, node, relay_node, member.name, numbers)
+                or self._missing_list_failure(cluster, relay_node, member.name, acknowledged)
             )
             if failure:
                 return failure
         return None
 
-    def _unaccepted_event(self, relay_node: RelayNode, name: str, numbers: range) -> str | None:
+    def _unaccepted_event_failure(self, relay_node: RelayNode, name: str, numbers: range) -> str | None:
         relay = relay_node.relay
         events = [event.number for event in relay.state.log.events_after(0) if event.number in numbers]
         accepted = self._observations.accepted_numbers.get((name, relay.epoch), 0)
@@ -58,7 +58,7 @@
             return f"{numbers[-1]} is acknowledged, but {name} has accepted {accepted}, not {events[-1]}"
         return None
 
-    def _missing_list(
+    def _missing_list_failure(
         self, cluster: SimulatedCluster, relay_node: RelayNode, name: str, acknowledged: int
     ) -> str | None:
         """Check the list of a router that has one; a router without a list has restarted since it got it."""
@@ -75,7 +75,7 @@
             )
         return None
 
-    def _missing_purge(
+    def _missing_purge_failure(
         self, cluster: SimulatedCluster, node: Node, relay_node: RelayNode, name: str, numbers: range
     ) -> str | None:
         """Check a member that polled in its present incarnation, or that started before the purge."""
@@ -95,7 +95,7 @@
         return self._observations.history.issued_at_ms(purge.target, purge.issued_unix_ms)
 
     def _lacks(self, machine: object, purge: RelayPurge) -> bool:
-        """Return whether a router lacks a purge, or a downstream relay has not acknowledged it."""
+        """Return whether a router lacks a purge, or a relay has it but lacks acknowledgements for it."""
         if isinstance(machine, RouterNode):
             return machine.state.purges.get(purge.target, -math.inf) < purge.issued_unix_ms
         if not isinstance(machine, RelayNode):
--- a/packages/fakes/src/fakes/event_log.py
+++ b/packages/fakes/src/fakes/event_log.py
@@ -29,7 +29,7 @@
 
 
 def parse_query(target: str) -> dict[str, str]:
-    """Return the query parameters of a request target; of a repeated one, the first value."""
+    """Return the query parameters of a request target, with the first value of a repeated one."""
     return {name: values[0] for name, values in parse_qs(urlsplit(target).query).items()}
 
 
--- a/packages/fleet-harness/src/fleet_harness/udp_relay.py
+++ b/packages/fleet-harness/src/fleet_harness/udp_relay.py
@@ -66,10 +66,10 @@
         """Relay a datagram to this router (called by Twisted)."""
         self._relay.route(addr, self._name, datagram)
 
-    def send(self, datagram: bytes, to: Address) -> None:
+    def send(self, datagram: bytes, destination: Address) -> None:
         """Send from the public address; a send error is counted and the datagram is lost."""
         try:
-            cast(Any, self.transport).write(datagram, to)
+            cast(Any, self.transport).write(datagram, destination)
         except OSError:
             self._relay.counters.send_failures += 1
 
--- a/packages/fleet-scale/src/fleet_scale/environment/environment_processes.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/environment_processes.py
@@ -50,7 +50,7 @@
     membership: bool = False
     full_routers: bool = False
     requests_per_s: float = 0.0  # sent to each full router
-    batch_window_ms: float = 150.0  # of the relays
+    batch_window_ms: float = 150.0  # time for which relays collect events
     relays_per_router: int = 2
 
 
--- a/packages/fleet-scale/src/fleet_scale/environment/scale_environment.py
+++ b/packages/fleet-scale/src/fleet_scale/environment/scale_environment.py
@@ -160,7 +160,7 @@
         return merge_deliveries(reply.by_number for reply in replies)
 
     def state(self, names: Iterable[str] | None = None) -> FleetState:
-        """Return the state of these hollow routers; without names, of all."""
+        """Return the state of these hollow routers, or of all if ``names`` is None."""
         command = ReportRouterStates(None if names is None else tuple(names))
         return merge_states(call_all(self.hollow_workers, command, RouterStates))
 
--- a/packages/fleet-scale/src/fleet_scale/messages/commands.py
+++ b/packages/fleet-scale/src/fleet_scale/messages/commands.py
@@ -42,7 +42,7 @@
 
 
 class ReportRouterStates(Message, frozen=True):
-    """Report the state of these hollow routers; without names, of all."""
+    """Report the state of these hollow routers, or of all if ``names`` is None."""
 
     names: tuple[str, ...] | None = None
 
--- a/packages/fleet-scale/src/fleet_scale/router_files.py
+++ b/packages/fleet-scale/src/fleet_scale/router_files.py
@@ -29,7 +29,7 @@
 
 
 def router_settings(location: RouterLocation) -> dict[str, Any]:
-    """Return the settings of a router: one request class, and every site as a zone of one instance."""
+    """Return the settings of a router: one request class, and each site as a zone with one router."""
     specifics = SETTINGS["specifics"] | {
         "instancesByZone": [1] * len(location.all_sites),
         "purgeTakesMs": PURGE_PROPAGATION_MS,
--- a/packages/fleet-scale/src/fleet_scale/runs/cost.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/cost.py
@@ -117,7 +117,7 @@
     discovery: DiscoveryCost
     relay: RelayCost
     full_router: FullRouterCost
-    machine_busy_share: float  # of all cores, including other programs
+    machine_busy_share: float  # share of all cores that is busy, also with other programs
 
 
 def cost_between(before: Sample, after: Sample) -> Cost:
--- a/packages/fleet-scale/src/fleet_scale/runs/fault_run.py
+++ b/packages/fleet-scale/src/fleet_scale/runs/fault_run.py
@@ -49,10 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UnaffectedRouters:
-    """How purges reached the routers that a fault does not affect."""
+    """How purges reached the routers that a fault does not affect.
+
+    ``p99_ms`` is the 99th percentile of the time until the last router has a purge, without the processes
+    that run an affected router.
+    """
 
     lost_purges: int
-    p99_ms: float  # of the routers in processes that hold no affected router
+    p99_ms: float
 
 
 class FaultRunner:
--- a/packages/fleet-scale/src/fleet_scale/worker/hollow_router_group.py
+++ b/packages/fleet-scale/src/fleet_scale/worker/hollow_router_group.py
@@ -91,7 +91,7 @@
             router.reset_connection()
 
     def states(self, names: Iterable[str] | None = None) -> RouterStates:
-        """Return the merged state of these routers; without names, of all that run."""
+        """Return the merged state of these routers, or of all running ones if ``names`` is None."""
         routers = self._select(self._running if names is None else names)
         newest_purges = [router.purges.highest for router in routers]
         return RouterStates(
