--- a/benchmarks/list_growth.py
+++ b/benchmarks/list_growth.py
@@ -3,9 +3,10 @@
     PYTHONPATH=. python benchmarks/list_growth.py [--requests N] [--sizes N,N] [PART...]
 
 Parts: ``decisions`` (CPU time of a request and its outcome), ``changes`` (CPU time of one changed entry and
-of a complete list) and ``memory`` (of the list, and of more objects than the router's caches hold); all of
-them by default.  Each request is for a new object, and a tenth of the servers are parents.  CPU time is that
-of the process, the minimum of several rounds; memory is measured in a fresh process for each cell.
+of a complete list) and ``memory`` (its growth by the list, and then by requests for more objects than the
+router's caches hold); all of them by default.  Each request is for a new object, and a tenth of the servers
+are parents.  CPU time is that of the process, the minimum of several rounds; memory is measured in a fresh
+process for each cell.
 """
 
 from __future__ import annotations
@@ -28,9 +29,10 @@
 # Layouts: the number of sites that the servers are spread over evenly, and its name in the tables.
 LAYOUTS = {1: "one site", 3: "three sites", 58: "58 sites"}
 SERVERS_PER_PARENT = 10
-# More than the 8,192 objects that each of the router's internal caches holds.
-CACHED_OBJECTS = 10_000
-# Number of changes of one entry, of whose costs the mean is taken.
+# Number of requests, each for a new object, after which memory is measured: more than the 8,192 objects
+# that each of the router's internal caches holds.
+MEMORY_REQUESTS = 10_000
+# Number of changes of one entry; the mean of their costs is reported.
 CHANGES = 50
 
 
@@ -95,11 +97,11 @@
 def measure_memory_growth(options: Options) -> None:
     """Print the growth of memory by the list and by the objects, by servers and layout."""
     rows = [(f"{size:,}", *(_memory_cell(size, sites) for sites in LAYOUTS)) for size in options.sizes]
-    print_table(layout_columns("servers", f"KB of the list; KB of {CACHED_OBJECTS:,} objects"), rows)
+    print_table(layout_columns("servers", f"KB of the list; KB of {MEMORY_REQUESTS:,} objects"), rows)
 
 
 def _memory_cell(servers: int, sites: int) -> str:
-    memory = run_in_fresh_process(measure_memory, build_entries, (servers, sites), CACHED_OBJECTS)
+    memory = run_in_fresh_process(measure_memory, build_entries, (servers, sites), MEMORY_REQUESTS)
     return f"{memory.list_kb}; {memory.requests_kb}"
 
 
