--- a/thornjunction/estimates.py
+++ b/thornjunction/estimates.py
@@ -1,6 +1,6 @@
-"""Estimators that the decisions share: stable hashes, smoothed means, a quantile, percentiles of scores.
+"""Estimators that routing decisions share: stable hashes, smoothed means, a quantile, percentiles of scores.
 
-This module takes no decisions, reads no clock and draws no random numbers.
+This module makes no decisions, reads no clock and draws no random numbers.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 # Lower bound of the typical latency, as a share of the latency objective.
 MIN_OBJECTIVE_SHARE = 0.2
 
-# Weight that stands for a weight of zero, so that such a server has a score, below all others.
+# Weight used in place of zero, so that a server of weight zero has a score, below all others.
 MIN_WEIGHT = 1e-9
 # Size of a request whose class has no known sizes yet.
 DEFAULT_SIZE_KB = 1.0
@@ -79,7 +79,7 @@
 
 
 class TypicalLatency:
-    """The latency within which most answers of a request class come, as a share of its objective.
+    """The latency within which most answers of a request class arrive, as a share of its objective.
 
     The quantile is estimated by stochastic approximation: an answer that takes longer increases the estimate
     by a large step, any other decreases it by a small one, in the proportion of the quantile.
@@ -130,7 +130,7 @@
         self.class_means = {name: self.class_means.get(name, SmoothedMean(SLOW_GAIN)) for name in class_names}
 
     def add(self, class_name: str, size_kb: float) -> None:
-        """Add the size of a response, announced with the request or known from the answer."""
+        """Add the size of a response, announced with the request or reported with its answer."""
         if class_name in self.class_means:
             self.class_means[class_name].add(size_kb)
         self.overall_mean.add(size_kb)
--- a/thornjunction/limits/__init__.py
+++ b/thornjunction/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that a fleet of routers keeps together although its routers do not communicate; no clock, no I/O."""
+"""Load limits that hold for a whole fleet although its routers do not communicate; no clock, no I/O."""
--- a/thornjunction/limits/admission_gates.py
+++ b/thornjunction/limits/admission_gates.py
@@ -1,4 +1,4 @@
-"""Admission gates: the share of new requests that is admitted, learnt from how earlier ones ended.
+"""Admission gates: the share of new requests that is admitted, adjusted by the outcomes of earlier ones.
 
 Additive increase and multiplicative decrease (Chiu and Jain, 1989), as in TCP's congestion avoidance.
 """
@@ -15,13 +15,13 @@
 IN_TIME_INCREASE = 0.04
 # Lower bound of the share: some requests are always admitted, whose answers show that the overload is over.
 MIN_SHARE = 0.05
-# Increase of the share in each ms, whatever the answers: it opens a shut gate in seven seconds.
+# Increase of the share in each ms, whatever the answers are: a shut gate is fully open after seven seconds.
 RECOVERY_PER_MS = 0.00015
-# Chance of a large request to be admitted, as a multiple of its class's: at least this, so that large
+# Lower bound of a large request's probability of admission, as a multiple of its class's, so that large
 # requests are not all rejected.
 LARGE_REQUEST_FACTOR = 0.7
-# A late answer counts as one more for each such span since the answer before it, as other routers got late
-# answers meanwhile.
+# A late answer counts as one more for each such time since the previous answer, because other routers
+# received late answers in the meantime.
 ANSWER_SPAN_MS = 50.0
 # Upper bound of the number of answers that one late answer counts as.
 MAX_ANSWER_WEIGHT = 9.0
@@ -35,7 +35,7 @@
     the same bytes; ``LARGE_REQUEST_FACTOR`` bounds that within a class.
 
     Each of hundreds of routers gets few answers. So a late answer has more weight the longer ago the previous
-    answer came, and the share also increases with time.
+    answer arrived, and the share also increases with time.
     """
 
     def __init__(self, recovery_per_ms: float = RECOVERY_PER_MS) -> None:
--- a/thornjunction/limits/idempotency.py
+++ b/thornjunction/limits/idempotency.py
@@ -12,7 +12,7 @@
 
 # Keys of requests that may have been executed; while the table is full, no request with a new key is sent.
 MAX_KEYS = 8192
-# Time for which a key is kept: a client's later attempts come within ten minutes.
+# Time for which a key is kept: a client sends its later attempts within ten minutes.
 KEY_LIFETIME_MS = 600_000.0
 
 # Statuses of an attempt that prove that the request was not executed.
@@ -40,7 +40,7 @@
 def repeat_window_ms(
     request_class: api.RequestClass, execution: PossibleExecution | None, now_ms: float
 ) -> float:
-    """Return how long the servers that may have executed a request will still discard its repeat."""
+    """Return for how many ms the servers that may have executed a request will still discard its repeat."""
     if execution is None or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return math.inf
     if request_class.idempotency is api.Idempotency.KEYED:
@@ -94,7 +94,7 @@
             del self.by_key[oldest]
         return not key or key in self.by_key or len(self.by_key) < MAX_KEYS
 
-    def note(self, key: str, execution: PossibleExecution) -> None:
+    def record(self, key: str, execution: PossibleExecution) -> None:
         """Record an attempt that is sent, unless an earlier one is recorded under the key."""
         self.by_key.setdefault(key, execution)
 
--- a/thornjunction/limits/purges.py
+++ b/thornjunction/limits/purges.py
@@ -34,8 +34,8 @@
         self.purged_at_ms[target] = max(purged_at_ms, earlier_ms)
         if len(self.purged_at_ms) > MAX_PURGES:
             oldest = next(iter(self.purged_at_ms))
-            forgotten_ms = self.purged_at_ms.pop(oldest)
-            self._everything_purged_at_ms = max(self._everything_purged_at_ms, forgotten_ms)
+            evicted_purge_ms = self.purged_at_ms.pop(oldest)
+            self._everything_purged_at_ms = max(self._everything_purged_at_ms, evicted_purge_ms)
 
     def max_age_ms(
         self, request: api.Request, fresh_ms: float, now_ms: float, grace_ms: float = 0.0
--- a/thornjunction/limits/retry_budget.py
+++ b/thornjunction/limits/retry_budget.py
@@ -1,7 +1,7 @@
 """The retry budget, which all routers of a fleet share, and the backoff before a retry.
 
-Hundreds of routers with a small reserve of retries each would have a large one together, and spend it when a
-shared server is overloaded. So each router has its part of one reserve of the fleet.
+If each of hundreds of routers had a small reserve of retries, they would have a large one together, and use
+it up on a shared server that is overloaded. So each router has a part of one reserve of the fleet.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
         """Whether one more retry may be sent."""
         return self.tokens >= 1
 
-    def earn(self) -> None:
-        """Add the tokens that one request earns."""
+    def deposit(self) -> None:
+        """Add the part of a token for one request."""
         self.tokens = min(self.tokens + RETRIES_PER_REQUEST, self.capacity)
 
-    def spend(self) -> None:
+    def withdraw(self) -> None:
         """Take the token of a retry that is sent."""
         self.tokens -= 1
 
--- a/thornjunction/limits/slow_start.py
+++ b/thornjunction/limits/slow_start.py
@@ -16,7 +16,7 @@
 # Share of a cold server's budget that a router uses in each window: one window of the server may overlap with
 # two of the router, which together must stay within the budget.
 WINDOW_BUDGET_SHARE = 0.5
-# Share of the load that reaches the parents, if the settings give no capacities.
+# Share of a router's load that reaches the parents, assumed if the settings give no capacities.
 PARENT_LOAD_SHARE = 0.25
 # Start time of a server that was warm when it was first listed.
 LONG_AGO_MS = -math.inf
@@ -26,7 +26,7 @@
     """The transfer time that this router has sent to one server in the present window."""
 
     def __init__(self, started_ms: float) -> None:
-        """Begin with a server that started at this time; 0 stands for long ago."""
+        """Begin for a server that started at this time; 0 means that it started long ago."""
         self.cold_since_ms = started_ms if started_ms > 0 else LONG_AGO_MS
         self.spent_ms = 0.0
         # Length of the present window as a share of a full one; its budget is the same share.
@@ -61,12 +61,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RoleTerms:
+class RoleParameters:
     """The slow-start parameters of the servers of one role."""
 
-    start_share: float  # share of its capacity that a server has at its start
+    initial_share: float  # share of its capacity that a server has at its start
     warm_up_ms: float  # time until a server has its full capacity
-    surge_multiple: float  # load that a cold server can take for one window, as a multiple of its capacity
+    overload_multiple: float  # load that a cold server can take for one window, as a multiple of its capacity
     routers: int  # number of routers that share the server
     load_share: float  # share of this router's load that reaches the role
 
@@ -81,7 +81,7 @@
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self._draw = draw
-        self._terms: dict[api.Role, RoleTerms] = {}
+        self._parameters: dict[api.Role, RoleParameters] = {}
         self._has_weights = False
         self.window_ms = 1.0
         # Transfer time of the requests to this router, in ms per ms.
@@ -92,58 +92,62 @@
         self._max_listed = dict.fromkeys(api.Role, 1)
 
     def adopt(self, settings: api.Settings) -> None:
-        """Limit the load by these settings from now on."""
+        """Use these settings for all later limits."""
         zone_routers = settings.routers_by_zone.get(settings.zone, settings.router_count)
-        edge = RoleTerms(
-            start_share=settings.initial_capacity_share,
+        edge = RoleParameters(
+            initial_share=settings.initial_capacity_share,
             warm_up_ms=settings.slow_start_ms,
-            surge_multiple=settings.overload_multiple,
+            overload_multiple=settings.overload_multiple,
             routers=max(zone_routers, 1),
             load_share=1.0,
         )
-        parent = RoleTerms(
-            start_share=settings.parent_initial_capacity_share,
+        parent = RoleParameters(
+            initial_share=settings.parent_initial_capacity_share,
             warm_up_ms=settings.parent_slow_start_ms,
-            surge_multiple=settings.parent_overload_multiple,
+            overload_multiple=settings.parent_overload_multiple,
             routers=max(settings.router_count, 1),
             load_share=PARENT_LOAD_SHARE,
         )
-        origin = RoleTerms(start_share=1.0, warm_up_ms=0.0, surge_multiple=0.0, routers=1, load_share=0.0)
-        self._terms = {api.Role.EDGE: edge, api.Role.PARENT: parent, api.Role.ORIGIN: origin}
+        origin = RoleParameters(
+            initial_share=1.0, warm_up_ms=0.0, overload_multiple=0.0, routers=1, load_share=0.0
+        )
+        self._parameters = {api.Role.EDGE: edge, api.Role.PARENT: parent, api.Role.ORIGIN: origin}
         self._has_weights = settings.servers_weighted
         self.window_ms = max(settings.overload_window_ms, 1.0)
 
-    def note_listed(self, role: api.Role, count: int) -> None:
+    def record_listed(self, role: api.Role, count: int) -> None:
         """Record the number of servers of a role in a new list."""
         self._max_listed[role] = max(self._max_listed[role], count)
 
-    def note_request(self, transfer_ms: float) -> None:
+    def record_request(self, transfer_ms: float) -> None:
         """Count a new request; ``transfer_ms`` is the mean transfer time of its class."""
         self._demand_ms += transfer_ms
 
-    def end_interval(self, elapsed_ms: float, *, strained: bool) -> None:
+    def end_interval(self, elapsed_ms: float, *, overloaded: bool) -> None:
         """Learn the load from the requests since the last call.
 
-        Under strain, repeats of clients increase the load, so it may then only decrease.
+        During an overload, clients repeat requests, which increases the load, so it may then only decrease.
         """
         load = self._demand_ms / elapsed_ms
-        if strained:
+        if overloaded:
             load = min(load, self.offered_load.get(load))
         self.offered_load.add(load)
         self._demand_ms = 0.0
 
     def rate(self, entry: api.ServerEntry, window: SlowStartWindow, now_ms: float) -> float:
         """Return the transfer time that may be sent to a server, in ms per ms; infinite once it is warm."""
-        terms = self._terms[entry.role]
+        parameters = self._parameters[entry.role]
         age_ms = max(now_ms - window.cold_since_ms, 0.0)
-        if age_ms >= terms.warm_up_ms:
+        if age_ms >= parameters.warm_up_ms:
             return math.inf
         if self._has_weights:
-            capacity = entry.weight / terms.routers
+            capacity = entry.weight / parameters.routers
         else:  # the load of a warm server from this router alone
-            capacity = self.offered_load.get(0.0) * terms.load_share / self._max_listed[entry.role]
-        warm_share = terms.start_share + (1 - terms.start_share) * age_ms / terms.warm_up_ms
-        return WINDOW_BUDGET_SHARE * terms.surge_multiple * warm_share * capacity
+            capacity = self.offered_load.get(0.0) * parameters.load_share / self._max_listed[entry.role]
+        warm_share = (
+            parameters.initial_share + (1 - parameters.initial_share) * age_ms / parameters.warm_up_ms
+        )
+        return WINDOW_BUDGET_SHARE * parameters.overload_multiple * warm_share * capacity
 
     def admits(
         self, entry: api.ServerEntry, window: SlowStartWindow, transfer_ms: float, now_ms: float
--- a/thornjunction/policy/__init__.py
+++ b/thornjunction/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the router; ``Router`` turns events into actions (``thornjunction.interface``)."""
+"""Routing decisions: ``Router`` turns events into actions (``thornjunction.interface``)."""
--- a/thornjunction/policy/admission.py
+++ b/thornjunction/policy/admission.py
@@ -12,7 +12,7 @@
 
 # Transfer rate of one answer in KB per ms, where the settings give none.
 DEFAULT_TRANSFER_RATE_KB_PER_MS = 5.0
-# Decayed count of earlier requests for an object from which on the object is likely to be cached.
+# Decayed count of earlier requests for an object, at or above which the object is likely to be cached.
 LIKELY_CACHED_COUNT = 0.5
 
 
@@ -36,7 +36,7 @@
         self._last_token = 0
 
     def adopt(self, settings: api.Settings) -> None:
-        """Admit requests by these settings from now on; an open request keeps its earlier ones."""
+        """Use these settings for new requests; an open request keeps those that it was admitted under."""
         self._transfer_rate_kb_per_ms = settings.transfer_rate_kb_per_ms or DEFAULT_TRANSFER_RATE_KB_PER_MS
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.typical_latencies = {
@@ -54,8 +54,8 @@
             return
         size_kb = self._sizes.learn_announced(request_class.name, event.size_kb)
         mean_kb = self._sizes.class_mean_kb(request_class.name)
-        self._slow_start.note_request(mean_kb / self._transfer_rate_kb_per_ms)
-        self._retry_budget.earn()
+        self._slow_start.record_request(mean_kb / self._transfer_rate_kb_per_ms)
+        self._retry_budget.deposit()
         request = self._pending(event, request_class, size_kb=size_kb, mean_kb=mean_kb)
         self._requests.add(request)
         self._start_deadline(request)
@@ -75,7 +75,7 @@
         settings = self._context.settings
         object_hash = mix64(mix64(event.key) ^ event.part)
         transfer_ms = size_kb / self._transfer_rate_kb_per_ms
-        # At a cold server a request of unknown size costs its latency objective: it must not be free.
+        # A request of unknown size costs a cold server's budget its latency objective: it must not be free.
         floor_ms = self._sizes.unknown_size_floor(
             request_class.name, request_class.latency_objective_ms, has_capacities=settings.servers_weighted
         )
--- a/thornjunction/policy/attempts.py
+++ b/thornjunction/policy/attempts.py
@@ -37,7 +37,7 @@
         token of the retry budget.
         """
         if request.attempts_started > request.peer_lookups:
-            self._retry_budget.spend()
+            self._retry_budget.withdraw()
         fill = self._planner.plan_fill(request, server, source)
         now_ms = self._context.now_ms
         attempt = Attempt(
@@ -87,4 +87,4 @@
         request.in_flight.append(attempt)
         request.attempts_started += 1
         if request.idempotency_key:
-            self._executions.note(request.idempotency_key, attempt.execution)
+            self._executions.record(request.idempotency_key, attempt.execution)
--- a/thornjunction/policy/candidates.py
+++ b/thornjunction/policy/candidates.py
@@ -4,7 +4,7 @@
 same few servers, and a server that leaves moves its own objects only.  Small groups are ranked by a score for
 each server (Thaler and Ravishankar, 1998).  That costs time in the size of the group, so large groups draw
 their candidates from a table instead (``CandidateGroup._draw_best``), in a time that does not grow with the
-group.  ``docs/design/placement.md`` compares the options and gives the figures.
+group's size.  ``docs/design/placement.md`` compares the options and gives the figures.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 # Size of the largest group whose servers are all scored for each object.  A score takes 0.5 us, so for larger
 # groups drawing from the table is cheaper.
 MAX_SCORED_SERVERS = 224
-# Servers beyond ``MAX_SCORED_SERVERS`` from which on the table ranks all objects; each of these servers adds
-# an equal part of the objects.
-TABLE_BLEND = 64
+# Number of servers beyond ``MAX_SCORED_SERVERS`` at which the table ranks all objects; each of these servers
+# adds an equal part of the objects.
+TABLE_TRANSITION = 64
 # Slots of the table: one for each value of the 16-bit numbers that are drawn.
 TABLE_SLOTS = 1 << 16
 # Slots of each server: two halve the number of draws.  Servers may share a slot: at 3,200 servers in a group
@@ -48,7 +48,7 @@
 
 ServerT = TypeVar("ServerT")
 _SCORE_OF = itemgetter(0)
-# Key of a cached ranking: a group's version, whether weights count, the object's hash.
+# Key of a cached ranking: a group's version, whether weights are used, the object's hash.
 RankingKey = tuple[int, bool, int]
 
 
@@ -127,12 +127,12 @@
 
     def put(self, server_id: str, server: ServerT, weight: float) -> None:
         """Add a server, or replace one of the same id by its new process or weight."""
-        known = self._members.get(server_id)
-        if known is not None and known.weight == weight:
-            known.server = server  # the rankings stay as they are
+        existing = self._members.get(server_id)
+        if existing is not None and existing.weight == weight:
+            existing.server = server  # the cached rankings stay valid
             return
-        if known is not None:
-            self._unindex(known)
+        if existing is not None:
+            self._unindex(existing)
         member = Member(server_id, server, weight, mix64(zlib.crc32(server_id.encode())))
         self._members[server_id] = member
         insort(self._by_salt, member, key=_order_by_salt)
@@ -183,11 +183,11 @@
     def _uses_table(self, object_hash: int) -> bool:
         """Return whether the table ranks this object.
 
-        Each server beyond ``MAX_SCORED_SERVERS`` moves one part in ``TABLE_BLEND`` of the objects to the
+        Each server beyond ``MAX_SCORED_SERVERS`` moves one part in ``TABLE_TRANSITION`` of the objects to the
         table. If all objects moved at one size of the group, each restart of a server at that size would give
         all objects new candidates, and then again their former ones.
         """
-        return object_hash % TABLE_BLEND < len(self._members) - MAX_SCORED_SERVERS
+        return object_hash % TABLE_TRANSITION < len(self._members) - MAX_SCORED_SERVERS
 
     def _rank(self, object_hash: int, weighted: bool) -> list[Member[ServerT]]:
         """Return the best members first: all members of a small group, the first few of a large one."""
@@ -248,15 +248,15 @@
         """Return the first arrival of each server within ``count`` draws, by server id."""
         table = self._table
         arrivals: dict[str, _Arrival[ServerT]] = {}
-        hits = [
+        occupied = [
             (position, slot) for position, slot in enumerate(_draw_slots(object_hash, count)) if slot in table
         ]
-        for position, slot in hits:
+        for position, slot in occupied:
             for member in table[slot]:
                 if member.server_id not in arrivals:
                     weight = max(member.weight, MIN_WEIGHT) if weighted else 1.0
-                    tie = mix64(object_hash ^ member.salt)
-                    arrivals[member.server_id] = _Arrival((position + 1) / weight, tie, member)
+                    tie_breaker = mix64(object_hash ^ member.salt)
+                    arrivals[member.server_id] = _Arrival((position + 1) / weight, tie_breaker, member)
         return arrivals
 
 
@@ -265,7 +265,7 @@
     """The first draw of a server for an object; ``time`` is its position divided by the server's weight."""
 
     time: float
-    tie: int  # hash that orders servers on one slot
+    tie_breaker: int  # hash that orders the servers of one slot
     member: Member[ServerT]
 
 
@@ -284,4 +284,4 @@
 
 def _order_by_arrival(arrival: _Arrival[ServerT]) -> tuple[float, int]:
     """Return the sort key of an arrival, the best candidate first."""
-    return arrival.time, arrival.tie
+    return arrival.time, arrival.tie_breaker
--- a/thornjunction/policy/context.py
+++ b/thornjunction/policy/context.py
@@ -1,4 +1,4 @@
-"""The context in which the parts of the decisions handle an event."""
+"""The context that all decision components use while they handle an event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.adopt(settings)
 
     def adopt(self, settings: api.Settings) -> None:
-        """Decide by these settings from now on."""
+        """Use these settings for all later decisions."""
         self.settings = settings
         # Whether outcomes do not report hits, fills and sources.
         self.fills_unreported = settings.fill_reporting is api.FillReporting.NONE
--- a/thornjunction/policy/dispatch.py
+++ b/thornjunction/policy/dispatch.py
@@ -14,8 +14,8 @@
 from thornjunction.policy.retry_policy import NoAttempt, RetryPolicy, Send
 from thornjunction.policy.state import DecisionState
 
-# Servers that may answer a request with an error. After that many the request itself counts as the cause
-# and is given up, so that one bad request does not use up its attempts.
+# Number of servers that may answer a request with an error. After that many, the request itself counts as
+# the cause and is given up, so that one faulty request does not use up its attempts.
 MAX_ERROR_ANSWERS = 3
 # Statuses of an attempt whose answer was lost: the server may still have the object cached.
 LOST_ANSWER_STATUSES = (api.AttemptStatus.CONNECTION_RESET, api.AttemptStatus.ERROR)
@@ -101,7 +101,7 @@
         self.dispatch(request)
 
     def _exclude_faulty(self, event: api.AttemptEnded, attempt: Attempt) -> None:
-        """Exclude the server or source that is at fault from the further attempts of the request."""
+        """Exclude the server or source that caused the failure from further attempts of the request."""
         request = attempt.request
         server = attempt.server
         source_failed = event.fill_result in SOURCE_FAULTS
@@ -112,6 +112,6 @@
             request.tried_servers.add(attempt.source.id)
         if source_failed:
             return
-        erred_before = server in request.faulty_servers[:-1]
-        if not answer_lost or server.outliers.is_ejected or erred_before:
+        failed_before = server in request.faulty_servers[:-1]
+        if not answer_lost or server.outliers.is_ejected or failed_before:
             request.tried_servers.add(server.id)
--- a/thornjunction/policy/fetch_plan.py
+++ b/thornjunction/policy/fetch_plan.py
@@ -17,7 +17,7 @@
 from thornjunction.policy.timing import ANSWER_MARGIN_MS
 from thornjunction.policy.upstreams import Upstream
 
-# Peer lookups of one request: a third would rarely find what two did not.
+# Maximum of peer lookups for one request: a third would rarely find an object that two did not.
 MAX_PEER_LOOKUPS = 2
 # Retention rank of an uncacheable object, which passes through a cache and is not kept.
 NO_RANK = 0
@@ -86,8 +86,8 @@
     def fetch_action(self, attempt: Attempt) -> api.StartAttempt:
         """Return the action that starts an attempt.
 
-        Its timeout is the rest of the request's: a fill that is cancelled early is fetched again and adds to
-        an overload. ``silence`` detects servers that do not answer at all.
+        Its timeout is the time left until the request's deadline: a fill that is cancelled early is fetched
+        again and adds to an overload. ``silence`` detects servers that do not answer at all.
         """
         request = attempt.request
         request_class = request.request_class
--- a/thornjunction/policy/fill_ranking.py
+++ b/thornjunction/policy/fill_ranking.py
@@ -2,7 +2,7 @@
 
 An object's score is either d1 = hits/s x fetch time / size, the cost that caching it saves, or d2 =
 hits/s. A random number selects one of the two for each fill. The probability of d1 rises while fills are
-strained, and falls while the link is.
+overloaded, and falls while the link is nearly full.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from thornjunction.estimates import FAST_GAIN, RecentScores, SmoothedMean
 
-# Time in which a count of requests decays to its half, as in the paper.
+# Half-life of the decaying count of requests, as in the paper.
 COUNT_HALF_LIFE_MS = 10_000.0
 # Objects whose requests are counted; the one requested longest ago is evicted.
 MAX_COUNTED_OBJECTS = 8192
@@ -45,7 +45,7 @@
 
 
 def rank_of(percentile: float) -> int:
-    """Return the rank, 1 to 3, for a score's place among recent ones."""
+    """Return the rank, 1 to 3, for a score's percentile among recent ones."""
     if percentile > HIGH_RANK_ABOVE:
         return 3
     if percentile > MIDDLE_RANK_ABOVE:
@@ -66,18 +66,18 @@
         self.cost_scores = RecentScores()
         self.hit_scores = RecentScores()
 
-    def adjust(self, *, fills_strained: bool) -> None:
+    def adjust(self, *, fills_overloaded: bool) -> None:
         """Move the probability of ranking by cost one step; call this once a second.
 
         It rises while fills are slow or fail, and falls while the link is nearly full. Without reports of the
-        link's utilization it returns to its start once fills are no longer strained.
+        link's utilization it returns to its start once fills are no longer overloaded.
         """
-        link_strained = self.link_load.get(0.0) > LINK_NEAR_FULL
-        if fills_strained and not link_strained:
+        link_near_full = self.link_load.get(0.0) > LINK_NEAR_FULL
+        if fills_overloaded and not link_near_full:
             self.cost_probability = min(self.cost_probability + COST_PROBABILITY_STEP, 1.0)
-        elif link_strained and not fills_strained:
+        elif link_near_full and not fills_overloaded:
             self.cost_probability = max(self.cost_probability - COST_PROBABILITY_STEP, 0.0)
-        elif self.link_load.value is None and not fills_strained:
+        elif self.link_load.value is None and not fills_overloaded:
             lowered = self.cost_probability - COST_PROBABILITY_STEP
             self.cost_probability = max(lowered, START_COST_PROBABILITY)
 
@@ -95,7 +95,7 @@
         return earlier
 
     def rank(self, object_hash: int, transfer_ms: float) -> int:
-        """Return the rank, 1 to 3, at which a fill is cached; 3 stays longest."""
+        """Return the rank, 1 to 3, at which a fill is cached; an object of rank 3 is kept longest."""
         entry = self.counts.get(object_hash)
         count = 1.0 if entry is None else entry.count
         if self._draw() >= self.cost_probability:
--- a/thornjunction/policy/hedging.py
+++ b/thornjunction/policy/hedging.py
@@ -31,8 +31,8 @@
         self._placement = placement
         self._gates = gates
         self._retry_budget = retry_budget
-        # Shuts as hedges lose to the first attempt: they help if answers are lost, not if all answers are
-        # slow.
+        # Shuts while the first attempt is answered before the hedge: hedges help if answers are lost, not if
+        # all answers are slow.
         self.gate = AdmissionGate(recovery_per_ms=0.0)
 
     def send_due(self) -> None:
--- a/thornjunction/policy/outcomes.py
+++ b/thornjunction/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcome learning: updates estimates and limits of caches and sources as attempts end."""
+"""Outcome learning: updates the estimates and limits of caches and sources when attempts end."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 HEALTHY_STATUSES = (api.AttemptStatus.SUCCEEDED, api.AttemptStatus.CACHE_MISS)
 # Fill results of a fill that succeeded.
 FILLED = frozenset({api.FillResult.FILLED, api.FillResult.FILLED_FROM_ORIGIN})
-# Fill results that say how the origin did.
+# Fill results that show whether the origin worked.
 FROM_ORIGIN = frozenset({api.FillResult.FILLED_FROM_ORIGIN, api.FillResult.ORIGIN_FAILED})
 
 
 class OutcomeLearning:
-    """Passes each outcome to the estimates and limits that learn from it."""
+    """Updates all estimates and limits that depend on the outcomes of attempts."""
 
     def __init__(
         self,
@@ -70,8 +70,8 @@
         timed_out = status is api.AttemptStatus.TIMEOUT
         unreachable = status is api.AttemptStatus.CONNECTION_REFUSED or (server.is_unreachable and timed_out)
         if status is api.AttemptStatus.ERROR and not source_failed:
-            # The request itself may be the cause: ``_learn_success`` blames the server once another one
-            # served.
+            # The request itself may be the cause: ``_learn_success`` records a failure of this server once
+            # another one has served the request.
             attempt.request.faulty_servers.append(server)
         elif status is api.AttemptStatus.CONNECTION_RESET and not source_failed:
             server.outliers.record_reset(now_ms)
@@ -90,7 +90,7 @@
     def _learn_success(self, attempt: Attempt) -> None:
         """Record a failure of each other server that answered this request with an error.
 
-        The request itself is not the cause, since it was served now.
+        The request itself is not the cause, since another server has served it.
         """
         request = attempt.request
         while request.faulty_servers:
@@ -112,7 +112,7 @@
             self._gates.record_end(attempt, math.inf, event.fill_result)
 
     def _learn_source(self, event: api.AttemptEnded, attempt: Attempt, *, source_failed: bool) -> None:
-        """Learn from a fill how its source did, if the outcome reports a fill or makes one likely."""
+        """Learn a source's health and first-byte time, if the outcome reports a fill or makes one likely."""
         source = attempt.source
         request = attempt.request
         if source is None or source is attempt.server:
@@ -128,7 +128,7 @@
             source.first_byte_ms.add(first_byte_ms)
             self._ranking.record_fill(request.object_hash, first_byte_ms)
         else:
-            # A failure must not lower the source's time to the first byte, however soon it came.
+            # A failure must not lower the source's time to the first byte, however early it was.
             source.outliers.record_failure(now_ms)
             failed_after_ms = event.fill_first_byte_ms or max(event.elapsed_ms, 0.0)
             source.first_byte_ms.add(max(failed_after_ms, source.first_byte_ms.get(0.0)))
--- a/thornjunction/policy/periodic.py
+++ b/thornjunction/policy/periodic.py
@@ -13,15 +13,15 @@
 TICK_TOKEN = 0
 # Time between ticks: far below every latency objective, and far above the cost of a tick.
 TICK_MS = 50.0
-# Waiting requests that one tick dispatches again; each of them costs a decision.
+# Maximum of waiting requests that one tick dispatches again; each of them costs a decision.
 MAX_RESUMED_PER_TICK = 10
-# Time between steps of the slowly changing estimates.
-STEP_INTERVAL_MS = 1000.0
-# Admitted share of the lower shared gate, below which fills count as strained.
-STRAINED_GATE_SHARE = 0.8
+# Time between updates of the slowly changing estimates.
+UPDATE_INTERVAL_MS = 1000.0
+# Admitted share of the lower shared gate, below which fills count as overloaded.
+OVERLOADED_GATE_SHARE = 0.8
 
 
-class EstimateSteps:
+class EstimateUpdates:
     """Updates the offered load and the fill ranking once a second."""
 
     def __init__(self, state: DecisionState) -> None:
@@ -29,19 +29,19 @@
         self._gates = state.gates
         self._ranking = state.ranking
         self._slow_start = state.placement.slow_start
-        self._stepped_at_ms: float | None = None
+        self._updated_at_ms: float | None = None
 
-    def step_if_due(self) -> None:
+    def update_if_due(self) -> None:
         """Update the estimates if a second has passed; the first call only starts the first second."""
         now_ms = self._context.now_ms
-        if self._stepped_at_ms is None:
-            self._stepped_at_ms = now_ms
-        elapsed_ms = now_ms - self._stepped_at_ms
-        if elapsed_ms < STEP_INTERVAL_MS:
+        if self._updated_at_ms is None:
+            self._updated_at_ms = now_ms
+        elapsed_ms = now_ms - self._updated_at_ms
+        if elapsed_ms < UPDATE_INTERVAL_MS:
             return
-        self._slow_start.end_interval(elapsed_ms, strained=self._gates.fills.share < 1)
-        self._ranking.adjust(fills_strained=self._gates.lowest_share < STRAINED_GATE_SHARE)
-        self._stepped_at_ms = now_ms
+        self._slow_start.end_interval(elapsed_ms, overloaded=self._gates.fills.share < 1)
+        self._ranking.adjust(fills_overloaded=self._gates.lowest_share < OVERLOADED_GATE_SHARE)
+        self._updated_at_ms = now_ms
 
 
 class PeriodicTasks:
@@ -57,7 +57,7 @@
         self._attempts = attempts
         self._hedging = hedging
         self._silence = SilenceDetector(state.context, state.requests, attempts, state.retry_budget)
-        self._estimate_steps = EstimateSteps(state)
+        self._estimate_updates = EstimateUpdates(state)
 
     def tick(self) -> None:
         """Run all tasks and set the timer of the next tick."""
@@ -67,10 +67,10 @@
             self._gates.record_if_late(attempt)
         self._silence.check()
         self._hedging.send_due()
-        self._estimate_steps.step_if_due()
+        self._estimate_updates.update_if_due()
 
     def _resume_waiting(self) -> None:
-        """Dispatch the requests that have waited longest; those that must wait again do so as the newest."""
+        """Dispatch the requests that have waited longest; any that must wait again is moved to the end."""
         due = self._requests.due(self._context.now_ms)
         for request in due[:MAX_RESUMED_PER_TICK]:
             self._requests.resume(request)
--- a/thornjunction/policy/placement.py
+++ b/thornjunction/policy/placement.py
@@ -1,8 +1,8 @@
 """Placement: chooses the edge cache that takes a request, and the source that fills a miss.
 
-The ordinary path follows Song et al., section 3: a hash of the object selects the cache and two parents.
-``candidates.py`` ranks the servers for an object; this module decides which of them may take this request
-now.  A decision iterates over the ranking lazily: it examines the first few servers, and up to
+An ordinary request is placed as in Song et al., section 3: a hash of the object selects the cache and two
+parents.  ``candidates.py`` ranks the servers for an object; this module decides which of them may take this
+request now.  A decision iterates over the ranking lazily: it examines the first few servers, and up to
 ``SERVERS_EXAMINED`` only if none of these is usable.
 
 Rules 2 and 4 in the docstrings are numbered as in the reports of the operators' simulator, lbsim.
@@ -69,16 +69,16 @@
         self._router_hash = router_hash
 
     def adopt(self, settings: api.Settings) -> None:
-        """Place requests by these settings from now on."""
+        """Use these settings for all later placements."""
         self.settings = settings
         self.slow_start.adopt(settings)
 
     def update(self, event: api.EndpointListUpdate, now_ms: float) -> None:
-        """Apply a list of servers, or changes of it."""
+        """Apply a list of servers, or changes to it."""
         self.server_list.update(event, self.settings, now_ms)
-        self.slow_start.note_listed(api.Role.EDGE, len(self.server_list.site_caches))
+        self.slow_start.record_listed(api.Role.EDGE, len(self.server_list.site_caches))
         for role, group in self.server_list.sources.items():
-            self.slow_start.note_listed(role, len(group))
+            self.slow_start.record_listed(role, len(group))
 
     def _ranked_caches(self, object_hash: int, skipped_blocks: int = 0) -> Iterator[Upstream]:
         """Return the caches of this zone in the order in which this router uses them for an object."""
@@ -94,7 +94,7 @@
         if zone == self.settings.zone:
             return self._ranked_caches(object_hash)
         return self.server_list.caches[zone].candidates(
-            object_hash, self.settings.servers_weighted, asker_hash=object_hash
+            object_hash, self.settings.servers_weighted, block_order_hash=object_hash
         )
 
     def _expected_first_byte_ms(self, parent: Upstream) -> float:
@@ -120,7 +120,7 @@
         return next(iter(self.server_list.sources[api.Role.ORIGIN]), None)
 
     def _sources(self, request: PendingRequest) -> Iterator[Upstream]:
-        """Yield the sources for a request, the best first; an uncacheable one has origins alone."""
+        """Yield the sources for a request, the best first; an uncacheable one has only origins."""
         if not request.request_class.uncacheable:
             ranked = self.server_list.sources[api.Role.PARENT].candidates(
                 request.object_hash, self.settings.servers_weighted
@@ -131,7 +131,7 @@
         yield from self.server_list.sources[api.Role.ORIGIN]
 
     def fills_from_origin(self, source: Upstream) -> bool:
-        """Return whether misses are filled from the origin itself, which ``cached_only`` cannot protect."""
+        """Return whether the origin itself fills misses, without a parent that ``cached_only`` can limit."""
         return source.entry.role is api.Role.ORIGIN and not self.server_list.sources[api.Role.PARENT]
 
     def choose_peer(self, request: PendingRequest, target: Upstream, now_ms: float) -> Upstream | None:
@@ -183,19 +183,19 @@
             chosen = self._first_admitting(request, others, now_ms)
         if chosen is not None:
             return chosen
-        must_go = request.attempts_started > 0 or request.request_class.uncacheable
-        return eligible[0] if eligible and must_go else None
+        must_be_sent = request.attempts_started > 0 or request.request_class.uncacheable
+        return eligible[0] if eligible and must_be_sent else None
 
     def _first_admitting(
         self, request: PendingRequest, servers: Iterable[Upstream], now_ms: float
     ) -> Upstream | None:
-        """Return the first server whose gate admits the request; every gate decides, so each may draw."""
-        admitted_by = [
+        """Return the first server whose gate admits the request; all gates are asked, and each may draw."""
+        admitting = [
             server
             for server in servers
             if server.gate.admits(now_ms, self._draw, request.size_weight, request.class_size_weight)
         ]
-        return admitted_by[0] if admitted_by else None
+        return admitting[0] if admitting else None
 
     def _eligible_caches(
         self, request: PendingRequest, ranked: Iterator[Upstream], now_ms: float
@@ -207,13 +207,13 @@
         """
         untried: list[Upstream] = []
         others: list[tuple[Fitness, Upstream]] = []
-        for place, server in enumerate(self._repeatable(request, ranked, now_ms), start=1):
+        for position, server in enumerate(self._repeatable(request, ranked, now_ms), start=1):
             fitness = self._fitness(request, server, now_ms)
             if fitness is Fitness.UNTRIED:
                 untried.append(server)
             elif fitness is not None:
                 others.append((fitness, server))
-            if place >= CANDIDATES_KEPT and len(untried) >= CACHE_CHOICES:
+            if position >= CANDIDATES_KEPT and len(untried) >= CACHE_CHOICES:
                 break
         if untried or not others:
             return untried[:CACHE_CHOICES]
@@ -262,7 +262,7 @@
         That is so if every cache that rule 2 allows is unreachable or has used up its slow-start budget.
         """
         caches = self.server_list.site_caches
-        # All of a small group are examined, so their order does not matter; ranking them would take longer.
+        # All caches of a small group are examined, so their order does not matter, and ranking takes longer.
         is_small = len(caches) <= SERVERS_EXAMINED
         servers = iter(caches) if is_small else self._ranked_caches(request.object_hash)
         may_take_later = False
--- a/thornjunction/policy/router.py
+++ b/thornjunction/policy/router.py
@@ -1,8 +1,8 @@
-"""The router: hands each event to the part that decides on it.
+"""The router: passes each event to the component that handles it.
 
-Settings, events and actions are in ``thornjunction.interface``. The ordinary path follows Song et al.,
-section 3: an edge cache by a hash of the object, one of two hashed parents as the source of its fill, and
-a rank at which it is cached.
+Settings, events and actions are in ``thornjunction.interface``. An ordinary request is routed as in Song et
+al., section 3: an edge cache by a hash of the object, one of two hashed parents as the source of its fill,
+and a rank at which it is cached.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 
 class Router:
-    """Decides for one process of a router; call ``handle`` with events in the order of their times.
+    """Makes the decisions of one router process; call ``handle`` with events in the order of their times.
 
-    ``name`` tells the router from the others of its fleet and lasts through restarts; it may be empty.
+    ``name`` identifies the router within its fleet and stays the same after a restart; it may be empty.
     """
 
     def __init__(self, settings: api.Settings, seed: int, name: str = "") -> None:
-        """Build the parts of the decisions. The same seed, name and events give the same actions."""
+        """Create the decision components. The same seed, name and events give the same actions."""
         self.random = random.Random(seed)
         state = new_state(settings, self.random.random, router_hash(name, seed))
         self.state = state
@@ -50,9 +50,9 @@
         self._adopt(settings)
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take in one event at its time in ms; return the actions to carry out, in order.
+        """Handle one event at its time in ms; return the actions to carry out, in order.
 
-        Events of requests and attempts that are not known, or no longer, are ignored.
+        Events of requests and attempts that are unknown or have ended are ignored.
         """
         is_first = self._context.now_ms == -math.inf
         self._context.begin_event(now)
@@ -92,6 +92,6 @@
             self.admission.deadline_passed(token)
 
     def _adopt(self, settings: api.Settings) -> None:
-        """Decide by these settings from now on; open requests keep those that they were admitted under."""
+        """Use these settings from now on; open requests keep those that they were admitted under."""
         self.state.adopt(settings)
         self.admission.adopt(settings)
--- a/thornjunction/policy/server_list.py
+++ b/thornjunction/policy/server_list.py
@@ -26,7 +26,7 @@
         }
 
     def update(self, event: api.EndpointListUpdate, settings: api.Settings, now_ms: float) -> None:
-        """Apply a list of servers, or changes of it, under these settings."""
+        """Apply a list of servers, or changes to it, under these settings."""
         if event.complete:
             listed = {entry.server for entry in event.entries}
             for server_id in [known for known in self.servers if known not in listed]:
@@ -72,7 +72,7 @@
         return self._edges(entry.zone) if entry.role is api.Role.EDGE else self.sources[entry.role]
 
     def _edges(self, zone: str) -> SiteCaches[Upstream]:
-        """Return the edge caches of a zone, which are created if there are none."""
+        """Return the edge caches of a zone; create an empty group if the zone has none."""
         caches = self.caches.get(zone)
         if caches is None:
             caches = self.caches[zone] = SiteCaches(self.rankings)
--- a/thornjunction/policy/shared_gates.py
+++ b/thornjunction/policy/shared_gates.py
@@ -27,16 +27,16 @@
         """The lower of the two gates' admitted shares, as of their last update."""
         return min(self.fills.share, self.origin.share)
 
-    def record_end(self, attempt: Attempt, took_ms: float, fill_result: api.FillResult) -> None:
-        """Record an attempt that ended; ``took_ms`` is infinite if its source failed."""
-        late = took_ms > self._late_after_ms(attempt)
-        self._record(attempt, fill_result, took_ms=took_ms, late=late)
+    def record_end(self, attempt: Attempt, elapsed_ms: float, fill_result: api.FillResult) -> None:
+        """Record an attempt that ended; ``elapsed_ms`` is infinite if its source failed."""
+        late = elapsed_ms > self._late_after_ms(attempt)
+        self._record(attempt, fill_result, elapsed_ms=elapsed_ms, late=late)
 
     def record_if_late(self, attempt: Attempt) -> None:
         """Record an attempt in flight as late once its latency objective has passed."""
         waited_ms = self._context.now_ms - attempt.sent_at_ms
         if waited_ms > self._late_after_ms(attempt):
-            self._record(attempt, api.FillResult.NONE, took_ms=waited_ms, late=True)
+            self._record(attempt, api.FillResult.NONE, elapsed_ms=waited_ms, late=True)
 
     def _late_after_ms(self, attempt: Attempt) -> float:
         """Return how long an attempt may take before it counts as late."""
@@ -45,8 +45,10 @@
             return request.objective_ms * ORIGIN_LATE_SHARE
         return request.objective_ms
 
-    def _record(self, attempt: Attempt, fill_result: api.FillResult, *, took_ms: float, late: bool) -> None:
-        """Record an attempt in the gates that it says something about, but only once."""
+    def _record(
+        self, attempt: Attempt, fill_result: api.FillResult, *, elapsed_ms: float, late: bool
+    ) -> None:
+        """Record an attempt in the gates that its outcome concerns, but only once."""
         if attempt.timeliness_recorded:
             return
         attempt.timeliness_recorded = True
@@ -55,10 +57,12 @@
         gate = self._gate_of(attempt, fill_result, late=late)
         # If outcomes do not report fills, the origin may have delayed each fill, unless the source answered
         # from its own cache alone. A rejected fill is then counted against the origin, not the source.
-        may_blame_origin = self._context.fills_unreported and gate is self.fills and not attempt.cached_only
-        if is_uncacheable or may_blame_origin:
+        origin_may_be_cause = (
+            self._context.fills_unreported and gate is self.fills and not attempt.cached_only
+        )
+        if is_uncacheable or origin_may_be_cause:
             self.origin.record(now_ms, late=late)
-        if is_uncacheable or (may_blame_origin and took_ms == math.inf):
+        if is_uncacheable or (origin_may_be_cause and elapsed_ms == math.inf):
             return
         gate.record(now_ms, late=late)
 
--- a/thornjunction/policy/state.py
+++ b/thornjunction/policy/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the decisions share: estimates, limits and the requests and servers known."""
+"""The state that all decision components share: estimates, limits, and the known requests and servers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionState:
-    """What one router remembers between events; each part of the decisions takes from here what it needs."""
+    """The state of one router between events, from which each decision component takes what it needs."""
 
     context: DecisionContext
     requests: RequestTable
@@ -32,7 +32,7 @@
     placement: Placement
 
     def adopt(self, settings: api.Settings) -> None:
-        """Decide by these settings from now on; open requests keep those that they were admitted under."""
+        """Use these settings from now on; open requests keep those that they were admitted under."""
         self.context.adopt(settings)
         self.purges.propagation_ms = settings.purge_propagation_ms
         self.retry_budget.adopt(settings.router_count)
--- a/thornjunction/policy/subsetting.py
+++ b/thornjunction/policy/subsetting.py
@@ -17,14 +17,14 @@
 from thornjunction.estimates import mix64
 from thornjunction.policy.candidates import CandidateGroup, RankingCache
 
-# Caches of the largest site that is not divided: a router's connection table has no place for more.
+# Caches of the largest site that is not divided: a router's connection table has no room for more.
 MAX_UNDIVIDED = 200
 # Bound on the caches of a block: ``MIN_BLOCK_BOUND``, and one more for each
 # ``SITE_SERVERS_PER_BLOCK_SERVER`` caches of the site, but not over ``MAX_UNDIVIDED``.
 MIN_BLOCK_BOUND = 40
 # Caches of a site for each of which the bound of its blocks rises by one.
 SITE_SERVERS_PER_BLOCK_SERVER = 8
-# A site that shrinks keeps its number of blocks while a site of this multiple of its size would need it.
+# A shrinking site keeps its number of blocks as long as a site this many times its size would need it.
 SHRINK_MARGIN = 1.25
 # Minimum of routers per block, on average: with fewer, some block might have no router, and its caches no
 # load.
@@ -44,7 +44,7 @@
 def router_hash(name: str, seed: int) -> int:
     """Return a stable 64-bit hash of a router's name, or of its seed if it has no name.
 
-    Routers whose names differ in a last number only (``edge-7``) are spread evenly over all values, by
+    Routers whose names differ only in a trailing number (``edge-7``) are spread evenly over all values, by
     Fibonacci hashing of that number: so each block is preferred by as many routers as any other. Names that
     differ otherwise are spread at random.
     """
@@ -61,12 +61,12 @@
     ``current`` is the present number. It gives hysteresis, so that the restart of one cache does not change
     the number back and forth.
     """
-    wanted = _fewest_blocks(servers)
-    if wanted < current:
-        wanted = min(_fewest_blocks(servers * SHRINK_MARGIN), current)
-    while wanted > 1 and routers < MIN_ROUTERS_PER_BLOCK * wanted:
-        wanted //= 2
-    return wanted
+    required = _fewest_blocks(servers)
+    if required < current:
+        required = min(_fewest_blocks(servers * SHRINK_MARGIN), current)
+    while required > 1 and routers < MIN_ROUTERS_PER_BLOCK * required:
+        required //= 2
+    return required
 
 
 def _fewest_blocks(servers: float) -> int:
@@ -121,14 +121,14 @@
             self.put(member.server_id, member.server, member.weight)
 
     def candidates(
-        self, object_hash: int, weighted: bool, asker_hash: int, skipped_blocks: int = 0
+        self, object_hash: int, weighted: bool, block_order_hash: int, skipped_blocks: int = 0
     ) -> Iterator[ServerT]:
         """Return an iterator over the caches, block by block, the best candidate of each block first.
 
-        ``asker_hash`` gives the order of the blocks, of which the first ``skipped_blocks`` are left out. A
-        block is ranked only when the iteration reaches it.
+        ``block_order_hash`` gives the order of the blocks, of which the first ``skipped_blocks`` are left
+        out. A block is ranked only when the iteration reaches it.
         """
-        blocks = self._blocks_for(asker_hash)[skipped_blocks:]
+        blocks = self._blocks_for(block_order_hash)[skipped_blocks:]
         if len(blocks) == 1:
             return blocks[0].candidates(object_hash, weighted)
         return itertools.chain.from_iterable(block.candidates(object_hash, weighted) for block in blocks)
@@ -141,8 +141,8 @@
         """Return a block by the highest bits of a 64-bit hash: twice as many blocks split each one in two."""
         return hash_value * self.block_count >> 64
 
-    def _blocks_for(self, asker_hash: int) -> list[CandidateGroup[ServerT]]:
-        """Return all blocks in the order in which the asker uses them.
+    def _blocks_for(self, block_order_hash: int) -> list[CandidateGroup[ServerT]]:
+        """Return all blocks in the order that a hash of the router or object gives.
 
         Routers that prefer the same block differ in their second one, so that no block gets all the load that
         another one cannot take.
@@ -150,6 +150,6 @@
         count = self.block_count
         if count == 1:
             return self._blocks
-        first = self._block_index(asker_hash)
-        offsets = [1 + (asker_hash + step) % (count - 1) for step in range(count - 1)]
+        first = self._block_index(block_order_hash)
+        offsets = [1 + (block_order_hash + step) % (count - 1) for step in range(count - 1)]
         return [self._blocks[first], *(self._blocks[(first + offset) % count] for offset in offsets)]
--- a/thornjunction/policy/upstreams.py
+++ b/thornjunction/policy/upstreams.py
@@ -14,7 +14,7 @@
 SILENCE_MS = 500.0
 # Expected transfer time of an attempt, as a multiple of its transfer time without other load.
 TRANSFER_SLACK = 1.5
-# Silent attempts from which on a server counts as hung or unreachable; a single one may only be slow.
+# Minimum of silent attempts at a server that counts as hung or unreachable; a single one may only be slow.
 MIN_SILENT_ATTEMPTS = 2
 
 # The request's id and the number of the attempt.
